--- /dev/null
+++ b/capture/encoding_test.go
@@ -0,0 +1,44 @@
+package capture
+
+import (
+	"testing"
+
+	"foxwood/internal/testing/encoding"
+	"foxwood/policy"
+)
+
+// kept collects the records that an encoder hands on.
+type kept struct{ raw []byte }
+
+func (k *kept) take(b filled) []byte     { k.raw = append(k.raw, b.raw...); return nil }
+func (k *kept) wants(policy.Micros) bool { return true }
+func (k *kept) offer(b filled)           { k.raw = append(k.raw, b.raw...) }
+
+func TestRecordsKeepTheirEncoding(t *testing.T) {
+	var to kept
+	e := newEncoder(&to, &Key{})
+	state := encoding.Filled[policy.Snapshot]()
+	e.Began(11, encoding.Filled[policy.Settings](), 12)
+	e.Requested(13, encoding.Filled[policy.Request]())
+	e.Named(14, "name")
+	e.Gone(15, 16)
+	e.Ended(17, encoding.Filled[policy.Outcome]())
+	e.Counted(18, 19, 20, encoding.Filled[policy.Status](), 21.5)
+	e.Listed(22, encoding.Filled[policy.ListKind](), encoding.Filled[[]policy.Entry]())
+	e.Classes(23, encoding.Filled[[]policy.Class]())
+	e.Filled(24, 25)
+	e.Progressed(26, encoding.Filled[policy.Server]())
+	e.Joined(27, 28)
+	e.Beside(29, encoding.Filled[policy.Draw]())
+	e.Rang(30, 31)
+	e.Recovered(32, state, true)
+	e.Send(33, encoding.Filled[policy.Server](), 34)
+	e.Refuse(35, 36)
+	e.Fail(37)
+	e.Cancel(38, 39)
+	e.Timer(40, 41)
+	e.Count(42, 43.5, 44)
+	e.Checkpoint(45, func() policy.Snapshot { return state })
+	e.flush()
+	encoding.CheckBytes(t, "records", to.raw)
+}
--- /dev/null
+++ b/internal/cairn/encoding_test.go
@@ -0,0 +1,20 @@
+package cairn_test
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"gotest.tools/v3/assert"
+
+	"foxwood/internal/cairn"
+	"foxwood/internal/rpc"
+	"foxwood/internal/testing/encoding"
+)
+
+// What the machines of the chain send each other and what they store is read by the release before and the one after.
+func TestMessagesAndRecordsKeepTheirEncoding(t *testing.T) {
+	assert.Equal(t, rpc.NameOf[cairn.Message](), "cairn.Message")
+	encoding.Check[cairn.Message](t, "cairn.Message", cbor.Marshal, cbor.Unmarshal)
+	encoding.Check[cairn.Record](t, "cairn.Record", cbor.Marshal, cbor.Unmarshal)
+	encoding.Check[cairn.State](t, "cairn.State", cbor.Marshal, cbor.Unmarshal)
+}
--- /dev/null
+++ b/policy/encoding_test.go
@@ -0,0 +1,16 @@
+package policy_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"foxwood/internal/testing/encoding"
+	"foxwood/policy"
+)
+
+// Captures and the process that takes over read settings and states of earlier releases.
+func TestSettingsAndStatesKeepTheirEncoding(t *testing.T) {
+	encoding.Check[policy.Settings](t, "Settings", json.Marshal, json.Unmarshal)
+	encoding.Check[policy.Snapshot](t, "Snapshot", json.Marshal, json.Unmarshal)
+	encoding.Check[policy.Draw](t, "Draw", json.Marshal, json.Unmarshal)
+}
