--- a/gatekeeper/clock.go
+++ b/gatekeeper/clock.go
@@ -6,10 +6,10 @@
 	"foxwood/policy"
 )
 
-// Clock tells the time in milliseconds since the Unix epoch. It is the only
-// clock of a gatekeeper: all gatekeepers share the system's, since the windows
-// of the shared counter are named by it. It never goes backwards: where the
-// system's is set anew, it gains or loses a tenth until they agree.
+// Clock tells the time in milliseconds. A clock of NewClock counts since the Unix
+// epoch, as the windows of the shared counter are named by time and all gatekeepers
+// have to agree on them. It never goes backwards: when the system clock is adjusted,
+// it runs up to a tenth faster or slower until the two agree.
 type Clock struct {
 	system func() (wall, running float64)
 	ran    float64
@@ -17,10 +17,11 @@
 	fixed  bool
 }
 
-// slew is the part of the time gone by that may be made up for.
+// slew is the largest correction towards the system clock, as a fraction of the
+// elapsed time.
 const slew = 0.1
 
-// NewClock makes a clock that follows the system's.
+// NewClock creates a clock that follows the system's wall clock.
 func NewClock() *Clock {
 	start := time.Now()
 	c := &Clock{system: func() (wall, running float64) {
@@ -31,7 +32,20 @@
 	return c
 }
 
-// Now is the time in milliseconds.
+// NewSteadyClock creates a clock that starts at the given time in milliseconds and
+// follows only the system's monotonic clock. It suits callers that need no common time
+// of day and must not be affected by adjustments of the wall clock.
+func NewSteadyClock(at float64) *Clock {
+	start := time.Now()
+	c := &Clock{system: func() (wall, running float64) {
+		ran := float64(time.Since(start)) / 1e6
+		return at + ran, ran
+	}}
+	c.at, c.ran = c.system()
+	return c
+}
+
+// Now returns the time in milliseconds.
 func (c *Clock) Now() float64 {
 	if c.fixed {
 		return c.at
@@ -44,11 +58,12 @@
 	return c.at
 }
 
-// Set stops the clock at a time, for tests.
+// Set stops the clock at a time in milliseconds, for tests and simulations.
 func (c *Clock) Set(ms float64) { c.fixed, c.at = true, ms }
 
-// micros turns milliseconds into the decision module's time; it and millis are
-// the one boundary between the two.
+// micros converts milliseconds to the decision module's microseconds. This package
+// calculates in milliseconds, and only micros and millis convert between the two.
 func micros(ms float64) policy.Micros { return policy.Micros(ms * 1000) }
 
+// millis converts the decision module's microseconds to milliseconds.
 func millis(us policy.Micros) float64 { return float64(us) / 1000 }
--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -1,10 +1,11 @@
-// Package gatekeeper is the core of a gatekeeper that can be embedded: it takes
-// requests, has the decision module judge them, starts executions on workers and
-// gives every request exactly one final answer. It knows no wire: fronts hand
-// requests in and links carry executions and counter calls, all through the
-// interfaces below.
+// Package gatekeeper implements the embeddable core of a gatekeeper, one load
+// balancer instance. It accepts requests, asks the decision module (package
+// policy) what to do with them, starts executions on workers and gives every
+// request exactly one final answer. It is independent of any network protocol:
+// front ends submit requests, and transports carry executions and counter calls,
+// all through the interfaces below.
 //
-// A Gatekeeper belongs to one loop. None of its methods may be called from two
+// A Gatekeeper belongs to one event loop. Its methods must not be called from two
 // goroutines at once.
 package gatekeeper
 
@@ -15,68 +16,70 @@
 	"foxwood/policy"
 )
 
-// Caller is owed the final answer to a request, and gets exactly one, unless it
-// has told the gatekeeper that it left.
+// Caller receives the final answer to a request. It gets exactly one, or none if
+// Gatekeeper.Gone reported before that the client has disconnected.
 type Caller interface {
-	// Served passes on a worker's answer. It holds only during the call.
+	// Served delivers a worker's answer. The answer is valid only during the call.
 	Served(r *Request, answer Answer)
-	// Throttled refuses: trying again is harmless, after so many milliseconds.
-	Throttled(r *Request, after float64)
-	// Failed promises nothing about what the request has done.
+	// Throttled reports a refusal. The request has not run, so the client may safely
+	// retry it after the given number of milliseconds.
+	Throttled(r *Request, retryAfter float64)
+	// Failed reports a failure. The request may or may not have run.
 	Failed(r *Request)
 }
 
-// Answer is what a worker said to an execution that served its request.
+// Answer is a worker's response to an execution.
 type Answer struct {
-	Status int    // as the wire numbers them, 0 for the ordinary one
-	Head   []byte // whole header lines to pass on
+	Status int    // status code of the protocol, 0 for the default success code
+	Head   []byte // complete header lines to pass on
 	Body   []byte
 }
 
-// Fleet carries executions to the workers. It reports the end of each with
+// Fleet sends executions to the workers. It reports the end of each with
 // Gatekeeper.Done, unless the gatekeeper has abandoned it.
 type Fleet interface {
 	Execute(x *Execution)
-	// Abandon gives an execution up at once, so that no other can overlap it.
-	// It tells whether the whole of it was on its way to the worker.
+	// Abandon stops an execution immediately, so that a later one cannot overlap it.
+	// It reports whether the whole execution had been sent to the worker.
 	Abandon(x *Execution) (sent bool)
-	// Release closes idle links to workers that the list no longer names.
+	// Release closes idle connections to a worker that is no longer listed as ready.
 	Release(id policy.Server)
 }
 
-// Counter carries calls to the shared counter, in order for each name. It reports
-// the end of each with Gatekeeper.Counted.
+// Counter sends calls to the shared counter, those of one name in order. It reports
+// the end of each call with Gatekeeper.Counted.
 type Counter interface {
 	Add(c *Count)
 }
 
-// Request is a client's try. The front fills in the exported fields.
+// Request is a request of a client. The front end fills in the exported fields.
 type Request struct {
-	Name        string // the client's own for it, if any: no two open requests share one
+	Name        string // the client's name for the request, if any; unique among open requests
 	Class, Plan int
 	Customer    uint64
-	Left        float64 // milliseconds that the client still waits
-	Units       float64
-	Spread      int  // through how many gatekeepers the customer comes
-	Again       bool // marked as a client's repeat
+	Left        float64 // milliseconds that the client is still willing to wait
+	Units       float64 // estimated cost, in the units that rate limits count
+	Spread      int     // number of gatekeepers that the customer's requests are spread over
+	Again       bool    // marked by the client as a retry
 	Caller      Caller
-	Payload     any // what the links send; the core does not look inside
-	// Filling is set while the request's last byte is still to come: its time runs from
-	// that on, and so does an execution's.
+	Payload     any // what the transports send; the core does not inspect it
+	// Filling is set while the end of the request's body has not arrived yet. The
+	// deadlines of the request and of its executions count from the arrival of its last byte.
 	Filling bool
-	// Spent is set once it can't be sent again: bytes of it are no longer held.
+	// Spent is set once the request can't be sent again because part of its body is no
+	// longer buffered.
 	Spent bool
-	// Homes is the regions whose workers it may go to, a bit for each; 0 for any.
+	// Homes is a bit set of the regions whose workers may serve the request; 0 allows all.
 	Homes uint64
-	// Last is the last failure that a worker answered, kept here for a caller that passes it
-	// on; nil where there was none, or its body was too long to be kept.
+	// Last is the latest error response of a worker, for a caller that passes it on. It is
+	// nil if there was none or if its body exceeded the size limit.
 	Last *Answer
-	// Ran tells that an execution that has ended may have run.
+	// Ran reports that an ended execution may have run on its worker.
 	Ran bool
 
 	id       uint32
 	deadline float64
-	tally    Tally // of its class, nil where nobody counts
+	tally    Tally // of its class, nil if the class is not counted
 	execs    []*Execution
 	open     int // executions without an outcome
 	over     bool
@@ -86,60 +89,60 @@
 type Execution struct {
 	Request *Request
 	Worker  policy.Server
-	Timeout float64 // milliseconds that it may take
-	Slot    any     // for the fleet's own use
+	Timeout float64 // milliseconds
+	Slot    any     // reserved for the Fleet
 
-	n     int
-	began float64
+	n     int     // index of the attempt, from 0
+	began float64 // clock time in milliseconds
 	ended bool
-	wrote bool // whole, to the worker
+	wrote bool // completely written to the worker
 
-	filling bool // it was sent before the request's last byte had come
+	filling bool // it was started before the request's last byte had arrived
 }
 
 // End is how a request ended for its client.
 type End int
 
-// The ends.
+// The possible values of End.
 const (
-	Completed End = iota // served
-	Rejected             // refused
-	Failed
+	Completed End = iota // a worker's answer was passed on
+	Rejected             // refused without having run
+	Failed               // failed, possibly after having run
 )
 
-// Tally counts the ends of one class's requests.
-type Tally interface{ Ended(how End) }
+// Tally counts how the requests of one class ended.
+type Tally interface{ Ended(end End) }
 
-// Meter counts what a gatekeeper does.
+// Meter counts requests and execution attempts.
 type Meter interface {
-	// Class is the tally of a class in force, nil where it is not counted.
+	// Class returns the tally of a class, or nil if the class is not counted.
 	Class(class int) Tally
-	// Wrote counts an attempt that was written whole to a worker.
+	// Wrote counts an attempt that was completely written to a worker.
 	Wrote()
 }
 
 // Outcome is how an execution ended.
 type Outcome struct {
 	Status policy.Status
-	Answer Answer    // where it served; or a failure to be kept as Request.Last, if it has a status
-	Units  float64   // the true units, 0 where the worker told none
-	Load   []float32 // in the order of the settings' report fields
+	Answer Answer    // the worker's answer; an error with a status code is kept as Request.Last
+	Units  float64   // actual cost in units, 0 if the worker did not report it
+	Load   []float32 // load report, in the order of the settings' report fields
 }
 
-// Count is one call to the shared counter.
+// Count is one call to the shared counter, which adds Amount to the counter Name.
 type Count struct {
 	Name   uint64
 	Amount float64
-	Life   float64 // of a new name, in milliseconds
+	Life   float64 // time to live of a counter that the call creates, in milliseconds
 
-	began  float64
+	began  float64 // clock time in milliseconds
 	ended  bool
 	status policy.Status
 	total  float64
 	took   policy.Micros
 }
 
-// Gatekeeper is one gatekeeper's requests, executions and timers.
+// Gatekeeper holds the requests, executions and timers of one load balancer instance.
 type Gatekeeper struct {
 	clock   *Clock
 	decide  Module
@@ -148,48 +151,48 @@
 	wake    func(at float64)
 
 	requests map[uint32]*Request
-	names    map[string]bool // of the open requests that have one
+	names    map[string]bool // names of the open requests that have one
 	lastID   uint32
-	counts   map[uint64][]*Count // that the module has not been told of, by name, in their order
+	counts   map[uint64][]*Count // calls not yet reported to the module, by counter name, in the order of their start
 	timers   timers
-	wokenAt  float64
-	patience float64 // of counter calls
+	wokenAt  float64 // time of the latest wake-up that was asked for, 0 for none
+	patience float64 // timeout of counter calls in milliseconds
 	classes  []policy.Class
 	recorder Recorder
 	meter    Meter
-	beside   func(policy.Draw) // what another process of this gatekeeper is told, nil for none
-	booked   map[uint32]bool   // requests whose draw it knows from a snapshot
+	beside   func(policy.Draw) // reports quota draws to another process of this gatekeeper; nil if there is none
+	booked   map[uint32]bool   // requests whose draws the other process knows from the handover snapshot
 	deciding bool
-	waiting  []func()               // events that came while a decision was being made
-	known    map[policy.Server]bool // the listed workers, and whether they take work
+	waiting  []func()               // events that arrived during a decision
+	known    map[policy.Server]bool // the listed workers, and whether each is ready
 
-	slowStart bool // cold workers' sends count from when they leave
+	slowStart bool // sends to cold workers are counted from when they are written
 }
 
-// Config is what a Gatekeeper is made of.
+// Config holds the settings and collaborators of a Gatekeeper.
 type Config struct {
 	Settings policy.Settings
 	Seed     uint64
 	Clock    *Clock
 	Fleet    Fleet
 	Counter  Counter
-	Wake     func(at float64) // asks for a call of Advance at a time
-	// Recorder, where set, is told all that enters and leaves the decision module.
+	Wake     func(at float64) // requests a call of Advance at a clock time in milliseconds
+	// Recorder, if set, receives all calls into and out of the decision module.
 	Recorder Recorder
-	// Meter, where set, counts requests and attempts.
+	// Meter, if set, counts requests and attempts.
 	Meter Meter
-	// Earlier, where set, is what an earlier life of this gatekeeper knew at its end.
+	// Earlier, if set, is the last known state of the previous process of this gatekeeper.
 	Earlier *Earlier
 }
 
-// Earlier is the end of an earlier life.
+// Earlier is the last known state of the previous process of a gatekeeper.
 type Earlier struct {
 	State policy.Snapshot
-	Exact bool // nothing of that life is missing
-	Still bool // it goes on beside this one until it is told to end
+	Exact bool // State is complete: nothing that the process decided is missing
+	Still bool // the process keeps running in parallel until it is told to stop
 }
 
-// New makes a gatekeeper and starts its decision module.
+// New creates a gatekeeper and starts its decision module.
 func New(c Config) *Gatekeeper {
 	g := &Gatekeeper{
 		clock: c.Clock, decide: module(c), fleet: c.Fleet, counter: c.Counter, wake: c.Wake,
@@ -198,12 +201,12 @@
 		slowStart: c.Settings.ColdSends != nil,
 	}
 	if g.patience <= 0 {
-		g.patience = 50
+		g.patience = 50 // default for settings without a timeout
 	}
 	g.enter(func(now policy.Micros) { g.decide.Start(now, g) })
 	if e := c.Earlier; e != nil {
 		g.enter(func(now policy.Micros) {
-			e.State.Now = min(e.State.Now, now) // the other process's clock may be a little ahead
+			e.State.Now = min(e.State.Now, now) // the other process's clock may be slightly ahead
 			g.decide.Recover(now, g, e.State, e.Exact)
 			if e.Still {
 				g.decide.Joined(e.State)
@@ -213,7 +216,7 @@
 	return g
 }
 
-// module is the decision module, with the recorder around it where there is one.
+// module creates the decision module, wrapped in the recorder if there is one.
 func module(c Config) Module {
 	if c.Recorder != nil {
 		return newRecorded(c.Settings, c.Seed, c.Recorder)
@@ -221,8 +224,9 @@
 	return policy.New(c.Settings, c.Seed)
 }
 
-// enter runs one event on the decision module. An event that a link or front
-// reports from inside a decision waits until that decision is made.
+// enter passes one event to the decision module. An event that a transport or front
+// end reports during a decision is queued until that decision is complete, since the
+// module is not reentrant.
 func (g *Gatekeeper) enter(event func(now policy.Micros)) {
 	if g.deciding {
 		g.waiting = append(g.waiting, func() { event(micros(g.clock.Now())) })
@@ -233,16 +237,16 @@
 	for len(g.waiting) > 0 {
 		next := g.waiting
 		g.waiting = nil
-		for _, do := range next {
-			do()
+		for _, event := range next {
+			event()
 		}
 	}
 	g.deciding = false
 	g.rewake()
 }
 
-// rewake asks to be woken for the earliest timer whose thing is not over. It guards
-// against being woken once for every execution that ended long before its time was up.
+// rewake requests a wake-up for the earliest timer that is still needed. Dropping
+// the others avoids a wake-up for every execution that ended long before its timeout.
 func (g *Gatekeeper) rewake() {
 	for len(g.timers.heap) > 0 && g.timers.heap[0].over() {
 		g.timers.pop(g.timers.heap[0].at)
@@ -253,9 +257,9 @@
 	}
 }
 
-// Take takes a request on. Its caller will get one final answer. A request that has
-// the name of an open one is not taken, and false returned: on workers the two would
-// pass for one that is sent twice.
+// Take accepts a request, whose caller will get one final answer. It returns false,
+// and does not accept the request, if an open request has the same name: workers would
+// mistake the two for one request that is sent twice.
 func (g *Gatekeeper) Take(r *Request) bool {
 	if r.Name != "" {
 		if g.names[r.Name] {
@@ -277,7 +281,7 @@
 		g.recorder.Named(r.id, r.Name)
 	}
 	g.enter(func(now policy.Micros) {
-		if r.over { // the client left while the request waited
+		if r.over { // the client disconnected while the event was queued
 			return
 		}
 		left := micros(r.deadline - g.clock.Now())
@@ -289,7 +293,7 @@
 	return true
 }
 
-// Gone tells that a request's client has left: it is owed nothing any more.
+// Gone reports that a request's client has disconnected. The request gets no answer.
 func (g *Gatekeeper) Gone(r *Request) {
 	if r.over {
 		return
@@ -298,7 +302,7 @@
 	g.enter(func(now policy.Micros) { g.decide.ClientGone(now, g, r.id) })
 }
 
-// Open is how many requests are owed an answer.
+// Open returns the number of requests without a final answer.
 func (g *Gatekeeper) Open() int {
 	n := 0
 	for _, r := range g.requests {
@@ -309,7 +313,7 @@
 	return n
 }
 
-// Done ends an execution. What comes after its end is ignored.
+// Done reports the outcome of an execution. Further outcomes of it are ignored.
 func (g *Gatekeeper) Done(x *Execution, o Outcome) {
 	if x.ended {
 		return
@@ -333,24 +337,25 @@
 	g.outcome(x, o, over)
 }
 
-// lastMost is the longest body of a failure that is kept.
+// lastMost is the longest body, in bytes, of an error response that Request.Last keeps.
 const lastMost = 64 << 10
 
-// keep copies a failure, which holds only during the call.
+// keep stores a copy of an error response, which is valid only during the call.
 func (r *Request) keep(a Answer) {
 	if r.Last = nil; len(a.Body) <= lastMost {
 		r.Last = &Answer{Status: a.Status, Head: slices.Clone(a.Head), Body: slices.Clone(a.Body)}
 	}
 }
 
-// Counted ends a counter call. A call that has timed out is over already. The module is
-// told of a name's calls in their order, as it can't tell them apart: a call that fails at
-// once waits for an earlier one that is still out.
-func (g *Gatekeeper) Counted(c *Count, st policy.Status, total float64) {
+// Counted reports the result of a counter call. The result of a call that has timed out
+// is ignored. Results are passed to the module in the order in which the calls of a
+// counter name were started, since it can't tell these calls apart: the result of a call
+// that fails immediately is held back until all earlier calls have ended.
+func (g *Gatekeeper) Counted(c *Count, status policy.Status, total float64) {
 	if c.ended {
 		return
 	}
-	c.ended, c.status, c.total, c.took = true, st, total, micros(g.clock.Now()-c.began)
+	c.ended, c.status, c.total, c.took = true, status, total, micros(g.clock.Now()-c.began)
 	for list := g.counts[c.Name]; len(list) > 0 && list[0].ended; list = g.counts[c.Name] {
 		first := list[0]
 		if g.counts[c.Name] = list[1:]; len(list) == 1 {
@@ -360,7 +365,7 @@
 	}
 }
 
-// Workers brings the host group, whole or as changes to it.
+// Workers updates the worker list, with a full list or with changes to it.
 func (g *Gatekeeper) Workers(kind policy.ListKind, entries []policy.Entry) {
 	before := maps.Clone(g.known)
 	if kind != policy.Delta {
@@ -382,21 +387,21 @@
 			released = append(released, id)
 		}
 	}
-	slices.Sort(released) // their executions' ends reach the module in this order
+	slices.Sort(released) // the module gets the outcomes of their executions in this order, which must be deterministic
 	for _, id := range released {
 		g.fleet.Release(id)
 	}
 	g.enter(func(now policy.Micros) { g.decide.Servers(now, g, kind, entries) })
 }
 
-// SetClasses replaces the table of request classes. Requests taken before keep the
-// terms they came with.
+// SetClasses replaces the table of request classes. Requests accepted before keep the
+// terms that applied when they were accepted.
 func (g *Gatekeeper) SetClasses(classes []policy.Class) {
 	g.classes = classes
 	g.enter(func(now policy.Micros) { g.decide.SetClasses(now, g, classes) })
 }
 
-// Class is the terms of a class of requests; those of an unknown one are zero.
+// Class returns the terms of a request class, or the zero value for an unknown class.
 func (g *Gatekeeper) Class(class int) policy.Class {
 	if class < 0 || class >= len(g.classes) {
 		return policy.Class{}
@@ -404,8 +409,8 @@
 	return g.classes[class]
 }
 
-// Hand makes a snapshot for a process that goes on beside this one. From now on tell is
-// told what is drawn.
+// Hand makes a snapshot for another process of this gatekeeper that will run in
+// parallel with this one, and reports all further quota draws to tell.
 func (g *Gatekeeper) Hand(tell func(policy.Draw)) policy.Snapshot {
 	s := g.decide.Snapshot()
 	g.booked = map[uint32]bool{}
@@ -416,19 +421,20 @@
 	return s
 }
 
-// Tell has what is drawn told from now on, or no longer where tell is nil.
+// Tell reports all further quota draws to tell. If tell is nil, it stops the reports.
 func (g *Gatekeeper) Tell(tell func(policy.Draw)) {
 	if g.beside = tell; tell == nil {
 		g.booked = nil
 	}
 }
 
-// Beside books what another process of this gatekeeper has drawn.
+// Beside records a quota draw of another process of this gatekeeper.
 func (g *Gatekeeper) Beside(d policy.Draw) {
 	g.enter(func(now policy.Micros) { g.decide.Beside(now, d) })
 }
 
-// draw tells the other process of an execution that starts: its first one draws the units.
+// draw reports an execution that starts to the other process of this gatekeeper. Only
+// the first execution of a request draws units.
 func (g *Gatekeeper) draw(r *Request, x *Execution) {
 	d := policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Server: x.Worker}
 	if x.n == 0 && !g.booked[r.id] {
@@ -437,32 +443,32 @@
 	g.beside(d)
 }
 
-// Standings is what the decision module thinks of the workers, and how many
-// executions it would have out at once.
+// Standings returns the decision module's view of each worker, and how many
+// executions it allows at the same time.
 func (g *Gatekeeper) Standings() ([]policy.Standing, float64) {
 	return g.decide.Standings(micros(g.clock.Now()))
 }
 
-// Sightings is what the decision module has to tell of workers since it was last asked.
+// Sightings returns what the decision module has observed of workers since the last call.
 func (g *Gatekeeper) Sightings() []policy.Sighting {
 	return g.decide.Sightings(micros(g.clock.Now()))
 }
 
-// Believe brings it what the zone's gatekeepers believe of workers.
+// Believe passes the decision module what the zone's gatekeepers assume about workers.
 func (g *Gatekeeper) Believe(of map[policy.Server]policy.Belief) {
 	g.enter(func(now policy.Micros) { g.decide.Believe(now, g, of) })
 }
 
-// Ready tells whether there is a worker to serve with.
+// Ready reports whether at least one worker is ready.
 func (g *Gatekeeper) Ready() bool {
 	ready, _ := g.Size()
 	return ready > 0
 }
 
-// Load is what the decision module has to do now.
+// Load returns the decision module's current amount of work.
 func (g *Gatekeeper) Load() policy.Load { return g.decide.Load() }
 
-// Size is how many workers are listed, and how many of them take work.
+// Size returns how many workers are ready and how many are listed.
 func (g *Gatekeeper) Size() (ready, listed int) {
 	for _, r := range g.known {
 		if r {
@@ -472,7 +478,7 @@
 	return ready, len(g.known)
 }
 
-// Advance does what has come due.
+// Advance processes all timers that are due.
 func (g *Gatekeeper) Advance() {
 	g.wokenAt = 0
 	now := g.clock.Now()
@@ -493,27 +499,27 @@
 	g.rewake()
 }
 
-// timeOut ends an execution whose time is up. One that never got on its way has
-// met a worker that could not be reached.
+// timeOut ends an execution whose timeout has expired. If it had not been completely
+// sent, the worker counts as unreachable.
 func (g *Gatekeeper) timeOut(x *Execution) {
 	if x.ended {
 		return
 	}
-	st := policy.ConnectFailed
+	status := policy.ConnectFailed
 	if g.fleet.Abandon(x) {
-		st = policy.Timeout
+		status = policy.Timeout
 	}
-	g.Done(x, Outcome{Status: st})
+	g.Done(x, Outcome{Status: status})
 }
 
-// Wrote tells that the last byte of an execution has left for its worker. Links that can't
-// see that need not call it: an outcome tells so too.
+// Wrote reports that the last byte of an execution has been written to its worker.
+// Transports that can't observe this need not call it, since an outcome implies it.
 func (g *Gatekeeper) Wrote(x *Execution) {
 	if x.wrote {
 		return
 	}
 	x.wrote = true
-	if x.filling { // a worker begins with the last byte
+	if x.filling { // a worker starts its work when it has the last byte
 		x.began = g.clock.Now()
 	}
 	if g.meter != nil {
@@ -524,12 +530,13 @@
 	}
 }
 
-// MayLeave tells whether an execution that has waited for a link may still be written to its worker.
+// MayLeave reports whether an execution that waited for a connection may still be
+// written to its worker.
 func (g *Gatekeeper) MayLeave(x *Execution) bool {
 	return !g.slowStart || g.decide.MayLeave(micros(g.clock.Now()), x.Request.id, x.n)
 }
 
-// Filled tells that a request's last byte has come, after the request was taken.
+// Filled reports that the last byte of a request has arrived, after the request was accepted.
 func (g *Gatekeeper) Filled(r *Request) {
 	if r.over || !r.Filling {
 		return
@@ -544,16 +551,16 @@
 	g.enter(func(now policy.Micros) { g.decide.Filled(now, r.id) })
 }
 
-// Progress tells that bytes of an execution move.
+// Progress reports that bytes of an execution were sent or received.
 func (g *Gatekeeper) Progress(x *Execution) {
 	if !x.ended {
 		g.enter(func(now policy.Micros) { g.decide.Progress(now, x.Worker) })
 	}
 }
 
-// Begun tells that the worker's answer has begun to flow to the caller, and what its head
-// said. The execution is over for the decision module: it serves its request, or nobody
-// does. Finish must follow.
+// Begun reports that a worker's answer, of which o holds the head, is being streamed to
+// the caller. From now on no other execution can serve the request, so the decision
+// module gets the outcome of this one as final. Finish must follow.
 func (g *Gatekeeper) Begun(x *Execution, o Outcome) {
 	if x.ended || x.Request.over {
 		return
@@ -564,21 +571,22 @@
 	g.outcome(x, o, true)
 }
 
-// Finish ends a request whose answer has flowed, whole or not.
-func (g *Gatekeeper) Finish(r *Request, how End) {
+// Finish ends a request whose answer was streamed, completely or not.
+func (g *Gatekeeper) Finish(r *Request, end End) {
 	if !r.over {
-		g.end(r, how)
+		g.end(r, end)
 	}
 }
 
-// settle tells another process of what a served request really drew.
+// settle reports the difference between the actual and the estimated units of a served
+// request to the other process of this gatekeeper.
 func (g *Gatekeeper) settle(x *Execution, o Outcome) {
 	if r := x.Request; g.beside != nil && o.Units > 0 {
 		g.beside(policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Units: o.Units - r.Units, Settles: true})
 	}
 }
 
-// outcome tells the decision module how an execution ended.
+// outcome reports to the decision module how an execution ended.
 func (g *Gatekeeper) outcome(x *Execution, o Outcome, over bool) {
 	r, latency := x.Request, micros(g.clock.Now()-x.began)
 	g.enter(func(now policy.Micros) {
@@ -591,41 +599,43 @@
 	})
 }
 
-// end is the one place where a request gets its final answer.
-func (g *Gatekeeper) end(r *Request, how End) {
+// end counts how a request ended and closes it. Every request that gets a final answer
+// passes through here.
+func (g *Gatekeeper) end(r *Request, end End) {
 	if r.tally != nil {
-		r.tally.Ended(how)
+		r.tally.Ended(end)
 	}
 	g.finish(r)
 }
 
+// finish closes a request, with or without an answer.
 func (g *Gatekeeper) finish(r *Request) {
 	r.over = true
 	delete(g.names, r.Name)
 	g.forget(r)
 }
 
-// forget drops a request that is over from the table, once no execution of it is
-// out: the decision module may still cancel those.
+// forget removes a closed request from the table once it has no open executions. The
+// decision module may still cancel these, and needs the request for that.
 func (g *Gatekeeper) forget(r *Request) {
 	if r.over && r.open == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-// Send implements policy.Host.
-func (g *Gatekeeper) Send(id uint32, to policy.Server, timeout policy.Micros) {
+// Send implements policy.Host. It starts an execution of a request on a worker.
+func (g *Gatekeeper) Send(id uint32, worker policy.Server, timeout policy.Micros) {
 	r := g.requests[id]
 	if r == nil {
 		return
 	}
-	x := &Execution{Request: r, Worker: to, Timeout: millis(timeout), n: len(r.execs), began: g.clock.Now()}
+	x := &Execution{Request: r, Worker: worker, Timeout: millis(timeout), n: len(r.execs), began: g.clock.Now()}
 	if timeout == 0 {
 		x.Timeout = r.deadline - x.began
 	}
 	r.execs = append(r.execs, x)
 	r.open++
-	if x.filling = r.Filling; !x.filling { // else Filled sees to it
+	if x.filling = r.Filling; !x.filling { // otherwise Filled sets the timer
 		g.timers.push(timer{at: x.began + x.Timeout, exec: x})
 	}
 	if g.beside != nil {
@@ -634,7 +644,7 @@
 	g.fleet.Execute(x)
 }
 
-// Refuse implements policy.Host.
+// Refuse implements policy.Host. It answers a request with a refusal.
 func (g *Gatekeeper) Refuse(id uint32, retryAfter policy.Micros) {
 	if r := g.requests[id]; r != nil && !r.over {
 		g.end(r, Rejected)
@@ -642,7 +652,7 @@
 	}
 }
 
-// Fail implements policy.Host.
+// Fail implements policy.Host. It answers a request with a failure.
 func (g *Gatekeeper) Fail(id uint32) {
 	if r := g.requests[id]; r != nil && !r.over {
 		g.end(r, Failed)
@@ -650,7 +660,7 @@
 	}
 }
 
-// Cancel implements policy.Host.
+// Cancel implements policy.Host. It stops an execution.
 func (g *Gatekeeper) Cancel(id uint32, attempt int) {
 	r := g.requests[id]
 	if r == nil || attempt < 0 || attempt >= len(r.execs) || r.execs[attempt].ended {
@@ -663,18 +673,18 @@
 	g.Done(x, Outcome{Status: policy.Cancelled})
 }
 
-// Timer implements policy.Host.
-func (g *Gatekeeper) Timer(token uint64, after policy.Micros) {
-	g.timers.push(timer{at: g.clock.Now() + millis(after), token: token})
+// Timer implements policy.Host. It sets a timer of the decision module.
+func (g *Gatekeeper) Timer(token uint64, delay policy.Micros) {
+	g.timers.push(timer{at: g.clock.Now() + millis(delay), token: token})
 }
 
-// Count implements policy.Host.
-func (g *Gatekeeper) Count(name uint64, amount float64, life policy.Micros) {
-	c := &Count{Name: name, Amount: amount, Life: millis(life), began: g.clock.Now()}
+// Count implements policy.Host. It starts a call to the shared counter.
+func (g *Gatekeeper) Count(name uint64, amount float64, ttl policy.Micros) {
+	c := &Count{Name: name, Amount: amount, Life: millis(ttl), began: g.clock.Now()}
 	g.counts[name] = append(g.counts[name], c)
 	g.timers.push(timer{at: c.began + g.patience, count: c})
 	g.counter.Add(c)
 }
 
-// Over tells whether a call has ended, so that no answer to it is waited for.
+// Over reports whether the call has ended, by its result or by its timeout.
 func (c *Count) Over() bool { return c.ended }
--- a/gatekeeper/gatekeeper_test.go
+++ b/gatekeeper/gatekeeper_test.go
@@ -9,14 +9,14 @@
 	"foxwood/policy"
 )
 
-// rig is a gatekeeper with stand-ins for all around it, which keep a record.
+// rig is a gatekeeper with fakes for its caller, fleet and counter, which record their calls.
 type rig struct {
 	*Gatekeeper
 	clock *Clock
 	out   []*Execution
 	calls []*Count
 	told  []string
-	sent  bool // what Abandon says
+	sent  bool // the result of Abandon
 }
 
 func (r *rig) Execute(x *Execution)        { r.out = append(r.out, x) }
@@ -57,38 +57,38 @@
 func (r *rig) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if diff := cmp.Diff(want, r.told); diff != "" {
-		t.Fatalf("told (-want +got):\n%s", diff)
+		t.Fatalf("calls of the fakes (-want +got):\n%s", diff)
 	}
 }
 
-func TestEachEndGivesOneFinalAnswer(t *testing.T) {
+func TestEachRequestGetsOneFinalAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		class int
 		act   func(r *rig, q *Request)
 		want  []string
 	}{
-		"an answer that comes twice": {0, func(r *rig, _ *Request) {
+		"duplicate answer": {0, func(r *rig, _ *Request) {
 			r.Done(r.out[0], Outcome{Status: policy.OK})
 			r.Done(r.out[0], Outcome{Status: policy.OK})
 		}, []string{"served"}},
-		"a time-out, then the late answer": {1, func(r *rig, _ *Request) {
+		"answer after the timeout": {1, func(r *rig, _ *Request) {
 			r.wait(1001)
 			r.Done(r.out[0], Outcome{Status: policy.OK})
 		}, []string{"abandon 0", "failed"}},
-		"an error that may have run, not to be repeated": {1, func(r *rig, _ *Request) {
+		"error of a request that must not be repeated": {1, func(r *rig, _ *Request) {
 			r.Done(r.out[0], Outcome{Status: policy.Failed})
 		}, []string{"failed"}},
-		"turned away, then served elsewhere": {1, func(r *rig, _ *Request) {
+		"refused by one worker, served by another": {1, func(r *rig, _ *Request) {
 			r.Done(r.out[0], Outcome{Status: policy.Full})
 			r.Done(r.out[1], Outcome{Status: policy.OK})
 		}, []string{"served"}},
-		"a client that leaves": {0, func(r *rig, q *Request) {
+		"client disconnects": {0, func(r *rig, q *Request) {
 			r.Gone(q)
 			r.Gone(q)
 			r.Done(r.out[0], Outcome{Status: policy.OK})
 			r.wait(2000)
 		}, []string{"abandon 0"}},
-		"three errors": {0, func(r *rig, _ *Request) {
+		"errors of all three attempts": {0, func(r *rig, _ *Request) {
 			for i := range 3 {
 				r.Done(r.out[i], Outcome{Status: policy.Failed})
 			}
@@ -99,30 +99,31 @@
 			c.act(r, r.take(c.class))
 			r.expect(t, c.want...)
 			if r.Open() != 0 || len(r.requests) != 0 {
-				t.Fatalf("%d requests are left", len(r.requests))
+				t.Fatalf("%d requests left in the table, %d open; want none", len(r.requests), r.Open())
 			}
 		})
 	}
 }
 
-// TestNoExecutionStartsWhileAnotherIsOut guards the rule that never two
-// executions of a request are out at once.
-func TestNoExecutionStartsWhileAnotherIsOut(t *testing.T) {
+// TestExecutionsOfARequestDoNotOverlap guards the rule that a request never has two
+// open executions at the same time.
+func TestExecutionsOfARequestDoNotOverlap(t *testing.T) {
 	r := newRig(t, nil)
 	r.take(0)
-	r.wait(250) // within its aim
+	r.wait(250) // less than the class's latency target of 400 ms
 	if len(r.out) != 1 {
-		t.Fatalf("%d executions are out", len(r.out))
+		t.Fatalf("%d executions while the first is open, want 1", len(r.out))
 	}
 	r.Done(r.out[0], Outcome{Status: policy.Reset})
 	if len(r.out) != 2 {
-		t.Fatalf("a safe request went out %d times", len(r.out))
+		t.Fatalf("%d executions of a repeatable request after a connection reset, want 2", len(r.out))
 	}
 }
 
-// TestAnExecutionThatNeverLeftProvesItNeverRan: a time-out while its connection
-// was still coming up lets even an unsafe request be refused, not failed.
-func TestAnExecutionThatNeverLeftProvesItNeverRan(t *testing.T) {
+// TestTimeoutBeforeSendingIsARefusal checks that a timeout while the connection was still
+// being set up gives a refusal, even for a request that must not be repeated: the request
+// can't have run, so the answer must not be a failure.
+func TestTimeoutBeforeSendingIsARefusal(t *testing.T) {
 	r := newRig(t, nil)
 	r.sent = false
 	r.take(1)
@@ -130,20 +131,21 @@
 	r.expect(t, "abandon 0", "throttled")
 }
 
-// TestEventsFromInsideADecisionWait guards against a link that fails at once, or a
-// client that leaves as it is answered, entering the decision module again.
-func TestEventsFromInsideADecisionWait(t *testing.T) {
+// TestEventsDuringADecisionAreQueued guards against reentrant calls of the decision
+// module, as when a transport fails immediately or a client disconnects while it is answered.
+func TestEventsDuringADecisionAreQueued(t *testing.T) {
 	r := newRig(t, nil)
 	eager := &eagerFleet{rig: r}
 	r.fleet = eager
 	r.take(1)
-	r.wait(60) // both workers are left alone for a while after they were full
+	r.wait(60) // both workers get no requests for a while after reporting that they are full
 	r.expect(t, "throttled")
 	if eager.tries != 3 {
-		t.Fatalf("tried %d times, want all 3", eager.tries)
+		t.Fatalf("%d attempts, want 3", eager.tries)
 	}
 }
 
+// eagerFleet reports every worker as full from inside Execute.
 type eagerFleet struct {
 	*rig
 	tries int
@@ -154,33 +156,34 @@
 	e.Done(x, Outcome{Status: policy.Full})
 }
 
-// TestACallPastItsTimeIsOver: its late answer must not be told again.
-func TestACallPastItsTimeIsOver(t *testing.T) {
+// TestLateCounterResultIsIgnored checks that the decision module does not get the result
+// of a counter call whose timeout it was told of before.
+func TestLateCounterResultIsIgnored(t *testing.T) {
 	r := newRig(t, func(s *policy.Settings) {
 		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
 		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
 	})
 	r.take(0)
 	if len(r.calls) != 1 {
-		t.Fatalf("%d calls for a plan too thin to judge alone", len(r.calls))
+		t.Fatalf("%d counter calls for a plan with too low a rate to decide locally, want 1", len(r.calls))
 	}
 	r.wait(51)
 	if !r.calls[0].Over() {
-		t.Fatal("the call is not over")
+		t.Fatal("the call has not timed out after 51 ms, with a timeout of 50 ms")
 	}
 	before := len(r.told)
 	r.Counted(r.calls[0], policy.OK, 1)
 	if len(r.told) != before {
-		t.Fatal("the late answer was told again")
+		t.Fatalf("the late result caused calls: %q", r.told[before:])
 	}
 }
 
-// TestNobodyIsWokenForWhatIsOver guards against a wake-up for the deadline of every
-// execution, most of which have been answered seconds before.
-func TestNobodyIsWokenForWhatIsOver(t *testing.T) {
+// TestNoWakeUpForEndedExecutions guards against a wake-up at the timeout of every
+// execution, most of which were answered seconds before.
+func TestNoWakeUpForEndedExecutions(t *testing.T) {
 	r := newRig(t, nil)
 	var woken []float64
-	r.Take(&Request{Left: 998.5, Units: 1, Spread: 1, Caller: r}) // not at a tick
+	r.Take(&Request{Left: 998.5, Units: 1, Spread: 1, Caller: r}) // a deadline that is not at a tick of 4 ms
 	r.Done(r.out[0], Outcome{Status: policy.OK})
 	r.wake = func(at float64) { woken = append(woken, at) }
 	for len(r.timers.heap) > 0 && r.clock.Now() < 1e6+3000 {
@@ -188,17 +191,17 @@
 	}
 	for _, at := range woken {
 		if at == 1e6+998.5 {
-			t.Error("woken for the deadline of an answered request")
+			t.Error("wake-up at the deadline of an answered request")
 		}
 	}
 }
 
-func TestAWorkerThatIsGoneIsReleased(t *testing.T) {
+func TestRemovedWorkerIsReleased(t *testing.T) {
 	r := newRig(t, nil)
 	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}})
 	r.expect(t, "release 1")
 	if !r.Ready() {
-		t.Fatal("not ready with one worker left")
+		t.Fatal("not ready with one ready worker")
 	}
 	r.Workers(policy.Delta, []policy.Entry{{Server: 2, State: policy.Gone}})
 	r.expect(t, "release 1", "release 2")
@@ -207,7 +210,7 @@
 	}
 }
 
-func TestTimersComeInOrder(t *testing.T) {
+func TestTimersExpireInOrder(t *testing.T) {
 	var h timers
 	for _, at := range []float64{5, 1, 4, 1, 3, 9, 2} {
 		h.push(timer{at: at, token: uint64(at * 10)})
@@ -225,10 +228,10 @@
 	}
 }
 
-// TestTheClockFollowsTheSystemsWithoutGoingBack guards the counter's windows, which
-// all gatekeepers must name alike, and the timers, which must not wait for a clock
-// that was set back.
-func TestTheClockFollowsTheSystemsWithoutGoingBack(t *testing.T) {
+// TestClockFollowsSystemClockWithoutGoingBack guards the counter's windows, on whose
+// names all gatekeepers must agree, and the timers, which must not be delayed by a system
+// clock that was set back.
+func TestClockFollowsSystemClockWithoutGoingBack(t *testing.T) {
 	wall, ran := 5000.0, 0.0
 	c := &Clock{system: func() (float64, float64) { return wall, ran }}
 	c.at, c.ran = c.system()
@@ -239,10 +242,11 @@
 	}
 }
 
-// TestCallsOfANameAreToldInTheirOrder: the module can't tell the calls of a name apart. Seen
-// in review: a call that waits behind a moved counter's last answers, and then finds nobody
-// at the new address, ended before the one that it waited for.
-func TestCallsOfANameAreToldInTheirOrder(t *testing.T) {
+// TestCounterResultsOfANameKeepTheirOrder checks that results reach the decision module in
+// the order of the calls, since it can't tell the calls of one counter name apart. They
+// came out of order when a counter moved: a call that was held until the old server had
+// answered then failed to connect to the new one, and ended before the call ahead of it.
+func TestCounterResultsOfANameKeepTheirOrder(t *testing.T) {
 	r := newRig(t, func(s *policy.Settings) {
 		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
 		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
@@ -250,45 +254,47 @@
 	r.take(0)
 	r.take(0)
 	if len(r.calls) != 2 || r.calls[0].Name != r.calls[1].Name {
-		t.Fatalf("%d calls for two requests of one customer", len(r.calls))
+		t.Fatalf("%d counter calls for two requests of one customer, want 2 of the same name", len(r.calls))
 	}
 	r.Counted(r.calls[1], policy.ConnectFailed, 0)
 	if len(r.out) != 0 {
-		t.Fatal("the second call's end is taken for the first's")
+		t.Fatal("the result of the second call was used for the first")
 	}
 	r.Counted(r.calls[0], policy.OK, 0)
 	if len(r.out) != 2 {
-		t.Fatalf("%d of two requests went on", len(r.out))
+		t.Fatalf("%d of 2 requests were sent to a worker", len(r.out))
 	}
 }
 
-// TestTheLastFailureIsKeptForItsCaller, as a copy, and only a failure that promises nothing.
-func TestTheLastFailureIsKeptForItsCaller(t *testing.T) {
+// TestLastErrorResponseIsKept checks that Request.Last holds a copy of a worker's error
+// response, but neither a refusal nor a response above the size limit.
+func TestLastErrorResponseIsKept(t *testing.T) {
 	r := newRig(t, nil)
 	q := r.take(0)
 	body := []byte("broken")
 	r.Done(r.out[0], Outcome{Status: policy.Full, Answer: Answer{Status: 503}})
 	if q.Last != nil {
-		t.Fatal("a refusal is kept")
+		t.Fatal("a refusal was kept")
 	}
 	r.Done(r.out[1], Outcome{Status: policy.Failed, Answer: Answer{Status: 500, Head: []byte("A: b\r\n"), Body: body}})
 	copy(body, "xxxxxx")
 	if q.Last == nil || q.Last.Status != 500 || string(q.Last.Head) != "A: b\r\n" || string(q.Last.Body) != "broken" {
-		t.Fatalf("kept %v", q.Last)
+		t.Fatalf("kept %v, want the error response with status 500", q.Last)
 	}
 	q.keep(Answer{Status: 500, Body: make([]byte, lastMost+1)})
 	if q.Last != nil {
-		t.Fatal("a long one is kept")
+		t.Fatalf("a body of %d bytes was kept", lastMost+1)
 	}
 }
 
-// TestHomesReachTheDecision: a request whose home has no worker waits and is refused.
-func TestHomesReachTheDecision(t *testing.T) {
+// TestRequestIsNotSentOutsideItsRegions checks that the decision module gets the regions
+// of a request: one whose only allowed region has no worker waits and is then refused.
+func TestRequestIsNotSentOutsideItsRegions(t *testing.T) {
 	r := newRig(t, nil)
 	r.Take(&Request{Left: 1000, Units: 1, Spread: 1, Caller: r, Homes: 1 << 4})
 	r.wait(1000)
 	if len(r.out) != 0 {
-		t.Fatal("sent away from home")
+		t.Fatal("the request was sent to a worker of another region")
 	}
 	r.expect(t, "throttled")
 }
--- a/gatekeeper/hours_test.go
+++ b/gatekeeper/memory_growth_test.go
@@ -7,10 +7,11 @@
 	"foxwood/policy"
 )
 
-// TestHoursOfStrangersLeaveNothing: a gatekeeper that meets a customer never seen before
-// twice a second, and another worker every minute, holds after four hours what it held
-// after one: nothing is kept of those that do not come again.
-func TestHoursOfStrangersLeaveNothing(t *testing.T) {
+// TestMemoryIsBoundedForOneTimeCustomersAndWorkers guards against state that is kept for
+// customers and workers that never come back. A new customer arrives twice a second and a
+// new worker replaces an old one every minute; after four simulated hours the tables must
+// not be larger than after one.
+func TestMemoryIsBoundedForOneTimeCustomersAndWorkers(t *testing.T) {
 	r := newRig(t, func(s *policy.Settings) {
 		s.Gateways, s.Counter, s.CounterTimeout, s.Largest, s.Settles = 80, true, 50e3, 6, true
 		s.Plans = []policy.Plan{{Rate: 2, Burst: 12, Price: 1, OverCost: 1}}
@@ -33,7 +34,7 @@
 					c := r.calls[0]
 					r.calls = r.calls[1:]
 					totals[c.Name] += c.Amount
-					if half%5 == 0 { // the counter is silent now and then
+					if half%5 == 0 { // some counter calls get no answer
 						continue
 					}
 					r.Counted(c, policy.OK, totals[c.Name])
@@ -57,9 +58,9 @@
 	for range 3 {
 		hour()
 	}
-	for what, n := range size() {
-		if n > first[what]+first[what]/5+20 {
-			t.Errorf("%d %s after four hours, %d after one", n, what, first[what])
+	for table, n := range size() {
+		if n > first[table]+first[table]/5+20 {
+			t.Errorf("%s: %d entries after four hours, %d after one", table, n, first[table])
 		}
 	}
 	t.Log(first, size())
--- a/gatekeeper/timers.go
+++ b/gatekeeper/timers.go
@@ -1,24 +1,24 @@
 package gatekeeper
 
-// timer is one thing to do at a time. A timer whose thing is over is skipped
-// when it comes up.
+// timer is the timeout of an execution or of a counter call, or a timer of the
+// decision module. A timer whose execution or call has ended is skipped.
 type timer struct {
-	at    float64
-	order uint64 // timers of one time come in the order they were set
+	at    float64 // clock time in milliseconds
+	order uint64  // timers for the same time expire in the order in which they were set
 	exec  *Execution
 	count *Count
-	token uint64 // of the decision module, where exec and count are nil
+	token uint64 // the decision module's token, if exec and count are nil
 }
 
-// over tells whether what the timer is for has ended.
+// over reports whether the timer's execution or counter call has ended.
 func (t *timer) over() bool {
 	return t.exec != nil && t.exec.ended || t.count != nil && t.count.ended
 }
 
-// timers is a heap with the earliest on top.
+// timers is a binary min-heap of timers, ordered by time.
 type timers struct {
 	heap []timer
-	set  uint64
+	set  uint64 // number of timers set so far
 }
 
 func (t *timers) less(i, j int) bool {
@@ -40,7 +40,7 @@
 	}
 }
 
-// pop takes the earliest timer where it is due.
+// pop removes and returns the earliest timer if it is due.
 func (t *timers) pop(now float64) (timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return timer{}, false
