--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -22,6 +22,7 @@
 	"foxwood/policy"
 )
 
+// testKey returns the key of a secret whose bytes all have one value.
 func testKey(t testing.TB, fill byte) Key {
 	t.Helper()
 	k, err := NewKey(bytes.Repeat([]byte{fill}, secretSize))
@@ -31,7 +32,7 @@
 	return k
 }
 
-// write makes a capture of n requests and their refusals, and returns its files.
+// write writes a capture of n requests and their refusals, and returns its files.
 func write(t testing.TB, o Options, n int) []string {
 	t.Helper()
 	if o.Folder == "" {
@@ -55,7 +56,8 @@
 	return files
 }
 
-// read gives all that can be read of a segment's bytes, and how it ended.
+// read reads a segment up to the first error. It returns the number of records, and a nil
+// error if the segment has its end block.
 func read(text []byte, key Key) (n int, err error) {
 	r, err := NewReader(bytes.NewReader(text), &key, nil)
 	if err != nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestReaderReturnsWrittenRecords(t *testing.T) {
 	key := testKey(t, 7)
 	files := write(t, Options{Key: key, Life: 9}, 3)
 	f, err := os.Open(files[0])
@@ -99,14 +101,14 @@
 		if rec.GetKind() == capturepb.Kind_BEGAN {
 			s, err := d.Settings(rec)
 			if err != nil || s.Plans[0].Rate != 1.4 || rec.GetSeed() != 0x1f {
-				t.Errorf("%v %v", s, err)
+				t.Errorf("settings %v, seed %x, error %v; want a rate of 1.4 and seed 1f", s, rec.GetSeed(), err)
 			}
 		}
 		if rec.GetKind() == capturepb.Kind_REQUESTED && rec.GetCustomer() == 0xb4d65521 {
-			t.Error("a customer's id stands as it is")
+			t.Error("a customer id was stored unencrypted")
 		}
 	}
-	shown := fmt.Sprintf("%x", key.show(0, ofCustomers)) // of records without a customer
+	shown := fmt.Sprintf("%x", key.show(0, ofCustomers)) // the decrypted customer id of records that have none
 	want := []string{"1000000 BEGAN 0 " + shown}
 	for i := range 3 {
 		want = append(want, fmt.Sprintf("%d REQUESTED %d b4d65521", 1000000+i, i), fmt.Sprintf("%d REFUSE %d %s", 1000000+i, i, shown))
@@ -116,9 +118,9 @@
 	}
 }
 
-// TestNoIdStandsInAState: a checkpoint and a state that is taken over hold customers' keys
-// and counter names too, which a key hides and gives back.
-func TestNoIdStandsInAState(t *testing.T) {
+// TestStateRecordsEncryptIDs checks that customer ids and counter names are also encrypted
+// in the records that hold a state, CHECKPOINT and RECOVERED, and that a Decoder restores them.
+func TestStateRecordsEncryptIDs(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
 	w, err := NewWriter(Options{Folder: folder, Name: "n0", Life: 1, Key: key, Patient: true, CheckpointEvery: time.Second})
@@ -134,7 +136,7 @@
 	}
 	w.Close()
 	if state.Clients[0].Key != customer || state.Draws[0].Name != name {
-		t.Error("the state itself was changed")
+		t.Error("the recorder changed the state that it was given")
 	}
 	segments, err := Find(folder)
 	if err != nil {
@@ -157,7 +159,7 @@
 		states++
 		for _, id := range []string{fmt.Sprint(customer), fmt.Sprint(name)} {
 			if strings.Contains(string(r.GetSettings()), id) {
-				t.Errorf("%s: id %s stands as it is", r.GetKind(), id)
+				t.Errorf("%s: id %s was stored unencrypted", r.GetKind(), id)
 			}
 		}
 		got, err := d.State(r)
@@ -169,43 +171,43 @@
 		}
 	}
 	if states < 3 {
-		t.Errorf("%d states", states)
+		t.Errorf("%d records with a state, want at least 3", states)
 	}
 }
 
-// TestEveryFlipAndEveryCutIsFound is exhaustive over a small capture: each byte changed,
-// and each shorter length. What was whole before it may still be read, nothing else.
-func TestEveryFlipAndEveryCutIsFound(t *testing.T) {
+// TestEveryChangedByteAndTruncationIsDetected tries every byte and every shorter length of a
+// small capture. Records before the fault may be read, but reading must end with an error.
+func TestEveryChangedByteAndTruncationIsDetected(t *testing.T) {
 	key := testKey(t, 7)
 	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n, err := read(text, key); err != nil || n != 9 {
-		t.Fatalf("%d records, %v", n, err)
+		t.Fatalf("%d records, error %v; want 9 records", n, err)
 	}
 	for i := range text {
 		for _, by := range []byte{1, 0x80, 0xff} {
 			bad := bytes.Clone(text)
 			bad[i] ^= by
 			if n, err := read(bad, key); err == nil {
-				t.Fatalf("byte %d of %d changed by %02x: %d records and no fault", i, len(text), by, n)
+				t.Fatalf("byte %d of %d changed by %02x: %d records and no error", i, len(text), by, n)
 			}
 		}
 	}
 	for i := range text {
 		if n, err := read(text[:i], key); err == nil {
-			t.Fatalf("cut to %d of %d bytes: %d records and no fault", i, len(text), n)
+			t.Fatalf("truncated to %d of %d bytes: %d records and no error", i, len(text), n)
 		}
 	}
 	if _, err := read(append(bytes.Clone(text), 0), key); !errors.Is(err, ErrAltered) {
-		t.Errorf("a byte more: %v", err)
+		t.Errorf("one byte appended: error %v, want %v", err, ErrAltered)
 	}
 }
 
-// TestEachFaultIsNamed: another key, another version, damage, a cut and a change that
-// keeps the sum are told apart.
-func TestEachFaultIsNamed(t *testing.T) {
+// TestReaderDistinguishesFaults checks that another key, another version, damage, truncation
+// and a change with a correct checksum give different errors.
+func TestReaderDistinguishesFaults(t *testing.T) {
 	key := testKey(t, 7)
 	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
 	if err != nil {
@@ -217,7 +219,7 @@
 		bad[i] ^= by
 		return bad
 	}
-	forged := func() []byte { // with a sum that fits
+	forged := func() []byte { // with a correct checksum, but a MAC of another key
 		var b block
 		b.parse(text[at : at+blockHead])
 		payload := text[at+blockHead : at+blockHead+int(b.size)]
@@ -237,35 +239,35 @@
 		"damage":          {change(at+blockHead+3, 1), key, ErrDamaged},
 		"a forged block":  {forged(), key, ErrAltered},
 		"no end":          {text[:len(text)-blockHead], key, ErrUnended},
-		"half an end":     {text[:len(text)-5], key, ErrUnended},
+		"truncated end":   {text[:len(text)-5], key, ErrUnended},
 	} {
 		if _, err := read(c.text, c.key); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		if strings.Contains(fmt.Sprint(c.want), "\n") {
-			t.Errorf("%s: more than a line", name)
+			t.Errorf("%s: the error message has more than one line", name)
 		}
 	}
 }
 
-func TestIdsAreReplacedOneToOne(t *testing.T) {
+func TestIDEncryptionIsReversible(t *testing.T) {
 	key := testKey(t, 7)
 	rapid.Check(t, func(t *rapid.T) {
 		id, tweak := rapid.Uint64().Draw(t, "id"), byte(rapid.IntRange(0, 1).Draw(t, "tweak"))
 		if got := key.show(key.hide(id, tweak), tweak); got != id {
-			t.Fatalf("%x became %x", id, got)
+			t.Fatalf("id %x is %x after encryption and decryption", id, got)
 		}
 	})
 	if key.hide(5, ofCustomers) == key.hide(5, ofNames) {
-		t.Error("a customer and a name are replaced alike")
+		t.Error("a customer id and an equal counter name are encrypted to the same value")
 	}
 	none := Key{}
 	if none.hide(5, ofCustomers) != 5 {
-		t.Error("replaced without a key")
+		t.Error("an id was changed without a key")
 	}
 }
 
-func TestAKeyFileIsItsOwnersAlone(t *testing.T) {
+func TestReadKeyRefusesFilesOpenToOthers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(file, []byte(hex.EncodeToString(make([]byte, secretSize))+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -277,23 +279,23 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadKey(file); err == nil || !strings.Contains(err.Error(), "chmod 600") {
-		t.Errorf("loose permissions: %v", err)
+		t.Errorf("key file with mode 0640: error %v, want advice to run chmod 600", err)
 	}
 	if err := os.WriteFile(file, []byte("abc"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadKey(file); err == nil {
-		t.Error("half a key is taken")
+		t.Error("a key file with three digits was accepted")
 	}
 }
 
-// TestSegmentsFollowEachOther: a capture of several segments reads as one; one that is
-// missing in the middle is said so.
-func TestSegmentsFollowEachOther(t *testing.T) {
+// TestSegmentsAreReadInSequence checks that several segments are read as one capture, and
+// that a missing segment is reported.
+func TestSegmentsAreReadInSequence(t *testing.T) {
 	key := testKey(t, 7)
 	files := write(t, Options{Key: key, SegmentMost: 1}, 9000)
 	if len(files) < 3 {
-		t.Fatalf("%d segments", len(files))
+		t.Fatalf("%d segments, want at least 3", len(files))
 	}
 	all := func(files []string) (int, error) {
 		segments, err := Find(files...)
@@ -309,17 +311,17 @@
 		}
 	}
 	if n, err := all(files); !errors.Is(err, io.EOF) || n != 18001 {
-		t.Errorf("%d records, %v", n, err)
+		t.Errorf("%d records, error %v; want 18001 records", n, err)
 	}
 	if _, err := all(append(files[:1:1], files[2:]...)); !errors.Is(err, ErrSequence) {
-		t.Errorf("without the second: %v", err)
+		t.Errorf("without the second segment: error %v, want %v", err, ErrSequence)
 	}
 	if err := os.Rename(files[1], files[1]+".x"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestOldSegmentsMakeRoom(t *testing.T) {
+func TestOldSegmentsAreRemoved(t *testing.T) {
 	folder := t.TempDir()
 	files := write(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
 	sum := int64(0)
@@ -335,9 +337,9 @@
 	}
 }
 
-// TestALostFolderIsAGapNotAnEnd: what can't be written is counted, and told where the
-// capture goes on.
-func TestALostFolderIsAGapNotAnEnd(t *testing.T) {
+// TestCaptureContinuesAfterFolderIsLost checks that records which can't be written because
+// the folder was removed are counted, and are reported as a gap once the capture continues.
+func TestCaptureContinuesAfterFolderIsLost(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "captures")
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -358,7 +360,7 @@
 	w.write(one) // into a file that is not there any more, and then no third can be begun
 	w.write(one)
 	if w.lost != 1 || w.Stats.Lost.Load() != 1 {
-		t.Fatalf("%d lost, %d told", w.lost, w.Stats.Lost.Load())
+		t.Fatalf("%d records lost, %d in Stats; want 1 in both", w.lost, w.Stats.Lost.Load())
 	}
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -374,16 +376,16 @@
 	defer s.Close()
 	var gap *Gap
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 1 {
-		t.Fatalf("the gap is told as %v", err)
+		t.Fatalf("error %v, want a gap of 1 record", err)
 	}
 	if r, at, err := s.Next(); err != nil || r.GetId() != 3 || at != 1e6 {
-		t.Errorf("behind the gap: %v %v", r, err)
+		t.Errorf("after the gap: record %v at %d, error %v; want request 3 at 1 s", r, at, err)
 	}
 }
 
-// TestAFullDiskIsAGapNotAnEnd: what does not fit is counted and told as lost, and what comes
-// once there is room again is kept behind a gap.
-func TestAFullDiskIsAGapNotAnEnd(t *testing.T) {
+// TestCaptureContinuesAfterDiskWasFull checks that records which don't fit on the disk are
+// counted as lost, and that the records written once there is room again follow a gap.
+func TestCaptureContinuesAfterDiskWasFull(t *testing.T) {
 	folder := t.TempDir()
 	w, err := newWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
@@ -401,9 +403,9 @@
 	}
 	one := filled{raw: append([]byte{byte(len(record))}, record...), records: 1, first: 1e6}
 	w.write(one)
-	w.write(one) // within the second in which it is not tried again
+	w.write(one) // within retryEvery, in which no further attempt is made
 	if lost, errs := w.Stats.Lost.Load(), w.Stats.Errors.Load(); lost != 2 || errs != 1 {
-		t.Errorf("%d lost, %d errors told", lost, errs)
+		t.Errorf("%d records lost, %d errors; want 2 and 1", lost, errs)
 	}
 	w.retryAt = w.retryAt.Add(-2 * retryEvery)
 	w.write(one)
@@ -416,16 +418,17 @@
 	defer s.Close()
 	var gap *Gap
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 2 {
-		t.Errorf("the gap is told as %v", err)
+		t.Errorf("error %v, want a gap of 2 records", err)
 	}
 	if r, _, err := s.Next(); err != nil || r.GetId() != 3 {
-		t.Errorf("behind the gap: %v %v", r, err)
+		t.Errorf("after the gap: record %v, error %v; want request 3", r, err)
 	}
 }
 
-// TestASlowDiskHoldsNobodyUp: while nothing is written the loop goes on within a bounded
-// memory, and what found no room is a gap before what did.
-func TestASlowDiskHoldsNobodyUp(t *testing.T) {
+// TestSlowDiskDoesNotBlockEventLoop checks that while nothing is written the encoder neither
+// blocks nor queues more than a fixed number of blocks, and that dropped blocks are
+// reported as gaps.
+func TestSlowDiskDoesNotBlockEventLoop(t *testing.T) {
 	folder := t.TempDir()
 	w, err := newWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
@@ -434,13 +437,13 @@
 	w.Encoder = newEncoder(w, &w.options.Key)
 	const blocks = 3 * queued
 	for n := range blocks {
-		w.Encoder.Gone(policy.Micros(1e6+2*n*blockAge), 1) // each closes the block before by its age
-		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*blockAge), 2)
+		w.Encoder.Gone(policy.Micros(1e6+2*n*blockAge), 1)
+		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*blockAge), 2) // completes the block, as it is blockAge later
 	}
 	if held := len(w.blocks); held != queued || w.Stats.Lost.Load() != 2*(blocks-queued) {
-		t.Fatalf("%d blocks held, %d records lost", held, w.Stats.Lost.Load())
+		t.Fatalf("%d blocks queued, %d records lost; want %d and %d", held, w.Stats.Lost.Load(), queued, 2*(blocks-queued))
 	}
-	go w.run() // the disk is there again
+	go w.run() // the disk works again
 	for w.Encoder.Gone(2e9, 9); len(w.blocks) > 0; {
 		runtime.Gosched()
 	}
@@ -465,30 +468,32 @@
 		}
 	}
 	if want := 2 * (blocks - queued); lost != want || s.Records() != 2*queued+1 {
-		t.Errorf("%d lost, want %d; %d records read", lost, want, s.Records())
+		t.Errorf("%d records lost, %d read; want %d and %d", lost, s.Records(), want, 2*queued+1)
 	}
 }
 
-// slow is a taker whose queue is always full.
+// slow is a taker whose queue is always full, and which counts the records of complete blocks.
 type slow struct{ n int }
 
 func (s *slow) take(b filled) []byte     { s.n += int(b.records); return b.raw[:0] }
 func (s *slow) wants(policy.Micros) bool { return false }
 func (s *slow) offer(filled)             {}
 
-// TestABlockIsHandedOnBeforeItIsOld: a crash loses a quarter of a second at most.
-func TestABlockIsHandedOnBeforeItIsOld(t *testing.T) {
+// TestBlockIsPassedOnByAge guards against losing more than a quarter of a second of records
+// in a crash.
+func TestBlockIsPassedOnByAge(t *testing.T) {
 	to := &slow{}
 	e := newEncoder(to, &Key{})
 	for i := range 100 {
 		e.Rang(policy.Micros(1e6+i*10000), 0)
 	}
 	if to.n < 75 {
-		t.Errorf("%d of 100 records in a second were handed on", to.n)
+		t.Errorf("%d of 100 records of one second were passed on, want at least 75", to.n)
 	}
 }
 
-// FuzzRead: a reader must not panic, nor hold more than a block.
+// FuzzRead checks that a reader does not panic on malformed input, nor return more records
+// than the input has bytes.
 func FuzzRead(f *testing.F) {
 	text, err := os.ReadFile(write(f, Options{}, 4)[0])
 	if err != nil {
@@ -503,9 +508,9 @@
 	})
 }
 
-// TestARequestIsFoundByItsName: the index leads to a checkpoint before it, and what is
-// read from there on is verified.
-func TestARequestIsFoundByItsName(t *testing.T) {
+// TestLocateFindsRequestByName checks that the index leads to a checkpoint shortly before
+// the request, and that reading from there verifies the blocks.
+func TestLocateFindsRequestByName(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
 	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, SegmentMost: 5000, CheckpointEvery: 100 * time.Millisecond})
@@ -526,18 +531,18 @@
 		t.Fatal(len(segments), err)
 	}
 	if _, ok := Locate(segments, "nobody"); ok {
-		t.Error("a name that is not there is found")
+		t.Error("found a name that is not in the capture")
 	}
 	for _, n := range []int{0, 1, 3999, 7999} {
 		p, ok := Locate(segments, fmt.Sprintf("name-%d", n))
 		if !ok {
-			t.Fatalf("name-%d is not found", n)
+			t.Fatalf("name-%d was not found", n)
 		}
 		s := NewSet(segments, &key)
 		s.Skip(p)
 		first, _, err := s.Next()
 		if err != nil || first.GetKind() != capturepb.Kind_CHECKPOINT && first.GetKind() != capturepb.Kind_BEGAN {
-			t.Fatalf("name-%d: begins with %v, %v", n, first.GetKind(), err)
+			t.Fatalf("name-%d: first record %v, error %v; want a checkpoint or the start of a run", n, first.GetKind(), err)
 		}
 		read := 1
 		for ; ; read++ {
@@ -550,7 +555,7 @@
 			}
 		}
 		if read > 1000 {
-			t.Errorf("name-%d: %d records were read", n, read)
+			t.Errorf("name-%d: %d records were read, want at most 1000", n, read)
 		}
 		s.Close()
 	}
@@ -560,9 +565,9 @@
 	}
 }
 
-// TestAPartIsCutOutThatCanBePlayed: it begins with a checkpoint, ends in time, and is
-// sealed anew.
-func TestAPartIsCutOutThatCanBePlayed(t *testing.T) {
+// TestCutOutWritesAReplayableCapture checks that an extracted part starts with a checkpoint,
+// ends at the requested time, and is a valid capture of its own.
+func TestCutOutWritesAReplayableCapture(t *testing.T) {
 	key := testKey(t, 7)
 	folder, to := t.TempDir(), t.TempDir()
 	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, CheckpointEvery: 100 * time.Millisecond})
@@ -583,7 +588,7 @@
 	}
 	n, err := CutOut(segments, &key, 1e6+1500*1000, 1e6+1700*1000, to)
 	if err != nil || n < 200 || n > 400 {
-		t.Fatalf("%d records, %v", n, err)
+		t.Fatalf("%d records, error %v; want 200 to 400 records", n, err)
 	}
 	files, err := filepath.Glob(filepath.Join(to, "*"+suffix))
 	if err != nil || len(files) != 1 {
@@ -594,9 +599,9 @@
 		t.Fatal(err)
 	}
 	if got, err := read(text, key); err != nil || got != n {
-		t.Errorf("%d records, %v", got, err)
+		t.Errorf("read %d records, error %v; want %d", got, err, n)
 	}
 	if _, err := CutOut(segments[:1], &key, 5, 6, t.TempDir()); err != nil {
-		t.Errorf("before its beginning: %v", err)
+		t.Errorf("a part before the start of the capture: %v", err)
 	}
 }
--- a/capture/compatibility_test.go
+++ b/capture/compatibility_test.go
@@ -9,8 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The segment in testdata was written by an earlier release (three requests, each refused) and stays as it is.
-func TestReadsASegmentOfAnEarlierRelease(t *testing.T) {
+// TestReadSegmentOfEarlierRelease guards against a change of the format that makes existing
+// captures unreadable. The segment in testdata holds three requests, each refused; it was
+// written by an earlier release and must never be regenerated.
+func TestReadSegmentOfEarlierRelease(t *testing.T) {
 	raw, err := os.ReadFile("testdata/earlier.segment")
 	assert.NilError(t, err)
 	n, err := read(raw, testKey(t, 7))
--- a/capture/encode.go
+++ b/capture/encode.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	blockMost  = 64 << 10 // bytes of records in a block
-	blockAge   = 250000   // microseconds that one is kept open
-	cachedMost = 64 << 10 // ids whose replacements are remembered
+	blockMost  = 64 << 10 // bytes of records after which a block is complete
+	blockAge   = 250000   // microseconds after which a block is complete
+	cachedMost = 64 << 10 // most ids in each of the encoder's maps
 )
 
-// The field numbers of Record and Entry in capturepb/capture.proto.
+// The field numbers of Record (f...) and Entry (e...) in capturepb/capture.proto.
 const (
 	fKind, fAfter, fID, fClass, fPlan, fCustomer, fLeft, fUnits, fSpread, _, fAgain = 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11
 	fServer, fAttempt, fStatus, fLatency, fTerminal, fSettled, fUsed, fLoad         = 12, 13, 14, 15, 16, 17, 18, 19
@@ -26,44 +26,48 @@
 	eServer, eState, eWeight, eZone, eCell, _, eReadyAt                             = 1, 2, 3, 4, 5, 6, 7
 )
 
-// filled is a block's worth of records on its way to a writer.
+// filled is a complete block of encoded records, or a checkpoint.
 type filled struct {
 	raw     []byte
 	records uint32
-	first   policy.Micros
-	state   *policy.Snapshot // in the place of records: made one by who writes it
-	// for the index
+	first   policy.Micros    // time of the first record
+	state   *policy.Snapshot // of a checkpoint, whose record is encoded by the writer; otherwise nil
+	// Hashes of the request names and customer ids in the block, for the index.
 	names, customers []uint32
 }
 
-// taker takes blocks over. It must not wait, and returns a buffer for the next.
+// taker receives the blocks of an Encoder. Its methods are called on the event loop and
+// must not block.
 type taker interface {
+	// take receives a complete block and returns a buffer for the next one.
 	take(b filled) []byte
-	// wants tells whether a checkpoint is due, and offer hands one over.
+	// wants reports whether a checkpoint is due.
 	wants(now policy.Micros) bool
+	// offer receives a checkpoint.
 	offer(b filled)
 }
 
-// Encoder turns the module's calls into records. It implements gatekeeper.Recorder.
+// Encoder converts the calls into and out of the decision module to records. It
+// implements gatekeeper.Recorder.
 type Encoder struct {
 	to      taker
 	key     *Key
 	block   filled
 	last    policy.Micros // time of the last record
-	now     policy.Micros // of the call under way
-	record  []byte
-	part    []byte
+	now     policy.Micros // time of the current call of the module
+	record  []byte        // the record that is being encoded
+	part    []byte        // buffer for a nested message
 	replace [2]map[uint64]uint64
-	blocks  uint64            // handed on
-	met     map[uint64]uint64 // customers, and the block that they were last in
+	blocks  uint64            // number of complete blocks passed to the taker
+	met     map[uint64]uint64 // encrypted customer ids, and the number of the block that last held each
 }
 
-// newEncoder makes an encoder whose blocks a taker takes.
+// newEncoder creates an Encoder that passes its blocks to a taker.
 func newEncoder(to taker, key *Key) *Encoder {
 	return &Encoder{to: to, key: key, replace: [2]map[uint64]uint64{{}, {}}, met: map[uint64]uint64{}}
 }
 
-// hide replaces an id, and remembers by what: the permutation costs microseconds.
+// hide encrypts an id. It caches the results, since encrypting takes microseconds.
 func (e *Encoder) hide(id uint64, tweak byte) uint64 {
 	if !e.key.Set() {
 		return id
@@ -80,7 +84,7 @@
 	return v
 }
 
-// begin starts a record of a kind.
+// begin starts a record of a kind at the time of the current call.
 func (e *Encoder) begin(kind capturepb.Kind) {
 	if e.block.records == 0 {
 		e.block.first, e.last = e.now, e.now
@@ -91,13 +95,13 @@
 	e.last = e.now
 }
 
-// call starts the record of a call of the module.
+// call starts the record of a call of the module at a time.
 func (e *Encoder) call(now policy.Micros, kind capturepb.Kind) {
 	e.now = now
 	e.begin(kind)
 }
 
-// end puts the record into the block, and hands that on where it is full or old.
+// end adds the record to the block, and passes the block on if it is large or old enough.
 func (e *Encoder) end() {
 	e.block.raw = protowire.AppendBytes(e.block.raw, e.record)
 	e.block.records++
@@ -106,7 +110,7 @@
 	}
 }
 
-// flush hands on what there is.
+// flush passes the block on unless it is empty.
 func (e *Encoder) flush() {
 	if e.block.records > 0 {
 		e.block = filled{raw: e.to.take(e.block)}
@@ -134,18 +138,19 @@
 	}
 }
 
-// float writes what is not nothing; a negative zero is not.
+// float encodes a number. Positive zero is omitted, as in proto3; negative zero is not.
 func (e *Encoder) float(field protowire.Number, v float64) { e.fixed(field, math.Float64bits(v)) }
 
 func (e *Encoder) bytes(field protowire.Number, b []byte) {
 	e.record = protowire.AppendBytes(protowire.AppendTag(e.record, field, protowire.BytesType), b)
 }
 
-// json writes what is plain data of our own, which always can be.
+// json encodes the settings field. The values are plain data of this module, for which
+// json.Marshal does not fail unless they hold a number that JSON can't express.
 func (e *Encoder) json(v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		b = []byte(err.Error()) // a reader will say that it can't be read
+		b = []byte(err.Error()) // not valid JSON, so a Decoder reports the record as unreadable
 	}
 	e.bytes(fSettings, b)
 }
@@ -167,7 +172,7 @@
 	e.uint(fPlan, uint64(int64(r.Plan)))
 	customer := e.hide(r.Customer, ofCustomers)
 	e.fixed(fCustomer, customer)
-	if at, ok := e.met[customer]; !ok || at != e.blocks { // once a block
+	if at, ok := e.met[customer]; !ok || at != e.blocks { // the index lists a customer once per block
 		if len(e.met) >= cachedMost {
 			clear(e.met)
 		}
@@ -220,9 +225,9 @@
 }
 
 // Counted implements gatekeeper.Recorder.
-func (e *Encoder) Counted(now policy.Micros, name uint64, delay policy.Micros, st policy.Status, total float64) {
+func (e *Encoder) Counted(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64) {
 	e.call(now, capturepb.Kind_COUNTED)
-	e.uint(fStatus, uint64(st))
+	e.uint(fStatus, uint64(status))
 	e.int(fSpan, delay)
 	e.fixed(fName, e.hide(name, ofNames))
 	e.float(fAmount, total)
@@ -264,9 +269,9 @@
 }
 
 // Progressed implements gatekeeper.Recorder.
-func (e *Encoder) Progressed(now policy.Micros, at policy.Server) {
+func (e *Encoder) Progressed(now policy.Micros, server policy.Server) {
 	e.call(now, capturepb.Kind_PROGRESSED)
-	e.fixed(fServer, uint64(at))
+	e.fixed(fServer, uint64(server))
 	e.end()
 }
 
@@ -314,7 +319,7 @@
 	e.to.offer(filled{records: 1, first: now, state: &state})
 }
 
-// stateRecord is a checkpoint as the one record of its block.
+// stateRecord encodes a checkpoint as the only record of its block.
 func stateRecord(s *policy.Snapshot, key *Key) []byte {
 	var e Encoder
 	e.uint(fKind, uint64(capturepb.Kind_CHECKPOINT))
@@ -323,10 +328,10 @@
 }
 
 // Send implements policy.Host.
-func (e *Encoder) Send(id uint32, to policy.Server, timeout policy.Micros) {
+func (e *Encoder) Send(id uint32, server policy.Server, timeout policy.Micros) {
 	e.begin(capturepb.Kind_SEND)
 	e.uint(fID, uint64(id))
-	e.fixed(fServer, uint64(to))
+	e.fixed(fServer, uint64(server))
 	e.int(fSpan, timeout)
 	e.end()
 }
@@ -355,10 +360,10 @@
 }
 
 // Timer implements policy.Host.
-func (e *Encoder) Timer(token uint64, after policy.Micros) {
+func (e *Encoder) Timer(token uint64, delay policy.Micros) {
 	e.begin(capturepb.Kind_TIMER)
 	e.uint(fToken, token)
-	e.int(fSpan, after)
+	e.int(fSpan, delay)
 	e.end()
 }
 
--- a/capture/encoding_test.go
+++ b/capture/encoding_test.go
@@ -7,13 +7,15 @@
 	"foxwood/policy"
 )
 
-// kept collects the records that an encoder hands on.
+// kept is a taker that collects all records of an encoder.
 type kept struct{ raw []byte }
 
 func (k *kept) take(b filled) []byte     { k.raw = append(k.raw, b.raw...); return nil }
 func (k *kept) wants(policy.Micros) bool { return true }
 func (k *kept) offer(b filled)           { k.raw = append(k.raw, b.raw...) }
 
+// TestRecordsKeepTheirEncoding compares a record of each kind with the golden file, so that
+// the stored format does not change by accident.
 func TestRecordsKeepTheirEncoding(t *testing.T) {
 	var to kept
 	e := newEncoder(&to, &Key{})
--- a/capture/extract.go
+++ b/capture/extract.go
@@ -12,12 +12,14 @@
 	"foxwood/policy"
 )
 
-// ErrNothing tells that a part that was asked for holds no record that can be played.
-var ErrNothing = errors.New("nothing that can be played is in that part")
+// ErrNothing reports that the requested part of a capture holds no record from which a
+// replay can start.
+var ErrNothing = errors.New("the requested part holds neither a checkpoint nor the start of a process, so it can't be replayed")
 
-// CutOut copies a part of a capture into a capture of its own, under the same key: from
-// the last checkpoint or beginning of a life at or before a time, so that it can be
-// played, up to another time. It returns how many records that were.
+// CutOut copies the records from one time to another into a new capture in a folder,
+// under the same key. So that the copy can be replayed, it starts at the last checkpoint
+// or process start at or before the time from; if there is none, at the first one after
+// it. It returns the number of records copied.
 func CutOut(segments []Segment, key *Key, from, until policy.Micros, folder string) (int, error) {
 	start, err := beginning(segments, key, from)
 	if err != nil {
@@ -60,7 +62,7 @@
 			flush()
 			w.end()
 			if failed := w.Stats.Errors.Load(); failed > 0 {
-				return records, fmt.Errorf("capture: %d blocks could not be written", failed)
+				return records, fmt.Errorf("capture: %d writes to %s failed", failed, folder)
 			}
 			return records, nil
 		}
@@ -88,7 +90,7 @@
 	}
 }
 
-// beginning is the number of the record to begin with.
+// beginning returns the index of the record to start with.
 func beginning(segments []Segment, key *Key, from policy.Micros) (int, error) {
 	set := NewSet(segments, key)
 	defer set.Close()
--- a/capture/format.go
+++ b/capture/format.go
@@ -1,5 +1,11 @@
-// Package capture keeps everything that the decision module was told and decided, so
-// that it can be played again. docs/capture-format.md specifies what it writes.
+// Package capture records all calls into and out of the decision module (package policy),
+// so that they can be replayed. A capture is a sequence of segments, which are files of
+// compressed blocks of records. Each block has a checksum, which detects damage, and a
+// message authentication code (MAC) chained to that of the block before it, which detects
+// altered, removed and reordered blocks. docs/capture-format.md specifies the format.
+//
+// Comments in this package call the lifetime of one gatekeeper process a run. Segments of
+// different runs are not chained.
 package capture
 
 import (
@@ -13,36 +19,45 @@
 const (
 	magic   = "FOXCAP"
 	version = "02"
-	oldest  = "01" // version that is read: it has nothing that the later ones mean otherwise
+	oldest  = "01" // oldest version that can be read: later ones only add fields
 
-	segmentHead = len(magic) + len(version) + printSize + 8 + 4 + linkSize // and a link
-	blockSealed = 1 + 4 + 4 + 4 + 4 + 8                                    // of a block's header: what its sum and link are over
+	// Sizes in bytes. The header of a segment is followed by its own MAC.
+	segmentHead = len(magic) + len(version) + printSize + 8 + 4 + linkSize
+	blockSealed = 1 + 4 + 4 + 4 + 4 + 8 // the part of a block's header that its checksum and MAC cover
 	blockHead   = blockSealed + 8 + linkSize
 
+	// The kinds of blocks.
 	kindRecords = 1
 	kindEnd     = 2
 	kindIndex   = 3
 
-	payloadMost = 64 << 20 // bytes of a block, compressed or not: a checkpoint may be large
+	payloadMost = 64 << 20 // largest payload of a block in bytes, compressed or not: a checkpoint may be large
 )
 
-// What a reader says of a capture.
+// The errors that reading a capture may return, wrapped with details.
 var (
-	ErrVersion  = errors.New("version is not known")
-	ErrKey      = errors.New("made with another key")
-	ErrDamaged  = errors.New("damaged")
-	ErrAltered  = errors.New("altered or cut")
-	ErrUnended  = errors.New("ends without its end block")
-	ErrNotOne   = errors.New("not a capture")
-	ErrSequence = errors.New("not the segment that follows")
+	// ErrVersion reports a format version that this build can't read.
+	ErrVersion = errors.New("unknown format version")
+	// ErrKey reports a capture that was made with another key than the one given.
+	ErrKey = errors.New("made with another key")
+	// ErrDamaged reports a wrong checksum or malformed data.
+	ErrDamaged = errors.New("damaged")
+	// ErrAltered reports a wrong MAC: blocks were changed, removed or reordered.
+	ErrAltered = errors.New("altered or cut")
+	// ErrUnended reports a segment without its end block, such as one whose gatekeeper crashed.
+	ErrUnended = errors.New("ends without its end block")
+	// ErrNotOne reports a file that is not a capture.
+	ErrNotOne = errors.New("not a capture")
+	// ErrSequence reports a segment that is missing between two others.
+	ErrSequence = errors.New("not the next segment of the capture")
 )
 
-// header is a segment's.
+// header is the header of a segment.
 type header struct {
 	print [printSize]byte
 	life  uint64
-	n     uint32
-	// before is the last link of the segment before it, zeros for the first.
+	n     uint32 // number of the segment in its run, from 1
+	// before is the last MAC of the previous segment, zeros for the first segment.
 	before [linkSize]byte
 }
 
@@ -54,14 +69,14 @@
 	return append(b, h.before[:]...)
 }
 
-// parse reads a segment's header, without its link.
+// parse decodes the header of a segment, without its MAC.
 func (h *header) parse(b []byte) error {
 	if len(b) < segmentHead || string(b[:len(magic)]) != magic {
 		return ErrNotOne
 	}
 	b = b[len(magic):]
 	if v := string(b[:len(version)]); v < oldest || v > version {
-		return fmt.Errorf("version %q is not known here, which reads %s to %s: %w", v, oldest, version, ErrVersion)
+		return fmt.Errorf("format version %q, want %s to %s: %w", v, oldest, version, ErrVersion)
 	}
 	b = b[len(version):]
 	copy(h.print[:], b)
@@ -71,18 +86,18 @@
 	return nil
 }
 
-// block is a block's header.
+// block is the header of a block.
 type block struct {
 	kind         byte
-	size, raw    uint32
+	size, raw    uint32 // bytes of the payload, compressed and uncompressed
 	records      uint32
-	lost         uint32
-	first        int64
+	lost         uint32 // number of records lost before the block
+	first        int64  // time of the first record in microseconds; of an end block, the offset of the index block
 	sum          uint64
 	link, sealed []byte
 }
 
-// seal appends a block with its sum and its link of the chain, and returns the link.
+// seal appends a block with its checksum and its MAC, and returns the result and the MAC.
 func (b *block) seal(out []byte, key *Key, before, payload []byte) (whole, link []byte) {
 	at := len(out)
 	out = append(out, b.kind)
@@ -97,7 +112,7 @@
 	return out, link
 }
 
-// parse reads a block's header.
+// parse decodes the header of a block.
 func (b *block) parse(h []byte) {
 	b.kind, b.sealed = h[0], h[:blockSealed]
 	u32 := func(i int) uint32 { return binary.LittleEndian.Uint32(h[1+4*i:]) }
@@ -107,9 +122,10 @@
 	b.link = h[blockSealed+8 : blockHead]
 }
 
+// sum returns the checksum of a block.
 func sum(sealed, payload []byte) uint64 {
 	h := xxh3.New()
-	_, _ = h.Write(sealed) // a hash takes whatever it is given
+	_, _ = h.Write(sealed) // never fails
 	_, _ = h.Write(payload)
 	return h.Sum64()
 }
--- a/capture/index.go
+++ b/capture/index.go
@@ -14,13 +14,14 @@
 	"foxwood/capture/capturepb"
 )
 
-// Index says which blocks of a segment hold which requests and customers, and which are
-// checkpoints. It only guides: what is read by it is verified as ever.
+// Index lists which blocks of a segment hold which requests and customers, and which are
+// checkpoints. It is used only to find blocks: what is read from there is verified as usual.
 type Index struct{ pb *capturepb.Index }
 
-// short is what an index keeps of a name or an id: other names may share it.
+// short returns the hash by which an index stores a name. Hashes of different names may collide.
 func short(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
+// shortID returns the hash by which an index stores a customer id.
 func shortID(id uint64) uint32 {
 	var b [8]byte
 	for i := range b {
@@ -29,7 +30,7 @@
 	return short(b[:])
 }
 
-// note adds a block to an index that is being made.
+// note adds a block to an index that is being built.
 func (x *Index) note(offset int64, b *filled) {
 	if x.pb == nil {
 		x.pb = &capturepb.Index{}
@@ -44,7 +45,7 @@
 	}
 }
 
-// blocksOf lists the blocks that may hold a request by name.
+// blocksOf returns the blocks that may hold the request with a name.
 func (x *Index) blocksOf(name string) []int {
 	var all []int
 	want := short([]byte(name))
@@ -56,7 +57,7 @@
 	return all
 }
 
-// Offsets lists where the segment's blocks of records begin, in bytes.
+// Offsets returns the byte offsets of the segment's blocks of records.
 func (x *Index) Offsets() []int64 {
 	var all []int64
 	for _, b := range x.pb.GetBlocks() {
@@ -65,11 +66,11 @@
 	return all
 }
 
-// HasCustomer tells whether a segment may hold requests of a customer, by the id that
-// stands in the capture.
+// HasCustomer reports whether a segment may hold requests of a customer, given the id as
+// it is stored in the capture, which is encrypted if the capture has a key.
 func (x *Index) HasCustomer(id uint64) bool { return slices.Contains(x.pb.GetCustomers(), shortID(id)) }
 
-// checkpointBefore is the last checkpoint at or before a block, -1 where there is none.
+// checkpointBefore returns the last checkpoint at or before a block, or -1 if there is none.
 func (x *Index) checkpointBefore(block int) int {
 	for i := min(block, len(x.pb.GetBlocks())-1); i >= 0; i-- {
 		if x.pb.GetBlocks()[i].GetCheckpoint() {
@@ -79,10 +80,11 @@
 	return -1
 }
 
-// ErrNoIndex tells that a segment has no index: its gatekeeper died, or still writes.
+// ErrNoIndex reports that a segment has no readable index, because its gatekeeper crashed
+// or is still writing it.
 var ErrNoIndex = errors.New("the segment has no index")
 
-// ReadIndex reads a segment's index.
+// ReadIndex reads the index of a segment file.
 func ReadIndex(file string) (*Index, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -133,16 +135,16 @@
 	return x, nil
 }
 
-// Place is where reading may begin: a block of a segment.
+// Place is a block of a segment at which reading can start.
 type Place struct {
-	Segment int // in the list
-	Offset  int64
-	before  int64 // offset of the block before it, 0 for the first
+	Segment int   // index in the list of segments
+	Offset  int64 // bytes from the start of the segment, 0 for the segment's start
+	before  int64 // offset of the previous block, 0 if it is the first
 }
 
-// Locate finds where to begin to play for a request by name: at the last checkpoint, or
-// beginning of a life, before it. ok is false where no index knows of the name; segments
-// without an index may hold it.
+// Locate finds where a replay has to start to reach the request with a name: at the last
+// checkpoint, or start of a run, before it. ok is false if no index lists the name;
+// segments without an index may still hold it.
 func Locate(segments []Segment, name string) (p Place, ok bool) {
 	indexes := make([]*Index, len(segments))
 	for i := len(segments) - 1; i >= 0; i-- {
@@ -177,11 +179,11 @@
 	return Place{}, false
 }
 
-// Skip has a set begin at a place, in place of its first segment's beginning.
+// Skip makes a Set start at a place instead of at the start of its first segment.
 func (s *Set) Skip(p Place) { s.at, s.from = p.Segment, p }
 
-// seek moves a reader that has read its segment's head to a block: the chain goes on from
-// the link of the block before it.
+// seek moves a reader that has read its segment's header to a block. The block is
+// verified against the MAC of the block before it, which is read for this purpose.
 func (r *Reader) seek(f *os.File, p Place) error {
 	if p.before > 0 {
 		head := make([]byte, blockHead)
--- a/capture/key.go
+++ b/capture/key.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	secretSize = 32 // bytes of a key file's secret
-	linkSize   = sha256.Size
-	printSize  = 8
+	secretSize = 32          // bytes of a key file's secret
+	linkSize   = sha256.Size // bytes of a MAC
+	printSize  = 8           // bytes of a key's fingerprint
 )
 
-// Key is what a capture's chain and ids are made with. The zero Key is none: its chain
-// tells damage but not intent, and ids stand as they are.
+// Key authenticates a capture and encrypts its customer ids and counter names. The zero
+// Key means no key: MACs then detect accidental damage but not deliberate changes, and ids
+// are stored unencrypted.
 type Key struct {
 	chain     []byte
 	customers []byte
 	print     [printSize]byte
 }
 
-// NewKey derives a key from a secret (RFC 5869).
+// NewKey derives a Key from a secret of 32 bytes, with HKDF (RFC 5869).
 func NewKey(secret []byte) (Key, error) {
 	if len(secret) != secretSize {
-		return Key{}, fmt.Errorf("capture: a key of %d bytes, not %d", len(secret), secretSize)
+		return Key{}, fmt.Errorf("capture: key has %d bytes, want %d", len(secret), secretSize)
 	}
 	var k Key
 	for _, part := range [...]struct {
@@ -52,14 +53,15 @@
 	return k, nil
 }
 
-// ReadKey reads a key file: 64 hex digits, readable by its owner alone.
+// ReadKey reads a key file, which holds 64 hex digits. It refuses a file that others than
+// its owner have access to.
 func ReadKey(file string) (Key, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return Key{}, fmt.Errorf("capture: key: %w", err)
 	}
 	if loose := info.Mode().Perm() & 0o077; loose != 0 {
-		return Key{}, fmt.Errorf("capture: key: %s may be used by others than its owner (mode %04o): chmod 600 it", file, info.Mode().Perm())
+		return Key{}, fmt.Errorf("capture: key: %s has mode %04o, want access for its owner only: run chmod 600", file, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -72,10 +74,10 @@
 	return NewKey(secret)
 }
 
-// Set tells whether there is a key.
+// Set reports whether k is a key, and not the zero Key.
 func (k *Key) Set() bool { return k.customers != nil }
 
-// link is the next link of the chain.
+// link returns the MAC of a block or a segment's header, chained to the previous MAC.
 func (k *Key) link(before []byte, parts ...[]byte) []byte {
 	secret := k.chain
 	if secret == nil {
@@ -89,7 +91,8 @@
 	return h.Sum(nil)
 }
 
-// The tweaks of the permutation.
+// The tweaks of the id encryption, by which a customer id and an equal counter name are
+// encrypted differently.
 const (
 	ofCustomers = 0
 	ofNames     = 1
@@ -97,8 +100,8 @@
 
 const feistelRounds = 4
 
-// hide replaces an id by another: a permutation of 64 bits that the key chooses (a
-// Feistel network, M. Luby and C. Rackoff, 1988). Without a key it is the id itself.
+// hide encrypts an id with a keyed permutation of 64-bit values, a Feistel network
+// (M. Luby and C. Rackoff, 1988). Without a key it returns the id unchanged.
 func (k *Key) hide(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
@@ -110,7 +113,7 @@
 	return uint64(l)<<32 | uint64(r)
 }
 
-// show is the id that hide replaced.
+// show decrypts an id that hide encrypted.
 func (k *Key) show(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
@@ -122,13 +125,14 @@
 	return uint64(l)<<32 | uint64(r)
 }
 
-// hideState is a state with the customers' keys and the counter names in it replaced, as
-// records have them. It leaves the state that it is given as it is.
+// hideState returns a copy of a state with its customer ids and counter names encrypted.
 func (k *Key) hideState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.hide) }
 
-// showState is the state that hideState replaced.
+// showState decrypts the ids of a state that hideState encrypted.
 func (k *Key) showState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.show) }
 
+// turn returns a copy of a state with its customer ids and counter names replaced by those
+// that the function by returns.
 func (k *Key) turn(s policy.Snapshot, by func(uint64, byte) uint64) policy.Snapshot {
 	if !k.Set() {
 		return s
@@ -143,6 +147,7 @@
 	return s
 }
 
+// round is the round function of the Feistel network.
 func (k *Key) round(n, tweak byte, half uint32) uint32 {
 	h := hmac.New(sha256.New, k.customers)
 	h.Write(binary.LittleEndian.AppendUint32([]byte{n, tweak}, half))
--- a/capture/segments.go
+++ b/capture/segments.go
@@ -16,16 +16,16 @@
 // Segment is one file of a capture.
 type Segment struct {
 	File  string
-	Life  uint64
-	N     uint32
-	Print [printSize]byte
-	First policy.Micros // time of its first record, 0 where it has none
-	Size  int64
+	Life  uint64          // id of the run
+	N     uint32          // number of the segment in its run, from 1
+	Print [printSize]byte // fingerprint of the key
+	First policy.Micros   // time of its first record, 0 if it has none
+	Size  int64           // bytes
 }
 
-// Find lists the segments at some paths, each a file or a folder, in the order of their
-// lives' beginnings and of their numbers. A file that is not a capture is an error, but
-// not one of another kind in a folder.
+// Find lists the segments at some paths, each a file or a folder, ordered by the start of
+// their run and by their number. A file that is not a capture is an error, but files in a
+// folder whose names don't have the suffix of a segment are ignored.
 func Find(paths ...string) ([]Segment, error) {
 	var all []Segment
 	for _, p := range paths {
@@ -59,8 +59,8 @@
 	return all, nil
 }
 
-// FindName lists the segments of one gatekeeper in a folder. What can't be read as a
-// segment's head is passed over: a death may have left it.
+// FindName lists the segments of one gatekeeper in a folder. It ignores files without a
+// readable segment header, since a crash may leave such files.
 func FindName(folder, name string) ([]Segment, error) {
 	files, err := filepath.Glob(filepath.Join(folder, name+"-*"+suffix))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return Find(well...)
 }
 
-// look reads a segment's head and its first block's time.
+// look reads the header of a segment and the time of its first block.
 func look(file string) (Segment, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -103,28 +103,28 @@
 	return s, nil
 }
 
-// Set reads segments one after the other, as one capture.
+// Set reads a list of segments as one capture.
 type Set struct {
 	key      *Key
 	segments []Segment
 	file     *os.File
 	reader   *Reader
-	at       int // of the segment that is read
-	link     []byte
+	at       int    // index of the current segment
+	link     []byte // last MAC of the previous segment, nil if that segment could not be read to its end
 	records  int
-	from     Place // to begin at, where it was set
+	from     Place // where to start, if Skip has set it
 }
 
-// NewSet reads segments in the order of Find.
+// NewSet creates a Set that reads segments in the given order, which should be that of Find.
 func NewSet(segments []Segment, key *Key) *Set { return &Set{key: key, segments: segments} }
 
-// Current is the segment that is read.
+// Current returns the segment that is being read.
 func (s *Set) Current() Segment { return s.segments[min(s.at, len(s.segments)-1)] }
 
-// Records is how many records have been given out.
+// Records returns the number of records returned so far.
 func (s *Set) Records() int { return s.records }
 
-// Read is how many bytes of the segments have been read, of how many.
+// Read returns how many bytes of the segments have been read, and how many there are.
 func (s *Set) Read() (n, of int64) {
 	for i, seg := range s.segments {
 		if i < s.at {
@@ -138,7 +138,7 @@
 	return n, of
 }
 
-// Close ends reading.
+// Close closes the segment that is being read.
 func (s *Set) Close() {
 	if s.reader != nil {
 		s.reader.Close()
@@ -147,20 +147,21 @@
 	}
 }
 
-// Cut is a segment that ends before its end: its gatekeeper died, or it was cut. What
-// follows may be read on.
+// Cut is an error that reports a segment without its end block: its gatekeeper crashed, or
+// the file was truncated. The segments after it can still be read.
 type Cut struct {
 	File string
 	Err  error
 }
 
+// Error implements error.
 func (c *Cut) Error() string { return c.File + ": " + c.Err.Error() }
 
-// Unwrap is what was found.
+// Unwrap returns the underlying error.
 func (c *Cut) Unwrap() error { return c.Err }
 
-// Next gives the next record, as Reader.Next does, over all segments. A *Cut is told once
-// for each segment that is cut, as is a *Gap; io.EOF is the end of the last.
+// Next returns the next record of all segments, like Reader.Next. It returns a *Cut once for
+// each truncated segment and a *Gap once for each gap, and io.EOF after the last segment.
 func (s *Set) Next() (*capturepb.Record, policy.Micros, error) {
 	for {
 		if s.reader == nil {
@@ -186,7 +187,7 @@
 		if s.link = link; errors.Is(err, io.EOF) {
 			continue
 		}
-		s.link = nil // a block may have been begun that is not whole
+		s.link = nil // the MAC of the segment's last, incomplete block is not known
 		if errors.Is(err, ErrUnended) {
 			return nil, 0, &Cut{file, err}
 		}
@@ -194,8 +195,8 @@
 	}
 }
 
-// Each calls record with every record, and fault with every *Cut and *Gap, up to the end or
-// to an error that nothing can be read behind.
+// Each calls record with every record, and fault with every *Cut and *Gap. It returns nil at
+// the end of the capture, or the first error after which nothing more can be read.
 func (s *Set) Each(record func(*capturepb.Record), fault func(error)) error {
 	for {
 		r, _, err := s.Next()
@@ -214,13 +215,14 @@
 	}
 }
 
-// open begins the next segment. It must follow the one before where they are of one life.
+// open opens the next segment. If the previous one belongs to the same run, it checks that
+// none is missing between the two.
 func (s *Set) open() error {
 	seg := s.segments[s.at]
 	var before []byte
 	if s.at > s.from.Segment && s.segments[s.at-1].Life == seg.Life {
 		if s.segments[s.at-1].N+1 != seg.N {
-			return fmt.Errorf("%s: segment %d behind %d: %w", seg.File, seg.N, s.segments[s.at-1].N, ErrSequence)
+			return fmt.Errorf("%s: segment %d follows segment %d: %w", seg.File, seg.N, s.segments[s.at-1].N, ErrSequence)
 		}
 		before = s.link
 	}
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -18,64 +18,68 @@
 	"foxwood/policy"
 )
 
-// Options is how captures are kept.
+// Options holds the settings of a Writer.
 type Options struct {
 	Folder string
-	Name   string // of the gatekeeper
-	Life   uint64 // of its life, drawn at its start
+	Name   string // the gatekeeper's name
+	Life   uint64 // id of the run, see the function Life
 	Key    Key
-	// SegmentMost is the bytes of a segment, KeptMost those of all segments of this name
-	// in the folder: the oldest are removed past it. Zero stands for 64 MiB and 1 GiB.
+	// SegmentMost is the size in bytes at which a segment is ended, 64 MiB if zero. KeptMost
+	// is the total size in bytes of all segments of this name in the folder, above which the
+	// oldest are removed, 1 GiB if zero.
 	SegmentMost, KeptMost int64
-	// AgeMost is how long a segment is kept; zero is for good.
+	// AgeMost is how long a segment is kept; zero keeps it without a time limit.
 	AgeMost time.Duration
-	// CheckpointEvery is how far apart checkpoints are; zero stands for 30 s. Each new
-	// segment gets one soon as well.
+	// CheckpointEvery is the interval of checkpoints, 30 s if zero. Each new segment gets
+	// a checkpoint soon after its start as well.
 	CheckpointEvery time.Duration
-	// Patient has the encoder wait for the disk in place of dropping: for simulated time,
-	// which waits too.
+	// Patient makes the encoder wait for the disk instead of dropping blocks. It is meant for
+	// simulated time, which stops while the encoder waits.
 	Patient bool
 }
 
 const (
-	defaultSegment = 64 << 20
-	defaultKept    = 1 << 30
+	defaultSegment = 64 << 20 // bytes
+	defaultKept    = 1 << 30  // bytes
 	defaultApart   = 30 * time.Second
-	queued         = 16 // blocks that wait for the disk: a megabyte
+	queued         = 16 // most blocks that wait for the disk, which hold one MiB
 	retryEvery     = time.Second
 	suffix         = ".fcap"
 )
 
-// Stats is what became of a capture's records.
+// Stats counts records, blocks and errors of a Writer. Lost counts the records that were
+// not written, and Bytes those of the blocks that were.
 type Stats struct {
 	Records, Lost, Blocks, Bytes, Errors atomic.Uint64
 }
 
-// Writer writes a capture beside the loop, which hands it blocks and never waits for it.
+// Writer writes a capture in its own goroutine. The event loop passes it blocks through a
+// queue and does not wait for the disk.
 type Writer struct {
 	*Encoder
 	Stats Stats
 
 	options Options
 	blocks  chan filled
-	free    chan []byte
+	free    chan []byte // buffers for reuse
 	done    chan struct{}
-	dropped atomic.Uint32 // records that did not fit the queue since the last block that did
-	due     policy.Micros // of the next checkpoint; the loop's
-	fresh   atomic.Bool   // a segment has begun that has none
+	dropped atomic.Uint32 // records dropped because the queue was full, not yet added to lost
+	due     policy.Micros // time of the next checkpoint; used by the event loop only
+	fresh   atomic.Bool   // the current segment has no checkpoint yet
 
+	// Used by the writing goroutine only.
 	file    *os.File
-	n       uint32 // of the segment
-	size    int64
-	link    []byte
+	n       uint32 // number of the segment
+	size    int64  // bytes of the segment
+	link    []byte // last MAC
 	index   Index
 	zstd    *zstd.Encoder
 	out     []byte
-	lost    uint32 // records that could not be written since the last block that was
+	lost    uint32 // records lost since the last block that was written
 	retryAt time.Time
 }
 
-// NewWriter opens a capture in a folder, which must be there.
+// NewWriter starts a capture in an existing folder.
 func NewWriter(o Options) (*Writer, error) {
 	w, err := newWriter(o)
 	if err != nil {
@@ -86,7 +90,8 @@
 	return w, nil
 }
 
-// newWriter opens a capture whose blocks are written by who calls write.
+// newWriter starts a capture without a goroutine and an Encoder: the caller writes blocks
+// by calling write.
 func newWriter(o Options) (*Writer, error) {
 	if o.SegmentMost <= 0 {
 		o.SegmentMost = defaultSegment
@@ -109,6 +114,7 @@
 	return w, nil
 }
 
+// newZstd creates a compressor for speed, which runs in the calling goroutine.
 func newZstd() (*zstd.Encoder, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -117,8 +123,8 @@
 	return e, nil
 }
 
-// take implements taker. It runs on the loop: a block that finds no room is dropped, and
-// counted as a gap before the next that does.
+// take implements taker. It drops a block if the queue is full, and counts its records as
+// a gap before the next block that is queued.
 func (w *Writer) take(b filled) []byte {
 	w.Stats.Records.Add(uint64(b.records))
 	if w.options.Patient {
@@ -143,7 +149,7 @@
 // wants implements taker.
 func (w *Writer) wants(now policy.Micros) bool {
 	switch {
-	case w.due == 0: // the first segment begins where the life does
+	case w.due == 0: // the first segment starts with the run and needs no checkpoint
 		w.fresh.Store(false)
 	case now < w.due && !w.fresh.Swap(false):
 		return false
@@ -153,7 +159,8 @@
 	return !first
 }
 
-// offer implements taker. A checkpoint that finds no room is dropped: it is no gap.
+// offer implements taker. It drops the checkpoint if the queue is full. This is not a gap,
+// since the records around it are complete.
 func (w *Writer) offer(b filled) {
 	if w.options.Patient {
 		w.blocks <- b
@@ -165,19 +172,21 @@
 	}
 }
 
-// Close writes what there is, ends the segment, and returns once that is done. The loop
-// must not call the encoder any more.
+// Close writes all remaining records, ends the segment, and returns when both is done. The
+// encoder must not be called after Close.
 func (w *Writer) Close() {
 	w.flush()
 	close(w.blocks)
 	<-w.done
 }
 
+// run writes the queued blocks until the queue is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	for b := range w.blocks {
-		// what was dropped came before whatever is taken after it; to count it a block
-		// early would be wrong by no record, as a replay stops at either
+		// The dropped records may belong after some blocks that are still in the queue, so the
+		// gap may be reported too early. This does no harm: a replay stops at the gap in
+		// either case.
 		w.lost += w.dropped.Swap(0)
 		if b.state != nil {
 			b.raw = stateRecord(b.state, &w.options.Key)
@@ -193,8 +202,8 @@
 	w.end()
 }
 
-// write writes one block. Where it can't, its records count as lost, the segment is left
-// as it is, and another is begun a second later.
+// write writes one block. If this fails, the block's records count as lost, the segment is
+// left without an end block, and a new segment is started after retryEvery.
 func (w *Writer) write(b filled) {
 	if w.file == nil {
 		if time.Now().Before(w.retryAt) {
@@ -219,7 +228,8 @@
 	w.size += int64(len(out))
 	w.Stats.Blocks.Add(1)
 	w.Stats.Bytes.Add(uint64(len(out)))
-	// Not behind a checkpoint: each new segment wants one, which may be larger than a segment.
+	// A checkpoint does not end a segment: each new segment gets one, so checkpoints larger
+	// than SegmentMost would start one segment after the other.
 	if b.state == nil && w.size >= w.options.SegmentMost {
 		if w.end(); w.rotate() != nil {
 			w.retryAt = time.Now().Add(retryEvery)
@@ -227,7 +237,8 @@
 	}
 }
 
-// miss counts records that were not written, and says so once for each try.
+// miss counts records that were not written. It logs err, which is nil if no attempt to
+// write was made.
 func (w *Writer) miss(records uint32, err error) {
 	w.lost += records
 	w.Stats.Lost.Add(uint64(records))
@@ -235,7 +246,7 @@
 		return
 	}
 	w.Stats.Errors.Add(1)
-	slog.Error("capture: records are lost, the gatekeeper serves on", "lost", w.lost, "error", err)
+	slog.Error("capture: write failed, records are lost; requests are still served", "lost", w.lost, "error", err)
 	if w.file != nil {
 		_ = w.file.Close()
 		w.file = nil
@@ -243,7 +254,7 @@
 	w.retryAt = time.Now().Add(retryEvery)
 }
 
-// end ends the segment with its end block.
+// end completes the segment with its index and its end block.
 func (w *Writer) end() {
 	if w.file == nil {
 		return
@@ -260,7 +271,7 @@
 	}
 	if err != nil {
 		w.Stats.Errors.Add(1)
-		slog.Error("capture: a segment was not ended", "error", err)
+		slog.Error("capture: index and end block of a segment were not written", "error", err)
 	}
 	w.link, w.file, w.lost = link, nil, 0
 }
@@ -269,14 +280,14 @@
 func (w *Writer) sealIndex(out []byte) (whole, link []byte, err error) {
 	raw, err := proto.Marshal(w.index.pb)
 	if err != nil {
-		return nil, nil, fmt.Errorf("capture: index: %w", err)
+		return nil, nil, fmt.Errorf("capture: encode the index: %w", err)
 	}
 	head := block{kind: kindIndex, raw: uint32(len(raw))}
 	whole, link = head.seal(out, &w.options.Key, w.link, w.zstd.EncodeAll(raw, nil))
 	return whole, link, nil
 }
 
-// rotate begins a segment, and removes those past their size or age.
+// rotate starts a new segment and removes old ones.
 func (w *Writer) rotate() error {
 	o := &w.options
 	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.n+1, suffix))
@@ -299,7 +310,8 @@
 	return nil
 }
 
-// prune removes the oldest segments past the bounds, never the one that is written.
+// prune removes the oldest segments until all are within the limits of size and age. It
+// never removes the current one.
 func (w *Writer) prune(current string) {
 	o := &w.options
 	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+suffix))
@@ -331,14 +343,14 @@
 			return
 		}
 		if err := os.Remove(k.file); err != nil {
-			slog.Warn("capture: an old segment stays", "error", err)
+			slog.Warn("capture: an old segment was not removed", "error", err)
 			return
 		}
 		sum -= k.size
 	}
 }
 
-// Life draws the number of a life from its start and the gatekeeper's seed.
+// Life returns the id of a run, made from its start time and the gatekeeper's seed.
 func Life(now policy.Micros, seed uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
