--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Command benchlink hosts instances of the decision module on the simulator's
-// wire. Instances share nothing, and nothing is decided here.
+// Command benchlink runs instances of the decision module (package policy) for the
+// simulator. It reads frames of events from standard input, passes the events to the
+// instances and writes the instances' actions to standard output. Instances share no state.
 package main
 
 import (
@@ -21,14 +22,14 @@
 	}
 }
 
-// link is one run of the adapter.
+// link holds the running instances and the reply to the current frame.
 type link struct {
-	gateways map[int]*policy.Gateway
-	current  int
+	gateways map[int]*policy.Gateway // by the simulator's number
+	current  int                     // the instance that the next records are for, -1 if none was named in the frame
 	reply    wire.Reply
 }
 
-// serve answers each frame of in with one on out, until in ends.
+// serve answers each frame read from in with one written to out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	l := &link{gateways: map[int]*policy.Gateway{}}
@@ -52,7 +53,7 @@
 	}
 }
 
-// batch hands the records of one frame to their instances.
+// batch passes the records of one frame to their instances.
 func (l *link) batch(frame []byte) error {
 	b, err := wire.NewBatch(frame)
 	if err != nil {
@@ -66,13 +67,13 @@
 		}
 	}
 	if b.Rest() > 0 {
-		return fmt.Errorf("%d bytes stand behind the last record", b.Rest())
+		return fmt.Errorf("frame has %d bytes after its last record, want none", b.Rest())
 	}
 	return nil
 }
 
-// record reads one record and calls the module. A panic of the module becomes a
-// DIE action.
+// record reads one record and calls the instance that it is for. A panic of the decision
+// module is reported as a DIE action.
 func (l *link) record(b *wire.Batch, code uint8) error {
 	if code == wire.CodeOn {
 		l.current = int(b.U16())
@@ -80,7 +81,7 @@
 		return b.Err()
 	}
 	if l.current < 0 && b.Err() == nil {
-		return errors.New("no instance was named")
+		return errors.New("want an ON record before the first event of a frame, got none")
 	}
 	call, err := l.read(b, code)
 	if err == nil {
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// read decodes a record into the call it asks for; nil where there is none.
+// read decodes a record and returns the call of the decision module that it requires, or
+// nil if it requires none.
 func (l *link) read(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
 	now, host := b.Clock, &l.reply
 	var call func(*policy.Gateway)
@@ -121,16 +123,16 @@
 		delete(l.gateways, l.current)
 		return nil, nil
 	case wire.CodeNote:
-		b.Note() // the module exchanges no messages
+		b.Note() // the module does not exchange messages
 		return nil, nil
 	case wire.CodeAdded:
-		name, delay, st, total := b.Added()
-		call = func(g *policy.Gateway) { g.Counted(now, host, name, delay, st, total) }
+		name, delay, status, total := b.Added()
+		call = func(g *policy.Gateway) { g.Counted(now, host, name, delay, status, total) }
 	case wire.CodeGone:
 		id := b.U32()
 		call = func(g *policy.Gateway) { g.ClientGone(now, host, id) }
 	case wire.CodeStreaming:
-		b.Streaming() // an attempt is never taken back, begun or not
+		b.Streaming() // not needed: the module does not withdraw an attempt, whether its answer has started or not
 		return nil, nil
 	case wire.CodeElapsed:
 		token := b.U64()
@@ -139,7 +141,7 @@
 		kind, entries := b.Sync()
 		call = func(g *policy.Gateway) { g.Servers(now, host, kind, entries) }
 	case wire.CodeProbeDone:
-		b.ProbeDone() // the module asks for none
+		b.ProbeDone() // the module never requests a probe
 		return nil, nil
 	case wire.CodeReq:
 		r := b.Request()
@@ -148,10 +150,10 @@
 		o := b.Outcome()
 		call = func(g *policy.Gateway) { g.Outcome(now, host, o) }
 	default:
-		return nil, errors.New("unknown record code")
+		return nil, fmt.Errorf("unknown record code, want %d to %d", wire.CodeBorn, wire.CodeDone)
 	}
 	if l.gateways[l.current] == nil {
-		return nil, nil // nothing is owed to an instance that does not run
+		return nil, nil // events for an instance that does not run are ignored
 	}
 	return call, nil
 }
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// frame builds a batch of raw records.
+// frame builds a frame of raw records.
 func frame(records int, body ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(12+len(body)))
 	b = binary.BigEndian.AppendUint32(b, uint32(records))
@@ -15,41 +15,41 @@
 	return append(b, body...)
 }
 
-// born is an ON and a BORN record with a settings text.
+// born returns an ON record of instance 1 and a BORN record with a settings text.
 func born(text string) []byte {
 	b := append([]byte{3, 0, 1, 0}, make([]byte, 8)...)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
 }
 
-func TestAnEmptyBatchGetsAnEmptyReply(t *testing.T) {
+func TestEmptyFrameGetsEmptyReply(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(frame(0)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), []byte{0, 0, 0, 0}) {
-		t.Fatalf("answered %x", out.Bytes())
+		t.Fatalf("reply is %x, want a frame of length 0", out.Bytes())
 	}
 }
 
-func TestMalformedInputEndsWithAMessage(t *testing.T) {
+func TestMalformedInputIsAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"cut short":            frame(0)[:9],
-		"body missing":         frame(0)[:4],
-		"unknown code":         frame(2, 3, 0, 1, 99),
-		"no instance":          frame(1, 7, 0, 0, 0, 0, 0, 0, 0, 1),
-		"record cut short":     frame(2, 3, 0, 1, 7, 0, 0),
-		"bytes behind the end": frame(1, 3, 0, 1, 7),
-		"broken settings":      frame(2, born("{")...),
+		"truncated frame":             frame(0)[:9],
+		"body missing":                frame(0)[:4],
+		"unknown code":                frame(2, 3, 0, 1, 99),
+		"no instance":                 frame(1, 7, 0, 0, 0, 0, 0, 0, 0, 1),
+		"truncated record":            frame(2, 3, 0, 1, 7, 0, 0),
+		"bytes after the last record": frame(1, 3, 0, 1, 7),
+		"malformed settings":          frame(2, born("{")...),
 	} {
 		var out bytes.Buffer
 		if err := serve(bytes.NewReader(in), &out); err == nil || strings.TrimSpace(err.Error()) == "" {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: error %v, want one with a message", name, err)
 		}
 	}
 }
 
-func TestBornStartsAnInstanceAndHaltEndsIt(t *testing.T) {
+func TestBornStartsAndHaltStopsAnInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := append(frame(2, born("{}")...), frame(3, 3, 0, 1, 5, 7)...)
 	in = append(in[:len(in)-1], 7, 0, 0, 0, 0, 0, 0, 0, 0)
@@ -59,9 +59,9 @@
 	}
 	first := binary.BigEndian.Uint32(out.Bytes())
 	if first == 0 {
-		t.Fatal("the instance set no timer at its start")
+		t.Fatal("the instance took no action at its start, want a timer")
 	}
 	if rest := out.Bytes()[4+first:]; !bytes.Equal(rest, []byte{0, 0, 0, 0}) {
-		t.Fatalf("a halted instance acted: %x", rest)
+		t.Fatalf("second reply is %x, want no action of a stopped instance", rest)
 	}
 }
--- a/internal/replay/audit.go
+++ b/internal/replay/audit.go
@@ -14,19 +14,19 @@
 	"foxwood/policy"
 )
 
-// Named is the capture of one gatekeeper, or of several lives of it.
+// Named is the capture of one gatekeeper, which may cover several runs.
 type Named struct {
 	Name string
 	From Source
 }
 
-// Merged is several gatekeepers' captures in one order, by the clock that they share.
+// Merged is a sequence of the records of several gatekeepers' captures, ordered by time.
 type Merged struct {
 	sources []*upcoming
-	Notes   []string // gaps and cuts, and whose
+	Notes   []string // gaps and truncated segments, each with the name of its capture
 }
 
-// upcoming is a source with its next record.
+// upcoming is a capture with its next record.
 type upcoming struct {
 	Named
 	record *capturepb.Record
@@ -34,7 +34,7 @@
 	ended  bool
 }
 
-// Merge merges captures.
+// Merge merges captures. Their times must come from synchronized clocks.
 func Merge(captures ...Named) *Merged {
 	m := &Merged{}
 	for _, c := range captures {
@@ -43,8 +43,9 @@
 	return m
 }
 
-// Next gives the earliest record that is left, and whose it is; of equal times that of the
-// capture named first. The record holds until the next call.
+// Next returns the earliest remaining record, its time, and the name of its capture. Among
+// records of the same time, the capture that was passed to Merge first comes first. The
+// record is valid until the next call. The error is io.EOF after the last record.
 func (m *Merged) Next() (name string, r *capturepb.Record, at policy.Micros, err error) {
 	var first *upcoming
 	for _, s := range m.sources {
@@ -64,6 +65,7 @@
 	return first.Name, r, first.at, nil
 }
 
+// fill reads the next record of a capture.
 func (m *Merged) fill(s *upcoming) error {
 	for {
 		r, at, err := s.From.Next()
@@ -84,44 +86,47 @@
 	}
 }
 
-// bucket is a token bucket that only measures: how far below nothing it went.
+// bucket is a token bucket that allows its level to become negative, to measure by how much
+// a limit was exceeded.
 type bucket struct {
-	rate, burst float64
+	rate, burst float64 // units per second, and units
 	level       float64
 	at          policy.Micros
-	worst       float64 // units below nothing at most
+	worst       float64 // the largest deficit in units, 0 if there was none
 }
 
+// take removes units at a time.
 func (b *bucket) take(units float64, at policy.Micros) {
 	b.level = min(b.level+b.rate*float64(at-b.at)/1e6, b.burst) - units
 	b.at = at
 	b.worst = max(b.worst, -b.level)
 }
 
-// Account is what all gatekeepers together sent on for one customer.
+// Account sums up one customer's requests to all gatekeepers.
 type Account struct {
 	Customer       uint64
 	Plan           int
 	Requests       int
-	Sent, Refused  int
-	Units          float64
-	OverQuota      float64 // units beyond the quota's rate and burst, at the worst moment
+	Sent, Refused  int     // requests sent to a worker, and requests refused
+	Units          float64 // units of the requests sent
+	OverQuota      float64 // largest excess over the quota's rate and burst, in units
 	HasCeiling     bool
-	OverCeiling    float64 // the same of the ceiling
-	CeilingSlack   float64 // that its plan allows
+	OverCeiling    float64 // largest excess over the ceiling's rate and burst, in units
+	CeilingSlack   float64 // excess over the ceiling that the plan allows, in units
 	quota, ceiling bucket
 }
 
-// drawn is a request that an audit follows.
+// followed is an open request of an audit.
 type followed struct {
 	account *Account
 	units   float64
 	sent    bool
 }
 
-// Audit sums up units sent on per customer, over all the gatekeepers whose captures are
-// merged, against quota and ceiling. Units count when a request's first attempt is sent,
-// and are settled by its answer.
+// Audit adds up the units sent per customer, over all gatekeepers whose captures are
+// merged, and compares them with quota and ceiling. The estimated units of a request count
+// when its first attempt is sent, and are corrected to the actual units by its answer. The
+// accounts are ordered by excess, the largest first.
 func Audit(m *Merged, key *capture.Key) ([]*Account, error) {
 	dec := capture.NewDecoder(key)
 	accounts := map[uint64]*Account{}
@@ -183,12 +188,14 @@
 	return all, nil
 }
 
+// newAccount returns the account of a customer whose first request arrives, with full buckets.
 func newAccount(q policy.Request, p policy.Plan, at policy.Micros) *Account {
 	return &Account{Customer: q.Customer, Plan: q.Plan, HasCeiling: p.CeilingRate > 0, CeilingSlack: p.CeilingSlack,
 		quota:   bucket{rate: p.Rate, burst: p.Burst, level: p.Burst, at: at},
 		ceiling: bucket{rate: p.CeilingRate, burst: p.CeilingBurst, level: p.CeilingBurst, at: at}}
 }
 
+// use charges units to the account.
 func (a *Account) use(units float64, at policy.Micros) {
 	a.Units += units
 	a.quota.take(units, at)
@@ -199,7 +206,7 @@
 	}
 }
 
-// WriteAccounts prints accounts as a table, the worst first.
+// WriteAccounts prints accounts as a table, in the given order.
 func WriteAccounts(to io.Writer, all []*Account) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "customer\tplan\trequests\tsent\trefused\tunits\tover quota\tover ceiling\tallowed slack\t")
--- a/internal/replay/audit_test.go
+++ b/internal/replay/audit_test.go
@@ -10,8 +10,8 @@
 	"foxwood/policy"
 )
 
-// recordedLife is the capture of one life of a gatekeeper that sends n requests of a
-// customer, so many milliseconds apart.
+// recordedLife records a run of a gatekeeper that gets n requests of one customer, apart
+// milliseconds after each other.
 func recordedLife(t *testing.T, at float64, n int, apart float64) capture.Set {
 	t.Helper()
 	folder := t.TempDir()
@@ -43,10 +43,10 @@
 	return *capture.NewSet(segments, &capture.Key{})
 }
 
-// TestQuotasAreAuditedOverAllGatekeepers: each gatekeeper, knowing nothing of the other,
-// keeps to a quota of 10 a second and a burst of 20; together they send twice that, and
-// only their merged captures show it.
-func TestQuotasAreAuditedOverAllGatekeepers(t *testing.T) {
+// TestAuditAddsUpAllGatekeepers: two gatekeepers that don't know of each other both keep to
+// a quota of 10 units per second and a burst of 20. Together they send twice as much, which
+// only an audit of their merged captures shows.
+func TestAuditAddsUpAllGatekeepers(t *testing.T) {
 	key := capture.Key{}
 	audit := func(starts ...float64) *Account {
 		var all []Named
@@ -57,25 +57,25 @@
 		}
 		accounts, err := Audit(Merge(all...), &key)
 		if err != nil || len(accounts) != 1 || accounts[0].Customer != 77 {
-			t.Fatalf("%v, %v", accounts, err)
+			t.Fatalf("accounts %v, error %v; want one account, of customer 77", accounts, err)
 		}
 		return accounts[0]
 	}
 	alone := audit(1.7e12)
 	if alone.Sent < 20 || alone.Sent > 21 || alone.OverQuota > 0.01 {
-		t.Errorf("alone: %+v", alone)
+		t.Errorf("one gatekeeper: %+v, want about 20 sent and no excess", alone)
 	}
 	if both := audit(1.7e12, 1.7e12+2); both.Sent != 2*alone.Sent || both.OverQuota < 19 || both.Requests != 80 || both.Sent+both.Refused != 80 {
-		t.Errorf("together: %+v", both)
+		t.Errorf("two gatekeepers: %+v, want twice as many sent as by one, and an excess of the quota of about 20", both)
 	}
 	if apart := audit(1.7e12, 1.7e12+60000); apart.OverQuota > 0.01 {
-		t.Errorf("a minute apart: %+v", apart)
+		t.Errorf("two gatekeepers, one minute apart: %+v, want no excess", apart)
 	}
 }
 
-// TestSettingsAreComparedOnTheSameInputs: with a tenth of the rate and burst more are
-// refused, and the first decision that differs is named.
-func TestSettingsAreComparedOnTheSameInputs(t *testing.T) {
+// TestCompareSettings checks that with a tenth of the rate and burst more requests are
+// refused, and that the first decision that differs is reported.
+func TestCompareSettings(t *testing.T) {
 	key := capture.Key{}
 	set := recordedLife(t, 1.7e12, 40, 1)
 	defer set.Close()
@@ -84,20 +84,20 @@
 		return policy.New(s, seed)
 	}, nil)
 	if err != nil || a.First == nil {
-		t.Fatalf("%+v, %v", a, err)
+		t.Fatalf("comparison %+v, error %v; want a difference", a, err)
 	}
 	var b bytes.Buffer
 	if err := a.Write(&b); err != nil || !strings.Contains(b.String(), "the first that differs: at ") {
-		t.Errorf("%v\n%s", err, b.String())
+		t.Errorf("error %v, output without the first difference:\n%s", err, b.String())
 	}
 	chartHolds(t, a)
 	c := a.Counts[kindOf{0, 1}]
 	if c[sent][refused] < 17 || c[refused][sent] > 0 {
-		t.Errorf("%v", c)
+		t.Errorf("requests by recorded and other decision: %v, want at least 17 refused only by the other", c)
 	}
 	same := recordedLife(t, 1.7e12, 40, 1)
 	defer same.Close()
 	if a, err := Compare(&same, &key, func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }, nil); err != nil || a.First != nil {
-		t.Errorf("the same settings: %+v, %v", a.First, err)
+		t.Errorf("the same settings: first difference %+v, error %v; want none", a.First, err)
 	}
 }
--- a/internal/replay/chart.go
+++ b/internal/replay/chart.go
@@ -11,34 +11,35 @@
 	"time"
 )
 
-// The chart's measures, in pixels.
+// The chart's dimensions, in pixels if not stated otherwise.
 const (
 	chartWide, chartHigh = 960, 420
 	plotLeft, plotTop    = 70, 70
 	plotWide, plotHigh   = 860, 270
-	chartSteps           = 120 // points at most
-	chartTicks           = 5
+	chartSteps           = 120 // most points of a curve
+	chartTicks           = 5   // intervals of each axis
 )
 
-// curve is one line of the chart, and which requests it counts. The dash keeps it told from
-// the others on paper.
+// curve is one line of the chart. The dash pattern distinguishes it from the others in
+// black and white.
 type curve struct {
 	name, colour, dash string
-	counts             func(was, is fate) bool
+	counts             func(recorded, other fate) bool // selects the requests that the line counts
 }
 
 var curves = [...]curve{
-	{"sent, recorded", "#1b6ca8", "", func(was, _ fate) bool { return was == sent }},
-	{"sent, other", "#1b6ca8", "6 4", func(_, is fate) bool { return is == sent }},
-	{"refused, recorded", "#c0392b", "", func(was, _ fate) bool { return was == refused }},
-	{"refused, other", "#c0392b", "6 4", func(_, is fate) bool { return is == refused }},
-	{"decided otherwise", "#555555", "2 3", func(was, is fate) bool { return was != is }},
+	{"sent, recorded", "#1b6ca8", "", func(recorded, _ fate) bool { return recorded == sent }},
+	{"sent, other", "#1b6ca8", "6 4", func(_, other fate) bool { return other == sent }},
+	{"refused, recorded", "#c0392b", "", func(recorded, _ fate) bool { return recorded == refused }},
+	{"refused, other", "#c0392b", "6 4", func(_, other fate) bool { return other == refused }},
+	{"decided otherwise", "#555555", "2 3", func(recorded, other fate) bool { return recorded != other }},
 }
 
-// step is a stretch of time in a comparison: requests a second, by curve.
+// step is one point in time of the chart: requests per second, by curve.
 type step [len(curves)]float64
 
-// steps brings the comparison's seconds together to few enough points.
+// steps combines the comparison's seconds into at most chartSteps points. It returns the
+// first second, the number of seconds of each point, and the points.
 func (a *Against) steps() (first, each int64, all []step) {
 	seconds := slices.Sorted(maps.Keys(a.Times))
 	if len(seconds) == 0 {
@@ -50,10 +51,10 @@
 	all = make([]step, (span+each-1)/each)
 	for _, at := range seconds {
 		s := &all[(at-first)/each]
-		for was, row := range a.Times[at] {
-			for is, n := range row {
+		for recorded, row := range a.Times[at] {
+			for other, n := range row {
 				for i, c := range curves {
-					if c.counts(fate(was), fate(is)) {
+					if c.counts(fate(recorded), fate(other)) {
 						s[i] += float64(n) / float64(each)
 					}
 				}
@@ -63,8 +64,8 @@
 	return first, each, all
 }
 
-// Chart writes the comparison as an SVG image that needs nothing else: requests a second by
-// the time that they came, and where the first decision differs.
+// Chart writes the comparison as a self-contained SVG image. It shows requests per second
+// by the time of their arrival, and the time of the first decision that differs.
 func (a *Against) Chart(to io.Writer) error {
 	first, each, all := a.steps()
 	top := 1.0
@@ -113,7 +114,7 @@
 	return err
 }
 
-// round is the next of 1, 2 and 5 times a power of ten.
+// round rounds up to 1, 2, 5 or 10 times a power of ten.
 func round(v float64) float64 {
 	base := math.Pow(10, math.Floor(math.Log10(v)))
 	for _, n := range []float64{1, 2, 5} {
--- a/internal/replay/chart_test.go
+++ b/internal/replay/chart_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// chartHolds checks that a chart is well-formed, draws every curve within its frame, and
-// that its points add up to what the table counts.
+// chartHolds checks that a chart is well-formed XML, draws every curve and marks the first
+// difference, and that its points add up to the counts of the table.
 func chartHolds(t *testing.T, a *Against) {
 	t.Helper()
 	var b bytes.Buffer
@@ -39,7 +39,7 @@
 		}
 	}
 	if drawn != len(curves) || !strings.Contains(text, "first difference") {
-		t.Errorf("%d curves of %d, texts %q", drawn, len(curves), text)
+		t.Errorf("%d curves drawn, want %d; texts %q", drawn, len(curves), text)
 	}
 	_, each, all := a.steps()
 	var sum, want float64
@@ -47,26 +47,27 @@
 		sum += s[len(curves)-1] * float64(each)
 	}
 	for _, c := range a.Counts {
-		for was, row := range c {
-			for is, n := range row {
-				if was != is {
+		for recorded, row := range c {
+			for other, n := range row {
+				if recorded != other {
 					want += float64(n)
 				}
 			}
 		}
 	}
 	if math.Abs(sum-want) > 1e-6 || want == 0 {
-		t.Errorf("the chart shows %.1f decided otherwise, the table %.0f", sum, want)
+		t.Errorf("%.1f requests decided otherwise in the chart, %.0f in the table; want the same and more than 0", sum, want)
 	}
 }
 
-func TestLongComparisonsKeepToAFewPoints(t *testing.T) {
+func TestLongComparisonHasLimitedPoints(t *testing.T) {
 	a := &Against{Times: map[int64][4][4]int{}}
 	for at := range int64(7200) {
 		a.Times[1000+at] = [4][4]int{sent: {sent: 3}}
 	}
 	first, each, all := a.steps()
 	if first != 1000 || each != 60 || len(all) != chartSteps || math.Abs(all[7][0]-3) > 1e-9 || all[7][len(curves)-1] != 0 {
-		t.Errorf("%d points of %d s from %d, %+v", len(all), each, first, all[7])
+		t.Errorf("%d points of %d s from %d on, the eighth %+v; want %d points of 60 s from 1000 on, of 3 requests per second",
+			len(all), each, first, all[7], chartSteps)
 	}
 }
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -13,7 +13,7 @@
 	"foxwood/policy"
 )
 
-// fate is the first thing that was decided of a request.
+// fate is the first decision on a request.
 type fate int
 
 const (
@@ -23,27 +23,27 @@
 	failed
 )
 
-// kinds of requests are a class and a plan.
+// kindOf is a group of requests, by class and plan.
 type kindOf struct{ class, plan int }
 
-// Against is how another module's decisions compare with the recorded ones, on the same
-// inputs. Behind the first difference the other module is told of ends of attempts that
-// it did not make, so figures far behind it say less and less.
+// Against compares the decisions of another module with the recorded ones, on the same
+// inputs. After the first difference the other module gets the outcomes of attempts that it
+// did not make, so the figures become less meaningful the later they are.
 type Against struct {
 	First  *Difference
-	Counts map[kindOf]*[4][4]int // recorded fate, other fate
-	Times  map[int64][4][4]int   // the same, by the second in which requests came
+	Counts map[kindOf]*[4][4]int // requests by recorded and other decision
+	Times  map[int64][4][4]int   // the same, by the Unix second in which requests arrived
 	order  []kindOf
 }
 
-// Compare plays a capture to modules that other makes, and counts what becomes of requests.
-// Where shown is not nil it is called with each record.
+// Compare replays a capture with the modules that other creates, and counts the first
+// decision on each request. If shown is not nil, it is called for each record.
 func Compare(from Source, key *capture.Key, other func(s policy.Settings, seed uint64) gatekeeper.Module, shown func()) (*Against, error) {
 	a := &Against{Counts: map[kindOf]*[4][4]int{}, Times: map[int64][4][4]int{}}
 	type one struct {
-		kind    kindOf
-		second  int64
-		was, is fate
+		kind            kindOf
+		second          int64
+		recorded, other fate
 	}
 	open := map[uint32]*one{}
 	settle := func(o *one) {
@@ -53,9 +53,9 @@
 			a.Counts[o.kind] = c
 			a.order = append(a.order, o.kind)
 		}
-		c[o.was][o.is]++
+		c[o.recorded][o.other]++
 		then := a.Times[o.second]
-		then[o.was][o.is]++
+		then[o.recorded][o.other]++
 		a.Times[o.second] = then
 	}
 	note := func(to *fate, kind capturepb.Kind) {
@@ -81,13 +81,13 @@
 			open[r.GetId()] = &one{kind: kindOf{int(r.GetClass()), int(r.GetPlan())}, second: at / 1e6}
 		case capturepb.Kind_SEND, capturepb.Kind_REFUSE, capturepb.Kind_FAIL:
 			if o := open[r.GetId()]; o != nil {
-				note(&o.was, r.GetKind())
+				note(&o.recorded, r.GetKind())
 			}
 		}
 	}}
 	report, err := Run(seen, key, Options{Make: other, Differences: 1 << 30, Stop: watched(shown), Decided: func(c Call, _ policy.Micros) {
 		if o := open[c.ID]; o != nil {
-			note(&o.is, c.Kind)
+			note(&o.other, c.Kind)
 		}
 	}})
 	if err != nil {
@@ -103,7 +103,7 @@
 	return a, nil
 }
 
-// watched is a Stop that never stops.
+// watched returns an Options.Stop function that calls shown and never stops the replay.
 func watched(shown func()) func() bool {
 	if shown == nil {
 		return nil
@@ -111,7 +111,7 @@
 	return func() bool { shown(); return false }
 }
 
-// noting is a source that shows each record before it is played.
+// noting is a Source that passes each record to a function before it is replayed.
 type noting struct {
 	Source
 	note func(*capturepb.Record, policy.Micros)
@@ -126,25 +126,25 @@
 	return r, at, err
 }
 
-// Write prints the comparison as a table.
+// Write prints the comparison as a table by class and plan, and the first difference.
 func (a *Against) Write(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tplan\trequests\tsent: recorded\tother\trefused: recorded\tother\tdecided otherwise\t")
 	for _, k := range a.order {
 		c := a.Counts[k]
-		var was, is [4]int
+		var recorded, other [4]int
 		sum, differ := 0, 0
 		for i := range c {
 			for j, n := range c[i] {
-				was[i] += n
-				is[j] += n
+				recorded[i] += n
+				other[j] += n
 				sum += n
 				if i != j {
 					differ += n
 				}
 			}
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", k.class, k.plan, sum, was[sent], is[sent], was[refused], is[refused], differ)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", k.class, k.plan, sum, recorded[sent], other[sent], recorded[refused], other[refused], differ)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -12,7 +12,8 @@
 	"foxwood/policy"
 )
 
-// viewer is a module that tells what it thinks. policy.Gateway is one.
+// viewer is a module that can return the state that its decisions on a customer depend on.
+// policy.Gateway implements it.
 type viewer interface {
 	View(now policy.Micros, customer uint64, plan int) policy.View
 }
@@ -21,24 +22,24 @@
 type explainer struct {
 	to      io.Writer
 	dec     *capture.Decoder
-	name    string // that the front has for it, or its number
-	number  uint32
-	found   bool
-	over    bool
-	request policy.Request
-	began   policy.Micros
-	before  policy.View // before the call under way
-	kind    capturepb.Kind
-	status  string  // of the answer that the call under way tells of
-	total   float64 // the counter's, where it is one of it
+	name    string         // the front end's name for the request, or its number as text
+	number  uint32         // the request's number, 0 as long as it is not known
+	found   bool           // the request has arrived
+	over    bool           // the request is answered, or its client has disconnected
+	request policy.Request // the request, once found
+	began   policy.Micros  // time of the request's arrival
+	before  policy.View    // the module's state before the current call
+	kind    capturepb.Kind // kind of the current call
+	status  string         // status of the outcome or counter result in the last such call
+	total   float64        // total of the last counter result
 }
 
-// ErrNoRequest tells that a capture does not hold a request.
+// ErrNoRequest reports that a capture does not contain a request.
 var ErrNoRequest = errors.New("the capture holds no such request")
 
-// Explain tells, in words and figures, what became of a request and why: from the state
-// that the module had before each call that decided on it. id is the name that the front
-// has for the request (on the platform its X-Trace-Id) or its number in the decision log.
+// Explain prints what became of a request and why, based on the module's state before each
+// call in which it decided on the request. id is the front end's name for the request (on
+// the platform its X-Trace-Id) or its number in the decision log.
 func Explain(to io.Writer, from Source, key *capture.Key, id string) error {
 	e := &explainer{to: to, dec: capture.NewDecoder(key), name: id, number: Number(id)}
 	report, err := Run(from, key, Options{Named: e.named, Watch: e.watch, Decided: e.decided, Stop: func() bool { return e.over }})
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// Number is a request's number in the decision log, where a text is one, and else 0: names
-// are longer, or begin with zeros.
+// Number parses a request's number in the decision log. It returns 0 if the text is not a
+// decimal number of 32 bits without leading zeros, and is therefore taken as a name.
 func Number(text string) uint32 {
 	n, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || strconv.FormatUint(n, 10) != text {
@@ -67,14 +68,14 @@
 	return uint32(n)
 }
 
-// named is told the name that the front has for a request.
+// named gets the front end's name for a request.
 func (e *explainer) named(id uint32, name string) {
 	if name == e.name && !e.found {
 		e.number = id
 	}
 }
 
-// watch is called before each call of the module.
+// watch is called before each call of the module. It prints the events of the request.
 func (e *explainer) watch(m gatekeeper.Module, r *capturepb.Record, at policy.Micros) {
 	e.kind = r.GetKind()
 	switch e.kind {
@@ -105,6 +106,7 @@
 	}
 }
 
+// begin prints the request when it arrives.
 func (e *explainer) begin(r *capturepb.Record, at policy.Micros) {
 	e.found, e.began, e.request = true, at, e.dec.Request(r)
 	q := &e.request
@@ -116,7 +118,7 @@
 	fmt.Fprintln(e.to, ".")
 }
 
-// figures prints the state that the request met.
+// figures prints the module's state at the arrival of the request.
 func (e *explainer) figures() {
 	v, c := &e.before, &e.before.Customer
 	fmt.Fprintf(e.to, "\nWhat it met:\n  room      %d attempts out of a bound of %.1f (%d on silent workers), %d requests held\n", v.InFlight, v.Bound, v.Stuck, v.Held)
@@ -161,11 +163,12 @@
 	fmt.Fprintln(e.to, "\nWhat became of it:")
 }
 
+// since formats the time since the arrival of the request.
 func (e *explainer) since(at policy.Micros) string {
 	return fmt.Sprintf("  +%.1f ms", float64(at-e.began)/1000)
 }
 
-// decided is told each call by the module.
+// decided gets each call that the module makes, and prints those for the request.
 func (e *explainer) decided(c Call, at policy.Micros) {
 	if !e.found || e.over || c.ID != e.number {
 		return
@@ -184,7 +187,7 @@
 	}
 }
 
-// whyThere tells how a worker compared with the others that could be had.
+// whyThere describes how a worker's cost compared with that of the other available workers.
 func (e *explainer) whyThere(to policy.Server) string {
 	cheaper, open, cost := 0, 0, 0.0
 	for _, s := range e.before.Servers {
@@ -205,6 +208,7 @@
 	return fmt.Sprintf(": cost %.2f; %d of %d that take work cost less, but are cold, tried before, outside of our subset, or lost by chance", cost, cheaper, open)
 }
 
+// ofWhat returns whether a window is one of the customer's ceiling or quota.
 func ofWhat(w policy.WindowView) string {
 	if w.Lease {
 		return "ceiling"
@@ -212,7 +216,8 @@
 	return "quota"
 }
 
-// spent tells which window of its customer's, drawn on by all gatekeepers, has no more.
+// spent describes the window of the customer that all gatekeepers together have used up. It
+// returns an empty text if there is none.
 func (e *explainer) spent() string {
 	for _, w := range e.before.Customer.Windows {
 		switch {
@@ -225,7 +230,7 @@
 	return ""
 }
 
-// whyRefused finds the bound that the state before the refusal had reached.
+// whyRefused describes the limit that had been reached in the state before the refusal.
 func (e *explainer) whyRefused() string {
 	v, c, units := &e.before, &e.before.Customer, e.request.Units
 	beyond := func() string {
--- a/internal/replay/explain_test.go
+++ b/internal/replay/explain_test.go
@@ -10,9 +10,11 @@
 	"foxwood/policy"
 )
 
-// TestARefusalByAWindowIsExplained: one of hundreds draws on the counter, which tells it
-// that the others have drawn all there is; what comes in the same window is refused unasked.
-func TestARefusalByAWindowIsExplained(t *testing.T) {
+// TestExplainRefusalByQuotaWindow checks the explanation of two refusals of a gatekeeper among
+// hundreds, which draws quota on the shared counter. The counter reports for the first
+// request that the others have used up the window; the second request, in the same
+// window, is refused without a call to the counter.
+func TestExplainRefusalByQuotaWindow(t *testing.T) {
 	folder := t.TempDir()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1})
 	if err != nil {
@@ -44,7 +46,7 @@
 			t.Fatal(err)
 		}
 		if !strings.Contains(said.String(), want) {
-			t.Errorf("%s: %q is not in\n%s", name, want, said.String())
+			t.Errorf("%s: want %q in the explanation, got\n%s", name, want, said.String())
 		}
 	}
 }
--- a/internal/replay/format.go
+++ b/internal/replay/format.go
@@ -8,19 +8,20 @@
 	"foxwood/policy"
 )
 
-// Call is a call by the module. Fields that its kind does not have are zero.
+// Call is a call of policy.Host by the decision module. Fields that its kind does not use
+// are zero.
 type Call struct {
 	Kind    capturepb.Kind
-	ID      uint32
+	ID      uint32 // the request
 	Server  policy.Server
 	Attempt int
 	Token   uint64
-	Span    policy.Micros
-	Name    uint64
+	Span    policy.Micros // the call's duration: a timeout, a delay or a time to live
+	Name    uint64        // the counter
 	Amount  float64
 }
 
-// call is the call that a record holds.
+// call converts a record of a call by the module.
 func (p *player) call(r *capturepb.Record) Call {
 	c := Call{Kind: r.GetKind(), ID: r.GetId(), Server: policy.Server(r.GetServer()), Attempt: int(r.GetAttempt()),
 		Token: r.GetToken(), Span: r.GetSpan(), Amount: r.GetAmount()}
@@ -30,6 +31,7 @@
 	return c
 }
 
+// String formats the call for the decision log.
 func (c Call) String() string {
 	ms := float64(c.Span) / 1000
 	switch c.Kind {
@@ -49,8 +51,10 @@
 	return fmt.Sprintf("call of kind %d", c.Kind)
 }
 
+// statuses are the names of the values of policy.Status.
 var statuses = [...]string{"failed", "ok", "full", "timeout", "connect-failed", "reset", "cancelled", "moot"}
 
+// status returns the name of a policy.Status, or its number if it is unknown.
 func status(n int32) string {
 	if n < 0 || int(n) >= len(statuses) {
 		return fmt.Sprint(n)
@@ -58,7 +62,7 @@
 	return statuses[n]
 }
 
-// Describe is a record in words.
+// Describe formats a record for the decision log.
 func Describe(r *capturepb.Record, d *capture.Decoder) string {
 	if r.GetKind() < capturepb.Kind_SEND {
 		return describe(r, d)
@@ -67,7 +71,7 @@
 	return "  " + p.call(r).String()
 }
 
-// describe is a call of the module in words.
+// describe formats the record of a call of the module.
 func describe(r *capturepb.Record, d *capture.Decoder) string {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	switch r.GetKind() {
--- a/internal/replay/past_failures_test.go
+++ b/internal/replay/past_failures_test.go
@@ -11,13 +11,14 @@
 	"foxwood/policy"
 )
 
-// TestPastFailuresAreReplayedAlikeTwice plays the captures of what has gone wrong once
-// (internal/service, TestKeepPastFailures). A later build may decide otherwise than the one
-// that recorded them, but alike each time, without a crash, and with one end for a request.
-func TestPastFailuresAreReplayedAlikeTwice(t *testing.T) {
+// TestReplayOfPastFailuresIsDeterministic replays captures of past failures, which
+// TestKeepPastFailures in internal/service records. This build may decide differently from
+// the one that recorded them, but it must decide the same each time, must not crash, and
+// must end each request only once.
+func TestReplayOfPastFailuresIsDeterministic(t *testing.T) {
 	for name, want := range map[string]struct {
 		lives int
-		kinds []capturepb.Kind // what it is kept for
+		kinds []capturepb.Kind // the kinds of records that the capture is kept for
 	}{
 		"ranks-lost-at-sighup":  {1, []capturepb.Kind{capturepb.Kind_CLASSES}},
 		"counter-late-and-lost": {1, []capturepb.Kind{capturepb.Kind_COUNT, capturepb.Kind_COUNTED, capturepb.Kind_REFUSE}},
@@ -45,7 +46,7 @@
 			}
 			for _, k := range want.kinds {
 				if kinds[k] == 0 {
-					t.Errorf("holds no %s", k)
+					t.Errorf("the capture has no record of kind %s", k)
 				}
 			}
 			var logs [2]bytes.Buffer
@@ -59,16 +60,16 @@
 				}})
 				set.Close()
 				if err != nil || report.Lives != want.lives || report.Calls < 10 {
-					t.Fatalf("%+v, %v", report, err)
+					t.Fatalf("report %+v, error %v; want %d runs and at least 10 calls", report, err, want.lives)
 				}
 				for id, n := range ends {
-					if n > want.lives { // numbers begin anew with each life
-						t.Errorf("request %d was given up %d times", id, n)
+					if n > want.lives { // each run numbers its requests from 1
+						t.Errorf("request %d was refused or failed %d times in %d runs", id, n, want.lives)
 					}
 				}
 			}
 			if !bytes.Equal(logs[0].Bytes(), logs[1].Bytes()) {
-				t.Error("the second log is another")
+				t.Error("the decision logs of two replays differ")
 			}
 		})
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,9 @@
-// Package replay plays captures: it tells a decision module what another was told, and
-// compares what it decides.
+// Package replay replays captures. It passes the recorded calls to a decision module and
+// compares the module's decisions with the recorded ones. It also explains the decisions on
+// one request, compares settings on the same inputs, and audits quotas over the captures of
+// several gatekeepers.
+//
+// Comments in this package call the lifetime of one gatekeeper process a run.
 package replay
 
 import (
@@ -16,78 +20,80 @@
 	"foxwood/policy"
 )
 
-// Source gives records in order, as capture.Set does.
+// Source returns records in order. It is implemented by capture.Set.
 type Source interface {
 	Next() (*capturepb.Record, policy.Micros, error)
 }
 
-// Options is how a capture is played.
+// Options controls a replay.
 type Options struct {
-	// Make makes the module of a life; policy.New where nil.
+	// Make creates the module of a run; policy.New if nil.
 	Make func(s policy.Settings, seed uint64) gatekeeper.Module
-	// Begin makes a module of a checkpoint, where the capture is not played from a life's
-	// beginning; policy.Restore where Make is nil too.
+	// Begin restores a module from a checkpoint, with which a replay starts if the capture
+	// does not begin with the start of a run. If Make is nil, policy.Restore is used. If Make
+	// is set and Begin is nil, replays do not start at checkpoints.
 	Begin func(s policy.Snapshot) (gatekeeper.Module, error)
-	// Log, where set, is given every call as a line.
+	// Log, if set, gets every call as a line.
 	Log io.Writer
-	// Request, where not 0, limits the log to calls that name it. Name, where set, does so for
-	// the request that the front calls by it.
+	// Request, if not 0, limits the log to calls with this request number. Name, if set,
+	// limits it to calls for the request that the front end knows by this name.
 	Request uint32
 	Name    string
-	// Until, where not 0, is the time to stop at.
+	// Until, if not 0, is the time at which the replay stops.
 	Until policy.Micros
-	// Watch, where set, is called before each call of the module.
+	// Watch, if set, is called before each call of the module.
 	Watch func(m gatekeeper.Module, r *capturepb.Record, at policy.Micros)
-	// Decided, where set, is given each call by the module.
+	// Decided, if set, gets each call that the module makes.
 	Decided func(c Call, at policy.Micros)
-	// Swap, where set, may put another module in the place of the one that plays, before
-	// each call.
+	// Swap, if set, is called before each call of the module, and returns the module to
+	// continue with.
 	Swap func(m gatekeeper.Module) gatekeeper.Module
-	// Named, where set, is told the name that the front has for a request.
+	// Named, if set, gets the front end's name for each request.
 	Named func(id uint32, name string)
-	// Stop, where set, ends playing once it says so.
+	// Stop, if set, is called for each record, and ends the replay by returning true.
 	Stop func() bool
-	// Differences that are told before playing stops; 1 where 0. Behind the first, what the
-	// module is told no longer fits what it did.
+	// Differences is the number of differences after which the replay stops; 1 if 0. After
+	// the first difference, the recorded events no longer match what the module did.
 	Differences int
 }
 
-// Report is what came of it.
+// Report is the result of a replay.
 type Report struct {
-	Lives, Calls, Decisions int
+	Lives, Calls, Decisions int // runs replayed, calls of the module, and calls that it made
 	Checkpoints             int
-	Ended                   bool // the last segment has its proper end, and nothing was lost
-	First, Last             policy.Micros
+	Ended                   bool          // the last segment has its end block, and no records are missing
+	First, Last             policy.Micros // times of the first and last record
 	Differences             []Difference
-	Module                  gatekeeper.Module // that played last, nil where none did
-	Notes                   []string          // gaps, cuts and lives without a beginning
+	Module                  gatekeeper.Module // the last module, nil if no run was replayed
+	Notes                   []string          // gaps, truncated segments and runs without a start
 }
 
-// Difference is a call of the module in which it decided otherwise than recorded.
+// Difference is a call of the module in which its decisions differed from the recorded ones.
 type Difference struct {
 	At        policy.Micros
 	Call      string
-	Want, Got []string
+	Want, Got []string // recorded and actual decisions
 }
 
-// player is the module of the life that is played, and its host.
+// player holds the module of the run that is being replayed, and is its host.
 type player struct {
 	o      *Options
 	dec    *capture.Decoder
 	report *Report
 	module gatekeeper.Module
-	skip   bool // until the next life begins
-	broken bool // a gap or cut has come since the life began
-	in     string
-	at     policy.Micros
-	inside uint32 // the request of the call under way
-	want   []Call
-	got    []Call
+	skip   bool          // records are skipped until the next run or checkpoint
+	broken bool          // there was a gap or a truncated segment since the start of the run
+	in     string        // the current call of the module, as text
+	at     policy.Micros // time of the current call
+	inside uint32        // request number of the current call
+	want   []Call        // recorded decisions of the current call
+	got    []Call        // actual decisions of the current call
 }
 
-var errUntil = errors.New("replay: the time to stop")
+// errUntil ends a replay that Options.Until or Options.Stop stopped.
+var errUntil = errors.New("replay stopped by its options")
 
-// Run plays records to their end, or to the first difference.
+// Run replays records to their end, or until Options.Differences differences were found.
 func Run(from Source, key *capture.Key, o Options) (*Report, error) {
 	if o.Make == nil {
 		o.Make = func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }
@@ -106,6 +112,7 @@
 	return p.report, err
 }
 
+// play replays records until the source or the options end the replay.
 func (p *player) play(from Source) error {
 	for len(p.report.Differences) < p.o.Differences {
 		r, at, err := from.Next()
@@ -113,10 +120,10 @@
 		var cut *capture.Cut
 		switch {
 		case errors.As(err, &gap), errors.As(err, &cut):
-			p.want, p.got = p.want[:0], p.got[:0] // the rest of what was decided is missing
+			p.want, p.got = p.want[:0], p.got[:0] // the rest of the recorded decisions is missing
 			p.report.Notes = append(p.report.Notes, err.Error())
 			p.broken = true
-			p.skip = p.skip || gap != nil // what follows a gap can't be played
+			p.skip = p.skip || gap != nil // after a gap the module's state is not known
 			continue
 		case err != nil:
 			return err
@@ -130,7 +137,7 @@
 			p.report.First = at
 		}
 		p.report.Last = at
-		if r.GetKind() == capturepb.Kind_NAMED { // may stand among the module's calls
+		if r.GetKind() == capturepb.Kind_NAMED { // may come between the decisions of a call
 			if p.o.Named != nil {
 				p.o.Named(r.GetId(), r.GetText())
 			}
@@ -161,11 +168,11 @@
 	return nil
 }
 
-// state is a module whose whole state can be had. policy.Gateway is one.
+// state is a module that can return its complete state. policy.Gateway implements it.
 type state interface{ Snapshot() policy.Snapshot }
 
-// checkpoint begins to play at a checkpoint where nothing is played, and else holds the
-// module's state against it.
+// checkpoint compares a checkpoint with the module's state. If records are being skipped, it
+// restores the module from the checkpoint instead, and the replay starts there.
 func (p *player) checkpoint(r *capturepb.Record, at policy.Micros) error {
 	want, err := p.dec.State(r)
 	if err != nil {
@@ -173,7 +180,7 @@
 	}
 	p.report.Checkpoints++
 	if want.Version != policy.SnapshotVersion {
-		p.note("checkpoints hold a state of version %d, not %d: none is gone on from or compared", want.Version, policy.SnapshotVersion)
+		p.note("checkpoints have state version %d, want %d: they are neither restored nor compared", want.Version, policy.SnapshotVersion)
 		return nil
 	}
 	if p.skip {
@@ -185,7 +192,7 @@
 		}
 		p.skip = false
 		p.report.Lives++
-		p.report.Notes = append(p.report.Notes, fmt.Sprintf("played from the checkpoint at %d.%06d on", at/1e6, at%1e6))
+		p.report.Notes = append(p.report.Notes, fmt.Sprintf("replayed from the checkpoint at %d.%06d on", at/1e6, at%1e6))
 		return nil
 	}
 	m, ok := p.module.(state)
@@ -194,11 +201,11 @@
 	}
 	kept, err := json.Marshal(want)
 	if err != nil {
-		return fmt.Errorf("replay: checkpoint: %w", err)
+		return fmt.Errorf("replay: encode the state of a checkpoint: %w", err)
 	}
 	got, err := json.Marshal(m.Snapshot())
 	if err != nil {
-		return fmt.Errorf("replay: state: %w", err)
+		return fmt.Errorf("replay: encode the module's state: %w", err)
 	}
 	if !bytes.Equal(kept, got) {
 		p.differ(Difference{At: at, Call: "checkpoint", Want: []string{string(kept)}, Got: []string{string(got)}})
@@ -206,20 +213,21 @@
 	return nil
 }
 
-// note keeps what is worth saying, once.
+// note adds a note to the report, unless the report has the same note already.
 func (p *player) note(format string, a ...any) {
 	if text := fmt.Sprintf(format, a...); !slices.Contains(p.report.Notes, text) {
 		p.report.Notes = append(p.report.Notes, text)
 	}
 }
 
+// differ adds a difference to the report, up to the limit of the options.
 func (p *player) differ(d Difference) {
 	if len(p.report.Differences) < p.o.Differences {
 		p.report.Differences = append(p.report.Differences, d)
 	}
 }
 
-// tell calls the module as a record has it.
+// tell makes the call of the module that a record holds.
 func (p *player) tell(r *capturepb.Record, at policy.Micros) error {
 	if r.GetKind() == capturepb.Kind_BEGAN {
 		s, err := p.dec.Settings(r)
@@ -231,7 +239,7 @@
 	}
 	if p.skip {
 		if p.report.Lives == 0 && len(p.report.Notes) == 0 {
-			p.report.Notes = append(p.report.Notes, "the capture does not begin where a life does: nothing is played before the first checkpoint")
+			p.report.Notes = append(p.report.Notes, "the capture does not start with the start of a process: records before the first checkpoint are skipped")
 		}
 		return nil
 	}
@@ -281,12 +289,12 @@
 	case capturepb.Kind_RANG:
 		p.module.Timer(at, p, r.GetToken())
 	default:
-		return fmt.Errorf("replay: a call of kind %d, which is not known here", r.GetKind())
+		return fmt.Errorf("replay: unknown record kind %d, want a call of the decision module", r.GetKind())
 	}
 	return nil
 }
 
-// settle compares what the module decided in a call with what is recorded of it.
+// settle compares the module's decisions in the last call with the recorded ones.
 func (p *player) settle() {
 	same := len(p.want) == len(p.got)
 	for i := 0; same && i < len(p.want); i++ {
@@ -305,7 +313,7 @@
 	p.want, p.got = p.want[:0], p.got[:0]
 }
 
-// log writes a line of the decision log.
+// log writes a line to the decision log if the line's request is selected.
 func (p *player) log(id uint32, format string, a ...any) {
 	one := p.o.Request != 0 || p.o.Name != ""
 	if p.o.Log == nil || one && (id == 0 || p.o.Request != id) {
@@ -316,7 +324,7 @@
 	fmt.Fprintln(p.o.Log)
 }
 
-// decided takes a call of the module.
+// decided handles a call that the module made.
 func (p *player) decided(c Call) {
 	p.got = append(p.got, c)
 	p.report.Decisions++
@@ -326,9 +334,9 @@
 	}
 }
 
-// Send implements policy.Host, as do the methods below.
-func (p *player) Send(id uint32, to policy.Server, timeout policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_SEND, ID: id, Server: to, Span: timeout})
+// Send implements policy.Host.
+func (p *player) Send(id uint32, server policy.Server, timeout policy.Micros) {
+	p.decided(Call{Kind: capturepb.Kind_SEND, ID: id, Server: server, Span: timeout})
 }
 
 // Refuse implements policy.Host.
@@ -345,8 +353,8 @@
 }
 
 // Timer implements policy.Host.
-func (p *player) Timer(token uint64, after policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Span: after})
+func (p *player) Timer(token uint64, delay policy.Micros) {
+	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Span: delay})
 }
 
 // Count implements policy.Host.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -20,7 +20,8 @@
 	"foxwood/policy"
 )
 
-// rig is a core with stand-ins around it, whose module is recorded.
+// rig is a gatekeeper whose decision module is recorded, with fakes for its caller, fleet
+// and counter.
 type rig struct {
 	*gatekeeper.Gatekeeper
 	clock *gatekeeper.Clock
@@ -45,6 +46,7 @@
 	}
 }
 
+// settings are those of one of three gatekeepers with quotas on the shared counter.
 func settings() policy.Settings {
 	return policy.Settings{Gateways: 3, Self: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true,
 		Counter: true, CounterTimeout: 50e3, Largest: 6, InlineLoad: []string{"inflight"}, Settles: true,
@@ -54,7 +56,8 @@
 		Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 1, OverCost: 1}, {Rate: 60, Burst: 90, Price: 2, CeilingRate: 90, CeilingBurst: 99}}}
 }
 
-// crowded are the settings of one of hundreds, which draws on the counter by windows.
+// crowded are the settings of one of hundreds of gatekeepers, which draw quota on the
+// counter by windows of time.
 func crowded() policy.Settings {
 	s := settings()
 	s.Gateways, s.Self = 300, 7
@@ -71,9 +74,10 @@
 	return r
 }
 
-// day plays a random day on a core: requests, ends of all kinds, counter replies, late
-// ones too, lists, replaced classes, clients that leave, bodies that come slowly, another
-// process of the gatekeeper, many events at one time.
+// day passes up to 120 random events to the gatekeeper, several of them at the same time:
+// requests, outcomes of all kinds, results of the counter, some of them late, worker lists,
+// replaced classes, disconnecting clients, slowly arriving bodies, and quota draws of another
+// process of the gatekeeper.
 func (r *rig) day(t *rapid.T) {
 	list := func() {
 		kind := rapid.SampledFrom([]policy.ListKind{policy.FullList, policy.Delta}).Draw(t, "list")
@@ -150,7 +154,7 @@
 	}
 }
 
-// play replays the capture in a folder, and returns the decision log.
+// play replays the capture in a folder, and returns the report and the decision log.
 func play(t interface{ Fatal(...any) }, folder string, key capture.Key) (*Report, string) {
 	segments, err := capture.Find(folder)
 	if err != nil {
@@ -166,9 +170,9 @@
 	return report, log.String()
 }
 
-// TestARandomDayIsReplayedAlikeTwice records random days against the core: each replay
-// gives the recorded decisions, and the same log to the byte.
-func TestARandomDayIsReplayedAlikeTwice(t *testing.T) {
+// TestReplayOfRandomEventsIsDeterministic records random events. Each replay must give the
+// recorded decisions, and two replays the same log, byte for byte.
+func TestReplayOfRandomEventsIsDeterministic(t *testing.T) {
 	secret := bytes.Repeat([]byte{5}, 32)
 	keyed, err := capture.NewKey(secret)
 	if err != nil {
@@ -192,18 +196,19 @@
 		w.Close()
 		report, log := play(t, folder, key)
 		if len(report.Differences) > 0 {
-			t.Fatalf("differs: %+v", report.Differences[0])
+			t.Fatalf("the replay differs from the recording: %+v", report.Differences[0])
 		}
 		if report.Lives != 1 || report.Calls < 2 || report.Decisions == 0 {
-			t.Fatalf("%+v", report)
+			t.Fatalf("report %+v, want one run with calls and decisions", report)
 		}
 		if _, again := play(t, folder, key); again != log {
-			t.Fatal("the second log is another")
+			t.Fatal("the decision logs of two replays differ")
 		}
 	})
 }
 
-// life records a short life, and leaves it as a crash would where it is not closed well.
+// life records a short run of a gatekeeper. If crash is set, it truncates the capture as a
+// crash would.
 func life(t *testing.T, folder string, number uint64, at float64, crash bool) {
 	t.Helper()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: number})
@@ -234,38 +239,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(last, text[:len(text)-100], 0o600); err != nil { // within its last block of records
+	if err := os.WriteFile(last, text[:len(text)-100], 0o600); err != nil { // ends within the last block of records
 		t.Fatal(err)
 	}
 }
 
-// TestBothLivesAreReplayedAcrossADeath: a gatekeeper is killed within a block and comes
-// back. Both lives are replayed, and the cut is said.
-func TestBothLivesAreReplayedAcrossADeath(t *testing.T) {
+// TestReplayContinuesAfterCrash checks that when a gatekeeper is killed while it writes a
+// block and then restarted, both runs are replayed and the truncated segment is reported.
+func TestReplayContinuesAfterCrash(t *testing.T) {
 	folder := t.TempDir()
 	life(t, folder, 0xa, 1.7e12, true)
 	life(t, folder, 0xb, 1.7e12+5000, false)
 	report, log := play(t, folder, capture.Key{})
 	if report.Lives != 2 || len(report.Differences) > 0 {
-		t.Errorf("%d lives, %v", report.Lives, report.Differences)
+		t.Errorf("%d runs, differences %v; want 2 runs without differences", report.Lives, report.Differences)
 	}
 	if len(report.Notes) != 1 || !strings.Contains(report.Notes[0], "ends without its end block") {
-		t.Errorf("notes %q", report.Notes)
+		t.Errorf("notes %q, want one on the missing end block", report.Notes)
 	}
 	if strings.Count(log, "began seed=1f") != 2 {
-		t.Error("the log does not hold both beginnings")
+		t.Error("the log does not contain the start of both runs")
 	}
 }
 
-// other is a module with settings that were changed.
+// other creates a module with a lower rate and burst than recorded.
 func other(s policy.Settings, seed uint64) gatekeeper.Module {
 	s.Plans[1].Rate, s.Plans[1].Burst = 1, 1
 	return policy.New(s, seed)
 }
 
-// TestAnotherModuleIsSaidToDiffer guards against a replay that can't fail: one with other
-// settings decides otherwise, and the first call in which it does is named.
-func TestAnotherModuleIsSaidToDiffer(t *testing.T) {
+// TestReplayReportsDifference guards against a replay that never fails: a module with other
+// settings decides differently, and the first call in which it does must be reported.
+func TestReplayReportsDifference(t *testing.T) {
 	folder := t.TempDir()
 	life(t, folder, 0xa, 1.7e12, false)
 	segments, err := capture.Find(folder)
@@ -277,14 +282,14 @@
 	defer set.Close()
 	report, err := Run(set, &key, Options{Make: other})
 	if err != nil || len(report.Differences) != 1 {
-		t.Fatalf("%+v, %v", report, err)
+		t.Fatalf("report %+v, error %v; want one difference", report, err)
 	}
 	if d := report.Differences[0]; d.Call == "" || strings.Join(d.Want, ";") == strings.Join(d.Got, ";") {
-		t.Errorf("%+v", d)
+		t.Errorf("difference %+v, want a call and different decisions", d)
 	}
 }
 
-// gapped is a source that loses some records.
+// gapped is a source that loses five records.
 type gapped struct {
 	Source
 	n, at int
@@ -303,9 +308,9 @@
 	return g.Source.Next()
 }
 
-// TestNothingIsPlayedBehindAGap: what the module was told there is not known, so that
-// what it decides next can't be compared.
-func TestNothingIsPlayedBehindAGap(t *testing.T) {
+// TestRecordsAfterGapAreSkipped checks that a replay skips the records after a gap up to the
+// next run, since without the lost records the module's state is wrong.
+func TestRecordsAfterGapAreSkipped(t *testing.T) {
 	folder := t.TempDir()
 	life(t, folder, 0xa, 1.7e12, false)
 	life(t, folder, 0xb, 1.7e12+5000, false)
@@ -321,13 +326,13 @@
 		t.Fatal(err)
 	}
 	if report.Lives != 2 || len(report.Differences) > 0 || len(report.Notes) != 1 {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want 2 runs without differences and a note on the gap", report)
 	}
 }
 
-// TestAModuleGoesOnFromItsSnapshot swaps the module, at random calls of a random day, for
-// one restored from its snapshot as a checkpoint keeps it: nothing that follows differs.
-func TestAModuleGoesOnFromItsSnapshot(t *testing.T) {
+// TestRestoredModuleDecidesTheSame replaces the module before random calls by one that is
+// restored from its snapshot, encoded as in a checkpoint. No later decision may differ.
+func TestRestoredModuleDecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "day")
 		if err != nil {
@@ -366,14 +371,14 @@
 			return g
 		}})
 		if err != nil || len(report.Differences) > 0 {
-			t.Fatalf("%v, %+v", err, report)
+			t.Fatalf("report %+v, error %v; want no differences", report, err)
 		}
 	})
 }
 
-// TestAReplayBeginsAtAnySegment: the first segments of a life are gone, and what follows
-// is played from the first checkpoint that is left.
-func TestAReplayBeginsAtAnySegment(t *testing.T) {
+// TestReplayStartsAtCheckpoint checks that if the first segment of a run is missing, the
+// rest is replayed from the first checkpoint that is left.
+func TestReplayStartsAtCheckpoint(t *testing.T) {
 	folder := t.TempDir()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1, SegmentMost: 1, CheckpointEvery: time.Second})
 	if err != nil {
@@ -400,13 +405,14 @@
 	defer set.Close()
 	report, err := Run(set, &key, Options{})
 	if err != nil || len(report.Differences) > 0 || report.Calls < 100 || report.Checkpoints < 2 {
-		t.Errorf("%v, %+v", err, report)
+		t.Errorf("report %+v, error %v; want at least 100 calls and 2 checkpoints, and no differences", report, err)
 	}
 }
 
-// TestEqualTimesAStepAndADrain: hundreds of calls at one time, a clock that goes an hour on,
-// and the end of all clients are replayed as they were.
-func TestEqualTimesAStepAndADrain(t *testing.T) {
+// TestReplayOfClockStepAndDrain checks the replay of hundreds of calls at the same time, of a
+// clock that jumps ahead by an hour, and of a gatekeeper whose workers all drain and whose
+// clients all disconnect.
+func TestReplayOfClockStepAndDrain(t *testing.T) {
 	folder := t.TempDir()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1})
 	if err != nil {
@@ -438,9 +444,9 @@
 	w.Close()
 	report, log := play(t, folder, capture.Key{})
 	if len(report.Differences) > 0 || report.Calls < 450 || !report.Ended {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want at least 450 calls, a complete end and no differences", report)
 	}
 	if _, again := play(t, folder, capture.Key{}); again != log {
-		t.Error("the second log is another")
+		t.Error("the decision logs of two replays differ")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the settings object that a gatekeeper is told at its
-// start: the simulator's first message and the platform's configuration hold the
-// same one.
+// Package settings reads the JSON settings object of a gatekeeper. The simulator's first
+// message and the platform's configuration contain the same object.
 package settings
 
 import (
@@ -12,7 +11,8 @@
 	"foxwood/policy"
 )
 
-// profile mirrors the settings text; keys it does not name are ignored.
+// profile mirrors the settings object. Other keys are ignored. Keys that end in -us are
+// in microseconds.
 type profile struct {
 	Areas   []string `json:"areas"`
 	Classes []struct {
@@ -69,26 +69,27 @@
 	Weights string `json:"weights"`
 }
 
-// Names is what the module does not need to know: how things are called on a wire,
-// and how its connections are kept.
+// Names holds the settings that the decision module does not need: the names of classes,
+// plans and zones, and the limits of connections to workers.
 type Names struct {
-	Classes, Plans, Zones []string
-	ConnIdle, ConnectMost policy.Micros
+	Classes, Plans, Zones []string      // in the order of the decision module's numbers
+	ConnIdle              policy.Micros // time after which an idle connection is closed
+	ConnectMost           policy.Micros // timeout of setting up a connection
 
-	Unknown []string // what the terms say that is no word of theirs; Check refuses it
+	Unknown []string // unknown values in the terms of classes, which Check reports
 }
 
-// What holds where an operator's settings say nothing of connections.
+// Defaults in microseconds for settings without limits of connections.
 const (
 	defaultIdle    = policy.Micros(10e6)
 	defaultConnect = policy.Micros(250e3)
 )
 
-// Parse reads the text of a settings object.
+// Parse decodes a settings object. It does not check the values, see Check.
 func Parse(text []byte) (policy.Settings, Names, error) {
 	var p profile
 	if err := json.Unmarshal(text, &p); err != nil {
-		return policy.Settings{}, Names{}, fmt.Errorf("settings: %w", err)
+		return policy.Settings{}, Names{}, fmt.Errorf("settings: malformed JSON: %w", err)
 	}
 	names := Names{Zones: p.Areas, ConnIdle: p.Limits.ConnIdle, ConnectMost: p.Limits.ConnectMost}
 	if names.ConnIdle <= 0 {
@@ -118,13 +119,13 @@
 			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: policy.Unsafe, Group: Groups[c.Group],
 			Attempts: p.Limits.MaxAttempts,
 		}
-		if r, ok := repeats[c.Repeat]; ok { // what is not known is safest not repeated
+		if r, ok := repeats[c.Repeat]; ok { // an unknown value stays Unsafe, so that requests are never repeated
 			k.Repeat = r
 		} else {
-			names.Unknown = append(names.Unknown, fmt.Sprintf("class %q: repeat %q", c.Name, c.Repeat))
+			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: repeat is %q, want "idempotent", "deduplicated" or "at_most_once"`, c.Name, c.Repeat))
 		}
 		if _, ok := Groups[c.Group]; !ok {
-			names.Unknown = append(names.Unknown, fmt.Sprintf("class %q: group %q", c.Name, c.Group))
+			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: group is %q, want "all", "zone" or "cell"`, c.Name, c.Group))
 		}
 		s.Classes = append(s.Classes, k)
 		names.Classes = append(names.Classes, c.Name)
@@ -140,19 +141,19 @@
 	return s, names, nil
 }
 
-// Check says what in the terms of classes can't be served by: what a replacement of a
-// running gatekeeper's settings is refused for.
+// Check returns an error with all faults in the terms of classes, or nil if there are none.
+// Settings that fail Check are not accepted as a replacement of a running gatekeeper's settings.
 func Check(s policy.Settings, n Names) error {
 	var faults []error
 	fault := func(format string, a ...any) { faults = append(faults, fmt.Errorf("settings: "+format, a...)) }
 	for _, word := range n.Unknown {
-		fault("%s is not known", word)
+		fault("%s", word)
 	}
 	if len(s.Classes) == 0 {
-		fault("no classes")
+		fault("got no classes, want at least one")
 	}
 	if s.MaxAttempts <= 0 {
-		fault("max-attempts %d is not over 0", s.MaxAttempts)
+		fault("max-attempts is %d, want more than 0", s.MaxAttempts)
 	}
 	seen := map[string]bool{}
 	for i, c := range s.Classes {
@@ -162,36 +163,38 @@
 			fault("class %d has no name", i+1)
 			continue
 		case seen[name]:
-			fault("class %q stands twice", name)
+			fault("class %q is defined twice", name)
 		}
 		seen[name] = true
 		if c.Deadline <= 0 {
-			fault("class %q: deadline-us %d is not over 0", name, c.Deadline)
+			fault("class %q: deadline-us is %d, want more than 0", name, c.Deadline)
 		}
 		if c.Aim <= 0 {
-			fault("class %q: objective-us %d is not over 0", name, c.Aim)
+			fault("class %q: objective-us is %d, want more than 0", name, c.Aim)
 		}
 		if c.Worth < 0 || c.LateWorth < 0 {
-			fault("class %q: a worth is below 0", name)
+			fault("class %q: worth is %g and late-worth %g, want at least 0", name, c.Worth, c.LateWorth)
 		}
 		if c.Repeat == policy.Keyed && c.Window <= 0 {
-			fault("class %q: window-us %d is not over 0", name, c.Window)
+			fault("class %q: window-us is %d, want more than 0", name, c.Window)
 		}
 	}
 	return errors.Join(faults...)
 }
 
-// words that a class's terms may use.
 var (
+	// repeats maps the values of a class's repeat setting.
 	repeats = map[string]policy.Repeat{"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe}
-	// Groups is which workers drop repeats; an operator's file says it in the same words.
+	// Groups maps the values of a class's group setting, which says among which workers
+	// repeated requests are dropped. Operators' configuration files use the same values.
 	Groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
 )
 
-// Place gives each class of a new table its place in the table in force, for as long as it
-// is named: requests under way are counted and learned from by it. Places whose class is
-// not named any more have an empty name and keep their terms; they go to new classes only
-// where that leaves fewer than placesMost unused.
+// Place reorders the classes of new settings so that each class keeps its index in the
+// current table, which names gives the class names of: open requests, counts and learned
+// latencies refer to classes by index. A class that is no longer defined keeps its entry and
+// its terms under an empty name. A new class reuses such an entry only if the table has at
+// least placesMost entries; otherwise it is appended.
 func Place(s *policy.Settings, n *Names, inForce []policy.Class, names []string) {
 	classes, placed := slices.Clone(inForce), make([]string, len(names))
 	var fresh []int
@@ -216,5 +219,5 @@
 	s.Classes, n.Classes = classes, placed
 }
 
-// placesMost is how many places a table may have before dropped ones are given out again.
+// placesMost is the size of a class table from which on entries of removed classes are reused.
 const placesMost = 16
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire reads and writes the simulator's binary frames. It decides
-// nothing: it turns records into the policy package's events and actions into
-// records.
+// Package wire encodes and decodes the simulator's binary protocol. The simulator sends
+// frames of event records, and gets a frame of action records for each. The package
+// converts records to the types of package policy and back, and makes no decisions.
+// All integers and floats are big-endian.
 package wire
 
 import (
@@ -13,48 +14,48 @@
 	"foxwood/policy"
 )
 
-// Codes of the event records.
+// Codes of the event records, with the names that the simulator's protocol gives them.
 const (
-	CodeBorn      = 0
-	CodeNote      = 1
-	CodeAdded     = 2
-	CodeOn        = 3
-	CodeGone      = 4
-	CodeHalt      = 5
-	CodeStreaming = 6
-	CodeElapsed   = 7
-	CodeSync      = 8
-	CodeProbeDone = 9
-	CodeReq       = 10
-	CodeDone      = 11
+	CodeBorn      = 0  // BORN: an instance starts
+	CodeNote      = 1  // NOTE_FROM: a message of another instance
+	CodeAdded     = 2  // ADDED: result of a call to the shared counter
+	CodeOn        = 3  // ON: the instance that the following records are for
+	CodeGone      = 4  // CLIENT_GONE: a client has disconnected
+	CodeHalt      = 5  // HALT: an instance stops
+	CodeStreaming = 6  // STREAMING: an answer has started to arrive
+	CodeElapsed   = 7  // ELAPSED: a timer has expired
+	CodeSync      = 8  // SYNC: the server list, or changes to it
+	CodeProbeDone = 9  // PROBE_DONE: result of a probe
+	CodeReq       = 10 // REQ: a request
+	CodeDone      = 11 // DONE: outcome of an attempt
 )
 
-// Codes of the action records.
+// Codes of the action records, with the names that the simulator's protocol gives them.
 const (
-	codeAssign   = 0
-	codeTurnAway = 1
-	codeLose     = 2
-	codeCancel   = 3
-	codeNotify   = 4
-	codeDebug    = 8
-	codeDie      = 9
-	codeTally    = 12
-	codeAt       = 13
+	codeAssign   = 0  // ASSIGN: send a request to a server
+	codeTurnAway = 1  // TURN_AWAY: refuse a request
+	codeLose     = 2  // LOSE: fail a request
+	codeCancel   = 3  // CANCEL: cancel an attempt
+	codeNotify   = 4  // NOTIFY_ME: set a timer
+	codeDebug    = 8  // DEBUG: log a text
+	codeDie      = 9  // DIE: the instance has crashed
+	codeTally    = 12 // TALLY: call the shared counter
+	codeAt       = 13 // the instance that the following actions are of
 )
 
 const (
-	batchHeader = 12         // record count and clock, behind the length
-	maxFrame    = 1 << 30    // no frame is longer
-	entryBytes  = 23         // one entry of a list
-	maxText     = 0xffff     // the longest text of a record
-	maxMicros   = 0xffffffff // the longest span a record can hold
+	batchHeader = 12         // bytes of the record count and the clock, which follow the frame length
+	maxFrame    = 1 << 30    // largest frame in bytes
+	entryBytes  = 23         // bytes of one entry of a server list
+	maxText     = 0xffff     // longest text of a record in bytes
+	maxMicros   = 0xffffffff // longest duration of a record in microseconds
 )
 
-// ErrShort says that a record ends before its fields do.
-var ErrShort = errors.New("record ends before its fields do")
+// ErrShort reports that a record ends before its last field.
+var ErrShort = errors.New("record ends before its last field")
 
-// ReadFrame reads one batch into buf, grown where needed. It returns io.EOF only
-// where the input ends between frames.
+// ReadFrame reads one frame, without its length, into buf or into a larger buffer if
+// needed. It returns io.EOF only if the input ends between two frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -65,7 +66,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n < batchHeader || n > maxFrame {
-		return nil, fmt.Errorf("frame length %d is out of range", n)
+		return nil, fmt.Errorf("frame length is %d bytes, want %d to %d", n, batchHeader, maxFrame)
 	}
 	if uint32(cap(buf)) >= n {
 		buf = buf[:n]
@@ -74,7 +75,8 @@
 		}
 		return buf, nil
 	}
-	// grown as the bytes come, so that a false length does not claim memory
+	// The buffer grows with the bytes that arrive, so that a wrong length does not allocate
+	// up to maxFrame.
 	buf, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err == nil && uint32(len(buf)) < n {
 		err = io.ErrUnexpectedEOF
@@ -85,15 +87,16 @@
 	return buf, nil
 }
 
-// Batch walks the records of one frame.
+// Batch decodes the records of one frame. Reading past the end gives zero values, and
+// makes Err return ErrShort.
 type Batch struct {
-	Clock   policy.Micros
-	Records int
-	b       []byte
+	Clock   policy.Micros // time of the events
+	Records int           // number of records
+	b       []byte        // the bytes not read yet
 	short   bool
 }
 
-// NewBatch reads the header of a frame that ReadFrame returned.
+// NewBatch decodes the header of a frame that ReadFrame returned.
 func NewBatch(frame []byte) (Batch, error) {
 	if len(frame) < batchHeader {
 		return Batch{}, ErrShort
@@ -105,10 +108,10 @@
 	}, nil
 }
 
-// Rest is the number of bytes not read yet.
+// Rest returns the number of bytes not read yet.
 func (d *Batch) Rest() int { return len(d.b) }
 
-// Err tells whether a field was read past the end.
+// Err returns ErrShort if a field was read past the end, and otherwise nil.
 func (d *Batch) Err() error {
 	if d.short {
 		return ErrShort
@@ -116,6 +119,7 @@
 	return nil
 }
 
+// take reads n bytes. Past the end it returns up to 8 zeros, enough for any number.
 func (d *Batch) take(n int) []byte {
 	if n < 0 || n > len(d.b) {
 		d.short = true
@@ -127,27 +131,28 @@
 	return v
 }
 
-// U8 reads one byte.
+// U8 reads an unsigned 8-bit integer.
 func (d *Batch) U8() uint8 { return d.take(1)[0] }
 
-// U16 reads two bytes.
+// U16 reads an unsigned 16-bit integer.
 func (d *Batch) U16() uint16 { return binary.BigEndian.Uint16(d.take(2)) }
 
-// U32 reads four bytes.
+// U32 reads an unsigned 32-bit integer.
 func (d *Batch) U32() uint32 { return binary.BigEndian.Uint32(d.take(4)) }
 
-// U64 reads eight bytes.
+// U64 reads an unsigned 64-bit integer.
 func (d *Batch) U64() uint64 { return binary.BigEndian.Uint64(d.take(8)) }
 
-// F32 reads a float.
+// F32 reads a 32-bit float.
 func (d *Batch) F32() float64 { return float64(math.Float32frombits(d.U32())) }
 
-// Server reads an address and a port.
+// Server reads a server's IPv4 address and port.
 func (d *Batch) Server() policy.Server {
 	a := d.U32()
 	return policy.Server(uint64(a)<<16 | uint64(d.U16()))
 }
 
+// load reads the values of a load report.
 func (d *Batch) load() []float32 {
 	n := int(d.U8())
 	if n == 0 {
@@ -164,7 +169,7 @@
 	return v
 }
 
-// Born reads the seed and the settings text of a BORN record.
+// Born reads a BORN record: the seed of the instance's random numbers and its settings.
 func (d *Batch) Born() (seed uint64, text []byte) {
 	seed = d.U64()
 	n := d.U32()
@@ -175,13 +180,14 @@
 	return seed, d.take(int(n))
 }
 
-// Note reads a NOTE_FROM record.
+// Note reads a NOTE_FROM record: the sending instance and its message.
 func (d *Batch) Note() (from int, data []byte) {
 	from = int(d.U16())
 	return from, d.take(int(d.U16()))
 }
 
-// Added reads an ADDED record.
+// Added reads an ADDED record: the counter's name, how long the call took, its status and
+// the counter's total.
 func (d *Batch) Added() (name uint64, delay policy.Micros, st policy.Status, total float64) {
 	name, delay = d.U64(), int64(d.U32())
 	st = policy.Status(d.U16())
@@ -197,15 +203,15 @@
 	r.Left = int64(d.U32())
 	r.Units = d.F32()
 	r.Spread = toInt(d.F32())
-	d.F32() // the number of the first of them
+	d.F32() // the index of the first gateway of the spread, which is not used
 	r.Again = d.U8()&bitAgain != 0
 	return r
 }
 
-// bitAgain marks a client's repeat among a request's bits.
+// bitAgain is the flag of a request that its client has sent before.
 const bitAgain = 2
 
-// toInt turns a count that travels as a float into an int; nonsense is 0.
+// toInt converts a count that is encoded as a float, or returns 0 if it is out of range.
 func toInt(f float64) int {
 	if f > 0 && f < 1<<20 {
 		return int(f)
@@ -226,7 +232,7 @@
 	return o
 }
 
-// ProbeDone reads past a PROBE_DONE record.
+// ProbeDone skips a PROBE_DONE record.
 func (d *Batch) ProbeDone() {
 	d.Server()
 	d.U32()
@@ -234,7 +240,7 @@
 	d.load()
 }
 
-// Streaming reads past a STREAMING record.
+// Streaming skips a STREAMING record.
 func (d *Batch) Streaming() {
 	d.U32()
 	d.U32()
@@ -242,7 +248,7 @@
 	d.Server()
 }
 
-// Sync reads a SYNC record.
+// Sync reads a SYNC record: the kind of the server list and its entries.
 func (d *Batch) Sync() (policy.ListKind, []policy.Entry) {
 	d.U64()
 	kind := policy.ListKind(d.U8())
@@ -257,35 +263,36 @@
 		e.Weight = d.F32()
 		e.Zone, e.Cell = int(d.U8()), int(d.U16())
 		e.State = policy.State(d.U8())
-		d.U8() // its kind of machine
+		d.U8() // the machine type, which is not used
 		e.ReadyAt = int64(d.U64())
 		e.Server = d.Server()
 	}
 	return kind, es
 }
 
-// Reply gathers the actions of one frame. It is the policy.Host of the instance
-// that On named last.
+// Reply collects the actions of one frame. It implements policy.Host for the instance
+// that On selected last.
 type Reply struct {
 	b       []byte
-	on, now int
+	on, now int // the selected instance, and the one that the last action record belongs to
 }
 
-// Reset empties the reply.
+// Reset starts an empty frame.
 func (w *Reply) Reset() {
 	w.b = append(w.b[:0], 0, 0, 0, 0)
 	w.now = -1
 }
 
-// On names the instance of the actions that follow.
+// On selects the instance of the actions that follow.
 func (w *Reply) On(instance int) { w.on = instance }
 
-// Bytes is the whole frame.
+// Bytes returns the complete frame with its length.
 func (w *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(w.b, uint32(len(w.b)-4))
 	return w.b
 }
 
+// code starts an action record, after a record of the instance if that has changed.
 func (w *Reply) code(c byte) {
 	if w.now != w.on {
 		w.now = w.on
@@ -294,16 +301,18 @@
 	w.b = append(w.b, c)
 }
 
-func (w *Reply) u32(v uint32)         { w.b = binary.BigEndian.AppendUint32(w.b, v) }
-func (w *Reply) u64(v uint64)         { w.b = binary.BigEndian.AppendUint64(w.b, v) }
-func (w *Reply) u16(v uint16)         { w.b = binary.BigEndian.AppendUint16(w.b, v) }
-func (w *Reply) span(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxMicros))) }
+func (w *Reply) u32(v uint32) { w.b = binary.BigEndian.AppendUint32(w.b, v) }
+func (w *Reply) u64(v uint64) { w.b = binary.BigEndian.AppendUint64(w.b, v) }
+func (w *Reply) u16(v uint16) { w.b = binary.BigEndian.AppendUint16(w.b, v) }
 
+// span writes a duration, limited to the range of the field.
+func (w *Reply) span(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxMicros))) }
 func (w *Reply) server(s policy.Server) {
 	w.u32(uint32(s >> 16))
 	w.u16(uint16(s))
 }
 
+// text writes a record of a text, truncated to maxText bytes.
 func (w *Reply) text(c byte, t []byte) {
 	if len(t) > maxText {
 		t = t[:maxText]
@@ -313,7 +322,7 @@
 	w.b = append(w.b, t...)
 }
 
-// Send writes ASSIGN.
+// Send implements policy.Host. It writes an ASSIGN record.
 func (w *Reply) Send(id uint32, to policy.Server, timeout policy.Micros) {
 	w.code(codeAssign)
 	w.u32(id)
@@ -321,34 +330,34 @@
 	w.span(timeout)
 }
 
-// Refuse writes TURN_AWAY.
+// Refuse implements policy.Host. It writes a TURN_AWAY record.
 func (w *Reply) Refuse(id uint32, retryAfter policy.Micros) {
 	w.code(codeTurnAway)
 	w.u32(id)
 	w.span(retryAfter)
 }
 
-// Fail writes LOSE.
+// Fail implements policy.Host. It writes a LOSE record.
 func (w *Reply) Fail(id uint32) {
 	w.code(codeLose)
 	w.u32(id)
 }
 
-// Cancel writes CANCEL.
+// Cancel implements policy.Host. It writes a CANCEL record.
 func (w *Reply) Cancel(id uint32, attempt int) {
 	w.code(codeCancel)
 	w.u32(id)
 	w.b = append(w.b, byte(attempt))
 }
 
-// Timer writes NOTIFY_ME.
+// Timer implements policy.Host. It writes a NOTIFY_ME record.
 func (w *Reply) Timer(token uint64, after policy.Micros) {
 	w.code(codeNotify)
 	w.u64(token)
 	w.span(after)
 }
 
-// Count writes TALLY.
+// Count implements policy.Host. It writes a TALLY record.
 func (w *Reply) Count(name uint64, amount float64, ttl policy.Micros) {
 	w.code(codeTally)
 	w.u64(name)
@@ -356,8 +365,8 @@
 	w.span(ttl)
 }
 
-// Log writes DEBUG.
+// Log writes a DEBUG record, which the simulator logs.
 func (w *Reply) Log(t string) { w.text(codeDebug, []byte(t)) }
 
-// Die writes DIE.
+// Die writes a DIE record, which reports a crash of the instance.
 func (w *Reply) Die(t string) { w.text(codeDie, []byte(t)) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,31 +32,32 @@
 	return &b
 }
 
+// twoInstances is a frame with events of the instances 3 and 5.
 const twoInstances = `00000042 00000005 0000000000805c5a 03 0003
 	0a 5d3a91c4 0000 0000 91f03b7c55d20a64 0003a980 40000000 40400000 3f800000 01
 	07 000000000000004d 03 0005 04 0e6f2b19`
 
-func TestReadsABatchOfTwoInstances(t *testing.T) {
+func TestReadFrameOfTwoInstances(t *testing.T) {
 	b := batchOf(t, twoInstances)
 	if b.Records != 5 || b.Clock != 0x805c5a {
-		t.Fatalf("%d records at %d", b.Records, b.Clock)
+		t.Fatalf("%d records at %d, want 5 at %d", b.Records, b.Clock, 0x805c5a)
 	}
 	if b.U8() != CodeOn || b.U16() != 3 || b.U8() != CodeReq {
-		t.Fatal("the first records are ON 3 and REQ")
+		t.Fatal("the first records are not ON 3 and REQ")
 	}
 	want := policy.Request{ID: 0x5d3a91c4, Customer: 0x91f03b7c55d20a64, Left: 240000, Units: 2, Spread: 3}
 	if r := b.Request(); r != want {
 		t.Fatalf("read %+v, want %+v", r, want)
 	}
 	if b.U8() != CodeElapsed || b.U64() != 77 || b.U8() != CodeOn || b.U16() != 5 {
-		t.Fatal("then ELAPSED 77 and ON 5")
+		t.Fatal("the next records are not ELAPSED 77 and ON 5")
 	}
 	if b.U8() != CodeGone || b.U32() != 0x0e6f2b19 || b.Rest() != 0 || b.Err() != nil {
-		t.Fatal("and CLIENT_GONE at the end")
+		t.Fatal("the last record is not CLIENT_GONE")
 	}
 }
 
-func TestReadsAListAnOutcomeAndACount(t *testing.T) {
+func TestReadServerListOutcomeAndCounterResult(t *testing.T) {
 	b := batchOf(t, `00000073 00000003 0000000000805c5a
 		08 0000000000000029 00 00000002
 		3f800000 00 0000 01 00 0000000000000000 0a124a07 2bc3
@@ -67,22 +68,22 @@
 	kind, es := b.Sync()
 	if kind != policy.Cached || len(es) != 2 || es[1].Weight != 1.5 || es[1].ReadyAt != 0x5d1420 ||
 		es[0].Server != 0x0a124a072bc3 || es[0].State != policy.Ready {
-		t.Fatalf("list %v %+v", kind, es)
+		t.Fatalf("SYNC record read as kind %v, entries %+v", kind, es)
 	}
 	b.U8()
 	o := b.Outcome()
 	if o.ID != 0x5d3a91c4 || o.Latency != 18500 || !o.Terminal || o.Status != policy.OK || o.Settled != 3 ||
 		o.Used != 86 || o.Server != es[0].Server || o.Load != nil {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("DONE record read as %+v", o)
 	}
 	b.U8()
 	name, delay, st, total := b.Added()
 	if name != 0x89f690 || delay != 2150 || st != policy.OK || total != 38 || b.Rest() != 0 {
-		t.Fatalf("count %x %d %d %v", name, delay, st, total)
+		t.Fatalf("ADDED record read as name %x, delay %d, status %d, total %v", name, delay, st, total)
 	}
 }
 
-func TestWritesAReplyOfTwoInstances(t *testing.T) {
+func TestWriteReplyOfTwoInstances(t *testing.T) {
 	var w Reply
 	w.Reset()
 	w.On(3)
@@ -101,10 +102,10 @@
 	}
 }
 
-func TestWritesEachAction(t *testing.T) {
+func TestWriteEachAction(t *testing.T) {
 	for _, c := range []struct {
-		do   func(*Reply)
-		want string
+		write func(*Reply)
+		want  string
 	}{
 		{func(w *Reply) { w.Refuse(0x0e6f2b19, 250000) }, "01 0e6f2b19 0003d090"},
 		{func(w *Reply) { w.Fail(0x0e6f2b19) }, "02 0e6f2b19"},
@@ -115,28 +116,29 @@
 		var w Reply
 		w.Reset()
 		w.On(3)
-		c.do(&w)
+		c.write(&w)
 		if got, want := w.Bytes()[7:], unhex(t, c.want); !bytes.Equal(got, want) {
 			t.Errorf("wrote %x, want %x", got, want)
 		}
 	}
 }
 
-func TestFramesCutShortAreErrors(t *testing.T) {
+func TestReadFrameRejectsTruncatedFrames(t *testing.T) {
 	whole := unhex(t, twoInstances)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadFrame(bytes.NewReader(whole[:n]), nil); err == nil || err == io.EOF {
-			t.Fatalf("%d bytes of a frame: error %v", n, err)
+			t.Fatalf("the first %d bytes of a frame: error %v, want one other than io.EOF", n, err)
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
-		t.Fatalf("no bytes at all: error %v, want the end", err)
+		t.Fatalf("empty input: error %v, want io.EOF", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0, 0, 0, 3, 1, 2, 3}), nil); err == nil {
-		t.Fatal("a frame shorter than its header was taken")
+		t.Fatal("a frame shorter than its header was accepted")
 	}
 }
 
+// FuzzBatch checks that malformed records neither cause a panic nor are read past the end.
 func FuzzBatch(f *testing.F) {
 	whole, _ := hex.DecodeString(strings.Join(strings.Fields(twoInstances), ""))
 	f.Add(whole)
@@ -147,7 +149,7 @@
 		}
 		b, err := NewBatch(frame)
 		if err != nil {
-			t.Fatal("a frame that was read has no header")
+			t.Fatal("ReadFrame accepted a frame shorter than its header")
 		}
 		for i := 0; b.Rest() > 0 && i < 1000; i++ {
 			switch b.U8() {
