--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -32,8 +32,8 @@
 	return k
 }
 
-// write writes a capture of n requests and their refusals, and returns its files.
-func write(t testing.TB, o Options, n int) []string {
+// writeCapture writes a capture of n requests and their refusals, and returns its files.
+func writeCapture(t testing.TB, o Options, n int) []string {
 	t.Helper()
 	if o.Folder == "" {
 		o.Folder = t.TempDir()
@@ -49,16 +49,16 @@
 		w.Refuse(uint32(i), 5000)
 	}
 	w.Close()
-	files, err := filepath.Glob(filepath.Join(o.Folder, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(o.Folder, "*"+segmentSuffix))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
 	return files
 }
 
-// read reads a segment up to the first error. It returns the number of records, and a nil
+// readCapture reads a segment up to the first error. It returns the number of records, and a nil
 // error if the segment has its end block.
-func read(text []byte, key Key) (n int, err error) {
+func readCapture(text []byte, key Key) (n int, err error) {
 	r, err := NewReader(bytes.NewReader(text), &key, nil)
 	if err != nil {
 		return 0, err
@@ -76,7 +76,7 @@
 
 func TestReaderReturnsWrittenRecords(t *testing.T) {
 	key := testKey(t, 7)
-	files := write(t, Options{Key: key, Life: 9}, 3)
+	files := writeCapture(t, Options{Key: key, Life: 9}, 3)
 	f, err := os.Open(files[0])
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 			t.Error("a customer id was stored unencrypted")
 		}
 	}
-	shown := fmt.Sprintf("%x", key.show(0, ofCustomers)) // the decrypted customer id of records that have none
+	shown := fmt.Sprintf("%x", key.decryptID(0, customerTweak)) // the decrypted customer id of records that have none
 	want := []string{"1000000 BEGAN 0 " + shown}
 	for i := range 3 {
 		want = append(want, fmt.Sprintf("%d REQUESTED %d b4d65521", 1000000+i, i), fmt.Sprintf("%d REFUSE %d %s", 1000000+i, i, shown))
@@ -179,28 +179,28 @@
 // small capture. Records before the fault may be read, but reading must end with an error.
 func TestEveryChangedByteAndTruncationIsDetected(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := read(text, key); err != nil || n != 9 {
+	if n, err := readCapture(text, key); err != nil || n != 9 {
 		t.Fatalf("%d records, error %v; want 9 records", n, err)
 	}
 	for i := range text {
 		for _, by := range []byte{1, 0x80, 0xff} {
 			bad := bytes.Clone(text)
 			bad[i] ^= by
-			if n, err := read(bad, key); err == nil {
+			if n, err := readCapture(bad, key); err == nil {
 				t.Fatalf("byte %d of %d changed by %02x: %d records and no error", i, len(text), by, n)
 			}
 		}
 	}
 	for i := range text {
-		if n, err := read(text[:i], key); err == nil {
+		if n, err := readCapture(text[:i], key); err == nil {
 			t.Fatalf("truncated to %d of %d bytes: %d records and no error", i, len(text), n)
 		}
 	}
-	if _, err := read(append(bytes.Clone(text), 0), key); !errors.Is(err, ErrAltered) {
+	if _, err := readCapture(append(bytes.Clone(text), 0), key); !errors.Is(err, ErrAltered) {
 		t.Errorf("one byte appended: error %v, want %v", err, ErrAltered)
 	}
 }
@@ -209,23 +209,23 @@
 // and a change with a correct checksum give different errors.
 func TestReaderDistinguishesFaults(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := segmentHead + linkSize
+	at := segmentHeaderSize + macSize
 	change := func(i int, by byte) []byte {
 		bad := bytes.Clone(text)
 		bad[i] ^= by
 		return bad
 	}
 	forged := func() []byte { // with a correct checksum, but a MAC of another key
-		var b block
-		b.parse(text[at : at+blockHead])
-		payload := text[at+blockHead : at+blockHead+int(b.size)]
+		var b blockHeader
+		b.parse(text[at : at+blockHeaderSize])
+		payload := text[at+blockHeaderSize : at+blockHeaderSize+int(b.payloadSize)]
 		other := testKey(t, 8)
-		out, _ := b.seal(bytes.Clone(text[:at]), &other, text[segmentHead:at], payload)
-		return append(out, text[at+blockHead+int(b.size):]...)
+		out, _ := b.seal(bytes.Clone(text[:at]), &other, text[segmentHeaderSize:at], payload)
+		return append(out, text[at+blockHeaderSize+int(b.payloadSize):]...)
 	}
 	for name, c := range map[string]struct {
 		text []byte
@@ -236,12 +236,12 @@
 		"no key":          {text, Key{}, ErrKey},
 		"a later version": {change(len(magic)+1, 4), key, ErrVersion},
 		"another file":    {[]byte("PK\x03\x04 and so on, for as long as a head is at the least, which is 60 bytes"), key, ErrNotOne},
-		"damage":          {change(at+blockHead+3, 1), key, ErrDamaged},
+		"damage":          {change(at+blockHeaderSize+3, 1), key, ErrDamaged},
 		"a forged block":  {forged(), key, ErrAltered},
-		"no end":          {text[:len(text)-blockHead], key, ErrUnended},
+		"no end":          {text[:len(text)-blockHeaderSize], key, ErrUnended},
 		"truncated end":   {text[:len(text)-5], key, ErrUnended},
 	} {
-		if _, err := read(c.text, c.key); !errors.Is(err, c.want) {
+		if _, err := readCapture(c.text, c.key); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		if strings.Contains(fmt.Sprint(c.want), "\n") {
@@ -254,15 +254,15 @@
 	key := testKey(t, 7)
 	rapid.Check(t, func(t *rapid.T) {
 		id, tweak := rapid.Uint64().Draw(t, "id"), byte(rapid.IntRange(0, 1).Draw(t, "tweak"))
-		if got := key.show(key.hide(id, tweak), tweak); got != id {
+		if got := key.decryptID(key.encryptID(id, tweak), tweak); got != id {
 			t.Fatalf("id %x is %x after encryption and decryption", id, got)
 		}
 	})
-	if key.hide(5, ofCustomers) == key.hide(5, ofNames) {
+	if key.encryptID(5, customerTweak) == key.encryptID(5, counterTweak) {
 		t.Error("a customer id and an equal counter name are encrypted to the same value")
 	}
 	none := Key{}
-	if none.hide(5, ofCustomers) != 5 {
+	if none.encryptID(5, customerTweak) != 5 {
 		t.Error("an id was changed without a key")
 	}
 }
@@ -293,7 +293,7 @@
 // that a missing segment is reported.
 func TestSegmentsAreReadInSequence(t *testing.T) {
 	key := testKey(t, 7)
-	files := write(t, Options{Key: key, SegmentMost: 1}, 9000)
+	files := writeCapture(t, Options{Key: key, SegmentMost: 1}, 9000)
 	if len(files) < 3 {
 		t.Fatalf("%d segments, want at least 3", len(files))
 	}
@@ -323,7 +323,7 @@
 
 func TestOldSegmentsAreRemoved(t *testing.T) {
 	folder := t.TempDir()
-	files := write(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
+	files := writeCapture(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
 	sum := int64(0)
 	for _, f := range files {
 		info, err := os.Stat(f)
@@ -332,7 +332,7 @@
 		}
 		sum += info.Size()
 	}
-	if sum > 40000 || strings.HasSuffix(files[0], "-000001"+suffix) {
+	if sum > 40000 || strings.HasSuffix(files[0], "-000001"+segmentSuffix) {
 		t.Errorf("%d bytes in %d segments, the first %s", sum, len(files), filepath.Base(files[0]))
 	}
 }
@@ -344,7 +344,7 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w, err := newWriter(Options{Folder: folder, Name: "n0", SegmentMost: 1})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0", SegmentMost: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +352,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := filled{raw: append([]byte{byte(len(record))}, record...), records: 1, first: 1e6}
+	one := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
 	w.write(one) // ends the first segment, begins the second
 	if err := os.RemoveAll(folder); err != nil {
 		t.Fatal(err)
@@ -365,9 +365,9 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w.retryAt = w.retryAt.Add(-2 * retryEvery)
+	w.retryAt = w.retryAt.Add(-2 * retryInterval)
 	w.write(one)
-	w.end()
+	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -387,7 +387,7 @@
 // counted as lost, and that the records written once there is room again follow a gap.
 func TestCaptureContinuesAfterDiskWasFull(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -401,15 +401,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := filled{raw: append([]byte{byte(len(record))}, record...), records: 1, first: 1e6}
+	one := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
 	w.write(one)
-	w.write(one) // within retryEvery, in which no further attempt is made
+	w.write(one) // within retryInterval, in which no further attempt is made
 	if lost, errs := w.Stats.Lost.Load(), w.Stats.Errors.Load(); lost != 2 || errs != 1 {
 		t.Errorf("%d records lost, %d errors; want 2 and 1", lost, errs)
 	}
-	w.retryAt = w.retryAt.Add(-2 * retryEvery)
+	w.retryAt = w.retryAt.Add(-2 * retryInterval)
 	w.write(one)
-	w.end()
+	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil || len(segments) != 2 {
 		t.Fatal(segments, err)
@@ -430,21 +430,21 @@
 // reported as gaps.
 func TestSlowDiskDoesNotBlockEventLoop(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Encoder = newEncoder(w, &w.options.Key)
-	const blocks = 3 * queued
+	const blocks = 3 * queueLength
 	for n := range blocks {
-		w.Encoder.Gone(policy.Micros(1e6+2*n*blockAge), 1)
-		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*blockAge), 2) // completes the block, as it is blockAge later
+		w.Encoder.Gone(policy.Micros(1e6+2*n*maxBlockAge), 1)
+		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*maxBlockAge), 2) // completes the block, as it is maxBlockAge later
 	}
-	if held := len(w.blocks); held != queued || w.Stats.Lost.Load() != 2*(blocks-queued) {
-		t.Fatalf("%d blocks queued, %d records lost; want %d and %d", held, w.Stats.Lost.Load(), queued, 2*(blocks-queued))
+	if held := len(w.queue); held != queueLength || w.Stats.Lost.Load() != 2*(blocks-queueLength) {
+		t.Fatalf("%d blocks queued, %d records lost; want %d and %d", held, w.Stats.Lost.Load(), queueLength, 2*(blocks-queueLength))
 	}
 	go w.run() // the disk works again
-	for w.Encoder.Gone(2e9, 9); len(w.blocks) > 0; {
+	for w.Encoder.Gone(2e9, 9); len(w.queue) > 0; {
 		runtime.Gosched()
 	}
 	w.Close()
@@ -467,42 +467,42 @@
 			break
 		}
 	}
-	if want := 2 * (blocks - queued); lost != want || s.Records() != 2*queued+1 {
-		t.Errorf("%d records lost, %d read; want %d and %d", lost, s.Records(), want, 2*queued+1)
+	if want := 2 * (blocks - queueLength); lost != want || s.Records() != 2*queueLength+1 {
+		t.Errorf("%d records lost, %d read; want %d and %d", lost, s.Records(), want, 2*queueLength+1)
 	}
 }
 
-// slow is a taker whose queue is always full, and which counts the records of complete blocks.
-type slow struct{ n int }
+// fullSink is a blockSink whose queue is always full, and which counts the records of complete blocks.
+type fullSink struct{ records int }
 
-func (s *slow) take(b filled) []byte     { s.n += int(b.records); return b.raw[:0] }
-func (s *slow) wants(policy.Micros) bool { return false }
-func (s *slow) offer(filled)             {}
+func (s *fullSink) submit(b pendingBlock) []byte     { s.records += int(b.records); return b.raw[:0] }
+func (s *fullSink) checkpointDue(policy.Micros) bool { return false }
+func (s *fullSink) submitCheckpoint(pendingBlock)    {}
 
 // TestBlockIsPassedOnByAge guards against losing more than a quarter of a second of records
 // in a crash.
 func TestBlockIsPassedOnByAge(t *testing.T) {
-	to := &slow{}
+	to := &fullSink{}
 	e := newEncoder(to, &Key{})
 	for i := range 100 {
 		e.Rang(policy.Micros(1e6+i*10000), 0)
 	}
-	if to.n < 75 {
-		t.Errorf("%d of 100 records of one second were passed on, want at least 75", to.n)
+	if to.records < 75 {
+		t.Errorf("%d of 100 records of one second were passed on, want at least 75", to.records)
 	}
 }
 
 // FuzzRead checks that a reader does not panic on malformed input, nor return more records
 // than the input has bytes.
 func FuzzRead(f *testing.F) {
-	text, err := os.ReadFile(write(f, Options{}, 4)[0])
+	text, err := os.ReadFile(writeCapture(f, Options{}, 4)[0])
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
-	f.Add(text[:len(text)-blockHead])
+	f.Add(text[:len(text)-blockHeaderSize])
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if n, err := read(text, Key{}); err == nil && n > len(text) {
+		if n, err := readCapture(text, Key{}); err == nil && n > len(text) {
 			t.Fatalf("%d records in %d bytes", n, len(text))
 		}
 	})
@@ -560,7 +560,7 @@
 		s.Close()
 	}
 	x, err := ReadIndex(segments[0].File)
-	if err != nil || !x.HasCustomer(key.hide(2, ofCustomers)) || x.HasCustomer(key.hide(9, ofCustomers)) {
+	if err != nil || !x.HasCustomer(key.encryptID(2, customerTweak)) || x.HasCustomer(key.encryptID(9, customerTweak)) {
 		t.Errorf("customers in the index: %v", err)
 	}
 }
@@ -590,7 +590,7 @@
 	if err != nil || n < 200 || n > 400 {
 		t.Fatalf("%d records, error %v; want 200 to 400 records", n, err)
 	}
-	files, err := filepath.Glob(filepath.Join(to, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(to, "*"+segmentSuffix))
 	if err != nil || len(files) != 1 {
 		t.Fatal(files, err)
 	}
@@ -598,7 +598,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := read(text, key); err != nil || got != n {
+	if got, err := readCapture(text, key); err != nil || got != n {
 		t.Errorf("read %d records, error %v; want %d", got, err, n)
 	}
 	if _, err := CutOut(segments[:1], &key, 5, 6, t.TempDir()); err != nil {
--- a/capture/compatibility_test.go
+++ b/capture/compatibility_test.go
@@ -15,7 +15,7 @@
 func TestReadSegmentOfEarlierRelease(t *testing.T) {
 	raw, err := os.ReadFile("testdata/earlier.segment")
 	assert.NilError(t, err)
-	n, err := read(raw, testKey(t, 7))
+	n, err := readCapture(raw, testKey(t, 7))
 	assert.Assert(t, err == nil || errors.Is(err, io.EOF), "%v", err)
 	assert.Equal(t, n, 7)
 }
--- a/capture/decode.go
+++ b/capture/decode.go
@@ -28,19 +28,19 @@
 	if err := json.Unmarshal(r.GetSettings(), &s); err != nil {
 		return s, fmt.Errorf("capture: state of a record is no valid JSON object: %w", err)
 	}
-	return d.key.showState(s), nil
+	return d.key.decryptState(s), nil
 }
 
 // Beside returns the quota draw of a BESIDE record.
 func (d *Decoder) Beside(r *capturepb.Record) policy.Draw {
-	return policy.Draw{Customer: d.key.show(r.GetCustomer(), ofCustomers), Plan: int(r.GetPlan()), Spread: int(r.GetSpread()),
+	return policy.Draw{Customer: d.key.decryptID(r.GetCustomer(), customerTweak), Plan: int(r.GetPlan()), Spread: int(r.GetSpread()),
 		Units: r.GetUnits(), Settles: r.GetSettles(), Server: policy.Server(r.GetServer())}
 }
 
 // Request returns the request of a REQUESTED record.
 func (d *Decoder) Request(r *capturepb.Record) policy.Request {
 	return policy.Request{ID: r.GetId(), Class: int(r.GetClass()), Plan: int(r.GetPlan()),
-		Customer: d.key.show(r.GetCustomer(), ofCustomers), Left: r.GetLeft(), Units: r.GetUnits(),
+		Customer: d.key.decryptID(r.GetCustomer(), customerTweak), Left: r.GetLeft(), Units: r.GetUnits(),
 		Spread: int(r.GetSpread()), Again: r.GetAgain(), Filling: r.GetFilling()}
 }
 
@@ -52,7 +52,7 @@
 }
 
 // Name returns the counter name of a COUNT or COUNTED record.
-func (d *Decoder) Name(r *capturepb.Record) uint64 { return d.key.show(r.GetName(), ofNames) }
+func (d *Decoder) Name(r *capturepb.Record) uint64 { return d.key.decryptID(r.GetName(), counterTweak) }
 
 // Entries returns the workers of a LISTED record.
 func (*Decoder) Entries(r *capturepb.Record) []policy.Entry {
--- a/capture/encode.go
+++ b/capture/encode.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	blockMost  = 64 << 10 // bytes of records after which a block is complete
-	blockAge   = 250000   // microseconds after which a block is complete
-	cachedMost = 64 << 10 // most ids in each of the encoder's maps
+	maxBlockBytes = 64 << 10 // bytes of records after which a block is complete
+	maxBlockAge   = 250000   // microseconds after which a block is complete
+	maxCachedIDs  = 64 << 10 // most ids in each of the encoder's maps
 )
 
 // The field numbers of Record (f...) and Entry (e...) in capturepb/capture.proto.
@@ -26,86 +26,86 @@
 	eServer, eState, eWeight, eZone, eCell, _, eReadyAt                             = 1, 2, 3, 4, 5, 6, 7
 )
 
-// filled is a complete block of encoded records, or a checkpoint.
-type filled struct {
-	raw     []byte
-	records uint32
-	first   policy.Micros    // time of the first record
-	state   *policy.Snapshot // of a checkpoint, whose record is encoded by the writer; otherwise nil
+// pendingBlock is a complete block of encoded records, or a checkpoint.
+type pendingBlock struct {
+	raw        []byte
+	records    uint32
+	firstTime  policy.Micros    // time of the first record
+	checkpoint *policy.Snapshot // of a checkpoint, whose record is encoded by the writer; otherwise nil
 	// Hashes of the request names and customer ids in the block, for the index.
 	names, customers []uint32
 }
 
-// taker receives the blocks of an Encoder. Its methods are called on the event loop and
+// blockSink receives the blocks of an Encoder. Its methods are called on the event loop and
 // must not block.
-type taker interface {
-	// take receives a complete block and returns a buffer for the next one.
-	take(b filled) []byte
-	// wants reports whether a checkpoint is due.
-	wants(now policy.Micros) bool
-	// offer receives a checkpoint.
-	offer(b filled)
+type blockSink interface {
+	// submit receives a complete block and returns a buffer for the next one.
+	submit(b pendingBlock) []byte
+	// checkpointDue reports whether a checkpoint is due.
+	checkpointDue(now policy.Micros) bool
+	// submitCheckpoint receives a checkpoint.
+	submitCheckpoint(b pendingBlock)
 }
 
 // Encoder converts the calls into and out of the decision module to records. It
 // implements gatekeeper.Recorder.
 type Encoder struct {
-	to      taker
-	key     *Key
-	block   filled
-	last    policy.Micros // time of the last record
-	now     policy.Micros // time of the current call of the module
-	record  []byte        // the record that is being encoded
-	part    []byte        // buffer for a nested message
-	replace [2]map[uint64]uint64
-	blocks  uint64            // number of complete blocks passed to the taker
-	met     map[uint64]uint64 // encrypted customer ids, and the number of the block that last held each
+	sink           blockSink
+	key            *Key
+	block          pendingBlock
+	lastTime       policy.Micros // time of the last record
+	now            policy.Micros // time of the current call of the module
+	record         []byte        // the record that is being encoded
+	nested         []byte        // buffer for a nested message
+	encryptedIDs   [2]map[uint64]uint64
+	blockCount     uint64            // number of complete blocks passed to the sink
+	customerBlocks map[uint64]uint64 // encrypted customer ids, and the number of the block that last held each
 }
 
-// newEncoder creates an Encoder that passes its blocks to a taker.
-func newEncoder(to taker, key *Key) *Encoder {
-	return &Encoder{to: to, key: key, replace: [2]map[uint64]uint64{{}, {}}, met: map[uint64]uint64{}}
+// newEncoder creates an Encoder that passes its blocks to a blockSink.
+func newEncoder(sink blockSink, key *Key) *Encoder {
+	return &Encoder{sink: sink, key: key, encryptedIDs: [2]map[uint64]uint64{{}, {}}, customerBlocks: map[uint64]uint64{}}
 }
 
-// hide encrypts an id. It caches the results, since encrypting takes microseconds.
-func (e *Encoder) hide(id uint64, tweak byte) uint64 {
+// encryptID encrypts an id. It caches the results, since encrypting takes microseconds.
+func (e *Encoder) encryptID(id uint64, tweak byte) uint64 {
 	if !e.key.Set() {
 		return id
 	}
-	seen := e.replace[tweak]
-	if v, ok := seen[id]; ok {
-		return v
+	cache := e.encryptedIDs[tweak]
+	if encrypted, ok := cache[id]; ok {
+		return encrypted
 	}
-	if len(seen) >= cachedMost {
-		clear(seen)
+	if len(cache) >= maxCachedIDs {
+		clear(cache)
 	}
-	v := e.key.hide(id, tweak)
-	seen[id] = v
-	return v
+	encrypted := e.key.encryptID(id, tweak)
+	cache[id] = encrypted
+	return encrypted
 }
 
-// begin starts a record of a kind at the time of the current call.
-func (e *Encoder) begin(kind capturepb.Kind) {
+// beginRecord starts a record of a kind at the time of the current call.
+func (e *Encoder) beginRecord(kind capturepb.Kind) {
 	if e.block.records == 0 {
-		e.block.first, e.last = e.now, e.now
+		e.block.firstTime, e.lastTime = e.now, e.now
 	}
 	e.record = e.record[:0]
-	e.uint(fKind, uint64(kind))
-	e.int(fAfter, e.now-e.last)
-	e.last = e.now
+	e.putUint(fKind, uint64(kind))
+	e.putInt(fAfter, e.now-e.lastTime)
+	e.lastTime = e.now
 }
 
-// call starts the record of a call of the module at a time.
-func (e *Encoder) call(now policy.Micros, kind capturepb.Kind) {
+// beginCall starts the record of a call of the module at a time.
+func (e *Encoder) beginCall(now policy.Micros, kind capturepb.Kind) {
 	e.now = now
-	e.begin(kind)
+	e.beginRecord(kind)
 }
 
-// end adds the record to the block, and passes the block on if it is large or old enough.
-func (e *Encoder) end() {
+// endRecord adds the record to the block, and passes the block on if it is large or old enough.
+func (e *Encoder) endRecord() {
 	e.block.raw = protowire.AppendBytes(e.block.raw, e.record)
 	e.block.records++
-	if len(e.block.raw) >= blockMost || e.now-e.block.first >= blockAge {
+	if len(e.block.raw) >= maxBlockBytes || e.now-e.block.firstTime >= maxBlockAge {
 		e.flush()
 	}
 }
@@ -113,265 +113,269 @@
 // flush passes the block on unless it is empty.
 func (e *Encoder) flush() {
 	if e.block.records > 0 {
-		e.block = filled{raw: e.to.take(e.block)}
-		e.blocks++
+		e.block = pendingBlock{raw: e.sink.submit(e.block)}
+		e.blockCount++
 	}
 }
 
-func (e *Encoder) uint(field protowire.Number, v uint64) {
+func (e *Encoder) putUint(field protowire.Number, v uint64) {
 	if v != 0 {
 		e.record = protowire.AppendVarint(protowire.AppendTag(e.record, field, protowire.VarintType), v)
 	}
 }
 
-func (e *Encoder) int(field protowire.Number, v int64) { e.uint(field, protowire.EncodeZigZag(v)) }
+func (e *Encoder) putInt(field protowire.Number, v int64) {
+	e.putUint(field, protowire.EncodeZigZag(v))
+}
 
-func (e *Encoder) bool(field protowire.Number, v bool) {
+func (e *Encoder) putBool(field protowire.Number, v bool) {
 	if v {
-		e.uint(field, 1)
+		e.putUint(field, 1)
 	}
 }
 
-func (e *Encoder) fixed(field protowire.Number, v uint64) {
+func (e *Encoder) putFixed64(field protowire.Number, v uint64) {
 	if v != 0 {
 		e.record = protowire.AppendFixed64(protowire.AppendTag(e.record, field, protowire.Fixed64Type), v)
 	}
 }
 
-// float encodes a number. Positive zero is omitted, as in proto3; negative zero is not.
-func (e *Encoder) float(field protowire.Number, v float64) { e.fixed(field, math.Float64bits(v)) }
+// putFloat encodes a number. Positive zero is omitted, as in proto3; negative zero is not.
+func (e *Encoder) putFloat(field protowire.Number, v float64) {
+	e.putFixed64(field, math.Float64bits(v))
+}
 
-func (e *Encoder) bytes(field protowire.Number, b []byte) {
+func (e *Encoder) putBytes(field protowire.Number, b []byte) {
 	e.record = protowire.AppendBytes(protowire.AppendTag(e.record, field, protowire.BytesType), b)
 }
 
-// json encodes the settings field. The values are plain data of this module, for which
+// putJSON encodes the settings field. The values are plain data of this module, for which
 // json.Marshal does not fail unless they hold a number that JSON can't express.
-func (e *Encoder) json(v any) {
+func (e *Encoder) putJSON(v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		b = []byte(err.Error()) // not valid JSON, so a Decoder reports the record as unreadable
 	}
-	e.bytes(fSettings, b)
+	e.putBytes(fSettings, b)
 }
 
 // Began implements gatekeeper.Recorder.
 func (e *Encoder) Began(now policy.Micros, s policy.Settings, seed uint64) {
-	e.call(now, capturepb.Kind_BEGAN)
-	e.json(s)
-	e.uint(fSeed, seed)
-	e.uint(fAt, uint64(now))
-	e.end()
+	e.beginCall(now, capturepb.Kind_BEGAN)
+	e.putJSON(s)
+	e.putUint(fSeed, seed)
+	e.putUint(fAt, uint64(now))
+	e.endRecord()
 }
 
 // Requested implements gatekeeper.Recorder.
 func (e *Encoder) Requested(now policy.Micros, r policy.Request) {
-	e.call(now, capturepb.Kind_REQUESTED)
-	e.uint(fID, uint64(r.ID))
-	e.uint(fClass, uint64(int64(r.Class)))
-	e.uint(fPlan, uint64(int64(r.Plan)))
-	customer := e.hide(r.Customer, ofCustomers)
-	e.fixed(fCustomer, customer)
-	if at, ok := e.met[customer]; !ok || at != e.blocks { // the index lists a customer once per block
-		if len(e.met) >= cachedMost {
-			clear(e.met)
+	e.beginCall(now, capturepb.Kind_REQUESTED)
+	e.putUint(fID, uint64(r.ID))
+	e.putUint(fClass, uint64(int64(r.Class)))
+	e.putUint(fPlan, uint64(int64(r.Plan)))
+	customer := e.encryptID(r.Customer, customerTweak)
+	e.putFixed64(fCustomer, customer)
+	if at, ok := e.customerBlocks[customer]; !ok || at != e.blockCount { // the index lists a customer once per block
+		if len(e.customerBlocks) >= maxCachedIDs {
+			clear(e.customerBlocks)
 		}
-		e.met[customer] = e.blocks
-		e.block.customers = append(e.block.customers, shortID(customer))
+		e.customerBlocks[customer] = e.blockCount
+		e.block.customers = append(e.block.customers, indexHashOfID(customer))
 	}
-	e.int(fLeft, r.Left)
-	e.float(fUnits, r.Units)
-	e.uint(fSpread, uint64(int64(r.Spread)))
-	e.bool(fAgain, r.Again)
-	e.bool(fFilling, r.Filling)
-	e.end()
+	e.putInt(fLeft, r.Left)
+	e.putFloat(fUnits, r.Units)
+	e.putUint(fSpread, uint64(int64(r.Spread)))
+	e.putBool(fAgain, r.Again)
+	e.putBool(fFilling, r.Filling)
+	e.endRecord()
 }
 
 // Named implements gatekeeper.Recorder.
 func (e *Encoder) Named(id uint32, name string) {
-	e.begin(capturepb.Kind_NAMED)
-	e.uint(fID, uint64(id))
+	e.beginRecord(capturepb.Kind_NAMED)
+	e.putUint(fID, uint64(id))
 	e.record = protowire.AppendString(protowire.AppendTag(e.record, fText, protowire.BytesType), name)
 	e.block.names = append(e.block.names, uint32(xxh3.HashString(name)))
-	e.end()
+	e.endRecord()
 }
 
 // Gone implements gatekeeper.Recorder.
 func (e *Encoder) Gone(now policy.Micros, id uint32) {
-	e.call(now, capturepb.Kind_GONE)
-	e.uint(fID, uint64(id))
-	e.end()
+	e.beginCall(now, capturepb.Kind_GONE)
+	e.putUint(fID, uint64(id))
+	e.endRecord()
 }
 
 // Ended implements gatekeeper.Recorder.
 func (e *Encoder) Ended(now policy.Micros, o policy.Outcome) {
-	e.call(now, capturepb.Kind_ENDED)
-	e.uint(fID, uint64(o.ID))
-	e.fixed(fServer, uint64(o.Server))
-	e.uint(fAttempt, uint64(int64(o.Attempt)))
-	e.uint(fStatus, uint64(o.Status))
-	e.int(fLatency, o.Latency)
-	e.bool(fTerminal, o.Terminal)
-	e.float(fSettled, o.Settled)
-	e.uint(fUsed, uint64(int64(o.Used)))
+	e.beginCall(now, capturepb.Kind_ENDED)
+	e.putUint(fID, uint64(o.ID))
+	e.putFixed64(fServer, uint64(o.Server))
+	e.putUint(fAttempt, uint64(int64(o.Attempt)))
+	e.putUint(fStatus, uint64(o.Status))
+	e.putInt(fLatency, o.Latency)
+	e.putBool(fTerminal, o.Terminal)
+	e.putFloat(fSettled, o.Settled)
+	e.putUint(fUsed, uint64(int64(o.Used)))
 	if len(o.Load) > 0 {
-		e.part = e.part[:0]
+		e.nested = e.nested[:0]
 		for _, v := range o.Load {
-			e.part = protowire.AppendFixed32(e.part, math.Float32bits(v))
+			e.nested = protowire.AppendFixed32(e.nested, math.Float32bits(v))
 		}
-		e.bytes(fLoad, e.part)
+		e.putBytes(fLoad, e.nested)
 	}
-	e.end()
+	e.endRecord()
 }
 
 // Counted implements gatekeeper.Recorder.
 func (e *Encoder) Counted(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64) {
-	e.call(now, capturepb.Kind_COUNTED)
-	e.uint(fStatus, uint64(status))
-	e.int(fSpan, delay)
-	e.fixed(fName, e.hide(name, ofNames))
-	e.float(fAmount, total)
-	e.end()
+	e.beginCall(now, capturepb.Kind_COUNTED)
+	e.putUint(fStatus, uint64(status))
+	e.putInt(fSpan, delay)
+	e.putFixed64(fName, e.encryptID(name, counterTweak))
+	e.putFloat(fAmount, total)
+	e.endRecord()
 }
 
 // Listed implements gatekeeper.Recorder.
 func (e *Encoder) Listed(now policy.Micros, kind policy.ListKind, entries []policy.Entry) {
-	e.call(now, capturepb.Kind_LISTED)
-	e.uint(fList, uint64(kind))
+	e.beginCall(now, capturepb.Kind_LISTED)
+	e.putUint(fList, uint64(kind))
 	record := e.record
 	for _, w := range entries {
-		e.record = e.part[:0]
-		e.fixed(eServer, uint64(w.Server))
-		e.uint(eState, uint64(w.State))
-		e.float(eWeight, w.Weight)
-		e.uint(eZone, uint64(int64(w.Zone)))
-		e.uint(eCell, uint64(int64(w.Cell)))
-		e.uint(eReadyAt, uint64(w.ReadyAt))
-		e.part = e.record
-		record = protowire.AppendBytes(protowire.AppendTag(record, fEntries, protowire.BytesType), e.part)
+		e.record = e.nested[:0]
+		e.putFixed64(eServer, uint64(w.Server))
+		e.putUint(eState, uint64(w.State))
+		e.putFloat(eWeight, w.Weight)
+		e.putUint(eZone, uint64(int64(w.Zone)))
+		e.putUint(eCell, uint64(int64(w.Cell)))
+		e.putUint(eReadyAt, uint64(w.ReadyAt))
+		e.nested = e.record
+		record = protowire.AppendBytes(protowire.AppendTag(record, fEntries, protowire.BytesType), e.nested)
 	}
 	e.record = record
-	e.end()
+	e.endRecord()
 }
 
 // Classes implements gatekeeper.Recorder.
 func (e *Encoder) Classes(now policy.Micros, classes []policy.Class) {
-	e.call(now, capturepb.Kind_CLASSES)
-	e.json(policy.Settings{Classes: classes})
-	e.end()
+	e.beginCall(now, capturepb.Kind_CLASSES)
+	e.putJSON(policy.Settings{Classes: classes})
+	e.endRecord()
 }
 
 // Filled implements gatekeeper.Recorder.
 func (e *Encoder) Filled(now policy.Micros, id uint32) {
-	e.call(now, capturepb.Kind_FILLED)
-	e.uint(fID, uint64(id))
-	e.end()
+	e.beginCall(now, capturepb.Kind_FILLED)
+	e.putUint(fID, uint64(id))
+	e.endRecord()
 }
 
 // Progressed implements gatekeeper.Recorder.
 func (e *Encoder) Progressed(now policy.Micros, server policy.Server) {
-	e.call(now, capturepb.Kind_PROGRESSED)
-	e.fixed(fServer, uint64(server))
-	e.end()
+	e.beginCall(now, capturepb.Kind_PROGRESSED)
+	e.putFixed64(fServer, uint64(server))
+	e.endRecord()
 }
 
 // Joined implements gatekeeper.Recorder.
 func (e *Encoder) Joined(now, born policy.Micros) {
-	e.call(now, capturepb.Kind_JOINED)
-	e.uint(fAt, uint64(born))
-	e.end()
+	e.beginCall(now, capturepb.Kind_JOINED)
+	e.putUint(fAt, uint64(born))
+	e.endRecord()
 }
 
 // Beside implements gatekeeper.Recorder.
 func (e *Encoder) Beside(now policy.Micros, d policy.Draw) {
-	e.call(now, capturepb.Kind_BESIDE)
-	e.uint(fPlan, uint64(int64(d.Plan)))
-	e.fixed(fCustomer, e.hide(d.Customer, ofCustomers))
-	e.float(fUnits, d.Units)
-	e.uint(fSpread, uint64(int64(d.Spread)))
-	e.fixed(fServer, uint64(d.Server))
-	e.bool(fSettles, d.Settles)
-	e.end()
+	e.beginCall(now, capturepb.Kind_BESIDE)
+	e.putUint(fPlan, uint64(int64(d.Plan)))
+	e.putFixed64(fCustomer, e.encryptID(d.Customer, customerTweak))
+	e.putFloat(fUnits, d.Units)
+	e.putUint(fSpread, uint64(int64(d.Spread)))
+	e.putFixed64(fServer, uint64(d.Server))
+	e.putBool(fSettles, d.Settles)
+	e.endRecord()
 }
 
 // Rang implements gatekeeper.Recorder.
 func (e *Encoder) Rang(now policy.Micros, token uint64) {
-	e.call(now, capturepb.Kind_RANG)
-	e.uint(fToken, token)
-	e.end()
+	e.beginCall(now, capturepb.Kind_RANG)
+	e.putUint(fToken, token)
+	e.endRecord()
 }
 
 // Recovered implements gatekeeper.Recorder.
 func (e *Encoder) Recovered(now policy.Micros, s policy.Snapshot, exact bool) {
-	e.call(now, capturepb.Kind_RECOVERED)
-	e.json(e.key.hideState(s))
-	e.bool(fAgain, exact)
-	e.end()
+	e.beginCall(now, capturepb.Kind_RECOVERED)
+	e.putJSON(e.key.encryptState(s))
+	e.putBool(fAgain, exact)
+	e.endRecord()
 }
 
 // Checkpoint implements gatekeeper.Recorder.
 func (e *Encoder) Checkpoint(now policy.Micros, take func() policy.Snapshot) {
-	if !e.to.wants(now) {
+	if !e.sink.checkpointDue(now) {
 		return
 	}
 	e.flush()
 	state := take()
-	e.to.offer(filled{records: 1, first: now, state: &state})
+	e.sink.submitCheckpoint(pendingBlock{records: 1, firstTime: now, checkpoint: &state})
 }
 
-// stateRecord encodes a checkpoint as the only record of its block.
-func stateRecord(s *policy.Snapshot, key *Key) []byte {
+// encodeCheckpoint encodes a checkpoint as the only record of its block.
+func encodeCheckpoint(s *policy.Snapshot, key *Key) []byte {
 	var e Encoder
-	e.uint(fKind, uint64(capturepb.Kind_CHECKPOINT))
-	e.json(key.hideState(*s))
+	e.putUint(fKind, uint64(capturepb.Kind_CHECKPOINT))
+	e.putJSON(key.encryptState(*s))
 	return protowire.AppendBytes(nil, e.record)
 }
 
 // Send implements policy.Host.
 func (e *Encoder) Send(id uint32, server policy.Server, timeout policy.Micros) {
-	e.begin(capturepb.Kind_SEND)
-	e.uint(fID, uint64(id))
-	e.fixed(fServer, uint64(server))
-	e.int(fSpan, timeout)
-	e.end()
+	e.beginRecord(capturepb.Kind_SEND)
+	e.putUint(fID, uint64(id))
+	e.putFixed64(fServer, uint64(server))
+	e.putInt(fSpan, timeout)
+	e.endRecord()
 }
 
 // Refuse implements policy.Host.
 func (e *Encoder) Refuse(id uint32, retryAfter policy.Micros) {
-	e.begin(capturepb.Kind_REFUSE)
-	e.uint(fID, uint64(id))
-	e.int(fSpan, retryAfter)
-	e.end()
+	e.beginRecord(capturepb.Kind_REFUSE)
+	e.putUint(fID, uint64(id))
+	e.putInt(fSpan, retryAfter)
+	e.endRecord()
 }
 
 // Fail implements policy.Host.
 func (e *Encoder) Fail(id uint32) {
-	e.begin(capturepb.Kind_FAIL)
-	e.uint(fID, uint64(id))
-	e.end()
+	e.beginRecord(capturepb.Kind_FAIL)
+	e.putUint(fID, uint64(id))
+	e.endRecord()
 }
 
 // Cancel implements policy.Host.
 func (e *Encoder) Cancel(id uint32, attempt int) {
-	e.begin(capturepb.Kind_CANCEL)
-	e.uint(fID, uint64(id))
-	e.uint(fAttempt, uint64(int64(attempt)))
-	e.end()
+	e.beginRecord(capturepb.Kind_CANCEL)
+	e.putUint(fID, uint64(id))
+	e.putUint(fAttempt, uint64(int64(attempt)))
+	e.endRecord()
 }
 
 // Timer implements policy.Host.
 func (e *Encoder) Timer(token uint64, delay policy.Micros) {
-	e.begin(capturepb.Kind_TIMER)
-	e.uint(fToken, token)
-	e.int(fSpan, delay)
-	e.end()
+	e.beginRecord(capturepb.Kind_TIMER)
+	e.putUint(fToken, token)
+	e.putInt(fSpan, delay)
+	e.endRecord()
 }
 
 // Count implements policy.Host.
 func (e *Encoder) Count(name uint64, amount float64, ttl policy.Micros) {
-	e.begin(capturepb.Kind_COUNT)
-	e.fixed(fName, e.hide(name, ofNames))
-	e.float(fAmount, amount)
-	e.int(fSpan, ttl)
-	e.end()
+	e.beginRecord(capturepb.Kind_COUNT)
+	e.putFixed64(fName, e.encryptID(name, counterTweak))
+	e.putFloat(fAmount, amount)
+	e.putInt(fSpan, ttl)
+	e.endRecord()
 }
--- a/capture/encoding_test.go
+++ b/capture/encoding_test.go
@@ -7,17 +7,17 @@
 	"foxwood/policy"
 )
 
-// kept is a taker that collects all records of an encoder.
-type kept struct{ raw []byte }
+// collectingSink is a blockSink that collects all records of an encoder.
+type collectingSink struct{ raw []byte }
 
-func (k *kept) take(b filled) []byte     { k.raw = append(k.raw, b.raw...); return nil }
-func (k *kept) wants(policy.Micros) bool { return true }
-func (k *kept) offer(b filled)           { k.raw = append(k.raw, b.raw...) }
+func (k *collectingSink) submit(b pendingBlock) []byte     { k.raw = append(k.raw, b.raw...); return nil }
+func (k *collectingSink) checkpointDue(policy.Micros) bool { return true }
+func (k *collectingSink) submitCheckpoint(b pendingBlock)  { k.raw = append(k.raw, b.raw...) }
 
 // TestRecordsKeepTheirEncoding compares a record of each kind with the golden file, so that
 // the stored format does not change by accident.
 func TestRecordsKeepTheirEncoding(t *testing.T) {
-	var to kept
+	var to collectingSink
 	e := newEncoder(&to, &Key{})
 	state := encoding.Filled[policy.Snapshot]()
 	e.Began(11, encoding.Filled[policy.Settings](), 12)
--- a/capture/extract.go
+++ b/capture/extract.go
@@ -21,87 +21,87 @@
 // or process start at or before the time from; if there is none, at the first one after
 // it. It returns the number of records copied.
 func CutOut(segments []Segment, key *Key, from, until policy.Micros, folder string) (int, error) {
-	start, err := beginning(segments, key, from)
+	start, err := startIndex(segments, key, from)
 	if err != nil {
 		return 0, err
 	}
-	w, err := newWriter(Options{Folder: folder, Name: "cut", Life: segments[0].Life, Key: *key})
+	writer, err := newBlockWriter(Options{Folder: folder, Name: "cut", Life: segments[0].Life, Key: *key})
 	if err != nil {
 		return 0, err
 	}
-	var b filled
-	var last policy.Micros
+	var block pendingBlock
+	var lastTime policy.Micros
 	flush := func() {
-		if b.records > 0 {
-			w.write(b)
-			b = filled{}
+		if block.records > 0 {
+			writer.write(block)
+			block = pendingBlock{}
 		}
 	}
 	set := NewSet(segments, key)
 	defer set.Close()
 	records := 0
-	for n := 0; ; n++ {
-		r, at, err := set.Next()
+	for index := 0; ; index++ {
+		record, at, err := set.Next()
 		var gap *Gap
-		var torn *Cut
+		var truncated *Cut
 		switch {
 		case errors.As(err, &gap):
-			n--
+			index--
 			if records > 0 {
 				flush()
-				w.lost += gap.Lost
+				writer.lost += gap.Lost
 			}
 			continue
-		case errors.As(err, &torn):
-			n--
+		case errors.As(err, &truncated):
+			index--
 			continue
 		case err != nil && !errors.Is(err, io.EOF):
 			return records, err
 		}
 		if err != nil || at > until {
 			flush()
-			w.end()
-			if failed := w.Stats.Errors.Load(); failed > 0 {
+			writer.endSegment()
+			if failed := writer.Stats.Errors.Load(); failed > 0 {
 				return records, fmt.Errorf("capture: %d writes to %s failed", failed, folder)
 			}
 			return records, nil
 		}
-		if n < start {
+		if index < start {
 			continue
 		}
-		if b.records == 0 {
-			b.first, last = at, at
+		if block.records == 0 {
+			block.firstTime, lastTime = at, at
 		}
-		r.After = at - last
-		last = at
-		text, err := proto.Marshal(r)
+		record.After = at - lastTime
+		lastTime = at
+		encoded, err := proto.Marshal(record)
 		if err != nil {
 			return records, fmt.Errorf("capture: %w", err)
 		}
-		b.raw = protowire.AppendBytes(b.raw, text)
-		b.records++
+		block.raw = protowire.AppendBytes(block.raw, encoded)
+		block.records++
 		records++
-		if r.GetKind() == capturepb.Kind_NAMED {
-			b.names = append(b.names, short([]byte(r.GetText())))
+		if record.GetKind() == capturepb.Kind_NAMED {
+			block.names = append(block.names, indexHash([]byte(record.GetText())))
 		}
-		if len(b.raw) >= blockMost {
+		if len(block.raw) >= maxBlockBytes {
 			flush()
 		}
 	}
 }
 
-// beginning returns the index of the record to start with.
-func beginning(segments []Segment, key *Key, from policy.Micros) (int, error) {
+// startIndex returns the index of the record to start with.
+func startIndex(segments []Segment, key *Key, from policy.Micros) (int, error) {
 	set := NewSet(segments, key)
 	defer set.Close()
 	start := -1
-	for n := 0; ; n++ {
-		r, at, err := set.Next()
+	for index := 0; ; index++ {
+		record, at, err := set.Next()
 		var gap *Gap
-		var torn *Cut
+		var truncated *Cut
 		switch {
-		case errors.As(err, &gap), errors.As(err, &torn):
-			n--
+		case errors.As(err, &gap), errors.As(err, &truncated):
+			index--
 			continue
 		case err != nil && !errors.Is(err, io.EOF):
 			return 0, err
@@ -112,8 +112,8 @@
 			}
 			return start, nil
 		}
-		if k := r.GetKind(); k == capturepb.Kind_BEGAN || k == capturepb.Kind_CHECKPOINT {
-			start = n
+		if k := record.GetKind(); k == capturepb.Kind_BEGAN || k == capturepb.Kind_CHECKPOINT {
+			start = index
 		}
 	}
 }
--- a/capture/format.go
+++ b/capture/format.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	magic   = "FOXCAP"
-	version = "02"
-	oldest  = "01" // oldest version that can be read: later ones only add fields
+	magic         = "FOXCAP"
+	version       = "02"
+	oldestVersion = "01" // oldest version that can be read: later ones only add fields
 
 	// Sizes in bytes. The header of a segment is followed by its own MAC.
-	segmentHead = len(magic) + len(version) + printSize + 8 + 4 + linkSize
-	blockSealed = 1 + 4 + 4 + 4 + 4 + 8 // the part of a block's header that its checksum and MAC cover
-	blockHead   = blockSealed + 8 + linkSize
+	segmentHeaderSize = len(magic) + len(version) + fingerprintSize + 8 + 4 + macSize
+	authenticatedSize = 1 + 4 + 4 + 4 + 4 + 8 // the part of a block's header that its checksum and MAC cover
+	blockHeaderSize   = authenticatedSize + 8 + macSize
 
 	// The kinds of blocks.
 	kindRecords = 1
 	kindEnd     = 2
 	kindIndex   = 3
 
-	payloadMost = 64 << 20 // largest payload of a block in bytes, compressed or not: a checkpoint may be large
+	maxPayload = 64 << 20 // largest payload of a block in bytes, compressed or not: a checkpoint may be large
 )
 
 // The errors that reading a capture may return, wrapped with details.
@@ -52,80 +52,80 @@
 	ErrSequence = errors.New("not the next segment of the capture")
 )
 
-// header is the header of a segment.
-type header struct {
-	print [printSize]byte
-	life  uint64
-	n     uint32 // number of the segment in its run, from 1
-	// before is the last MAC of the previous segment, zeros for the first segment.
-	before [linkSize]byte
+// segmentHeader is the header of a segment.
+type segmentHeader struct {
+	fingerprint [fingerprintSize]byte
+	runID       uint64
+	number      uint32 // number of the segment in its run, from 1
+	// previousMAC is the last MAC of the previous segment, zeros for the first segment.
+	previousMAC [macSize]byte
 }
 
-func (h *header) append(b []byte) []byte {
+func (h *segmentHeader) append(b []byte) []byte {
 	b = append(append(b, magic...), version...)
-	b = append(b, h.print[:]...)
-	b = binary.LittleEndian.AppendUint64(b, h.life)
-	b = binary.LittleEndian.AppendUint32(b, h.n)
-	return append(b, h.before[:]...)
+	b = append(b, h.fingerprint[:]...)
+	b = binary.LittleEndian.AppendUint64(b, h.runID)
+	b = binary.LittleEndian.AppendUint32(b, h.number)
+	return append(b, h.previousMAC[:]...)
 }
 
 // parse decodes the header of a segment, without its MAC.
-func (h *header) parse(b []byte) error {
-	if len(b) < segmentHead || string(b[:len(magic)]) != magic {
+func (h *segmentHeader) parse(b []byte) error {
+	if len(b) < segmentHeaderSize || string(b[:len(magic)]) != magic {
 		return ErrNotOne
 	}
 	b = b[len(magic):]
-	if v := string(b[:len(version)]); v < oldest || v > version {
-		return fmt.Errorf("format version %q, want %s to %s: %w", v, oldest, version, ErrVersion)
+	if v := string(b[:len(version)]); v < oldestVersion || v > version {
+		return fmt.Errorf("format version %q, want %s to %s: %w", v, oldestVersion, version, ErrVersion)
 	}
 	b = b[len(version):]
-	copy(h.print[:], b)
-	h.life = binary.LittleEndian.Uint64(b[printSize:])
-	h.n = binary.LittleEndian.Uint32(b[printSize+8:])
-	copy(h.before[:], b[printSize+8+4:])
+	copy(h.fingerprint[:], b)
+	h.runID = binary.LittleEndian.Uint64(b[fingerprintSize:])
+	h.number = binary.LittleEndian.Uint32(b[fingerprintSize+8:])
+	copy(h.previousMAC[:], b[fingerprintSize+8+4:])
 	return nil
 }
 
-// block is the header of a block.
-type block struct {
-	kind         byte
-	size, raw    uint32 // bytes of the payload, compressed and uncompressed
-	records      uint32
-	lost         uint32 // number of records lost before the block
-	first        int64  // time of the first record in microseconds; of an end block, the offset of the index block
-	sum          uint64
-	link, sealed []byte
+// blockHeader is the header of a block.
+type blockHeader struct {
+	kind                 byte
+	payloadSize, rawSize uint32 // bytes of the payload, compressed and uncompressed
+	records              uint32
+	lost                 uint32 // number of records lost before the block
+	first                int64  // time of the first record in microseconds; of an end block, the offset of the index block
+	checksum             uint64
+	mac, authenticated   []byte
 }
 
 // seal appends a block with its checksum and its MAC, and returns the result and the MAC.
-func (b *block) seal(out []byte, key *Key, before, payload []byte) (whole, link []byte) {
-	at := len(out)
+func (b *blockHeader) seal(out []byte, key *Key, previousMAC, payload []byte) (result, mac []byte) {
+	start := len(out)
 	out = append(out, b.kind)
-	for _, v := range [...]uint32{uint32(len(payload)), b.raw, b.records, b.lost} {
+	for _, v := range [...]uint32{uint32(len(payload)), b.rawSize, b.records, b.lost} {
 		out = binary.LittleEndian.AppendUint32(out, v)
 	}
 	out = binary.LittleEndian.AppendUint64(out, uint64(b.first))
-	sealed := out[at:]
-	link = key.link(before, sealed, payload)
-	out = binary.LittleEndian.AppendUint64(out, sum(sealed, payload))
-	out = append(append(out, link...), payload...)
-	return out, link
+	authenticated := out[start:]
+	mac = key.mac(previousMAC, authenticated, payload)
+	out = binary.LittleEndian.AppendUint64(out, checksum(authenticated, payload))
+	out = append(append(out, mac...), payload...)
+	return out, mac
 }
 
 // parse decodes the header of a block.
-func (b *block) parse(h []byte) {
-	b.kind, b.sealed = h[0], h[:blockSealed]
+func (b *blockHeader) parse(h []byte) {
+	b.kind, b.authenticated = h[0], h[:authenticatedSize]
 	u32 := func(i int) uint32 { return binary.LittleEndian.Uint32(h[1+4*i:]) }
-	b.size, b.raw, b.records, b.lost = u32(0), u32(1), u32(2), u32(3)
+	b.payloadSize, b.rawSize, b.records, b.lost = u32(0), u32(1), u32(2), u32(3)
 	b.first = int64(binary.LittleEndian.Uint64(h[17:]))
-	b.sum = binary.LittleEndian.Uint64(h[blockSealed:])
-	b.link = h[blockSealed+8 : blockHead]
+	b.checksum = binary.LittleEndian.Uint64(h[authenticatedSize:])
+	b.mac = h[authenticatedSize+8 : blockHeaderSize]
 }
 
-// sum returns the checksum of a block.
-func sum(sealed, payload []byte) uint64 {
+// checksum returns the checksum of a block.
+func checksum(authenticated, payload []byte) uint64 {
 	h := xxh3.New()
-	_, _ = h.Write(sealed) // never fails
+	_, _ = h.Write(authenticated) // never fails
 	_, _ = h.Write(payload)
 	return h.Sum64()
 }
--- a/capture/index.go
+++ b/capture/index.go
@@ -18,37 +18,37 @@
 // checkpoints. It is used only to find blocks: what is read from there is verified as usual.
 type Index struct{ pb *capturepb.Index }
 
-// short returns the hash by which an index stores a name. Hashes of different names may collide.
-func short(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
+// indexHash returns the hash by which an index stores a name. Hashes of different names may collide.
+func indexHash(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
-// shortID returns the hash by which an index stores a customer id.
-func shortID(id uint64) uint32 {
+// indexHashOfID returns the hash by which an index stores a customer id.
+func indexHashOfID(id uint64) uint32 {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(id >> (8 * i))
 	}
-	return short(b[:])
+	return indexHash(b[:])
 }
 
-// note adds a block to an index that is being built.
-func (x *Index) note(offset int64, b *filled) {
+// add adds a block to an index that is being built.
+func (x *Index) add(offset int64, b *pendingBlock) {
 	if x.pb == nil {
 		x.pb = &capturepb.Index{}
 	}
-	at := uint32(len(x.pb.Blocks))
-	x.pb.Blocks = append(x.pb.Blocks, &capturepb.IndexBlock{Offset: offset, First: b.first, Records: b.records, Checkpoint: b.state != nil})
+	block := uint32(len(x.pb.Blocks))
+	x.pb.Blocks = append(x.pb.Blocks, &capturepb.IndexBlock{Offset: offset, First: b.firstTime, Records: b.records, Checkpoint: b.checkpoint != nil})
 	for _, n := range b.names {
-		x.pb.Names, x.pb.NameBlocks = append(x.pb.Names, n), append(x.pb.NameBlocks, at)
+		x.pb.Names, x.pb.NameBlocks = append(x.pb.Names, n), append(x.pb.NameBlocks, block)
 	}
 	for _, c := range b.customers {
-		x.pb.Customers, x.pb.CustomerBlocks = append(x.pb.Customers, c), append(x.pb.CustomerBlocks, at)
+		x.pb.Customers, x.pb.CustomerBlocks = append(x.pb.Customers, c), append(x.pb.CustomerBlocks, block)
 	}
 }
 
 // blocksOf returns the blocks that may hold the request with a name.
 func (x *Index) blocksOf(name string) []int {
 	var all []int
-	want := short([]byte(name))
+	want := indexHash([]byte(name))
 	for i, n := range x.pb.GetNames() {
 		if n == want {
 			all = append(all, int(x.pb.GetNameBlocks()[i]))
@@ -68,7 +68,9 @@
 
 // HasCustomer reports whether a segment may hold requests of a customer, given the id as
 // it is stored in the capture, which is encrypted if the capture has a key.
-func (x *Index) HasCustomer(id uint64) bool { return slices.Contains(x.pb.GetCustomers(), shortID(id)) }
+func (x *Index) HasCustomer(id uint64) bool {
+	return slices.Contains(x.pb.GetCustomers(), indexHashOfID(id))
+}
 
 // checkpointBefore returns the last checkpoint at or before a block, or -1 if there is none.
 func (x *Index) checkpointBefore(block int) int {
@@ -95,9 +97,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	head := make([]byte, blockHead)
-	read := func(at int64) (b block, err error) {
-		if at < int64(segmentHead+linkSize) || at+int64(blockHead) > info.Size() {
+	head := make([]byte, blockHeaderSize)
+	read := func(at int64) (b blockHeader, err error) {
+		if at < int64(segmentHeaderSize+macSize) || at+int64(blockHeaderSize) > info.Size() {
 			return b, ErrNoIndex
 		}
 		if _, err := f.ReadAt(head, at); err != nil {
@@ -106,20 +108,20 @@
 		b.parse(head)
 		return b, nil
 	}
-	end, err := read(info.Size() - int64(blockHead))
-	if err != nil || end.kind != kindEnd || sum(end.sealed, nil) != end.sum {
+	end, err := read(info.Size() - int64(blockHeaderSize))
+	if err != nil || end.kind != kindEnd || checksum(end.authenticated, nil) != end.checksum {
 		return nil, ErrNoIndex
 	}
 	at := end.first
 	b, err := read(at)
-	if err != nil || b.kind != kindIndex || b.size > payloadMost || b.raw > payloadMost {
+	if err != nil || b.kind != kindIndex || b.payloadSize > maxPayload || b.rawSize > maxPayload {
 		return nil, ErrNoIndex
 	}
-	payload := make([]byte, b.size)
-	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHead), int64(b.size)), payload); err != nil || sum(b.sealed, payload) != b.sum {
+	payload := make([]byte, b.payloadSize)
+	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHeaderSize), int64(b.payloadSize)), payload); err != nil || checksum(b.authenticated, payload) != b.checksum {
 		return nil, ErrNoIndex
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(payloadMost))
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPayload))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
@@ -137,9 +139,9 @@
 
 // Place is a block of a segment at which reading can start.
 type Place struct {
-	Segment int   // index in the list of segments
-	Offset  int64 // bytes from the start of the segment, 0 for the segment's start
-	before  int64 // offset of the previous block, 0 if it is the first
+	Segment        int   // index in the list of segments
+	Offset         int64 // bytes from the start of the segment, 0 for the segment's start
+	previousOffset int64 // offset of the previous block, 0 if it is the first
 }
 
 // Locate finds where a replay has to start to reach the request with a name: at the last
@@ -148,12 +150,12 @@
 func Locate(segments []Segment, name string) (p Place, ok bool) {
 	indexes := make([]*Index, len(segments))
 	for i := len(segments) - 1; i >= 0; i-- {
-		x, err := ReadIndex(segments[i].File)
+		index, err := ReadIndex(segments[i].File)
 		if err != nil {
 			continue
 		}
-		indexes[i] = x
-		blocks := x.blocksOf(name)
+		indexes[i] = index
+		blocks := index.blocksOf(name)
 		if len(blocks) == 0 {
 			continue
 		}
@@ -166,7 +168,7 @@
 			if c := indexes[at].checkpointBefore(block); c >= 0 {
 				p := Place{Segment: at, Offset: indexes[at].pb.GetBlocks()[c].GetOffset()}
 				if c > 0 {
-					p.before = indexes[at].pb.GetBlocks()[c-1].GetOffset()
+					p.previousOffset = indexes[at].pb.GetBlocks()[c-1].GetOffset()
 				}
 				return p, true
 			}
@@ -180,24 +182,24 @@
 }
 
 // Skip makes a Set start at a place instead of at the start of its first segment.
-func (s *Set) Skip(p Place) { s.at, s.from = p.Segment, p }
+func (s *Set) Skip(p Place) { s.current, s.start = p.Segment, p }
 
 // seek moves a reader that has read its segment's header to a block. The block is
 // verified against the MAC of the block before it, which is read for this purpose.
 func (r *Reader) seek(f *os.File, p Place) error {
-	if p.before > 0 {
-		head := make([]byte, blockHead)
-		if _, err := f.ReadAt(head, p.before); err != nil {
+	if p.previousOffset > 0 {
+		head := make([]byte, blockHeaderSize)
+		if _, err := f.ReadAt(head, p.previousOffset); err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
-		var b block
+		var b blockHeader
 		b.parse(head)
-		r.link = b.link
+		r.mac = b.mac
 	}
 	if _, err := f.Seek(p.Offset, io.SeekStart); err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	r.in.Reset(f)
-	r.at = p.Offset
+	r.input.Reset(f)
+	r.offset = p.Offset
 	return nil
 }
--- a/capture/key.go
+++ b/capture/key.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	secretSize = 32          // bytes of a key file's secret
-	linkSize   = sha256.Size // bytes of a MAC
-	printSize  = 8           // bytes of a key's fingerprint
+	secretSize      = 32          // bytes of a key file's secret
+	macSize         = sha256.Size // bytes of a MAC
+	fingerprintSize = 8           // bytes of a key's fingerprint
 )
 
 // Key authenticates a capture and encrypts its customer ids and counter names. The zero
 // Key means no key: MACs then detect accidental damage but not deliberate changes, and ids
 // are stored unencrypted.
 type Key struct {
-	chain     []byte
-	customers []byte
-	print     [printSize]byte
+	macKey      []byte
+	idKey       []byte
+	fingerprint [fingerprintSize]byte
 }
 
 // NewKey derives a Key from a secret of 32 bytes, with HKDF (RFC 5869).
@@ -35,20 +35,20 @@
 		return Key{}, fmt.Errorf("capture: key has %d bytes, want %d", len(secret), secretSize)
 	}
 	var k Key
-	for _, part := range [...]struct {
+	for _, derived := range [...]struct {
 		info string
 		size int
 		to   func([]byte)
 	}{
-		{"foxwood capture chain", linkSize, func(b []byte) { k.chain = b }},
-		{"foxwood capture customers", linkSize, func(b []byte) { k.customers = b }},
-		{"foxwood capture fingerprint", printSize, func(b []byte) { copy(k.print[:], b) }},
+		{"foxwood capture chain", macSize, func(b []byte) { k.macKey = b }},
+		{"foxwood capture customers", macSize, func(b []byte) { k.idKey = b }},
+		{"foxwood capture fingerprint", fingerprintSize, func(b []byte) { copy(k.fingerprint[:], b) }},
 	} {
-		b, err := hkdf.Key(sha256.New, secret, nil, part.info, part.size)
+		b, err := hkdf.Key(sha256.New, secret, nil, derived.info, derived.size)
 		if err != nil {
 			return Key{}, fmt.Errorf("capture: key: %w", err)
 		}
-		part.to(b)
+		derived.to(b)
 	}
 	return k, nil
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return Key{}, fmt.Errorf("capture: key: %w", err)
 	}
-	if loose := info.Mode().Perm() & 0o077; loose != 0 {
+	if othersAccess := info.Mode().Perm() & 0o077; othersAccess != 0 {
 		return Key{}, fmt.Errorf("capture: key: %s has mode %04o, want access for its owner only: run chmod 600", file, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(file)
@@ -75,16 +75,16 @@
 }
 
 // Set reports whether k is a key, and not the zero Key.
-func (k *Key) Set() bool { return k.customers != nil }
+func (k *Key) Set() bool { return k.idKey != nil }
 
-// link returns the MAC of a block or a segment's header, chained to the previous MAC.
-func (k *Key) link(before []byte, parts ...[]byte) []byte {
-	secret := k.chain
+// mac returns the MAC of a block or a segment's header, chained to the previous MAC.
+func (k *Key) mac(previousMAC []byte, parts ...[]byte) []byte {
+	secret := k.macKey
 	if secret == nil {
-		secret = make([]byte, linkSize)
+		secret = make([]byte, macSize)
 	}
 	h := hmac.New(sha256.New, secret)
-	h.Write(before)
+	h.Write(previousMAC)
 	for _, p := range parts {
 		h.Write(p)
 	}
@@ -94,62 +94,62 @@
 // The tweaks of the id encryption, by which a customer id and an equal counter name are
 // encrypted differently.
 const (
-	ofCustomers = 0
-	ofNames     = 1
+	customerTweak = 0
+	counterTweak  = 1
 )
 
 const feistelRounds = 4
 
-// hide encrypts an id with a keyed permutation of 64-bit values, a Feistel network
+// encryptID encrypts an id with a keyed permutation of 64-bit values, a Feistel network
 // (M. Luby and C. Rackoff, 1988). Without a key it returns the id unchanged.
-func (k *Key) hide(id uint64, tweak byte) uint64 {
+func (k *Key) encryptID(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
 	for i := range byte(feistelRounds) {
-		l, r = r, l^k.round(i, tweak, r)
+		l, r = r, l^k.roundFunction(i, tweak, r)
 	}
 	return uint64(l)<<32 | uint64(r)
 }
 
-// show decrypts an id that hide encrypted.
-func (k *Key) show(id uint64, tweak byte) uint64 {
+// decryptID decrypts an id that encryptID encrypted.
+func (k *Key) decryptID(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
 	for i := range byte(feistelRounds) {
-		l, r = r^k.round(feistelRounds-1-i, tweak, l), l
+		l, r = r^k.roundFunction(feistelRounds-1-i, tweak, l), l
 	}
 	return uint64(l)<<32 | uint64(r)
 }
 
-// hideState returns a copy of a state with its customer ids and counter names encrypted.
-func (k *Key) hideState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.hide) }
+// encryptState returns a copy of a state with its customer ids and counter names encrypted.
+func (k *Key) encryptState(s policy.Snapshot) policy.Snapshot { return k.mapIDs(s, k.encryptID) }
 
-// showState decrypts the ids of a state that hideState encrypted.
-func (k *Key) showState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.show) }
+// decryptState decrypts the ids of a state that encryptState encrypted.
+func (k *Key) decryptState(s policy.Snapshot) policy.Snapshot { return k.mapIDs(s, k.decryptID) }
 
-// turn returns a copy of a state with its customer ids and counter names replaced by those
-// that the function by returns.
-func (k *Key) turn(s policy.Snapshot, by func(uint64, byte) uint64) policy.Snapshot {
+// mapIDs returns a copy of a state with its customer ids and counter names replaced by those
+// that replace returns.
+func (k *Key) mapIDs(s policy.Snapshot, replace func(uint64, byte) uint64) policy.Snapshot {
 	if !k.Set() {
 		return s
 	}
 	s.Clients, s.Draws = slices.Clone(s.Clients), slices.Clone(s.Draws)
 	for i := range s.Clients {
-		s.Clients[i].Key = by(s.Clients[i].Key, ofCustomers)
+		s.Clients[i].Key = replace(s.Clients[i].Key, customerTweak)
 	}
 	for i := range s.Draws {
-		s.Draws[i].Name = by(s.Draws[i].Name, ofNames)
+		s.Draws[i].Name = replace(s.Draws[i].Name, counterTweak)
 	}
 	return s
 }
 
-// round is the round function of the Feistel network.
-func (k *Key) round(n, tweak byte, half uint32) uint32 {
-	h := hmac.New(sha256.New, k.customers)
+// roundFunction is the round function of the Feistel network.
+func (k *Key) roundFunction(n, tweak byte, half uint32) uint32 {
+	h := hmac.New(sha256.New, k.idKey)
 	h.Write(binary.LittleEndian.AppendUint32([]byte{n, tweak}, half))
 	return binary.LittleEndian.Uint32(h.Sum(nil))
 }
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -39,12 +39,12 @@
 }
 
 const (
-	defaultSegment = 64 << 20 // bytes
-	defaultKept    = 1 << 30  // bytes
-	defaultApart   = 30 * time.Second
-	queued         = 16 // most blocks that wait for the disk, which hold one MiB
-	retryEvery     = time.Second
-	suffix         = ".fcap"
+	defaultSegmentBytes    = 64 << 20 // bytes
+	defaultTotalBytes      = 1 << 30  // bytes
+	defaultCheckpointEvery = 30 * time.Second
+	queueLength            = 16 // most blocks that wait for the disk, which hold one MiB
+	retryInterval          = time.Second
+	segmentSuffix          = ".fcap"
 )
 
 // Stats counts records, blocks and errors of a Writer. Lost counts the records that were
@@ -59,29 +59,29 @@
 	*Encoder
 	Stats Stats
 
-	options Options
-	blocks  chan filled
-	free    chan []byte // buffers for reuse
-	done    chan struct{}
-	dropped atomic.Uint32 // records dropped because the queue was full, not yet added to lost
-	due     policy.Micros // time of the next checkpoint; used by the event loop only
-	fresh   atomic.Bool   // the current segment has no checkpoint yet
+	options         Options
+	queue           chan pendingBlock
+	freeBuffers     chan []byte // buffers for reuse
+	done            chan struct{}
+	dropped         atomic.Uint32 // records dropped because the queue was full, not yet added to lost
+	nextCheckpoint  policy.Micros // time of the next checkpoint; used by the event loop only
+	needsCheckpoint atomic.Bool   // the current segment has no checkpoint yet
 
 	// Used by the writing goroutine only.
-	file    *os.File
-	n       uint32 // number of the segment
-	size    int64  // bytes of the segment
-	link    []byte // last MAC
-	index   Index
-	zstd    *zstd.Encoder
-	out     []byte
-	lost    uint32 // records lost since the last block that was written
-	retryAt time.Time
+	file       *os.File
+	segment    uint32 // number of the segment
+	size       int64  // bytes of the segment
+	mac        []byte // last MAC
+	index      Index
+	compressor *zstd.Encoder
+	buffer     []byte
+	lost       uint32 // records lost since the last block that was written
+	retryAt    time.Time
 }
 
 // NewWriter starts a capture in an existing folder.
 func NewWriter(o Options) (*Writer, error) {
-	w, err := newWriter(o)
+	w, err := newBlockWriter(o)
 	if err != nil {
 		return nil, err
 	}
@@ -90,32 +90,32 @@
 	return w, nil
 }
 
-// newWriter starts a capture without a goroutine and an Encoder: the caller writes blocks
+// newBlockWriter starts a capture without a goroutine and an Encoder: the caller writes blocks
 // by calling write.
-func newWriter(o Options) (*Writer, error) {
+func newBlockWriter(o Options) (*Writer, error) {
 	if o.SegmentMost <= 0 {
-		o.SegmentMost = defaultSegment
+		o.SegmentMost = defaultSegmentBytes
 	}
 	if o.KeptMost <= 0 {
-		o.KeptMost = defaultKept
+		o.KeptMost = defaultTotalBytes
 	}
 	if o.CheckpointEvery <= 0 {
-		o.CheckpointEvery = defaultApart
+		o.CheckpointEvery = defaultCheckpointEvery
 	}
-	w := &Writer{options: o, blocks: make(chan filled, queued), free: make(chan []byte, queued+1),
-		done: make(chan struct{}), link: make([]byte, linkSize)}
+	w := &Writer{options: o, queue: make(chan pendingBlock, queueLength), freeBuffers: make(chan []byte, queueLength+1),
+		done: make(chan struct{}), mac: make([]byte, macSize)}
 	var err error
-	if w.zstd, err = newZstd(); err != nil {
+	if w.compressor, err = newCompressor(); err != nil {
 		return nil, err
 	}
-	if err := w.rotate(); err != nil {
+	if err := w.startSegment(); err != nil {
 		return nil, err
 	}
 	return w, nil
 }
 
-// newZstd creates a compressor for speed, which runs in the calling goroutine.
-func newZstd() (*zstd.Encoder, error) {
+// newCompressor creates a compressor for speed, which runs in the calling goroutine.
+func newCompressor() (*zstd.Encoder, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -123,51 +123,51 @@
 	return e, nil
 }
 
-// take implements taker. It drops a block if the queue is full, and counts its records as
+// submit implements blockSink. It drops a block if the queue is full, and counts its records as
 // a gap before the next block that is queued.
-func (w *Writer) take(b filled) []byte {
+func (w *Writer) submit(b pendingBlock) []byte {
 	w.Stats.Records.Add(uint64(b.records))
 	if w.options.Patient {
-		w.blocks <- b
-		return make([]byte, 0, blockMost+blockMost/8)
+		w.queue <- b
+		return make([]byte, 0, maxBlockBytes+maxBlockBytes/8)
 	}
 	select {
-	case w.blocks <- b:
+	case w.queue <- b:
 	default:
 		w.dropped.Add(b.records)
 		w.Stats.Lost.Add(uint64(b.records))
 		return b.raw[:0]
 	}
 	select {
-	case raw := <-w.free:
+	case raw := <-w.freeBuffers:
 		return raw
 	default:
-		return make([]byte, 0, blockMost+blockMost/8)
+		return make([]byte, 0, maxBlockBytes+maxBlockBytes/8)
 	}
 }
 
-// wants implements taker.
-func (w *Writer) wants(now policy.Micros) bool {
+// checkpointDue implements blockSink.
+func (w *Writer) checkpointDue(now policy.Micros) bool {
 	switch {
-	case w.due == 0: // the first segment starts with the run and needs no checkpoint
-		w.fresh.Store(false)
-	case now < w.due && !w.fresh.Swap(false):
+	case w.nextCheckpoint == 0: // the first segment starts with the run and needs no checkpoint
+		w.needsCheckpoint.Store(false)
+	case now < w.nextCheckpoint && !w.needsCheckpoint.Swap(false):
 		return false
 	}
-	first := w.due == 0
-	w.due = now + w.options.CheckpointEvery.Microseconds()
+	first := w.nextCheckpoint == 0
+	w.nextCheckpoint = now + w.options.CheckpointEvery.Microseconds()
 	return !first
 }
 
-// offer implements taker. It drops the checkpoint if the queue is full. This is not a gap,
+// submitCheckpoint implements blockSink. It drops the checkpoint if the queue is full. This is not a gap,
 // since the records around it are complete.
-func (w *Writer) offer(b filled) {
+func (w *Writer) submitCheckpoint(b pendingBlock) {
 	if w.options.Patient {
-		w.blocks <- b
+		w.queue <- b
 		return
 	}
 	select {
-	case w.blocks <- b:
+	case w.queue <- b:
 	default:
 	}
 }
@@ -176,70 +176,70 @@
 // encoder must not be called after Close.
 func (w *Writer) Close() {
 	w.flush()
-	close(w.blocks)
+	close(w.queue)
 	<-w.done
 }
 
 // run writes the queued blocks until the queue is closed.
 func (w *Writer) run() {
 	defer close(w.done)
-	for b := range w.blocks {
+	for b := range w.queue {
 		// The dropped records may belong after some blocks that are still in the queue, so the
 		// gap may be reported too early. This does no harm: a replay stops at the gap in
 		// either case.
 		w.lost += w.dropped.Swap(0)
-		if b.state != nil {
-			b.raw = stateRecord(b.state, &w.options.Key)
+		if b.checkpoint != nil {
+			b.raw = encodeCheckpoint(b.checkpoint, &w.options.Key)
 			w.write(b)
 			continue
 		}
 		w.write(b)
 		select {
-		case w.free <- b.raw[:0]:
+		case w.freeBuffers <- b.raw[:0]:
 		default:
 		}
 	}
-	w.end()
+	w.endSegment()
 }
 
 // write writes one block. If this fails, the block's records count as lost, the segment is
-// left without an end block, and a new segment is started after retryEvery.
-func (w *Writer) write(b filled) {
+// left without an end block, and a new segment is started after retryInterval.
+func (w *Writer) write(b pendingBlock) {
 	if w.file == nil {
 		if time.Now().Before(w.retryAt) {
-			w.miss(b.records, nil)
+			w.recordLoss(b.records, nil)
 			return
 		}
-		if err := w.rotate(); err != nil {
-			w.miss(b.records, err)
+		if err := w.startSegment(); err != nil {
+			w.recordLoss(b.records, err)
 			return
 		}
 	}
-	payload := w.zstd.EncodeAll(b.raw, nil)
-	head := block{kind: kindRecords, raw: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.first)}
-	out, link := head.seal(w.out[:0], &w.options.Key, w.link, payload)
-	w.out = out
+	payload := w.compressor.EncodeAll(b.raw, nil)
+	head := blockHeader{kind: kindRecords, rawSize: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.firstTime)}
+	out, mac := head.seal(w.buffer[:0], &w.options.Key, w.mac, payload)
+	w.buffer = out
 	if _, err := w.file.Write(out); err != nil {
-		w.miss(b.records, err)
+		w.recordLoss(b.records, err)
 		return
 	}
-	w.index.note(w.size, &b)
-	w.link, w.lost = link, 0
+	w.index.add(w.size, &b)
+	w.mac, w.lost = mac, 0
 	w.size += int64(len(out))
 	w.Stats.Blocks.Add(1)
 	w.Stats.Bytes.Add(uint64(len(out)))
 	// A checkpoint does not end a segment: each new segment gets one, so checkpoints larger
 	// than SegmentMost would start one segment after the other.
-	if b.state == nil && w.size >= w.options.SegmentMost {
-		if w.end(); w.rotate() != nil {
-			w.retryAt = time.Now().Add(retryEvery)
+	if b.checkpoint == nil && w.size >= w.options.SegmentMost {
+		if w.endSegment(); w.startSegment() != nil {
+			w.retryAt = time.Now().Add(retryInterval)
 		}
 	}
 }
 
-// miss counts records that were not written. It logs err, which is nil if no attempt to
+// recordLoss counts records that were not written. It logs err, which is nil if no attempt to
 // write was made.
-func (w *Writer) miss(records uint32, err error) {
+func (w *Writer) recordLoss(records uint32, err error) {
 	w.lost += records
 	w.Stats.Lost.Add(uint64(records))
 	if err == nil {
@@ -251,102 +251,102 @@
 		_ = w.file.Close()
 		w.file = nil
 	}
-	w.retryAt = time.Now().Add(retryEvery)
+	w.retryAt = time.Now().Add(retryInterval)
 }
 
-// end completes the segment with its index and its end block.
-func (w *Writer) end() {
+// endSegment completes the segment with its index and its end block.
+func (w *Writer) endSegment() {
 	if w.file == nil {
 		return
 	}
-	at := w.size
-	out, link, err := w.sealIndex(w.out[:0])
-	head := block{kind: kindEnd, lost: w.lost, first: at}
+	indexOffset := w.size
+	out, mac, err := w.sealIndex(w.buffer[:0])
+	head := blockHeader{kind: kindEnd, lost: w.lost, first: indexOffset}
 	if err == nil {
-		out, link = head.seal(out, &w.options.Key, link, nil)
+		out, mac = head.seal(out, &w.options.Key, mac, nil)
 		_, err = w.file.Write(out)
 	}
-	if closed := w.file.Close(); err == nil {
-		err = closed
+	if closeErr := w.file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		w.Stats.Errors.Add(1)
 		slog.Error("capture: index and end block of a segment were not written", "error", err)
 	}
-	w.link, w.file, w.lost = link, nil, 0
+	w.mac, w.file, w.lost = mac, nil, 0
 }
 
 // sealIndex appends the segment's index as a block.
-func (w *Writer) sealIndex(out []byte) (whole, link []byte, err error) {
+func (w *Writer) sealIndex(out []byte) (result, mac []byte, err error) {
 	raw, err := proto.Marshal(w.index.pb)
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: encode the index: %w", err)
 	}
-	head := block{kind: kindIndex, raw: uint32(len(raw))}
-	whole, link = head.seal(out, &w.options.Key, w.link, w.zstd.EncodeAll(raw, nil))
-	return whole, link, nil
+	head := blockHeader{kind: kindIndex, rawSize: uint32(len(raw))}
+	result, mac = head.seal(out, &w.options.Key, w.mac, w.compressor.EncodeAll(raw, nil))
+	return result, mac, nil
 }
 
-// rotate starts a new segment and removes old ones.
-func (w *Writer) rotate() error {
+// startSegment starts a new segment and removes old ones.
+func (w *Writer) startSegment() error {
 	o := &w.options
-	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.n+1, suffix))
+	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.segment+1, segmentSuffix))
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	w.n++
-	h := header{print: o.Key.print, life: o.Life, n: w.n, before: [linkSize]byte(w.link)}
+	w.segment++
+	h := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.Life, number: w.segment, previousMAC: [macSize]byte(w.mac)}
 	head := h.append(nil)
-	link := o.Key.link(nil, head)
-	if _, err := f.Write(append(head, link...)); err != nil {
+	mac := o.Key.mac(nil, head)
+	if _, err := f.Write(append(head, mac...)); err != nil {
 		_ = f.Close()
 		return fmt.Errorf("capture: %w", err)
 	}
-	w.file, w.link, w.size = f, link, int64(segmentHead+linkSize)
+	w.file, w.mac, w.size = f, mac, int64(segmentHeaderSize+macSize)
 	w.index = Index{pb: &capturepb.Index{}}
-	w.fresh.Store(true)
-	w.prune(file)
+	w.needsCheckpoint.Store(true)
+	w.removeOldSegments(file)
 	return nil
 }
 
-// prune removes the oldest segments until all are within the limits of size and age. It
+// removeOldSegments removes the oldest segments until all are within the limits of size and age. It
 // never removes the current one.
-func (w *Writer) prune(current string) {
+func (w *Writer) removeOldSegments(current string) {
 	o := &w.options
-	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+suffix))
+	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+segmentSuffix))
 	if err != nil {
 		return
 	}
-	type kept struct {
+	type oldSegment struct {
 		file string
 		size int64
 		at   time.Time
 	}
-	var all []kept
-	sum := int64(0)
+	var oldSegments []oldSegment
+	total := int64(0)
 	for _, f := range files {
 		if info, err := os.Stat(f); err == nil && f != current {
-			all = append(all, kept{f, info.Size(), info.ModTime()})
-			sum += info.Size()
+			oldSegments = append(oldSegments, oldSegment{f, info.Size(), info.ModTime()})
+			total += info.Size()
 		}
 	}
-	slices.SortFunc(all, func(a, b kept) int {
+	slices.SortFunc(oldSegments, func(a, b oldSegment) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
 		return strings.Compare(a.file, b.file)
 	})
-	for _, k := range all {
-		old := o.AgeMost > 0 && time.Since(k.at) > o.AgeMost
-		if !old && sum+o.SegmentMost <= o.KeptMost {
+	for _, segment := range oldSegments {
+		expired := o.AgeMost > 0 && time.Since(segment.at) > o.AgeMost
+		if !expired && total+o.SegmentMost <= o.KeptMost {
 			return
 		}
-		if err := os.Remove(k.file); err != nil {
+		if err := os.Remove(segment.file); err != nil {
 			slog.Warn("capture: an old segment was not removed", "error", err)
 			return
 		}
-		sum -= k.size
+		total -= segment.size
 	}
 }
 
@@ -354,5 +354,5 @@
 func Life(now policy.Micros, seed uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
-	return uint64(now)<<12 ^ uint64(sum(nil, b[:])>>52)
+	return uint64(now)<<12 ^ uint64(checksum(nil, b[:])>>52)
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// link holds the running instances and the reply to the current frame.
-type link struct {
+// adapter holds the running instances and the reply to the current frame.
+type adapter struct {
 	gateways map[int]*policy.Gateway // by the simulator's number
 	current  int                     // the instance that the next records are for, -1 if none was named in the frame
 	reply    wire.Reply
@@ -32,7 +32,7 @@
 // serve answers each frame read from in with one written to out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	l := &link{gateways: map[int]*policy.Gateway{}}
+	a := &adapter{gateways: map[int]*policy.Gateway{}}
 	var frame []byte
 	for {
 		f, err := wire.ReadFrame(r, frame)
@@ -43,18 +43,18 @@
 			return err
 		}
 		frame = f
-		l.reply.Reset()
-		if err := l.batch(frame); err != nil {
+		a.reply.Reset()
+		if err := a.handleFrame(frame); err != nil {
 			return err
 		}
-		if _, err := out.Write(l.reply.Bytes()); err != nil {
+		if _, err := out.Write(a.reply.Bytes()); err != nil {
 			return err
 		}
 	}
 }
 
-// batch passes the records of one frame to their instances.
-func (l *link) batch(frame []byte) error {
+// handleFrame passes the records of one frame to their instances.
+func (l *adapter) handleFrame(frame []byte) error {
 	b, err := wire.NewBatch(frame)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	l.current = -1
 	for i := range b.Records {
 		code := b.U8()
-		if err := l.record(&b, code); err != nil {
+		if err := l.handleRecord(&b, code); err != nil {
 			return fmt.Errorf("record %d, code %d: %w", i, code, err)
 		}
 	}
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// record reads one record and calls the instance that it is for. A panic of the decision
+// handleRecord reads one record and calls the instance that it is for. A panic of the decision
 // module is reported as a DIE action.
-func (l *link) record(b *wire.Batch, code uint8) error {
+func (l *adapter) handleRecord(b *wire.Batch, code uint8) error {
 	if code == wire.CodeOn {
 		l.current = int(b.U16())
 		l.reply.On(l.current)
@@ -83,7 +83,7 @@
 	if l.current < 0 && b.Err() == nil {
 		return errors.New("want an ON record before the first event of a frame, got none")
 	}
-	call, err := l.read(b, code)
+	call, err := l.decodeCall(b, code)
 	if err == nil {
 		err = b.Err()
 	}
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// read decodes a record and returns the call of the decision module that it requires, or
+// decodeCall decodes a record and returns the call of the decision module that it requires, or
 // nil if it requires none.
-func (l *link) read(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
+func (l *adapter) decodeCall(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
 	now, host := b.Clock, &l.reply
 	var call func(*policy.Gateway)
 	switch code {
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -15,8 +15,8 @@
 	return append(b, body...)
 }
 
-// born returns an ON record of instance 1 and a BORN record with a settings text.
-func born(text string) []byte {
+// bornRecord returns an ON record of instance 1 and a BORN record with a settings text.
+func bornRecord(text string) []byte {
 	b := append([]byte{3, 0, 1, 0}, make([]byte, 8)...)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
@@ -40,7 +40,7 @@
 		"no instance":                 frame(1, 7, 0, 0, 0, 0, 0, 0, 0, 1),
 		"truncated record":            frame(2, 3, 0, 1, 7, 0, 0),
 		"bytes after the last record": frame(1, 3, 0, 1, 7),
-		"malformed settings":          frame(2, born("{")...),
+		"malformed settings":          frame(2, bornRecord("{")...),
 	} {
 		var out bytes.Buffer
 		if err := serve(bytes.NewReader(in), &out); err == nil || strings.TrimSpace(err.Error()) == "" {
@@ -51,9 +51,9 @@
 
 func TestBornStartsAndHaltStopsAnInstance(t *testing.T) {
 	var out bytes.Buffer
-	in := append(frame(2, born("{}")...), frame(3, 3, 0, 1, 5, 7)...)
+	in := append(frame(2, bornRecord("{}")...), frame(3, 3, 0, 1, 5, 7)...)
 	in = append(in[:len(in)-1], 7, 0, 0, 0, 0, 0, 0, 0, 0)
-	binary.BigEndian.PutUint32(in[len(frame(2, born("{}")...)):], uint32(12+13))
+	binary.BigEndian.PutUint32(in[len(frame(2, bornRecord("{}")...)):], uint32(12+13))
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/gatekeeper/clock.go
+++ b/gatekeeper/clock.go
@@ -11,10 +11,10 @@
 // have to agree on them. It never goes backwards: when the system clock is adjusted,
 // it runs up to a tenth faster or slower until the two agree.
 type Clock struct {
-	system func() (wall, running float64)
-	ran    float64
-	at     float64
-	fixed  bool
+	readSystem  func() (wall, running float64)
+	lastRunning float64
+	now         float64
+	fixed       bool
 }
 
 // slew is the largest correction towards the system clock, as a fraction of the
@@ -24,11 +24,11 @@
 // NewClock creates a clock that follows the system's wall clock.
 func NewClock() *Clock {
 	start := time.Now()
-	c := &Clock{system: func() (wall, running float64) {
+	c := &Clock{readSystem: func() (wall, running float64) {
 		now := time.Now()
 		return float64(now.UnixNano()) / 1e6, float64(now.Sub(start)) / 1e6
 	}}
-	c.at, c.ran = c.system()
+	c.now, c.lastRunning = c.readSystem()
 	return c
 }
 
@@ -37,29 +37,29 @@
 // of day and must not be affected by adjustments of the wall clock.
 func NewSteadyClock(at float64) *Clock {
 	start := time.Now()
-	c := &Clock{system: func() (wall, running float64) {
+	c := &Clock{readSystem: func() (wall, running float64) {
 		ran := float64(time.Since(start)) / 1e6
 		return at + ran, ran
 	}}
-	c.at, c.ran = c.system()
+	c.now, c.lastRunning = c.readSystem()
 	return c
 }
 
 // Now returns the time in milliseconds.
 func (c *Clock) Now() float64 {
 	if c.fixed {
-		return c.at
+		return c.now
 	}
-	wall, ran := c.system()
-	gone := ran - c.ran
-	c.ran = ran
-	c.at += gone
-	c.at += min(max(wall-c.at, -slew*gone), slew*gone)
-	return c.at
+	wall, running := c.readSystem()
+	elapsed := running - c.lastRunning
+	c.lastRunning = running
+	c.now += elapsed
+	c.now += min(max(wall-c.now, -slew*elapsed), slew*elapsed)
+	return c.now
 }
 
 // Set stops the clock at a time in milliseconds, for tests and simulations.
-func (c *Clock) Set(ms float64) { c.fixed, c.at = true, ms }
+func (c *Clock) Set(ms float64) { c.fixed, c.now = true, ms }
 
 // micros converts milliseconds to the decision module's microseconds. This package
 // calculates in milliseconds, and only micros and millis convert between the two.
--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -77,12 +77,12 @@
 	// Ran reports that an ended execution may have run on its worker.
 	Ran bool
 
-	id       uint32
-	deadline float64
-	tally    Tally // of its class, nil if the class is not counted
-	execs    []*Execution
-	open     int // executions without an outcome
-	over     bool
+	id             uint32
+	deadline       float64
+	tally          Tally // of its class, nil if the class is not counted
+	executions     []*Execution
+	openExecutions int // executions without an outcome
+	closed         bool
 }
 
 // Execution is one attempt of a request on a worker.
@@ -92,12 +92,12 @@
 	Timeout float64 // milliseconds
 	Slot    any     // reserved for the Fleet
 
-	n     int     // index of the attempt, from 0
-	began float64 // clock time in milliseconds
-	ended bool
-	wrote bool // completely written to the worker
+	attempt int     // index of the attempt, from 0
+	started float64 // clock time in milliseconds
+	ended   bool
+	written bool // completely written to the worker
 
-	filling bool // it was started before the request's last byte had arrived
+	bodyPending bool // it was started before the request's last byte had arrived
 }
 
 // End is how a request ended for its client.
@@ -135,36 +135,36 @@
 	Amount float64
 	Life   float64 // time to live of a counter that the call creates, in milliseconds
 
-	began  float64 // clock time in milliseconds
-	ended  bool
-	status policy.Status
-	total  float64
-	took   policy.Micros
+	started float64 // clock time in milliseconds
+	ended   bool
+	status  policy.Status
+	total   float64
+	latency policy.Micros
 }
 
 // Gatekeeper holds the requests, executions and timers of one load balancer instance.
 type Gatekeeper struct {
-	clock   *Clock
-	decide  Module
-	fleet   Fleet
-	counter Counter
-	wake    func(at float64)
-
-	requests map[uint32]*Request
-	names    map[string]bool // names of the open requests that have one
-	lastID   uint32
-	counts   map[uint64][]*Count // calls not yet reported to the module, by counter name, in the order of their start
-	timers   timers
-	wokenAt  float64 // time of the latest wake-up that was asked for, 0 for none
-	patience float64 // timeout of counter calls in milliseconds
-	classes  []policy.Class
-	recorder Recorder
-	meter    Meter
-	beside   func(policy.Draw) // reports quota draws to another process of this gatekeeper; nil if there is none
-	booked   map[uint32]bool   // requests whose draws the other process knows from the handover snapshot
-	deciding bool
-	waiting  []func()               // events that arrived during a decision
-	known    map[policy.Server]bool // the listed workers, and whether each is ready
+	clock         *Clock
+	module        Module
+	fleet         Fleet
+	counter       Counter
+	requestWakeUp func(at float64)
+
+	requests        map[uint32]*Request
+	openNames       map[string]bool // names of the open requests that have one
+	lastID          uint32
+	pendingCalls    map[uint64][]*Count // calls not yet reported to the module, by counter name, in the order of their start
+	timers          timers
+	wakeUpAt        float64 // time of the latest wake-up that was asked for, 0 for none
+	counterTimeout  float64 // timeout of counter calls in milliseconds
+	classes         []policy.Class
+	recorder        Recorder
+	meter           Meter
+	reportDraw      func(policy.Draw) // reports quota draws to another process of this gatekeeper; nil if there is none
+	drawnInSnapshot map[uint32]bool   // requests whose draws the other process knows from the handover snapshot
+	deciding        bool
+	queuedEvents    []func()               // events that arrived during a decision
+	workers         map[policy.Server]bool // the listed workers, and whether each is ready
 
 	slowStart bool // sends to cold workers are counted from when they are written
 }
@@ -195,65 +195,65 @@
 // New creates a gatekeeper and starts its decision module.
 func New(c Config) *Gatekeeper {
 	g := &Gatekeeper{
-		clock: c.Clock, decide: module(c), fleet: c.Fleet, counter: c.Counter, wake: c.Wake,
-		requests: map[uint32]*Request{}, names: map[string]bool{}, known: map[policy.Server]bool{}, counts: map[uint64][]*Count{},
-		patience: millis(c.Settings.CounterTimeout), classes: c.Settings.Classes, recorder: c.Recorder, meter: c.Meter,
+		clock: c.Clock, module: newModule(c), fleet: c.Fleet, counter: c.Counter, requestWakeUp: c.Wake,
+		requests: map[uint32]*Request{}, openNames: map[string]bool{}, workers: map[policy.Server]bool{}, pendingCalls: map[uint64][]*Count{},
+		counterTimeout: millis(c.Settings.CounterTimeout), classes: c.Settings.Classes, recorder: c.Recorder, meter: c.Meter,
 		slowStart: c.Settings.ColdSends != nil,
 	}
-	if g.patience <= 0 {
-		g.patience = 50 // default for settings without a timeout
+	if g.counterTimeout <= 0 {
+		g.counterTimeout = 50 // default for settings without a timeout
 	}
-	g.enter(func(now policy.Micros) { g.decide.Start(now, g) })
+	g.dispatch(func(now policy.Micros) { g.module.Start(now, g) })
 	if e := c.Earlier; e != nil {
-		g.enter(func(now policy.Micros) {
+		g.dispatch(func(now policy.Micros) {
 			e.State.Now = min(e.State.Now, now) // the other process's clock may be slightly ahead
-			g.decide.Recover(now, g, e.State, e.Exact)
+			g.module.Recover(now, g, e.State, e.Exact)
 			if e.Still {
-				g.decide.Joined(e.State)
+				g.module.Joined(e.State)
 			}
 		})
 	}
 	return g
 }
 
-// module creates the decision module, wrapped in the recorder if there is one.
-func module(c Config) Module {
+// newModule creates the decision module, wrapped in the recorder if there is one.
+func newModule(c Config) Module {
 	if c.Recorder != nil {
-		return newRecorded(c.Settings, c.Seed, c.Recorder)
+		return newRecordedModule(c.Settings, c.Seed, c.Recorder)
 	}
 	return policy.New(c.Settings, c.Seed)
 }
 
-// enter passes one event to the decision module. An event that a transport or front
+// dispatch passes one event to the decision module. An event that a transport or front
 // end reports during a decision is queued until that decision is complete, since the
 // module is not reentrant.
-func (g *Gatekeeper) enter(event func(now policy.Micros)) {
+func (g *Gatekeeper) dispatch(event func(now policy.Micros)) {
 	if g.deciding {
-		g.waiting = append(g.waiting, func() { event(micros(g.clock.Now())) })
+		g.queuedEvents = append(g.queuedEvents, func() { event(micros(g.clock.Now())) })
 		return
 	}
 	g.deciding = true
 	event(micros(g.clock.Now()))
-	for len(g.waiting) > 0 {
-		next := g.waiting
-		g.waiting = nil
-		for _, event := range next {
+	for len(g.queuedEvents) > 0 {
+		events := g.queuedEvents
+		g.queuedEvents = nil
+		for _, event := range events {
 			event()
 		}
 	}
 	g.deciding = false
-	g.rewake()
+	g.scheduleWakeUp()
 }
 
-// rewake requests a wake-up for the earliest timer that is still needed. Dropping
+// scheduleWakeUp requests a wake-up for the earliest timer that is still needed. Dropping
 // the others avoids a wake-up for every execution that ended long before its timeout.
-func (g *Gatekeeper) rewake() {
-	for len(g.timers.heap) > 0 && g.timers.heap[0].over() {
-		g.timers.pop(g.timers.heap[0].at)
+func (g *Gatekeeper) scheduleWakeUp() {
+	for len(g.timers.heap) > 0 && g.timers.heap[0].ended() {
+		g.timers.pop(g.timers.heap[0].due)
 	}
-	if len(g.timers.heap) > 0 && g.timers.heap[0].at != g.wokenAt {
-		g.wokenAt = g.timers.heap[0].at
-		g.wake(g.wokenAt)
+	if len(g.timers.heap) > 0 && g.timers.heap[0].due != g.wakeUpAt {
+		g.wakeUpAt = g.timers.heap[0].due
+		g.requestWakeUp(g.wakeUpAt)
 	}
 }
 
@@ -262,10 +262,10 @@
 // mistake the two for one request that is sent twice.
 func (g *Gatekeeper) Take(r *Request) bool {
 	if r.Name != "" {
-		if g.names[r.Name] {
+		if g.openNames[r.Name] {
 			return false
 		}
-		g.names[r.Name] = true
+		g.openNames[r.Name] = true
 	}
 	if g.meter != nil {
 		r.tally = g.meter.Class(r.Class)
@@ -280,12 +280,12 @@
 	if g.recorder != nil && r.Name != "" {
 		g.recorder.Named(r.id, r.Name)
 	}
-	g.enter(func(now policy.Micros) {
-		if r.over { // the client disconnected while the event was queued
+	g.dispatch(func(now policy.Micros) {
+		if r.closed { // the client disconnected while the event was queued
 			return
 		}
 		left := micros(r.deadline - g.clock.Now())
-		g.decide.Request(now, g, policy.Request{
+		g.module.Request(now, g, policy.Request{
 			ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Left: left,
 			Units: r.Units, Spread: r.Spread, Again: r.Again, Filling: r.Filling, Homes: r.Homes,
 		})
@@ -295,18 +295,18 @@
 
 // Gone reports that a request's client has disconnected. The request gets no answer.
 func (g *Gatekeeper) Gone(r *Request) {
-	if r.over {
+	if r.closed {
 		return
 	}
-	g.finish(r)
-	g.enter(func(now policy.Micros) { g.decide.ClientGone(now, g, r.id) })
+	g.closeRequest(r)
+	g.dispatch(func(now policy.Micros) { g.module.ClientGone(now, g, r.id) })
 }
 
 // Open returns the number of requests without a final answer.
 func (g *Gatekeeper) Open() int {
 	n := 0
 	for _, r := range g.requests {
-		if !r.over {
+		if !r.closed {
 			n++
 		}
 	}
@@ -326,23 +326,23 @@
 	r.Ran = r.Ran || o.Status != policy.Full && o.Status != policy.ConnectFailed && o.Status != policy.Moot
 	served := o.Status == policy.OK
 	if o.Status == policy.Failed && o.Answer.Status != 0 {
-		r.keep(o.Answer)
+		r.keepError(o.Answer)
 	}
-	over := r.over || served
-	if served && !r.over {
-		g.settle(x, o)
-		g.end(r, Completed)
+	over := r.closed || served
+	if served && !r.closed {
+		g.reportSettlement(x, o)
+		g.complete(r, Completed)
 		r.Caller.Served(r, o.Answer)
 	}
-	g.outcome(x, o, over)
+	g.reportOutcome(x, o, over)
 }
 
-// lastMost is the longest body, in bytes, of an error response that Request.Last keeps.
-const lastMost = 64 << 10
+// maxErrorBody is the longest body, in bytes, of an error response that Request.Last keeps.
+const maxErrorBody = 64 << 10
 
-// keep stores a copy of an error response, which is valid only during the call.
-func (r *Request) keep(a Answer) {
-	if r.Last = nil; len(a.Body) <= lastMost {
+// keepError stores a copy of an error response, which is valid only during the call.
+func (r *Request) keepError(a Answer) {
+	if r.Last = nil; len(a.Body) <= maxErrorBody {
 		r.Last = &Answer{Status: a.Status, Head: slices.Clone(a.Head), Body: slices.Clone(a.Body)}
 	}
 }
@@ -355,35 +355,37 @@
 	if c.ended {
 		return
 	}
-	c.ended, c.status, c.total, c.took = true, status, total, micros(g.clock.Now()-c.began)
-	for list := g.counts[c.Name]; len(list) > 0 && list[0].ended; list = g.counts[c.Name] {
-		first := list[0]
-		if g.counts[c.Name] = list[1:]; len(list) == 1 {
-			delete(g.counts, c.Name)
+	c.ended, c.status, c.total, c.latency = true, status, total, micros(g.clock.Now()-c.started)
+	for calls := g.pendingCalls[c.Name]; len(calls) > 0 && calls[0].ended; calls = g.pendingCalls[c.Name] {
+		first := calls[0]
+		if g.pendingCalls[c.Name] = calls[1:]; len(calls) == 1 {
+			delete(g.pendingCalls, c.Name)
 		}
-		g.enter(func(now policy.Micros) { g.decide.Counted(now, g, first.Name, first.took, first.status, first.total) })
+		g.dispatch(func(now policy.Micros) {
+			g.module.Counted(now, g, first.Name, first.latency, first.status, first.total)
+		})
 	}
 }
 
 // Workers updates the worker list, with a full list or with changes to it.
 func (g *Gatekeeper) Workers(kind policy.ListKind, entries []policy.Entry) {
-	before := maps.Clone(g.known)
+	before := maps.Clone(g.workers)
 	if kind != policy.Delta {
-		g.known = map[policy.Server]bool{}
+		g.workers = map[policy.Server]bool{}
 	}
 	for _, e := range entries {
-		if g.known[e.Server] = e.State == policy.Ready; e.State == policy.Gone {
-			delete(g.known, e.Server)
+		if g.workers[e.Server] = e.State == policy.Ready; e.State == policy.Gone {
+			delete(g.workers, e.Server)
 		}
 	}
 	var released []policy.Server
-	for id, was := range before {
-		if was && !g.known[id] {
+	for id, wasReady := range before {
+		if wasReady && !g.workers[id] {
 			released = append(released, id)
 		}
 	}
-	for id, ready := range g.known {
-		if _, was := before[id]; !ready && !was {
+	for id, ready := range g.workers {
+		if _, wasReady := before[id]; !ready && !wasReady {
 			released = append(released, id)
 		}
 	}
@@ -391,14 +393,14 @@
 	for _, id := range released {
 		g.fleet.Release(id)
 	}
-	g.enter(func(now policy.Micros) { g.decide.Servers(now, g, kind, entries) })
+	g.dispatch(func(now policy.Micros) { g.module.Servers(now, g, kind, entries) })
 }
 
 // SetClasses replaces the table of request classes. Requests accepted before keep the
 // terms that applied when they were accepted.
 func (g *Gatekeeper) SetClasses(classes []policy.Class) {
 	g.classes = classes
-	g.enter(func(now policy.Micros) { g.decide.SetClasses(now, g, classes) })
+	g.dispatch(func(now policy.Micros) { g.module.SetClasses(now, g, classes) })
 }
 
 // Class returns the terms of a request class, or the zero value for an unknown class.
@@ -410,53 +412,53 @@
 }
 
 // Hand makes a snapshot for another process of this gatekeeper that will run in
-// parallel with this one, and reports all further quota draws to tell.
-func (g *Gatekeeper) Hand(tell func(policy.Draw)) policy.Snapshot {
-	s := g.decide.Snapshot()
-	g.booked = map[uint32]bool{}
+// parallel with this one, and passes all further quota draws to report.
+func (g *Gatekeeper) Hand(report func(policy.Draw)) policy.Snapshot {
+	s := g.module.Snapshot()
+	g.drawnInSnapshot = map[uint32]bool{}
 	for _, id := range s.Handed() {
-		g.booked[id] = true
+		g.drawnInSnapshot[id] = true
 	}
-	g.beside = tell
+	g.reportDraw = report
 	return s
 }
 
-// Tell reports all further quota draws to tell. If tell is nil, it stops the reports.
-func (g *Gatekeeper) Tell(tell func(policy.Draw)) {
-	if g.beside = tell; tell == nil {
-		g.booked = nil
+// Tell passes all further quota draws to report. If report is nil, it stops doing so.
+func (g *Gatekeeper) Tell(report func(policy.Draw)) {
+	if g.reportDraw = report; report == nil {
+		g.drawnInSnapshot = nil
 	}
 }
 
 // Beside records a quota draw of another process of this gatekeeper.
 func (g *Gatekeeper) Beside(d policy.Draw) {
-	g.enter(func(now policy.Micros) { g.decide.Beside(now, d) })
+	g.dispatch(func(now policy.Micros) { g.module.Beside(now, d) })
 }
 
-// draw reports an execution that starts to the other process of this gatekeeper. Only
+// reportExecutionDraw reports an execution that starts to the other process of this gatekeeper. Only
 // the first execution of a request draws units.
-func (g *Gatekeeper) draw(r *Request, x *Execution) {
+func (g *Gatekeeper) reportExecutionDraw(r *Request, x *Execution) {
 	d := policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Server: x.Worker}
-	if x.n == 0 && !g.booked[r.id] {
+	if x.attempt == 0 && !g.drawnInSnapshot[r.id] {
 		d.Units = r.Units
 	}
-	g.beside(d)
+	g.reportDraw(d)
 }
 
 // Standings returns the decision module's view of each worker, and how many
 // executions it allows at the same time.
 func (g *Gatekeeper) Standings() ([]policy.Standing, float64) {
-	return g.decide.Standings(micros(g.clock.Now()))
+	return g.module.Standings(micros(g.clock.Now()))
 }
 
 // Sightings returns what the decision module has observed of workers since the last call.
 func (g *Gatekeeper) Sightings() []policy.Sighting {
-	return g.decide.Sightings(micros(g.clock.Now()))
+	return g.module.Sightings(micros(g.clock.Now()))
 }
 
 // Believe passes the decision module what the zone's gatekeepers assume about workers.
-func (g *Gatekeeper) Believe(of map[policy.Server]policy.Belief) {
-	g.enter(func(now policy.Micros) { g.decide.Believe(now, g, of) })
+func (g *Gatekeeper) Believe(beliefs map[policy.Server]policy.Belief) {
+	g.dispatch(func(now policy.Micros) { g.module.Believe(now, g, beliefs) })
 }
 
 // Ready reports whether at least one worker is ready.
@@ -466,21 +468,21 @@
 }
 
 // Load returns the decision module's current amount of work.
-func (g *Gatekeeper) Load() policy.Load { return g.decide.Load() }
+func (g *Gatekeeper) Load() policy.Load { return g.module.Load() }
 
 // Size returns how many workers are ready and how many are listed.
 func (g *Gatekeeper) Size() (ready, listed int) {
-	for _, r := range g.known {
+	for _, r := range g.workers {
 		if r {
 			ready++
 		}
 	}
-	return ready, len(g.known)
+	return ready, len(g.workers)
 }
 
 // Advance processes all timers that are due.
 func (g *Gatekeeper) Advance() {
-	g.wokenAt = 0
+	g.wakeUpAt = 0
 	now := g.clock.Now()
 	for {
 		t, ok := g.timers.pop(now)
@@ -488,20 +490,20 @@
 			break
 		}
 		switch {
-		case t.exec != nil:
-			g.timeOut(t.exec)
-		case t.count != nil:
-			g.Counted(t.count, policy.Timeout, 0)
+		case t.execution != nil:
+			g.expire(t.execution)
+		case t.counterCall != nil:
+			g.Counted(t.counterCall, policy.Timeout, 0)
 		default:
-			g.enter(func(now policy.Micros) { g.decide.Timer(now, g, t.token) })
+			g.dispatch(func(now policy.Micros) { g.module.Timer(now, g, t.token) })
 		}
 	}
-	g.rewake()
+	g.scheduleWakeUp()
 }
 
-// timeOut ends an execution whose timeout has expired. If it had not been completely
+// expire ends an execution whose timeout has expired. If it had not been completely
 // sent, the worker counts as unreachable.
-func (g *Gatekeeper) timeOut(x *Execution) {
+func (g *Gatekeeper) expire(x *Execution) {
 	if x.ended {
 		return
 	}
@@ -515,46 +517,46 @@
 // Wrote reports that the last byte of an execution has been written to its worker.
 // Transports that can't observe this need not call it, since an outcome implies it.
 func (g *Gatekeeper) Wrote(x *Execution) {
-	if x.wrote {
+	if x.written {
 		return
 	}
-	x.wrote = true
-	if x.filling { // a worker starts its work when it has the last byte
-		x.began = g.clock.Now()
+	x.written = true
+	if x.bodyPending { // a worker starts its work when it has the last byte
+		x.started = g.clock.Now()
 	}
 	if g.meter != nil {
 		g.meter.Wrote()
 	}
 	if g.slowStart {
-		g.enter(func(now policy.Micros) { g.decide.Left(now, x.Request.id, x.n) })
+		g.dispatch(func(now policy.Micros) { g.module.Left(now, x.Request.id, x.attempt) })
 	}
 }
 
 // MayLeave reports whether an execution that waited for a connection may still be
 // written to its worker.
 func (g *Gatekeeper) MayLeave(x *Execution) bool {
-	return !g.slowStart || g.decide.MayLeave(micros(g.clock.Now()), x.Request.id, x.n)
+	return !g.slowStart || g.module.MayLeave(micros(g.clock.Now()), x.Request.id, x.attempt)
 }
 
 // Filled reports that the last byte of a request has arrived, after the request was accepted.
 func (g *Gatekeeper) Filled(r *Request) {
-	if r.over || !r.Filling {
+	if r.closed || !r.Filling {
 		return
 	}
 	r.Filling = false
 	r.deadline = g.clock.Now() + r.Left
-	for _, x := range r.execs {
+	for _, x := range r.executions {
 		if !x.ended {
-			g.timers.push(timer{at: r.deadline, exec: x})
+			g.timers.push(timer{due: r.deadline, execution: x})
 		}
 	}
-	g.enter(func(now policy.Micros) { g.decide.Filled(now, r.id) })
+	g.dispatch(func(now policy.Micros) { g.module.Filled(now, r.id) })
 }
 
 // Progress reports that bytes of an execution were sent or received.
 func (g *Gatekeeper) Progress(x *Execution) {
 	if !x.ended {
-		g.enter(func(now policy.Micros) { g.decide.Progress(now, x.Worker) })
+		g.dispatch(func(now policy.Micros) { g.module.Progress(now, x.Worker) })
 	}
 }
 
@@ -562,63 +564,63 @@
 // the caller. From now on no other execution can serve the request, so the decision
 // module gets the outcome of this one as final. Finish must follow.
 func (g *Gatekeeper) Begun(x *Execution, o Outcome) {
-	if x.ended || x.Request.over {
+	if x.ended || x.Request.closed {
 		return
 	}
-	g.settle(x, o)
+	g.reportSettlement(x, o)
 	x.ended = true
 	g.Wrote(x)
-	g.outcome(x, o, true)
+	g.reportOutcome(x, o, true)
 }
 
 // Finish ends a request whose answer was streamed, completely or not.
 func (g *Gatekeeper) Finish(r *Request, end End) {
-	if !r.over {
-		g.end(r, end)
+	if !r.closed {
+		g.complete(r, end)
 	}
 }
 
-// settle reports the difference between the actual and the estimated units of a served
+// reportSettlement reports the difference between the actual and the estimated units of a served
 // request to the other process of this gatekeeper.
-func (g *Gatekeeper) settle(x *Execution, o Outcome) {
-	if r := x.Request; g.beside != nil && o.Units > 0 {
-		g.beside(policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Units: o.Units - r.Units, Settles: true})
+func (g *Gatekeeper) reportSettlement(x *Execution, o Outcome) {
+	if r := x.Request; g.reportDraw != nil && o.Units > 0 {
+		g.reportDraw(policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Units: o.Units - r.Units, Settles: true})
 	}
 }
 
-// outcome reports to the decision module how an execution ended.
-func (g *Gatekeeper) outcome(x *Execution, o Outcome, over bool) {
-	r, latency := x.Request, micros(g.clock.Now()-x.began)
-	g.enter(func(now policy.Micros) {
-		g.decide.Outcome(now, g, policy.Outcome{
-			ID: r.id, Latency: latency, Terminal: over || r.over, Spent: r.Spent, Status: o.Status, Settled: o.Units,
-			Attempt: x.n, Server: x.Worker, Load: o.Load,
+// reportOutcome reports to the decision module how an execution ended.
+func (g *Gatekeeper) reportOutcome(x *Execution, o Outcome, over bool) {
+	r, latency := x.Request, micros(g.clock.Now()-x.started)
+	g.dispatch(func(now policy.Micros) {
+		g.module.Outcome(now, g, policy.Outcome{
+			ID: r.id, Latency: latency, Terminal: over || r.closed, Spent: r.Spent, Status: o.Status, Settled: o.Units,
+			Attempt: x.attempt, Server: x.Worker, Load: o.Load,
 		})
-		r.open--
-		g.forget(r)
+		r.openExecutions--
+		g.removeIfUnused(r)
 	})
 }
 
-// end counts how a request ended and closes it. Every request that gets a final answer
+// complete counts how a request ended and closes it. Every request that gets a final answer
 // passes through here.
-func (g *Gatekeeper) end(r *Request, end End) {
+func (g *Gatekeeper) complete(r *Request, end End) {
 	if r.tally != nil {
 		r.tally.Ended(end)
 	}
-	g.finish(r)
+	g.closeRequest(r)
 }
 
-// finish closes a request, with or without an answer.
-func (g *Gatekeeper) finish(r *Request) {
-	r.over = true
-	delete(g.names, r.Name)
-	g.forget(r)
+// closeRequest closes a request, with or without an answer.
+func (g *Gatekeeper) closeRequest(r *Request) {
+	r.closed = true
+	delete(g.openNames, r.Name)
+	g.removeIfUnused(r)
 }
 
-// forget removes a closed request from the table once it has no open executions. The
+// removeIfUnused removes a closed request from the table once it has no open executions. The
 // decision module may still cancel these, and needs the request for that.
-func (g *Gatekeeper) forget(r *Request) {
-	if r.over && r.open == 0 {
+func (g *Gatekeeper) removeIfUnused(r *Request) {
+	if r.closed && r.openExecutions == 0 {
 		delete(g.requests, r.id)
 	}
 }
@@ -629,33 +631,33 @@
 	if r == nil {
 		return
 	}
-	x := &Execution{Request: r, Worker: worker, Timeout: millis(timeout), n: len(r.execs), began: g.clock.Now()}
+	x := &Execution{Request: r, Worker: worker, Timeout: millis(timeout), attempt: len(r.executions), started: g.clock.Now()}
 	if timeout == 0 {
-		x.Timeout = r.deadline - x.began
+		x.Timeout = r.deadline - x.started
 	}
-	r.execs = append(r.execs, x)
-	r.open++
-	if x.filling = r.Filling; !x.filling { // otherwise Filled sets the timer
-		g.timers.push(timer{at: x.began + x.Timeout, exec: x})
+	r.executions = append(r.executions, x)
+	r.openExecutions++
+	if x.bodyPending = r.Filling; !x.bodyPending { // otherwise Filled sets the timer
+		g.timers.push(timer{due: x.started + x.Timeout, execution: x})
 	}
-	if g.beside != nil {
-		g.draw(r, x)
+	if g.reportDraw != nil {
+		g.reportExecutionDraw(r, x)
 	}
 	g.fleet.Execute(x)
 }
 
 // Refuse implements policy.Host. It answers a request with a refusal.
 func (g *Gatekeeper) Refuse(id uint32, retryAfter policy.Micros) {
-	if r := g.requests[id]; r != nil && !r.over {
-		g.end(r, Rejected)
+	if r := g.requests[id]; r != nil && !r.closed {
+		g.complete(r, Rejected)
 		r.Caller.Throttled(r, millis(retryAfter))
 	}
 }
 
 // Fail implements policy.Host. It answers a request with a failure.
 func (g *Gatekeeper) Fail(id uint32) {
-	if r := g.requests[id]; r != nil && !r.over {
-		g.end(r, Failed)
+	if r := g.requests[id]; r != nil && !r.closed {
+		g.complete(r, Failed)
 		r.Caller.Failed(r)
 	}
 }
@@ -663,10 +665,10 @@
 // Cancel implements policy.Host. It stops an execution.
 func (g *Gatekeeper) Cancel(id uint32, attempt int) {
 	r := g.requests[id]
-	if r == nil || attempt < 0 || attempt >= len(r.execs) || r.execs[attempt].ended {
+	if r == nil || attempt < 0 || attempt >= len(r.executions) || r.executions[attempt].ended {
 		return
 	}
-	x := r.execs[attempt]
+	x := r.executions[attempt]
 	if g.fleet.Abandon(x) {
 		g.Wrote(x)
 	}
@@ -675,14 +677,14 @@
 
 // Timer implements policy.Host. It sets a timer of the decision module.
 func (g *Gatekeeper) Timer(token uint64, delay policy.Micros) {
-	g.timers.push(timer{at: g.clock.Now() + millis(delay), token: token})
+	g.timers.push(timer{due: g.clock.Now() + millis(delay), token: token})
 }
 
 // Count implements policy.Host. It starts a call to the shared counter.
 func (g *Gatekeeper) Count(name uint64, amount float64, ttl policy.Micros) {
-	c := &Count{Name: name, Amount: amount, Life: millis(ttl), began: g.clock.Now()}
-	g.counts[name] = append(g.counts[name], c)
-	g.timers.push(timer{at: c.began + g.patience, count: c})
+	c := &Count{Name: name, Amount: amount, Life: millis(ttl), started: g.clock.Now()}
+	g.pendingCalls[name] = append(g.pendingCalls[name], c)
+	g.timers.push(timer{due: c.started + g.counterTimeout, counterCall: c})
 	g.counter.Add(c)
 }
 
--- a/gatekeeper/gatekeeper_test.go
+++ b/gatekeeper/gatekeeper_test.go
@@ -9,26 +9,29 @@
 	"foxwood/policy"
 )
 
-// rig is a gatekeeper with fakes for its caller, fleet and counter, which record their calls.
-type rig struct {
+// harness is a gatekeeper with fakes for its caller, fleet and counter, which record their calls.
+type harness struct {
 	*Gatekeeper
-	clock *Clock
-	out   []*Execution
-	calls []*Count
-	told  []string
-	sent  bool // the result of Abandon
+	clock         *Clock
+	executions    []*Execution
+	calls         []*Count
+	log           []string
+	abandonResult bool // the result of Abandon
 }
 
-func (r *rig) Execute(x *Execution)        { r.out = append(r.out, x) }
-func (r *rig) Abandon(x *Execution) bool   { r.note("abandon %d", x.n); return r.sent }
-func (r *rig) Release(id policy.Server)    { r.note("release %d", id) }
-func (r *rig) Add(c *Count)                { r.calls = append(r.calls, c) }
-func (r *rig) note(f string, a ...any)     { r.told = append(r.told, fmt.Sprintf(f, a...)) }
-func (r *rig) Served(*Request, Answer)     { r.note("served") }
-func (r *rig) Throttled(*Request, float64) { r.note("throttled") }
-func (r *rig) Failed(*Request)             { r.note("failed") }
+func (r *harness) Execute(x *Execution) { r.executions = append(r.executions, x) }
+func (r *harness) Abandon(x *Execution) bool {
+	r.record("abandon %d", x.attempt)
+	return r.abandonResult
+}
+func (r *harness) Release(id policy.Server)    { r.record("release %d", id) }
+func (r *harness) Add(c *Count)                { r.calls = append(r.calls, c) }
+func (r *harness) record(f string, a ...any)   { r.log = append(r.log, fmt.Sprintf(f, a...)) }
+func (r *harness) Served(*Request, Answer)     { r.record("served") }
+func (r *harness) Throttled(*Request, float64) { r.record("throttled") }
+func (r *harness) Failed(*Request)             { r.record("failed") }
 
-func newRig(t *testing.T, change func(*policy.Settings)) *rig {
+func newHarness(t *testing.T, change func(*policy.Settings)) *harness {
 	t.Helper()
 	s := policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true,
 		Classes: []policy.Class{
@@ -39,24 +42,24 @@
 	if change != nil {
 		change(&s)
 	}
-	r := &rig{clock: NewClock(), sent: true}
+	r := &harness{clock: NewClock(), abandonResult: true}
 	r.clock.Set(1e6)
 	r.Gatekeeper = New(Config{Settings: s, Seed: 1, Clock: r.clock, Fleet: r, Counter: r, Wake: func(float64) {}})
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	return r
 }
 
-func (r *rig) take(class int) *Request {
+func (r *harness) submit(class int) *Request {
 	q := &Request{Class: class, Left: 1000, Units: 1, Spread: 1, Caller: r}
 	r.Take(q)
 	return q
 }
 
-func (r *rig) wait(ms float64) { r.clock.Set(r.clock.Now() + ms); r.Advance() }
+func (r *harness) advance(ms float64) { r.clock.Set(r.clock.Now() + ms); r.Advance() }
 
-func (r *rig) expect(t *testing.T, want ...string) {
+func (r *harness) expect(t *testing.T, want ...string) {
 	t.Helper()
-	if diff := cmp.Diff(want, r.told); diff != "" {
+	if diff := cmp.Diff(want, r.log); diff != "" {
 		t.Fatalf("calls of the fakes (-want +got):\n%s", diff)
 	}
 }
@@ -64,39 +67,39 @@
 func TestEachRequestGetsOneFinalAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		class int
-		act   func(r *rig, q *Request)
+		act   func(r *harness, q *Request)
 		want  []string
 	}{
-		"duplicate answer": {0, func(r *rig, _ *Request) {
-			r.Done(r.out[0], Outcome{Status: policy.OK})
-			r.Done(r.out[0], Outcome{Status: policy.OK})
+		"duplicate answer": {0, func(r *harness, _ *Request) {
+			r.Done(r.executions[0], Outcome{Status: policy.OK})
+			r.Done(r.executions[0], Outcome{Status: policy.OK})
 		}, []string{"served"}},
-		"answer after the timeout": {1, func(r *rig, _ *Request) {
-			r.wait(1001)
-			r.Done(r.out[0], Outcome{Status: policy.OK})
+		"answer after the timeout": {1, func(r *harness, _ *Request) {
+			r.advance(1001)
+			r.Done(r.executions[0], Outcome{Status: policy.OK})
 		}, []string{"abandon 0", "failed"}},
-		"error of a request that must not be repeated": {1, func(r *rig, _ *Request) {
-			r.Done(r.out[0], Outcome{Status: policy.Failed})
+		"error of a request that must not be repeated": {1, func(r *harness, _ *Request) {
+			r.Done(r.executions[0], Outcome{Status: policy.Failed})
 		}, []string{"failed"}},
-		"refused by one worker, served by another": {1, func(r *rig, _ *Request) {
-			r.Done(r.out[0], Outcome{Status: policy.Full})
-			r.Done(r.out[1], Outcome{Status: policy.OK})
+		"refused by one worker, served by another": {1, func(r *harness, _ *Request) {
+			r.Done(r.executions[0], Outcome{Status: policy.Full})
+			r.Done(r.executions[1], Outcome{Status: policy.OK})
 		}, []string{"served"}},
-		"client disconnects": {0, func(r *rig, q *Request) {
+		"client disconnects": {0, func(r *harness, q *Request) {
 			r.Gone(q)
 			r.Gone(q)
-			r.Done(r.out[0], Outcome{Status: policy.OK})
-			r.wait(2000)
+			r.Done(r.executions[0], Outcome{Status: policy.OK})
+			r.advance(2000)
 		}, []string{"abandon 0"}},
-		"errors of all three attempts": {0, func(r *rig, _ *Request) {
+		"errors of all three attempts": {0, func(r *harness, _ *Request) {
 			for i := range 3 {
-				r.Done(r.out[i], Outcome{Status: policy.Failed})
+				r.Done(r.executions[i], Outcome{Status: policy.Failed})
 			}
 		}, []string{"throttled"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
-			c.act(r, r.take(c.class))
+			r := newHarness(t, nil)
+			c.act(r, r.submit(c.class))
 			r.expect(t, c.want...)
 			if r.Open() != 0 || len(r.requests) != 0 {
 				t.Fatalf("%d requests left in the table, %d open; want none", len(r.requests), r.Open())
@@ -108,15 +111,15 @@
 // TestExecutionsOfARequestDoNotOverlap guards the rule that a request never has two
 // open executions at the same time.
 func TestExecutionsOfARequestDoNotOverlap(t *testing.T) {
-	r := newRig(t, nil)
-	r.take(0)
-	r.wait(250) // less than the class's latency target of 400 ms
-	if len(r.out) != 1 {
-		t.Fatalf("%d executions while the first is open, want 1", len(r.out))
+	r := newHarness(t, nil)
+	r.submit(0)
+	r.advance(250) // less than the class's latency target of 400 ms
+	if len(r.executions) != 1 {
+		t.Fatalf("%d executions while the first is open, want 1", len(r.executions))
 	}
-	r.Done(r.out[0], Outcome{Status: policy.Reset})
-	if len(r.out) != 2 {
-		t.Fatalf("%d executions of a repeatable request after a connection reset, want 2", len(r.out))
+	r.Done(r.executions[0], Outcome{Status: policy.Reset})
+	if len(r.executions) != 2 {
+		t.Fatalf("%d executions of a repeatable request after a connection reset, want 2", len(r.executions))
 	}
 }
 
@@ -124,70 +127,70 @@
 // being set up gives a refusal, even for a request that must not be repeated: the request
 // can't have run, so the answer must not be a failure.
 func TestTimeoutBeforeSendingIsARefusal(t *testing.T) {
-	r := newRig(t, nil)
-	r.sent = false
-	r.take(1)
-	r.wait(1001)
+	r := newHarness(t, nil)
+	r.abandonResult = false
+	r.submit(1)
+	r.advance(1001)
 	r.expect(t, "abandon 0", "throttled")
 }
 
 // TestEventsDuringADecisionAreQueued guards against reentrant calls of the decision
 // module, as when a transport fails immediately or a client disconnects while it is answered.
 func TestEventsDuringADecisionAreQueued(t *testing.T) {
-	r := newRig(t, nil)
-	eager := &eagerFleet{rig: r}
+	r := newHarness(t, nil)
+	eager := &fullFleet{harness: r}
 	r.fleet = eager
-	r.take(1)
-	r.wait(60) // both workers get no requests for a while after reporting that they are full
+	r.submit(1)
+	r.advance(60) // both workers get no requests for a while after reporting that they are full
 	r.expect(t, "throttled")
-	if eager.tries != 3 {
-		t.Fatalf("%d attempts, want 3", eager.tries)
+	if eager.attempts != 3 {
+		t.Fatalf("%d attempts, want 3", eager.attempts)
 	}
 }
 
-// eagerFleet reports every worker as full from inside Execute.
-type eagerFleet struct {
-	*rig
-	tries int
+// fullFleet reports every worker as full from inside Execute.
+type fullFleet struct {
+	*harness
+	attempts int
 }
 
-func (e *eagerFleet) Execute(x *Execution) {
-	e.tries++
+func (e *fullFleet) Execute(x *Execution) {
+	e.attempts++
 	e.Done(x, Outcome{Status: policy.Full})
 }
 
 // TestLateCounterResultIsIgnored checks that the decision module does not get the result
 // of a counter call whose timeout it was told of before.
 func TestLateCounterResultIsIgnored(t *testing.T) {
-	r := newRig(t, func(s *policy.Settings) {
+	r := newHarness(t, func(s *policy.Settings) {
 		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
 		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
 	})
-	r.take(0)
+	r.submit(0)
 	if len(r.calls) != 1 {
 		t.Fatalf("%d counter calls for a plan with too low a rate to decide locally, want 1", len(r.calls))
 	}
-	r.wait(51)
+	r.advance(51)
 	if !r.calls[0].Over() {
 		t.Fatal("the call has not timed out after 51 ms, with a timeout of 50 ms")
 	}
-	before := len(r.told)
+	before := len(r.log)
 	r.Counted(r.calls[0], policy.OK, 1)
-	if len(r.told) != before {
-		t.Fatalf("the late result caused calls: %q", r.told[before:])
+	if len(r.log) != before {
+		t.Fatalf("the late result caused calls: %q", r.log[before:])
 	}
 }
 
 // TestNoWakeUpForEndedExecutions guards against a wake-up at the timeout of every
 // execution, most of which were answered seconds before.
 func TestNoWakeUpForEndedExecutions(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	var woken []float64
 	r.Take(&Request{Left: 998.5, Units: 1, Spread: 1, Caller: r}) // a deadline that is not at a tick of 4 ms
-	r.Done(r.out[0], Outcome{Status: policy.OK})
-	r.wake = func(at float64) { woken = append(woken, at) }
+	r.Done(r.executions[0], Outcome{Status: policy.OK})
+	r.requestWakeUp = func(at float64) { woken = append(woken, at) }
 	for len(r.timers.heap) > 0 && r.clock.Now() < 1e6+3000 {
-		r.wait(r.timers.heap[0].at - r.clock.Now())
+		r.advance(r.timers.heap[0].due - r.clock.Now())
 	}
 	for _, at := range woken {
 		if at == 1e6+998.5 {
@@ -197,7 +200,7 @@
 }
 
 func TestRemovedWorkerIsReleased(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}})
 	r.expect(t, "release 1")
 	if !r.Ready() {
@@ -213,7 +216,7 @@
 func TestTimersExpireInOrder(t *testing.T) {
 	var h timers
 	for _, at := range []float64{5, 1, 4, 1, 3, 9, 2} {
-		h.push(timer{at: at, token: uint64(at * 10)})
+		h.push(timer{due: at, token: uint64(at * 10)})
 	}
 	var order []float64
 	for {
@@ -221,7 +224,7 @@
 		if !ok {
 			break
 		}
-		order = append(order, x.at)
+		order = append(order, x.due)
 	}
 	if diff := cmp.Diff([]float64{1, 1, 2, 3, 4, 5}, order); diff != "" {
 		t.Fatal(diff)
@@ -233,8 +236,8 @@
 // clock that was set back.
 func TestClockFollowsSystemClockWithoutGoingBack(t *testing.T) {
 	wall, ran := 5000.0, 0.0
-	c := &Clock{system: func() (float64, float64) { return wall, ran }}
-	c.at, c.ran = c.system()
+	c := &Clock{readSystem: func() (float64, float64) { return wall, ran }}
+	c.now, c.lastRunning = c.readSystem()
 	step := func(set float64) float64 { wall += 100 + set; ran += 100; return c.Now() }
 	got := []float64{step(0), step(-50), step(0), step(15), step(0)}
 	if diff := cmp.Diff([]float64{5100, 5190, 5280, 5370, 5465}, got); diff != "" {
@@ -247,53 +250,53 @@
 // came out of order when a counter moved: a call that was held until the old server had
 // answered then failed to connect to the new one, and ended before the call ahead of it.
 func TestCounterResultsOfANameKeepTheirOrder(t *testing.T) {
-	r := newRig(t, func(s *policy.Settings) {
+	r := newHarness(t, func(s *policy.Settings) {
 		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
 		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
 	})
-	r.take(0)
-	r.take(0)
+	r.submit(0)
+	r.submit(0)
 	if len(r.calls) != 2 || r.calls[0].Name != r.calls[1].Name {
 		t.Fatalf("%d counter calls for two requests of one customer, want 2 of the same name", len(r.calls))
 	}
 	r.Counted(r.calls[1], policy.ConnectFailed, 0)
-	if len(r.out) != 0 {
+	if len(r.executions) != 0 {
 		t.Fatal("the result of the second call was used for the first")
 	}
 	r.Counted(r.calls[0], policy.OK, 0)
-	if len(r.out) != 2 {
-		t.Fatalf("%d of 2 requests were sent to a worker", len(r.out))
+	if len(r.executions) != 2 {
+		t.Fatalf("%d of 2 requests were sent to a worker", len(r.executions))
 	}
 }
 
 // TestLastErrorResponseIsKept checks that Request.Last holds a copy of a worker's error
 // response, but neither a refusal nor a response above the size limit.
 func TestLastErrorResponseIsKept(t *testing.T) {
-	r := newRig(t, nil)
-	q := r.take(0)
+	r := newHarness(t, nil)
+	q := r.submit(0)
 	body := []byte("broken")
-	r.Done(r.out[0], Outcome{Status: policy.Full, Answer: Answer{Status: 503}})
+	r.Done(r.executions[0], Outcome{Status: policy.Full, Answer: Answer{Status: 503}})
 	if q.Last != nil {
 		t.Fatal("a refusal was kept")
 	}
-	r.Done(r.out[1], Outcome{Status: policy.Failed, Answer: Answer{Status: 500, Head: []byte("A: b\r\n"), Body: body}})
+	r.Done(r.executions[1], Outcome{Status: policy.Failed, Answer: Answer{Status: 500, Head: []byte("A: b\r\n"), Body: body}})
 	copy(body, "xxxxxx")
 	if q.Last == nil || q.Last.Status != 500 || string(q.Last.Head) != "A: b\r\n" || string(q.Last.Body) != "broken" {
 		t.Fatalf("kept %v, want the error response with status 500", q.Last)
 	}
-	q.keep(Answer{Status: 500, Body: make([]byte, lastMost+1)})
+	q.keepError(Answer{Status: 500, Body: make([]byte, maxErrorBody+1)})
 	if q.Last != nil {
-		t.Fatalf("a body of %d bytes was kept", lastMost+1)
+		t.Fatalf("a body of %d bytes was kept", maxErrorBody+1)
 	}
 }
 
 // TestRequestIsNotSentOutsideItsRegions checks that the decision module gets the regions
 // of a request: one whose only allowed region has no worker waits and is then refused.
 func TestRequestIsNotSentOutsideItsRegions(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	r.Take(&Request{Left: 1000, Units: 1, Spread: 1, Caller: r, Homes: 1 << 4})
-	r.wait(1000)
-	if len(r.out) != 0 {
+	r.advance(1000)
+	if len(r.executions) != 0 {
 		t.Fatal("the request was sent to a worker of another region")
 	}
 	r.expect(t, "throttled")
--- a/gatekeeper/memory_growth_test.go
+++ b/gatekeeper/memory_growth_test.go
@@ -12,7 +12,7 @@
 // new worker replaces an old one every minute; after four simulated hours the tables must
 // not be larger than after one.
 func TestMemoryIsBoundedForOneTimeCustomersAndWorkers(t *testing.T) {
-	r := newRig(t, func(s *policy.Settings) {
+	r := newHarness(t, func(s *policy.Settings) {
 		s.Gateways, s.Counter, s.CounterTimeout, s.Largest, s.Settles = 80, true, 50e3, 6, true
 		s.Plans = []policy.Plan{{Rate: 2, Burst: 12, Price: 1, OverCost: 1}}
 		s.ColdShare, s.ColdFor, s.FallMultiple, s.FallWindow = 0.2, 10e6, 3, 1500e3
@@ -20,16 +20,16 @@
 	totals := map[uint64]float64{}
 	customer, worker := uint64(0), policy.Server(2)
 	size := func() map[string]int {
-		s := r.decide.Snapshot()
-		return map[string]int{"requests": len(r.requests), "names": len(r.names), "timers": len(r.timers.heap), "counts": len(r.counts),
-			"workers": len(r.known), "customers": len(s.Clients), "servers": len(s.Servers), "draws": len(s.Draws)}
+		s := r.module.Snapshot()
+		return map[string]int{"requests": len(r.requests), "names": len(r.openNames), "timers": len(r.timers.heap), "counts": len(r.pendingCalls),
+			"workers": len(r.workers), "customers": len(s.Clients), "servers": len(s.Servers), "draws": len(s.Draws)}
 	}
 	hour := func() {
 		for half := range 7200 {
 			customer++
 			r.Take(&Request{Customer: customer, Left: 1000, Units: 2, Spread: 60, Caller: r, Name: strconv.FormatUint(customer, 16)})
 			for ms := 0; ms < 500; ms += 50 {
-				r.wait(50)
+				r.advance(50)
 				for len(r.calls) > 0 {
 					c := r.calls[0]
 					r.calls = r.calls[1:]
@@ -39,10 +39,10 @@
 					}
 					r.Counted(c, policy.OK, totals[c.Name])
 				}
-				for _, x := range r.out {
+				for _, x := range r.executions {
 					r.Done(x, Outcome{Status: policy.OK, Units: 3})
 				}
-				r.out, r.told = r.out[:0], r.told[:0]
+				r.executions, r.log = r.executions[:0], r.log[:0]
 			}
 			if half%120 == 0 {
 				old := worker - 1
--- a/gatekeeper/recorder.go
+++ b/gatekeeper/recorder.go
@@ -71,136 +71,136 @@
 	Believe(now policy.Micros, host policy.Host, beliefs map[policy.Server]policy.Belief)
 }
 
-// recorded is a decision module that passes all calls of the module, and all calls that
+// recordedModule is a decision module that passes all calls of the module, and all calls that
 // the module makes, to a recorder first.
-type recorded struct {
+type recordedModule struct {
 	*policy.Gateway
-	set  policy.Settings
-	seed uint64
-	rec  Recorder
-	tee  tee
+	settings policy.Settings
+	seed     uint64
+	recorder Recorder
+	host     recordingHost
 	// snapshot is the module's Snapshot method, stored so that offering it does not allocate.
 	snapshot func() policy.Snapshot
 }
 
-func newRecorded(s policy.Settings, seed uint64, rec Recorder) *recorded {
+func newRecordedModule(s policy.Settings, seed uint64, rec Recorder) *recordedModule {
 	g := policy.New(s, seed)
-	return &recorded{Gateway: g, set: s, seed: seed, rec: rec, tee: tee{rec: rec}, snapshot: g.Snapshot}
+	return &recordedModule{Gateway: g, settings: s, seed: seed, recorder: rec, host: recordingHost{recorder: rec}, snapshot: g.Snapshot}
 }
 
-// to returns the host wrapped so that the recorder gets its calls first.
-func (m *recorded) to(host policy.Host) policy.Host {
-	m.tee.Host = host
-	return &m.tee
+// wrap returns the host wrapped so that the recorder gets its calls first.
+func (m *recordedModule) wrap(host policy.Host) policy.Host {
+	m.host.Host = host
+	return &m.host
 }
 
-func (m *recorded) Start(now policy.Micros, host policy.Host) {
-	m.rec.Began(now, m.set, m.seed)
-	m.Gateway.Start(now, m.to(host))
+func (m *recordedModule) Start(now policy.Micros, host policy.Host) {
+	m.recorder.Began(now, m.settings, m.seed)
+	m.Gateway.Start(now, m.wrap(host))
 }
 
-func (m *recorded) Request(now policy.Micros, host policy.Host, r policy.Request) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Requested(now, r)
-	m.Gateway.Request(now, m.to(host), r)
+func (m *recordedModule) Request(now policy.Micros, host policy.Host, r policy.Request) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Requested(now, r)
+	m.Gateway.Request(now, m.wrap(host), r)
 }
 
-func (m *recorded) ClientGone(now policy.Micros, host policy.Host, id uint32) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Gone(now, id)
-	m.Gateway.ClientGone(now, m.to(host), id)
+func (m *recordedModule) ClientGone(now policy.Micros, host policy.Host, id uint32) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Gone(now, id)
+	m.Gateway.ClientGone(now, m.wrap(host), id)
 }
 
-func (m *recorded) Outcome(now policy.Micros, host policy.Host, o policy.Outcome) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Ended(now, o)
-	m.Gateway.Outcome(now, m.to(host), o)
+func (m *recordedModule) Outcome(now policy.Micros, host policy.Host, o policy.Outcome) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Ended(now, o)
+	m.Gateway.Outcome(now, m.wrap(host), o)
 }
 
-func (m *recorded) Counted(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Counted(now, name, delay, status, total)
-	m.Gateway.Counted(now, m.to(host), name, delay, status, total)
+func (m *recordedModule) Counted(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Counted(now, name, delay, status, total)
+	m.Gateway.Counted(now, m.wrap(host), name, delay, status, total)
 }
 
-func (m *recorded) Servers(now policy.Micros, host policy.Host, kind policy.ListKind, entries []policy.Entry) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Listed(now, kind, entries)
-	m.Gateway.Servers(now, m.to(host), kind, entries)
+func (m *recordedModule) Servers(now policy.Micros, host policy.Host, kind policy.ListKind, entries []policy.Entry) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Listed(now, kind, entries)
+	m.Gateway.Servers(now, m.wrap(host), kind, entries)
 }
 
-func (m *recorded) SetClasses(now policy.Micros, host policy.Host, classes []policy.Class) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Classes(now, classes)
-	m.Gateway.SetClasses(now, m.to(host), classes)
+func (m *recordedModule) SetClasses(now policy.Micros, host policy.Host, classes []policy.Class) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Classes(now, classes)
+	m.Gateway.SetClasses(now, m.wrap(host), classes)
 }
 
-func (m *recorded) Timer(now policy.Micros, host policy.Host, token uint64) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Rang(now, token)
-	m.Gateway.Timer(now, m.to(host), token)
+func (m *recordedModule) Timer(now policy.Micros, host policy.Host, token uint64) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Rang(now, token)
+	m.Gateway.Timer(now, m.wrap(host), token)
 }
 
-func (m *recorded) Recover(now policy.Micros, host policy.Host, state policy.Snapshot, exact bool) {
-	m.rec.Recovered(now, state, exact)
-	m.Gateway.Recover(now, m.to(host), state, exact)
+func (m *recordedModule) Recover(now policy.Micros, host policy.Host, state policy.Snapshot, exact bool) {
+	m.recorder.Recovered(now, state, exact)
+	m.Gateway.Recover(now, m.wrap(host), state, exact)
 }
 
-func (m *recorded) Filled(now policy.Micros, id uint32) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Filled(now, id)
+func (m *recordedModule) Filled(now policy.Micros, id uint32) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Filled(now, id)
 	m.Gateway.Filled(now, id)
 }
 
-func (m *recorded) Progress(now policy.Micros, worker policy.Server) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Progressed(now, worker)
+func (m *recordedModule) Progress(now policy.Micros, worker policy.Server) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Progressed(now, worker)
 	m.Gateway.Progress(now, worker)
 }
 
-func (m *recorded) Joined(state policy.Snapshot) {
-	m.rec.Joined(state.Now, state.Born)
+func (m *recordedModule) Joined(state policy.Snapshot) {
+	m.recorder.Joined(state.Now, state.Born)
 	m.Gateway.Joined(state)
 }
 
-func (m *recorded) Beside(now policy.Micros, d policy.Draw) {
-	m.rec.Checkpoint(now, m.snapshot)
-	m.rec.Beside(now, d)
+func (m *recordedModule) Beside(now policy.Micros, d policy.Draw) {
+	m.recorder.Checkpoint(now, m.snapshot)
+	m.recorder.Beside(now, d)
 	m.Gateway.Beside(now, d)
 }
 
-// tee is a host that passes each call to a recorder before the actual host.
-type tee struct {
+// recordingHost is a host that passes each call to a recorder before the actual host.
+type recordingHost struct {
 	policy.Host
-	rec Recorder
+	recorder Recorder
 }
 
-func (t *tee) Send(id uint32, worker policy.Server, timeout policy.Micros) {
-	t.rec.Send(id, worker, timeout)
+func (t *recordingHost) Send(id uint32, worker policy.Server, timeout policy.Micros) {
+	t.recorder.Send(id, worker, timeout)
 	t.Host.Send(id, worker, timeout)
 }
 
-func (t *tee) Refuse(id uint32, retryAfter policy.Micros) {
-	t.rec.Refuse(id, retryAfter)
+func (t *recordingHost) Refuse(id uint32, retryAfter policy.Micros) {
+	t.recorder.Refuse(id, retryAfter)
 	t.Host.Refuse(id, retryAfter)
 }
 
-func (t *tee) Fail(id uint32) {
-	t.rec.Fail(id)
+func (t *recordingHost) Fail(id uint32) {
+	t.recorder.Fail(id)
 	t.Host.Fail(id)
 }
 
-func (t *tee) Cancel(id uint32, attempt int) {
-	t.rec.Cancel(id, attempt)
+func (t *recordingHost) Cancel(id uint32, attempt int) {
+	t.recorder.Cancel(id, attempt)
 	t.Host.Cancel(id, attempt)
 }
 
-func (t *tee) Timer(token uint64, delay policy.Micros) {
-	t.rec.Timer(token, delay)
+func (t *recordingHost) Timer(token uint64, delay policy.Micros) {
+	t.recorder.Timer(token, delay)
 	t.Host.Timer(token, delay)
 }
 
-func (t *tee) Count(name uint64, amount float64, ttl policy.Micros) {
-	t.rec.Count(name, amount, ttl)
+func (t *recordingHost) Count(name uint64, amount float64, ttl policy.Micros) {
+	t.recorder.Count(name, amount, ttl)
 	t.Host.Count(name, amount, ttl)
 }
--- a/internal/replay/audit.go
+++ b/internal/replay/audit.go
@@ -22,12 +22,12 @@
 
 // Merged is a sequence of the records of several gatekeepers' captures, ordered by time.
 type Merged struct {
-	sources []*upcoming
+	sources []*mergeSource
 	Notes   []string // gaps and truncated segments, each with the name of its capture
 }
 
-// upcoming is a capture with its next record.
-type upcoming struct {
+// mergeSource is a capture with its next record.
+type mergeSource struct {
 	Named
 	record *capturepb.Record
 	at     policy.Micros
@@ -38,7 +38,7 @@
 func Merge(captures ...Named) *Merged {
 	m := &Merged{}
 	for _, c := range captures {
-		m.sources = append(m.sources, &upcoming{Named: c})
+		m.sources = append(m.sources, &mergeSource{Named: c})
 	}
 	return m
 }
@@ -47,10 +47,10 @@
 // records of the same time, the capture that was passed to Merge first comes first. The
 // record is valid until the next call. The error is io.EOF after the last record.
 func (m *Merged) Next() (name string, r *capturepb.Record, at policy.Micros, err error) {
-	var first *upcoming
+	var first *mergeSource
 	for _, s := range m.sources {
 		if s.record == nil && !s.ended {
-			if err := m.fill(s); err != nil {
+			if err := m.readNext(s); err != nil {
 				return s.Name, nil, 0, err
 			}
 		}
@@ -65,8 +65,8 @@
 	return first.Name, r, first.at, nil
 }
 
-// fill reads the next record of a capture.
-func (m *Merged) fill(s *upcoming) error {
+// readNext reads the next record of a capture.
+func (m *Merged) readNext(s *mergeSource) error {
 	for {
 		r, at, err := s.From.Next()
 		var gap *capture.Gap
@@ -91,15 +91,15 @@
 type bucket struct {
 	rate, burst float64 // units per second, and units
 	level       float64
-	at          policy.Micros
-	worst       float64 // the largest deficit in units, 0 if there was none
+	updated     policy.Micros
+	maxDeficit  float64 // the largest deficit in units, 0 if there was none
 }
 
 // take removes units at a time.
 func (b *bucket) take(units float64, at policy.Micros) {
-	b.level = min(b.level+b.rate*float64(at-b.at)/1e6, b.burst) - units
-	b.at = at
-	b.worst = max(b.worst, -b.level)
+	b.level = min(b.level+b.rate*float64(at-b.updated)/1e6, b.burst) - units
+	b.updated = at
+	b.maxDeficit = max(b.maxDeficit, -b.level)
 }
 
 // Account sums up one customer's requests to all gatekeepers.
@@ -116,8 +116,8 @@
 	quota, ceiling bucket
 }
 
-// followed is an open request of an audit.
-type followed struct {
+// auditedRequest is an open request of an audit.
+type auditedRequest struct {
 	account *Account
 	units   float64
 	sent    bool
@@ -128,9 +128,9 @@
 // when its first attempt is sent, and are corrected to the actual units by its answer. The
 // accounts are ordered by excess, the largest first.
 func Audit(m *Merged, key *capture.Key) ([]*Account, error) {
-	dec := capture.NewDecoder(key)
+	decoder := capture.NewDecoder(key)
 	accounts := map[uint64]*Account{}
-	open := map[string]map[uint32]*followed{}
+	openRequests := map[string]map[uint32]*auditedRequest{}
 	settings := map[string]policy.Settings{}
 	for {
 		name, r, at, err := m.Next()
@@ -142,48 +142,48 @@
 		}
 		switch r.GetKind() {
 		case capturepb.Kind_BEGAN:
-			s, err := dec.Settings(r)
+			s, err := decoder.Settings(r)
 			if err != nil {
 				return nil, err
 			}
-			settings[name], open[name] = s, map[uint32]*followed{}
+			settings[name], openRequests[name] = s, map[uint32]*auditedRequest{}
 		case capturepb.Kind_REQUESTED:
-			q := dec.Request(r)
+			q := decoder.Request(r)
 			plans := settings[name].Plans
-			if open[name] == nil || q.Plan < 0 || q.Plan >= len(plans) {
+			if openRequests[name] == nil || q.Plan < 0 || q.Plan >= len(plans) {
 				continue
 			}
-			a := accounts[q.Customer]
-			if a == nil {
-				a = newAccount(q, plans[q.Plan], at)
-				accounts[q.Customer] = a
+			account := accounts[q.Customer]
+			if account == nil {
+				account = newAccount(q, plans[q.Plan], at)
+				accounts[q.Customer] = account
 			}
-			a.Requests++
-			open[name][q.ID] = &followed{account: a, units: q.Units}
+			account.Requests++
+			openRequests[name][q.ID] = &auditedRequest{account: account, units: q.Units}
 		case capturepb.Kind_SEND:
-			if f := open[name][r.GetId()]; f != nil && !f.sent {
-				f.sent = true
-				f.account.Sent++
-				f.account.use(f.units, at)
+			if request := openRequests[name][r.GetId()]; request != nil && !request.sent {
+				request.sent = true
+				request.account.Sent++
+				request.account.charge(request.units, at)
 			}
 		case capturepb.Kind_ENDED:
-			f := open[name][r.GetId()]
-			if f != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].Settles {
-				f.account.use(r.GetSettled()-f.units, at)
-				f.units = r.GetSettled()
+			request := openRequests[name][r.GetId()]
+			if request != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].Settles {
+				request.account.charge(r.GetSettled()-request.units, at)
+				request.units = r.GetSettled()
 			}
-			if f != nil && r.GetTerminal() {
-				delete(open[name], r.GetId())
+			if request != nil && r.GetTerminal() {
+				delete(openRequests[name], r.GetId())
 			}
 		case capturepb.Kind_REFUSE:
-			if f := open[name][r.GetId()]; f != nil {
-				f.account.Refused++
+			if request := openRequests[name][r.GetId()]; request != nil {
+				request.account.Refused++
 			}
 		}
 	}
 	all := slices.Collect(maps.Values(accounts))
-	slices.SortFunc(all, func(a, b *Account) int {
-		return cmp.Or(cmp.Compare(b.OverCeiling, a.OverCeiling), cmp.Compare(b.OverQuota, a.OverQuota), cmp.Compare(a.Customer, b.Customer))
+	slices.SortFunc(all, func(account, b *Account) int {
+		return cmp.Or(cmp.Compare(b.OverCeiling, account.OverCeiling), cmp.Compare(b.OverQuota, account.OverQuota), cmp.Compare(account.Customer, b.Customer))
 	})
 	return all, nil
 }
@@ -191,18 +191,18 @@
 // newAccount returns the account of a customer whose first request arrives, with full buckets.
 func newAccount(q policy.Request, p policy.Plan, at policy.Micros) *Account {
 	return &Account{Customer: q.Customer, Plan: q.Plan, HasCeiling: p.CeilingRate > 0, CeilingSlack: p.CeilingSlack,
-		quota:   bucket{rate: p.Rate, burst: p.Burst, level: p.Burst, at: at},
-		ceiling: bucket{rate: p.CeilingRate, burst: p.CeilingBurst, level: p.CeilingBurst, at: at}}
+		quota:   bucket{rate: p.Rate, burst: p.Burst, level: p.Burst, updated: at},
+		ceiling: bucket{rate: p.CeilingRate, burst: p.CeilingBurst, level: p.CeilingBurst, updated: at}}
 }
 
-// use charges units to the account.
-func (a *Account) use(units float64, at policy.Micros) {
+// charge charges units to the account.
+func (a *Account) charge(units float64, at policy.Micros) {
 	a.Units += units
 	a.quota.take(units, at)
-	a.OverQuota = a.quota.worst
+	a.OverQuota = a.quota.maxDeficit
 	if a.HasCeiling {
 		a.ceiling.take(units, at)
-		a.OverCeiling = a.ceiling.worst
+		a.OverCeiling = a.ceiling.maxDeficit
 	}
 }
 
--- a/internal/replay/audit_test.go
+++ b/internal/replay/audit_test.go
@@ -10,28 +10,28 @@
 	"foxwood/policy"
 )
 
-// recordedLife records a run of a gatekeeper that gets n requests of one customer, apart
+// recordQuotaRun records a run of a gatekeeper that gets n requests of one customer, apart
 // milliseconds after each other.
-func recordedLife(t *testing.T, at float64, n int, apart float64) capture.Set {
+func recordQuotaRun(t *testing.T, at float64, n int, apart float64) capture.Set {
 	t.Helper()
 	folder := t.TempDir()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: uint64(at)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{clock: gatekeeper.NewClock()}
+	r := &harness{clock: gatekeeper.NewClock()}
 	r.clock.Set(at)
-	s := settings()
+	s := fewGatekeepers()
 	s.Counter, s.Gateways, s.Settles = false, 1, false
 	s.Plans[1] = policy.Plan{Rate: 10, Burst: 20, Price: 1}
 	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 1, Clock: r.clock, Fleet: r, Counter: r, Wake: func(float64) {}, Recorder: w})
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 	for range n {
 		r.Take(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 77, Left: 1000, Units: 1, Spread: 1, Caller: r})
-		for _, x := range r.out {
+		for _, x := range r.executions {
 			r.Done(x, gatekeeper.Outcome{Status: policy.OK})
 		}
-		r.out = nil
+		r.executions = nil
 		r.clock.Set(r.clock.Now() + apart)
 		r.Advance()
 	}
@@ -51,7 +51,7 @@
 	audit := func(starts ...float64) *Account {
 		var all []Named
 		for i, at := range starts {
-			set := recordedLife(t, at, 40, 1)
+			set := recordQuotaRun(t, at, 40, 1)
 			t.Cleanup(set.Close)
 			all = append(all, Named{Name: string(rune('a' + i)), From: &set})
 		}
@@ -77,7 +77,7 @@
 // refused, and that the first decision that differs is reported.
 func TestCompareSettings(t *testing.T) {
 	key := capture.Key{}
-	set := recordedLife(t, 1.7e12, 40, 1)
+	set := recordQuotaRun(t, 1.7e12, 40, 1)
 	defer set.Close()
 	a, err := Compare(&set, &key, func(s policy.Settings, seed uint64) gatekeeper.Module {
 		s.Plans[1].Rate, s.Plans[1].Burst = 1, 2
@@ -90,12 +90,12 @@
 	if err := a.Write(&b); err != nil || !strings.Contains(b.String(), "the first that differs: at ") {
 		t.Errorf("error %v, output without the first difference:\n%s", err, b.String())
 	}
-	chartHolds(t, a)
-	c := a.Counts[kindOf{0, 1}]
+	checkChart(t, a)
+	c := a.Counts[requestKind{0, 1}]
 	if c[sent][refused] < 17 || c[refused][sent] > 0 {
 		t.Errorf("requests by recorded and other decision: %v, want at least 17 refused only by the other", c)
 	}
-	same := recordedLife(t, 1.7e12, 40, 1)
+	same := recordQuotaRun(t, 1.7e12, 40, 1)
 	defer same.Close()
 	if a, err := Compare(&same, &key, func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }, nil); err != nil || a.First != nil {
 		t.Errorf("the same settings: first difference %+v, error %v; want none", a.First, err)
--- a/internal/replay/chart_test.go
+++ b/internal/replay/chart_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// chartHolds checks that a chart is well-formed XML, draws every curve and marks the first
+// checkChart checks that a chart is well-formed XML, draws every curve and marks the first
 // difference, and that its points add up to the counts of the table.
-func chartHolds(t *testing.T, a *Against) {
+func checkChart(t *testing.T, a *Against) {
 	t.Helper()
 	var b bytes.Buffer
 	if err := a.Chart(&b); err != nil {
@@ -41,7 +41,7 @@
 	if drawn != len(curves) || !strings.Contains(text, "first difference") {
 		t.Errorf("%d curves drawn, want %d; texts %q", drawn, len(curves), text)
 	}
-	_, each, all := a.steps()
+	_, each, all := a.points()
 	var sum, want float64
 	for _, s := range all {
 		sum += s[len(curves)-1] * float64(each)
@@ -65,9 +65,9 @@
 	for at := range int64(7200) {
 		a.Times[1000+at] = [4][4]int{sent: {sent: 3}}
 	}
-	first, each, all := a.steps()
-	if first != 1000 || each != 60 || len(all) != chartSteps || math.Abs(all[7][0]-3) > 1e-9 || all[7][len(curves)-1] != 0 {
+	first, each, all := a.points()
+	if first != 1000 || each != 60 || len(all) != maxPoints || math.Abs(all[7][0]-3) > 1e-9 || all[7][len(curves)-1] != 0 {
 		t.Errorf("%d points of %d s from %d on, the eighth %+v; want %d points of 60 s from 1000 on, of 3 requests per second",
-			len(all), each, first, all[7], chartSteps)
+			len(all), each, first, all[7], maxPoints)
 	}
 }
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -13,52 +13,52 @@
 	"foxwood/policy"
 )
 
-// fate is the first decision on a request.
-type fate int
+// decision is the first decision on a request.
+type decision int
 
 const (
-	undecided fate = iota
+	undecided decision = iota
 	sent
 	refused
 	failed
 )
 
-// kindOf is a group of requests, by class and plan.
-type kindOf struct{ class, plan int }
+// requestKind is a group of requests, by class and plan.
+type requestKind struct{ class, plan int }
 
 // Against compares the decisions of another module with the recorded ones, on the same
 // inputs. After the first difference the other module gets the outcomes of attempts that it
 // did not make, so the figures become less meaningful the later they are.
 type Against struct {
 	First  *Difference
-	Counts map[kindOf]*[4][4]int // requests by recorded and other decision
-	Times  map[int64][4][4]int   // the same, by the Unix second in which requests arrived
-	order  []kindOf
+	Counts map[requestKind]*[4][4]int // requests by recorded and other decision
+	Times  map[int64][4][4]int        // the same, by the Unix second in which requests arrived
+	kinds  []requestKind
 }
 
 // Compare replays a capture with the modules that other creates, and counts the first
-// decision on each request. If shown is not nil, it is called for each record.
-func Compare(from Source, key *capture.Key, other func(s policy.Settings, seed uint64) gatekeeper.Module, shown func()) (*Against, error) {
-	a := &Against{Counts: map[kindOf]*[4][4]int{}, Times: map[int64][4][4]int{}}
-	type one struct {
-		kind            kindOf
+// decision on each request. If observe is not nil, it is called for each record.
+func Compare(from Source, key *capture.Key, other func(s policy.Settings, seed uint64) gatekeeper.Module, observe func()) (*Against, error) {
+	comparison := &Against{Counts: map[requestKind]*[4][4]int{}, Times: map[int64][4][4]int{}}
+	type trackedRequest struct {
+		kind            requestKind
 		second          int64
-		recorded, other fate
+		recorded, other decision
 	}
-	open := map[uint32]*one{}
-	settle := func(o *one) {
-		c := a.Counts[o.kind]
+	open := map[uint32]*trackedRequest{}
+	count := func(o *trackedRequest) {
+		c := comparison.Counts[o.kind]
 		if c == nil {
 			c = &[4][4]int{}
-			a.Counts[o.kind] = c
-			a.order = append(a.order, o.kind)
+			comparison.Counts[o.kind] = c
+			comparison.kinds = append(comparison.kinds, o.kind)
 		}
 		c[o.recorded][o.other]++
-		then := a.Times[o.second]
+		then := comparison.Times[o.second]
 		then[o.recorded][o.other]++
-		a.Times[o.second] = then
+		comparison.Times[o.second] = then
 	}
-	note := func(to *fate, kind capturepb.Kind) {
+	noteDecision := func(to *decision, kind capturepb.Kind) {
 		if *to == undecided {
 			switch kind {
 			case capturepb.Kind_SEND:
@@ -70,58 +70,60 @@
 			}
 		}
 	}
-	seen := &noting{Source: from, note: func(r *capturepb.Record, at policy.Micros) {
+	observed := &observedSource{Source: from, observe: func(r *capturepb.Record, at policy.Micros) {
 		switch r.GetKind() {
 		case capturepb.Kind_BEGAN:
 			for _, o := range open {
-				settle(o)
+				count(o)
 			}
 			clear(open)
 		case capturepb.Kind_REQUESTED:
-			open[r.GetId()] = &one{kind: kindOf{int(r.GetClass()), int(r.GetPlan())}, second: at / 1e6}
+			open[r.GetId()] = &trackedRequest{kind: requestKind{int(r.GetClass()), int(r.GetPlan())}, second: at / 1e6}
 		case capturepb.Kind_SEND, capturepb.Kind_REFUSE, capturepb.Kind_FAIL:
 			if o := open[r.GetId()]; o != nil {
-				note(&o.recorded, r.GetKind())
+				noteDecision(&o.recorded, r.GetKind())
 			}
 		}
 	}}
-	report, err := Run(seen, key, Options{Make: other, Differences: 1 << 30, Stop: watched(shown), Decided: func(c Call, _ policy.Micros) {
+	report, err := Run(observed, key, Options{Make: other, Differences: 1 << 30, Stop: neverStop(observe), Decided: func(c Call, _ policy.Micros) {
 		if o := open[c.ID]; o != nil {
-			note(&o.other, c.Kind)
+			noteDecision(&o.other, c.Kind)
 		}
 	}})
 	if err != nil {
 		return nil, err
 	}
 	for _, o := range open {
-		settle(o)
+		count(o)
 	}
-	slices.SortFunc(a.order, func(a, b kindOf) int { return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.plan, b.plan)) })
+	slices.SortFunc(comparison.kinds, func(comparison, b requestKind) int {
+		return cmp.Or(cmp.Compare(comparison.class, b.class), cmp.Compare(comparison.plan, b.plan))
+	})
 	if len(report.Differences) > 0 {
-		a.First = &report.Differences[0]
+		comparison.First = &report.Differences[0]
 	}
-	return a, nil
+	return comparison, nil
 }
 
-// watched returns an Options.Stop function that calls shown and never stops the replay.
-func watched(shown func()) func() bool {
-	if shown == nil {
+// neverStop returns an Options.Stop function that calls observe and never stops the replay.
+func neverStop(observe func()) func() bool {
+	if observe == nil {
 		return nil
 	}
-	return func() bool { shown(); return false }
+	return func() bool { observe(); return false }
 }
 
-// noting is a Source that passes each record to a function before it is replayed.
-type noting struct {
+// observedSource is a Source that passes each record to a function before it is replayed.
+type observedSource struct {
 	Source
-	note func(*capturepb.Record, policy.Micros)
+	observe func(*capturepb.Record, policy.Micros)
 }
 
 // Next implements Source.
-func (n *noting) Next() (*capturepb.Record, policy.Micros, error) {
+func (n *observedSource) Next() (*capturepb.Record, policy.Micros, error) {
 	r, at, err := n.Source.Next()
 	if err == nil {
-		n.note(r, at)
+		n.observe(r, at)
 	}
 	return r, at, err
 }
@@ -130,7 +132,7 @@
 func (a *Against) Write(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tplan\trequests\tsent: recorded\tother\trefused: recorded\tother\tdecided otherwise\t")
-	for _, k := range a.order {
+	for _, k := range a.kinds {
 		c := a.Counts[k]
 		var recorded, other [4]int
 		sum, differ := 0, 0
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -20,15 +20,15 @@
 
 // explainer follows one request through a capture.
 type explainer struct {
-	to      io.Writer
-	dec     *capture.Decoder
+	out     io.Writer
+	decoder *capture.Decoder
 	name    string         // the front end's name for the request, or its number as text
 	number  uint32         // the request's number, 0 as long as it is not known
 	found   bool           // the request has arrived
-	over    bool           // the request is answered, or its client has disconnected
+	done    bool           // the request is answered, or its client has disconnected
 	request policy.Request // the request, once found
-	began   policy.Micros  // time of the request's arrival
-	before  policy.View    // the module's state before the current call
+	arrived policy.Micros  // time of the request's arrival
+	view    policy.View    // the module's state before the current call
 	kind    capturepb.Kind // kind of the current call
 	status  string         // status of the outcome or counter result in the last such call
 	total   float64        // total of the last counter result
@@ -41,8 +41,8 @@
 // call in which it decided on the request. id is the front end's name for the request (on
 // the platform its X-Trace-Id) or its number in the decision log.
 func Explain(to io.Writer, from Source, key *capture.Key, id string) error {
-	e := &explainer{to: to, dec: capture.NewDecoder(key), name: id, number: Number(id)}
-	report, err := Run(from, key, Options{Named: e.named, Watch: e.watch, Decided: e.decided, Stop: func() bool { return e.over }})
+	e := &explainer{out: to, decoder: capture.NewDecoder(key), name: id, number: Number(id)}
+	report, err := Run(from, key, Options{Named: e.named, Watch: e.watch, Decided: e.decided, Stop: func() bool { return e.done }})
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if len(report.Differences) > 0 {
 		fmt.Fprintln(to, "This build decides otherwise than the one that was recorded: see foxwood replay.")
 	}
-	if !e.over {
+	if !e.done {
 		fmt.Fprintln(to, "The capture ends before it was answered.")
 	}
 	return nil
@@ -80,70 +80,70 @@
 	e.kind = r.GetKind()
 	switch e.kind {
 	case capturepb.Kind_ENDED:
-		e.status = status(r.GetStatus())
+		e.status = statusName(r.GetStatus())
 		if e.found && r.GetId() == e.number {
-			fmt.Fprintf(e.to, "%s attempt %d on worker %016x ended: %s after %.1f ms\n", e.since(at), r.GetAttempt(), r.GetServer(),
+			fmt.Fprintf(e.out, "%s attempt %d on worker %016x ended: %s after %.1f ms\n", e.since(at), r.GetAttempt(), r.GetServer(),
 				e.status, float64(r.GetLatency())/1000)
-			e.over = r.GetTerminal()
+			e.done = r.GetTerminal()
 		}
 	case capturepb.Kind_COUNTED:
-		e.status, e.total = status(r.GetStatus()), r.GetAmount()
+		e.status, e.total = statusName(r.GetStatus()), r.GetAmount()
 	case capturepb.Kind_GONE:
 		if e.found && r.GetId() == e.number {
-			fmt.Fprintf(e.to, "%s its client left\n", e.since(at))
-			e.over = true
+			fmt.Fprintf(e.out, "%s its client left\n", e.since(at))
+			e.done = true
 		}
 	case capturepb.Kind_REQUESTED:
 		if !e.found && e.number != 0 && r.GetId() == e.number {
 			e.begin(r, at)
 		}
 	}
-	if v, ok := m.(viewer); ok && e.found && !e.over {
-		e.before = v.View(at, e.request.Customer, e.request.Plan)
+	if v, ok := m.(viewer); ok && e.found && !e.done {
+		e.view = v.View(at, e.request.Customer, e.request.Plan)
 		if e.kind == capturepb.Kind_REQUESTED && r.GetId() == e.number {
-			e.figures()
+			e.printState()
 		}
 	}
 }
 
 // begin prints the request when it arrives.
 func (e *explainer) begin(r *capturepb.Record, at policy.Micros) {
-	e.found, e.began, e.request = true, at, e.dec.Request(r)
+	e.found, e.arrived, e.request = true, at, e.decoder.Request(r)
 	q := &e.request
-	fmt.Fprintf(e.to, "Request %d (%s) came at %d.%06d: class %d, plan %d, customer %016x, %g units, %.0f ms left", q.ID, e.name,
+	fmt.Fprintf(e.out, "Request %d (%s) came at %d.%06d: class %d, plan %d, customer %016x, %g units, %.0f ms left", q.ID, e.name,
 		at/1e6, at%1e6, q.Class, q.Plan, q.Customer, q.Units, float64(q.Left)/1000)
 	if q.Again {
-		fmt.Fprint(e.to, ", marked as a repeat")
+		fmt.Fprint(e.out, ", marked as a repeat")
 	}
-	fmt.Fprintln(e.to, ".")
+	fmt.Fprintln(e.out, ".")
 }
 
-// figures prints the module's state at the arrival of the request.
-func (e *explainer) figures() {
-	v, c := &e.before, &e.before.Customer
-	fmt.Fprintf(e.to, "\nWhat it met:\n  room      %d attempts out of a bound of %.1f (%d on silent workers), %d requests held\n", v.InFlight, v.Bound, v.Stuck, v.Held)
+// printState prints the module's state at the arrival of the request.
+func (e *explainer) printState() {
+	v, c := &e.view, &e.view.Customer
+	fmt.Fprintf(e.out, "\nWhat it met:\n  room      %d attempts out of a bound of %.1f (%d on silent workers), %d requests held\n", v.InFlight, v.Bound, v.Stuck, v.Held)
 	if !v.Known {
-		fmt.Fprintln(e.to, "  customer  not known here: its bucket begins full, its part of a ceiling with what has filled since this gatekeeper's start")
+		fmt.Fprintln(e.out, "  customer  not known here: its bucket begins full, its part of a ceiling with what has filled since this gatekeeper's start")
 	} else {
-		fmt.Fprintf(e.to, "  bucket    %.2f of %.2f units, filling by %.2f a second (our part of the quota: %.0f%%)\n", c.Tokens, c.Store, c.Rate, 100*c.Share)
+		fmt.Fprintf(e.out, "  bucket    %.2f of %.2f units, filling by %.2f a second (our part of the quota: %.0f%%)\n", c.Tokens, c.Store, c.Rate, 100*c.Share)
 		if c.Shared {
 			heard := "no total of the counter is known"
 			if c.HeardAge >= 0 {
 				heard = fmt.Sprintf("the last total is %.0f ms old", float64(c.HeardAge)/1000)
 			}
-			fmt.Fprintf(e.to, "  store     %.2f units by what is known of it; the others use %.2f a second; %s\n", c.Level, c.OthersRate, heard)
-			fmt.Fprintf(e.to, "  counter   %.0f%% of the calls are made\n", 100*v.Calls)
+			fmt.Fprintf(e.out, "  store     %.2f units by what is known of it; the others use %.2f a second; %s\n", c.Level, c.OthersRate, heard)
+			fmt.Fprintf(e.out, "  counter   %.0f%% of the calls are made\n", 100*v.Calls)
 		}
 		if c.Ceiling {
-			fmt.Fprintf(e.to, "  ceiling   %.2f units in our part\n", c.Guard)
+			fmt.Fprintf(e.out, "  ceiling   %.2f units in our part\n", c.Guard)
 		}
 		for _, w := range c.Windows {
 			spent := ""
 			if w.Spent {
 				spent = "; this one is known to be spent"
 			}
-			fmt.Fprintf(e.to, "  window    of its %s, drawn on the counter: %.2f units for all gatekeepers in each %.0f ms%s\n",
-				ofWhat(w), w.Pool, float64(w.Lasts)/1000, spent)
+			fmt.Fprintf(e.out, "  window    of its %s, drawn on the counter: %.2f units for all gatekeepers in each %.0f ms%s\n",
+				windowScope(w), w.Pool, float64(w.Lasts)/1000, spent)
 		}
 	}
 	for _, s := range v.Servers {
@@ -158,44 +158,44 @@
 		case s.Cold:
 			note = ", cold"
 		}
-		fmt.Fprintf(e.to, "  worker    %016x: %d out, slowness %.2f, cost %.2f%s\n", uint64(s.Server), s.Open, s.Slowness, s.Cost, note)
+		fmt.Fprintf(e.out, "  worker    %016x: %d out, slowness %.2f, cost %.2f%s\n", uint64(s.Server), s.Open, s.Slowness, s.Cost, note)
 	}
-	fmt.Fprintln(e.to, "\nWhat became of it:")
+	fmt.Fprintln(e.out, "\nWhat became of it:")
 }
 
 // since formats the time since the arrival of the request.
 func (e *explainer) since(at policy.Micros) string {
-	return fmt.Sprintf("  +%.1f ms", float64(at-e.began)/1000)
+	return fmt.Sprintf("  +%.1f ms", float64(at-e.arrived)/1000)
 }
 
 // decided gets each call that the module makes, and prints those for the request.
 func (e *explainer) decided(c Call, at policy.Micros) {
-	if !e.found || e.over || c.ID != e.number {
+	if !e.found || e.done || c.ID != e.number {
 		return
 	}
 	switch c.Kind {
 	case capturepb.Kind_SEND:
-		fmt.Fprintf(e.to, "%s sent to worker %016x, waited for up to %.0f ms%s\n", e.since(at), uint64(c.Server), float64(c.Span)/1000, e.whyThere(c.Server))
+		fmt.Fprintf(e.out, "%s sent to worker %016x, waited for up to %.0f ms%s\n", e.since(at), uint64(c.Server), float64(c.Span)/1000, e.describeWorkerChoice(c.Server))
 	case capturepb.Kind_CANCEL:
-		fmt.Fprintf(e.to, "%s attempt %d is given up\n", e.since(at), c.Attempt)
+		fmt.Fprintf(e.out, "%s attempt %d is given up\n", e.since(at), c.Attempt)
 	case capturepb.Kind_FAIL:
-		fmt.Fprintf(e.to, "%s failed: an attempt may have run, and its class forbids to say that trying again is harmless\n", e.since(at))
-		e.over = true
+		fmt.Fprintf(e.out, "%s failed: an attempt may have run, and its class forbids to say that trying again is harmless\n", e.since(at))
+		e.done = true
 	case capturepb.Kind_REFUSE:
-		fmt.Fprintf(e.to, "%s refused, to come back after %.0f ms: %s\n", e.since(at), float64(c.Span)/1000, e.whyRefused())
-		e.over = true
+		fmt.Fprintf(e.out, "%s refused, to come back after %.0f ms: %s\n", e.since(at), float64(c.Span)/1000, e.describeRefusal())
+		e.done = true
 	}
 }
 
-// whyThere describes how a worker's cost compared with that of the other available workers.
-func (e *explainer) whyThere(to policy.Server) string {
+// describeWorkerChoice describes how a worker's cost compared with that of the other available workers.
+func (e *explainer) describeWorkerChoice(to policy.Server) string {
 	cheaper, open, cost := 0, 0, 0.0
-	for _, s := range e.before.Servers {
+	for _, s := range e.view.Servers {
 		if s.Server == to {
 			cost = s.Cost
 		}
 	}
-	for _, s := range e.before.Servers {
+	for _, s := range e.view.Servers {
 		if s.Listed && s.State == policy.Ready && s.Shut == 0 && s.Full == 0 {
 			if open++; s.Cost < cost {
 				cheaper++
@@ -208,33 +208,33 @@
 	return fmt.Sprintf(": cost %.2f; %d of %d that take work cost less, but are cold, tried before, outside of our subset, or lost by chance", cost, cheaper, open)
 }
 
-// ofWhat returns whether a window is one of the customer's ceiling or quota.
-func ofWhat(w policy.WindowView) string {
+// windowScope returns whether a window is one of the customer's ceiling or quota.
+func windowScope(w policy.WindowView) string {
 	if w.Lease {
 		return "ceiling"
 	}
 	return "quota"
 }
 
-// spent describes the window of the customer that all gatekeepers together have used up. It
+// describeSpentWindow describes the window of the customer that all gatekeepers together have used up. It
 // returns an empty text if there is none.
-func (e *explainer) spent() string {
-	for _, w := range e.before.Customer.Windows {
+func (e *explainer) describeSpentWindow() string {
+	for _, w := range e.view.Customer.Windows {
 		switch {
 		case w.Spent:
-			return fmt.Sprintf("all gatekeepers together have spent the %.2f units that its %s has for this window of %.0f ms", w.Pool, ofWhat(w), float64(w.Lasts)/1000)
+			return fmt.Sprintf("all gatekeepers together have spent the %.2f units that its %s has for this window of %.0f ms", w.Pool, windowScope(w), float64(w.Lasts)/1000)
 		case e.kind == capturepb.Kind_COUNTED && e.status == "ok" && e.total > w.Pool:
-			return fmt.Sprintf("with it all gatekeepers together would draw %.2f of the %.2f units that its %s has for a window of %.0f ms", e.total, w.Pool, ofWhat(w), float64(w.Lasts)/1000)
+			return fmt.Sprintf("with it all gatekeepers together would draw %.2f of the %.2f units that its %s has for a window of %.0f ms", e.total, w.Pool, windowScope(w), float64(w.Lasts)/1000)
 		}
 	}
 	return ""
 }
 
-// whyRefused describes the limit that had been reached in the state before the refusal.
-func (e *explainer) whyRefused() string {
-	v, c, units := &e.before, &e.before.Customer, e.request.Units
-	beyond := func() string {
-		if why := e.spent(); why != "" {
+// describeRefusal describes the limit that had been reached in the state before the refusal.
+func (e *explainer) describeRefusal() string {
+	v, c, units := &e.view, &e.view.Customer, e.request.Units
+	exceededLimit := func() string {
+		if why := e.describeSpentWindow(); why != "" {
 			return why
 		}
 		switch {
@@ -251,14 +251,14 @@
 	case capturepb.Kind_RANG:
 		return fmt.Sprintf("it was held and could not meet its aim any more (%d attempts out of a bound of %.1f, %d held)", v.InFlight, v.Bound, v.Held)
 	case capturepb.Kind_COUNTED:
-		if why := beyond(); why != "" {
+		if why := exceededLimit(); why != "" {
 			return why + ", by what the counter said"
 		}
 		return fmt.Sprintf("the counter's answer (%s, %.2f) did not let it in", e.status, e.total)
 	case capturepb.Kind_ENDED:
 		return fmt.Sprintf("its attempt ended (%s) and there is no time, try or worker left for another", e.status)
 	}
-	if why := beyond(); why != "" {
+	if why := exceededLimit(); why != "" {
 		return why
 	}
 	if float64(v.InFlight-v.Stuck) >= v.Bound {
--- a/internal/replay/explain_test.go
+++ b/internal/replay/explain_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRigOf(crowded(), w, 1.7e12)
+	r := newHarnessWith(manyGatekeepers(), w, 1.7e12)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 	for _, name := range []string{"the-first", "the-second"} {
 		r.Take(&gatekeeper.Request{Name: name, Plan: 0, Customer: 12, Left: 2000, Units: 1, Spread: 300, Caller: r})
--- a/internal/replay/format.go
+++ b/internal/replay/format.go
@@ -21,12 +21,12 @@
 	Amount  float64
 }
 
-// call converts a record of a call by the module.
-func (p *player) call(r *capturepb.Record) Call {
+// decodeCall converts a record of a call by the module.
+func (p *player) decodeCall(r *capturepb.Record) Call {
 	c := Call{Kind: r.GetKind(), ID: r.GetId(), Server: policy.Server(r.GetServer()), Attempt: int(r.GetAttempt()),
 		Token: r.GetToken(), Span: r.GetSpan(), Amount: r.GetAmount()}
 	if c.Kind == capturepb.Kind_COUNT {
-		c.Name = p.dec.Name(r)
+		c.Name = p.decoder.Name(r)
 	}
 	return c
 }
@@ -51,15 +51,15 @@
 	return fmt.Sprintf("call of kind %d", c.Kind)
 }
 
-// statuses are the names of the values of policy.Status.
-var statuses = [...]string{"failed", "ok", "full", "timeout", "connect-failed", "reset", "cancelled", "moot"}
+// statusNames are the names of the values of policy.Status.
+var statusNames = [...]string{"failed", "ok", "full", "timeout", "connect-failed", "reset", "cancelled", "moot"}
 
-// status returns the name of a policy.Status, or its number if it is unknown.
-func status(n int32) string {
-	if n < 0 || int(n) >= len(statuses) {
+// statusName returns the name of a policy.Status, or its number if it is unknown.
+func statusName(n int32) string {
+	if n < 0 || int(n) >= len(statusNames) {
 		return fmt.Sprint(n)
 	}
-	return statuses[n]
+	return statusNames[n]
 }
 
 // Describe formats a record for the decision log.
@@ -67,8 +67,8 @@
 	if r.GetKind() < capturepb.Kind_SEND {
 		return describe(r, d)
 	}
-	p := player{dec: d}
-	return "  " + p.call(r).String()
+	p := player{decoder: d}
+	return "  " + p.decodeCall(r).String()
 }
 
 // describe formats the record of a call of the module.
@@ -85,9 +85,9 @@
 		return fmt.Sprintf("gone request=%d", r.GetId())
 	case capturepb.Kind_ENDED:
 		return fmt.Sprintf("ended request=%d attempt=%d worker=%016x status=%s latency_ms=%.3f terminal=%v settled=%v load=%v",
-			r.GetId(), r.GetAttempt(), r.GetServer(), status(r.GetStatus()), ms(r.GetLatency()), r.GetTerminal(), r.GetSettled(), r.GetLoad())
+			r.GetId(), r.GetAttempt(), r.GetServer(), statusName(r.GetStatus()), ms(r.GetLatency()), r.GetTerminal(), r.GetSettled(), r.GetLoad())
 	case capturepb.Kind_COUNTED:
-		return fmt.Sprintf("counted name=%016x status=%s total=%v delay_ms=%.3f", d.Name(r), status(r.GetStatus()), r.GetAmount(), ms(r.GetSpan()))
+		return fmt.Sprintf("counted name=%016x status=%s total=%v delay_ms=%.3f", d.Name(r), statusName(r.GetStatus()), r.GetAmount(), ms(r.GetSpan()))
 	case capturepb.Kind_LISTED:
 		return fmt.Sprintf("listed kind=%d entries=%d", r.GetList(), len(r.GetEntries()))
 	case capturepb.Kind_CLASSES:
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -77,21 +77,21 @@
 
 // player holds the module of the run that is being replayed, and is its host.
 type player struct {
-	o      *Options
-	dec    *capture.Decoder
-	report *Report
-	module gatekeeper.Module
-	skip   bool          // records are skipped until the next run or checkpoint
-	broken bool          // there was a gap or a truncated segment since the start of the run
-	in     string        // the current call of the module, as text
-	at     policy.Micros // time of the current call
-	inside uint32        // request number of the current call
-	want   []Call        // recorded decisions of the current call
-	got    []Call        // actual decisions of the current call
+	options    *Options
+	decoder    *capture.Decoder
+	report     *Report
+	module     gatekeeper.Module
+	skipping   bool          // records are skipped until the next run or checkpoint
+	incomplete bool          // there was a gap or a truncated segment since the start of the run
+	callText   string        // the current call of the module, as text
+	callTime   policy.Micros // time of the current call
+	requestID  uint32        // request number of the current call
+	want       []Call        // recorded decisions of the current call
+	got        []Call        // actual decisions of the current call
 }
 
-// errUntil ends a replay that Options.Until or Options.Stop stopped.
-var errUntil = errors.New("replay stopped by its options")
+// errStopped ends a replay that Options.Until or Options.Stop stopped.
+var errStopped = errors.New("replay stopped by its options")
 
 // Run replays records to their end, or until Options.Differences differences were found.
 func Run(from Source, key *capture.Key, o Options) (*Report, error) {
@@ -102,11 +102,11 @@
 	if o.Differences == 0 {
 		o.Differences = 1
 	}
-	p := &player{o: &o, dec: capture.NewDecoder(key), report: &Report{}, skip: true}
+	p := &player{options: &o, decoder: capture.NewDecoder(key), report: &Report{}, skipping: true}
 	err := p.play(from)
-	p.settle()
-	p.report.Module, p.report.Ended = p.module, errors.Is(err, io.EOF) && !p.broken && !p.skip
-	if errors.Is(err, io.EOF) || errors.Is(err, errUntil) {
+	p.compareDecisions()
+	p.report.Module, p.report.Ended = p.module, errors.Is(err, io.EOF) && !p.incomplete && !p.skipping
+	if errors.Is(err, io.EOF) || errors.Is(err, errStopped) {
 		err = nil
 	}
 	return p.report, err
@@ -114,7 +114,7 @@
 
 // play replays records until the source or the options end the replay.
 func (p *player) play(from Source) error {
-	for len(p.report.Differences) < p.o.Differences {
+	for len(p.report.Differences) < p.options.Differences {
 		r, at, err := from.Next()
 		var gap *capture.Gap
 		var cut *capture.Cut
@@ -122,158 +122,158 @@
 		case errors.As(err, &gap), errors.As(err, &cut):
 			p.want, p.got = p.want[:0], p.got[:0] // the rest of the recorded decisions is missing
 			p.report.Notes = append(p.report.Notes, err.Error())
-			p.broken = true
-			p.skip = p.skip || gap != nil // after a gap the module's state is not known
+			p.incomplete = true
+			p.skipping = p.skipping || gap != nil // after a gap the module's state is not known
 			continue
 		case err != nil:
 			return err
-		case p.o.Until > 0 && at > p.o.Until:
-			return errUntil
+		case p.options.Until > 0 && at > p.options.Until:
+			return errStopped
 		}
-		if p.o.Stop != nil && p.o.Stop() {
-			return errUntil
+		if p.options.Stop != nil && p.options.Stop() {
+			return errStopped
 		}
 		if p.report.First == 0 {
 			p.report.First = at
 		}
 		p.report.Last = at
 		if r.GetKind() == capturepb.Kind_NAMED { // may come between the decisions of a call
-			if p.o.Named != nil {
-				p.o.Named(r.GetId(), r.GetText())
+			if p.options.Named != nil {
+				p.options.Named(r.GetId(), r.GetText())
 			}
-			if p.o.Name != "" && p.o.Name == r.GetText() {
-				p.o.Request = r.GetId()
+			if p.options.Name != "" && p.options.Name == r.GetText() {
+				p.options.Request = r.GetId()
 			}
-			p.log(r.GetId(), "named request=%d %q", r.GetId(), r.GetText())
+			p.logLine(r.GetId(), "named request=%d %q", r.GetId(), r.GetText())
 			continue
 		}
 		if r.GetKind() == capturepb.Kind_CHECKPOINT {
-			p.settle()
+			p.compareDecisions()
 			if err := p.checkpoint(r, at); err != nil {
 				return err
 			}
 			continue
 		}
 		if r.GetKind() >= capturepb.Kind_SEND {
-			if !p.skip {
-				p.want = append(p.want, p.call(r))
+			if !p.skipping {
+				p.want = append(p.want, p.decodeCall(r))
 			}
 			continue
 		}
-		p.settle()
-		if err := p.tell(r, at); err != nil {
+		p.compareDecisions()
+		if err := p.callModule(r, at); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// state is a module that can return its complete state. policy.Gateway implements it.
-type state interface{ Snapshot() policy.Snapshot }
+// snapshotter is a module that can return its complete state. policy.Gateway implements it.
+type snapshotter interface{ Snapshot() policy.Snapshot }
 
 // checkpoint compares a checkpoint with the module's state. If records are being skipped, it
 // restores the module from the checkpoint instead, and the replay starts there.
 func (p *player) checkpoint(r *capturepb.Record, at policy.Micros) error {
-	want, err := p.dec.State(r)
+	want, err := p.decoder.State(r)
 	if err != nil {
 		return err
 	}
 	p.report.Checkpoints++
 	if want.Version != policy.SnapshotVersion {
-		p.note("checkpoints have state version %d, want %d: they are neither restored nor compared", want.Version, policy.SnapshotVersion)
+		p.addNote("checkpoints have state version %d, want %d: they are neither restored nor compared", want.Version, policy.SnapshotVersion)
 		return nil
 	}
-	if p.skip {
-		if p.o.Begin == nil {
+	if p.skipping {
+		if p.options.Begin == nil {
 			return nil
 		}
-		if p.module, err = p.o.Begin(want); err != nil {
+		if p.module, err = p.options.Begin(want); err != nil {
 			return err
 		}
-		p.skip = false
+		p.skipping = false
 		p.report.Lives++
 		p.report.Notes = append(p.report.Notes, fmt.Sprintf("replayed from the checkpoint at %d.%06d on", at/1e6, at%1e6))
 		return nil
 	}
-	m, ok := p.module.(state)
+	m, ok := p.module.(snapshotter)
 	if !ok {
 		return nil
 	}
-	kept, err := json.Marshal(want)
+	wantText, err := json.Marshal(want)
 	if err != nil {
 		return fmt.Errorf("replay: encode the state of a checkpoint: %w", err)
 	}
-	got, err := json.Marshal(m.Snapshot())
+	gotText, err := json.Marshal(m.Snapshot())
 	if err != nil {
 		return fmt.Errorf("replay: encode the module's state: %w", err)
 	}
-	if !bytes.Equal(kept, got) {
-		p.differ(Difference{At: at, Call: "checkpoint", Want: []string{string(kept)}, Got: []string{string(got)}})
+	if !bytes.Equal(wantText, gotText) {
+		p.addDifference(Difference{At: at, Call: "checkpoint", Want: []string{string(wantText)}, Got: []string{string(gotText)}})
 	}
 	return nil
 }
 
-// note adds a note to the report, unless the report has the same note already.
-func (p *player) note(format string, a ...any) {
+// addNote adds a note to the report, unless the report has the same note already.
+func (p *player) addNote(format string, a ...any) {
 	if text := fmt.Sprintf(format, a...); !slices.Contains(p.report.Notes, text) {
 		p.report.Notes = append(p.report.Notes, text)
 	}
 }
 
-// differ adds a difference to the report, up to the limit of the options.
-func (p *player) differ(d Difference) {
-	if len(p.report.Differences) < p.o.Differences {
+// addDifference adds a difference to the report, up to the limit of the options.
+func (p *player) addDifference(d Difference) {
+	if len(p.report.Differences) < p.options.Differences {
 		p.report.Differences = append(p.report.Differences, d)
 	}
 }
 
-// tell makes the call of the module that a record holds.
-func (p *player) tell(r *capturepb.Record, at policy.Micros) error {
+// callModule makes the call of the module that a record holds.
+func (p *player) callModule(r *capturepb.Record, at policy.Micros) error {
 	if r.GetKind() == capturepb.Kind_BEGAN {
-		s, err := p.dec.Settings(r)
+		s, err := p.decoder.Settings(r)
 		if err != nil {
 			return err
 		}
-		p.module, p.skip, p.broken = p.o.Make(s, r.GetSeed()), false, false
+		p.module, p.skipping, p.incomplete = p.options.Make(s, r.GetSeed()), false, false
 		p.report.Lives++
 	}
-	if p.skip {
+	if p.skipping {
 		if p.report.Lives == 0 && len(p.report.Notes) == 0 {
 			p.report.Notes = append(p.report.Notes, "the capture does not start with the start of a process: records before the first checkpoint are skipped")
 		}
 		return nil
 	}
-	p.at, p.inside = at, r.GetId()
-	p.in = describe(r, p.dec)
+	p.callTime, p.requestID = at, r.GetId()
+	p.callText = describe(r, p.decoder)
 	p.report.Calls++
-	p.log(p.inside, "%s", p.in)
-	if p.o.Swap != nil && r.GetKind() != capturepb.Kind_BEGAN {
-		p.module = p.o.Swap(p.module)
+	p.logLine(p.requestID, "%s", p.callText)
+	if p.options.Swap != nil && r.GetKind() != capturepb.Kind_BEGAN {
+		p.module = p.options.Swap(p.module)
 	}
-	if p.o.Watch != nil {
-		p.o.Watch(p.module, r, at)
+	if p.options.Watch != nil {
+		p.options.Watch(p.module, r, at)
 	}
 	switch r.GetKind() {
 	case capturepb.Kind_BEGAN:
 		p.module.Start(at, p)
 	case capturepb.Kind_REQUESTED:
-		p.module.Request(at, p, p.dec.Request(r))
+		p.module.Request(at, p, p.decoder.Request(r))
 	case capturepb.Kind_GONE:
 		p.module.ClientGone(at, p, r.GetId())
 	case capturepb.Kind_ENDED:
-		p.module.Outcome(at, p, p.dec.Outcome(r))
+		p.module.Outcome(at, p, p.decoder.Outcome(r))
 	case capturepb.Kind_COUNTED:
-		p.module.Counted(at, p, p.dec.Name(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
+		p.module.Counted(at, p, p.decoder.Name(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
 	case capturepb.Kind_LISTED:
-		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.dec.Entries(r))
+		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.decoder.Entries(r))
 	case capturepb.Kind_CLASSES:
-		s, err := p.dec.Settings(r)
+		s, err := p.decoder.Settings(r)
 		if err != nil {
 			return err
 		}
 		p.module.SetClasses(at, p, s.Classes)
 	case capturepb.Kind_RECOVERED:
-		s, err := p.dec.State(r)
+		s, err := p.decoder.State(r)
 		if err != nil {
 			return err
 		}
@@ -285,7 +285,7 @@
 	case capturepb.Kind_JOINED:
 		p.module.Joined(policy.Snapshot{Now: at, Born: r.GetAt()})
 	case capturepb.Kind_BESIDE:
-		p.module.Beside(at, p.dec.Beside(r))
+		p.module.Beside(at, p.decoder.Beside(r))
 	case capturepb.Kind_RANG:
 		p.module.Timer(at, p, r.GetToken())
 	default:
@@ -294,43 +294,43 @@
 	return nil
 }
 
-// settle compares the module's decisions in the last call with the recorded ones.
-func (p *player) settle() {
-	same := len(p.want) == len(p.got)
-	for i := 0; same && i < len(p.want); i++ {
-		same = p.want[i] == p.got[i]
+// compareDecisions compares the module's decisions in the last call with the recorded ones.
+func (p *player) compareDecisions() {
+	equal := len(p.want) == len(p.got)
+	for i := 0; equal && i < len(p.want); i++ {
+		equal = p.want[i] == p.got[i]
 	}
-	if !same && !p.skip {
-		d := Difference{At: p.at, Call: p.in}
+	if !equal && !p.skipping {
+		d := Difference{At: p.callTime, Call: p.callText}
 		for _, c := range p.want {
 			d.Want = append(d.Want, c.String())
 		}
 		for _, c := range p.got {
 			d.Got = append(d.Got, c.String())
 		}
-		p.differ(d)
+		p.addDifference(d)
 	}
 	p.want, p.got = p.want[:0], p.got[:0]
 }
 
-// log writes a line to the decision log if the line's request is selected.
-func (p *player) log(id uint32, format string, a ...any) {
-	one := p.o.Request != 0 || p.o.Name != ""
-	if p.o.Log == nil || one && (id == 0 || p.o.Request != id) {
+// logLine writes a line to the decision log if the line's request is selected.
+func (p *player) logLine(id uint32, format string, a ...any) {
+	filtered := p.options.Request != 0 || p.options.Name != ""
+	if p.options.Log == nil || filtered && (id == 0 || p.options.Request != id) {
 		return
 	}
-	fmt.Fprintf(p.o.Log, "%d.%06d ", p.at/1e6, p.at%1e6)
-	fmt.Fprintf(p.o.Log, format, a...)
-	fmt.Fprintln(p.o.Log)
+	fmt.Fprintf(p.options.Log, "%d.%06d ", p.callTime/1e6, p.callTime%1e6)
+	fmt.Fprintf(p.options.Log, format, a...)
+	fmt.Fprintln(p.options.Log)
 }
 
 // decided handles a call that the module made.
 func (p *player) decided(c Call) {
 	p.got = append(p.got, c)
 	p.report.Decisions++
-	p.log(c.ID, "  %v", c)
-	if p.o.Decided != nil {
-		p.o.Decided(c, p.at)
+	p.logLine(c.ID, "  %v", c)
+	if p.options.Decided != nil {
+		p.options.Decided(c, p.callTime)
 	}
 }
 
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -20,24 +20,24 @@
 	"foxwood/policy"
 )
 
-// rig is a gatekeeper whose decision module is recorded, with fakes for its caller, fleet
+// harness is a gatekeeper whose decision module is recorded, with fakes for its caller, fleet
 // and counter.
-type rig struct {
+type harness struct {
 	*gatekeeper.Gatekeeper
-	clock *gatekeeper.Clock
-	out   []*gatekeeper.Execution
-	calls []*gatekeeper.Count
-	open  []*gatekeeper.Request
+	clock      *gatekeeper.Clock
+	executions []*gatekeeper.Execution
+	calls      []*gatekeeper.Count
+	open       []*gatekeeper.Request
 }
 
-func (r *rig) Execute(x *gatekeeper.Execution)                   { r.out = append(r.out, x) }
-func (r *rig) Abandon(*gatekeeper.Execution) bool                { return true }
-func (r *rig) Release(policy.Server)                             {}
-func (r *rig) Add(c *gatekeeper.Count)                           { r.calls = append(r.calls, c) }
-func (r *rig) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.over(q) }
-func (r *rig) Throttled(q *gatekeeper.Request, _ float64)        { r.over(q) }
-func (r *rig) Failed(q *gatekeeper.Request)                      { r.over(q) }
-func (r *rig) over(q *gatekeeper.Request) {
+func (r *harness) Execute(x *gatekeeper.Execution)                   { r.executions = append(r.executions, x) }
+func (r *harness) Abandon(*gatekeeper.Execution) bool                { return true }
+func (r *harness) Release(policy.Server)                             {}
+func (r *harness) Add(c *gatekeeper.Count)                           { r.calls = append(r.calls, c) }
+func (r *harness) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.removeOpen(q) }
+func (r *harness) Throttled(q *gatekeeper.Request, _ float64)        { r.removeOpen(q) }
+func (r *harness) Failed(q *gatekeeper.Request)                      { r.removeOpen(q) }
+func (r *harness) removeOpen(q *gatekeeper.Request) {
 	for i, o := range r.open {
 		if o == q {
 			r.open = append(r.open[:i], r.open[i+1:]...)
@@ -46,8 +46,8 @@
 	}
 }
 
-// settings are those of one of three gatekeepers with quotas on the shared counter.
-func settings() policy.Settings {
+// fewGatekeepers are those of one of three gatekeepers with quotas on the shared counter.
+func fewGatekeepers() policy.Settings {
 	return policy.Settings{Gateways: 3, Self: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true,
 		Counter: true, CounterTimeout: 50e3, Largest: 6, InlineLoad: []string{"inflight"}, Settles: true,
 		ColdShare: 0.16, ColdFor: 14e6, FallMultiple: 3, FallWindow: 1.5e6,
@@ -56,29 +56,31 @@
 		Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 1, OverCost: 1}, {Rate: 60, Burst: 90, Price: 2, CeilingRate: 90, CeilingBurst: 99}}}
 }
 
-// crowded are the settings of one of hundreds of gatekeepers, which draw quota on the
+// manyGatekeepers are the settings of one of hundreds of gatekeepers, which draw quota on the
 // counter by windows of time.
-func crowded() policy.Settings {
-	s := settings()
+func manyGatekeepers() policy.Settings {
+	s := fewGatekeepers()
 	s.Gateways, s.Self = 300, 7
 	return s
 }
 
-func newRig(rec gatekeeper.Recorder, at float64) *rig { return newRigOf(settings(), rec, at) }
+func newHarness(rec gatekeeper.Recorder, at float64) *harness {
+	return newHarnessWith(fewGatekeepers(), rec, at)
+}
 
-func newRigOf(set policy.Settings, rec gatekeeper.Recorder, at float64) *rig {
-	r := &rig{clock: gatekeeper.NewClock()}
+func newHarnessWith(s policy.Settings, rec gatekeeper.Recorder, at float64) *harness {
+	r := &harness{clock: gatekeeper.NewClock()}
 	r.clock.Set(at)
-	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: set, Seed: 0x1f, Clock: r.clock, Fleet: r, Counter: r,
+	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 0x1f, Clock: r.clock, Fleet: r, Counter: r,
 		Wake: func(float64) {}, Recorder: rec})
 	return r
 }
 
-// day passes up to 120 random events to the gatekeeper, several of them at the same time:
+// playRandomEvents passes up to 120 random events to the gatekeeper, several of them at the same time:
 // requests, outcomes of all kinds, results of the counter, some of them late, worker lists,
 // replaced classes, disconnecting clients, slowly arriving bodies, and quota draws of another
 // process of the gatekeeper.
-func (r *rig) day(t *rapid.T) {
+func (r *harness) playRandomEvents(t *rapid.T) {
 	list := func() {
 		kind := rapid.SampledFrom([]policy.ListKind{policy.FullList, policy.Delta}).Draw(t, "list")
 		var entries []policy.Entry
@@ -102,10 +104,10 @@
 			r.open = append(r.open, q)
 			r.Take(q)
 		case 4, 5, 6:
-			if len(r.out) > 0 {
-				i := rapid.IntRange(0, len(r.out)-1).Draw(t, "which")
-				x := r.out[i]
-				r.out = append(r.out[:i], r.out[i+1:]...)
+			if len(r.executions) > 0 {
+				i := rapid.IntRange(0, len(r.executions)-1).Draw(t, "which")
+				x := r.executions[i]
+				r.executions = append(r.executions[:i], r.executions[i+1:]...)
 				o := gatekeeper.Outcome{Status: rapid.SampledFrom([]policy.Status{policy.OK, policy.OK, policy.OK, policy.Full, policy.Failed,
 					policy.Reset, policy.ConnectFailed}).Draw(t, "status"), Units: rapid.Float64Range(0, 6).Draw(t, "true")}
 				if rapid.Bool().Draw(t, "loaded") {
@@ -132,7 +134,7 @@
 			}
 		case 10:
 			if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-				s := settings()
+				s := fewGatekeepers()
 				s.Classes[0].Worth = rapid.Float64Range(0.5, 3).Draw(t, "worth")
 				r.SetClasses(s.Classes)
 			}
@@ -140,8 +142,8 @@
 			if len(r.open) > 0 {
 				r.Filled(rapid.SampledFrom(r.open).Draw(t, "filled"))
 			}
-			if len(r.out) > 0 {
-				r.Progress(rapid.SampledFrom(r.out).Draw(t, "progressed"))
+			if len(r.executions) > 0 {
+				r.Progress(rapid.SampledFrom(r.executions).Draw(t, "progressed"))
 			}
 		case 13:
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
@@ -154,8 +156,8 @@
 	}
 }
 
-// play replays the capture in a folder, and returns the report and the decision log.
-func play(t interface{ Fatal(...any) }, folder string, key capture.Key) (*Report, string) {
+// replayCapture replays the capture in a folder, and returns the report and the decision log.
+func replayCapture(t interface{ Fatal(...any) }, folder string, key capture.Key) (*Report, string) {
 	segments, err := capture.Find(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -192,39 +194,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		newRigOf(rapid.SampledFrom([]policy.Settings{settings(), crowded()}).Draw(t, "settings"), w, 1.7e12).day(t)
+		newHarnessWith(rapid.SampledFrom([]policy.Settings{fewGatekeepers(), manyGatekeepers()}).Draw(t, "settings"), w, 1.7e12).playRandomEvents(t)
 		w.Close()
-		report, log := play(t, folder, key)
+		report, log := replayCapture(t, folder, key)
 		if len(report.Differences) > 0 {
 			t.Fatalf("the replay differs from the recording: %+v", report.Differences[0])
 		}
 		if report.Lives != 1 || report.Calls < 2 || report.Decisions == 0 {
 			t.Fatalf("report %+v, want one run with calls and decisions", report)
 		}
-		if _, again := play(t, folder, key); again != log {
+		if _, again := replayCapture(t, folder, key); again != log {
 			t.Fatal("the decision logs of two replays differ")
 		}
 	})
 }
 
-// life records a short run of a gatekeeper. If crash is set, it truncates the capture as a
+// recordRun records a short run of a gatekeeper. If crash is set, it truncates the capture as a
 // crash would.
-func life(t *testing.T, folder string, number uint64, at float64, crash bool) {
+func recordRun(t *testing.T, folder string, number uint64, at float64, crash bool) {
 	t.Helper()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: number})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(w, at)
+	r := newHarness(w, at)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	for range 40 {
 		r.Take(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 12, Left: 1000, Units: 1, Spread: 3, Caller: r})
 		r.clock.Set(r.clock.Now() + 10)
 		r.Advance()
-		for _, x := range r.out {
+		for _, x := range r.executions {
 			r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 		}
-		r.out = nil
+		r.executions = nil
 	}
 	w.Close()
 	if !crash {
@@ -248,9 +250,9 @@
 // block and then restarted, both runs are replayed and the truncated segment is reported.
 func TestReplayContinuesAfterCrash(t *testing.T) {
 	folder := t.TempDir()
-	life(t, folder, 0xa, 1.7e12, true)
-	life(t, folder, 0xb, 1.7e12+5000, false)
-	report, log := play(t, folder, capture.Key{})
+	recordRun(t, folder, 0xa, 1.7e12, true)
+	recordRun(t, folder, 0xb, 1.7e12+5000, false)
+	report, log := replayCapture(t, folder, capture.Key{})
 	if report.Lives != 2 || len(report.Differences) > 0 {
 		t.Errorf("%d runs, differences %v; want 2 runs without differences", report.Lives, report.Differences)
 	}
@@ -262,8 +264,8 @@
 	}
 }
 
-// other creates a module with a lower rate and burst than recorded.
-func other(s policy.Settings, seed uint64) gatekeeper.Module {
+// lowQuotaModule creates a module with a lower rate and burst than recorded.
+func lowQuotaModule(s policy.Settings, seed uint64) gatekeeper.Module {
 	s.Plans[1].Rate, s.Plans[1].Burst = 1, 1
 	return policy.New(s, seed)
 }
@@ -272,7 +274,7 @@
 // settings decides differently, and the first call in which it does must be reported.
 func TestReplayReportsDifference(t *testing.T) {
 	folder := t.TempDir()
-	life(t, folder, 0xa, 1.7e12, false)
+	recordRun(t, folder, 0xa, 1.7e12, false)
 	segments, err := capture.Find(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -280,7 +282,7 @@
 	key := capture.Key{}
 	set := capture.NewSet(segments, &key)
 	defer set.Close()
-	report, err := Run(set, &key, Options{Make: other})
+	report, err := Run(set, &key, Options{Make: lowQuotaModule})
 	if err != nil || len(report.Differences) != 1 {
 		t.Fatalf("report %+v, error %v; want one difference", report, err)
 	}
@@ -289,14 +291,14 @@
 	}
 }
 
-// gapped is a source that loses five records.
-type gapped struct {
+// lossySource is a source that loses five records.
+type lossySource struct {
 	Source
 	n, at int
 }
 
 // Next implements Source.
-func (g *gapped) Next() (*capturepb.Record, policy.Micros, error) {
+func (g *lossySource) Next() (*capturepb.Record, policy.Micros, error) {
 	if g.n++; g.n == g.at {
 		for range 5 {
 			if _, _, err := g.Source.Next(); err != nil {
@@ -312,8 +314,8 @@
 // next run, since without the lost records the module's state is wrong.
 func TestRecordsAfterGapAreSkipped(t *testing.T) {
 	folder := t.TempDir()
-	life(t, folder, 0xa, 1.7e12, false)
-	life(t, folder, 0xb, 1.7e12+5000, false)
+	recordRun(t, folder, 0xa, 1.7e12, false)
+	recordRun(t, folder, 0xb, 1.7e12+5000, false)
 	segments, err := capture.Find(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -321,7 +323,7 @@
 	key := capture.Key{}
 	set := capture.NewSet(segments, &key)
 	defer set.Close()
-	report, err := Run(&gapped{Source: set, at: 50}, &key, Options{})
+	report, err := Run(&lossySource{Source: set, at: 50}, &key, Options{})
 	if err != nil && !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
@@ -344,7 +346,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		newRigOf(rapid.SampledFrom([]policy.Settings{settings(), crowded()}).Draw(t, "settings"), w, 1.7e12).day(t)
+		newHarnessWith(rapid.SampledFrom([]policy.Settings{fewGatekeepers(), manyGatekeepers()}).Draw(t, "settings"), w, 1.7e12).playRandomEvents(t)
 		w.Close()
 		segments, err := capture.Find(folder)
 		if err != nil {
@@ -384,16 +386,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(w, 1.7e12)
+	r := newHarness(w, 1.7e12)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	for i := range 400 {
 		r.Take(&gatekeeper.Request{Class: i % 2, Plan: 1, Customer: uint64(i % 7), Left: 1000, Units: 1, Spread: 3, Caller: r})
 		r.clock.Set(r.clock.Now() + 10)
 		r.Advance()
-		for _, x := range r.out {
+		for _, x := range r.executions {
 			r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 		}
-		r.out = nil
+		r.executions = nil
 	}
 	w.Close()
 	segments, err := capture.Find(folder)
@@ -418,7 +420,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(w, 1.7e12)
+	r := newHarness(w, 1.7e12)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	ask := func(n int) {
 		for i := range n {
@@ -428,25 +430,25 @@
 		}
 	}
 	ask(400)
-	for _, x := range r.out {
+	for _, x := range r.executions {
 		r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 	}
-	r.out = nil
+	r.executions = nil
 	r.clock.Set(r.clock.Now() + 3600e3)
 	r.Advance()
 	ask(50)
 	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Draining}})
 	for len(r.open) > 0 {
 		q := r.open[0]
-		r.over(q)
+		r.removeOpen(q)
 		r.Gone(q)
 	}
 	w.Close()
-	report, log := play(t, folder, capture.Key{})
+	report, log := replayCapture(t, folder, capture.Key{})
 	if len(report.Differences) > 0 || report.Calls < 450 || !report.Ended {
 		t.Errorf("report %+v, want at least 450 calls, a complete end and no differences", report)
 	}
-	if _, again := play(t, folder, capture.Key{}); again != log {
+	if _, again := replayCapture(t, folder, capture.Key{}); again != log {
 		t.Error("the decision logs of two replays differ")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,9 +11,9 @@
 	"foxwood/policy"
 )
 
-// profile mirrors the settings object. Other keys are ignored. Keys that end in -us are
+// document mirrors the settings object. Other keys are ignored. Keys that end in -us are
 // in microseconds.
-type profile struct {
+type document struct {
 	Areas   []string `json:"areas"`
 	Classes []struct {
 		Name      string  `json:"name"`
@@ -81,61 +81,61 @@
 
 // Defaults in microseconds for settings without limits of connections.
 const (
-	defaultIdle    = policy.Micros(10e6)
-	defaultConnect = policy.Micros(250e3)
+	defaultConnIdle       = policy.Micros(10e6)
+	defaultConnectTimeout = policy.Micros(250e3)
 )
 
 // Parse decodes a settings object. It does not check the values, see Check.
 func Parse(text []byte) (policy.Settings, Names, error) {
-	var p profile
-	if err := json.Unmarshal(text, &p); err != nil {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return policy.Settings{}, Names{}, fmt.Errorf("settings: malformed JSON: %w", err)
 	}
-	names := Names{Zones: p.Areas, ConnIdle: p.Limits.ConnIdle, ConnectMost: p.Limits.ConnectMost}
+	names := Names{Zones: doc.Areas, ConnIdle: doc.Limits.ConnIdle, ConnectMost: doc.Limits.ConnectMost}
 	if names.ConnIdle <= 0 {
-		names.ConnIdle = defaultIdle
+		names.ConnIdle = defaultConnIdle
 	}
 	if names.ConnectMost <= 0 {
-		names.ConnectMost = defaultConnect
+		names.ConnectMost = defaultConnectTimeout
 	}
 	s := policy.Settings{
-		Self: p.SelfIndex, Gateways: p.Siblings, Zone: p.Locality, Tick: p.Tick,
-		Weights:     p.Weights != "" && p.Weights != "off",
-		MaxAttempts: p.Limits.MaxAttempts,
-		Cancel:      p.Limits.Cancelling,
-		RetryAfter:  p.Limits.RetryAfter,
-		Counter:     p.Info.Counter, CounterTimeout: p.Info.CountLimit,
-		Settles: p.Info.Settles, Largest: p.Info.Largest,
-		ColdShare: p.Obligations.StartCapacity, FallMultiple: p.Obligations.FallMultiple,
-		ColdFor: p.Obligations.WarmAfter, FallWindow: p.Obligations.Fall,
-		CrossZonePrice: p.Tariffs.CrossZone,
+		Self: doc.SelfIndex, Gateways: doc.Siblings, Zone: doc.Locality, Tick: doc.Tick,
+		Weights:     doc.Weights != "" && doc.Weights != "off",
+		MaxAttempts: doc.Limits.MaxAttempts,
+		Cancel:      doc.Limits.Cancelling,
+		RetryAfter:  doc.Limits.RetryAfter,
+		Counter:     doc.Info.Counter, CounterTimeout: doc.Info.CountLimit,
+		Settles: doc.Info.Settles, Largest: doc.Info.Largest,
+		ColdShare: doc.Obligations.StartCapacity, FallMultiple: doc.Obligations.FallMultiple,
+		ColdFor: doc.Obligations.WarmAfter, FallWindow: doc.Obligations.Fall,
+		CrossZonePrice: doc.Tariffs.CrossZone,
 	}
-	if p.Report.Via == "inline" {
-		s.InlineLoad = p.Report.Fields
+	if doc.Report.Via == "inline" {
+		s.InlineLoad = doc.Report.Fields
 	}
-	for _, c := range p.Classes {
-		k := policy.Class{
+	for _, c := range doc.Classes {
+		class := policy.Class{
 			Aim: c.Objective, Deadline: c.Deadline, Window: c.Window,
 			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: policy.Unsafe, Group: Groups[c.Group],
-			Attempts: p.Limits.MaxAttempts,
+			Attempts: doc.Limits.MaxAttempts,
 		}
-		if r, ok := repeats[c.Repeat]; ok { // an unknown value stays Unsafe, so that requests are never repeated
-			k.Repeat = r
+		if repeat, ok := repeats[c.Repeat]; ok { // an unknown value stays Unsafe, so that requests are never repeated
+			class.Repeat = repeat
 		} else {
 			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: repeat is %q, want "idempotent", "deduplicated" or "at_most_once"`, c.Name, c.Repeat))
 		}
 		if _, ok := Groups[c.Group]; !ok {
 			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: group is %q, want "all", "zone" or "cell"`, c.Name, c.Group))
 		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, class)
 		names.Classes = append(names.Classes, c.Name)
 	}
-	for _, t := range p.Plans {
-		names.Plans = append(names.Plans, t.Name)
+	for _, plan := range doc.Plans {
+		names.Plans = append(names.Plans, plan.Name)
 		s.Plans = append(s.Plans, policy.Plan{
-			Rate: t.Refill, Burst: t.Burst, Open: t.Concurrency,
-			CeilingRate: t.CeilingRate, CeilingBurst: t.HardBurst, CeilingSlack: t.CapSlack,
-			Price: t.Pays, OverCost: t.OverrunCost,
+			Rate: plan.Refill, Burst: plan.Burst, Open: plan.Concurrency,
+			CeilingRate: plan.CeilingRate, CeilingBurst: plan.HardBurst, CeilingSlack: plan.CapSlack,
+			Price: plan.Pays, OverCost: plan.OverrunCost,
 		})
 	}
 	return s, names, nil
@@ -155,17 +155,17 @@
 	if s.MaxAttempts <= 0 {
 		fault("max-attempts is %d, want more than 0", s.MaxAttempts)
 	}
-	seen := map[string]bool{}
+	defined := map[string]bool{}
 	for i, c := range s.Classes {
 		name := n.Classes[i]
 		switch {
 		case name == "":
 			fault("class %d has no name", i+1)
 			continue
-		case seen[name]:
+		case defined[name]:
 			fault("class %q is defined twice", name)
 		}
-		seen[name] = true
+		defined[name] = true
 		if c.Deadline <= 0 {
 			fault("class %q: deadline-us is %d, want more than 0", name, c.Deadline)
 		}
@@ -194,30 +194,30 @@
 // current table, which names gives the class names of: open requests, counts and learned
 // latencies refer to classes by index. A class that is no longer defined keeps its entry and
 // its terms under an empty name. A new class reuses such an entry only if the table has at
-// least placesMost entries; otherwise it is appended.
+// least reuseThreshold entries; otherwise it is appended.
 func Place(s *policy.Settings, n *Names, inForce []policy.Class, names []string) {
-	classes, placed := slices.Clone(inForce), make([]string, len(names))
-	var fresh []int
+	classes, placedNames := slices.Clone(inForce), make([]string, len(names))
+	var added []int
 	for i, name := range n.Classes {
-		if at := slices.Index(names, name); at >= 0 {
-			classes[at], placed[at] = s.Classes[i], name
+		if index := slices.Index(names, name); index >= 0 {
+			classes[index], placedNames[index] = s.Classes[i], name
 		} else {
-			fresh = append(fresh, i)
+			added = append(added, i)
 		}
 	}
-	for _, i := range fresh {
-		at := -1
-		if len(placed) >= placesMost {
-			at = slices.Index(placed, "")
+	for _, i := range added {
+		index := -1
+		if len(placedNames) >= reuseThreshold {
+			index = slices.Index(placedNames, "")
 		}
-		if at < 0 {
-			at = len(placed)
-			classes, placed = append(classes, policy.Class{}), append(placed, "")
+		if index < 0 {
+			index = len(placedNames)
+			classes, placedNames = append(classes, policy.Class{}), append(placedNames, "")
 		}
-		classes[at], placed[at] = s.Classes[i], n.Classes[i]
+		classes[index], placedNames[index] = s.Classes[i], n.Classes[i]
 	}
-	s.Classes, n.Classes = classes, placed
+	s.Classes, n.Classes = classes, placedNames
 }
 
-// placesMost is the size of a class table from which on entries of removed classes are reused.
-const placesMost = 16
+// reuseThreshold is the size of a class table from which on entries of removed classes are reused.
+const reuseThreshold = 16
