--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -44,11 +44,11 @@
 )
 
 const (
-	batchHeader = 12         // bytes of the record count and the clock, which follow the frame length
-	maxFrame    = 1 << 30    // largest frame in bytes
-	entryBytes  = 23         // bytes of one entry of a server list
-	maxText     = 0xffff     // longest text of a record in bytes
-	maxMicros   = 0xffffffff // longest duration of a record in microseconds
+	frameHeaderBytes = 12         // bytes of the record count and the clock, which follow the frame length
+	maxFrameBytes    = 1 << 30    // largest frame in bytes
+	entryBytes       = 23         // bytes of one entry of a server list
+	maxTextBytes     = 0xffff     // longest text of a record in bytes
+	maxDuration      = 0xffffffff // longest duration of a record in microseconds
 )
 
 // ErrShort reports that a record ends before its last field.
@@ -57,28 +57,28 @@
 // ReadFrame reads one frame, without its length, into buf or into a larger buffer if
 // needed. It returns io.EOF only if the input ends between two frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var encodedLength [4]byte
+	if _, err := io.ReadFull(r, encodedLength[:]); err != nil {
 		if err == io.EOF {
 			return nil, io.EOF
 		}
 		return nil, fmt.Errorf("truncated frame length: %w", err)
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < batchHeader || n > maxFrame {
-		return nil, fmt.Errorf("frame length is %d bytes, want %d to %d", n, batchHeader, maxFrame)
+	length := binary.BigEndian.Uint32(encodedLength[:])
+	if length < frameHeaderBytes || length > maxFrameBytes {
+		return nil, fmt.Errorf("frame length is %d bytes, want %d to %d", length, frameHeaderBytes, maxFrameBytes)
 	}
-	if uint32(cap(buf)) >= n {
-		buf = buf[:n]
+	if uint32(cap(buf)) >= length {
+		buf = buf[:length]
 		if _, err := io.ReadFull(r, buf); err != nil {
 			return nil, fmt.Errorf("truncated frame: %w", err)
 		}
 		return buf, nil
 	}
 	// The buffer grows with the bytes that arrive, so that a wrong length does not allocate
-	// up to maxFrame.
-	buf, err := io.ReadAll(io.LimitReader(r, int64(n)))
-	if err == nil && uint32(len(buf)) < n {
+	// up to maxFrameBytes.
+	buf, err := io.ReadAll(io.LimitReader(r, int64(length)))
+	if err == nil && uint32(len(buf)) < length {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
@@ -90,30 +90,30 @@
 // Batch decodes the records of one frame. Reading past the end gives zero values, and
 // makes Err return ErrShort.
 type Batch struct {
-	Clock   policy.Micros // time of the events
-	Records int           // number of records
-	b       []byte        // the bytes not read yet
-	short   bool
+	Clock     policy.Micros // time of the events
+	Records   int           // number of records
+	rest      []byte        // the bytes not read yet
+	truncated bool
 }
 
 // NewBatch decodes the header of a frame that ReadFrame returned.
 func NewBatch(frame []byte) (Batch, error) {
-	if len(frame) < batchHeader {
+	if len(frame) < frameHeaderBytes {
 		return Batch{}, ErrShort
 	}
 	return Batch{
 		Records: int(binary.BigEndian.Uint32(frame)),
 		Clock:   int64(binary.BigEndian.Uint64(frame[4:])),
-		b:       frame[batchHeader:],
+		rest:    frame[frameHeaderBytes:],
 	}, nil
 }
 
 // Rest returns the number of bytes not read yet.
-func (d *Batch) Rest() int { return len(d.b) }
+func (d *Batch) Rest() int { return len(d.rest) }
 
 // Err returns ErrShort if a field was read past the end, and otherwise nil.
 func (d *Batch) Err() error {
-	if d.short {
+	if d.truncated {
 		return ErrShort
 	}
 	return nil
@@ -121,13 +121,13 @@
 
 // take reads n bytes. Past the end it returns up to 8 zeros, enough for any number.
 func (d *Batch) take(n int) []byte {
-	if n < 0 || n > len(d.b) {
-		d.short = true
-		d.b = nil
+	if n < 0 || n > len(d.rest) {
+		d.truncated = true
+		d.rest = nil
 		return make([]byte, min(max(n, 0), 8))
 	}
-	v := d.b[:n]
-	d.b = d.b[n:]
+	v := d.rest[:n]
+	d.rest = d.rest[n:]
 	return v
 }
 
@@ -148,8 +148,8 @@
 
 // Server reads a server's IPv4 address and port.
 func (d *Batch) Server() policy.Server {
-	a := d.U32()
-	return policy.Server(uint64(a)<<16 | uint64(d.U16()))
+	address := d.U32()
+	return policy.Server(uint64(address)<<16 | uint64(d.U16()))
 }
 
 // load reads the values of a load report.
@@ -158,8 +158,8 @@
 	if n == 0 {
 		return nil
 	}
-	if n*4 > len(d.b) {
-		d.short = true
+	if n*4 > len(d.rest) {
+		d.truncated = true
 		return nil
 	}
 	v := make([]float32, n)
@@ -173,8 +173,8 @@
 func (d *Batch) Born() (seed uint64, text []byte) {
 	seed = d.U64()
 	n := d.U32()
-	if uint64(n) > uint64(len(d.b)) {
-		d.short = true
+	if uint64(n) > uint64(len(d.rest)) {
+		d.truncated = true
 		return seed, nil
 	}
 	return seed, d.take(int(n))
@@ -188,10 +188,10 @@
 
 // Added reads an ADDED record: the counter's name, how long the call took, its status and
 // the counter's total.
-func (d *Batch) Added() (name uint64, delay policy.Micros, st policy.Status, total float64) {
+func (d *Batch) Added() (name uint64, delay policy.Micros, status policy.Status, total float64) {
 	name, delay = d.U64(), int64(d.U32())
-	st = policy.Status(d.U16())
-	return name, delay, st, d.F32()
+	status = policy.Status(d.U16())
+	return name, delay, status, d.F32()
 }
 
 // Request reads a REQ record.
@@ -202,17 +202,17 @@
 	r.Customer = d.U64()
 	r.Left = int64(d.U32())
 	r.Units = d.F32()
-	r.Spread = toInt(d.F32())
+	r.Spread = countFromFloat(d.F32())
 	d.F32() // the index of the first gateway of the spread, which is not used
-	r.Again = d.U8()&bitAgain != 0
+	r.Again = d.U8()&flagRetry != 0
 	return r
 }
 
-// bitAgain is the flag of a request that its client has sent before.
-const bitAgain = 2
+// flagRetry is the flag of a request that its client has sent before.
+const flagRetry = 2
 
-// toInt converts a count that is encoded as a float, or returns 0 if it is out of range.
-func toInt(f float64) int {
+// countFromFloat converts a count that is encoded as a float, or returns 0 if it is out of range.
+func countFromFloat(f float64) int {
 	if f > 0 && f < 1<<20 {
 		return int(f)
 	}
@@ -253,116 +253,116 @@
 	d.U64()
 	kind := policy.ListKind(d.U8())
 	n := int(d.U32())
-	if n < 0 || n > len(d.b)/entryBytes {
-		d.short = true
+	if n < 0 || n > len(d.rest)/entryBytes {
+		d.truncated = true
 		return kind, nil
 	}
-	es := make([]policy.Entry, n)
-	for i := range es {
-		e := &es[i]
-		e.Weight = d.F32()
-		e.Zone, e.Cell = int(d.U8()), int(d.U16())
-		e.State = policy.State(d.U8())
+	entries := make([]policy.Entry, n)
+	for i := range entries {
+		entry := &entries[i]
+		entry.Weight = d.F32()
+		entry.Zone, entry.Cell = int(d.U8()), int(d.U16())
+		entry.State = policy.State(d.U8())
 		d.U8() // the machine type, which is not used
-		e.ReadyAt = int64(d.U64())
-		e.Server = d.Server()
+		entry.ReadyAt = int64(d.U64())
+		entry.Server = d.Server()
 	}
-	return kind, es
+	return kind, entries
 }
 
 // Reply collects the actions of one frame. It implements policy.Host for the instance
 // that On selected last.
 type Reply struct {
-	b       []byte
-	on, now int // the selected instance, and the one that the last action record belongs to
+	buffer            []byte
+	selected, current int // the selected instance, and the one that the last action record belongs to
 }
 
 // Reset starts an empty frame.
 func (w *Reply) Reset() {
-	w.b = append(w.b[:0], 0, 0, 0, 0)
-	w.now = -1
+	w.buffer = append(w.buffer[:0], 0, 0, 0, 0)
+	w.current = -1
 }
 
 // On selects the instance of the actions that follow.
-func (w *Reply) On(instance int) { w.on = instance }
+func (w *Reply) On(instance int) { w.selected = instance }
 
 // Bytes returns the complete frame with its length.
 func (w *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(w.b, uint32(len(w.b)-4))
-	return w.b
+	binary.BigEndian.PutUint32(w.buffer, uint32(len(w.buffer)-4))
+	return w.buffer
 }
 
-// code starts an action record, after a record of the instance if that has changed.
-func (w *Reply) code(c byte) {
-	if w.now != w.on {
-		w.now = w.on
-		w.b = binary.BigEndian.AppendUint16(append(w.b, codeAt), uint16(w.on))
+// begin starts an action record, after a record of the instance if that has changed.
+func (w *Reply) begin(c byte) {
+	if w.current != w.selected {
+		w.current = w.selected
+		w.buffer = binary.BigEndian.AppendUint16(append(w.buffer, codeAt), uint16(w.selected))
 	}
-	w.b = append(w.b, c)
+	w.buffer = append(w.buffer, c)
 }
 
-func (w *Reply) u32(v uint32) { w.b = binary.BigEndian.AppendUint32(w.b, v) }
-func (w *Reply) u64(v uint64) { w.b = binary.BigEndian.AppendUint64(w.b, v) }
-func (w *Reply) u16(v uint16) { w.b = binary.BigEndian.AppendUint16(w.b, v) }
+func (w *Reply) u32(v uint32) { w.buffer = binary.BigEndian.AppendUint32(w.buffer, v) }
+func (w *Reply) u64(v uint64) { w.buffer = binary.BigEndian.AppendUint64(w.buffer, v) }
+func (w *Reply) u16(v uint16) { w.buffer = binary.BigEndian.AppendUint16(w.buffer, v) }
 
-// span writes a duration, limited to the range of the field.
-func (w *Reply) span(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxMicros))) }
+// duration writes a duration, limited to the range of the field.
+func (w *Reply) duration(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxDuration))) }
 func (w *Reply) server(s policy.Server) {
 	w.u32(uint32(s >> 16))
 	w.u16(uint16(s))
 }
 
-// text writes a record of a text, truncated to maxText bytes.
+// text writes a record of a text, truncated to maxTextBytes.
 func (w *Reply) text(c byte, t []byte) {
-	if len(t) > maxText {
-		t = t[:maxText]
+	if len(t) > maxTextBytes {
+		t = t[:maxTextBytes]
 	}
-	w.code(c)
+	w.begin(c)
 	w.u16(uint16(len(t)))
-	w.b = append(w.b, t...)
+	w.buffer = append(w.buffer, t...)
 }
 
 // Send implements policy.Host. It writes an ASSIGN record.
-func (w *Reply) Send(id uint32, to policy.Server, timeout policy.Micros) {
-	w.code(codeAssign)
+func (w *Reply) Send(id uint32, server policy.Server, timeout policy.Micros) {
+	w.begin(codeAssign)
 	w.u32(id)
-	w.server(to)
-	w.span(timeout)
+	w.server(server)
+	w.duration(timeout)
 }
 
 // Refuse implements policy.Host. It writes a TURN_AWAY record.
 func (w *Reply) Refuse(id uint32, retryAfter policy.Micros) {
-	w.code(codeTurnAway)
+	w.begin(codeTurnAway)
 	w.u32(id)
-	w.span(retryAfter)
+	w.duration(retryAfter)
 }
 
 // Fail implements policy.Host. It writes a LOSE record.
 func (w *Reply) Fail(id uint32) {
-	w.code(codeLose)
+	w.begin(codeLose)
 	w.u32(id)
 }
 
 // Cancel implements policy.Host. It writes a CANCEL record.
 func (w *Reply) Cancel(id uint32, attempt int) {
-	w.code(codeCancel)
+	w.begin(codeCancel)
 	w.u32(id)
-	w.b = append(w.b, byte(attempt))
+	w.buffer = append(w.buffer, byte(attempt))
 }
 
 // Timer implements policy.Host. It writes a NOTIFY_ME record.
-func (w *Reply) Timer(token uint64, after policy.Micros) {
-	w.code(codeNotify)
+func (w *Reply) Timer(token uint64, delay policy.Micros) {
+	w.begin(codeNotify)
 	w.u64(token)
-	w.span(after)
+	w.duration(delay)
 }
 
 // Count implements policy.Host. It writes a TALLY record.
 func (w *Reply) Count(name uint64, amount float64, ttl policy.Micros) {
-	w.code(codeTally)
+	w.begin(codeTally)
 	w.u64(name)
 	w.u32(math.Float32bits(float32(amount)))
-	w.span(ttl)
+	w.duration(ttl)
 }
 
 // Log writes a DEBUG record, which the simulator logs.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"foxwood/policy"
 )
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -19,9 +19,9 @@
 	return b
 }
 
-func batchOf(t *testing.T, s string) *Batch {
+func readBatch(t *testing.T, s string) *Batch {
 	t.Helper()
-	frame, err := ReadFrame(bytes.NewReader(unhex(t, s)), nil)
+	frame, err := ReadFrame(bytes.NewReader(decodeHex(t, s)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	07 000000000000004d 03 0005 04 0e6f2b19`
 
 func TestReadFrameOfTwoInstances(t *testing.T) {
-	b := batchOf(t, twoInstances)
+	b := readBatch(t, twoInstances)
 	if b.Records != 5 || b.Clock != 0x805c5a {
 		t.Fatalf("%d records at %d, want 5 at %d", b.Records, b.Clock, 0x805c5a)
 	}
@@ -58,7 +58,7 @@
 }
 
 func TestReadServerListOutcomeAndCounterResult(t *testing.T) {
-	b := batchOf(t, `00000073 00000003 0000000000805c5a
+	b := readBatch(t, `00000073 00000003 0000000000805c5a
 		08 0000000000000029 00 00000002
 		3f800000 00 0000 01 00 0000000000000000 0a124a07 2bc3
 		3fc00000 00 0000 01 00 00000000005d1420 0a9011f2 2bec
@@ -91,7 +91,7 @@
 	w.Timer(77, 500000)
 	w.On(5)
 	w.Log("two servers unknown")
-	want := unhex(t, `00000036 0d 0003 00 5d3a91c4 0a124a07 2bc3 00013880 04 000000000000004d 0007a120
+	want := decodeHex(t, `00000036 0d 0003 00 5d3a91c4 0a124a07 2bc3 00013880 04 000000000000004d 0007a120
 		0d 0005 08 0011 74776f2073657276657273206b6e6f776e`)
 	got := w.Bytes()
 	text := "two servers unknown"
@@ -117,14 +117,14 @@
 		w.Reset()
 		w.On(3)
 		c.write(&w)
-		if got, want := w.Bytes()[7:], unhex(t, c.want); !bytes.Equal(got, want) {
+		if got, want := w.Bytes()[7:], decodeHex(t, c.want); !bytes.Equal(got, want) {
 			t.Errorf("wrote %x, want %x", got, want)
 		}
 	}
 }
 
 func TestReadFrameRejectsTruncatedFrames(t *testing.T) {
-	whole := unhex(t, twoInstances)
+	whole := decodeHex(t, twoInstances)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadFrame(bytes.NewReader(whole[:n]), nil); err == nil || err == io.EOF {
 			t.Fatalf("the first %d bytes of a frame: error %v, want one other than io.EOF", n, err)
