--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -472,7 +472,8 @@
 	}
 }
 
-// fullSink is a blockSink whose queue is always full, and which counts the records of complete blocks.
+// fullSink is a blockSink whose queue is always full. It counts the records of complete
+// blocks.
 type fullSink struct{ records int }
 
 func (s *fullSink) submit(b pendingBlock) []byte     { s.records += int(b.records); return b.raw[:0] }
--- a/capture/format.go
+++ b/capture/format.go
@@ -19,7 +19,7 @@
 const (
 	magic         = "FOXCAP"
 	version       = "02"
-	oldestVersion = "01" // oldest version that can be read: later ones only add fields
+	oldestVersion = "01" // oldest version that can be read: later ones interpret all that it has in the same way
 
 	// Sizes in bytes. The header of a segment is followed by its own MAC.
 	segmentHeaderSize = len(magic) + len(version) + fingerprintSize + 8 + 4 + macSize
@@ -61,6 +61,7 @@
 	previousMAC [macSize]byte
 }
 
+// append encodes the header of a segment, without its MAC.
 func (h *segmentHeader) append(b []byte) []byte {
 	b = append(append(b, magic...), version...)
 	b = append(b, h.fingerprint[:]...)
--- a/capture/index.go
+++ b/capture/index.go
@@ -18,7 +18,8 @@
 // checkpoints. It is used only to find blocks: what is read from there is verified as usual.
 type Index struct{ pb *capturepb.Index }
 
-// indexHash returns the hash by which an index stores a name. Hashes of different names may collide.
+// indexHash returns the hash by which an index stores a name. Hashes of different names
+// may collide.
 func indexHash(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
 // indexHashOfID returns the hash by which an index stores a customer id.
--- a/capture/key.go
+++ b/capture/key.go
@@ -98,6 +98,7 @@
 	counterTweak  = 1
 )
 
+// feistelRounds is the number of rounds of the id encryption.
 const feistelRounds = 4
 
 // encryptID encrypts an id with a keyed permutation of 64-bit values, a Feistel network
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -90,8 +90,8 @@
 	return w, nil
 }
 
-// newBlockWriter starts a capture without a goroutine and an Encoder: the caller writes blocks
-// by calling write.
+// newBlockWriter starts a capture without a goroutine and an Encoder: the caller writes
+// blocks by calling write.
 func newBlockWriter(o Options) (*Writer, error) {
 	if o.SegmentMost <= 0 {
 		o.SegmentMost = defaultSegmentBytes
@@ -123,8 +123,8 @@
 	return e, nil
 }
 
-// submit implements blockSink. It drops a block if the queue is full, and counts its records as
-// a gap before the next block that is queued.
+// submit implements blockSink. It drops a block if the queue is full, and counts its
+// records as a gap before the next block that is queued.
 func (w *Writer) submit(b pendingBlock) []byte {
 	w.Stats.Records.Add(uint64(b.records))
 	if w.options.Patient {
@@ -146,7 +146,8 @@
 	}
 }
 
-// checkpointDue implements blockSink.
+// checkpointDue implements blockSink. A checkpoint is due at the interval of the options,
+// and at the start of each segment other than the first.
 func (w *Writer) checkpointDue(now policy.Micros) bool {
 	switch {
 	case w.nextCheckpoint == 0: // the first segment starts with the run and needs no checkpoint
@@ -159,8 +160,8 @@
 	return !first
 }
 
-// submitCheckpoint implements blockSink. It drops the checkpoint if the queue is full. This is not a gap,
-// since the records around it are complete.
+// submitCheckpoint implements blockSink. It drops the checkpoint if the queue is full. This
+// is not a gap, since the records around it are complete.
 func (w *Writer) submitCheckpoint(b pendingBlock) {
 	if w.options.Patient {
 		w.queue <- b
@@ -310,8 +311,8 @@
 	return nil
 }
 
-// removeOldSegments removes the oldest segments until all are within the limits of size and age. It
-// never removes the current one.
+// removeOldSegments removes the oldest segments until all are within the limits of size
+// and age. It never removes the current one.
 func (w *Writer) removeOldSegments(current string) {
 	o := &w.options
 	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+segmentSuffix))
--- a/gatekeeper/clock.go
+++ b/gatekeeper/clock.go
@@ -37,9 +37,9 @@
 // of day and must not be affected by adjustments of the wall clock.
 func NewSteadyClock(at float64) *Clock {
 	start := time.Now()
-	c := &Clock{readSystem: func() (wall, running float64) {
-		ran := float64(time.Since(start)) / 1e6
-		return at + ran, ran
+	c := &Clock{readSystem: func() (wall, _ float64) {
+		running := float64(time.Since(start)) / 1e6
+		return at + running, running
 	}}
 	c.now, c.lastRunning = c.readSystem()
 	return c
--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -81,7 +81,7 @@
 	deadline       float64
 	tally          Tally // of its class, nil if the class is not counted
 	executions     []*Execution
-	openExecutions int // executions without an outcome
+	openExecutions int // number of executions whose outcome the decision module does not have yet
 	closed         bool
 }
 
@@ -155,14 +155,14 @@
 	lastID          uint32
 	pendingCalls    map[uint64][]*Count // calls not yet reported to the module, by counter name, in the order of their start
 	timers          timers
-	wakeUpAt        float64 // time of the latest wake-up that was asked for, 0 for none
+	wakeUpAt        float64 // time of the latest wake-up that was requested, 0 for none
 	counterTimeout  float64 // timeout of counter calls in milliseconds
 	classes         []policy.Class
 	recorder        Recorder
 	meter           Meter
-	reportDraw      func(policy.Draw) // reports quota draws to another process of this gatekeeper; nil if there is none
-	drawnInSnapshot map[uint32]bool   // requests whose draws the other process knows from the handover snapshot
-	deciding        bool
+	reportDraw      func(policy.Draw)      // reports quota draws to another process of this gatekeeper; nil if there is none
+	drawnInSnapshot map[uint32]bool        // requests whose draws the other process knows from the handover snapshot
+	deciding        bool                   // an event is being passed to the module
 	queuedEvents    []func()               // events that arrived during a decision
 	workers         map[policy.Server]bool // the listed workers, and whether each is ready
 
@@ -385,7 +385,7 @@
 		}
 	}
 	for id, ready := range g.workers {
-		if _, wasReady := before[id]; !ready && !wasReady {
+		if _, wasListed := before[id]; !ready && !wasListed {
 			released = append(released, id)
 		}
 	}
@@ -435,8 +435,8 @@
 	g.dispatch(func(now policy.Micros) { g.module.Beside(now, d) })
 }
 
-// reportExecutionDraw reports an execution that starts to the other process of this gatekeeper. Only
-// the first execution of a request draws units.
+// reportExecutionDraw reports an execution that starts to the other process of this
+// gatekeeper. Only the first execution of a request draws units.
 func (g *Gatekeeper) reportExecutionDraw(r *Request, x *Execution) {
 	d := policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Server: x.Worker}
 	if x.attempt == 0 && !g.drawnInSnapshot[r.id] {
@@ -580,8 +580,8 @@
 	}
 }
 
-// reportSettlement reports the difference between the actual and the estimated units of a served
-// request to the other process of this gatekeeper.
+// reportSettlement reports the difference between the actual and the estimated units of a
+// served request to the other process of this gatekeeper.
 func (g *Gatekeeper) reportSettlement(x *Execution, o Outcome) {
 	if r := x.Request; g.reportDraw != nil && o.Units > 0 {
 		g.reportDraw(policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Units: o.Units - r.Units, Settles: true})
@@ -617,8 +617,8 @@
 	g.removeIfUnused(r)
 }
 
-// removeIfUnused removes a closed request from the table once it has no open executions. The
-// decision module may still cancel these, and needs the request for that.
+// removeIfUnused removes a closed request from the table once it has no open executions.
+// The decision module may still cancel these, and needs the request for that.
 func (g *Gatekeeper) removeIfUnused(r *Request) {
 	if r.closed && r.openExecutions == 0 {
 		delete(g.requests, r.id)
--- a/gatekeeper/recorder.go
+++ b/gatekeeper/recorder.go
@@ -71,8 +71,8 @@
 	Believe(now policy.Micros, host policy.Host, beliefs map[policy.Server]policy.Belief)
 }
 
-// recordedModule is a decision module that passes all calls of the module, and all calls that
-// the module makes, to a recorder first.
+// recordedModule is a decision module that passes all calls of the module, and all calls
+// that the module makes, to a recorder first.
 type recordedModule struct {
 	*policy.Gateway
 	settings policy.Settings
@@ -83,9 +83,10 @@
 	snapshot func() policy.Snapshot
 }
 
-func newRecordedModule(s policy.Settings, seed uint64, rec Recorder) *recordedModule {
+// newRecordedModule creates a decision module whose calls a recorder receives.
+func newRecordedModule(s policy.Settings, seed uint64, recorder Recorder) *recordedModule {
 	g := policy.New(s, seed)
-	return &recordedModule{Gateway: g, settings: s, seed: seed, recorder: rec, host: recordingHost{recorder: rec}, snapshot: g.Snapshot}
+	return &recordedModule{Gateway: g, settings: s, seed: seed, recorder: recorder, host: recordingHost{recorder: recorder}, snapshot: g.Snapshot}
 }
 
 // wrap returns the host wrapped so that the recorder gets its calls first.
--- a/gatekeeper/timers.go
+++ b/gatekeeper/timers.go
@@ -21,11 +21,13 @@
 	lastSequence uint64 // number of timers set so far
 }
 
+// less orders timers by time, and then by the order in which they were set.
 func (t *timers) less(i, j int) bool {
 	a, b := &t.heap[i], &t.heap[j]
 	return a.due < b.due || a.due == b.due && a.sequence < b.sequence
 }
 
+// push adds a timer.
 func (t *timers) push(added timer) {
 	t.lastSequence++
 	added.sequence = t.lastSequence
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -16,9 +16,10 @@
 // decision is the first decision on a request.
 type decision int
 
+// The possible values of decision.
 const (
-	undecided decision = iota
-	sent
+	undecided decision = iota // the capture ends before a decision
+	sent                      // sent to a worker
 	refused
 	failed
 )
@@ -54,9 +55,9 @@
 			comparison.kinds = append(comparison.kinds, o.kind)
 		}
 		c[o.recorded][o.other]++
-		then := comparison.Times[o.second]
-		then[o.recorded][o.other]++
-		comparison.Times[o.second] = then
+		inSecond := comparison.Times[o.second]
+		inSecond[o.recorded][o.other]++
+		comparison.Times[o.second] = inSecond
 	}
 	noteDecision := func(to *decision, kind capturepb.Kind) {
 		if *to == undecided {
@@ -96,8 +97,8 @@
 	for _, o := range open {
 		count(o)
 	}
-	slices.SortFunc(comparison.kinds, func(comparison, b requestKind) int {
-		return cmp.Or(cmp.Compare(comparison.class, b.class), cmp.Compare(comparison.plan, b.plan))
+	slices.SortFunc(comparison.kinds, func(a, b requestKind) int {
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.plan, b.plan))
 	})
 	if len(report.Differences) > 0 {
 		comparison.First = &report.Differences[0]
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -187,7 +187,8 @@
 	}
 }
 
-// describeWorkerChoice describes how a worker's cost compared with that of the other available workers.
+// describeWorkerChoice describes how a worker's cost compared with that of the other
+// available workers.
 func (e *explainer) describeWorkerChoice(to policy.Server) string {
 	cheaper, open, cost := 0, 0, 0.0
 	for _, s := range e.view.Servers {
@@ -216,8 +217,8 @@
 	return "quota"
 }
 
-// describeSpentWindow describes the window of the customer that all gatekeepers together have used up. It
-// returns an empty text if there is none.
+// describeSpentWindow describes the window of the customer that all gatekeepers together
+// have used up. It returns an empty text if there is none.
 func (e *explainer) describeSpentWindow() string {
 	for _, w := range e.view.Customer.Windows {
 		switch {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -76,8 +76,8 @@
 	return r
 }
 
-// playRandomEvents passes up to 120 random events to the gatekeeper, several of them at the same time:
-// requests, outcomes of all kinds, results of the counter, some of them late, worker lists,
+// playRandomEvents passes up to 120 random events to the gatekeeper, several of them at the
+// same time: requests, outcomes of all kinds, results of the counter, some of them late, worker lists,
 // replaced classes, disconnecting clients, slowly arriving bodies, and quota draws of another
 // process of the gatekeeper.
 func (r *harness) playRandomEvents(t *rapid.T) {
