--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -352,13 +352,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
-	w.write(one) // ends the first segment, begins the second
+	block := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
+	w.write(block) // ends the first segment, begins the second
 	if err := os.RemoveAll(folder); err != nil {
 		t.Fatal(err)
 	}
-	w.write(one) // into a file that is not there any more, and then no third can be begun
-	w.write(one)
+	w.write(block) // into a file that is not there any more, and then no third can be begun
+	w.write(block)
 	if w.lost != 1 || w.Stats.Lost.Load() != 1 {
 		t.Fatalf("%d records lost, %d in Stats; want 1 in both", w.lost, w.Stats.Lost.Load())
 	}
@@ -366,7 +366,7 @@
 		t.Fatal(err)
 	}
 	w.retryAt = w.retryAt.Add(-2 * retryInterval)
-	w.write(one)
+	w.write(block)
 	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil {
@@ -401,14 +401,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
-	w.write(one)
-	w.write(one) // within retryInterval, in which no further attempt is made
+	block := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
+	w.write(block)
+	w.write(block) // within retryInterval, in which no further attempt is made
 	if lost, errs := w.Stats.Lost.Load(), w.Stats.Errors.Load(); lost != 2 || errs != 1 {
 		t.Errorf("%d records lost, %d errors; want 2 and 1", lost, errs)
 	}
 	w.retryAt = w.retryAt.Add(-2 * retryInterval)
-	w.write(one)
+	w.write(block)
 	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil || len(segments) != 2 {
--- a/capture/index.go
+++ b/capture/index.go
@@ -98,28 +98,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	head := make([]byte, blockHeaderSize)
-	read := func(at int64) (b blockHeader, err error) {
+	encoded := make([]byte, blockHeaderSize)
+	read := func(at int64) (header blockHeader, err error) {
 		if at < int64(segmentHeaderSize+macSize) || at+int64(blockHeaderSize) > info.Size() {
-			return b, ErrNoIndex
+			return header, ErrNoIndex
 		}
-		if _, err := f.ReadAt(head, at); err != nil {
-			return b, fmt.Errorf("capture: %w", err)
+		if _, err := f.ReadAt(encoded, at); err != nil {
+			return header, fmt.Errorf("capture: %w", err)
 		}
-		b.parse(head)
-		return b, nil
+		header.parse(encoded)
+		return header, nil
 	}
 	end, err := read(info.Size() - int64(blockHeaderSize))
 	if err != nil || end.kind != kindEnd || checksum(end.authenticated, nil) != end.checksum {
 		return nil, ErrNoIndex
 	}
 	at := end.first
-	b, err := read(at)
-	if err != nil || b.kind != kindIndex || b.payloadSize > maxPayload || b.rawSize > maxPayload {
+	header, err := read(at)
+	if err != nil || header.kind != kindIndex || header.payloadSize > maxPayload || header.rawSize > maxPayload {
 		return nil, ErrNoIndex
 	}
-	payload := make([]byte, b.payloadSize)
-	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHeaderSize), int64(b.payloadSize)), payload); err != nil || checksum(b.authenticated, payload) != b.checksum {
+	payload := make([]byte, header.payloadSize)
+	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHeaderSize), int64(header.payloadSize)), payload); err != nil || checksum(header.authenticated, payload) != header.checksum {
 		return nil, ErrNoIndex
 	}
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPayload))
@@ -189,13 +189,13 @@
 // verified against the MAC of the block before it, which is read for this purpose.
 func (r *Reader) seek(f *os.File, p Place) error {
 	if p.previousOffset > 0 {
-		head := make([]byte, blockHeaderSize)
-		if _, err := f.ReadAt(head, p.previousOffset); err != nil {
+		encoded := make([]byte, blockHeaderSize)
+		if _, err := f.ReadAt(encoded, p.previousOffset); err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
-		var b blockHeader
-		b.parse(head)
-		r.mac = b.mac
+		var header blockHeader
+		header.parse(encoded)
+		r.mac = header.mac
 	}
 	if _, err := f.Seek(p.Offset, io.SeekStart); err != nil {
 		return fmt.Errorf("capture: %w", err)
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -217,8 +217,8 @@
 		}
 	}
 	payload := w.compressor.EncodeAll(b.raw, nil)
-	head := blockHeader{kind: kindRecords, rawSize: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.firstTime)}
-	out, mac := head.seal(w.buffer[:0], &w.options.Key, w.mac, payload)
+	header := blockHeader{kind: kindRecords, rawSize: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.firstTime)}
+	out, mac := header.seal(w.buffer[:0], &w.options.Key, w.mac, payload)
 	w.buffer = out
 	if _, err := w.file.Write(out); err != nil {
 		w.recordLoss(b.records, err)
@@ -262,9 +262,9 @@
 	}
 	indexOffset := w.size
 	out, mac, err := w.sealIndex(w.buffer[:0])
-	head := blockHeader{kind: kindEnd, lost: w.lost, first: indexOffset}
+	header := blockHeader{kind: kindEnd, lost: w.lost, first: indexOffset}
 	if err == nil {
-		out, mac = head.seal(out, &w.options.Key, mac, nil)
+		out, mac = header.seal(out, &w.options.Key, mac, nil)
 		_, err = w.file.Write(out)
 	}
 	if closeErr := w.file.Close(); err == nil {
@@ -283,8 +283,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("capture: encode the index: %w", err)
 	}
-	head := blockHeader{kind: kindIndex, rawSize: uint32(len(raw))}
-	result, mac = head.seal(out, &w.options.Key, w.mac, w.compressor.EncodeAll(raw, nil))
+	header := blockHeader{kind: kindIndex, rawSize: uint32(len(raw))}
+	result, mac = header.seal(out, &w.options.Key, w.mac, w.compressor.EncodeAll(raw, nil))
 	return result, mac, nil
 }
 
@@ -297,10 +297,10 @@
 		return fmt.Errorf("capture: %w", err)
 	}
 	w.segment++
-	h := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.Life, number: w.segment, previousMAC: [macSize]byte(w.mac)}
-	head := h.append(nil)
-	mac := o.Key.mac(nil, head)
-	if _, err := f.Write(append(head, mac...)); err != nil {
+	header := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.Life, number: w.segment, previousMAC: [macSize]byte(w.mac)}
+	encoded := header.append(nil)
+	mac := o.Key.mac(nil, encoded)
+	if _, err := f.Write(append(encoded, mac...)); err != nil {
 		_ = f.Close()
 		return fmt.Errorf("capture: %w", err)
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -35,14 +35,14 @@
 	a := &adapter{gateways: map[int]*policy.Gateway{}}
 	var frame []byte
 	for {
-		f, err := wire.ReadFrame(r, frame)
+		read, err := wire.ReadFrame(r, frame)
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		frame = f
+		frame = read
 		a.reply.Reset()
 		if err := a.handleFrame(frame); err != nil {
 			return err
@@ -54,15 +54,15 @@
 }
 
 // handleFrame passes the records of one frame to their instances.
-func (l *adapter) handleFrame(frame []byte) error {
+func (a *adapter) handleFrame(frame []byte) error {
 	b, err := wire.NewBatch(frame)
 	if err != nil {
 		return err
 	}
-	l.current = -1
+	a.current = -1
 	for i := range b.Records {
 		code := b.U8()
-		if err := l.handleRecord(&b, code); err != nil {
+		if err := a.handleRecord(&b, code); err != nil {
 			return fmt.Errorf("record %d, code %d: %w", i, code, err)
 		}
 	}
@@ -74,16 +74,16 @@
 
 // handleRecord reads one record and calls the instance that it is for. A panic of the decision
 // module is reported as a DIE action.
-func (l *adapter) handleRecord(b *wire.Batch, code uint8) error {
+func (a *adapter) handleRecord(b *wire.Batch, code uint8) error {
 	if code == wire.CodeOn {
-		l.current = int(b.U16())
-		l.reply.On(l.current)
+		a.current = int(b.U16())
+		a.reply.On(a.current)
 		return b.Err()
 	}
-	if l.current < 0 && b.Err() == nil {
+	if a.current < 0 && b.Err() == nil {
 		return errors.New("want an ON record before the first event of a frame, got none")
 	}
-	call, err := l.decodeCall(b, code)
+	call, err := a.decodeCall(b, code)
 	if err == nil {
 		err = b.Err()
 	}
@@ -92,17 +92,17 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			l.reply.Die(fmt.Sprint(p))
+			a.reply.Die(fmt.Sprint(p))
 		}
 	}()
-	call(l.gateways[l.current])
+	call(a.gateways[a.current])
 	return nil
 }
 
 // decodeCall decodes a record and returns the call of the decision module that it requires, or
 // nil if it requires none.
-func (l *adapter) decodeCall(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
-	now, host := b.Clock, &l.reply
+func (a *adapter) decodeCall(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
+	now, host := b.Clock, &a.reply
 	var call func(*policy.Gateway)
 	switch code {
 	case wire.CodeBorn:
@@ -116,11 +116,11 @@
 		}
 		return func(*policy.Gateway) {
 			g := policy.New(s, seed)
-			l.gateways[l.current] = g
+			a.gateways[a.current] = g
 			g.Start(now, host)
 		}, nil
 	case wire.CodeHalt:
-		delete(l.gateways, l.current)
+		delete(a.gateways, a.current)
 		return nil, nil
 	case wire.CodeNote:
 		b.Note() // the module does not exchange messages
@@ -152,7 +152,7 @@
 	default:
 		return nil, fmt.Errorf("unknown record code, want %d to %d", wire.CodeBorn, wire.CodeDone)
 	}
-	if l.gateways[l.current] == nil {
+	if a.gateways[a.current] == nil {
 		return nil, nil // events for an instance that does not run are ignored
 	}
 	return call, nil
--- a/gatekeeper/gatekeeper_test.go
+++ b/gatekeeper/gatekeeper_test.go
@@ -235,11 +235,11 @@
 // names all gatekeepers must agree, and the timers, which must not be delayed by a system
 // clock that was set back.
 func TestClockFollowsSystemClockWithoutGoingBack(t *testing.T) {
-	wall, ran := 5000.0, 0.0
-	c := &Clock{readSystem: func() (float64, float64) { return wall, ran }}
+	wall, running := 5000.0, 0.0
+	c := &Clock{readSystem: func() (float64, float64) { return wall, running }}
 	c.now, c.lastRunning = c.readSystem()
-	step := func(set float64) float64 { wall += 100 + set; ran += 100; return c.Now() }
-	got := []float64{step(0), step(-50), step(0), step(15), step(0)}
+	readAfter100ms := func(adjustment float64) float64 { wall += 100 + adjustment; running += 100; return c.Now() }
+	got := []float64{readAfter100ms(0), readAfter100ms(-50), readAfter100ms(0), readAfter100ms(15), readAfter100ms(0)}
 	if diff := cmp.Diff([]float64{5100, 5190, 5280, 5370, 5465}, got); diff != "" {
 		t.Fatal(diff)
 	}
--- a/gatekeeper/memory_growth_test.go
+++ b/gatekeeper/memory_growth_test.go
@@ -19,13 +19,13 @@
 	})
 	totals := map[uint64]float64{}
 	customer, worker := uint64(0), policy.Server(2)
-	size := func() map[string]int {
+	tableSizes := func() map[string]int {
 		s := r.module.Snapshot()
 		return map[string]int{"requests": len(r.requests), "names": len(r.openNames), "timers": len(r.timers.heap), "counts": len(r.pendingCalls),
 			"workers": len(r.workers), "customers": len(s.Clients), "servers": len(s.Servers), "draws": len(s.Draws)}
 	}
-	hour := func() {
-		for half := range 7200 {
+	runHour := func() {
+		for halfSecond := range 7200 {
 			customer++
 			r.Take(&Request{Customer: customer, Left: 1000, Units: 2, Spread: 60, Caller: r, Name: strconv.FormatUint(customer, 16)})
 			for ms := 0; ms < 500; ms += 50 {
@@ -34,7 +34,7 @@
 					c := r.calls[0]
 					r.calls = r.calls[1:]
 					totals[c.Name] += c.Amount
-					if half%5 == 0 { // some counter calls get no answer
+					if halfSecond%5 == 0 { // some counter calls get no answer
 						continue
 					}
 					r.Counted(c, policy.OK, totals[c.Name])
@@ -44,7 +44,7 @@
 				}
 				r.executions, r.log = r.executions[:0], r.log[:0]
 			}
-			if half%120 == 0 {
+			if halfSecond%120 == 0 {
 				old := worker - 1
 				worker++
 				r.Workers(policy.Delta, []policy.Entry{{Server: worker, State: policy.Ready, ReadyAt: micros(r.clock.Now())},
@@ -53,15 +53,15 @@
 		}
 		clear(totals)
 	}
-	hour()
-	first := size()
+	runHour()
+	afterOneHour := tableSizes()
 	for range 3 {
-		hour()
+		runHour()
 	}
-	for table, n := range size() {
-		if n > first[table]+first[table]/5+20 {
-			t.Errorf("%s: %d entries after four hours, %d after one", table, n, first[table])
+	for table, n := range tableSizes() {
+		if n > afterOneHour[table]+afterOneHour[table]/5+20 {
+			t.Errorf("%s: %d entries after four hours, %d after one", table, n, afterOneHour[table])
 		}
 	}
-	t.Log(first, size())
+	t.Log(afterOneHour, tableSizes())
 }
--- a/internal/replay/audit.go
+++ b/internal/replay/audit.go
@@ -148,18 +148,18 @@
 			}
 			settings[name], openRequests[name] = s, map[uint32]*auditedRequest{}
 		case capturepb.Kind_REQUESTED:
-			q := decoder.Request(r)
+			decoded := decoder.Request(r)
 			plans := settings[name].Plans
-			if openRequests[name] == nil || q.Plan < 0 || q.Plan >= len(plans) {
+			if openRequests[name] == nil || decoded.Plan < 0 || decoded.Plan >= len(plans) {
 				continue
 			}
-			account := accounts[q.Customer]
+			account := accounts[decoded.Customer]
 			if account == nil {
-				account = newAccount(q, plans[q.Plan], at)
-				accounts[q.Customer] = account
+				account = newAccount(decoded, plans[decoded.Plan], at)
+				accounts[decoded.Customer] = account
 			}
 			account.Requests++
-			openRequests[name][q.ID] = &auditedRequest{account: account, units: q.Units}
+			openRequests[name][decoded.ID] = &auditedRequest{account: account, units: decoded.Units}
 		case capturepb.Kind_SEND:
 			if request := openRequests[name][r.GetId()]; request != nil && !request.sent {
 				request.sent = true
@@ -189,10 +189,10 @@
 }
 
 // newAccount returns the account of a customer whose first request arrives, with full buckets.
-func newAccount(q policy.Request, p policy.Plan, at policy.Micros) *Account {
-	return &Account{Customer: q.Customer, Plan: q.Plan, HasCeiling: p.CeilingRate > 0, CeilingSlack: p.CeilingSlack,
-		quota:   bucket{rate: p.Rate, burst: p.Burst, level: p.Burst, updated: at},
-		ceiling: bucket{rate: p.CeilingRate, burst: p.CeilingBurst, level: p.CeilingBurst, updated: at}}
+func newAccount(request policy.Request, plan policy.Plan, at policy.Micros) *Account {
+	return &Account{Customer: request.Customer, Plan: request.Plan, HasCeiling: plan.CeilingRate > 0, CeilingSlack: plan.CeilingSlack,
+		quota:   bucket{rate: plan.Rate, burst: plan.Burst, level: plan.Burst, updated: at},
+		ceiling: bucket{rate: plan.CeilingRate, burst: plan.CeilingBurst, level: plan.CeilingBurst, updated: at}}
 }
 
 // charge charges units to the account.
--- a/internal/replay/audit_test.go
+++ b/internal/replay/audit_test.go
@@ -10,17 +10,17 @@
 	"foxwood/policy"
 )
 
-// recordQuotaRun records a run of a gatekeeper that gets n requests of one customer, apart
-// milliseconds after each other.
-func recordQuotaRun(t *testing.T, at float64, n int, apart float64) capture.Set {
+// recordQuotaRun records a run of a gatekeeper that gets n requests of one customer at equal
+// intervals.
+func recordQuotaRun(t *testing.T, startMs float64, n int, intervalMs float64) capture.Set {
 	t.Helper()
 	folder := t.TempDir()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: uint64(at)})
+	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: uint64(startMs)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &harness{clock: gatekeeper.NewClock()}
-	r.clock.Set(at)
+	r.clock.Set(startMs)
 	s := fewGatekeepers()
 	s.Counter, s.Gateways, s.Settles = false, 1, false
 	s.Plans[1] = policy.Plan{Rate: 10, Burst: 20, Price: 1}
@@ -32,7 +32,7 @@
 			r.Done(x, gatekeeper.Outcome{Status: policy.OK})
 		}
 		r.executions = nil
-		r.clock.Set(r.clock.Now() + apart)
+		r.clock.Set(r.clock.Now() + intervalMs)
 		r.Advance()
 	}
 	w.Close()
@@ -61,15 +61,15 @@
 		}
 		return accounts[0]
 	}
-	alone := audit(1.7e12)
-	if alone.Sent < 20 || alone.Sent > 21 || alone.OverQuota > 0.01 {
-		t.Errorf("one gatekeeper: %+v, want about 20 sent and no excess", alone)
+	single := audit(1.7e12)
+	if single.Sent < 20 || single.Sent > 21 || single.OverQuota > 0.01 {
+		t.Errorf("one gatekeeper: %+v, want about 20 sent and no excess", single)
 	}
-	if both := audit(1.7e12, 1.7e12+2); both.Sent != 2*alone.Sent || both.OverQuota < 19 || both.Requests != 80 || both.Sent+both.Refused != 80 {
-		t.Errorf("two gatekeepers: %+v, want twice as many sent as by one, and an excess of the quota of about 20", both)
+	if together := audit(1.7e12, 1.7e12+2); together.Sent != 2*single.Sent || together.OverQuota < 19 || together.Requests != 80 || together.Sent+together.Refused != 80 {
+		t.Errorf("two gatekeepers: %+v, want twice as many sent as by one, and an excess of the quota of about 20", together)
 	}
-	if apart := audit(1.7e12, 1.7e12+60000); apart.OverQuota > 0.01 {
-		t.Errorf("two gatekeepers, one minute apart: %+v, want no excess", apart)
+	if oneMinuteApart := audit(1.7e12, 1.7e12+60000); oneMinuteApart.OverQuota > 0.01 {
+		t.Errorf("two gatekeepers, one minute apart: %+v, want no excess", oneMinuteApart)
 	}
 }
 
--- a/internal/replay/explain_test.go
+++ b/internal/replay/explain_test.go
@@ -41,12 +41,12 @@
 	} {
 		set := capture.NewSet(segments, &key)
 		defer set.Close()
-		var said bytes.Buffer
-		if err := Explain(&said, set, &key, name); err != nil {
+		var explanation bytes.Buffer
+		if err := Explain(&explanation, set, &key, name); err != nil {
 			t.Fatal(err)
 		}
-		if !strings.Contains(said.String(), want) {
-			t.Errorf("%s: want %q in the explanation, got\n%s", name, want, said.String())
+		if !strings.Contains(explanation.String(), want) {
+			t.Errorf("%s: want %q in the explanation, got\n%s", name, want, explanation.String())
 		}
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -64,22 +64,22 @@
 	return s
 }
 
-func newHarness(rec gatekeeper.Recorder, at float64) *harness {
-	return newHarnessWith(fewGatekeepers(), rec, at)
+func newHarness(rec gatekeeper.Recorder, startMs float64) *harness {
+	return newHarnessWith(fewGatekeepers(), rec, startMs)
 }
 
-func newHarnessWith(s policy.Settings, rec gatekeeper.Recorder, at float64) *harness {
+func newHarnessWith(s policy.Settings, rec gatekeeper.Recorder, startMs float64) *harness {
 	r := &harness{clock: gatekeeper.NewClock()}
-	r.clock.Set(at)
+	r.clock.Set(startMs)
 	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 0x1f, Clock: r.clock, Fleet: r, Counter: r,
 		Wake: func(float64) {}, Recorder: rec})
 	return r
 }
 
 // playRandomEvents passes up to 120 random events to the gatekeeper, several of them at the
-// same time: requests, outcomes of all kinds, results of the counter, some of them late, worker lists,
-// replaced classes, disconnecting clients, slowly arriving bodies, and quota draws of another
-// process of the gatekeeper.
+// same time: requests, outcomes of all kinds, results of the counter, some of them late,
+// worker lists, replaced classes, disconnecting clients, slowly arriving bodies, and quota
+// draws of another process of the gatekeeper.
 func (r *harness) playRandomEvents(t *rapid.T) {
 	list := func() {
 		kind := rapid.SampledFrom([]policy.ListKind{policy.FullList, policy.Delta}).Draw(t, "list")
@@ -211,13 +211,13 @@
 
 // recordRun records a short run of a gatekeeper. If crash is set, it truncates the capture as a
 // crash would.
-func recordRun(t *testing.T, folder string, number uint64, at float64, crash bool) {
+func recordRun(t *testing.T, folder string, runID uint64, startMs float64, crash bool) {
 	t.Helper()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: number})
+	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: runID})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newHarness(w, at)
+	r := newHarness(w, startMs)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	for range 40 {
 		r.Take(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 12, Left: 1000, Units: 1, Spread: 3, Caller: r})
@@ -422,21 +422,21 @@
 	}
 	r := newHarness(w, 1.7e12)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
-	ask := func(n int) {
+	submit := func(n int) {
 		for i := range n {
 			q := &gatekeeper.Request{Class: i % 2, Plan: i % 2, Customer: uint64(i % 9), Left: 1500, Units: 1, Spread: 3, Caller: r}
 			r.open = append(r.open, q)
 			r.Take(q)
 		}
 	}
-	ask(400)
+	submit(400)
 	for _, x := range r.executions {
 		r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 	}
 	r.executions = nil
 	r.clock.Set(r.clock.Now() + 3600e3)
 	r.Advance()
-	ask(50)
+	submit(50)
 	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Draining}})
 	for len(r.open) > 0 {
 		q := r.open[0]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,7 +73,7 @@
 // plans and zones, and the limits of connections to workers.
 type Names struct {
 	Classes, Plans, Zones []string      // in the order of the decision module's numbers
-	ConnIdle              policy.Micros // time after which an idle connection is closed
+	ConnIdle              policy.Micros // time after which workers close idle connections
 	ConnectMost           policy.Micros // timeout of setting up a connection
 
 	Unknown []string // unknown values in the terms of classes, which Check reports
