--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -201,7 +201,7 @@
 		slowStart: c.Settings.ColdSends != nil,
 	}
 	if g.counterTimeout <= 0 {
-		g.counterTimeout = 50 // default for settings without a timeout
+		g.counterTimeout = 50 // milliseconds, for settings without a timeout
 	}
 	g.dispatch(func(now policy.Micros) { g.module.Start(now, g) })
 	if e := c.Earlier; e != nil {
