--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -22,6 +22,7 @@
 	"foxwood/policy"
 )
 
+// testKey returns the key of a secret whose bytes all have one value.
 func testKey(t testing.TB, fill byte) Key {
 	t.Helper()
 	k, err := NewKey(bytes.Repeat([]byte{fill}, secretSize))
@@ -31,8 +32,8 @@
 	return k
 }
 
-// write makes a capture of n requests and their refusals, and returns its files.
-func write(t testing.TB, o Options, n int) []string {
+// writeCapture writes a capture of n requests and their refusals, and returns its files.
+func writeCapture(t testing.TB, o Options, n int) []string {
 	t.Helper()
 	if o.Folder == "" {
 		o.Folder = t.TempDir()
@@ -48,15 +49,16 @@
 		w.Refuse(uint32(i), 5000)
 	}
 	w.Close()
-	files, err := filepath.Glob(filepath.Join(o.Folder, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(o.Folder, "*"+segmentSuffix))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
 	return files
 }
 
-// read gives all that can be read of a segment's bytes, and how it ended.
-func read(text []byte, key Key) (n int, err error) {
+// readCapture reads a segment up to the first error. It returns the number of records, and a nil
+// error if the segment has its end block.
+func readCapture(text []byte, key Key) (n int, err error) {
 	r, err := NewReader(bytes.NewReader(text), &key, nil)
 	if err != nil {
 		return 0, err
@@ -72,9 +74,9 @@
 	}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestReaderReturnsWrittenRecords(t *testing.T) {
 	key := testKey(t, 7)
-	files := write(t, Options{Key: key, Life: 9}, 3)
+	files := writeCapture(t, Options{Key: key, Life: 9}, 3)
 	f, err := os.Open(files[0])
 	if err != nil {
 		t.Fatal(err)
@@ -99,14 +101,14 @@
 		if rec.GetKind() == capturepb.Kind_BEGAN {
 			s, err := d.Settings(rec)
 			if err != nil || s.Plans[0].Rate != 1.4 || rec.GetSeed() != 0x1f {
-				t.Errorf("%v %v", s, err)
+				t.Errorf("settings %v, seed %x, error %v; want a rate of 1.4 and seed 1f", s, rec.GetSeed(), err)
 			}
 		}
 		if rec.GetKind() == capturepb.Kind_REQUESTED && rec.GetCustomer() == 0xb4d65521 {
-			t.Error("a customer's id stands as it is")
+			t.Error("a customer id was stored unencrypted")
 		}
 	}
-	shown := fmt.Sprintf("%x", key.show(0, ofCustomers)) // of records without a customer
+	shown := fmt.Sprintf("%x", key.decryptID(0, customerTweak)) // the decrypted customer id of records that have none
 	want := []string{"1000000 BEGAN 0 " + shown}
 	for i := range 3 {
 		want = append(want, fmt.Sprintf("%d REQUESTED %d b4d65521", 1000000+i, i), fmt.Sprintf("%d REFUSE %d %s", 1000000+i, i, shown))
@@ -116,9 +118,9 @@
 	}
 }
 
-// TestNoIdStandsInAState: a checkpoint and a state that is taken over hold customers' keys
-// and counter names too, which a key hides and gives back.
-func TestNoIdStandsInAState(t *testing.T) {
+// TestStateRecordsEncryptIDs checks that customer ids and counter names are also encrypted
+// in the records that hold a state, CHECKPOINT and RECOVERED, and that a Decoder restores them.
+func TestStateRecordsEncryptIDs(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
 	w, err := NewWriter(Options{Folder: folder, Name: "n0", Life: 1, Key: key, Patient: true, CheckpointEvery: time.Second})
@@ -134,7 +136,7 @@
 	}
 	w.Close()
 	if state.Clients[0].Key != customer || state.Draws[0].Name != name {
-		t.Error("the state itself was changed")
+		t.Error("the recorder changed the state that it was given")
 	}
 	segments, err := Find(folder)
 	if err != nil {
@@ -157,7 +159,7 @@
 		states++
 		for _, id := range []string{fmt.Sprint(customer), fmt.Sprint(name)} {
 			if strings.Contains(string(r.GetSettings()), id) {
-				t.Errorf("%s: id %s stands as it is", r.GetKind(), id)
+				t.Errorf("%s: id %s was stored unencrypted", r.GetKind(), id)
 			}
 		}
 		got, err := d.State(r)
@@ -169,61 +171,61 @@
 		}
 	}
 	if states < 3 {
-		t.Errorf("%d states", states)
+		t.Errorf("%d records with a state, want at least 3", states)
 	}
 }
 
-// TestEveryFlipAndEveryCutIsFound is exhaustive over a small capture: each byte changed,
-// and each shorter length. What was whole before it may still be read, nothing else.
-func TestEveryFlipAndEveryCutIsFound(t *testing.T) {
+// TestEveryChangedByteAndTruncationIsDetected tries every byte and every shorter length of a
+// small capture. Records before the fault may be read, but reading must end with an error.
+func TestEveryChangedByteAndTruncationIsDetected(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := read(text, key); err != nil || n != 9 {
-		t.Fatalf("%d records, %v", n, err)
+	if n, err := readCapture(text, key); err != nil || n != 9 {
+		t.Fatalf("%d records, error %v; want 9 records", n, err)
 	}
 	for i := range text {
 		for _, by := range []byte{1, 0x80, 0xff} {
 			bad := bytes.Clone(text)
 			bad[i] ^= by
-			if n, err := read(bad, key); err == nil {
-				t.Fatalf("byte %d of %d changed by %02x: %d records and no fault", i, len(text), by, n)
+			if n, err := readCapture(bad, key); err == nil {
+				t.Fatalf("byte %d of %d changed by %02x: %d records and no error", i, len(text), by, n)
 			}
 		}
 	}
 	for i := range text {
-		if n, err := read(text[:i], key); err == nil {
-			t.Fatalf("cut to %d of %d bytes: %d records and no fault", i, len(text), n)
+		if n, err := readCapture(text[:i], key); err == nil {
+			t.Fatalf("truncated to %d of %d bytes: %d records and no error", i, len(text), n)
 		}
 	}
-	if _, err := read(append(bytes.Clone(text), 0), key); !errors.Is(err, ErrAltered) {
-		t.Errorf("a byte more: %v", err)
+	if _, err := readCapture(append(bytes.Clone(text), 0), key); !errors.Is(err, ErrAltered) {
+		t.Errorf("one byte appended: error %v, want %v", err, ErrAltered)
 	}
 }
 
-// TestEachFaultIsNamed: another key, another version, damage, a cut and a change that
-// keeps the sum are told apart.
-func TestEachFaultIsNamed(t *testing.T) {
+// TestReaderDistinguishesFaults checks that another key, another version, damage, truncation
+// and a change with a correct checksum give different errors.
+func TestReaderDistinguishesFaults(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(write(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := segmentHead + linkSize
+	at := segmentHeaderSize + macSize
 	change := func(i int, by byte) []byte {
 		bad := bytes.Clone(text)
 		bad[i] ^= by
 		return bad
 	}
-	forged := func() []byte { // with a sum that fits
-		var b block
-		b.parse(text[at : at+blockHead])
-		payload := text[at+blockHead : at+blockHead+int(b.size)]
+	forged := func() []byte { // with a correct checksum, but a MAC of another key
+		var b blockHeader
+		b.parse(text[at : at+blockHeaderSize])
+		payload := text[at+blockHeaderSize : at+blockHeaderSize+int(b.payloadSize)]
 		other := testKey(t, 8)
-		out, _ := b.seal(bytes.Clone(text[:at]), &other, text[segmentHead:at], payload)
-		return append(out, text[at+blockHead+int(b.size):]...)
+		out, _ := b.seal(bytes.Clone(text[:at]), &other, text[segmentHeaderSize:at], payload)
+		return append(out, text[at+blockHeaderSize+int(b.payloadSize):]...)
 	}
 	for name, c := range map[string]struct {
 		text []byte
@@ -234,38 +236,38 @@
 		"no key":          {text, Key{}, ErrKey},
 		"a later version": {change(len(magic)+1, 4), key, ErrVersion},
 		"another file":    {[]byte("PK\x03\x04 and so on, for as long as a head is at the least, which is 60 bytes"), key, ErrNotOne},
-		"damage":          {change(at+blockHead+3, 1), key, ErrDamaged},
+		"damage":          {change(at+blockHeaderSize+3, 1), key, ErrDamaged},
 		"a forged block":  {forged(), key, ErrAltered},
-		"no end":          {text[:len(text)-blockHead], key, ErrUnended},
-		"half an end":     {text[:len(text)-5], key, ErrUnended},
+		"no end":          {text[:len(text)-blockHeaderSize], key, ErrUnended},
+		"truncated end":   {text[:len(text)-5], key, ErrUnended},
 	} {
-		if _, err := read(c.text, c.key); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+		if _, err := readCapture(c.text, c.key); !errors.Is(err, c.want) {
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		if strings.Contains(fmt.Sprint(c.want), "\n") {
-			t.Errorf("%s: more than a line", name)
+			t.Errorf("%s: the error message has more than one line", name)
 		}
 	}
 }
 
-func TestIdsAreReplacedOneToOne(t *testing.T) {
+func TestIDEncryptionIsReversible(t *testing.T) {
 	key := testKey(t, 7)
 	rapid.Check(t, func(t *rapid.T) {
 		id, tweak := rapid.Uint64().Draw(t, "id"), byte(rapid.IntRange(0, 1).Draw(t, "tweak"))
-		if got := key.show(key.hide(id, tweak), tweak); got != id {
-			t.Fatalf("%x became %x", id, got)
+		if got := key.decryptID(key.encryptID(id, tweak), tweak); got != id {
+			t.Fatalf("id %x is %x after encryption and decryption", id, got)
 		}
 	})
-	if key.hide(5, ofCustomers) == key.hide(5, ofNames) {
-		t.Error("a customer and a name are replaced alike")
+	if key.encryptID(5, customerTweak) == key.encryptID(5, counterTweak) {
+		t.Error("a customer id and an equal counter name are encrypted to the same value")
 	}
 	none := Key{}
-	if none.hide(5, ofCustomers) != 5 {
-		t.Error("replaced without a key")
+	if none.encryptID(5, customerTweak) != 5 {
+		t.Error("an id was changed without a key")
 	}
 }
 
-func TestAKeyFileIsItsOwnersAlone(t *testing.T) {
+func TestReadKeyRefusesFilesOpenToOthers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(file, []byte(hex.EncodeToString(make([]byte, secretSize))+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -277,23 +279,23 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadKey(file); err == nil || !strings.Contains(err.Error(), "chmod 600") {
-		t.Errorf("loose permissions: %v", err)
+		t.Errorf("key file with mode 0640: error %v, want advice to run chmod 600", err)
 	}
 	if err := os.WriteFile(file, []byte("abc"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadKey(file); err == nil {
-		t.Error("half a key is taken")
+		t.Error("a key file with three digits was accepted")
 	}
 }
 
-// TestSegmentsFollowEachOther: a capture of several segments reads as one; one that is
-// missing in the middle is said so.
-func TestSegmentsFollowEachOther(t *testing.T) {
+// TestSegmentsAreReadInSequence checks that several segments are read as one capture, and
+// that a missing segment is reported.
+func TestSegmentsAreReadInSequence(t *testing.T) {
 	key := testKey(t, 7)
-	files := write(t, Options{Key: key, SegmentMost: 1}, 9000)
+	files := writeCapture(t, Options{Key: key, SegmentMost: 1}, 9000)
 	if len(files) < 3 {
-		t.Fatalf("%d segments", len(files))
+		t.Fatalf("%d segments, want at least 3", len(files))
 	}
 	all := func(files []string) (int, error) {
 		segments, err := Find(files...)
@@ -309,19 +311,19 @@
 		}
 	}
 	if n, err := all(files); !errors.Is(err, io.EOF) || n != 18001 {
-		t.Errorf("%d records, %v", n, err)
+		t.Errorf("%d records, error %v; want 18001 records", n, err)
 	}
 	if _, err := all(append(files[:1:1], files[2:]...)); !errors.Is(err, ErrSequence) {
-		t.Errorf("without the second: %v", err)
+		t.Errorf("without the second segment: error %v, want %v", err, ErrSequence)
 	}
 	if err := os.Rename(files[1], files[1]+".x"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestOldSegmentsMakeRoom(t *testing.T) {
+func TestOldSegmentsAreRemoved(t *testing.T) {
 	folder := t.TempDir()
-	files := write(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
+	files := writeCapture(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
 	sum := int64(0)
 	for _, f := range files {
 		info, err := os.Stat(f)
@@ -330,19 +332,19 @@
 		}
 		sum += info.Size()
 	}
-	if sum > 40000 || strings.HasSuffix(files[0], "-000001"+suffix) {
+	if sum > 40000 || strings.HasSuffix(files[0], "-000001"+segmentSuffix) {
 		t.Errorf("%d bytes in %d segments, the first %s", sum, len(files), filepath.Base(files[0]))
 	}
 }
 
-// TestALostFolderIsAGapNotAnEnd: what can't be written is counted, and told where the
-// capture goes on.
-func TestALostFolderIsAGapNotAnEnd(t *testing.T) {
+// TestCaptureContinuesAfterFolderIsLost checks that records which can't be written because
+// the folder was removed are counted, and are reported as a gap once the capture continues.
+func TestCaptureContinuesAfterFolderIsLost(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "captures")
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w, err := newWriter(Options{Folder: folder, Name: "n0", SegmentMost: 1})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0", SegmentMost: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -350,22 +352,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := filled{raw: append([]byte{byte(len(record))}, record...), records: 1, first: 1e6}
-	w.write(one) // ends the first segment, begins the second
+	block := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
+	w.write(block) // ends the first segment, begins the second
 	if err := os.RemoveAll(folder); err != nil {
 		t.Fatal(err)
 	}
-	w.write(one) // into a file that is not there any more, and then no third can be begun
-	w.write(one)
+	w.write(block) // into a file that is not there any more, and then no third can be begun
+	w.write(block)
 	if w.lost != 1 || w.Stats.Lost.Load() != 1 {
-		t.Fatalf("%d lost, %d told", w.lost, w.Stats.Lost.Load())
+		t.Fatalf("%d records lost, %d in Stats; want 1 in both", w.lost, w.Stats.Lost.Load())
 	}
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w.retryAt = w.retryAt.Add(-2 * retryEvery)
-	w.write(one)
-	w.end()
+	w.retryAt = w.retryAt.Add(-2 * retryInterval)
+	w.write(block)
+	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -374,18 +376,18 @@
 	defer s.Close()
 	var gap *Gap
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 1 {
-		t.Fatalf("the gap is told as %v", err)
+		t.Fatalf("error %v, want a gap of 1 record", err)
 	}
 	if r, at, err := s.Next(); err != nil || r.GetId() != 3 || at != 1e6 {
-		t.Errorf("behind the gap: %v %v", r, err)
+		t.Errorf("after the gap: record %v at %d, error %v; want request 3 at 1 s", r, at, err)
 	}
 }
 
-// TestAFullDiskIsAGapNotAnEnd: what does not fit is counted and told as lost, and what comes
-// once there is room again is kept behind a gap.
-func TestAFullDiskIsAGapNotAnEnd(t *testing.T) {
+// TestCaptureContinuesAfterDiskWasFull checks that records which don't fit on the disk are
+// counted as lost, and that the records written once there is room again follow a gap.
+func TestCaptureContinuesAfterDiskWasFull(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -399,15 +401,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := filled{raw: append([]byte{byte(len(record))}, record...), records: 1, first: 1e6}
-	w.write(one)
-	w.write(one) // within the second in which it is not tried again
+	block := pendingBlock{raw: append([]byte{byte(len(record))}, record...), records: 1, firstTime: 1e6}
+	w.write(block)
+	w.write(block) // within retryInterval, in which no further attempt is made
 	if lost, errs := w.Stats.Lost.Load(), w.Stats.Errors.Load(); lost != 2 || errs != 1 {
-		t.Errorf("%d lost, %d errors told", lost, errs)
+		t.Errorf("%d records lost, %d errors; want 2 and 1", lost, errs)
 	}
-	w.retryAt = w.retryAt.Add(-2 * retryEvery)
-	w.write(one)
-	w.end()
+	w.retryAt = w.retryAt.Add(-2 * retryInterval)
+	w.write(block)
+	w.endSegment()
 	segments, err := Find(folder)
 	if err != nil || len(segments) != 2 {
 		t.Fatal(segments, err)
@@ -416,32 +418,33 @@
 	defer s.Close()
 	var gap *Gap
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 2 {
-		t.Errorf("the gap is told as %v", err)
+		t.Errorf("error %v, want a gap of 2 records", err)
 	}
 	if r, _, err := s.Next(); err != nil || r.GetId() != 3 {
-		t.Errorf("behind the gap: %v %v", r, err)
+		t.Errorf("after the gap: record %v, error %v; want request 3", r, err)
 	}
 }
 
-// TestASlowDiskHoldsNobodyUp: while nothing is written the loop goes on within a bounded
-// memory, and what found no room is a gap before what did.
-func TestASlowDiskHoldsNobodyUp(t *testing.T) {
+// TestSlowDiskDoesNotBlockEventLoop checks that while nothing is written the encoder neither
+// blocks nor queues more than a fixed number of blocks, and that dropped blocks are
+// reported as gaps.
+func TestSlowDiskDoesNotBlockEventLoop(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Encoder = newEncoder(w, &w.options.Key)
-	const blocks = 3 * queued
+	const blocks = 3 * queueLength
 	for n := range blocks {
-		w.Encoder.Gone(policy.Micros(1e6+2*n*blockAge), 1) // each closes the block before by its age
-		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*blockAge), 2)
+		w.Encoder.Gone(policy.Micros(1e6+2*n*maxBlockAge), 1)
+		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*maxBlockAge), 2) // completes the block, as it is maxBlockAge later
 	}
-	if held := len(w.blocks); held != queued || w.Stats.Lost.Load() != 2*(blocks-queued) {
-		t.Fatalf("%d blocks held, %d records lost", held, w.Stats.Lost.Load())
+	if held := len(w.queue); held != queueLength || w.Stats.Lost.Load() != 2*(blocks-queueLength) {
+		t.Fatalf("%d blocks queued, %d records lost; want %d and %d", held, w.Stats.Lost.Load(), queueLength, 2*(blocks-queueLength))
 	}
-	go w.run() // the disk is there again
-	for w.Encoder.Gone(2e9, 9); len(w.blocks) > 0; {
+	go w.run() // the disk works again
+	for w.Encoder.Gone(2e9, 9); len(w.queue) > 0; {
 		runtime.Gosched()
 	}
 	w.Close()
@@ -464,48 +467,51 @@
 			break
 		}
 	}
-	if want := 2 * (blocks - queued); lost != want || s.Records() != 2*queued+1 {
-		t.Errorf("%d lost, want %d; %d records read", lost, want, s.Records())
+	if want := 2 * (blocks - queueLength); lost != want || s.Records() != 2*queueLength+1 {
+		t.Errorf("%d records lost, %d read; want %d and %d", lost, s.Records(), want, 2*queueLength+1)
 	}
 }
 
-// slow is a taker whose queue is always full.
-type slow struct{ n int }
+// fullSink is a blockSink whose queue is always full. It counts the records of complete
+// blocks.
+type fullSink struct{ records int }
 
-func (s *slow) take(b filled) []byte     { s.n += int(b.records); return b.raw[:0] }
-func (s *slow) wants(policy.Micros) bool { return false }
-func (s *slow) offer(filled)             {}
+func (s *fullSink) submit(b pendingBlock) []byte     { s.records += int(b.records); return b.raw[:0] }
+func (s *fullSink) checkpointDue(policy.Micros) bool { return false }
+func (s *fullSink) submitCheckpoint(pendingBlock)    {}
 
-// TestABlockIsHandedOnBeforeItIsOld: a crash loses a quarter of a second at most.
-func TestABlockIsHandedOnBeforeItIsOld(t *testing.T) {
-	to := &slow{}
+// TestBlockIsPassedOnByAge guards against losing more than a quarter of a second of records
+// in a crash.
+func TestBlockIsPassedOnByAge(t *testing.T) {
+	to := &fullSink{}
 	e := newEncoder(to, &Key{})
 	for i := range 100 {
 		e.Rang(policy.Micros(1e6+i*10000), 0)
 	}
-	if to.n < 75 {
-		t.Errorf("%d of 100 records in a second were handed on", to.n)
+	if to.records < 75 {
+		t.Errorf("%d of 100 records of one second were passed on, want at least 75", to.records)
 	}
 }
 
-// FuzzRead: a reader must not panic, nor hold more than a block.
+// FuzzRead checks that a reader does not panic on malformed input, nor return more records
+// than the input has bytes.
 func FuzzRead(f *testing.F) {
-	text, err := os.ReadFile(write(f, Options{}, 4)[0])
+	text, err := os.ReadFile(writeCapture(f, Options{}, 4)[0])
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
-	f.Add(text[:len(text)-blockHead])
+	f.Add(text[:len(text)-blockHeaderSize])
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if n, err := read(text, Key{}); err == nil && n > len(text) {
+		if n, err := readCapture(text, Key{}); err == nil && n > len(text) {
 			t.Fatalf("%d records in %d bytes", n, len(text))
 		}
 	})
 }
 
-// TestARequestIsFoundByItsName: the index leads to a checkpoint before it, and what is
-// read from there on is verified.
-func TestARequestIsFoundByItsName(t *testing.T) {
+// TestLocateFindsRequestByName checks that the index leads to a checkpoint shortly before
+// the request, and that reading from there verifies the blocks.
+func TestLocateFindsRequestByName(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
 	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, SegmentMost: 5000, CheckpointEvery: 100 * time.Millisecond})
@@ -526,18 +532,18 @@
 		t.Fatal(len(segments), err)
 	}
 	if _, ok := Locate(segments, "nobody"); ok {
-		t.Error("a name that is not there is found")
+		t.Error("found a name that is not in the capture")
 	}
 	for _, n := range []int{0, 1, 3999, 7999} {
 		p, ok := Locate(segments, fmt.Sprintf("name-%d", n))
 		if !ok {
-			t.Fatalf("name-%d is not found", n)
+			t.Fatalf("name-%d was not found", n)
 		}
 		s := NewSet(segments, &key)
 		s.Skip(p)
 		first, _, err := s.Next()
 		if err != nil || first.GetKind() != capturepb.Kind_CHECKPOINT && first.GetKind() != capturepb.Kind_BEGAN {
-			t.Fatalf("name-%d: begins with %v, %v", n, first.GetKind(), err)
+			t.Fatalf("name-%d: first record %v, error %v; want a checkpoint or the start of a run", n, first.GetKind(), err)
 		}
 		read := 1
 		for ; ; read++ {
@@ -550,19 +556,19 @@
 			}
 		}
 		if read > 1000 {
-			t.Errorf("name-%d: %d records were read", n, read)
+			t.Errorf("name-%d: %d records were read, want at most 1000", n, read)
 		}
 		s.Close()
 	}
 	x, err := ReadIndex(segments[0].File)
-	if err != nil || !x.HasCustomer(key.hide(2, ofCustomers)) || x.HasCustomer(key.hide(9, ofCustomers)) {
+	if err != nil || !x.HasCustomer(key.encryptID(2, customerTweak)) || x.HasCustomer(key.encryptID(9, customerTweak)) {
 		t.Errorf("customers in the index: %v", err)
 	}
 }
 
-// TestAPartIsCutOutThatCanBePlayed: it begins with a checkpoint, ends in time, and is
-// sealed anew.
-func TestAPartIsCutOutThatCanBePlayed(t *testing.T) {
+// TestCutOutWritesAReplayableCapture checks that an extracted part starts with a checkpoint,
+// ends at the requested time, and is a valid capture of its own.
+func TestCutOutWritesAReplayableCapture(t *testing.T) {
 	key := testKey(t, 7)
 	folder, to := t.TempDir(), t.TempDir()
 	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, CheckpointEvery: 100 * time.Millisecond})
@@ -583,9 +589,9 @@
 	}
 	n, err := CutOut(segments, &key, 1e6+1500*1000, 1e6+1700*1000, to)
 	if err != nil || n < 200 || n > 400 {
-		t.Fatalf("%d records, %v", n, err)
+		t.Fatalf("%d records, error %v; want 200 to 400 records", n, err)
 	}
-	files, err := filepath.Glob(filepath.Join(to, "*"+suffix))
+	files, err := filepath.Glob(filepath.Join(to, "*"+segmentSuffix))
 	if err != nil || len(files) != 1 {
 		t.Fatal(files, err)
 	}
@@ -593,10 +599,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := read(text, key); err != nil || got != n {
-		t.Errorf("%d records, %v", got, err)
+	if got, err := readCapture(text, key); err != nil || got != n {
+		t.Errorf("read %d records, error %v; want %d", got, err, n)
 	}
 	if _, err := CutOut(segments[:1], &key, 5, 6, t.TempDir()); err != nil {
-		t.Errorf("before its beginning: %v", err)
+		t.Errorf("a part before the start of the capture: %v", err)
 	}
 }
--- a/capture/index.go
+++ b/capture/index.go
@@ -14,40 +14,42 @@
 	"foxwood/capture/capturepb"
 )
 
-// Index says which blocks of a segment hold which requests and customers, and which are
-// checkpoints. It only guides: what is read by it is verified as ever.
+// Index lists which blocks of a segment hold which requests and customers, and which are
+// checkpoints. It is used only to find blocks: what is read from there is verified as usual.
 type Index struct{ pb *capturepb.Index }
 
-// short is what an index keeps of a name or an id: other names may share it.
-func short(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
+// indexHash returns the hash by which an index stores a name. Hashes of different names
+// may collide.
+func indexHash(b []byte) uint32 { return uint32(xxh3.Hash(b)) }
 
-func shortID(id uint64) uint32 {
+// indexHashOfID returns the hash by which an index stores a customer id.
+func indexHashOfID(id uint64) uint32 {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(id >> (8 * i))
 	}
-	return short(b[:])
+	return indexHash(b[:])
 }
 
-// note adds a block to an index that is being made.
-func (x *Index) note(offset int64, b *filled) {
+// add adds a block to an index that is being built.
+func (x *Index) add(offset int64, b *pendingBlock) {
 	if x.pb == nil {
 		x.pb = &capturepb.Index{}
 	}
-	at := uint32(len(x.pb.Blocks))
-	x.pb.Blocks = append(x.pb.Blocks, &capturepb.IndexBlock{Offset: offset, First: b.first, Records: b.records, Checkpoint: b.state != nil})
+	block := uint32(len(x.pb.Blocks))
+	x.pb.Blocks = append(x.pb.Blocks, &capturepb.IndexBlock{Offset: offset, First: b.firstTime, Records: b.records, Checkpoint: b.checkpoint != nil})
 	for _, n := range b.names {
-		x.pb.Names, x.pb.NameBlocks = append(x.pb.Names, n), append(x.pb.NameBlocks, at)
+		x.pb.Names, x.pb.NameBlocks = append(x.pb.Names, n), append(x.pb.NameBlocks, block)
 	}
 	for _, c := range b.customers {
-		x.pb.Customers, x.pb.CustomerBlocks = append(x.pb.Customers, c), append(x.pb.CustomerBlocks, at)
+		x.pb.Customers, x.pb.CustomerBlocks = append(x.pb.Customers, c), append(x.pb.CustomerBlocks, block)
 	}
 }
 
-// blocksOf lists the blocks that may hold a request by name.
+// blocksOf returns the blocks that may hold the request with a name.
 func (x *Index) blocksOf(name string) []int {
 	var all []int
-	want := short([]byte(name))
+	want := indexHash([]byte(name))
 	for i, n := range x.pb.GetNames() {
 		if n == want {
 			all = append(all, int(x.pb.GetNameBlocks()[i]))
@@ -56,7 +58,7 @@
 	return all
 }
 
-// Offsets lists where the segment's blocks of records begin, in bytes.
+// Offsets returns the byte offsets of the segment's blocks of records.
 func (x *Index) Offsets() []int64 {
 	var all []int64
 	for _, b := range x.pb.GetBlocks() {
@@ -65,11 +67,13 @@
 	return all
 }
 
-// HasCustomer tells whether a segment may hold requests of a customer, by the id that
-// stands in the capture.
-func (x *Index) HasCustomer(id uint64) bool { return slices.Contains(x.pb.GetCustomers(), shortID(id)) }
+// HasCustomer reports whether a segment may hold requests of a customer, given the id as
+// it is stored in the capture, which is encrypted if the capture has a key.
+func (x *Index) HasCustomer(id uint64) bool {
+	return slices.Contains(x.pb.GetCustomers(), indexHashOfID(id))
+}
 
-// checkpointBefore is the last checkpoint at or before a block, -1 where there is none.
+// checkpointBefore returns the last checkpoint at or before a block, or -1 if there is none.
 func (x *Index) checkpointBefore(block int) int {
 	for i := min(block, len(x.pb.GetBlocks())-1); i >= 0; i-- {
 		if x.pb.GetBlocks()[i].GetCheckpoint() {
@@ -79,10 +83,11 @@
 	return -1
 }
 
-// ErrNoIndex tells that a segment has no index: its gatekeeper died, or still writes.
+// ErrNoIndex reports that a segment has no readable index, because its gatekeeper crashed
+// or is still writing it.
 var ErrNoIndex = errors.New("the segment has no index")
 
-// ReadIndex reads a segment's index.
+// ReadIndex reads the index of a segment file.
 func ReadIndex(file string) (*Index, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -93,31 +98,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	head := make([]byte, blockHead)
-	read := func(at int64) (b block, err error) {
-		if at < int64(segmentHead+linkSize) || at+int64(blockHead) > info.Size() {
-			return b, ErrNoIndex
+	encoded := make([]byte, blockHeaderSize)
+	read := func(at int64) (header blockHeader, err error) {
+		if at < int64(segmentHeaderSize+macSize) || at+int64(blockHeaderSize) > info.Size() {
+			return header, ErrNoIndex
 		}
-		if _, err := f.ReadAt(head, at); err != nil {
-			return b, fmt.Errorf("capture: %w", err)
+		if _, err := f.ReadAt(encoded, at); err != nil {
+			return header, fmt.Errorf("capture: %w", err)
 		}
-		b.parse(head)
-		return b, nil
+		header.parse(encoded)
+		return header, nil
 	}
-	end, err := read(info.Size() - int64(blockHead))
-	if err != nil || end.kind != kindEnd || sum(end.sealed, nil) != end.sum {
+	end, err := read(info.Size() - int64(blockHeaderSize))
+	if err != nil || end.kind != kindEnd || checksum(end.authenticated, nil) != end.checksum {
 		return nil, ErrNoIndex
 	}
 	at := end.first
-	b, err := read(at)
-	if err != nil || b.kind != kindIndex || b.size > payloadMost || b.raw > payloadMost {
+	header, err := read(at)
+	if err != nil || header.kind != kindIndex || header.payloadSize > maxPayload || header.rawSize > maxPayload {
 		return nil, ErrNoIndex
 	}
-	payload := make([]byte, b.size)
-	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHead), int64(b.size)), payload); err != nil || sum(b.sealed, payload) != b.sum {
+	payload := make([]byte, header.payloadSize)
+	if _, err := io.ReadFull(io.NewSectionReader(f, at+int64(blockHeaderSize), int64(header.payloadSize)), payload); err != nil || checksum(header.authenticated, payload) != header.checksum {
 		return nil, ErrNoIndex
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(payloadMost))
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPayload))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
@@ -133,25 +138,25 @@
 	return x, nil
 }
 
-// Place is where reading may begin: a block of a segment.
+// Place is a block of a segment at which reading can start.
 type Place struct {
-	Segment int // in the list
-	Offset  int64
-	before  int64 // offset of the block before it, 0 for the first
+	Segment        int   // index in the list of segments
+	Offset         int64 // bytes from the start of the segment, 0 for the segment's start
+	previousOffset int64 // offset of the previous block, 0 if it is the first
 }
 
-// Locate finds where to begin to play for a request by name: at the last checkpoint, or
-// beginning of a life, before it. ok is false where no index knows of the name; segments
-// without an index may hold it.
+// Locate finds where a replay has to start to reach the request with a name: at the last
+// checkpoint, or start of a run, before it. ok is false if no index lists the name;
+// segments without an index may still hold it.
 func Locate(segments []Segment, name string) (p Place, ok bool) {
 	indexes := make([]*Index, len(segments))
 	for i := len(segments) - 1; i >= 0; i-- {
-		x, err := ReadIndex(segments[i].File)
+		index, err := ReadIndex(segments[i].File)
 		if err != nil {
 			continue
 		}
-		indexes[i] = x
-		blocks := x.blocksOf(name)
+		indexes[i] = index
+		blocks := index.blocksOf(name)
 		if len(blocks) == 0 {
 			continue
 		}
@@ -164,7 +169,7 @@
 			if c := indexes[at].checkpointBefore(block); c >= 0 {
 				p := Place{Segment: at, Offset: indexes[at].pb.GetBlocks()[c].GetOffset()}
 				if c > 0 {
-					p.before = indexes[at].pb.GetBlocks()[c-1].GetOffset()
+					p.previousOffset = indexes[at].pb.GetBlocks()[c-1].GetOffset()
 				}
 				return p, true
 			}
@@ -177,25 +182,25 @@
 	return Place{}, false
 }
 
-// Skip has a set begin at a place, in place of its first segment's beginning.
-func (s *Set) Skip(p Place) { s.at, s.from = p.Segment, p }
+// Skip makes a Set start at a place instead of at the start of its first segment.
+func (s *Set) Skip(p Place) { s.current, s.start = p.Segment, p }
 
-// seek moves a reader that has read its segment's head to a block: the chain goes on from
-// the link of the block before it.
+// seek moves a reader that has read its segment's header to a block. The block is
+// verified against the MAC of the block before it, which is read for this purpose.
 func (r *Reader) seek(f *os.File, p Place) error {
-	if p.before > 0 {
-		head := make([]byte, blockHead)
-		if _, err := f.ReadAt(head, p.before); err != nil {
+	if p.previousOffset > 0 {
+		encoded := make([]byte, blockHeaderSize)
+		if _, err := f.ReadAt(encoded, p.previousOffset); err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
-		var b block
-		b.parse(head)
-		r.link = b.link
+		var header blockHeader
+		header.parse(encoded)
+		r.mac = header.mac
 	}
 	if _, err := f.Seek(p.Offset, io.SeekStart); err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	r.in.Reset(f)
-	r.at = p.Offset
+	r.input.Reset(f)
+	r.offset = p.Offset
 	return nil
 }
--- a/capture/key.go
+++ b/capture/key.go
@@ -15,51 +15,53 @@
 )
 
 const (
-	secretSize = 32 // bytes of a key file's secret
-	linkSize   = sha256.Size
-	printSize  = 8
+	secretSize      = 32          // bytes of a key file's secret
+	macSize         = sha256.Size // bytes of a MAC
+	fingerprintSize = 8           // bytes of a key's fingerprint
 )
 
-// Key is what a capture's chain and ids are made with. The zero Key is none: its chain
-// tells damage but not intent, and ids stand as they are.
+// Key authenticates a capture and encrypts its customer ids and counter names. The zero
+// Key means no key: MACs then detect accidental damage but not deliberate changes, and ids
+// are stored unencrypted.
 type Key struct {
-	chain     []byte
-	customers []byte
-	print     [printSize]byte
+	macKey      []byte
+	idKey       []byte
+	fingerprint [fingerprintSize]byte
 }
 
-// NewKey derives a key from a secret (RFC 5869).
+// NewKey derives a Key from a secret of 32 bytes, with HKDF (RFC 5869).
 func NewKey(secret []byte) (Key, error) {
 	if len(secret) != secretSize {
-		return Key{}, fmt.Errorf("capture: a key of %d bytes, not %d", len(secret), secretSize)
+		return Key{}, fmt.Errorf("capture: key has %d bytes, want %d", len(secret), secretSize)
 	}
 	var k Key
-	for _, part := range [...]struct {
+	for _, derived := range [...]struct {
 		info string
 		size int
 		to   func([]byte)
 	}{
-		{"foxwood capture chain", linkSize, func(b []byte) { k.chain = b }},
-		{"foxwood capture customers", linkSize, func(b []byte) { k.customers = b }},
-		{"foxwood capture fingerprint", printSize, func(b []byte) { copy(k.print[:], b) }},
+		{"foxwood capture chain", macSize, func(b []byte) { k.macKey = b }},
+		{"foxwood capture customers", macSize, func(b []byte) { k.idKey = b }},
+		{"foxwood capture fingerprint", fingerprintSize, func(b []byte) { copy(k.fingerprint[:], b) }},
 	} {
-		b, err := hkdf.Key(sha256.New, secret, nil, part.info, part.size)
+		b, err := hkdf.Key(sha256.New, secret, nil, derived.info, derived.size)
 		if err != nil {
 			return Key{}, fmt.Errorf("capture: key: %w", err)
 		}
-		part.to(b)
+		derived.to(b)
 	}
 	return k, nil
 }
 
-// ReadKey reads a key file: 64 hex digits, readable by its owner alone.
+// ReadKey reads a key file, which holds 64 hex digits. It refuses a file that others than
+// its owner have access to.
 func ReadKey(file string) (Key, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return Key{}, fmt.Errorf("capture: key: %w", err)
 	}
-	if loose := info.Mode().Perm() & 0o077; loose != 0 {
-		return Key{}, fmt.Errorf("capture: key: %s may be used by others than its owner (mode %04o): chmod 600 it", file, info.Mode().Perm())
+	if othersAccess := info.Mode().Perm() & 0o077; othersAccess != 0 {
+		return Key{}, fmt.Errorf("capture: key: %s has mode %04o, want access for its owner only: run chmod 600", file, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -72,79 +74,83 @@
 	return NewKey(secret)
 }
 
-// Set tells whether there is a key.
-func (k *Key) Set() bool { return k.customers != nil }
+// Set reports whether k is a key, and not the zero Key.
+func (k *Key) Set() bool { return k.idKey != nil }
 
-// link is the next link of the chain.
-func (k *Key) link(before []byte, parts ...[]byte) []byte {
-	secret := k.chain
+// mac returns the MAC of a block or a segment's header, chained to the previous MAC.
+func (k *Key) mac(previousMAC []byte, parts ...[]byte) []byte {
+	secret := k.macKey
 	if secret == nil {
-		secret = make([]byte, linkSize)
+		secret = make([]byte, macSize)
 	}
 	h := hmac.New(sha256.New, secret)
-	h.Write(before)
+	h.Write(previousMAC)
 	for _, p := range parts {
 		h.Write(p)
 	}
 	return h.Sum(nil)
 }
 
-// The tweaks of the permutation.
+// The tweaks of the id encryption, by which a customer id and an equal counter name are
+// encrypted differently.
 const (
-	ofCustomers = 0
-	ofNames     = 1
+	customerTweak = 0
+	counterTweak  = 1
 )
 
+// feistelRounds is the number of rounds of the id encryption.
 const feistelRounds = 4
 
-// hide replaces an id by another: a permutation of 64 bits that the key chooses (a
-// Feistel network, M. Luby and C. Rackoff, 1988). Without a key it is the id itself.
-func (k *Key) hide(id uint64, tweak byte) uint64 {
+// encryptID encrypts an id with a keyed permutation of 64-bit values, a Feistel network
+// (M. Luby and C. Rackoff, 1988). Without a key it returns the id unchanged.
+func (k *Key) encryptID(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
 	for i := range byte(feistelRounds) {
-		l, r = r, l^k.round(i, tweak, r)
+		l, r = r, l^k.roundFunction(i, tweak, r)
 	}
 	return uint64(l)<<32 | uint64(r)
 }
 
-// show is the id that hide replaced.
-func (k *Key) show(id uint64, tweak byte) uint64 {
+// decryptID decrypts an id that encryptID encrypted.
+func (k *Key) decryptID(id uint64, tweak byte) uint64 {
 	if !k.Set() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
 	for i := range byte(feistelRounds) {
-		l, r = r^k.round(feistelRounds-1-i, tweak, l), l
+		l, r = r^k.roundFunction(feistelRounds-1-i, tweak, l), l
 	}
 	return uint64(l)<<32 | uint64(r)
 }
 
-// hideState is a state with the customers' keys and the counter names in it replaced, as
-// records have them. It leaves the state that it is given as it is.
-func (k *Key) hideState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.hide) }
+// encryptState returns a copy of a state with its customer ids and counter names encrypted.
+func (k *Key) encryptState(s policy.Snapshot) policy.Snapshot { return k.mapIDs(s, k.encryptID) }
 
-// showState is the state that hideState replaced.
-func (k *Key) showState(s policy.Snapshot) policy.Snapshot { return k.turn(s, k.show) }
+// decryptState decrypts the ids of a state that encryptState encrypted.
+func (k *Key) decryptState(s policy.Snapshot) policy.Snapshot { return k.mapIDs(s, k.decryptID) }
 
-func (k *Key) turn(s policy.Snapshot, by func(uint64, byte) uint64) policy.Snapshot {
+// mapIDs returns a copy of a state with its customer ids and counter names replaced by those
+// that replace returns.
+func (k *Key) mapIDs(s policy.Snapshot, replace func(uint64, byte) uint64) policy.Snapshot {
 	if !k.Set() {
 		return s
 	}
 	s.Clients, s.Draws = slices.Clone(s.Clients), slices.Clone(s.Draws)
 	for i := range s.Clients {
-		s.Clients[i].Key = by(s.Clients[i].Key, ofCustomers)
+		s.Clients[i].Key = replace(s.Clients[i].Key, customerTweak)
 	}
 	for i := range s.Draws {
-		s.Draws[i].Name = by(s.Draws[i].Name, ofNames)
+		s.Draws[i].Name = replace(s.Draws[i].Name, counterTweak)
 	}
 	return s
 }
 
-func (k *Key) round(n, tweak byte, half uint32) uint32 {
-	h := hmac.New(sha256.New, k.customers)
+// roundFunction is the round function of the Feistel network.
+func (k *Key) roundFunction(n, tweak byte, half uint32) uint32 {
+	h := hmac.New(sha256.New, k.idKey)
 	h.Write(binary.LittleEndian.AppendUint32([]byte{n, tweak}, half))
 	return binary.LittleEndian.Uint32(h.Sum(nil))
 }
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -14,149 +14,152 @@
 	"foxwood/policy"
 )
 
-// Reader reads one segment. Every block is verified before a record of it is given out.
+// Reader reads one segment. It verifies every block before it returns a record of it.
 type Reader struct {
-	Life    uint64
-	Segment uint32
+	Life    uint64 // id of the run
+	Segment uint32 // number of the segment in its run, from 1
 
-	in     *bufio.Reader
-	key    *Key
-	link   []byte
-	at     int64 // of the next block in the file
-	zstd   *zstd.Decoder
-	raw    []byte
-	left   []byte // of raw, not given out
-	now    policy.Micros
-	n      int // records given out
-	record capturepb.Record
-	ended  bool
+	input        *bufio.Reader
+	key          *Key
+	mac          []byte // MAC of the last block read
+	offset       int64  // offset of the next block in the file
+	decompressor *zstd.Decoder
+	raw          []byte // the current block, uncompressed
+	undecoded    []byte // the part of raw that has not been decoded yet
+	now          policy.Micros
+	records      int // number of records returned
+	record       capturepb.Record
+	ended        bool
 }
 
-// Gap tells that records were lost before the next one.
+// Gap is an error that reports records lost before the next one.
 type Gap struct{ Lost uint32 }
 
+// Error implements error.
 func (g *Gap) Error() string { return fmt.Sprintf("%d records were lost before this one", g.Lost) }
 
-// NewReader begins to read a segment. before is the last link of the segment before it
-// in the same life, nil where it is not at hand: then the segment's own word is believed.
-func NewReader(from io.Reader, key *Key, before []byte) (*Reader, error) {
-	r := &Reader{in: bufio.NewReader(from), key: key}
-	head := make([]byte, segmentHead+linkSize)
-	if n, err := io.ReadFull(r.in, head); err != nil {
-		if n >= len(magic) && string(head[:len(magic)]) == magic {
-			return nil, fmt.Errorf("the head is cut after %d bytes: %w", n, ErrDamaged)
+// NewReader starts to read a segment. previousMAC is the last MAC of the previous segment of the
+// same run. It is nil if that segment is not available: the MAC in the segment's header is
+// then not checked against it.
+func NewReader(input io.Reader, key *Key, previousMAC []byte) (*Reader, error) {
+	r := &Reader{input: bufio.NewReader(input), key: key}
+	encoded := make([]byte, segmentHeaderSize+macSize)
+	if n, err := io.ReadFull(r.input, encoded); err != nil {
+		if n >= len(magic) && string(encoded[:len(magic)]) == magic {
+			return nil, fmt.Errorf("segment header has %d bytes, want %d: %w", n, len(encoded), ErrDamaged)
 		}
 		return nil, ErrNotOne
 	}
-	var h header
-	if err := h.parse(head); err != nil {
+	var header segmentHeader
+	if err := header.parse(encoded); err != nil {
 		return nil, err
 	}
-	if h.print != key.print {
+	if header.fingerprint != key.fingerprint {
 		return nil, ErrKey
 	}
-	r.Life, r.Segment = h.life, h.n
-	r.link = head[segmentHead:]
-	if string(key.link(nil, head[:segmentHead])) != string(r.link) {
-		return nil, fmt.Errorf("the head: %w", ErrAltered)
+	r.Life, r.Segment = header.runID, header.number
+	r.mac = encoded[segmentHeaderSize:]
+	if string(key.mac(nil, encoded[:segmentHeaderSize])) != string(r.mac) {
+		return nil, fmt.Errorf("MAC of the segment header: %w", ErrAltered)
 	}
-	if before == nil && h.n == 1 {
-		before = make([]byte, linkSize)
+	if previousMAC == nil && header.number == 1 {
+		previousMAC = make([]byte, macSize)
 	}
-	if before != nil && string(before) != string(h.before[:]) {
-		return nil, fmt.Errorf("the segment before it is another: %w", ErrAltered)
+	if previousMAC != nil && string(previousMAC) != string(header.previousMAC[:]) {
+		return nil, fmt.Errorf("MAC of the previous segment differs from the one in the segment header: %w", ErrAltered)
 	}
-	r.at = int64(len(head))
+	r.offset = int64(len(encoded))
 	var err error
-	if r.zstd, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(payloadMost)); err != nil {
+	if r.decompressor, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPayload)); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	return r, nil
 }
 
-// Close frees what the reader holds.
-func (r *Reader) Close() { r.zstd.Close() }
+// Close releases the reader's decompressor. It does not close the underlying io.Reader.
+func (r *Reader) Close() { r.decompressor.Close() }
 
-// Link is the last link of the chain that was read: what the next segment begins with.
-func (r *Reader) Link() []byte { return r.link }
+// Link returns the MAC of the last block read, with which the next segment starts.
+func (r *Reader) Link() []byte { return r.mac }
 
-// Records is how many records have been given out.
-func (r *Reader) Records() int { return r.n }
+// Records returns the number of records returned so far.
+func (r *Reader) Records() int { return r.records }
 
-// Next gives the next record and its time. It holds until the next call. io.EOF is the
-// proper end; a *Gap is told once, and the records behind it may be read on; any other
-// error is the end of what can be read.
+// Next returns the next record, which is valid until the next call, and its time. The
+// error is io.EOF after the segment's end block. A *Gap is returned once, and the records
+// after it can be read by further calls. After any other error nothing more can be read.
 func (r *Reader) Next() (*capturepb.Record, policy.Micros, error) {
-	for len(r.left) == 0 {
+	for len(r.undecoded) == 0 {
 		if r.ended {
 			return nil, 0, io.EOF
 		}
-		if err := r.block(); err != nil {
+		if err := r.readBlock(); err != nil {
 			return nil, 0, err
 		}
 	}
-	text, n := protowire.ConsumeBytes(r.left)
+	text, n := protowire.ConsumeBytes(r.undecoded)
 	if n < 0 {
-		return nil, 0, r.bad("a record's length", ErrDamaged)
+		return nil, 0, r.fail("malformed length of a record", ErrDamaged)
 	}
-	r.left = r.left[n:]
+	r.undecoded = r.undecoded[n:]
 	if err := proto.Unmarshal(text, &r.record); err != nil {
-		return nil, 0, r.bad("a record", ErrDamaged)
+		return nil, 0, r.fail("malformed record", ErrDamaged)
 	}
 	r.now += r.record.GetAfter()
-	r.n++
+	r.records++
 	return &r.record, r.now, nil
 }
 
-func (r *Reader) bad(what string, why error) error {
-	r.ended, r.left = true, nil
-	return fmt.Errorf("byte %d: %s, after %d records: %w", r.at, what, r.n, why)
+// fail ends reading, and returns an error with the reader's position.
+func (r *Reader) fail(problem string, cause error) error {
+	r.ended, r.undecoded = true, nil
+	return fmt.Errorf("byte %d, after %d records: %s: %w", r.offset, r.records, problem, cause)
 }
 
-// block reads and verifies a block.
-func (r *Reader) block() error {
-	head := make([]byte, blockHead)
-	switch n, err := io.ReadFull(r.in, head); {
+// readBlock reads and verifies a block.
+func (r *Reader) readBlock() error {
+	encoded := make([]byte, blockHeaderSize)
+	switch n, err := io.ReadFull(r.input, encoded); {
 	case n == 0 && errors.Is(err, io.EOF):
-		return r.bad("the end", ErrUnended)
+		return r.fail("end of the file", ErrUnended)
 	case err != nil:
-		return r.bad(fmt.Sprintf("a block cut after %d bytes", n), ErrUnended)
+		return r.fail(fmt.Sprintf("block header has %d bytes, want %d", n, blockHeaderSize), ErrUnended)
 	}
-	var b block
-	b.parse(head)
-	if b.size > payloadMost || b.raw > payloadMost {
-		return r.bad("a block's length", ErrDamaged)
+	var header blockHeader
+	header.parse(encoded)
+	if header.payloadSize > maxPayload || header.rawSize > maxPayload {
+		return r.fail(fmt.Sprintf("block of %d bytes, %d uncompressed, want at most %d", header.payloadSize, header.rawSize, maxPayload), ErrDamaged)
 	}
-	payload := make([]byte, b.size)
-	if n, err := io.ReadFull(r.in, payload); err != nil {
-		return r.bad(fmt.Sprintf("a block cut after %d bytes", blockHead+n), ErrUnended)
+	payload := make([]byte, header.payloadSize)
+	if n, err := io.ReadFull(r.input, payload); err != nil {
+		return r.fail(fmt.Sprintf("block has %d bytes, want %d", blockHeaderSize+n, blockHeaderSize+int(header.payloadSize)), ErrUnended)
 	}
-	if sum(b.sealed, payload) != b.sum {
-		return r.bad("a block's sum", ErrDamaged)
+	if checksum(header.authenticated, payload) != header.checksum {
+		return r.fail("checksum of a block does not match", ErrDamaged)
 	}
-	if string(r.key.link(r.link, b.sealed, payload)) != string(b.link) {
-		return r.bad("a block's link", ErrAltered)
+	if string(r.key.mac(r.mac, header.authenticated, payload)) != string(header.mac) {
+		return r.fail("MAC of a block does not match", ErrAltered)
 	}
-	r.link = b.link
-	switch b.kind {
+	r.mac = header.mac
+	switch header.kind {
 	case kindEnd:
 		r.ended = true
-		if _, err := r.in.ReadByte(); err == nil {
-			return r.bad("bytes behind the end block", ErrAltered)
+		if _, err := r.input.ReadByte(); err == nil {
+			return r.fail("data after the end block", ErrAltered)
 		}
-	case kindIndex: // only needed to find a place: verified, and passed over
+	case kindIndex: // verified and skipped: it is needed only to find blocks
 	case kindRecords:
 		var err error
-		if r.raw, err = r.zstd.DecodeAll(payload, r.raw[:0]); err != nil || len(r.raw) != int(b.raw) {
-			return r.bad("a block's compression", ErrDamaged)
+		if r.raw, err = r.decompressor.DecodeAll(payload, r.raw[:0]); err != nil || len(r.raw) != int(header.rawSize) {
+			return r.fail("malformed compressed data of a block", ErrDamaged)
 		}
-		r.left, r.now = r.raw, b.first
+		r.undecoded, r.now = r.raw, header.first
 	default:
-		return r.bad(fmt.Sprintf("a block of kind %d", b.kind), ErrDamaged)
+		return r.fail(fmt.Sprintf("unknown block kind %d", header.kind), ErrDamaged)
 	}
-	r.at += int64(blockHead) + int64(b.size)
-	if b.lost > 0 {
-		return &Gap{b.lost}
+	r.offset += int64(blockHeaderSize) + int64(header.payloadSize)
+	if header.lost > 0 {
+		return &Gap{header.lost}
 	}
 	return nil
 }
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -18,66 +18,70 @@
 	"foxwood/policy"
 )
 
-// Options is how captures are kept.
+// Options holds the settings of a Writer.
 type Options struct {
 	Folder string
-	Name   string // of the gatekeeper
-	Life   uint64 // of its life, drawn at its start
+	Name   string // the gatekeeper's name
+	Life   uint64 // id of the run, see the function Life
 	Key    Key
-	// SegmentMost is the bytes of a segment, KeptMost those of all segments of this name
-	// in the folder: the oldest are removed past it. Zero stands for 64 MiB and 1 GiB.
+	// SegmentMost is the size in bytes at which a segment is ended, 64 MiB if zero. KeptMost
+	// is the total size in bytes of all segments of this name in the folder, above which the
+	// oldest are removed, 1 GiB if zero.
 	SegmentMost, KeptMost int64
-	// AgeMost is how long a segment is kept; zero is for good.
+	// AgeMost is how long a segment is kept; zero keeps it without a time limit.
 	AgeMost time.Duration
-	// CheckpointEvery is how far apart checkpoints are; zero stands for 30 s. Each new
-	// segment gets one soon as well.
+	// CheckpointEvery is the interval of checkpoints, 30 s if zero. Each new segment gets
+	// a checkpoint soon after its start as well.
 	CheckpointEvery time.Duration
-	// Patient has the encoder wait for the disk in place of dropping: for simulated time,
-	// which waits too.
+	// Patient makes the encoder wait for the disk instead of dropping blocks. It is meant for
+	// simulated time, which stops while the encoder waits.
 	Patient bool
 }
 
 const (
-	defaultSegment = 64 << 20
-	defaultKept    = 1 << 30
-	defaultApart   = 30 * time.Second
-	queued         = 16 // blocks that wait for the disk: a megabyte
-	retryEvery     = time.Second
-	suffix         = ".fcap"
+	defaultSegmentBytes    = 64 << 20 // bytes
+	defaultTotalBytes      = 1 << 30  // bytes
+	defaultCheckpointEvery = 30 * time.Second
+	queueLength            = 16 // most blocks that wait for the disk, which hold one MiB
+	retryInterval          = time.Second
+	segmentSuffix          = ".fcap"
 )
 
-// Stats is what became of a capture's records.
+// Stats counts records, blocks and errors of a Writer. Lost counts the records that were
+// not written, and Bytes those of the blocks that were.
 type Stats struct {
 	Records, Lost, Blocks, Bytes, Errors atomic.Uint64
 }
 
-// Writer writes a capture beside the loop, which hands it blocks and never waits for it.
+// Writer writes a capture in its own goroutine. The event loop passes it blocks through a
+// queue and does not wait for the disk.
 type Writer struct {
 	*Encoder
 	Stats Stats
 
-	options Options
-	blocks  chan filled
-	free    chan []byte
-	done    chan struct{}
-	dropped atomic.Uint32 // records that did not fit the queue since the last block that did
-	due     policy.Micros // of the next checkpoint; the loop's
-	fresh   atomic.Bool   // a segment has begun that has none
+	options         Options
+	queue           chan pendingBlock
+	freeBuffers     chan []byte // buffers for reuse
+	done            chan struct{}
+	dropped         atomic.Uint32 // records dropped because the queue was full, not yet added to lost
+	nextCheckpoint  policy.Micros // time of the next checkpoint; used by the event loop only
+	needsCheckpoint atomic.Bool   // the current segment has no checkpoint yet
 
-	file    *os.File
-	n       uint32 // of the segment
-	size    int64
-	link    []byte
-	index   Index
-	zstd    *zstd.Encoder
-	out     []byte
-	lost    uint32 // records that could not be written since the last block that was
-	retryAt time.Time
+	// Used by the writing goroutine only.
+	file       *os.File
+	segment    uint32 // number of the segment
+	size       int64  // bytes of the segment
+	mac        []byte // last MAC
+	index      Index
+	compressor *zstd.Encoder
+	buffer     []byte
+	lost       uint32 // records lost since the last block that was written
+	retryAt    time.Time
 }
 
-// NewWriter opens a capture in a folder, which must be there.
+// NewWriter starts a capture in an existing folder.
 func NewWriter(o Options) (*Writer, error) {
-	w, err := newWriter(o)
+	w, err := newBlockWriter(o)
 	if err != nil {
 		return nil, err
 	}
@@ -86,30 +90,32 @@
 	return w, nil
 }
 
-// newWriter opens a capture whose blocks are written by who calls write.
-func newWriter(o Options) (*Writer, error) {
+// newBlockWriter starts a capture without a goroutine and an Encoder: the caller writes
+// blocks by calling write.
+func newBlockWriter(o Options) (*Writer, error) {
 	if o.SegmentMost <= 0 {
-		o.SegmentMost = defaultSegment
+		o.SegmentMost = defaultSegmentBytes
 	}
 	if o.KeptMost <= 0 {
-		o.KeptMost = defaultKept
+		o.KeptMost = defaultTotalBytes
 	}
 	if o.CheckpointEvery <= 0 {
-		o.CheckpointEvery = defaultApart
+		o.CheckpointEvery = defaultCheckpointEvery
 	}
-	w := &Writer{options: o, blocks: make(chan filled, queued), free: make(chan []byte, queued+1),
-		done: make(chan struct{}), link: make([]byte, linkSize)}
+	w := &Writer{options: o, queue: make(chan pendingBlock, queueLength), freeBuffers: make(chan []byte, queueLength+1),
+		done: make(chan struct{}), mac: make([]byte, macSize)}
 	var err error
-	if w.zstd, err = newZstd(); err != nil {
+	if w.compressor, err = newCompressor(); err != nil {
 		return nil, err
 	}
-	if err := w.rotate(); err != nil {
+	if err := w.startSegment(); err != nil {
 		return nil, err
 	}
 	return w, nil
 }
 
-func newZstd() (*zstd.Encoder, error) {
+// newCompressor creates a compressor for speed, which runs in the calling goroutine.
+func newCompressor() (*zstd.Encoder, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -117,230 +123,237 @@
 	return e, nil
 }
 
-// take implements taker. It runs on the loop: a block that finds no room is dropped, and
-// counted as a gap before the next that does.
-func (w *Writer) take(b filled) []byte {
+// submit implements blockSink. It drops a block if the queue is full, and counts its
+// records as a gap before the next block that is queued.
+func (w *Writer) submit(b pendingBlock) []byte {
 	w.Stats.Records.Add(uint64(b.records))
 	if w.options.Patient {
-		w.blocks <- b
-		return make([]byte, 0, blockMost+blockMost/8)
+		w.queue <- b
+		return make([]byte, 0, maxBlockBytes+maxBlockBytes/8)
 	}
 	select {
-	case w.blocks <- b:
+	case w.queue <- b:
 	default:
 		w.dropped.Add(b.records)
 		w.Stats.Lost.Add(uint64(b.records))
 		return b.raw[:0]
 	}
 	select {
-	case raw := <-w.free:
+	case raw := <-w.freeBuffers:
 		return raw
 	default:
-		return make([]byte, 0, blockMost+blockMost/8)
+		return make([]byte, 0, maxBlockBytes+maxBlockBytes/8)
 	}
 }
 
-// wants implements taker.
-func (w *Writer) wants(now policy.Micros) bool {
+// checkpointDue implements blockSink. A checkpoint is due at the interval of the options,
+// and at the start of each segment other than the first.
+func (w *Writer) checkpointDue(now policy.Micros) bool {
 	switch {
-	case w.due == 0: // the first segment begins where the life does
-		w.fresh.Store(false)
-	case now < w.due && !w.fresh.Swap(false):
+	case w.nextCheckpoint == 0: // the first segment starts with the run and needs no checkpoint
+		w.needsCheckpoint.Store(false)
+	case now < w.nextCheckpoint && !w.needsCheckpoint.Swap(false):
 		return false
 	}
-	first := w.due == 0
-	w.due = now + w.options.CheckpointEvery.Microseconds()
+	first := w.nextCheckpoint == 0
+	w.nextCheckpoint = now + w.options.CheckpointEvery.Microseconds()
 	return !first
 }
 
-// offer implements taker. A checkpoint that finds no room is dropped: it is no gap.
-func (w *Writer) offer(b filled) {
+// submitCheckpoint implements blockSink. It drops the checkpoint if the queue is full. This
+// is not a gap, since the records around it are complete.
+func (w *Writer) submitCheckpoint(b pendingBlock) {
 	if w.options.Patient {
-		w.blocks <- b
+		w.queue <- b
 		return
 	}
 	select {
-	case w.blocks <- b:
+	case w.queue <- b:
 	default:
 	}
 }
 
-// Close writes what there is, ends the segment, and returns once that is done. The loop
-// must not call the encoder any more.
+// Close writes all remaining records, ends the segment, and returns when both is done. The
+// encoder must not be called after Close.
 func (w *Writer) Close() {
 	w.flush()
-	close(w.blocks)
+	close(w.queue)
 	<-w.done
 }
 
+// run writes the queued blocks until the queue is closed.
 func (w *Writer) run() {
 	defer close(w.done)
-	for b := range w.blocks {
-		// what was dropped came before whatever is taken after it; to count it a block
-		// early would be wrong by no record, as a replay stops at either
+	for b := range w.queue {
+		// The dropped records may belong after some blocks that are still in the queue, so the
+		// gap may be reported too early. This does no harm: a replay stops at the gap in
+		// either case.
 		w.lost += w.dropped.Swap(0)
-		if b.state != nil {
-			b.raw = stateRecord(b.state, &w.options.Key)
+		if b.checkpoint != nil {
+			b.raw = encodeCheckpoint(b.checkpoint, &w.options.Key)
 			w.write(b)
 			continue
 		}
 		w.write(b)
 		select {
-		case w.free <- b.raw[:0]:
+		case w.freeBuffers <- b.raw[:0]:
 		default:
 		}
 	}
-	w.end()
+	w.endSegment()
 }
 
-// write writes one block. Where it can't, its records count as lost, the segment is left
-// as it is, and another is begun a second later.
-func (w *Writer) write(b filled) {
+// write writes one block. If this fails, the block's records count as lost, the segment is
+// left without an end block, and a new segment is started after retryInterval.
+func (w *Writer) write(b pendingBlock) {
 	if w.file == nil {
 		if time.Now().Before(w.retryAt) {
-			w.miss(b.records, nil)
+			w.recordLoss(b.records, nil)
 			return
 		}
-		if err := w.rotate(); err != nil {
-			w.miss(b.records, err)
+		if err := w.startSegment(); err != nil {
+			w.recordLoss(b.records, err)
 			return
 		}
 	}
-	payload := w.zstd.EncodeAll(b.raw, nil)
-	head := block{kind: kindRecords, raw: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.first)}
-	out, link := head.seal(w.out[:0], &w.options.Key, w.link, payload)
-	w.out = out
+	payload := w.compressor.EncodeAll(b.raw, nil)
+	header := blockHeader{kind: kindRecords, rawSize: uint32(len(b.raw)), records: b.records, lost: w.lost, first: int64(b.firstTime)}
+	out, mac := header.seal(w.buffer[:0], &w.options.Key, w.mac, payload)
+	w.buffer = out
 	if _, err := w.file.Write(out); err != nil {
-		w.miss(b.records, err)
+		w.recordLoss(b.records, err)
 		return
 	}
-	w.index.note(w.size, &b)
-	w.link, w.lost = link, 0
+	w.index.add(w.size, &b)
+	w.mac, w.lost = mac, 0
 	w.size += int64(len(out))
 	w.Stats.Blocks.Add(1)
 	w.Stats.Bytes.Add(uint64(len(out)))
-	// Not behind a checkpoint: each new segment wants one, which may be larger than a segment.
-	if b.state == nil && w.size >= w.options.SegmentMost {
-		if w.end(); w.rotate() != nil {
-			w.retryAt = time.Now().Add(retryEvery)
+	// A checkpoint does not end a segment: each new segment gets one, so checkpoints larger
+	// than SegmentMost would start one segment after the other.
+	if b.checkpoint == nil && w.size >= w.options.SegmentMost {
+		if w.endSegment(); w.startSegment() != nil {
+			w.retryAt = time.Now().Add(retryInterval)
 		}
 	}
 }
 
-// miss counts records that were not written, and says so once for each try.
-func (w *Writer) miss(records uint32, err error) {
+// recordLoss counts records that were not written. It logs err, which is nil if no attempt to
+// write was made.
+func (w *Writer) recordLoss(records uint32, err error) {
 	w.lost += records
 	w.Stats.Lost.Add(uint64(records))
 	if err == nil {
 		return
 	}
 	w.Stats.Errors.Add(1)
-	slog.Error("capture: records are lost, the gatekeeper serves on", "lost", w.lost, "error", err)
+	slog.Error("capture: write failed, records are lost; requests are still served", "lost", w.lost, "error", err)
 	if w.file != nil {
 		_ = w.file.Close()
 		w.file = nil
 	}
-	w.retryAt = time.Now().Add(retryEvery)
+	w.retryAt = time.Now().Add(retryInterval)
 }
 
-// end ends the segment with its end block.
-func (w *Writer) end() {
+// endSegment completes the segment with its index and its end block.
+func (w *Writer) endSegment() {
 	if w.file == nil {
 		return
 	}
-	at := w.size
-	out, link, err := w.sealIndex(w.out[:0])
-	head := block{kind: kindEnd, lost: w.lost, first: at}
+	indexOffset := w.size
+	out, mac, err := w.sealIndex(w.buffer[:0])
+	header := blockHeader{kind: kindEnd, lost: w.lost, first: indexOffset}
 	if err == nil {
-		out, link = head.seal(out, &w.options.Key, link, nil)
+		out, mac = header.seal(out, &w.options.Key, mac, nil)
 		_, err = w.file.Write(out)
 	}
-	if closed := w.file.Close(); err == nil {
-		err = closed
+	if closeErr := w.file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		w.Stats.Errors.Add(1)
-		slog.Error("capture: a segment was not ended", "error", err)
+		slog.Error("capture: index and end block of a segment were not written", "error", err)
 	}
-	w.link, w.file, w.lost = link, nil, 0
+	w.mac, w.file, w.lost = mac, nil, 0
 }
 
 // sealIndex appends the segment's index as a block.
-func (w *Writer) sealIndex(out []byte) (whole, link []byte, err error) {
+func (w *Writer) sealIndex(out []byte) (result, mac []byte, err error) {
 	raw, err := proto.Marshal(w.index.pb)
 	if err != nil {
-		return nil, nil, fmt.Errorf("capture: index: %w", err)
+		return nil, nil, fmt.Errorf("capture: encode the index: %w", err)
 	}
-	head := block{kind: kindIndex, raw: uint32(len(raw))}
-	whole, link = head.seal(out, &w.options.Key, w.link, w.zstd.EncodeAll(raw, nil))
-	return whole, link, nil
+	header := blockHeader{kind: kindIndex, rawSize: uint32(len(raw))}
+	result, mac = header.seal(out, &w.options.Key, w.mac, w.compressor.EncodeAll(raw, nil))
+	return result, mac, nil
 }
 
-// rotate begins a segment, and removes those past their size or age.
-func (w *Writer) rotate() error {
+// startSegment starts a new segment and removes old ones.
+func (w *Writer) startSegment() error {
 	o := &w.options
-	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.n+1, suffix))
+	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.segment+1, segmentSuffix))
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
-	w.n++
-	h := header{print: o.Key.print, life: o.Life, n: w.n, before: [linkSize]byte(w.link)}
-	head := h.append(nil)
-	link := o.Key.link(nil, head)
-	if _, err := f.Write(append(head, link...)); err != nil {
+	w.segment++
+	header := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.Life, number: w.segment, previousMAC: [macSize]byte(w.mac)}
+	encoded := header.append(nil)
+	mac := o.Key.mac(nil, encoded)
+	if _, err := f.Write(append(encoded, mac...)); err != nil {
 		_ = f.Close()
 		return fmt.Errorf("capture: %w", err)
 	}
-	w.file, w.link, w.size = f, link, int64(segmentHead+linkSize)
+	w.file, w.mac, w.size = f, mac, int64(segmentHeaderSize+macSize)
 	w.index = Index{pb: &capturepb.Index{}}
-	w.fresh.Store(true)
-	w.prune(file)
+	w.needsCheckpoint.Store(true)
+	w.removeOldSegments(file)
 	return nil
 }
 
-// prune removes the oldest segments past the bounds, never the one that is written.
-func (w *Writer) prune(current string) {
+// removeOldSegments removes the oldest segments until all are within the limits of size
+// and age. It never removes the current one.
+func (w *Writer) removeOldSegments(current string) {
 	o := &w.options
-	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+suffix))
+	files, err := filepath.Glob(filepath.Join(o.Folder, o.Name+"-*"+segmentSuffix))
 	if err != nil {
 		return
 	}
-	type kept struct {
+	type oldSegment struct {
 		file string
 		size int64
 		at   time.Time
 	}
-	var all []kept
-	sum := int64(0)
+	var oldSegments []oldSegment
+	total := int64(0)
 	for _, f := range files {
 		if info, err := os.Stat(f); err == nil && f != current {
-			all = append(all, kept{f, info.Size(), info.ModTime()})
-			sum += info.Size()
+			oldSegments = append(oldSegments, oldSegment{f, info.Size(), info.ModTime()})
+			total += info.Size()
 		}
 	}
-	slices.SortFunc(all, func(a, b kept) int {
+	slices.SortFunc(oldSegments, func(a, b oldSegment) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
 		return strings.Compare(a.file, b.file)
 	})
-	for _, k := range all {
-		old := o.AgeMost > 0 && time.Since(k.at) > o.AgeMost
-		if !old && sum+o.SegmentMost <= o.KeptMost {
+	for _, segment := range oldSegments {
+		expired := o.AgeMost > 0 && time.Since(segment.at) > o.AgeMost
+		if !expired && total+o.SegmentMost <= o.KeptMost {
 			return
 		}
-		if err := os.Remove(k.file); err != nil {
-			slog.Warn("capture: an old segment stays", "error", err)
+		if err := os.Remove(segment.file); err != nil {
+			slog.Warn("capture: an old segment was not removed", "error", err)
 			return
 		}
-		sum -= k.size
+		total -= segment.size
 	}
 }
 
-// Life draws the number of a life from its start and the gatekeeper's seed.
+// Life returns the id of a run, made from its start time and the gatekeeper's seed.
 func Life(now policy.Micros, seed uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
-	return uint64(now)<<12 ^ uint64(sum(nil, b[:])>>52)
+	return uint64(now)<<12 ^ uint64(checksum(nil, b[:])>>52)
 }
--- a/internal/replay/audit.go
+++ b/internal/replay/audit.go
@@ -14,42 +14,43 @@
 	"foxwood/policy"
 )
 
-// Named is the capture of one gatekeeper, or of several lives of it.
+// Named is the capture of one gatekeeper, which may cover several runs.
 type Named struct {
 	Name string
 	From Source
 }
 
-// Merged is several gatekeepers' captures in one order, by the clock that they share.
+// Merged is a sequence of the records of several gatekeepers' captures, ordered by time.
 type Merged struct {
-	sources []*upcoming
-	Notes   []string // gaps and cuts, and whose
+	sources []*mergeSource
+	Notes   []string // gaps and truncated segments, each with the name of its capture
 }
 
-// upcoming is a source with its next record.
-type upcoming struct {
+// mergeSource is a capture with its next record.
+type mergeSource struct {
 	Named
 	record *capturepb.Record
 	at     policy.Micros
 	ended  bool
 }
 
-// Merge merges captures.
+// Merge merges captures. Their times must come from synchronized clocks.
 func Merge(captures ...Named) *Merged {
 	m := &Merged{}
 	for _, c := range captures {
-		m.sources = append(m.sources, &upcoming{Named: c})
+		m.sources = append(m.sources, &mergeSource{Named: c})
 	}
 	return m
 }
 
-// Next gives the earliest record that is left, and whose it is; of equal times that of the
-// capture named first. The record holds until the next call.
+// Next returns the earliest remaining record, its time, and the name of its capture. Among
+// records of the same time, the capture that was passed to Merge first comes first. The
+// record is valid until the next call. The error is io.EOF after the last record.
 func (m *Merged) Next() (name string, r *capturepb.Record, at policy.Micros, err error) {
-	var first *upcoming
+	var first *mergeSource
 	for _, s := range m.sources {
 		if s.record == nil && !s.ended {
-			if err := m.fill(s); err != nil {
+			if err := m.readNext(s); err != nil {
 				return s.Name, nil, 0, err
 			}
 		}
@@ -64,7 +65,8 @@
 	return first.Name, r, first.at, nil
 }
 
-func (m *Merged) fill(s *upcoming) error {
+// readNext reads the next record of a capture.
+func (m *Merged) readNext(s *mergeSource) error {
 	for {
 		r, at, err := s.From.Next()
 		var gap *capture.Gap
@@ -84,48 +86,51 @@
 	}
 }
 
-// bucket is a token bucket that only measures: how far below nothing it went.
+// bucket is a token bucket that allows its level to become negative, to measure by how much
+// a limit was exceeded.
 type bucket struct {
-	rate, burst float64
+	rate, burst float64 // units per second, and units
 	level       float64
-	at          policy.Micros
-	worst       float64 // units below nothing at most
+	updated     policy.Micros
+	maxDeficit  float64 // the largest deficit in units, 0 if there was none
 }
 
+// take removes units at a time.
 func (b *bucket) take(units float64, at policy.Micros) {
-	b.level = min(b.level+b.rate*float64(at-b.at)/1e6, b.burst) - units
-	b.at = at
-	b.worst = max(b.worst, -b.level)
+	b.level = min(b.level+b.rate*float64(at-b.updated)/1e6, b.burst) - units
+	b.updated = at
+	b.maxDeficit = max(b.maxDeficit, -b.level)
 }
 
-// Account is what all gatekeepers together sent on for one customer.
+// Account sums up one customer's requests to all gatekeepers.
 type Account struct {
 	Customer       uint64
 	Plan           int
 	Requests       int
-	Sent, Refused  int
-	Units          float64
-	OverQuota      float64 // units beyond the quota's rate and burst, at the worst moment
+	Sent, Refused  int     // requests sent to a worker, and requests refused
+	Units          float64 // units of the requests sent
+	OverQuota      float64 // largest excess over the quota's rate and burst, in units
 	HasCeiling     bool
-	OverCeiling    float64 // the same of the ceiling
-	CeilingSlack   float64 // that its plan allows
+	OverCeiling    float64 // largest excess over the ceiling's rate and burst, in units
+	CeilingSlack   float64 // excess over the ceiling that the plan allows, in units
 	quota, ceiling bucket
 }
 
-// drawn is a request that an audit follows.
-type followed struct {
+// auditedRequest is an open request of an audit.
+type auditedRequest struct {
 	account *Account
 	units   float64
 	sent    bool
 }
 
-// Audit sums up units sent on per customer, over all the gatekeepers whose captures are
-// merged, against quota and ceiling. Units count when a request's first attempt is sent,
-// and are settled by its answer.
+// Audit adds up the units sent per customer, over all gatekeepers whose captures are
+// merged, and compares them with quota and ceiling. The estimated units of a request count
+// when its first attempt is sent, and are corrected to the actual units by its answer. The
+// accounts are ordered by excess, the largest first.
 func Audit(m *Merged, key *capture.Key) ([]*Account, error) {
-	dec := capture.NewDecoder(key)
+	decoder := capture.NewDecoder(key)
 	accounts := map[uint64]*Account{}
-	open := map[string]map[uint32]*followed{}
+	openRequests := map[string]map[uint32]*auditedRequest{}
 	settings := map[string]policy.Settings{}
 	for {
 		name, r, at, err := m.Next()
@@ -137,69 +142,71 @@
 		}
 		switch r.GetKind() {
 		case capturepb.Kind_BEGAN:
-			s, err := dec.Settings(r)
+			s, err := decoder.Settings(r)
 			if err != nil {
 				return nil, err
 			}
-			settings[name], open[name] = s, map[uint32]*followed{}
+			settings[name], openRequests[name] = s, map[uint32]*auditedRequest{}
 		case capturepb.Kind_REQUESTED:
-			q := dec.Request(r)
+			decoded := decoder.Request(r)
 			plans := settings[name].Plans
-			if open[name] == nil || q.Plan < 0 || q.Plan >= len(plans) {
+			if openRequests[name] == nil || decoded.Plan < 0 || decoded.Plan >= len(plans) {
 				continue
 			}
-			a := accounts[q.Customer]
-			if a == nil {
-				a = newAccount(q, plans[q.Plan], at)
-				accounts[q.Customer] = a
+			account := accounts[decoded.Customer]
+			if account == nil {
+				account = newAccount(decoded, plans[decoded.Plan], at)
+				accounts[decoded.Customer] = account
 			}
-			a.Requests++
-			open[name][q.ID] = &followed{account: a, units: q.Units}
+			account.Requests++
+			openRequests[name][decoded.ID] = &auditedRequest{account: account, units: decoded.Units}
 		case capturepb.Kind_SEND:
-			if f := open[name][r.GetId()]; f != nil && !f.sent {
-				f.sent = true
-				f.account.Sent++
-				f.account.use(f.units, at)
+			if request := openRequests[name][r.GetId()]; request != nil && !request.sent {
+				request.sent = true
+				request.account.Sent++
+				request.account.charge(request.units, at)
 			}
 		case capturepb.Kind_ENDED:
-			f := open[name][r.GetId()]
-			if f != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].Settles {
-				f.account.use(r.GetSettled()-f.units, at)
-				f.units = r.GetSettled()
+			request := openRequests[name][r.GetId()]
+			if request != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].Settles {
+				request.account.charge(r.GetSettled()-request.units, at)
+				request.units = r.GetSettled()
 			}
-			if f != nil && r.GetTerminal() {
-				delete(open[name], r.GetId())
+			if request != nil && r.GetTerminal() {
+				delete(openRequests[name], r.GetId())
 			}
 		case capturepb.Kind_REFUSE:
-			if f := open[name][r.GetId()]; f != nil {
-				f.account.Refused++
+			if request := openRequests[name][r.GetId()]; request != nil {
+				request.account.Refused++
 			}
 		}
 	}
 	all := slices.Collect(maps.Values(accounts))
-	slices.SortFunc(all, func(a, b *Account) int {
-		return cmp.Or(cmp.Compare(b.OverCeiling, a.OverCeiling), cmp.Compare(b.OverQuota, a.OverQuota), cmp.Compare(a.Customer, b.Customer))
+	slices.SortFunc(all, func(account, b *Account) int {
+		return cmp.Or(cmp.Compare(b.OverCeiling, account.OverCeiling), cmp.Compare(b.OverQuota, account.OverQuota), cmp.Compare(account.Customer, b.Customer))
 	})
 	return all, nil
 }
 
-func newAccount(q policy.Request, p policy.Plan, at policy.Micros) *Account {
-	return &Account{Customer: q.Customer, Plan: q.Plan, HasCeiling: p.CeilingRate > 0, CeilingSlack: p.CeilingSlack,
-		quota:   bucket{rate: p.Rate, burst: p.Burst, level: p.Burst, at: at},
-		ceiling: bucket{rate: p.CeilingRate, burst: p.CeilingBurst, level: p.CeilingBurst, at: at}}
+// newAccount returns the account of a customer whose first request arrives, with full buckets.
+func newAccount(request policy.Request, plan policy.Plan, at policy.Micros) *Account {
+	return &Account{Customer: request.Customer, Plan: request.Plan, HasCeiling: plan.CeilingRate > 0, CeilingSlack: plan.CeilingSlack,
+		quota:   bucket{rate: plan.Rate, burst: plan.Burst, level: plan.Burst, updated: at},
+		ceiling: bucket{rate: plan.CeilingRate, burst: plan.CeilingBurst, level: plan.CeilingBurst, updated: at}}
 }
 
-func (a *Account) use(units float64, at policy.Micros) {
+// charge charges units to the account.
+func (a *Account) charge(units float64, at policy.Micros) {
 	a.Units += units
 	a.quota.take(units, at)
-	a.OverQuota = a.quota.worst
+	a.OverQuota = a.quota.maxDeficit
 	if a.HasCeiling {
 		a.ceiling.take(units, at)
-		a.OverCeiling = a.ceiling.worst
+		a.OverCeiling = a.ceiling.maxDeficit
 	}
 }
 
-// WriteAccounts prints accounts as a table, the worst first.
+// WriteAccounts prints accounts as a table, in the given order.
 func WriteAccounts(to io.Writer, all []*Account) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "customer\tplan\trequests\tsent\trefused\tunits\tover quota\tover ceiling\tallowed slack\t")
--- a/internal/replay/explain_test.go
+++ b/internal/replay/explain_test.go
@@ -10,15 +10,17 @@
 	"foxwood/policy"
 )
 
-// TestARefusalByAWindowIsExplained: one of hundreds draws on the counter, which tells it
-// that the others have drawn all there is; what comes in the same window is refused unasked.
-func TestARefusalByAWindowIsExplained(t *testing.T) {
+// TestExplainRefusalByQuotaWindow checks the explanation of two refusals of a gatekeeper among
+// hundreds, which draws quota on the shared counter. The counter reports for the first
+// request that the others have used up the window; the second request, in the same
+// window, is refused without a call to the counter.
+func TestExplainRefusalByQuotaWindow(t *testing.T) {
 	folder := t.TempDir()
 	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRigOf(crowded(), w, 1.7e12)
+	r := newHarnessWith(manyGatekeepers(), w, 1.7e12)
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 	for _, name := range []string{"the-first", "the-second"} {
 		r.Take(&gatekeeper.Request{Name: name, Plan: 0, Customer: 12, Left: 2000, Units: 1, Spread: 300, Caller: r})
@@ -39,12 +41,12 @@
 	} {
 		set := capture.NewSet(segments, &key)
 		defer set.Close()
-		var said bytes.Buffer
-		if err := Explain(&said, set, &key, name); err != nil {
+		var explanation bytes.Buffer
+		if err := Explain(&explanation, set, &key, name); err != nil {
 			t.Fatal(err)
 		}
-		if !strings.Contains(said.String(), want) {
-			t.Errorf("%s: %q is not in\n%s", name, want, said.String())
+		if !strings.Contains(explanation.String(), want) {
+			t.Errorf("%s: want %q in the explanation, got\n%s", name, want, explanation.String())
 		}
 	}
 }
--- a/internal/replay/text.go
+++ b/internal/replay/format.go
@@ -8,28 +8,30 @@
 	"foxwood/policy"
 )
 
-// Call is a call by the module. Fields that its kind does not have are zero.
+// Call is a call of policy.Host by the decision module. Fields that its kind does not use
+// are zero.
 type Call struct {
 	Kind    capturepb.Kind
-	ID      uint32
+	ID      uint32 // the request
 	Server  policy.Server
 	Attempt int
 	Token   uint64
-	Span    policy.Micros
-	Name    uint64
+	Span    policy.Micros // the call's duration: a timeout, a delay or a time to live
+	Name    uint64        // the counter
 	Amount  float64
 }
 
-// call is the call that a record holds.
-func (p *player) call(r *capturepb.Record) Call {
+// decodeCall converts a record of a call by the module.
+func (p *player) decodeCall(r *capturepb.Record) Call {
 	c := Call{Kind: r.GetKind(), ID: r.GetId(), Server: policy.Server(r.GetServer()), Attempt: int(r.GetAttempt()),
 		Token: r.GetToken(), Span: r.GetSpan(), Amount: r.GetAmount()}
 	if c.Kind == capturepb.Kind_COUNT {
-		c.Name = p.dec.Name(r)
+		c.Name = p.decoder.Name(r)
 	}
 	return c
 }
 
+// String formats the call for the decision log.
 func (c Call) String() string {
 	ms := float64(c.Span) / 1000
 	switch c.Kind {
@@ -49,25 +51,27 @@
 	return fmt.Sprintf("call of kind %d", c.Kind)
 }
 
-var statuses = [...]string{"failed", "ok", "full", "timeout", "connect-failed", "reset", "cancelled", "moot"}
+// statusNames are the names of the values of policy.Status.
+var statusNames = [...]string{"failed", "ok", "full", "timeout", "connect-failed", "reset", "cancelled", "moot"}
 
-func status(n int32) string {
-	if n < 0 || int(n) >= len(statuses) {
+// statusName returns the name of a policy.Status, or its number if it is unknown.
+func statusName(n int32) string {
+	if n < 0 || int(n) >= len(statusNames) {
 		return fmt.Sprint(n)
 	}
-	return statuses[n]
+	return statusNames[n]
 }
 
-// Describe is a record in words.
+// Describe formats a record for the decision log.
 func Describe(r *capturepb.Record, d *capture.Decoder) string {
 	if r.GetKind() < capturepb.Kind_SEND {
 		return describe(r, d)
 	}
-	p := player{dec: d}
-	return "  " + p.call(r).String()
+	p := player{decoder: d}
+	return "  " + p.decodeCall(r).String()
 }
 
-// describe is a call of the module in words.
+// describe formats the record of a call of the module.
 func describe(r *capturepb.Record, d *capture.Decoder) string {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	switch r.GetKind() {
@@ -81,9 +85,9 @@
 		return fmt.Sprintf("gone request=%d", r.GetId())
 	case capturepb.Kind_ENDED:
 		return fmt.Sprintf("ended request=%d attempt=%d worker=%016x status=%s latency_ms=%.3f terminal=%v settled=%v load=%v",
-			r.GetId(), r.GetAttempt(), r.GetServer(), status(r.GetStatus()), ms(r.GetLatency()), r.GetTerminal(), r.GetSettled(), r.GetLoad())
+			r.GetId(), r.GetAttempt(), r.GetServer(), statusName(r.GetStatus()), ms(r.GetLatency()), r.GetTerminal(), r.GetSettled(), r.GetLoad())
 	case capturepb.Kind_COUNTED:
-		return fmt.Sprintf("counted name=%016x status=%s total=%v delay_ms=%.3f", d.Name(r), status(r.GetStatus()), r.GetAmount(), ms(r.GetSpan()))
+		return fmt.Sprintf("counted name=%016x status=%s total=%v delay_ms=%.3f", d.Name(r), statusName(r.GetStatus()), r.GetAmount(), ms(r.GetSpan()))
 	case capturepb.Kind_LISTED:
 		return fmt.Sprintf("listed kind=%d entries=%d", r.GetList(), len(r.GetEntries()))
 	case capturepb.Kind_CLASSES:
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,9 @@
-// Package replay plays captures: it tells a decision module what another was told, and
-// compares what it decides.
+// Package replay replays captures. It passes the recorded calls to a decision module and
+// compares the module's decisions with the recorded ones. It also explains the decisions on
+// one request, compares settings on the same inputs, and audits quotas over the captures of
+// several gatekeepers.
+//
+// Comments in this package call the lifetime of one gatekeeper process a run.
 package replay
 
 import (
@@ -16,78 +20,80 @@
 	"foxwood/policy"
 )
 
-// Source gives records in order, as capture.Set does.
+// Source returns records in order. It is implemented by capture.Set.
 type Source interface {
 	Next() (*capturepb.Record, policy.Micros, error)
 }
 
-// Options is how a capture is played.
+// Options controls a replay.
 type Options struct {
-	// Make makes the module of a life; policy.New where nil.
+	// Make creates the module of a run; policy.New if nil.
 	Make func(s policy.Settings, seed uint64) gatekeeper.Module
-	// Begin makes a module of a checkpoint, where the capture is not played from a life's
-	// beginning; policy.Restore where Make is nil too.
+	// Begin restores a module from a checkpoint, with which a replay starts if the capture
+	// does not begin with the start of a run. If Make is nil, policy.Restore is used. If Make
+	// is set and Begin is nil, replays do not start at checkpoints.
 	Begin func(s policy.Snapshot) (gatekeeper.Module, error)
-	// Log, where set, is given every call as a line.
+	// Log, if set, gets every call as a line.
 	Log io.Writer
-	// Request, where not 0, limits the log to calls that name it. Name, where set, does so for
-	// the request that the front calls by it.
+	// Request, if not 0, limits the log to calls with this request number. Name, if set,
+	// limits it to calls for the request that the front end knows by this name.
 	Request uint32
 	Name    string
-	// Until, where not 0, is the time to stop at.
+	// Until, if not 0, is the time at which the replay stops.
 	Until policy.Micros
-	// Watch, where set, is called before each call of the module.
+	// Watch, if set, is called before each call of the module.
 	Watch func(m gatekeeper.Module, r *capturepb.Record, at policy.Micros)
-	// Decided, where set, is given each call by the module.
+	// Decided, if set, gets each call that the module makes.
 	Decided func(c Call, at policy.Micros)
-	// Swap, where set, may put another module in the place of the one that plays, before
-	// each call.
+	// Swap, if set, is called before each call of the module, and returns the module to
+	// continue with.
 	Swap func(m gatekeeper.Module) gatekeeper.Module
-	// Named, where set, is told the name that the front has for a request.
+	// Named, if set, gets the front end's name for each request.
 	Named func(id uint32, name string)
-	// Stop, where set, ends playing once it says so.
+	// Stop, if set, is called for each record, and ends the replay by returning true.
 	Stop func() bool
-	// Differences that are told before playing stops; 1 where 0. Behind the first, what the
-	// module is told no longer fits what it did.
+	// Differences is the number of differences after which the replay stops; 1 if 0. After
+	// the first difference, the recorded events no longer match what the module did.
 	Differences int
 }
 
-// Report is what came of it.
+// Report is the result of a replay.
 type Report struct {
-	Lives, Calls, Decisions int
+	Lives, Calls, Decisions int // runs replayed, calls of the module, and calls that it made
 	Checkpoints             int
-	Ended                   bool // the last segment has its proper end, and nothing was lost
-	First, Last             policy.Micros
+	Ended                   bool          // the last segment has its end block, and no records are missing
+	First, Last             policy.Micros // times of the first and last record
 	Differences             []Difference
-	Module                  gatekeeper.Module // that played last, nil where none did
-	Notes                   []string          // gaps, cuts and lives without a beginning
+	Module                  gatekeeper.Module // the last module, nil if no run was replayed
+	Notes                   []string          // gaps, truncated segments and runs without a start
 }
 
-// Difference is a call of the module in which it decided otherwise than recorded.
+// Difference is a call of the module in which its decisions differed from the recorded ones.
 type Difference struct {
 	At        policy.Micros
 	Call      string
-	Want, Got []string
+	Want, Got []string // recorded and actual decisions
 }
 
-// player is the module of the life that is played, and its host.
+// player holds the module of the run that is being replayed, and is its host.
 type player struct {
-	o      *Options
-	dec    *capture.Decoder
-	report *Report
-	module gatekeeper.Module
-	skip   bool // until the next life begins
-	broken bool // a gap or cut has come since the life began
-	in     string
-	at     policy.Micros
-	inside uint32 // the request of the call under way
-	want   []Call
-	got    []Call
+	options    *Options
+	decoder    *capture.Decoder
+	report     *Report
+	module     gatekeeper.Module
+	skipping   bool          // records are skipped until the next run or checkpoint
+	incomplete bool          // there was a gap or a truncated segment since the start of the run
+	callText   string        // the current call of the module, as text
+	callTime   policy.Micros // time of the current call
+	requestID  uint32        // request number of the current call
+	want       []Call        // recorded decisions of the current call
+	got        []Call        // actual decisions of the current call
 }
 
-var errUntil = errors.New("replay: the time to stop")
+// errStopped ends a replay that Options.Until or Options.Stop stopped.
+var errStopped = errors.New("replay stopped by its options")
 
-// Run plays records to their end, or to the first difference.
+// Run replays records to their end, or until Options.Differences differences were found.
 func Run(from Source, key *capture.Key, o Options) (*Report, error) {
 	if o.Make == nil {
 		o.Make = func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }
@@ -96,176 +102,178 @@
 	if o.Differences == 0 {
 		o.Differences = 1
 	}
-	p := &player{o: &o, dec: capture.NewDecoder(key), report: &Report{}, skip: true}
+	p := &player{options: &o, decoder: capture.NewDecoder(key), report: &Report{}, skipping: true}
 	err := p.play(from)
-	p.settle()
-	p.report.Module, p.report.Ended = p.module, errors.Is(err, io.EOF) && !p.broken && !p.skip
-	if errors.Is(err, io.EOF) || errors.Is(err, errUntil) {
+	p.compareDecisions()
+	p.report.Module, p.report.Ended = p.module, errors.Is(err, io.EOF) && !p.incomplete && !p.skipping
+	if errors.Is(err, io.EOF) || errors.Is(err, errStopped) {
 		err = nil
 	}
 	return p.report, err
 }
 
+// play replays records until the source or the options end the replay.
 func (p *player) play(from Source) error {
-	for len(p.report.Differences) < p.o.Differences {
+	for len(p.report.Differences) < p.options.Differences {
 		r, at, err := from.Next()
 		var gap *capture.Gap
 		var cut *capture.Cut
 		switch {
 		case errors.As(err, &gap), errors.As(err, &cut):
-			p.want, p.got = p.want[:0], p.got[:0] // the rest of what was decided is missing
+			p.want, p.got = p.want[:0], p.got[:0] // the rest of the recorded decisions is missing
 			p.report.Notes = append(p.report.Notes, err.Error())
-			p.broken = true
-			p.skip = p.skip || gap != nil // what follows a gap can't be played
+			p.incomplete = true
+			p.skipping = p.skipping || gap != nil // after a gap the module's state is not known
 			continue
 		case err != nil:
 			return err
-		case p.o.Until > 0 && at > p.o.Until:
-			return errUntil
+		case p.options.Until > 0 && at > p.options.Until:
+			return errStopped
 		}
-		if p.o.Stop != nil && p.o.Stop() {
-			return errUntil
+		if p.options.Stop != nil && p.options.Stop() {
+			return errStopped
 		}
 		if p.report.First == 0 {
 			p.report.First = at
 		}
 		p.report.Last = at
-		if r.GetKind() == capturepb.Kind_NAMED { // may stand among the module's calls
-			if p.o.Named != nil {
-				p.o.Named(r.GetId(), r.GetText())
+		if r.GetKind() == capturepb.Kind_NAMED { // may come between the decisions of a call
+			if p.options.Named != nil {
+				p.options.Named(r.GetId(), r.GetText())
 			}
-			if p.o.Name != "" && p.o.Name == r.GetText() {
-				p.o.Request = r.GetId()
+			if p.options.Name != "" && p.options.Name == r.GetText() {
+				p.options.Request = r.GetId()
 			}
-			p.log(r.GetId(), "named request=%d %q", r.GetId(), r.GetText())
+			p.logLine(r.GetId(), "named request=%d %q", r.GetId(), r.GetText())
 			continue
 		}
 		if r.GetKind() == capturepb.Kind_CHECKPOINT {
-			p.settle()
+			p.compareDecisions()
 			if err := p.checkpoint(r, at); err != nil {
 				return err
 			}
 			continue
 		}
 		if r.GetKind() >= capturepb.Kind_SEND {
-			if !p.skip {
-				p.want = append(p.want, p.call(r))
+			if !p.skipping {
+				p.want = append(p.want, p.decodeCall(r))
 			}
 			continue
 		}
-		p.settle()
-		if err := p.tell(r, at); err != nil {
+		p.compareDecisions()
+		if err := p.callModule(r, at); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// state is a module whose whole state can be had. policy.Gateway is one.
-type state interface{ Snapshot() policy.Snapshot }
+// snapshotter is a module that can return its complete state. policy.Gateway implements it.
+type snapshotter interface{ Snapshot() policy.Snapshot }
 
-// checkpoint begins to play at a checkpoint where nothing is played, and else holds the
-// module's state against it.
+// checkpoint compares a checkpoint with the module's state. If records are being skipped, it
+// restores the module from the checkpoint instead, and the replay starts there.
 func (p *player) checkpoint(r *capturepb.Record, at policy.Micros) error {
-	want, err := p.dec.State(r)
+	want, err := p.decoder.State(r)
 	if err != nil {
 		return err
 	}
 	p.report.Checkpoints++
 	if want.Version != policy.SnapshotVersion {
-		p.note("checkpoints hold a state of version %d, not %d: none is gone on from or compared", want.Version, policy.SnapshotVersion)
+		p.addNote("checkpoints have state version %d, want %d: they are neither restored nor compared", want.Version, policy.SnapshotVersion)
 		return nil
 	}
-	if p.skip {
-		if p.o.Begin == nil {
+	if p.skipping {
+		if p.options.Begin == nil {
 			return nil
 		}
-		if p.module, err = p.o.Begin(want); err != nil {
+		if p.module, err = p.options.Begin(want); err != nil {
 			return err
 		}
-		p.skip = false
+		p.skipping = false
 		p.report.Lives++
-		p.report.Notes = append(p.report.Notes, fmt.Sprintf("played from the checkpoint at %d.%06d on", at/1e6, at%1e6))
+		p.report.Notes = append(p.report.Notes, fmt.Sprintf("replayed from the checkpoint at %d.%06d on", at/1e6, at%1e6))
 		return nil
 	}
-	m, ok := p.module.(state)
+	m, ok := p.module.(snapshotter)
 	if !ok {
 		return nil
 	}
-	kept, err := json.Marshal(want)
+	wantText, err := json.Marshal(want)
 	if err != nil {
-		return fmt.Errorf("replay: checkpoint: %w", err)
+		return fmt.Errorf("replay: encode the state of a checkpoint: %w", err)
 	}
-	got, err := json.Marshal(m.Snapshot())
+	gotText, err := json.Marshal(m.Snapshot())
 	if err != nil {
-		return fmt.Errorf("replay: state: %w", err)
+		return fmt.Errorf("replay: encode the module's state: %w", err)
 	}
-	if !bytes.Equal(kept, got) {
-		p.differ(Difference{At: at, Call: "checkpoint", Want: []string{string(kept)}, Got: []string{string(got)}})
+	if !bytes.Equal(wantText, gotText) {
+		p.addDifference(Difference{At: at, Call: "checkpoint", Want: []string{string(wantText)}, Got: []string{string(gotText)}})
 	}
 	return nil
 }
 
-// note keeps what is worth saying, once.
-func (p *player) note(format string, a ...any) {
+// addNote adds a note to the report, unless the report has the same note already.
+func (p *player) addNote(format string, a ...any) {
 	if text := fmt.Sprintf(format, a...); !slices.Contains(p.report.Notes, text) {
 		p.report.Notes = append(p.report.Notes, text)
 	}
 }
 
-func (p *player) differ(d Difference) {
-	if len(p.report.Differences) < p.o.Differences {
+// addDifference adds a difference to the report, up to the limit of the options.
+func (p *player) addDifference(d Difference) {
+	if len(p.report.Differences) < p.options.Differences {
 		p.report.Differences = append(p.report.Differences, d)
 	}
 }
 
-// tell calls the module as a record has it.
-func (p *player) tell(r *capturepb.Record, at policy.Micros) error {
+// callModule makes the call of the module that a record holds.
+func (p *player) callModule(r *capturepb.Record, at policy.Micros) error {
 	if r.GetKind() == capturepb.Kind_BEGAN {
-		s, err := p.dec.Settings(r)
+		s, err := p.decoder.Settings(r)
 		if err != nil {
 			return err
 		}
-		p.module, p.skip, p.broken = p.o.Make(s, r.GetSeed()), false, false
+		p.module, p.skipping, p.incomplete = p.options.Make(s, r.GetSeed()), false, false
 		p.report.Lives++
 	}
-	if p.skip {
+	if p.skipping {
 		if p.report.Lives == 0 && len(p.report.Notes) == 0 {
-			p.report.Notes = append(p.report.Notes, "the capture does not begin where a life does: nothing is played before the first checkpoint")
+			p.report.Notes = append(p.report.Notes, "the capture does not start with the start of a process: records before the first checkpoint are skipped")
 		}
 		return nil
 	}
-	p.at, p.inside = at, r.GetId()
-	p.in = describe(r, p.dec)
+	p.callTime, p.requestID = at, r.GetId()
+	p.callText = describe(r, p.decoder)
 	p.report.Calls++
-	p.log(p.inside, "%s", p.in)
-	if p.o.Swap != nil && r.GetKind() != capturepb.Kind_BEGAN {
-		p.module = p.o.Swap(p.module)
+	p.logLine(p.requestID, "%s", p.callText)
+	if p.options.Swap != nil && r.GetKind() != capturepb.Kind_BEGAN {
+		p.module = p.options.Swap(p.module)
 	}
-	if p.o.Watch != nil {
-		p.o.Watch(p.module, r, at)
+	if p.options.Watch != nil {
+		p.options.Watch(p.module, r, at)
 	}
 	switch r.GetKind() {
 	case capturepb.Kind_BEGAN:
 		p.module.Start(at, p)
 	case capturepb.Kind_REQUESTED:
-		p.module.Request(at, p, p.dec.Request(r))
+		p.module.Request(at, p, p.decoder.Request(r))
 	case capturepb.Kind_GONE:
 		p.module.ClientGone(at, p, r.GetId())
 	case capturepb.Kind_ENDED:
-		p.module.Outcome(at, p, p.dec.Outcome(r))
+		p.module.Outcome(at, p, p.decoder.Outcome(r))
 	case capturepb.Kind_COUNTED:
-		p.module.Counted(at, p, p.dec.Name(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
+		p.module.Counted(at, p, p.decoder.Name(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
 	case capturepb.Kind_LISTED:
-		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.dec.Entries(r))
+		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.decoder.Entries(r))
 	case capturepb.Kind_CLASSES:
-		s, err := p.dec.Settings(r)
+		s, err := p.decoder.Settings(r)
 		if err != nil {
 			return err
 		}
 		p.module.SetClasses(at, p, s.Classes)
 	case capturepb.Kind_RECOVERED:
-		s, err := p.dec.State(r)
+		s, err := p.decoder.State(r)
 		if err != nil {
 			return err
 		}
@@ -277,58 +285,58 @@
 	case capturepb.Kind_JOINED:
 		p.module.Joined(policy.Snapshot{Now: at, Born: r.GetAt()})
 	case capturepb.Kind_BESIDE:
-		p.module.Beside(at, p.dec.Beside(r))
+		p.module.Beside(at, p.decoder.Beside(r))
 	case capturepb.Kind_RANG:
 		p.module.Timer(at, p, r.GetToken())
 	default:
-		return fmt.Errorf("replay: a call of kind %d, which is not known here", r.GetKind())
+		return fmt.Errorf("replay: unknown record kind %d, want a call of the decision module", r.GetKind())
 	}
 	return nil
 }
 
-// settle compares what the module decided in a call with what is recorded of it.
-func (p *player) settle() {
-	same := len(p.want) == len(p.got)
-	for i := 0; same && i < len(p.want); i++ {
-		same = p.want[i] == p.got[i]
+// compareDecisions compares the module's decisions in the last call with the recorded ones.
+func (p *player) compareDecisions() {
+	equal := len(p.want) == len(p.got)
+	for i := 0; equal && i < len(p.want); i++ {
+		equal = p.want[i] == p.got[i]
 	}
-	if !same && !p.skip {
-		d := Difference{At: p.at, Call: p.in}
+	if !equal && !p.skipping {
+		d := Difference{At: p.callTime, Call: p.callText}
 		for _, c := range p.want {
 			d.Want = append(d.Want, c.String())
 		}
 		for _, c := range p.got {
 			d.Got = append(d.Got, c.String())
 		}
-		p.differ(d)
+		p.addDifference(d)
 	}
 	p.want, p.got = p.want[:0], p.got[:0]
 }
 
-// log writes a line of the decision log.
-func (p *player) log(id uint32, format string, a ...any) {
-	one := p.o.Request != 0 || p.o.Name != ""
-	if p.o.Log == nil || one && (id == 0 || p.o.Request != id) {
+// logLine writes a line to the decision log if the line's request is selected.
+func (p *player) logLine(id uint32, format string, a ...any) {
+	filtered := p.options.Request != 0 || p.options.Name != ""
+	if p.options.Log == nil || filtered && (id == 0 || p.options.Request != id) {
 		return
 	}
-	fmt.Fprintf(p.o.Log, "%d.%06d ", p.at/1e6, p.at%1e6)
-	fmt.Fprintf(p.o.Log, format, a...)
-	fmt.Fprintln(p.o.Log)
+	fmt.Fprintf(p.options.Log, "%d.%06d ", p.callTime/1e6, p.callTime%1e6)
+	fmt.Fprintf(p.options.Log, format, a...)
+	fmt.Fprintln(p.options.Log)
 }
 
-// decided takes a call of the module.
+// decided handles a call that the module made.
 func (p *player) decided(c Call) {
 	p.got = append(p.got, c)
 	p.report.Decisions++
-	p.log(c.ID, "  %v", c)
-	if p.o.Decided != nil {
-		p.o.Decided(c, p.at)
+	p.logLine(c.ID, "  %v", c)
+	if p.options.Decided != nil {
+		p.options.Decided(c, p.callTime)
 	}
 }
 
-// Send implements policy.Host, as do the methods below.
-func (p *player) Send(id uint32, to policy.Server, timeout policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_SEND, ID: id, Server: to, Span: timeout})
+// Send implements policy.Host.
+func (p *player) Send(id uint32, server policy.Server, timeout policy.Micros) {
+	p.decided(Call{Kind: capturepb.Kind_SEND, ID: id, Server: server, Span: timeout})
 }
 
 // Refuse implements policy.Host.
@@ -345,8 +353,8 @@
 }
 
 // Timer implements policy.Host.
-func (p *player) Timer(token uint64, after policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Span: after})
+func (p *player) Timer(token uint64, delay policy.Micros) {
+	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Span: delay})
 }
 
 // Count implements policy.Host.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire reads and writes the simulator's binary frames. It decides
-// nothing: it turns records into the policy package's events and actions into
-// records.
+// Package wire encodes and decodes the simulator's binary protocol. The simulator sends
+// frames of event records, and gets a frame of action records for each. The package
+// converts records to the types of package policy and back, and makes no decisions.
+// All integers and floats are big-endian.
 package wire
 
 import (
@@ -13,70 +14,71 @@
 	"foxwood/policy"
 )
 
-// Codes of the event records.
+// Codes of the event records, with the names that the simulator's protocol gives them.
 const (
-	CodeBorn      = 0
-	CodeNote      = 1
-	CodeAdded     = 2
-	CodeOn        = 3
-	CodeGone      = 4
-	CodeHalt      = 5
-	CodeStreaming = 6
-	CodeElapsed   = 7
-	CodeSync      = 8
-	CodeProbeDone = 9
-	CodeReq       = 10
-	CodeDone      = 11
+	CodeBorn      = 0  // BORN: an instance starts
+	CodeNote      = 1  // NOTE_FROM: a message of another instance
+	CodeAdded     = 2  // ADDED: result of a call to the shared counter
+	CodeOn        = 3  // ON: the instance that the following records are for
+	CodeGone      = 4  // CLIENT_GONE: a client has disconnected
+	CodeHalt      = 5  // HALT: an instance stops
+	CodeStreaming = 6  // STREAMING: an answer has started to arrive
+	CodeElapsed   = 7  // ELAPSED: a timer has expired
+	CodeSync      = 8  // SYNC: the server list, or changes to it
+	CodeProbeDone = 9  // PROBE_DONE: result of a probe
+	CodeReq       = 10 // REQ: a request
+	CodeDone      = 11 // DONE: outcome of an attempt
 )
 
-// Codes of the action records.
+// Codes of the action records, with the names that the simulator's protocol gives them.
 const (
-	codeAssign   = 0
-	codeTurnAway = 1
-	codeLose     = 2
-	codeCancel   = 3
-	codeNotify   = 4
-	codeDebug    = 8
-	codeDie      = 9
-	codeTally    = 12
-	codeAt       = 13
+	codeAssign   = 0  // ASSIGN: send a request to a server
+	codeTurnAway = 1  // TURN_AWAY: refuse a request
+	codeLose     = 2  // LOSE: fail a request
+	codeCancel   = 3  // CANCEL: cancel an attempt
+	codeNotify   = 4  // NOTIFY_ME: set a timer
+	codeDebug    = 8  // DEBUG: log a text
+	codeDie      = 9  // DIE: the instance has crashed
+	codeTally    = 12 // TALLY: call the shared counter
+	codeAt       = 13 // the instance that the following actions are of
 )
 
 const (
-	batchHeader = 12         // record count and clock, behind the length
-	maxFrame    = 1 << 30    // no frame is longer
-	entryBytes  = 23         // one entry of a list
-	maxText     = 0xffff     // the longest text of a record
-	maxMicros   = 0xffffffff // the longest span a record can hold
+	frameHeaderBytes = 12         // bytes of the record count and the clock, which follow the frame length
+	maxFrameBytes    = 1 << 30    // largest frame in bytes
+	entryBytes       = 23         // bytes of one entry of a server list
+	maxTextBytes     = 0xffff     // longest text of a record in bytes
+	maxDuration      = 0xffffffff // longest duration of a record in microseconds
 )
 
-// ErrShort says that a record ends before its fields do.
-var ErrShort = errors.New("record ends before its fields do")
+// ErrShort reports that a record ends before its last field.
+var ErrShort = errors.New("record ends before its last field")
 
-// ReadFrame reads one batch into buf, grown where needed. It returns io.EOF only
-// where the input ends between frames.
+// ReadFrame reads one frame, without its length, into buf or into a larger buffer if
+// needed. It returns io.EOF only if the input ends between two frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var encodedLength [4]byte
+	if _, err := io.ReadFull(r, encodedLength[:]); err != nil {
 		if err == io.EOF {
 			return nil, io.EOF
 		}
 		return nil, fmt.Errorf("truncated frame length: %w", err)
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < batchHeader || n > maxFrame {
-		return nil, fmt.Errorf("frame length %d is out of range", n)
+	length := binary.BigEndian.Uint32(encodedLength[:])
+	if length < frameHeaderBytes || length > maxFrameBytes {
+		return nil, fmt.Errorf("frame length is %d bytes, want %d to %d", length, frameHeaderBytes, maxFrameBytes)
 	}
-	if uint32(cap(buf)) >= n {
-		buf = buf[:n]
+	if uint32(cap(buf)) >= length {
+		buf = buf[:length]
 		if _, err := io.ReadFull(r, buf); err != nil {
 			return nil, fmt.Errorf("truncated frame: %w", err)
 		}
 		return buf, nil
 	}
-	// grown as the bytes come, so that a false length does not claim memory
-	buf, err := io.ReadAll(io.LimitReader(r, int64(n)))
-	if err == nil && uint32(len(buf)) < n {
+	// The buffer grows with the bytes that arrive, so that a wrong length does not allocate
+	// up to maxFrameBytes.
+	buf, err := io.ReadAll(io.LimitReader(r, int64(length)))
+	if err == nil && uint32(len(buf)) < length {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
@@ -85,76 +87,79 @@
 	return buf, nil
 }
 
-// Batch walks the records of one frame.
+// Batch decodes the records of one frame. Reading past the end gives zero values, and
+// makes Err return ErrShort.
 type Batch struct {
-	Clock   policy.Micros
-	Records int
-	b       []byte
-	short   bool
+	Clock     policy.Micros // time of the events
+	Records   int           // number of records
+	rest      []byte        // the bytes not read yet
+	truncated bool
 }
 
-// NewBatch reads the header of a frame that ReadFrame returned.
+// NewBatch decodes the header of a frame that ReadFrame returned.
 func NewBatch(frame []byte) (Batch, error) {
-	if len(frame) < batchHeader {
+	if len(frame) < frameHeaderBytes {
 		return Batch{}, ErrShort
 	}
 	return Batch{
 		Records: int(binary.BigEndian.Uint32(frame)),
 		Clock:   int64(binary.BigEndian.Uint64(frame[4:])),
-		b:       frame[batchHeader:],
+		rest:    frame[frameHeaderBytes:],
 	}, nil
 }
 
-// Rest is the number of bytes not read yet.
-func (d *Batch) Rest() int { return len(d.b) }
+// Rest returns the number of bytes not read yet.
+func (d *Batch) Rest() int { return len(d.rest) }
 
-// Err tells whether a field was read past the end.
+// Err returns ErrShort if a field was read past the end, and otherwise nil.
 func (d *Batch) Err() error {
-	if d.short {
+	if d.truncated {
 		return ErrShort
 	}
 	return nil
 }
 
+// take reads n bytes. Past the end it returns up to 8 zeros, enough for any number.
 func (d *Batch) take(n int) []byte {
-	if n < 0 || n > len(d.b) {
-		d.short = true
-		d.b = nil
+	if n < 0 || n > len(d.rest) {
+		d.truncated = true
+		d.rest = nil
 		return make([]byte, min(max(n, 0), 8))
 	}
-	v := d.b[:n]
-	d.b = d.b[n:]
+	v := d.rest[:n]
+	d.rest = d.rest[n:]
 	return v
 }
 
-// U8 reads one byte.
+// U8 reads an unsigned 8-bit integer.
 func (d *Batch) U8() uint8 { return d.take(1)[0] }
 
-// U16 reads two bytes.
+// U16 reads an unsigned 16-bit integer.
 func (d *Batch) U16() uint16 { return binary.BigEndian.Uint16(d.take(2)) }
 
-// U32 reads four bytes.
+// U32 reads an unsigned 32-bit integer.
 func (d *Batch) U32() uint32 { return binary.BigEndian.Uint32(d.take(4)) }
 
-// U64 reads eight bytes.
+// U64 reads an unsigned 64-bit integer.
 func (d *Batch) U64() uint64 { return binary.BigEndian.Uint64(d.take(8)) }
 
-// F32 reads a float.
+// F32 reads a 32-bit float.
 func (d *Batch) F32() float64 { return float64(math.Float32frombits(d.U32())) }
 
-// Server reads an address and a port.
+// Server reads a server's IPv4 address and port.
 func (d *Batch) Server() policy.Server {
-	a := d.U32()
-	return policy.Server(uint64(a)<<16 | uint64(d.U16()))
+	address := d.U32()
+	return policy.Server(uint64(address)<<16 | uint64(d.U16()))
 }
 
+// load reads the values of a load report.
 func (d *Batch) load() []float32 {
 	n := int(d.U8())
 	if n == 0 {
 		return nil
 	}
-	if n*4 > len(d.b) {
-		d.short = true
+	if n*4 > len(d.rest) {
+		d.truncated = true
 		return nil
 	}
 	v := make([]float32, n)
@@ -164,28 +169,29 @@
 	return v
 }
 
-// Born reads the seed and the settings text of a BORN record.
+// Born reads a BORN record: the seed of the instance's random numbers and its settings.
 func (d *Batch) Born() (seed uint64, text []byte) {
 	seed = d.U64()
 	n := d.U32()
-	if uint64(n) > uint64(len(d.b)) {
-		d.short = true
+	if uint64(n) > uint64(len(d.rest)) {
+		d.truncated = true
 		return seed, nil
 	}
 	return seed, d.take(int(n))
 }
 
-// Note reads a NOTE_FROM record.
+// Note reads a NOTE_FROM record: the sending instance and its message.
 func (d *Batch) Note() (from int, data []byte) {
 	from = int(d.U16())
 	return from, d.take(int(d.U16()))
 }
 
-// Added reads an ADDED record.
-func (d *Batch) Added() (name uint64, delay policy.Micros, st policy.Status, total float64) {
+// Added reads an ADDED record: the counter's name, how long the call took, its status and
+// the counter's total.
+func (d *Batch) Added() (name uint64, delay policy.Micros, status policy.Status, total float64) {
 	name, delay = d.U64(), int64(d.U32())
-	st = policy.Status(d.U16())
-	return name, delay, st, d.F32()
+	status = policy.Status(d.U16())
+	return name, delay, status, d.F32()
 }
 
 // Request reads a REQ record.
@@ -196,17 +202,17 @@
 	r.Customer = d.U64()
 	r.Left = int64(d.U32())
 	r.Units = d.F32()
-	r.Spread = toInt(d.F32())
-	d.F32() // the number of the first of them
-	r.Again = d.U8()&bitAgain != 0
+	r.Spread = countFromFloat(d.F32())
+	d.F32() // the index of the first gateway of the spread, which is not used
+	r.Again = d.U8()&flagRetry != 0
 	return r
 }
 
-// bitAgain marks a client's repeat among a request's bits.
-const bitAgain = 2
+// flagRetry is the flag of a request that its client has sent before.
+const flagRetry = 2
 
-// toInt turns a count that travels as a float into an int; nonsense is 0.
-func toInt(f float64) int {
+// countFromFloat converts a count that is encoded as a float, or returns 0 if it is out of range.
+func countFromFloat(f float64) int {
 	if f > 0 && f < 1<<20 {
 		return int(f)
 	}
@@ -226,7 +232,7 @@
 	return o
 }
 
-// ProbeDone reads past a PROBE_DONE record.
+// ProbeDone skips a PROBE_DONE record.
 func (d *Batch) ProbeDone() {
 	d.Server()
 	d.U32()
@@ -234,7 +240,7 @@
 	d.load()
 }
 
-// Streaming reads past a STREAMING record.
+// Streaming skips a STREAMING record.
 func (d *Batch) Streaming() {
 	d.U32()
 	d.U32()
@@ -242,122 +248,125 @@
 	d.Server()
 }
 
-// Sync reads a SYNC record.
+// Sync reads a SYNC record: the kind of the server list and its entries.
 func (d *Batch) Sync() (policy.ListKind, []policy.Entry) {
 	d.U64()
 	kind := policy.ListKind(d.U8())
 	n := int(d.U32())
-	if n < 0 || n > len(d.b)/entryBytes {
-		d.short = true
+	if n < 0 || n > len(d.rest)/entryBytes {
+		d.truncated = true
 		return kind, nil
 	}
-	es := make([]policy.Entry, n)
-	for i := range es {
-		e := &es[i]
-		e.Weight = d.F32()
-		e.Zone, e.Cell = int(d.U8()), int(d.U16())
-		e.State = policy.State(d.U8())
-		d.U8() // its kind of machine
-		e.ReadyAt = int64(d.U64())
-		e.Server = d.Server()
+	entries := make([]policy.Entry, n)
+	for i := range entries {
+		entry := &entries[i]
+		entry.Weight = d.F32()
+		entry.Zone, entry.Cell = int(d.U8()), int(d.U16())
+		entry.State = policy.State(d.U8())
+		d.U8() // the machine type, which is not used
+		entry.ReadyAt = int64(d.U64())
+		entry.Server = d.Server()
 	}
-	return kind, es
+	return kind, entries
 }
 
-// Reply gathers the actions of one frame. It is the policy.Host of the instance
-// that On named last.
+// Reply collects the actions of one frame. It implements policy.Host for the instance
+// that On selected last.
 type Reply struct {
-	b       []byte
-	on, now int
+	buffer            []byte
+	selected, current int // the selected instance, and the one that the last action record belongs to
 }
 
-// Reset empties the reply.
+// Reset starts an empty frame.
 func (w *Reply) Reset() {
-	w.b = append(w.b[:0], 0, 0, 0, 0)
-	w.now = -1
+	w.buffer = append(w.buffer[:0], 0, 0, 0, 0)
+	w.current = -1
 }
 
-// On names the instance of the actions that follow.
-func (w *Reply) On(instance int) { w.on = instance }
+// On selects the instance of the actions that follow.
+func (w *Reply) On(instance int) { w.selected = instance }
 
-// Bytes is the whole frame.
+// Bytes returns the complete frame with its length.
 func (w *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(w.b, uint32(len(w.b)-4))
-	return w.b
+	binary.BigEndian.PutUint32(w.buffer, uint32(len(w.buffer)-4))
+	return w.buffer
 }
 
-func (w *Reply) code(c byte) {
-	if w.now != w.on {
-		w.now = w.on
-		w.b = binary.BigEndian.AppendUint16(append(w.b, codeAt), uint16(w.on))
+// begin starts an action record, after a record of the instance if that has changed.
+func (w *Reply) begin(c byte) {
+	if w.current != w.selected {
+		w.current = w.selected
+		w.buffer = binary.BigEndian.AppendUint16(append(w.buffer, codeAt), uint16(w.selected))
 	}
-	w.b = append(w.b, c)
+	w.buffer = append(w.buffer, c)
 }
 
-func (w *Reply) u32(v uint32)         { w.b = binary.BigEndian.AppendUint32(w.b, v) }
-func (w *Reply) u64(v uint64)         { w.b = binary.BigEndian.AppendUint64(w.b, v) }
-func (w *Reply) u16(v uint16)         { w.b = binary.BigEndian.AppendUint16(w.b, v) }
-func (w *Reply) span(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxMicros))) }
+func (w *Reply) u32(v uint32) { w.buffer = binary.BigEndian.AppendUint32(w.buffer, v) }
+func (w *Reply) u64(v uint64) { w.buffer = binary.BigEndian.AppendUint64(w.buffer, v) }
+func (w *Reply) u16(v uint16) { w.buffer = binary.BigEndian.AppendUint16(w.buffer, v) }
 
+// duration writes a duration, limited to the range of the field.
+func (w *Reply) duration(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxDuration))) }
 func (w *Reply) server(s policy.Server) {
 	w.u32(uint32(s >> 16))
 	w.u16(uint16(s))
 }
 
+// text writes a record of a text, truncated to maxTextBytes.
 func (w *Reply) text(c byte, t []byte) {
-	if len(t) > maxText {
-		t = t[:maxText]
+	if len(t) > maxTextBytes {
+		t = t[:maxTextBytes]
 	}
-	w.code(c)
+	w.begin(c)
 	w.u16(uint16(len(t)))
-	w.b = append(w.b, t...)
+	w.buffer = append(w.buffer, t...)
 }
 
-// Send writes ASSIGN.
-func (w *Reply) Send(id uint32, to policy.Server, timeout policy.Micros) {
-	w.code(codeAssign)
+// Send implements policy.Host. It writes an ASSIGN record.
+func (w *Reply) Send(id uint32, server policy.Server, timeout policy.Micros) {
+	w.begin(codeAssign)
 	w.u32(id)
-	w.server(to)
-	w.span(timeout)
+	w.server(server)
+	w.duration(timeout)
 }
 
-// Refuse writes TURN_AWAY.
+// Refuse implements policy.Host. It writes a TURN_AWAY record.
 func (w *Reply) Refuse(id uint32, retryAfter policy.Micros) {
-	w.code(codeTurnAway)
+	w.begin(codeTurnAway)
 	w.u32(id)
-	w.span(retryAfter)
+	w.duration(retryAfter)
 }
 
-// Fail writes LOSE.
+// Fail implements policy.Host. It writes a LOSE record.
 func (w *Reply) Fail(id uint32) {
-	w.code(codeLose)
+	w.begin(codeLose)
 	w.u32(id)
 }
 
-// Cancel writes CANCEL.
+// Cancel implements policy.Host. It writes a CANCEL record.
 func (w *Reply) Cancel(id uint32, attempt int) {
-	w.code(codeCancel)
+	w.begin(codeCancel)
 	w.u32(id)
-	w.b = append(w.b, byte(attempt))
+	w.buffer = append(w.buffer, byte(attempt))
 }
 
-// Timer writes NOTIFY_ME.
-func (w *Reply) Timer(token uint64, after policy.Micros) {
-	w.code(codeNotify)
+// Timer implements policy.Host. It writes a NOTIFY_ME record.
+func (w *Reply) Timer(token uint64, delay policy.Micros) {
+	w.begin(codeNotify)
 	w.u64(token)
-	w.span(after)
+	w.duration(delay)
 }
 
-// Count writes TALLY.
+// Count implements policy.Host. It writes a TALLY record.
 func (w *Reply) Count(name uint64, amount float64, ttl policy.Micros) {
-	w.code(codeTally)
+	w.begin(codeTally)
 	w.u64(name)
 	w.u32(math.Float32bits(float32(amount)))
-	w.span(ttl)
+	w.duration(ttl)
 }
 
-// Log writes DEBUG.
+// Log writes a DEBUG record, which the simulator logs.
 func (w *Reply) Log(t string) { w.text(codeDebug, []byte(t)) }
 
-// Die writes DIE.
+// Die writes a DIE record, which reports a crash of the instance.
 func (w *Reply) Die(t string) { w.text(codeDie, []byte(t)) }
