--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -1,13 +1,14 @@
-// Package bulletin is what the gatekeepers of a zone believe of a destination's workers together.
-// In a large fleet one gatekeeper meets a worker too seldom to judge it, so each tells the zone's
-// home of the destination what it saw; the home judges for the zone, and tells all what to do.
+// Package bulletin detects outliers among a destination's workers jointly for the gatekeepers of a
+// zone. In a large cluster a single gatekeeper sends a worker too few requests to judge it. Each
+// gatekeeper therefore reports what it observed to the zone's owner of the destination; the owner
+// judges for the zone and tells all its gatekeepers what to do.
 //
-// The judge stands in the callers' zone, not in the worker's: a worker may be ill for some callers
-// only, and a zone that is cut off still judges. It puts workers out under a floor, and has a few
-// of those who know them try them before they are back. What nobody renews lapses: without a home
-// each gatekeeper judges alone.
+// The judgment is made in the zone of the callers, not in that of the worker: a worker may fail for
+// some callers only, and a partitioned zone can still judge. The owner ejects workers up to a limit,
+// and has a few gatekeepers that know an ejected worker send it trial requests before it is
+// readmitted. Whatever is not renewed expires: without an owner each gatekeeper judges alone.
 //
-// Times are milliseconds of the caller's steady clock. Between processes only ages travel.
+// Times are in milliseconds of the caller's steady clock. Only ages are sent between processes.
 package bulletin
 
 import (
@@ -20,37 +21,39 @@
 )
 
 const (
-	halfMs    = 2000.0 // in which evidence counts half
-	lookMs    = 450.0  // that a worker is watched before it is judged: good answers come later than bad
-	badLeast  = 2.5    // failures,
-	fromLeast = 2      // seen by so many gatekeepers,
-	badPart   = 0.25   // that are such a part of its answers, put it out,
-	floorPart = 0.3    // and such a part of the workers at most
-	manyPart  = 0.5    // of the workers fail: then the trouble is not theirs, and all are back
-	calmMs    = 3000.0 // after which workers may be put out again
-	knownMs   = 12000  // that who told of a worker is remembered
-	outFirst  = 1500.0 // that a worker is out at first; twice as long each time
-	outMost   = 12000.0
-	outKeep   = 20000.0 // after which a first time is a first time again
-	triers    = 3       // gatekeepers that try a worker
-	trialGood = 2.5     // good answers without a failure bring it back
-	trialBad  = 0.9     // and a failure puts it out
-	trialMost = 4000.0  // after which others try it
-	backMs    = 2500.0  // that it is told of one that is back
-	tellEvery = 400.0   // milliseconds between two issues at least,
-	renewAt   = 1000.0  // and at most while there is something to tell
-	lapseMs   = 3000.0  // after which an issue is void that was not renewed
-	notesMost = 32      // workers that an issue names
+	halfLifeMs            = 2000.0  // half-life of observations
+	watchMs               = 450.0   // time for which a worker is watched before it is judged: successes are reported later than failures
+	minFailures           = 2.5     // failures that eject a worker
+	minReporters          = 2       // gatekeepers that must have observed them
+	minFailureShare       = 0.25    // share of its answers that must have failed
+	maxEjectedShare       = 0.3     // largest share of the workers that may be ejected
+	readmitAllShare       = 0.5     // share of failing workers above which the cause is not theirs, and all are readmitted
+	readmitAllPauseMs     = 3000.0  // time after a mass readmission until workers may be ejected again
+	reporterRetentionMs   = 12000   // time for which the reporters of a worker are remembered
+	minEjectionMs         = 1500.0  // length of the first ejection; doubled each time
+	maxEjectionMs         = 12000.0 // length of the longest ejection
+	ejectionResetMs       = 20000.0 // time without an ejection until the next one counts as the first again
+	trierCount            = 3       // gatekeepers that send trial requests to a worker
+	minTrialSuccesses     = 2.5     // successes that readmit a worker
+	maxTrialFailures      = 0.9     // failures that eject it again
+	trialTimeoutMs        = 4000.0  // time until other gatekeepers try it
+	clearedMs             = 2500.0  // time for which a readmission is announced
+	minAnnounceIntervalMs = 400.0   // time between two announcements at least
+	renewIntervalMs       = 1000.0  // time between two announcements at most, while there is something to announce
+	announcementExpiryMs  = 3000.0  // time until an announcement that is not renewed expires
+	maxAnnouncedWorkers   = 32      // workers per announcement
 )
 
-// Sight is what a gatekeeper saw of a worker since it last told: answers, in tenths.
+// Sight is what a gatekeeper observed of a worker since its last report: successes and failures, in
+// tenths of an answer.
 type Sight struct {
 	_         struct{} `cbor:",toarray"`
-	Worker    uint32   // the upper half of its hash
+	Worker    uint32   // upper half of its hash
 	Good, Bad uint16
 }
 
-// Note is what is believed of a worker. Triers are inner addresses.
+// Note is the state of one worker. Triers are the peer addresses of the gatekeepers that send it trial
+// requests.
 type Note struct {
 	_      struct{} `cbor:",toarray"`
 	Worker uint32
@@ -58,103 +61,106 @@
 	Triers []string
 }
 
-// Issue is all that is believed; the newer number of a life holds.
+// Issue is the announced state of all workers. Of two with the same incarnation the one with the
+// higher number is current.
 type Issue struct {
-	Life   uint64 `cbor:"1,keyasint,omitempty"` // of the home's process
+	Life   uint64 `cbor:"1,keyasint,omitempty"` // incarnation of the owner
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 	Notes  []Note `cbor:"3,keyasint,omitempty"`
 }
 
-// Sights makes sightings small.
-func Sights(of []policy.Sighting) (all []Sight) {
-	tenths := func(v float64) uint16 { return uint16(min(math.Round(v*10), math.MaxUint16)) }
-	for _, s := range of {
-		all = append(all, Sight{Worker: Key(s.Server), Good: tenths(s.Good), Bad: tenths(s.Bad)})
+// Sights encodes observations compactly.
+func Sights(observations []policy.Sighting) (encoded []Sight) {
+	tenths := func(answers float64) uint16 { return uint16(min(math.Round(answers*10), math.MaxUint16)) }
+	for _, observed := range observations {
+		encoded = append(encoded, Sight{Worker: Key(observed.Server), Good: tenths(observed.Good), Bad: tenths(observed.Bad)})
 	}
-	return all
+	return encoded
 }
 
-// Key is a worker's name between processes.
+// Key returns a worker's identifier in messages between processes.
 func Key(s policy.Server) uint32 { return uint32(s >> 32) }
 
-// belief is what the home holds of a worker.
-type belief struct {
-	group     int
-	state     policy.Belief
-	since     float64
-	good, bad float64
-	at        float64
-	from      map[string]float64 // who told of it, and when
-	failed    map[string]float64 // and of failures
-	outFor    float64
-	backAt    float64
-	turn      int // trials
+// workerState is what the owner knows about a worker.
+type workerState struct {
+	group               int
+	state               policy.Belief
+	since               float64
+	successes, failures float64
+	updatedAt           float64
+	reporters           map[string]float64 // gatekeepers that reported it, and when
+	failureReporters    map[string]float64 // gatekeepers that reported failures, and when
+	ejectionMs          float64
+	readmittedAt        float64
+	trial               int // number of trials
 }
 
-func (b *belief) fade(now float64) {
-	part := math.Exp2(-(now - b.at) / halfMs)
-	b.good, b.bad, b.at = b.good*part, b.bad*part, now
+func (b *workerState) decay(now float64) {
+	factor := math.Exp2(-(now - b.updatedAt) / halfLifeMs)
+	b.successes, b.failures, b.updatedAt = b.successes*factor, b.failures*factor, now
 }
 
-func (b *belief) enter(now float64, s policy.Belief) {
+func (b *workerState) enter(now float64, s policy.Belief) {
 	b.state, b.since = s, now
-	b.good, b.bad = 0, 0
-	clear(b.failed)
+	b.successes, b.failures = 0, 0
+	clear(b.failureReporters)
 }
 
-// ill tells that the evidence puts a worker out.
-func (b *belief) ill() bool {
-	return b.bad >= badLeast && len(b.failed) >= fromLeast && b.bad >= badPart*(b.good+b.bad)
+// isOutlier reports whether the observations suffice to eject a worker.
+func (b *workerState) isOutlier() bool {
+	return b.failures >= minFailures && len(b.failureReporters) >= minReporters && b.failures >= minFailureShare*(b.successes+b.failures)
 }
 
-// Desk is a home's, for one destination. It isn't safe for use by several goroutines.
+// Desk is the owner's side for one destination. It isn't safe for concurrent use.
 type Desk struct {
-	life, number uint64
-	workers      map[uint32]*belief
-	calmTo       map[int]float64 // by group
-	told         float64
-	last         []Note
-	// Outs, Backs and Calms count workers put out and back, and times when all were put back.
+	incarnation, number uint64
+	workers             map[uint32]*workerState
+	noEjectionUntil     map[int]float64 // by group
+	announcedAt         float64
+	lastNotes           []Note
+	// Outs and Backs count ejected and readmitted workers, Calms the times when all workers were
+	// readmitted.
 	Outs, Backs, Calms uint64
 }
 
-// NewDesk makes one; the life is drawn at random by each process.
-func NewDesk(life uint64) *Desk {
-	return &Desk{life: life, workers: map[uint32]*belief{}, calmTo: map[int]float64{}, told: math.Inf(-1)}
+// NewDesk returns a Desk. The incarnation, life, is drawn at random by each process.
+func NewDesk(incarnation uint64) *Desk {
+	return &Desk{incarnation: incarnation, workers: map[uint32]*workerState{}, noEjectionUntil: map[int]float64{}, announcedAt: math.Inf(-1)}
 }
 
-// Hear takes what a gatekeeper saw.
-func (d *Desk) Hear(now float64, from string, seen []Sight) {
-	for _, s := range seen {
-		b := d.workers[s.Worker]
-		if b == nil {
-			if s.Bad == 0 { // nobody asked
+// Hear handles a gatekeeper's report.
+func (d *Desk) Hear(now float64, gatekeeper string, reports []Sight) {
+	for _, report := range reports {
+		state := d.workers[report.Worker]
+		if state == nil {
+			if report.Bad == 0 { // without a failure there is nothing to judge
 				continue
 			}
-			b = &belief{state: policy.Watched, since: now, at: now, from: map[string]float64{}, failed: map[string]float64{}}
-			d.workers[s.Worker] = b
+			state = &workerState{state: policy.Watched, since: now, updatedAt: now, reporters: map[string]float64{}, failureReporters: map[string]float64{}}
+			d.workers[report.Worker] = state
 		}
-		b.fade(now)
-		b.good, b.bad = b.good+float64(s.Good)/10, b.bad+float64(s.Bad)/10
-		b.from[from] = now
-		if s.Bad > 0 {
-			b.failed[from] = now
+		state.decay(now)
+		state.successes, state.failures = state.successes+float64(report.Good)/10, state.failures+float64(report.Bad)/10
+		state.reporters[gatekeeper] = now
+		if report.Bad > 0 {
+			state.failureReporters[gatekeeper] = now
 		}
 	}
 }
 
-// Step judges. listed is the workers that take work, by group: a region's are no relief for another
-// one's, so that floors hold in each.
+// Step judges the workers. listed contains the workers that accept requests, with their group, such as
+// their region. Workers of one group can't take over the load of another, so the limit on ejections
+// applies to each group.
 func (d *Desk) Step(now float64, listed map[uint32]int) {
-	for _, w := range slices.Sorted(maps.Keys(d.workers)) {
-		b := d.workers[w]
-		b.fade(now)
-		maps.DeleteFunc(b.from, func(_ string, at float64) bool { return now-at > knownMs })
-		maps.DeleteFunc(b.failed, func(_ string, at float64) bool { return now-at > 2*halfMs })
-		if group, ok := listed[w]; ok {
-			b.group = group
+	for _, worker := range slices.Sorted(maps.Keys(d.workers)) {
+		state := d.workers[worker]
+		state.decay(now)
+		maps.DeleteFunc(state.reporters, func(_ string, at float64) bool { return now-at > reporterRetentionMs })
+		maps.DeleteFunc(state.failureReporters, func(_ string, at float64) bool { return now-at > 2*halfLifeMs })
+		if group, ok := listed[worker]; ok {
+			state.group = group
 		} else {
-			delete(d.workers, w)
+			delete(d.workers, worker)
 		}
 	}
 	sizes := map[int]int{}
@@ -162,182 +168,185 @@
 		sizes[group]++
 	}
 	for group, size := range sizes {
-		d.amnesty(now, group, size)
+		d.readmitAll(now, group, size)
 	}
-	for _, w := range d.worstFirst() {
-		d.judge(now, d.workers[w], sizes[d.workers[w].group])
-		if b := d.workers[w]; b.state == policy.Unknown && now-b.backAt > outKeep {
-			delete(d.workers, w)
+	for _, worker := range d.worstFirst() {
+		d.judge(now, d.workers[worker], sizes[d.workers[worker].group])
+		if state := d.workers[worker]; state.state == policy.Unknown && now-state.readmittedAt > ejectionResetMs {
+			delete(d.workers, worker)
 		}
 	}
 }
 
-// worstFirst is the workers by their failures.
+// worstFirst returns the workers by decreasing failures.
 func (d *Desk) worstFirst() []uint32 {
-	return slices.SortedFunc(maps.Keys(d.workers), func(x, y uint32) int {
-		return cmp.Or(cmp.Compare(d.workers[y].bad, d.workers[x].bad), cmp.Compare(x, y))
+	return slices.SortedFunc(maps.Keys(d.workers), func(first, second uint32) int {
+		return cmp.Or(cmp.Compare(d.workers[second].failures, d.workers[first].failures), cmp.Compare(first, second))
 	})
 }
 
-// out is how many workers of a group nobody but triers sends to.
-func (d *Desk) out(group int) (n int) {
-	for _, b := range d.workers {
-		if b.group == group && b.away() {
-			n++
+// ejectedCount returns the number of ejected workers of a group, including those that only get trial
+// requests.
+func (d *Desk) ejectedCount(group int) (count int) {
+	for _, state := range d.workers {
+		if state.group == group && state.isEjected() {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (b *belief) away() bool { return b.state == policy.Shunned || b.state == policy.OnTrial }
+func (b *workerState) isEjected() bool { return b.state == policy.Shunned || b.state == policy.OnTrial }
 
-// amnesty puts all back where so many are ill that the trouble is not theirs: a link, an overload.
-func (d *Desk) amnesty(now float64, group, listed int) {
-	ill := d.out(group)
-	for _, b := range d.workers {
-		if b.group == group && b.state <= policy.Watched && b.ill() {
-			ill++
+// readmitAll readmits all workers of a group if so many fail that the cause is not theirs, but for
+// example a network link or an overload.
+func (d *Desk) readmitAll(now float64, group, listed int) {
+	outliers := d.ejectedCount(group)
+	for _, state := range d.workers {
+		if state.group == group && state.state <= policy.Watched && state.isOutlier() {
+			outliers++
 		}
 	}
-	if ill <= 1 || float64(ill) <= manyPart*float64(listed) {
+	if outliers <= 1 || float64(outliers) <= readmitAllShare*float64(listed) {
 		return
 	}
 	d.Calms++
-	d.calmTo[group] = now + calmMs
-	for _, b := range d.workers {
-		if b.group == group && b.away() {
-			b.enter(now, policy.Cleared)
-			b.backAt = now
+	d.noEjectionUntil[group] = now + readmitAllPauseMs
+	for _, state := range d.workers {
+		if state.group == group && state.isEjected() {
+			state.enter(now, policy.Cleared)
+			state.readmittedAt = now
 		}
 	}
 }
 
-func (d *Desk) judge(now float64, b *belief, listed int) {
-	age := now - b.since
-	switch b.state {
+func (d *Desk) judge(now float64, state *workerState, listed int) {
+	ageMs := now - state.since
+	switch state.state {
 	case policy.Unknown, policy.Cleared:
-		if b.bad > 0.2 {
-			good, bad, failed := b.good, b.bad, maps.Clone(b.failed)
-			b.enter(now, policy.Watched)
-			b.good, b.bad, b.failed = good, bad, failed
-		} else if b.state == policy.Cleared && age > backMs {
-			b.enter(now, policy.Unknown)
+		if state.failures > 0.2 {
+			successes, failures, failureReporters := state.successes, state.failures, maps.Clone(state.failureReporters)
+			state.enter(now, policy.Watched)
+			state.successes, state.failures, state.failureReporters = successes, failures, failureReporters
+		} else if state.state == policy.Cleared && ageMs > clearedMs {
+			state.enter(now, policy.Unknown)
 		}
 	case policy.Watched:
 		switch {
-		case age < lookMs:
-		case b.ill():
-			if now >= d.calmTo[b.group] && d.out(b.group) < int(floorPart*float64(listed)) {
-				d.putOut(now, b)
+		case ageMs < watchMs:
+		case state.isOutlier():
+			if now >= d.noEjectionUntil[state.group] && d.ejectedCount(state.group) < int(maxEjectedShare*float64(listed)) {
+				d.eject(now, state)
 			}
-		case b.bad > 0.2:
-		case b.good >= trialGood: // who shut it off alone may have it back
-			b.enter(now, policy.Cleared)
-		case age > 4*halfMs:
-			b.enter(now, policy.Unknown)
+		case state.failures > 0.2:
+		case state.successes >= minTrialSuccesses: // gatekeepers that ejected it on their own may readmit it
+			state.enter(now, policy.Cleared)
+		case ageMs > 4*halfLifeMs:
+			state.enter(now, policy.Unknown)
 		}
 	case policy.Shunned:
-		if age > b.outFor {
-			b.enter(now, policy.OnTrial)
-			b.turn++
+		if ageMs > state.ejectionMs {
+			state.enter(now, policy.OnTrial)
+			state.trial++
 		}
 	case policy.OnTrial:
 		switch {
-		case b.bad >= trialBad:
-			d.putOut(now, b)
-		case b.good >= trialGood:
+		case state.failures >= maxTrialFailures:
+			d.eject(now, state)
+		case state.successes >= minTrialSuccesses:
 			d.Backs++
-			b.enter(now, policy.Cleared)
-			b.backAt = now
-		case age > trialMost: // they had no request for it
-			b.since = now
-			b.turn++
+			state.enter(now, policy.Cleared)
+			state.readmittedAt = now
+		case ageMs > trialTimeoutMs: // the selected gatekeepers had no request for it
+			state.since = now
+			state.trial++
 		}
 	}
 }
 
-func (d *Desk) putOut(now float64, b *belief) {
+func (d *Desk) eject(now float64, state *workerState) {
 	d.Outs++
-	if b.outFor = min(2*b.outFor, outMost); b.outFor == 0 || b.state == policy.Watched && now-b.backAt > outKeep {
-		b.outFor = outFirst
+	if state.ejectionMs = min(2*state.ejectionMs, maxEjectionMs); state.ejectionMs == 0 || state.state == policy.Watched && now-state.readmittedAt > ejectionResetMs {
+		state.ejectionMs = minEjectionMs
 	}
-	b.enter(now, policy.Shunned)
+	state.enter(now, policy.Shunned)
 }
 
-// notes is what there is to tell, the heaviest first.
+// notes returns the states to announce, most important first.
 func (d *Desk) notes() (notes []Note) {
-	for _, w := range d.worstFirst() {
-		if b := d.workers[w]; b.state != policy.Unknown {
-			n := Note{Worker: w, Belief: b.state}
-			if b.state == policy.OnTrial {
-				n.Triers = b.triers()
+	for _, worker := range d.worstFirst() {
+		if state := d.workers[worker]; state.state != policy.Unknown {
+			note := Note{Worker: worker, Belief: state.state}
+			if state.state == policy.OnTrial {
+				note.Triers = state.selectTriers()
 			}
-			notes = append(notes, n)
+			notes = append(notes, note)
 		}
 	}
-	slices.SortStableFunc(notes, func(x, y Note) int { return cmp.Compare(weight(x.Belief), weight(y.Belief)) })
-	return notes[:min(len(notes), notesMost)]
+	slices.SortStableFunc(notes, func(x, y Note) int { return cmp.Compare(announcementOrder(x.Belief), announcementOrder(y.Belief)) })
+	return notes[:min(len(notes), maxAnnouncedWorkers)]
 }
 
-// weight has what is out come first: an issue that did not name it would put it back.
-func weight(b policy.Belief) int {
-	return slices.Index([]policy.Belief{policy.Shunned, policy.OnTrial, policy.Cleared, policy.Watched}, b)
+// announcementOrder puts ejected workers first: an announcement that omitted them would readmit them.
+func announcementOrder(belief policy.Belief) int {
+	return slices.Index([]policy.Belief{policy.Shunned, policy.OnTrial, policy.Cleared, policy.Watched}, belief)
 }
 
-// triers are some of those who have told of a worker: others may never send to it. Each trial has
-// others.
-func (b *belief) triers() []string {
-	all := slices.Sorted(maps.Keys(b.from))
-	if len(all) <= triers {
-		return all
+// selectTriers returns some of the gatekeepers that have reported the worker, since others may never
+// send requests to it. Each trial has different ones.
+func (b *workerState) selectTriers() []string {
+	reporters := slices.Sorted(maps.Keys(b.reporters))
+	if len(reporters) <= trierCount {
+		return reporters
 	}
-	some := make([]string, 0, triers)
-	for i := range triers {
-		some = append(some, all[(b.turn*triers+i)%len(all)])
+	selected := make([]string, 0, trierCount)
+	for i := range trierCount {
+		selected = append(selected, reporters[(b.trial*trierCount+i)%len(reporters)])
 	}
-	slices.Sort(some)
-	return some
+	slices.Sort(selected)
+	return selected
 }
 
-// Issue is what the zone is to be told now, if anything: at a change, and again while it holds.
-func (d *Desk) Issue(now float64) (i Issue, due bool) {
+// Issue returns what is to be announced to the zone now, if anything: each change, and repetitions of
+// what still applies.
+func (d *Desk) Issue(now float64) (issue Issue, due bool) {
 	notes := d.notes()
-	same := slices.EqualFunc(notes, d.last, func(x, y Note) bool {
-		return x.Worker == y.Worker && x.Belief == y.Belief && slices.Equal(x.Triers, y.Triers)
+	unchanged := slices.EqualFunc(notes, d.lastNotes, func(first, second Note) bool {
+		return first.Worker == second.Worker && first.Belief == second.Belief && slices.Equal(first.Triers, second.Triers)
 	})
-	if now-d.told < tellEvery || same && (len(notes) == 0 || now-d.told < renewAt) {
+	if now-d.announcedAt < minAnnounceIntervalMs || unchanged && (len(notes) == 0 || now-d.announcedAt < renewIntervalMs) {
 		return Issue{}, false
 	}
-	d.told, d.last = now, notes
+	d.announcedAt, d.lastNotes = now, notes
 	d.number++
-	return Issue{Life: d.life, Number: d.number, Notes: notes}, true
+	return Issue{Life: d.incarnation, Number: d.number, Notes: notes}, true
 }
 
-// Board is a gatekeeper's, for one destination: the last issue that it heard.
+// Board is a gatekeeper's side for one destination: the last announcement it received.
 type Board struct {
-	issue Issue
-	at    float64
+	issue      Issue
+	receivedAt float64
 }
 
-// Post takes an issue, and tells whether it counts.
-func (b *Board) Post(now float64, i Issue) bool {
-	if i.Life == b.issue.Life && i.Number <= b.issue.Number {
+// Post handles an announcement and returns whether it was accepted.
+func (b *Board) Post(now float64, issue Issue) bool {
+	if issue.Life == b.issue.Life && issue.Number <= b.issue.Number {
 		return false
 	}
-	b.issue, b.at = i, now
+	b.issue, b.receivedAt = issue, now
 	return true
 }
 
-// Beliefs is what holds now, for the gatekeeper at an inner address.
+// Beliefs returns the current state of the workers, for the gatekeeper with the peer address self.
 func (b *Board) Beliefs(now float64, self string) map[uint32]policy.Belief {
-	if now-b.at > lapseMs {
+	if now-b.receivedAt > announcementExpiryMs {
 		b.issue.Notes = nil
 	}
-	of := make(map[uint32]policy.Belief, len(b.issue.Notes))
-	for _, n := range b.issue.Notes {
-		if of[n.Worker] = n.Belief; n.Belief == policy.OnTrial && !slices.Contains(n.Triers, self) {
-			of[n.Worker] = policy.Shunned
+	beliefs := make(map[uint32]policy.Belief, len(b.issue.Notes))
+	for _, note := range b.issue.Notes {
+		if beliefs[note.Worker] = note.Belief; note.Belief == policy.OnTrial && !slices.Contains(note.Triers, self) {
+			beliefs[note.Worker] = policy.Shunned
 		}
 	}
-	return of
+	return beliefs
 }
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/bulletin/bulletin_test.go
@@ -10,204 +10,208 @@
 	"foxwood/policy"
 )
 
-// zone is gatekeepers around one home, each of which sends every worker a request a second. Those
-// to an ill worker fail by turns, as often as its part says.
+// zone is a group of gatekeepers with one owner. Each gatekeeper sends every worker one request per
+// second. Requests to a failing worker fail at the rate set for it.
 type zone struct {
-	d       *Desk
-	board   Board
-	now     float64
-	listed  []uint32
-	members []string
-	ill     map[uint32]float64
-	only    string // who alone meets the failures
-	owed    map[uint32]float64
-	worst   int // out at a time
-	sends   map[uint32]int
+	desk            *Desk
+	board           Board
+	now             float64
+	listed          []uint32
+	members         []string
+	failureShare    map[uint32]float64
+	onlyObserver    string // the only gatekeeper that observes failures, "" for all
+	pendingFailures map[uint32]float64
+	maxEjected      int // largest number of ejected workers at any time
+	requestsSent    map[uint32]int
 }
 
 func newZone(gatekeepers, workers int) *zone {
-	z := &zone{d: NewDesk(7), ill: map[uint32]float64{}, owed: map[uint32]float64{}, sends: map[uint32]int{}}
-	for w := range workers {
-		z.listed = append(z.listed, uint32(w+1))
+	created := &zone{desk: NewDesk(7), failureShare: map[uint32]float64{}, pendingFailures: map[uint32]float64{}, requestsSent: map[uint32]int{}}
+	for worker := range workers {
+		created.listed = append(created.listed, uint32(worker+1))
 	}
-	for g := range gatekeepers {
-		z.members = append(z.members, fmt.Sprintf("10.0.0.%d:7460", g+1))
+	for index := range gatekeepers {
+		created.members = append(created.members, fmt.Sprintf("10.0.0.%d:7460", index+1))
 	}
-	return z
+	return created
 }
 
-// run goes on for a time, in steps of 300 ms; renewals can be kept back.
-func (z *zone) run(ms float64, heard bool) {
+// run advances by ms milliseconds, in steps of 300 ms. Announcements are withheld unless heard is set.
+func (z *zone) run(ms float64, delivered bool) {
 	for end := z.now + ms; z.now < end; {
 		z.now += 300
-		for g, at := range z.members {
-			of := z.board.Beliefs(z.now, at)
-			var seen []Sight
-			for _, w := range z.listed {
-				if of[w] == policy.Shunned || (int(z.now/300)+g+int(w))%3 != 0 {
+		for index, addr := range z.members {
+			beliefs := z.board.Beliefs(z.now, addr)
+			var reports []Sight
+			for _, worker := range z.listed {
+				if beliefs[worker] == policy.Shunned || (int(z.now/300)+index+int(worker))%3 != 0 {
 					continue
 				}
-				z.sends[w]++
-				s := Sight{Worker: w, Good: 10}
-				if part := z.ill[w]; part > 0 && (z.only == "" || z.only == at) {
-					if z.owed[w] += part; z.owed[w] >= 1 {
-						z.owed[w]--
-						s.Good, s.Bad = 0, 10
+				z.requestsSent[worker]++
+				report := Sight{Worker: worker, Good: 10}
+				if share := z.failureShare[worker]; share > 0 && (z.onlyObserver == "" || z.onlyObserver == addr) {
+					if z.pendingFailures[worker] += share; z.pendingFailures[worker] >= 1 {
+						z.pendingFailures[worker]--
+						report.Good, report.Bad = 0, 10
 					}
 				}
-				if s.Bad > 0 || of[w] != policy.Unknown {
-					seen = append(seen, s)
+				if report.Bad > 0 || beliefs[worker] != policy.Unknown {
+					reports = append(reports, report)
 				}
 			}
-			z.d.Hear(z.now, at, seen)
+			z.desk.Hear(z.now, addr, reports)
 		}
-		z.d.Step(z.now, z.groups())
-		if i, due := z.d.Issue(z.now); due && heard {
-			z.board.Post(z.now, i)
+		z.desk.Step(z.now, z.groups())
+		if issue, due := z.desk.Issue(z.now); due && delivered {
+			z.board.Post(z.now, issue)
 		}
-		z.worst = max(z.worst, z.d.out(0))
+		z.maxEjected = max(z.maxEjected, z.desk.ejectedCount(0))
 	}
 }
 
 func (z *zone) groups() map[uint32]int {
-	of := map[uint32]int{}
-	for _, w := range z.listed {
-		of[w] = 0
+	groupByWorker := map[uint32]int{}
+	for _, worker := range z.listed {
+		groupByWorker[worker] = 0
 	}
-	return of
+	return groupByWorker
 }
 
-func (z *zone) set(part float64, workers ...uint32) {
-	clear(z.ill)
-	for _, w := range workers {
-		z.ill[w] = part
+func (z *zone) setFailing(share float64, workers ...uint32) {
+	clear(z.failureShare)
+	for _, worker := range workers {
+		z.failureShare[worker] = share
 	}
 }
 
-func TestWhoIsPutOut(t *testing.T) {
-	many := func(n int) (all []uint32) {
+func TestWhichWorkersAreEjected(t *testing.T) {
+	firstWorkers := func(n int) (all []uint32) {
 		for w := range n {
 			all = append(all, uint32(w+1))
 		}
 		return all
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		workers   int
 		part      float64
 		ill       []uint32
 		only      string
-		out, most int    // after five seconds; at any time
-		calms     uint64 // 1: all were put back
+		out, most int    // ejected after five seconds; at any time
+		calms     uint64 // 1 if all were readmitted
 	}{
-		{name: "all are well", workers: 20, out: 0},
-		{name: "one fails all", workers: 20, part: 1, ill: []uint32{3}, out: 1, most: 1},
-		{name: "one fails two in five", workers: 20, part: 0.4, ill: []uint32{3}, out: 1, most: 1},
-		{name: "three of twenty", workers: 20, part: 0.4, ill: []uint32{3, 9, 15}, out: 3, most: 3},
-		{name: "a failure now and then", workers: 20, part: 0.04, ill: many(20), out: 0},
-		{name: "one gatekeeper's own trouble", workers: 20, part: 1, ill: many(20), only: "10.0.0.2:7460", out: 0},
-		{name: "no more than the floor allows", workers: 20, part: 1, ill: many(9), out: 6, most: 6},
-		{name: "the trouble of most is not theirs", workers: 20, part: 1, ill: many(14), out: 0, most: 6, calms: 1},
-		{name: "too few to lose one", workers: 3, part: 1, ill: []uint32{1}, out: 0},
+		{name: "no failures", workers: 20, out: 0},
+		{name: "one worker fails always", workers: 20, part: 1, ill: []uint32{3}, out: 1, most: 1},
+		{name: "one worker fails two in five requests", workers: 20, part: 0.4, ill: []uint32{3}, out: 1, most: 1},
+		{name: "three of twenty workers fail", workers: 20, part: 0.4, ill: []uint32{3, 9, 15}, out: 3, most: 3},
+		{name: "rare failures", workers: 20, part: 0.04, ill: firstWorkers(20), out: 0},
+		{name: "failures observed by one gatekeeper only", workers: 20, part: 1, ill: firstWorkers(20), only: "10.0.0.2:7460", out: 0},
+		{name: "no more ejections than the limit allows", workers: 20, part: 1, ill: firstWorkers(9), out: 6, most: 6},
+		{name: "most workers fail, so all are readmitted", workers: 20, part: 1, ill: firstWorkers(14), out: 0, most: 6, calms: 1},
+		{name: "too few workers to eject one", workers: 3, part: 1, ill: []uint32{1}, out: 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			z := newZone(8, c.workers)
-			z.run(1000, true)
-			z.only = c.only
-			z.set(c.part, c.ill...)
-			z.run(5000, true)
-			if c.calms == 0 {
-				assert.Equal(t, z.d.out(0), c.out)
-				assert.Equal(t, z.worst, max(c.most, c.out))
+		t.Run(testCase.name, func(t *testing.T) {
+			sim := newZone(8, testCase.workers)
+			sim.run(1000, true)
+			sim.onlyObserver = testCase.only
+			sim.setFailing(testCase.part, testCase.ill...)
+			sim.run(5000, true)
+			if testCase.calms == 0 {
+				assert.Equal(t, sim.desk.ejectedCount(0), testCase.out)
+				assert.Equal(t, sim.maxEjected, max(testCase.most, testCase.out))
 			}
-			assert.Assert(t, z.worst <= int(floorPart*float64(c.workers)))
-			assert.Equal(t, min(z.d.Calms, 1), c.calms)
+			assert.Assert(t, sim.maxEjected <= int(maxEjectedShare*float64(testCase.workers)))
+			assert.Equal(t, min(sim.desk.Calms, 1), testCase.calms)
 		})
 	}
 }
 
-// TestBackByFewTrials: one that is out gets a few sends of few gatekeepers; while it fails them it
-// stays out for longer each time, and when it is well all have it again.
-func TestBackByFewTrials(t *testing.T) {
-	z := newZone(8, 20)
-	z.set(1, 5)
-	z.run(3000, true)
-	assert.Equal(t, z.d.workers[5].state, policy.Shunned)
-	before, outs := z.sends[5], z.d.Outs
-	z.run(12000, true)
-	trials := int(z.d.Outs - outs)
-	assert.Assert(t, trials >= 2 && trials <= 4, "each time it is out for longer: %d", trials)
-	assert.Assert(t, z.sends[5]-before <= trials*2*triers, "%d sends", z.sends[5]-before)
-	z.set(0)
-	z.run(outMost+5000, true)
-	assert.Equal(t, z.d.out(0), 0)
-	assert.Equal(t, z.d.Backs, uint64(1))
-	last := z.sends[5]
-	z.run(3000, true)
-	assert.Assert(t, z.sends[5]-last > 15, "all send to it again")
-	// Down again soon after, it is out for as long as it would have been.
-	z.set(1, 5)
-	z.run(3000, true)
-	assert.Assert(t, z.d.workers[5].outFor > 2*outFirst)
+// TestReadmissionAfterTrials checks that an ejected worker gets a few trial requests from few
+// gatekeepers, is ejected for longer each time they fail, and is used by all again when they succeed.
+func TestReadmissionAfterTrials(t *testing.T) {
+	sim := newZone(8, 20)
+	sim.setFailing(1, 5)
+	sim.run(3000, true)
+	assert.Equal(t, sim.desk.workers[5].state, policy.Shunned)
+	requestsBefore, ejectionsBefore := sim.requestsSent[5], sim.desk.Outs
+	sim.run(12000, true)
+	trials := int(sim.desk.Outs - ejectionsBefore)
+	assert.Assert(t, trials >= 2 && trials <= 4, "%d trials, want 2 to 4, as each ejection lasts longer", trials)
+	assert.Assert(t, sim.requestsSent[5]-requestsBefore <= trials*2*trierCount, "%d requests sent, want at most %d", sim.requestsSent[5]-requestsBefore, trials*2*trierCount)
+	sim.setFailing(0)
+	sim.run(maxEjectionMs+5000, true)
+	assert.Equal(t, sim.desk.ejectedCount(0), 0)
+	assert.Equal(t, sim.desk.Backs, uint64(1))
+	lastRequests := sim.requestsSent[5]
+	sim.run(3000, true)
+	assert.Assert(t, sim.requestsSent[5]-lastRequests > 15, "not all gatekeepers send requests to it again")
+	// A worker that fails again soon afterwards is ejected for longer than the first time.
+	sim.setFailing(1, 5)
+	sim.run(3000, true)
+	assert.Assert(t, sim.desk.workers[5].ejectionMs > 2*minEjectionMs)
 }
 
-// TestAHomeThatIsLost: what nobody renews lapses, and another home begins anew.
-func TestAHomeThatIsLost(t *testing.T) {
-	z := newZone(8, 20)
-	z.set(1, 5)
-	z.run(3000, true)
-	assert.Equal(t, z.board.Beliefs(z.now, "any")[5], policy.Shunned)
-	z.run(lapseMs+300, false)
-	assert.Equal(t, len(z.board.Beliefs(z.now, "any")), 0)
+// TestLossOfOwner checks that announcements that are not renewed expire, and that another owner starts
+// over.
+func TestLossOfOwner(t *testing.T) {
+	sim := newZone(8, 20)
+	sim.setFailing(1, 5)
+	sim.run(3000, true)
+	assert.Equal(t, sim.board.Beliefs(sim.now, "any")[5], policy.Shunned)
+	sim.run(announcementExpiryMs+300, false)
+	assert.Equal(t, len(sim.board.Beliefs(sim.now, "any")), 0)
 	next := NewDesk(8)
-	next.Hear(z.now, z.members[0], []Sight{{Worker: 5, Bad: 10}})
-	next.Step(z.now, z.groups())
-	i, due := next.Issue(z.now)
-	assert.Assert(t, due && z.board.Post(z.now, i), "another life's first issue counts")
-	assert.Equal(t, z.board.Beliefs(z.now, "any")[5], policy.Watched)
-	assert.Assert(t, !z.board.Post(z.now, i), "once")
+	next.Hear(sim.now, sim.members[0], []Sight{{Worker: 5, Bad: 10}})
+	next.Step(sim.now, sim.groups())
+	issue, due := next.Issue(sim.now)
+	assert.Assert(t, due && sim.board.Post(sim.now, issue), "the first announcement of another incarnation was not accepted")
+	assert.Equal(t, sim.board.Beliefs(sim.now, "any")[5], policy.Watched)
+	assert.Assert(t, !sim.board.Post(sim.now, issue), "an announcement was accepted twice")
 }
 
-// TestAFloorInEachRegion: the many workers of another region are no relief.
-func TestAFloorInEachRegion(t *testing.T) {
-	d := NewDesk(1)
+// TestEjectionLimitPerRegion checks that the many workers of another region don't raise the limit on
+// ejections.
+func TestEjectionLimitPerRegion(t *testing.T) {
+	desk := NewDesk(1)
 	groups := map[uint32]int{}
-	for w := range uint32(40) {
-		groups[w+1] = int(w / 30) // ten in the second
+	for worker := range uint32(40) {
+		groups[worker+1] = int(worker / 30) // ten workers in the second group
 	}
 	for now := 0.0; now < 3000; now += 300 {
-		for w := uint32(31); w <= 35; w++ {
-			d.Hear(now, "a", []Sight{{Worker: w, Bad: 10}})
-			d.Hear(now, "b", []Sight{{Worker: w, Bad: 10}})
+		for worker := uint32(31); worker <= 35; worker++ {
+			desk.Hear(now, "a", []Sight{{Worker: worker, Bad: 10}})
+			desk.Hear(now, "b", []Sight{{Worker: worker, Bad: 10}})
 		}
-		d.Step(now, groups)
-		assert.Assert(t, d.out(1) <= 3 && d.out(0) == 0)
+		desk.Step(now, groups)
+		assert.Assert(t, desk.ejectedCount(1) <= 3 && desk.ejectedCount(0) == 0)
 	}
-	assert.Equal(t, d.out(1), 3)
+	assert.Equal(t, desk.ejectedCount(1), 3)
 }
 
-// TestAWatchThatEnds: one that others find well is cleared for who has shut it off alone.
-func TestAWatchThatEnds(t *testing.T) {
-	z := newZone(8, 20)
-	z.d.Hear(0, z.members[0], []Sight{{Worker: 2, Bad: 10}})
+// TestWatchedWorkerIsCleared checks that a worker that only one gatekeeper ejected is cleared when the
+// others report successes.
+func TestWatchedWorkerIsCleared(t *testing.T) {
+	sim := newZone(8, 20)
+	sim.desk.Hear(0, sim.members[0], []Sight{{Worker: 2, Bad: 10}})
 	cleared := false
 	for range 30 {
-		z.run(300, true)
-		cleared = cleared || z.board.Beliefs(z.now, "any")[2] == policy.Cleared
+		sim.run(300, true)
+		cleared = cleared || sim.board.Beliefs(sim.now, "any")[2] == policy.Cleared
 	}
 	assert.Assert(t, cleared)
-	assert.Equal(t, len(z.board.Beliefs(z.now, "any")), 0)
-	_, due := z.d.Issue(z.now + 1e6)
-	assert.Assert(t, !due, "in calm times nothing is told")
+	assert.Equal(t, len(sim.board.Beliefs(sim.now, "any")), 0)
+	_, due := sim.desk.Issue(sim.now + 1e6)
+	assert.Assert(t, !due, "an announcement is due although there is nothing to announce")
 }
 
-// TestWhatIsTold stays small: an issue of all that it may name, and a gatekeeper's sights.
-func TestWhatIsTold(t *testing.T) {
-	z := newZone(12, 200)
-	z.set(0.1, z.listed...)
-	z.run(4000, true)
-	i, _ := z.d.Issue(z.now + 1e4)
-	assert.Assert(t, len(i.Notes) <= notesMost)
-	s := Sights([]policy.Sighting{{Server: 0xfeed_beef_0000_0001, Good: 1e9, Bad: 0.26}})
-	assert.DeepEqual(t, s, []Sight{{Worker: 0xfeedbeef, Good: math.MaxUint16, Bad: 3}})
+// TestMessagesStaySmall checks the size of an announcement and the encoding of a gatekeeper's
+// observations.
+func TestMessagesStaySmall(t *testing.T) {
+	sim := newZone(12, 200)
+	sim.setFailing(0.1, sim.listed...)
+	sim.run(4000, true)
+	issue, _ := sim.desk.Issue(sim.now + 1e4)
+	assert.Assert(t, len(issue.Notes) <= maxAnnouncedWorkers)
+	observations := Sights([]policy.Sighting{{Server: 0xfeed_beef_0000_0001, Good: 1e9, Bad: 0.26}})
+	assert.DeepEqual(t, observations, []Sight{{Worker: 0xfeedbeef, Good: math.MaxUint16, Bad: 3}})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,17 +1,19 @@
-// Package election settles which bothy has which duty. A duty is won by ballots among the bothies
-// that the core's view names, and held under a lease that is asked for again and again.
+// Package election elects the holder of each cluster duty. A duty is won by ballots among the control
+// nodes (program bothy) named by the replicated log's current view, and held under a lease that has to
+// be renewed.
 //
-// No two bothies ever hold a duty at the same real time, whatever is lost, delayed or doubled:
+// No two control nodes ever hold a duty at the same real time, whatever messages are lost, delayed or
+// duplicated:
 //
-//   - A voter promises a duty to one candidate at a time, for a lease from when it answers. The
-//     candidate counts its right from when it asked, so the right ends first. Clocks are
-//     compared with nothing but themselves.
-//   - Answers name the asking life, term and round, so that one that comes late can't
-//     prolong a right that was asked for later, nor one of an earlier life.
-//   - A voter that starts has forgotten its promises, and gives none for a lease.
+//   - A voter promises a duty to one candidate at a time, for one lease from its answer. The candidate
+//     counts its lease from when it sent the ballot, so the candidate's lease ends first. Clocks of
+//     different nodes are never compared.
+//   - Votes name the candidate's incarnation, term and round, so that a late vote can't prolong a
+//     lease requested later, nor one of an earlier incarnation.
+//   - A voter that has just started doesn't know its earlier promises and gives no vote for one lease.
 //   - Majorities of two electorates need not have a voter in common. An electorate is therefore
-//     trusted only for a time after it was last confirmed, and who stands under a new one also
-//     needs the majorities of older ones that others may still trust.
+//     trusted only for a limited time after its last confirmation, and a candidate under a new
+//     electorate also needs the majorities of older ones that others may still trust.
 package election
 
 import (
@@ -22,735 +24,748 @@
 	"github.com/zeebo/xxh3"
 )
 
-// DefaultLeaseMs is the length of a voter's promise.
+// DefaultLeaseMs is the length of a voter's promise in milliseconds.
 const DefaultLeaseMs = 1500
 
 const (
-	// rightPart of a lease is what a holder counts: the rest covers clocks that run unevenly.
-	rightPart = 0.95
-	// trustLeases is how many leases an electorate is trusted after it was confirmed. A change of
-	// view may take 2 s, and the duties should outlast it.
+	// holderLeaseShare is the share of a lease that a holder counts on; the rest covers clock drift.
+	holderLeaseShare = 0.95
+	// trustLeases is the number of leases for which an electorate is trusted after its confirmation. A
+	// view change may take 2 s, and duties should survive it.
 	trustLeases = 2
-	// roundPart of a lease is how long a candidate waits for votes before it frees them, where the
-	// voters are near; else farParts of the time that a majority's votes take, up to roundMost of it.
-	roundPart = 0.2
-	farParts  = 1.5
-	roundMost = 0.6
-	// ageless is how long a duty has been vacant at the very first start.
-	ageless = 1e9
-	// spreadMs is how much later a bothy stands for each duty that it has or stands for.
-	spreadMs = 120
-	// shuffleMs bounds the chance part of waiting, which keeps candidates from splitting the votes; shuffleEach does so
-	// where there are many: the first of them still comes as soon, and the next one no sooner behind it than among few.
-	shuffleMs   = 150
-	shuffleEach = 30
+	// minRoundShare is the share of a lease for which a candidate waits for votes before it releases them,
+	// if the voters are near. Otherwise it waits voteTimeFactor times as long as a majority's votes take
+	// to arrive, but no longer than maxRoundShare of a lease.
+	minRoundShare  = 0.2
+	voteTimeFactor = 1.5
+	maxRoundShare  = 0.6
+	// initialVacancyMs is how long a duty counts as vacant at the very first start.
+	initialVacancyMs = 1e9
+	// delayPerDutyMs is how much later a node stands as a candidate for each duty that it holds or stands
+	// for.
+	delayPerDutyMs = 120
+	// minJitterMs and jitterPerVoterMs bound the random part of the waiting time, which keeps candidates
+	// from splitting the vote. It grows with the electorate, so that the first candidate stands as early
+	// as in a small one and the second one follows at least as late.
+	minJitterMs      = 150
+	jitterPerVoterMs = 30
 )
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	// Announce says that its sender is there, and what it holds.
+	// Announce tells that its sender is running, and which duties it holds.
 	Announce Kind = iota + 1
-	// Ballot asks for a vote; a holder's renewals are ballots of the same term.
+	// Ballot requests a vote; a holder renews its lease with ballots of the same term.
 	Ballot
 	// Vote answers a ballot.
 	Vote
-	// Free gives votes back that the sender no longer counts on.
+	// Free releases votes that the sender no longer counts on.
 	Free
 )
 
-// Message goes from one bothy to another. The assembly must not take From from the wire unless it
-// knows that the caller is that bothy.
+// Message is sent from one control node to another. The caller must not take From from the wire unless
+// it has verified that the sender is that node.
 type Message struct {
 	Kind     Kind     `cbor:"1,keyasint,omitempty"`
 	From     string   `cbor:"2,keyasint,omitempty"`
 	To       string   `cbor:"3,keyasint,omitempty"`
 	Duty     string   `cbor:"4,keyasint,omitempty"`
 	Term     uint64   `cbor:"5,keyasint,omitempty"`
-	Life     uint64   `cbor:"6,keyasint,omitempty"` // of the candidate's process, which a Vote echoes
-	Round    uint64   `cbor:"7,keyasint,omitempty"` // counts the candidate's asking, which a Vote echoes
+	Life     uint64   `cbor:"6,keyasint,omitempty"` // incarnation of the candidate, repeated in a Vote
+	Round    uint64   `cbor:"7,keyasint,omitempty"` // number of the candidate's round, repeated in a Vote
 	Yes      bool     `cbor:"8,keyasint,omitempty"`
-	WaitMs   float64  `cbor:"9,keyasint,omitempty"`  // of a Vote that is no: how long the voter is bound
+	WaitMs   float64  `cbor:"9,keyasint,omitempty"`  // of a Vote that refuses: how long the voter is bound
 	Seen     uint64   `cbor:"10,keyasint,omitempty"` // of a Vote: the highest term the voter knows of
-	VacantMs float64  `cbor:"11,keyasint,omitempty"` // of a Vote that is yes: how long the voter has surely not been bound to another
-	IdleMs   float64  `cbor:"12,keyasint,omitempty"` // of a Vote: how long the voter itself has surely not held the duty
-	Held     []Tenure `cbor:"13,keyasint,omitempty"` // of a Announce
-	Terms    []Tenure `cbor:"14,keyasint,omitempty"` // of a Announce: the highest term heard of each duty, so that terms rise though voters change
+	VacantMs float64  `cbor:"11,keyasint,omitempty"` // of a Vote that accepts: how long the voter has certainly not been bound to another candidate
+	IdleMs   float64  `cbor:"12,keyasint,omitempty"` // of a Vote: how long the voter itself has certainly not held the duty
+	Held     []Tenure `cbor:"13,keyasint,omitempty"` // of an Announce
+	Terms    []Tenure `cbor:"14,keyasint,omitempty"` // of an Announce: the highest known term of each duty, so that terms increase even if the voters change
 }
 
-// CallName implements rpc.Named: the package was called warden when the message got its name.
+// CallName implements rpc.Named. The message got its name when the package was called warden.
 func (Message) CallName() string { return "warden.Message" }
 
-// Tenure is a duty held in a term. VacantMs is, where it was won, for how long before that nobody
-// else held it, and this bothy neither; it may have been vacant for longer.
+// Tenure is a duty held in a term. VacantMs tells, for a duty just won, for how long before that
+// certainly no node held it; the duty may have been vacant for longer.
 type Tenure struct {
 	Duty     string  `cbor:"1,keyasint,omitempty"`
 	Term     uint64  `cbor:"2,keyasint,omitempty"`
 	VacantMs float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// EventKind says what happened.
+// EventKind is the type of an event.
 type EventKind uint8
 
 const (
-	// Tick is time going by. It should come every 20 to 50 ms.
+	// Tick tells that time has passed. It should occur every 20 to 50 ms.
 	Tick EventKind = iota + 1
-	// Heard is a message from another bothy.
+	// Heard is a message received from another control node.
 	Heard
-	// Resign is this bothy's end (SIGTERM): it gives back its duties and stands no more.
+	// Resign is the shutdown of this node (SIGTERM): it gives up its duties and is no candidate any more.
 	Resign
 )
 
-// Event is one step's cause.
+// Event is the input of one step.
 type Event struct {
 	Kind    EventKind
 	Message Message
 }
 
-// Out is what a step asks for. Lost is to be obeyed before Send.
+// Out is the result of a step. The caller must act on Lost before Send.
 type Out struct {
 	Send      []Message
 	Won, Lost []Tenure
-	Vacant    []Tenure // of duties held: what has become known of the time before they were won
+	Vacant    []Tenure // of held duties: a longer known vacancy before they were won
 }
 
-// council is an electorate as it was told to this bothy.
-type council struct {
-	shrunk    uint64 // how often the core had lost an address
-	edition   uint64
-	ids       []string
-	learned   float64
-	confirmed float64
+// electorate is a set of voters as this node was told of it.
+type electorate struct {
+	shrunk      uint64 // how often the core had lost an address
+	edition     uint64
+	voters      []string
+	learnedAt   float64
+	confirmedAt float64
 }
 
-// duty is what a bothy knows about a duty, as a voter and as a candidate.
+// duty is what a node knows about a duty, as a voter and as a candidate.
 type duty struct {
-	// The voter's side.
-	to         string // who has the vote
-	toLife     uint64
-	given      uint64 // the term the vote was last given in
-	until      float64
-	others     float64 // when the last vote given to another than who has it now was over
-	freed      bool
-	ended      map[string]ended // by candidate
-	bound      bool             // the vote wasn't to be given when last looked at
-	seen       uint64           // the highest term heard of
-	holder     string           // by its own word
-	holderTerm uint64
-	holderAt   float64
-
-	// The candidate's side.
-	standAt  float64
-	weighed  int // duties that standAt was reckoned with
-	standing bool
-	held     bool
-	term     uint64
-	asked    float64
-	right    float64 // when what is held ends
-	rounds   map[uint64]*round
-	lost     float64 // when this bothy last had the duty, or its process was not there yet
-	won      float64
-	vacant   float64 // how long it surely had been nobody's then
-}
-
-// ended is the last term that a candidate has given back. Its ballots may come after that, and
-// would bind the vote for a lease to one that doesn't count it.
-type ended struct {
-	life, term uint64
-}
-
-// round is one asking.
+	// As a voter.
+	votedFor            string // candidate that has this node's vote
+	votedForIncarnation uint64
+	votedTerm           uint64 // term of the last vote
+	voteUntil           float64
+	otherVotesUntil     float64 // end of the last vote given to any other candidate than votedFor
+	voteReleased        bool
+	released            map[string]releasedTerm // by candidate
+	voteBound           bool                    // the vote could not be given when last checked
+	highestTerm         uint64                  // the highest known term
+	holder              string                  // according to its own announcement
+	holderTerm          uint64
+	holderAt            float64
+
+	// As a candidate.
+	standAt             float64
+	dutyCountAtSchedule int // number of duties that standAt was computed with
+	standing            bool
+	held                bool
+	term                uint64
+	requestedAt         float64
+	leaseUntil          float64 // when the held lease ends
+	rounds              map[uint64]*round
+	lostAt              float64 // when this node last held the duty, or when its process started
+	wonAt               float64
+	vacantMs            float64 // for how long it certainly had been vacant when it was won
+}
+
+// releasedTerm is the last term that a candidate has released. A ballot of it that arrives later would
+// otherwise bind the vote for one lease to a candidate that doesn't count it.
+type releasedTerm struct {
+	incarnation, term uint64
+}
+
+// round is one round of ballots.
 type round struct {
-	asked   float64
-	yes, no map[string]bool
-	vacant  map[string]float64 // by those that said yes
-	idle    map[string]float64 // by all that answered
+	startedAt         float64
+	accepted, refused map[string]bool
+	vacantMs          map[string]float64 // by voters that accepted
+	idleMs            map[string]float64 // by all voters that answered
 }
 
-// Machine is one bothy's part. It isn't safe for use by several goroutines.
+// Machine is one node's state machine. It isn't safe for concurrent use.
 type Machine struct {
-	self      string
-	life      uint64
-	lease     float64
-	trust     float64
-	silent    float64 // gives no vote before
-	open      float64 // doesn't stand before
-	alone     float64 // since when nobody trusts any other electorate than the newest
-	first     bool
-	stepped   bool
-	earlier   []string // the electorate that an earlier life knew
-	epoch     uint64   // and its number; 0 where that is not known
-	resigned  bool     // stands no more
-	chance    *rand.Rand
-	names     []string // of duties, sorted
-	duties    map[string]*duty
-	councils  []council // oldest first
-	heard     map[string]float64
-	announced float64
-	round     uint64
-	asked     map[uint64]float64 // when rounds were opened, those given up among them
-	takes     map[string]float64 // how long a voter's vote takes to come
-}
-
-// New makes the machine of one process. The seed must be drawn anew by each process, since it
-// also gives the life. The flag first is for the very first start of the whole system alone:
-// nobody has promised anything yet, so nothing has to be waited out.
+	self                string
+	incarnation         uint64
+	leaseMs             float64
+	trustMs             float64
+	silentUntil         float64 // gives no vote before
+	candidateFrom       float64 // is no candidate before
+	soleElectorateSince float64 // since when no node trusts any other electorate than the newest
+	first               bool
+	stepped             bool
+	rememberedVoters    []string // the electorate known to an earlier incarnation
+	rememberedEdition   uint64   // its number; 0 if not known
+	resigned            bool     // is no candidate any more
+	rng                 *rand.Rand
+	dutyNames           []string // names of the duties, sorted
+	duties              map[string]*duty
+	electorates         []electorate // oldest first
+	heardAt             map[string]float64
+	announcedAt         float64
+	lastRound           uint64
+	roundStartedAt      map[uint64]float64 // when rounds were started, including those given up
+	voteTimeMs          map[string]float64 // how long a voter's vote takes to arrive, in milliseconds
+}
+
+// New returns the machine of one process. Each process must draw the seed at random, since it also
+// determines the incarnation. The flag first is only for the very first start of the whole system: no
+// vote has been given yet, so there is nothing to wait for.
 func New(self string, seed uint64, now, leaseMs float64, first bool, duties ...string) *Machine {
 	if leaseMs <= 0 {
 		leaseMs = DefaultLeaseMs
 	}
-	m := &Machine{self: self, lease: leaseMs, trust: trustLeases * leaseMs, silent: now + leaseMs, first: first,
-		chance: rand.New(rand.NewPCG(seed, xxh3.HashString(self))), duties: map[string]*duty{}, heard: map[string]float64{},
-		announced: now - leaseMs, asked: map[uint64]float64{}, takes: map[string]float64{}}
-	m.life = m.chance.Uint64()
+	m := &Machine{self: self, leaseMs: leaseMs, trustMs: trustLeases * leaseMs, silentUntil: now + leaseMs, first: first,
+		rng: rand.New(rand.NewPCG(seed, xxh3.HashString(self))), duties: map[string]*duty{}, heardAt: map[string]float64{},
+		announcedAt: now - leaseMs, roundStartedAt: map[uint64]float64{}, voteTimeMs: map[string]float64{}}
+	m.incarnation = m.rng.Uint64()
 	if first {
-		m.silent = now
+		m.silentUntil = now
 	}
-	others := m.silent // an earlier life may have given a vote right before this one's start
+	otherVotesUntil := m.silentUntil // an earlier incarnation may have given a vote right before this start
 	if first {
-		others = now - ageless
+		otherVotesUntil = now - initialVacancyMs
 	}
-	m.names = slices.Compact(slices.Sorted(slices.Values(duties)))
-	for _, name := range m.names {
-		m.duties[name] = &duty{rounds: map[uint64]*round{}, ended: map[string]ended{}, others: others, until: others, lost: now}
-		m.await(m.duties[name], now, 0)
+	m.dutyNames = slices.Compact(slices.Sorted(slices.Values(duties)))
+	for _, name := range m.dutyNames {
+		m.duties[name] = &duty{rounds: map[uint64]*round{}, released: map[string]releasedTerm{}, otherVotesUntil: otherVotesUntil, voteUntil: otherVotesUntil, lostAt: now}
+		m.scheduleCandidacy(m.duties[name], now, 0)
 	}
 	return m
 }
 
-// Remember tells the electorate that an earlier life of this bothy got from Settled. Where no address
-// was ever taken out of the core and the first electorate is the same, there was no other
-// in between, and none that anybody still trusts; nor where its number is the same. It is to be called
-// before the first Electorate.
+// Remember restores the electorate that an earlier incarnation of this node got from Settled. If no
+// address was ever removed from the core and the first electorate is the same, or if the number is the
+// same, there was no other electorate in between that any node still trusts. It must be called before
+// the first Electorate.
 func (m *Machine) Remember(ids []string, edition uint64) {
-	m.epoch, m.earlier = edition, slices.Compact(slices.Sorted(slices.Values(ids)))
+	m.rememberedEdition, m.rememberedVoters = edition, slices.Compact(slices.Sorted(slices.Values(ids)))
 }
 
-// Settled is the electorate where nobody trusts any other one, and its number; nil else. What a later life
-// is to Remember is this alone: one just learned says nothing of those before it.
+// Settled returns the electorate and its number if no node trusts any other, and nil otherwise. Only
+// this is what a later incarnation may Remember: an electorate just learned says nothing about those
+// before it.
 func (m *Machine) Settled(now float64) (ids []string, edition uint64) {
-	if m.forget(now); len(m.councils) != 1 || now < m.alone {
+	if m.dropOldElectorates(now); len(m.electorates) != 1 || now < m.soleElectorateSince {
 		return nil, 0
 	}
-	return slices.Clone(m.councils[0].ids), m.councils[0].edition
+	return slices.Clone(m.electorates[0].voters), m.electorates[0].edition
 }
 
-// Electorate tells who votes; editions number the electorates from 1 on, and 0 is one that was agreed before they
-// were numbered. It is to be called whenever the view is confirmed, and `asked` is
-// when the question was sent whose answer confirmed it: the view was in force at some moment
-// since. Without that a bothy that is cut off could go on for ever under an old view, while
-// others have moved two views ahead. Editions should be told one by one: after a gap, nothing
-// is known of the ones between, and this bothy doesn't stand until nobody trusts them. shrunk is how
-// often the core has lost an address so far.
-func (m *Machine) Electorate(now, asked float64, ids []string, edition, shrunk uint64) {
-	ids = slices.Compact(slices.Sorted(slices.Values(ids)))
-	if n := len(m.councils); n > 0 {
-		last := &m.councils[n-1]
+// Electorate sets the voters. Editions number the electorates from 1; 0 is one that was agreed before
+// they were numbered. It must be called whenever the view is confirmed, where `asked` is when the
+// query was sent whose answer confirmed it: the view was in force at some moment since then. Without
+// that, a partitioned node could go on forever under an old view while others are two views ahead.
+//
+// Editions should be reported one by one: after a gap nothing is known of those in between, and this
+// node is no candidate until no node trusts them. shrunk is how often the core has lost an address so
+// far.
+func (m *Machine) Electorate(now, queriedAt float64, voters []string, edition, shrunk uint64) {
+	voters = slices.Compact(slices.Sorted(slices.Values(voters)))
+	if n := len(m.electorates); n > 0 {
+		last := &m.electorates[n-1]
 		if edition < last.edition {
 			return
 		}
 		if edition == last.edition {
-			last.confirmed = max(last.confirmed, asked)
+			last.confirmedAt = max(last.confirmedAt, queriedAt)
 			return
 		}
-		if slices.Equal(ids, last.ids) && shrunk == last.shrunk {
-			// The chain has changed, and who votes has not. Addresses were only added to the core
-			// (internal/cairn), so that none was in between either.
-			last.edition, last.confirmed = edition, max(last.confirmed, asked)
+		if slices.Equal(voters, last.voters) && shrunk == last.shrunk {
+			// The view has changed but not the voters. Addresses were only added to the core (internal/cairn), so
+			// there was no other electorate in between either.
+			last.edition, last.confirmedAt = edition, max(last.confirmedAt, queriedAt)
 			return
 		}
-		m.alone = now + m.trust
+		m.soleElectorateSince = now + m.trustMs
 		if edition > last.edition+1 {
-			m.open = now + m.trust
+			m.candidateFrom = now + m.trustMs
 		}
-	} else if m.alone = now - ageless; !m.first && edition != 1 && (shrunk > 0 && edition != m.epoch || !slices.Equal(ids, m.earlier)) {
-		// Those before it are unknown, and others may still trust them.
-		m.open, m.alone = now+m.trust, now+m.trust
+	} else if m.soleElectorateSince = now - initialVacancyMs; !m.first && edition != 1 && (shrunk > 0 && edition != m.rememberedEdition || !slices.Equal(voters, m.rememberedVoters)) {
+		// Earlier electorates are unknown, and other nodes may still trust them.
+		m.candidateFrom, m.soleElectorateSince = now+m.trustMs, now+m.trustMs
 	}
-	m.councils = append(m.councils, council{edition: edition, shrunk: shrunk, ids: ids, learned: now, confirmed: asked})
+	m.electorates = append(m.electorates, electorate{edition: edition, shrunk: shrunk, voters: voters, learnedAt: now, confirmedAt: queriedAt})
 }
 
-// Learn takes a term that somebody was told of by a holder. Bothies that were all restarted know
-// no terms; what gatekeepers remember keeps them rising.
+// Learn records a term that a holder reported to someone. Control nodes that were all restarted know
+// no terms; what gatekeepers remember keeps the terms increasing.
 func (m *Machine) Learn(name string, term uint64) {
-	if d := m.duties[name]; d != nil {
-		d.seen = max(d.seen, term)
+	if state := m.duties[name]; state != nil {
+		state.highestTerm = max(state.highestTerm, term)
 	}
 }
 
-// Holds tells whether this bothy has the duty at this moment, and in which term. It is to be asked
-// with a fresh time right before anything is done under the duty.
+// Holds reports whether this node holds the duty at this moment, and in which term. It must be called
+// with the current time right before anything is done under the duty.
 func (m *Machine) Holds(now float64, name string) (term uint64, ok bool) {
-	d := m.duties[name]
-	if d == nil || !d.held || now >= d.right {
+	state := m.duties[name]
+	if state == nil || !state.held || now >= state.leaseUntil {
 		return 0, false
 	}
-	return d.term, true
+	return state.term, true
 }
 
-// Duties names the duties that this bothy stands for.
-func (m *Machine) Duties() []string { return m.names }
+// Duties returns the names of the duties that this node is a candidate for.
+func (m *Machine) Duties() []string { return m.dutyNames }
 
-// Holder is who last said that it has the duty; "" if nobody has within a lease.
+// Holder returns the node that last announced that it holds the duty, or "" if none has within one
+// lease.
 func (m *Machine) Holder(now float64, name string) string {
-	d := m.duties[name]
-	if d == nil {
+	state := m.duties[name]
+	if state == nil {
 		return ""
 	}
 	if _, ok := m.Holds(now, name); ok {
 		return m.self
 	}
-	if d.holder == m.self || now-d.holderAt > m.lease {
+	if state.holder == m.self || now-state.holderAt > m.leaseMs {
 		return ""
 	}
-	return d.holder
+	return state.holder
 }
 
-// Step takes one event. The time must be read right before, and after the message was received: a
-// process that was frozen in between must find its rights ended.
-func (m *Machine) Step(now float64, e Event) Out {
-	var out Out
-	if !m.stepped { // from here on the address is this process's
+// Step handles one event. The time must be read right before the call, and after the message was
+// received: a process that was frozen in between must find its leases expired.
+func (m *Machine) Step(now float64, event Event) Out {
+	var output Out
+	if !m.stepped { // from here on the address belongs to this process
 		m.stepped = true
-		for _, d := range m.duties {
-			d.lost = now
+		for _, state := range m.duties {
+			state.lostAt = now
 			if m.first {
-				d.lost -= ageless
+				state.lostAt -= initialVacancyMs
 			}
 		}
 	}
-	m.forget(now)
-	m.expire(now, &out)
-	switch e.Kind {
+	m.dropOldElectorates(now)
+	m.releaseExpired(now, &output)
+	switch event.Kind {
 	case Tick:
 	case Heard:
-		m.hear(now, e.Message, &out)
+		m.receive(now, event.Message, &output)
 	case Resign:
-		m.resign(now, &out)
+		m.resign(now, &output)
 	}
 	if !m.resigned {
-		m.act(now, &out)
+		m.advance(now, &output)
 	}
-	return out
+	return output
 }
 
-// forget drops the electorates that nobody can trust any more: the one after them was agreed
-// before it was learned here, and none before it was confirmed since.
-func (m *Machine) forget(now float64) {
-	for len(m.councils) > 1 && now-m.councils[1].learned > m.trust {
-		m.councils = m.councils[1:]
+// dropOldElectorates removes the electorates that no node can trust any more: the next one was agreed
+// before it was learned here, and no node confirmed an older one since.
+func (m *Machine) dropOldElectorates(now float64) {
+	for len(m.electorates) > 1 && now-m.electorates[1].learnedAt > m.trustMs {
+		m.electorates = m.electorates[1:]
 	}
 }
 
-// needed is the electorates whose majorities a candidate must have: the newest, and those that
-// others may still trust and that could elect somebody without any of the newest's majority.
-func (m *Machine) needed(now float64) []council {
-	n := len(m.councils)
-	var needed []council
-	for i, c := range m.councils {
-		if i == n-1 || now-m.councils[i+1].learned <= m.trust && !meet(c.ids, m.councils[n-1].ids) {
-			needed = append(needed, c)
+// requiredElectorates returns the electorates whose majorities a candidate must have: the newest, and
+// those that other nodes may still trust and that could elect a holder without any voter of the newest
+// one's majority.
+func (m *Machine) requiredElectorates(now float64) []electorate {
+	count := len(m.electorates)
+	var required []electorate
+	for i, candidate := range m.electorates {
+		if i == count-1 || now-m.electorates[i+1].learnedAt <= m.trustMs && !majoritiesIntersect(candidate.voters, m.electorates[count-1].voters) {
+			required = append(required, candidate)
 		}
 	}
-	return needed
+	return required
 }
 
-// meet tells whether any majority of a has somebody in common with any of b.
-func meet(a, b []string) bool {
-	all := len(b)
+// majoritiesIntersect reports whether any majority of a has a voter in common with any majority of b.
+func majoritiesIntersect(a, b []string) bool {
+	combined := len(b)
 	for _, id := range a {
 		if !slices.Contains(b, id) {
-			all++
+			combined++
 		}
 	}
-	return len(a)/2+1+len(b)/2+1 > all
+	return len(a)/2+1+len(b)/2+1 > combined
 }
 
-// peers is everybody who is asked.
+// peers returns all other voters.
 func (m *Machine) peers() []string {
-	all := map[string]bool{}
-	for _, c := range m.councils {
-		for _, id := range c.ids {
-			all[id] = true
+	ids := map[string]bool{}
+	for _, c := range m.electorates {
+		for _, id := range c.voters {
+			ids[id] = true
 		}
 	}
-	delete(all, m.self)
-	return slices.Sorted(maps.Keys(all))
+	delete(ids, m.self)
+	return slices.Sorted(maps.Keys(ids))
 }
 
-// majority tells whether those that `has` holds for are a majority of every electorate needed.
+// majority reports whether the nodes for which `has` is true are a majority of every required
+// electorate.
 func (m *Machine) majority(now float64, has func(id string) bool) bool {
-	for _, c := range m.needed(now) {
-		n := 0
-		for _, id := range c.ids {
+	for _, voterSet := range m.requiredElectorates(now) {
+		count := 0
+		for _, id := range voterSet.voters {
 			if has(id) {
-				n++
+				count++
 			}
 		}
-		if 2*n <= len(c.ids) {
+		if 2*count <= len(voterSet.voters) {
 			return false
 		}
 	}
-	return len(m.councils) > 0
+	return len(m.electorates) > 0
 }
 
-// may tells whether this bothy may ask for votes now.
-func (m *Machine) may(now float64) bool {
-	if len(m.councils) == 0 || now < m.open {
+// mayRequestVotes reports whether this node may request votes now.
+func (m *Machine) mayRequestVotes(now float64) bool {
+	if len(m.electorates) == 0 || now < m.candidateFrom {
 		return false
 	}
-	last := m.councils[len(m.councils)-1]
-	if now >= last.confirmed+m.trust || !slices.Contains(last.ids, m.self) {
+	newest := m.electorates[len(m.electorates)-1]
+	if now >= newest.confirmedAt+m.trustMs || !slices.Contains(newest.voters, m.self) {
 		return false
 	}
-	return m.majority(now, func(id string) bool { return m.sees(now, id) })
+	return m.majority(now, func(id string) bool { return m.isReachable(now, id) })
 }
 
-// sees tells whether a bothy was heard within a lease.
-func (m *Machine) sees(now float64, id string) bool {
-	at, ok := m.heard[id]
-	return id == m.self || ok && now-at <= m.lease
+// isReachable reports whether a message of a node arrived within one lease.
+func (m *Machine) isReachable(now float64, id string) bool {
+	at, ok := m.heardAt[id]
+	return id == m.self || ok && now-at <= m.leaseMs
 }
 
-func (m *Machine) expire(now float64, out *Out) {
-	for _, name := range m.names {
-		if d := m.duties[name]; d.held && now >= d.right {
-			m.drop(now, name, out)
+func (m *Machine) releaseExpired(now float64, output *Out) {
+	for _, name := range m.dutyNames {
+		if state := m.duties[name]; state.held && now >= state.leaseUntil {
+			m.release(now, name, output)
 		}
 	}
 }
 
-// drop ends what is held or stood for, and gives the votes back: from here on none of them is
-// counted, so they are free at once.
-func (m *Machine) drop(now float64, name string, out *Out) {
-	d := m.duties[name]
-	if d.held {
-		d.lost = now
-		out.Lost = append(out.Lost, Tenure{Duty: name, Term: d.term})
+// release ends a held duty or a candidacy and releases the votes: none of them is counted from now on,
+// so they can be given to others at once.
+func (m *Machine) release(now float64, name string, output *Out) {
+	state := m.duties[name]
+	if state.held {
+		state.lostAt = now
+		output.Lost = append(output.Lost, Tenure{Duty: name, Term: state.term})
 	}
-	d.held, d.standing = false, false
-	clear(d.rounds)
-	free := Message{Kind: Free, From: m.self, Duty: name, Term: d.term, Life: m.life}
-	m.free(now, free)
+	state.held, state.standing = false, false
+	clear(state.rounds)
+	message := Message{Kind: Free, From: m.self, Duty: name, Term: state.term, Life: m.incarnation}
+	m.releaseVote(now, message)
 	for _, id := range m.peers() {
-		free.To = id
-		out.Send = append(out.Send, free)
+		message.To = id
+		output.Send = append(output.Send, message)
 	}
-	m.await(d, now, 0)
+	m.scheduleCandidacy(state, now, 0)
 }
 
-// await sets when to stand next: later the more this bothy has, so that duties spread.
-func (m *Machine) await(d *duty, now, least float64) {
-	d.weighed = m.busy()
-	d.standAt = now + max(0, least) + spreadMs*float64(d.weighed) + m.shuffle()*m.chance.Float64()
+// scheduleCandidacy sets when to stand next. The more duties this node has, the later that is, so that
+// duties are spread over the nodes.
+func (m *Machine) scheduleCandidacy(state *duty, now, minDelayMs float64) {
+	state.dutyCountAtSchedule = m.dutyCount()
+	state.standAt = now + max(0, minDelayMs) + delayPerDutyMs*float64(state.dutyCountAtSchedule) + m.maxJitter()*m.rng.Float64()
 }
 
-// shuffle is how far apart candidates draw their times to stand, at most.
-func (m *Machine) shuffle() float64 {
+// maxJitter returns the largest random delay of a candidacy in milliseconds.
+func (m *Machine) maxJitter() float64 {
 	voters := 0
-	if n := len(m.councils); n > 0 {
-		voters = len(m.councils[n-1].ids)
+	if n := len(m.electorates); n > 0 {
+		voters = len(m.electorates[n-1].voters)
 	}
-	return max(shuffleMs, shuffleEach*float64(voters))
+	return max(minJitterMs, jitterPerVoterMs*float64(voters))
 }
 
-// busy counts what this bothy has or stands for.
-func (m *Machine) busy() int {
-	n := 0
+// dutyCount returns the number of duties that this node holds or stands for.
+func (m *Machine) dutyCount() int {
+	count := 0
 	for _, d := range m.duties {
 		if d.held || d.standing {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (m *Machine) resign(now float64, out *Out) {
+func (m *Machine) resign(now float64, output *Out) {
 	m.resigned = true
-	for _, name := range m.names {
+	for _, name := range m.dutyNames {
 		if d := m.duties[name]; d.held || d.standing {
-			m.drop(now, name, out)
+			m.release(now, name, output)
 		}
 	}
 	for _, id := range m.peers() {
-		out.Send = append(out.Send, Message{Kind: Announce, From: m.self, To: id})
+		output.Send = append(output.Send, Message{Kind: Announce, From: m.self, To: id})
 	}
 }
 
-func (m *Machine) hear(now float64, g Message, out *Out) {
-	if g.From == m.self || g.From == "" {
+func (m *Machine) receive(now float64, message Message, output *Out) {
+	if message.From == m.self || message.From == "" {
 		return
 	}
-	m.heard[g.From] = now
-	if g.Kind == Announce {
-		m.announce(now, g)
+	m.heardAt[message.From] = now
+	if message.Kind == Announce {
+		m.recordAnnouncement(now, message)
 		return
 	}
-	d := m.duties[g.Duty]
-	if d == nil {
+	state := m.duties[message.Duty]
+	if state == nil {
 		return
 	}
-	switch g.Kind {
+	switch message.Kind {
 	case Ballot:
-		m.yield(now, d, g, out)
-		out.Send = append(out.Send, m.vote(now, d, g))
+		m.yieldTo(now, state, message, output)
+		output.Send = append(output.Send, m.vote(now, state, message))
 	case Vote:
-		m.count(now, d, g, out)
+		m.countVote(now, state, message, output)
 	case Free:
-		m.free(now, g)
-		if !d.held && !d.standing && now >= d.until {
-			// Whatever this bothy was told to wait for may be over.
-			m.await(d, now, 0)
+		m.releaseVote(now, message)
+		if !state.held && !state.standing && now >= state.voteUntil {
+			// The vote that this node was told to wait for may be over.
+			m.scheduleCandidacy(state, now, 0)
 		}
 	}
 }
 
-func (m *Machine) announce(now float64, g Message) {
-	for _, d := range m.duties {
-		if d.holder == g.From {
-			d.holder = ""
+func (m *Machine) recordAnnouncement(now float64, message Message) {
+	for _, state := range m.duties {
+		if state.holder == message.From {
+			state.holder = ""
 		}
 	}
-	for _, t := range g.Held {
-		d := m.duties[t.Duty]
-		if d == nil {
+	for _, tenure := range message.Held {
+		state := m.duties[tenure.Duty]
+		if state == nil {
 			continue
 		}
-		d.holder, d.holderTerm, d.holderAt = g.From, t.Term, now
+		state.holder, state.holderTerm, state.holderAt = message.From, tenure.Term, now
 	}
-	for _, t := range g.Terms {
-		m.Learn(t.Duty, t.Term)
+	for _, tenure := range message.Terms {
+		m.Learn(tenure.Duty, tenure.Term)
 	}
 }
 
-// yield ends this bothy's own standing before a rival's that goes first, or two that split the
-// votes would both wait out their rounds. Its term was never held, so the rival may have it.
-func (m *Machine) yield(now float64, d *duty, g Message, out *Out) {
-	if !d.standing || g.Term < d.term || g.Term == d.term && rank(g, g.From) < rank(g, m.self) {
+// yieldTo ends this node's candidacy in favor of a rival that takes precedence; otherwise two candidates
+// that split the vote would both wait for their rounds to end. The term was never held, so the rival
+// may have it.
+func (m *Machine) yieldTo(now float64, state *duty, ballot Message, output *Out) {
+	if !state.standing || ballot.Term < state.term || ballot.Term == state.term && precedence(ballot, ballot.From) < precedence(ballot, m.self) {
 		return
 	}
-	m.drop(now, g.Duty, out)
-	d.given = min(d.given, g.Term-1)
+	m.release(now, ballot.Duty, output)
+	state.votedTerm = min(state.votedTerm, ballot.Term-1)
 }
 
-// rank orders rivals anew in each term, so that one that can't win isn't always yielded to.
-func rank(g Message, id string) uint64 {
-	return xxh3.HashStringSeed(g.Duty+"\x00"+id, g.Term)
+// precedence orders rivals differently in each term, so that a candidate that can't win isn't always
+// preferred.
+func precedence(ballot Message, id string) uint64 {
+	return xxh3.HashStringSeed(ballot.Duty+"\x00"+id, ballot.Term)
 }
 
 // vote answers a ballot.
-func (m *Machine) vote(now float64, d *duty, g Message) Message {
-	d.seen = max(d.seen, g.Term)
-	answer := Message{Kind: Vote, From: m.self, To: g.From, Duty: g.Duty, Term: g.Term, Life: g.Life, Round: g.Round}
-	mine := d.to == g.From && d.toLife == g.Life
-	last := d.ended[g.From]
+func (m *Machine) vote(now float64, state *duty, ballot Message) Message {
+	state.highestTerm = max(state.highestTerm, ballot.Term)
+	answer := Message{Kind: Vote, From: m.self, To: ballot.From, Duty: ballot.Duty, Term: ballot.Term, Life: ballot.Life, Round: ballot.Round}
+	votedForCandidate := state.votedFor == ballot.From && state.votedForIncarnation == ballot.Life
+	released := state.released[ballot.From]
 	switch {
-	case last.life == g.Life && g.Term <= last.term:
-	case now < m.silent:
-		answer.WaitMs = m.silent - now
-	case !mine && now < d.until:
-		answer.WaitMs = d.until - now
-	case g.Term > d.given, g.Term == d.given && mine && !d.freed:
-		if !mine {
-			d.others = max(d.others, d.until)
+	case released.incarnation == ballot.Life && ballot.Term <= released.term:
+	case now < m.silentUntil:
+		answer.WaitMs = m.silentUntil - now
+	case !votedForCandidate && now < state.voteUntil:
+		answer.WaitMs = state.voteUntil - now
+	case ballot.Term > state.votedTerm, ballot.Term == state.votedTerm && votedForCandidate && !state.voteReleased:
+		if !votedForCandidate {
+			state.otherVotesUntil = max(state.otherVotesUntil, state.voteUntil)
 		}
-		answer.VacantMs = max(now-d.others, 0)
-		d.to, d.toLife, d.given, d.freed = g.From, g.Life, g.Term, false
-		d.until = now + m.lease
+		answer.VacantMs = max(now-state.otherVotesUntil, 0)
+		state.votedFor, state.votedForIncarnation, state.votedTerm, state.voteReleased = ballot.From, ballot.Life, ballot.Term, false
+		state.voteUntil = now + m.leaseMs
 		answer.Yes = true
 	}
-	answer.Seen = d.seen
-	if !d.held {
-		answer.IdleMs = max(now-d.lost, 0)
+	answer.Seen = state.highestTerm
+	if !state.held {
+		answer.IdleMs = max(now-state.lostAt, 0)
 	}
 	return answer
 }
 
-// free gives a vote back. The term stays used: a ballot of it that comes later gets no vote.
-func (m *Machine) free(now float64, g Message) {
-	d := m.duties[g.Duty]
-	if d.holder == g.From && d.holderTerm <= g.Term {
-		d.holder = ""
+// releaseVote releases a vote. The term stays used: a later ballot of it gets no vote.
+func (m *Machine) releaseVote(now float64, message Message) {
+	state := m.duties[message.Duty]
+	if state.holder == message.From && state.holderTerm <= message.Term {
+		state.holder = ""
 	}
-	if last := d.ended[g.From]; last.life != g.Life || last.term < g.Term {
-		d.ended[g.From] = ended{life: g.Life, term: g.Term}
+	if released := state.released[message.From]; released.incarnation != message.Life || released.term < message.Term {
+		state.released[message.From] = releasedTerm{incarnation: message.Life, term: message.Term}
 	}
-	if d.to != g.From || d.toLife != g.Life || d.given > g.Term || d.freed {
+	if state.votedFor != message.From || state.votedForIncarnation != message.Life || state.votedTerm > message.Term || state.voteReleased {
 		return
 	}
-	d.freed = true
-	d.until = min(d.until, now)
+	state.voteReleased = true
+	state.voteUntil = min(state.voteUntil, now)
 }
 
-// time notes how long a vote took, also where nobody waits for it any more: a voter that is far
-// away would else never be waited for.
-func (m *Machine) time(now float64, g Message) {
-	at, ok := m.asked[g.Round]
-	if !ok || g.Life != m.life {
+// recordVoteTime records how long a vote took, even if no round waits for it any more: otherwise a
+// distant voter would never be waited for.
+func (m *Machine) recordVoteTime(now float64, vote Message) {
+	at, ok := m.roundStartedAt[vote.Round]
+	if !ok || vote.Life != m.incarnation {
 		return
 	}
-	took := now - at
-	if before, ok := m.takes[g.From]; ok {
-		took = (before + took) / 2
+	tookMs := now - at
+	if before, ok := m.voteTimeMs[vote.From]; ok {
+		tookMs = (before + tookMs) / 2
 	}
-	m.takes[g.From] = took
+	m.voteTimeMs[vote.From] = tookMs
 }
 
-// patience is how long to wait for the votes of a round.
-func (m *Machine) patience() float64 {
-	var takes []float64
-	ids := m.councils[len(m.councils)-1].ids
-	for _, id := range ids {
-		if t, ok := m.takes[id]; ok {
-			takes = append(takes, t)
+// roundTimeout returns how long to wait for the votes of a round, in milliseconds.
+func (m *Machine) roundTimeout() float64 {
+	var timesMs []float64
+	voters := m.electorates[len(m.electorates)-1].voters
+	for _, id := range voters {
+		if ms, ok := m.voteTimeMs[id]; ok {
+			timesMs = append(timesMs, ms)
 		}
 	}
-	slices.Sort(takes)
-	wait := roundPart * m.lease
-	if n := min(len(ids)/2, len(takes)); n > 0 {
-		wait = max(wait, farParts*takes[n-1])
+	slices.Sort(timesMs)
+	timeoutMs := minRoundShare * m.leaseMs
+	if majorityIndex := min(len(voters)/2, len(timesMs)); majorityIndex > 0 {
+		timeoutMs = max(timeoutMs, voteTimeFactor*timesMs[majorityIndex-1])
 	}
-	return min(wait, roundMost*m.lease)
+	return min(timeoutMs, maxRoundShare*m.leaseMs)
 }
 
-// count takes a vote.
-func (m *Machine) count(now float64, d *duty, g Message, out *Out) {
-	m.time(now, g)
-	d.seen = max(d.seen, g.Seen)
-	r := d.rounds[g.Round]
-	if g.Life != m.life || g.Term != d.term || r == nil {
+// countVote handles a vote.
+func (m *Machine) countVote(now float64, state *duty, vote Message, output *Out) {
+	m.recordVoteTime(now, vote)
+	state.highestTerm = max(state.highestTerm, vote.Seen)
+	ballots := state.rounds[vote.Round]
+	if vote.Life != m.incarnation || vote.Term != state.term || ballots == nil {
 		return
 	}
-	r.idle[g.From] = g.IdleMs
-	if !g.Yes {
-		r.no[g.From] = true
-		lost := !m.majority(now, func(id string) bool { return !r.no[id] && m.sees(now, id) })
-		if d.standing && lost {
-			m.drop(now, g.Duty, out)
-			m.await(d, now, min(g.WaitMs, m.lease/3))
+	ballots.idleMs[vote.From] = vote.IdleMs
+	if !vote.Yes {
+		ballots.refused[vote.From] = true
+		majorityLost := !m.majority(now, func(id string) bool { return !ballots.refused[id] && m.isReachable(now, id) })
+		if state.standing && majorityLost {
+			m.release(now, vote.Duty, output)
+			m.scheduleCandidacy(state, now, min(vote.WaitMs, m.leaseMs/3))
 		}
-		m.learn(now, g.Duty, d, r, out)
+		m.extendVacancy(now, vote.Duty, state, ballots, output)
 		return
 	}
-	r.yes[g.From], r.vacant[g.From] = true, g.VacantMs
-	m.weigh(now, g.Duty, d, r, out)
-	m.learn(now, g.Duty, d, r, out)
+	ballots.accepted[vote.From], ballots.vacantMs[vote.From] = true, vote.VacantMs
+	m.updateLease(now, vote.Duty, state, ballots, output)
+	m.extendVacancy(now, vote.Duty, state, ballots, output)
 }
 
-// weigh turns a majority into a right, which is reckoned from the asking.
-func (m *Machine) weigh(now float64, name string, d *duty, r *round, out *Out) {
-	if !m.majority(now, func(id string) bool { return r.yes[id] }) || now < m.open {
+// updateLease turns a majority into a lease, which starts when the ballots were sent.
+func (m *Machine) updateLease(now float64, name string, state *duty, ballots *round, output *Out) {
+	if !m.majority(now, func(id string) bool { return ballots.accepted[id] }) || now < m.candidateFrom {
 		return
 	}
-	last := m.councils[len(m.councils)-1]
-	right := min(r.asked+rightPart*m.lease, last.confirmed+m.trust)
-	if now >= right {
+	newest := m.electorates[len(m.electorates)-1]
+	leaseUntil := min(ballots.startedAt+holderLeaseShare*m.leaseMs, newest.confirmedAt+m.trustMs)
+	if now >= leaseUntil {
 		return
 	}
-	if !d.held {
-		vacant := m.vacant(now, d, r)
-		d.held, d.standing, d.right = true, false, right
-		d.won, d.vacant = now, vacant
-		out.Won = append(out.Won, Tenure{Duty: name, Term: d.term, VacantMs: vacant})
-		m.announced = now - m.lease
+	if !state.held {
+		vacantMs := m.knownVacancy(now, state, ballots)
+		state.held, state.standing, state.leaseUntil = true, false, leaseUntil
+		state.wonAt, state.vacantMs = now, vacantMs
+		output.Won = append(output.Won, Tenure{Duty: name, Term: state.term, VacantMs: vacantMs})
+		m.announcedAt = now - m.leaseMs
 	}
-	d.right = max(d.right, right)
+	state.leaseUntil = max(state.leaseUntil, leaseUntil)
 }
 
-// vacant is for how long the duty that is being won has surely been nobody's. Who held it had
-// votes of a majority, and one of those voters is in ours: so the least that ours tell is safe.
-func (m *Machine) vacant(now float64, d *duty, r *round) float64 {
-	vacant := min(now-d.lost, now-m.alone)
-	for _, ms := range r.vacant {
-		vacant = min(vacant, ms)
+// knownVacancy returns for how long the duty being won has certainly been vacant. An earlier holder
+// had the votes of a majority, and one of those voters is also in this majority, so the shortest time
+// that its voters report is safe.
+func (m *Machine) knownVacancy(now float64, state *duty, ballots *round) float64 {
+	vacantMs := min(now-state.lostAt, now-m.soleElectorateSince)
+	for _, ms := range ballots.vacantMs {
+		vacantMs = min(vacantMs, ms)
 	}
-	return max(rightPart*vacant, 0) // clocks may run unevenly
+	return max(holderLeaseShare*vacantMs, 0) // allows for clock drift
 }
 
-// learn finds out more of the time before a duty was won. After a restart of all, voters vouch for
-// little, as their silence covers what they may have forgotten. But nobody else has held it since
-// it was won, so where all were asked after that and answered, each one's own word covers the time before.
-func (m *Machine) learn(now float64, name string, d *duty, r *round, out *Out) {
-	if !d.held || r.asked < d.won {
+// extendVacancy finds out more about the time before a duty was won. After a restart of all nodes,
+// voters can vouch for little, as their initial silence covers the promises they may have forgotten.
+// But no other node has held the duty since it was won. If all voters were asked after that and
+// answered, what each reports about itself covers the time before.
+func (m *Machine) extendVacancy(now float64, name string, state *duty, ballots *round, output *Out) {
+	if !state.held || ballots.startedAt < state.wonAt {
 		return
 	}
-	vacant := min(d.won-d.lost, d.won-m.alone)
-	for _, id := range m.councils[len(m.councils)-1].ids {
+	vacantMs := min(state.wonAt-state.lostAt, state.wonAt-m.soleElectorateSince)
+	for _, id := range m.electorates[len(m.electorates)-1].voters {
 		if id != m.self {
-			vacant = min(vacant, r.idle[id]-(now-d.won))
+			vacantMs = min(vacantMs, ballots.idleMs[id]-(now-state.wonAt))
 		}
 	}
-	if vacant -= (1 - rightPart) * (vacant + now - d.won); vacant > d.vacant {
-		d.vacant = vacant
-		out.Vacant = append(out.Vacant, Tenure{Duty: name, Term: d.term, VacantMs: vacant})
+	if vacantMs -= (1 - holderLeaseShare) * (vacantMs + now - state.wonAt); vacantMs > state.vacantMs {
+		state.vacantMs = vacantMs
+		output.Vacant = append(output.Vacant, Tenure{Duty: name, Term: state.term, VacantMs: vacantMs})
 	}
 }
 
-func (m *Machine) act(now float64, out *Out) {
-	may := m.may(now)
-	for _, name := range m.names {
-		d := m.duties[name]
+func (m *Machine) advance(now float64, output *Out) {
+	mayRequest := m.mayRequestVotes(now)
+	for _, name := range m.dutyNames {
+		state := m.duties[name]
 		switch {
-		case d.held:
-			if (now-d.asked >= m.lease/3 || d.asked < d.won && d.vacant < m.trust) && may {
-				m.ask(now, name, d, out)
+		case state.held:
+			if (now-state.requestedAt >= m.leaseMs/3 || state.requestedAt < state.wonAt && state.vacantMs < m.trustMs) && mayRequest {
+				m.startRound(now, name, state, output)
 			}
-		case d.standing:
-			if now-d.asked >= m.patience() {
-				m.drop(now, name, out)
+		case state.standing:
+			if now-state.requestedAt >= m.roundTimeout() {
+				m.release(now, name, output)
 			}
-		case now < d.until, now < m.silent, !may:
-			// Somebody has this bothy's own vote, or it has none to give yet, or sees no majority. All
-			// that wait for the same end draw anew then, or they would stand at the same moment.
-			d.bound = true
-		case d.bound:
-			d.bound = false
-			m.await(d, now, 0)
-		case now < d.standAt:
-		case m.busy() > d.weighed:
-			m.await(d, now, 0)
+		case now < state.voteUntil, now < m.silentUntil, !mayRequest:
+			// This node's own vote is given, can't be given yet, or no majority is visible. All nodes that wait
+			// for the same vote to end draw a new delay then; otherwise they would stand at the same moment.
+			state.voteBound = true
+		case state.voteBound:
+			state.voteBound = false
+			m.scheduleCandidacy(state, now, 0)
+		case now < state.standAt:
+		case m.dutyCount() > state.dutyCountAtSchedule:
+			m.scheduleCandidacy(state, now, 0)
 		default:
-			d.standing, d.term = true, max(d.seen, d.given, d.term)+1
-			m.ask(now, name, d, out)
+			state.standing, state.term = true, max(state.highestTerm, state.votedTerm, state.term)+1
+			m.startRound(now, name, state, output)
 		}
 	}
-	if now-m.announced >= m.lease/3 {
-		m.announced = now
-		announce := Message{Kind: Announce, From: m.self}
-		for _, name := range m.names {
-			if seen := m.duties[name].seen; seen > 0 {
-				announce.Terms = append(announce.Terms, Tenure{Duty: name, Term: seen})
+	if now-m.announcedAt >= m.leaseMs/3 {
+		m.announcedAt = now
+		announcement := Message{Kind: Announce, From: m.self}
+		for _, name := range m.dutyNames {
+			if highestTerm := m.duties[name].highestTerm; highestTerm > 0 {
+				announcement.Terms = append(announcement.Terms, Tenure{Duty: name, Term: highestTerm})
 			}
 			if term, ok := m.Holds(now, name); ok {
-				announce.Held = append(announce.Held, Tenure{Duty: name, Term: term})
+				announcement.Held = append(announcement.Held, Tenure{Duty: name, Term: term})
 			}
 		}
 		for _, id := range m.peers() {
-			announce.To = id
-			out.Send = append(out.Send, announce)
+			announcement.To = id
+			output.Send = append(output.Send, announcement)
 		}
 	}
 }
 
-// ask opens a round, with this bothy's own vote first.
-func (m *Machine) ask(now float64, name string, d *duty, out *Out) {
-	m.round++
-	d.asked, m.asked[m.round] = now, now
-	maps.DeleteFunc(m.asked, func(_ uint64, at float64) bool { return now-at > m.lease })
-	maps.DeleteFunc(d.rounds, func(_ uint64, r *round) bool { return now-r.asked > m.lease })
-	r := &round{asked: now, yes: map[string]bool{}, no: map[string]bool{}, vacant: map[string]float64{}, idle: map[string]float64{}}
-	d.rounds[m.round] = r
-	g := Message{Kind: Ballot, From: m.self, Duty: name, Term: d.term, Life: m.life, Round: m.round}
+// startRound starts a round of ballots with this node's own vote.
+func (m *Machine) startRound(now float64, name string, state *duty, output *Out) {
+	m.lastRound++
+	state.requestedAt, m.roundStartedAt[m.lastRound] = now, now
+	maps.DeleteFunc(m.roundStartedAt, func(_ uint64, at float64) bool { return now-at > m.leaseMs })
+	maps.DeleteFunc(state.rounds, func(_ uint64, ballots *round) bool { return now-ballots.startedAt > m.leaseMs })
+	ballots := &round{startedAt: now, accepted: map[string]bool{}, refused: map[string]bool{}, vacantMs: map[string]float64{}, idleMs: map[string]float64{}}
+	state.rounds[m.lastRound] = ballots
+	ballot := Message{Kind: Ballot, From: m.self, Duty: name, Term: state.term, Life: m.incarnation, Round: m.lastRound}
 	for _, id := range m.peers() {
-		g.To = id
-		out.Send = append(out.Send, g)
+		ballot.To = id
+		output.Send = append(output.Send, ballot)
 	}
-	if mine := m.vote(now, d, g); mine.Yes {
-		r.yes[m.self], r.vacant[m.self] = true, mine.VacantMs
-		m.weigh(now, name, d, r, out)
-		m.learn(now, name, d, r, out)
+	if ownVote := m.vote(now, state, ballot); ownVote.Yes {
+		ballots.accepted[m.self], ballots.vacantMs[m.self] = true, ownVote.VacantMs
+		m.updateLease(now, name, state, ballots, output)
+		m.extendVacancy(now, name, state, ballots, output)
 	} else {
-		r.no[m.self] = true
+		ballots.refused[m.self] = true
 	}
 }
--- a/internal/election/scale_bench_test.go
+++ b/internal/election/scale_bench_test.go
@@ -7,96 +7,96 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkScale is ten calm seconds of an electorate: messages, bytes and steps of all of them,
-// and how long the first duties take to be held.
+// BenchmarkScale measures ten quiet seconds of an electorate: the messages, bytes and steps of all
+// nodes, and how long it takes until every duty is first held.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []int{3, 5, 9, 15, 23, 44} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				w := newTally(n)
-				for w.now < 10e3 && w.held() < len(works) {
-					w.step()
+				cluster := newCountedCluster(n)
+				for cluster.now < 10e3 && cluster.heldDuties() < len(testDuties) {
+					cluster.step()
 				}
-				first := w.now
-				for w.now < first+5e3 {
-					w.step()
+				allHeldAt := cluster.now
+				for cluster.now < allHeldAt+5e3 {
+					cluster.step()
 				}
-				w.sent, w.bytes = 0, 0
+				cluster.sentMessages, cluster.sentBytes = 0, 0
 				b.StartTimer()
-				for end := w.now + 10e3; w.now < end; {
-					w.step()
+				for end := cluster.now + 10e3; cluster.now < end; {
+					cluster.step()
 				}
-				b.ReportMetric(float64(w.sent)/10/float64(n), "msg/s/core")
-				b.ReportMetric(float64(w.bytes)/10/float64(n), "B/s/core")
-				b.ReportMetric(first, "ms-to-first")
+				b.ReportMetric(float64(cluster.sentMessages)/10/float64(n), "msg/s/core")
+				b.ReportMetric(float64(cluster.sentBytes)/10/float64(n), "B/s/core")
+				b.ReportMetric(allHeldAt, "ms-to-first")
 			}
 		})
 	}
 }
 
-// tally is wardens whose messages take 40 ms and are counted.
-type tally struct {
-	now         float64
-	ids         []string
-	all         []*Machine
-	by          map[string]*Machine
-	way         []tallied
-	sent, bytes int
+// countedCluster is a cluster whose messages take 40 ms and are counted.
+type countedCluster struct {
+	now                     float64
+	ids                     []string
+	machines                []*Machine
+	machineByID             map[string]*Machine
+	inTransit               []delivery
+	sentMessages, sentBytes int
 }
 
-type tallied struct {
-	due float64
-	g   Message
+type delivery struct {
+	dueAt   float64
+	message Message
 }
 
-func newTally(n int) *tally {
-	w := &tally{by: map[string]*Machine{}}
+func newCountedCluster(n int) *countedCluster {
+	c := &countedCluster{machineByID: map[string]*Machine{}}
 	for i := range n {
-		w.ids = append(w.ids, fmt.Sprintf("10.9.0.%d:7461", i+1))
+		c.ids = append(c.ids, fmt.Sprintf("10.9.0.%d:7461", i+1))
 	}
-	for i, id := range w.ids {
-		m := New(id, uint64(i+1), 0, 0, true, works...)
-		m.Electorate(0, 0, w.ids, 1, 0)
-		w.all, w.by[id] = append(w.all, m), m
+	for i, id := range c.ids {
+		m := New(id, uint64(i+1), 0, 0, true, testDuties...)
+		m.Electorate(0, 0, c.ids, 1, 0)
+		c.machines, c.machineByID[id] = append(c.machines, m), m
 	}
-	return w
+	return c
 }
 
-func (w *tally) held() (n int) {
-	for _, duty := range works {
-		for _, m := range w.all {
+func (w *countedCluster) heldDuties() (count int) {
+	for _, duty := range testDuties {
+		for _, m := range w.machines {
 			if _, ok := m.Holds(w.now, duty); ok {
-				n++
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-func (w *tally) take(o Out) {
-	for _, g := range o.Send {
-		raw, _ := cbor.Marshal(g)
-		w.sent, w.bytes = w.sent+1, w.bytes+len(raw)
-		w.way = append(w.way, tallied{w.now + 40, g})
+func (w *countedCluster) send(output Out) {
+	for _, message := range output.Send {
+		encoded, _ := cbor.Marshal(message)
+		w.sentMessages, w.sentBytes = w.sentMessages+1, w.sentBytes+len(encoded)
+		w.inTransit = append(w.inTransit, delivery{w.now + 40, message})
 	}
 }
 
-func (w *tally) step() {
+func (w *countedCluster) step() {
 	w.now += 20
-	due := w.way
-	w.way = nil
-	for _, x := range due {
-		if x.due > w.now {
-			w.way = append(w.way, x)
+	messages := w.inTransit
+	w.inTransit = nil
+	for _, item := range messages {
+		if item.dueAt > w.now {
+			w.inTransit = append(w.inTransit, item)
 		} else {
-			w.take(w.by[x.g.To].Step(w.now, Event{Kind: Heard, Message: x.g}))
+			w.send(w.machineByID[item.message.To].Step(w.now, Event{Kind: Heard, Message: item.message}))
 		}
 	}
-	for _, m := range w.all {
+	for _, m := range w.machines {
 		if int(w.now)%300 == 0 {
 			m.Electorate(w.now, w.now, w.ids, 1, 0)
 		}
-		w.take(m.Step(w.now, Event{Kind: Tick}))
+		w.send(m.Step(w.now, Event{Kind: Tick}))
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,9 @@
-// Package membership keeps who is a member: gatekeepers sign with one bothy each, the bothies
-// tell each other their sessions, and a gatekeeper is a member while it signs with any of them.
+// Package membership tracks which gatekeepers are members of the cluster. Each gatekeeper sends
+// heartbeats to one control node (program bothy), the control nodes report their sessions to each
+// other, and a gatekeeper is a member while its heartbeats reach any of them.
 //
-// Times are milliseconds of the caller's steady clock. Between bothies only ages travel, since
-// their clocks have nothing in common.
+// Times are in milliseconds of the caller's steady clock. Control nodes send each other only ages,
+// since their clocks are unrelated.
 package membership
 
 import (
@@ -15,73 +16,76 @@
 )
 
 const (
-	// DefaultLapseMs is how long a guest stays a member without a sign: three waits of its call.
+	// DefaultLapseMs is how long a gatekeeper stays a member without a heartbeat, in milliseconds: three
+	// waits of its call.
 	DefaultLapseMs = 1500
-	// keepMs is how long a guest that lapsed is still known, and how long a dead life is remembered.
-	keepMs = 30_000
-	// partingMs is how long a page repeats that a guest left, for pages that get lost.
-	partingMs = 5000
-	// freshMs is how long another bothy counts as in touch without a page: two that were lost, and less than it takes
-	// for sessions that it told of to lapse.
-	freshMs = 700
-	// driftPart is by how much of the time two clocks may run apart.
-	driftPart = 0.001
+	// retentionMs is how long a lapsed gatekeeper is still known, and how long an ended incarnation is
+	// remembered.
+	retentionMs = 30_000
+	// departureRepeatMs is how long reports repeat that a gatekeeper left, in case some are lost.
+	departureRepeatMs = 5000
+	// peerTimeoutMs is how long another control node counts as connected without a report: long enough for
+	// two lost reports, and shorter than the time after which the sessions it reported lapse.
+	peerTimeoutMs = 700
+	// maxClockDrift is the largest relative drift between two clocks.
+	maxClockDrift = 0.001
 )
 
-// Member is what a gatekeeper says of itself when it signs.
+// Member is what a gatekeeper reports about itself in a heartbeat.
 type Member struct {
 	Station string  `cbor:"1,keyasint,omitempty"`
 	Zone    string  `cbor:"2,keyasint,omitempty"`
 	Region  string  `cbor:"3,keyasint,omitempty"`
-	Life    uint64  `cbor:"4,keyasint,omitempty"` // drawn at random by each process
-	Turn    uint64  `cbor:"5,keyasint,omitempty"` // counts the signs of this life, so that a page that came late can't undo a newer sign
+	Life    uint64  `cbor:"4,keyasint,omitempty"` // incarnation: drawn at random by each process
+	Turn    uint64  `cbor:"5,keyasint,omitempty"` // sequence number of the heartbeat, so that a delayed report can't override a newer heartbeat
 	Counter string  `cbor:"6,keyasint,omitempty"` // ip:port for clients
 	Inner   string  `cbor:"7,keyasint,omitempty"` // ip:port for other gatekeepers
 	Ready   bool    `cbor:"8,keyasint,omitempty"`
 	Leaving bool    `cbor:"9,keyasint,omitempty"`
 	Load    float64 `cbor:"10,keyasint,omitempty"`
-	Alone   bool    `cbor:"11,keyasint,omitempty"` // overloaded while the others are not: clients better go to these
+	Alone   bool    `cbor:"11,keyasint,omitempty"` // overloaded while the others are not: clients should prefer the others
 }
 
-// Session is a guest that signs with the bothy that tells it.
+// Session is a gatekeeper that sends heartbeats to the reporting control node.
 type Session struct {
 	Member Member  `cbor:"1,keyasint,omitempty"`
-	AgeMs  float64 `cbor:"2,keyasint,omitempty"` // since its last sign
-	Gone   bool    `cbor:"3,keyasint,omitempty"` // it has said goodbye
+	AgeMs  float64 `cbor:"2,keyasint,omitempty"` // since its last heartbeat
+	Gone   bool    `cbor:"3,keyasint,omitempty"` // it has left the cluster
 }
 
-// Page is what one bothy tells the others.
+// Page is a report that one control node sends to the others.
 type Page struct {
 	From     string    `cbor:"1,keyasint,omitempty"`
-	Life     uint64    `cbor:"2,keyasint,omitempty"` // of the bothy's process
-	Serial   uint64    `cbor:"3,keyasint,omitempty"` // rises within that life
+	Life     uint64    `cbor:"2,keyasint,omitempty"` // incarnation of the sender
+	Serial   uint64    `cbor:"3,keyasint,omitempty"` // increases within that incarnation
 	Sessions []Session `cbor:"4,keyasint,omitempty"`
-	Briefs   []Brief   `cbor:"5,keyasint,omitempty"` // of sessions whose guests were told before
-	// At is when it was made, by the teller's clock and never 0 then. A page that lay in a process that stood
-	// still says how old its sessions were then; against other pages' times that shows.
+	Briefs   []Brief   `cbor:"5,keyasint,omitempty"` // sessions of gatekeepers that were reported in full before
+	// At is when the report was made, by the sender's clock, and never 0. If a process freezes before it
+	// sends a report, the ages in it are out of date; comparing At with that of other reports shows this.
 	At float64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Brief is a session whose guest the hearer knows as it is.
+// Brief is a session of a gatekeeper that the receiver already knows in its current state.
 type Brief struct {
 	Life  uint64  `cbor:"1,keyasint,omitempty"`
 	Turn  uint64  `cbor:"2,keyasint,omitempty"`
 	AgeMs float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Roll is the members at one moment.
+// Roll is the list of members at one moment.
 type Roll struct {
-	Book    uint64   // life of the bothy; versions compare only within it
-	Version uint64   // rises when a member comes, goes or changes; Load alone doesn't count
-	Members []Member // sorted by Station
+	Book    uint64   // incarnation of the control node; versions are only comparable within it
+	Version uint64   // increases when a member joins, leaves or changes; a change of Load alone doesn't count
+	Members []Member // sorted by node
 }
 
-// Place is the station's place in the agreed order and how many have one; -1 if it has none.
-func (r Roll) Place(station string) (place, n int) {
-	i, ok := slices.BinarySearchFunc(r.Members, station, func(g Member, s string) int {
-		if g.Station < s {
+// Place returns the index of a node in the sorted member list and the number of members. The index is
+// -1 if the node is not a member.
+func (r Roll) Place(node string) (memberIndex, count int) {
+	index, ok := slices.BinarySearchFunc(r.Members, node, func(member Member, target string) int {
+		if member.Station < target {
 			return -1
-		} else if g.Station > s {
+		} else if member.Station > target {
 			return 1
 		}
 		return 0
@@ -89,384 +93,391 @@
 	if !ok {
 		return -1, len(r.Members)
 	}
-	return i, len(r.Members)
+	return index, len(r.Members)
 }
 
-// entry is the freshest that is known of a station, whoever told it.
-type entry struct {
-	guest Member
-	at    float64            // of its last sign
-	gone  bool               // it said goodbye
-	dead  map[uint64]float64 // lives that were replaced, and when
-	came  float64            // when the life was first heard of
-	last  float64            // the same of the life before, -Inf for none
+// nodeEntry is the newest information about a node from any control node.
+type nodeEntry struct {
+	member            Member
+	heartbeatAt       float64            // of its last heartbeat
+	left              bool               // it has left the cluster
+	ended             map[uint64]float64 // replaced incarnations, and when they were replaced
+	startedAt         float64            // when the incarnation was first reported
+	previousStartedAt float64            // when the previous incarnation was first reported, -Inf for none
 }
 
-// session is a sign given to this bothy.
+// session is a gatekeeper that sends heartbeats to this control node.
 type session struct {
-	guest Member
-	at    float64
-	gone  bool
+	member      Member
+	heartbeatAt float64
+	left        bool
 }
 
-// teller is another bothy.
-type teller struct {
-	life, serial uint64
-	at           float64
-	since        float64 // it has been in touch
-	dead         map[uint64]float64
-	ahead        float64 // how far our clock is ahead of its, by the page that was fastest here
-	timed        bool
+// peer is another control node.
+type peer struct {
+	incarnation, sequence uint64
+	lastReportAt          float64
+	connectedSince        float64 // since when it has been connected
+	ended                 map[uint64]float64
+	clockLeadMs           float64 // how far the local clock is ahead of the peer's, plus the delay of the fastest report
+	hasClockLead          bool
 }
 
-// late is how much longer than others a page was on its way.
-func (t *teller) late(now, at float64) float64 {
-	if at == 0 {
+// extraDelay returns how much longer than the fastest report a report took to arrive.
+func (t *peer) extraDelay(now, sentAt float64) float64 {
+	if sentAt == 0 {
 		return 0
 	}
-	if ahead := now - at; !t.timed {
-		t.ahead, t.timed = ahead, true
+	if leadMs := now - sentAt; !t.hasClockLead {
+		t.clockLeadMs, t.hasClockLead = leadMs, true
 	} else {
-		t.ahead = min(ahead, t.ahead+driftPart*(now-t.at))
+		t.clockLeadMs = min(leadMs, t.clockLeadMs+maxClockDrift*(now-t.lastReportAt))
 	}
-	return now - at - t.ahead
+	return now - sentAt - t.clockLeadMs
 }
 
-// Book is one bothy's view of all sessions. It isn't safe for use by several goroutines.
+// Book is one control node's view of all sessions. It isn't safe for concurrent use.
 type Book struct {
-	self    string
-	life    uint64
-	lapse   float64
-	born    float64
-	serial  uint64
-	own     map[string]session
-	entries map[string]*entry
-	tellers map[string]*teller
-	roll    Roll
-	rollTo  float64 // until when it holds if nothing changes, 0 for not at all
-	// recalled is when this process learned of a life of a station that an earlier process had noted.
-	recalled map[string]float64
-}
-
-// New opens an empty book. The life is drawn at random by the caller for each process: without
-// it the pages of a bothy that was restarted would look older than those before.
-func New(self string, life uint64, now, lapseMs float64) *Book {
+	self              string
+	incarnation       uint64
+	lapseMs           float64
+	createdAt         float64
+	sequence          uint64
+	sessions          map[string]session
+	entries           map[string]*nodeEntry
+	peers             map[string]*peer
+	members           Roll
+	membersValidUntil float64 // valid until then if nothing changes, 0 if it has to be computed again
+	// restored holds when this process learned of an incarnation of a node that an earlier process had
+	// recorded.
+	restored map[string]float64
+}
+
+// New returns an empty Book. The caller draws life, the incarnation, at random for each process:
+// otherwise the reports of a restarted control node would look older than those before.
+func New(self string, incarnation uint64, now, lapseMs float64) *Book {
 	if lapseMs <= 0 {
 		lapseMs = DefaultLapseMs
 	}
-	return &Book{self: self, life: life, lapse: lapseMs, born: now, own: map[string]session{}, entries: map[string]*entry{},
-		tellers: map[string]*teller{}, roll: Roll{Book: life, Version: 1}}
+	return &Book{self: self, incarnation: incarnation, lapseMs: lapseMs, createdAt: now, sessions: map[string]session{}, entries: map[string]*nodeEntry{},
+		peers: map[string]*peer{}, members: Roll{Book: incarnation, Version: 1}}
 }
 
-// Sign takes a sign that was given to this bothy.
-func (b *Book) Sign(now float64, g Member) {
-	if b.note(now, now, g, false) {
-		b.own[g.Station] = session{guest: g, at: now}
+// Sign handles a heartbeat received by this control node.
+func (b *Book) Sign(now float64, member Member) {
+	if b.record(now, now, member, false) {
+		b.sessions[member.Station] = session{member: member, heartbeatAt: now}
 	}
 }
 
-// Leave takes a guest's goodbye: the process ends, and no page told before can bring it back. A
-// session whose connection broke is no goodbye, since the guest may sign elsewhere.
-func (b *Book) Leave(now float64, station string, life uint64) {
-	e := b.entries[station]
-	if e == nil || e.guest.Life != life {
+// Leave handles a gatekeeper's announcement that its process ends; no earlier report can make it a
+// member again. A broken connection doesn't count as leaving, since the gatekeeper may continue at
+// another control node.
+func (b *Book) Leave(now float64, node string, incarnation uint64) {
+	entry := b.entries[node]
+	if entry == nil || entry.member.Life != incarnation {
 		return
 	}
-	e.gone, e.at = true, now
-	b.rollTo = 0
-	b.own[station] = session{guest: e.guest, at: now, gone: true}
+	entry.left, entry.heartbeatAt = true, now
+	b.membersValidUntil = 0
+	b.sessions[node] = session{member: entry.member, heartbeatAt: now, left: true}
 }
 
-// Tell is the page for the other bothies. Lapsed sessions are in it as long as they are Known, so
-// that a bothy that has just started keeps the same in reserve.
+// Tell returns the full report for the other control nodes. Lapsed sessions are included while they
+// are Known, so that a control node that has just started reserves the same quotas for them.
 func (b *Book) Tell(now float64) Page {
-	b.sweep(now)
-	b.serial++
-	p := Page{From: b.self, Life: b.life, Serial: b.serial, At: math.Round(now) + 1}
-	for _, name := range slices.Sorted(maps.Keys(b.own)) {
-		s := b.own[name]
-		p.Sessions = append(p.Sessions, Session{Member: s.guest, AgeMs: max(0, now-s.at), Gone: s.gone})
+	b.removeExpired(now)
+	b.sequence++
+	page := Page{From: b.self, Life: b.incarnation, Serial: b.sequence, At: math.Round(now) + 1}
+	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
+		s := b.sessions[name]
+		page.Sessions = append(page.Sessions, Session{Member: s.member, AgeMs: max(0, now-s.heartbeatAt), Gone: s.left})
 	}
-	return p
+	return page
 }
 
-// Hear takes another bothy's page. One that was overtaken is dropped, for its ages would make old
-// sessions look fresh. A bothy that falls silent needs no care: its sessions age.
-func (b *Book) Hear(now float64, p Page) {
-	if p.From == b.self {
+// Hear handles another control node's report. A report older than the last one is dropped, because its
+// ages would make old sessions look recent. A silent control node needs no special handling: its
+// sessions grow older and lapse.
+func (b *Book) Hear(now float64, page Page) {
+	if page.From == b.self {
 		return
 	}
-	t := b.tellers[p.From]
+	sender := b.peers[page.From]
 	switch {
-	case t == nil:
-		t = &teller{life: p.Life, dead: map[uint64]float64{}}
-		b.tellers[p.From] = t
-	case t.life == p.Life:
-		if p.Serial <= t.serial {
+	case sender == nil:
+		sender = &peer{incarnation: page.Life, ended: map[uint64]float64{}}
+		b.peers[page.From] = sender
+	case sender.incarnation == page.Life:
+		if page.Serial <= sender.sequence {
 			return
 		}
 	default:
-		if _, dead := t.dead[p.Life]; dead && now-t.at <= 2*b.lapse {
+		if _, dead := sender.ended[page.Life]; dead && now-sender.lastReportAt <= 2*b.lapseMs {
 			return
 		}
-		delete(t.dead, p.Life)
-		t.dead[t.life] = now
-		t.life, t.timed = p.Life, false
+		delete(sender.ended, page.Life)
+		sender.ended[sender.incarnation] = now
+		sender.incarnation, sender.hasClockLead = page.Life, false
 	}
-	late := t.late(now, p.At)
-	if t.at == 0 || now-t.at > freshMs {
-		t.since = now
+	extraDelayMs := sender.extraDelay(now, page.At)
+	if sender.lastReportAt == 0 || now-sender.lastReportAt > peerTimeoutMs {
+		sender.connectedSince = now
 	}
-	t.serial, t.at = p.Serial, now
-	for _, s := range p.Sessions {
-		b.note(now, now-late-max(0, s.AgeMs), s.Member, s.Gone)
+	sender.sequence, sender.lastReportAt = page.Serial, now
+	for _, s := range page.Sessions {
+		b.record(now, now-extraDelayMs-max(0, s.AgeMs), s.Member, s.Gone)
 	}
-	if len(p.Briefs) == 0 {
+	if len(page.Briefs) == 0 {
 		return
 	}
-	lives := make(map[uint64]*entry, len(b.entries))
+	byIncarnation := make(map[uint64]*nodeEntry, len(b.entries))
 	for _, e := range b.entries {
-		lives[e.guest.Life] = e
+		byIncarnation[e.member.Life] = e
 	}
-	for _, s := range p.Briefs {
-		if e := lives[s.Life]; e != nil { // else a whole page will tell
-			g := e.guest
-			g.Turn = s.Turn
-			b.note(now, now-late-max(0, s.AgeMs), g, false)
+	for _, s := range page.Briefs {
+		if e := byIncarnation[s.Life]; e != nil { // otherwise a full report will follow
+			member := e.member
+			member.Turn = s.Turn
+			b.record(now, now-extraDelayMs-max(0, s.AgeMs), member, false)
 		}
 	}
 }
 
-// Mark changes with what Tell says beside ages and turns: while it is the same, who has heard a
-// whole page needs a brief one only.
+// Mark returns a hash of what Tell reports except ages and sequence numbers. While it is unchanged, a
+// receiver of a full report only needs brief ones.
 func (b *Book) Mark(now float64) uint64 {
-	b.sweep(now)
-	h := xxh3.New()
-	for _, name := range slices.Sorted(maps.Keys(b.own)) {
-		s := b.own[name]
-		s.guest.Turn, s.guest.Load = 0, 0
-		_, _ = fmt.Fprint(h, s.guest, s.gone)
+	b.removeExpired(now)
+	hash := xxh3.New()
+	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
+		s := b.sessions[name]
+		s.member.Turn, s.member.Load = 0, 0
+		_, _ = fmt.Fprint(hash, s.member, s.left)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// Brief is the page for who has heard a whole one under the same mark: sessions that stand.
+// Brief returns the report for receivers of a full report with the same mark: it only renews sessions.
 func (b *Book) Brief(now float64) Page {
-	b.serial++
-	p := Page{From: b.self, Life: b.life, Serial: b.serial, At: math.Round(now) + 1}
-	for _, name := range slices.Sorted(maps.Keys(b.own)) {
-		if s := b.own[name]; !s.gone && now-s.at <= b.lapse {
-			p.Briefs = append(p.Briefs, Brief{Life: s.guest.Life, Turn: s.guest.Turn, AgeMs: math.Round(max(0, now-s.at))})
+	b.sequence++
+	page := Page{From: b.self, Life: b.incarnation, Serial: b.sequence, At: math.Round(now) + 1}
+	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
+		if s := b.sessions[name]; !s.left && now-s.heartbeatAt <= b.lapseMs {
+			page.Briefs = append(page.Briefs, Brief{Life: s.member.Life, Turn: s.member.Turn, AgeMs: math.Round(max(0, now-s.heartbeatAt))})
 		}
 	}
-	return p
+	return page
 }
 
-// note takes one sign, given at the time `at`, and says whether it counts.
+// record takes one heartbeat, sent at the time sentAt, and reports whether it counts.
 //
-// Of two lives of a station the one with the fresher sign holds, and the other is dead: a late
-// page of it counts for nothing. Only when the life that replaced it has been silent for two
-// lapses does a dead one return; else a page that came very late could shut out a living
-// gatekeeper until its next start.
-func (b *Book) note(now, at float64, g Member, gone bool) bool {
-	if now-at > keepMs {
+// Of two incarnations of a node, the one with the more recent heartbeat is current and the other has
+// ended: a delayed report of it is ignored. An ended incarnation only becomes current again when the
+// one that replaced it has been silent for two lapse times; otherwise a very late report could exclude
+// a running gatekeeper until its next start.
+func (b *Book) record(now, sentAt float64, member Member, left bool) bool {
+	if now-sentAt > retentionMs {
 		return false
 	}
-	e := b.entries[g.Station]
-	if e == nil || gone || e.gone || now-e.at > b.lapse || !same(e.guest, g) {
-		b.rollTo = 0
+	entry := b.entries[member.Station]
+	if entry == nil || left || entry.left || now-entry.heartbeatAt > b.lapseMs || !equalExceptLoad(entry.member, member) {
+		b.membersValidUntil = 0
 	}
-	if e == nil {
-		b.entries[g.Station] = &entry{guest: g, at: at, gone: gone, dead: map[uint64]float64{}, came: now, last: b.lastOf(g.Station)}
+	if entry == nil {
+		b.entries[member.Station] = &nodeEntry{member: member, heartbeatAt: sentAt, left: left, ended: map[uint64]float64{}, startedAt: now, previousStartedAt: b.previousStart(member.Station)}
 		return true
 	}
-	if e.guest.Life == g.Life {
-		if e.gone {
+	if entry.member.Life == member.Life {
+		if entry.left {
 			return false
 		}
-		if gone || g.Turn > e.guest.Turn || g.Turn == e.guest.Turn && at >= e.at {
-			e.guest, e.gone = g, gone
-		} else if g.Turn < e.guest.Turn {
+		if left || member.Turn > entry.member.Turn || member.Turn == entry.member.Turn && sentAt >= entry.heartbeatAt {
+			entry.member, entry.left = member, left
+		} else if member.Turn < entry.member.Turn {
 			return false
 		}
-		e.at = max(e.at, at)
+		entry.heartbeatAt = max(entry.heartbeatAt, sentAt)
 		return true
 	}
-	if _, dead := e.dead[g.Life]; dead && at-e.at <= 2*b.lapse {
+	if _, ended := entry.ended[member.Life]; ended && sentAt-entry.heartbeatAt <= 2*b.lapseMs {
 		return false
 	}
-	if at <= e.at {
-		e.dead[g.Life] = now
+	if sentAt <= entry.heartbeatAt {
+		entry.ended[member.Life] = now
 		return false
 	}
-	delete(e.dead, g.Life)
-	e.dead[e.guest.Life] = now
-	e.guest, e.at, e.gone = g, at, gone
-	e.came, e.last = now, e.came
+	delete(entry.ended, member.Life)
+	entry.ended[entry.member.Life] = now
+	entry.member, entry.heartbeatAt, entry.left = member, sentAt, left
+	entry.startedAt, entry.previousStartedAt = now, entry.startedAt
 	return true
 }
 
-// Again tells whether an earlier life of the station was first heard of less than so long ago: what a
-// life may take once in that time may have been taken. A bothy that has just started takes all lives
-// for new ones.
-func (b *Book) Again(now float64, station string, within float64) bool {
-	e := b.entries[station]
-	return e != nil && now-e.last < within
+// Again reports whether an earlier incarnation of the node was first reported less than withinMs
+// milliseconds ago. What an incarnation may use only once in that time may then have been used
+// already. A control node that has just started takes every incarnation for a new one.
+func (b *Book) Again(now float64, node string, withinMs float64) bool {
+	entry := b.entries[node]
+	return entry != nil && now-entry.previousStartedAt < withinMs
 }
 
-// Recall brings the stations of which an earlier process of this registry noted that a life had begun of late. It may
-// have begun right before this process did.
-func (b *Book) Recall(now float64, stations []string) {
-	b.recalled = make(map[string]float64, len(stations))
-	for _, s := range stations {
-		b.recalled[s] = now
+// Recall installs the nodes of which an earlier process of this control node recorded that an
+// incarnation had started recently. It may have started right before this process did.
+func (b *Book) Recall(now float64, nodes []string) {
+	b.restored = make(map[string]float64, len(nodes))
+	for _, node := range nodes {
+		b.restored[node] = now
 	}
 }
 
-// lastOf is when a life of a station that is new here was heard of before, by an earlier process; -Inf for never.
-func (b *Book) lastOf(station string) float64 {
-	at, ok := b.recalled[station]
+// previousStart returns when an earlier process knew of an incarnation of a node that is new here, or
+// -Inf if it didn't.
+func (b *Book) previousStart(node string) float64 {
+	at, ok := b.restored[node]
 	if !ok {
 		return math.Inf(-1)
 	}
-	delete(b.recalled, station)
+	delete(b.restored, node)
 	return at
 }
 
-// Began tells whether a station's life was first heard of less than so long ago.
-func (b *Book) Began(now float64, station string, within float64) bool {
-	e := b.entries[station]
-	return e != nil && now-e.came < within
+// Began reports whether a node's incarnation was first reported less than withinMs milliseconds ago.
+func (b *Book) Began(now float64, node string, withinMs float64) bool {
+	entry := b.entries[node]
+	return entry != nil && now-entry.startedAt < withinMs
 }
 
-// Recent is the stations of which a life was first heard of less than so long ago, here or by an earlier process, in order.
-func (b *Book) Recent(now, within float64) (stations []string) {
-	for name, e := range b.entries {
-		if now-max(e.came, e.last) < within {
-			stations = append(stations, name)
+// Recent returns, sorted, the nodes of which an incarnation was first reported less than withinMs
+// milliseconds ago, to this process or an earlier one.
+func (b *Book) Recent(now, withinMs float64) (nodes []string) {
+	for name, entry := range b.entries {
+		if now-max(entry.startedAt, entry.previousStartedAt) < withinMs {
+			nodes = append(nodes, name)
 		}
 	}
-	for name, at := range b.recalled {
-		if now-at < within {
-			stations = append(stations, name)
+	for name, at := range b.restored {
+		if now-at < withinMs {
+			nodes = append(nodes, name)
 		}
 	}
-	slices.Sort(stations)
-	return stations
+	slices.Sort(nodes)
+	return nodes
 }
 
-// Members is the roll of now. Members must not be changed by the caller; their Turn and Load may be
-// those of a second ago. It is asked for at every sign, so it is made anew only where a member has
-// come, gone or changed, or may have lapsed.
+// Members returns the current member list. The caller must not change it; Turn and Load of members may
+// be a second old. It is requested at every heartbeat, so it is only computed again if a member has
+// joined, left, changed or may have lapsed.
 func (b *Book) Members(now float64) Roll {
-	if now < b.rollTo {
-		return b.roll
+	if now < b.membersValidUntil {
+		return b.members
 	}
-	b.sweep(now)
-	b.rollTo = now + b.lapse
-	var guests []Member
+	b.removeExpired(now)
+	b.membersValidUntil = now + b.lapseMs
+	var members []Member
 	for _, name := range slices.Sorted(maps.Keys(b.entries)) {
-		if e := b.entries[name]; !e.gone && now-e.at <= b.lapse {
-			guests = append(guests, e.guest)
-			b.rollTo = min(b.rollTo, e.at+b.lapse)
+		if entry := b.entries[name]; !entry.left && now-entry.heartbeatAt <= b.lapseMs {
+			members = append(members, entry.member)
+			b.membersValidUntil = min(b.membersValidUntil, entry.heartbeatAt+b.lapseMs)
 		}
 	}
-	if !slices.EqualFunc(guests, b.roll.Members, same) {
-		b.roll.Version++
+	if !slices.EqualFunc(members, b.members.Members, equalExceptLoad) {
+		b.members.Version++
 	}
-	b.roll.Members = guests
-	return b.roll
+	b.members.Members = members
+	return b.members
 }
 
-// same leaves out what changes with every sign: it would make a new version of each.
-func same(x, y Member) bool {
-	x.Turn, x.Load = y.Turn, y.Load
-	return x == y
+// equalExceptLoad compares members without the fields that change with every heartbeat, which would
+// otherwise produce a new version each time.
+func equalExceptLoad(first, second Member) bool {
+	first.Turn, first.Load = second.Turn, second.Load
+	return first == second
 }
 
-// Known is the members and those that lapsed or left within the last 30 s, for whom something is
-// still kept in reserve.
+// Known returns the members and the gatekeepers that lapsed or left within the last 30 s, for which
+// quotas are still reserved.
 func (b *Book) Known(now float64) []string {
-	b.sweep(now)
+	b.removeExpired(now)
 	return slices.Sorted(maps.Keys(b.entries))
 }
 
-// Heard is the bothies whose pages came within a lapse.
+// Heard returns the control nodes whose reports arrived within the lapse time.
 func (b *Book) Heard(now float64) []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(b.tellers)) {
-		if now-b.tellers[name].at <= b.lapse {
+	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
+		if now-b.peers[name].lastReportAt <= b.lapseMs {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Settled tells whether the roll may be passed on: all the other bothies are in touch, or a majority of them all has
-// been for a lapse. A roll told otherwise may lack most members, as those that sign elsewhere have lapsed here or
-// were not heard of yet, and gatekeepers would divide what they share by too few.
-func (b *Book) Settled(now float64, bothies []string) bool {
-	others, inTouch := 0, make([]float64, 0, len(bothies))
-	for _, name := range bothies {
+// Settled reports whether the member list may be passed on: either all other control nodes are
+// connected, or a majority of all of them has been for the lapse time. Otherwise the list may lack
+// most members, since those with sessions elsewhere have lapsed here or were not reported yet, and
+// gatekeepers would divide shared limits among too few.
+func (b *Book) Settled(now float64, nodes []string) bool {
+	others, inTouch := 0, make([]float64, 0, len(nodes))
+	for _, name := range nodes {
 		if name == b.self {
 			continue
 		}
 		others++
-		if t := b.tellers[name]; t != nil && now-t.at <= freshMs {
-			inTouch = append(inTouch, t.since)
+		if sender := b.peers[name]; sender != nil && now-sender.lastReportAt <= peerTimeoutMs {
+			inTouch = append(inTouch, sender.connectedSince)
 		}
 	}
 	if len(inTouch) == others {
 		return true
 	}
-	needed := (others + 1) / 2 // with this one they are more than half
+	needed := (others + 1) / 2 // together with this one more than half
 	if len(inTouch) < needed {
 		return false
 	}
 	slices.Sort(inTouch)
-	return now-inTouch[needed-1] >= b.lapse
+	return now-inTouch[needed-1] >= b.lapseMs
 }
 
-// AsOf is a time as of which the roll has all members: when the one of the other bothies was
-// heard that has been silent longest. It is not known where one was never heard.
-func (b *Book) AsOf(now float64, bothies []string) (at float64, known bool) {
-	at = now
-	for _, name := range bothies {
+// AsOf returns the time as of which the list contains all members: when the control node that has been
+// silent longest sent its last report. The time is not known if one has never sent a report.
+func (b *Book) AsOf(now float64, nodes []string) (asOf float64, known bool) {
+	asOf = now
+	for _, name := range nodes {
 		if name == b.self {
 			continue
 		}
-		t := b.tellers[name]
-		if t == nil {
+		sender := b.peers[name]
+		if sender == nil {
 			return 0, false
 		}
-		at = min(at, t.at)
+		asOf = min(asOf, sender.lastReportAt)
 	}
-	return at, true
+	return asOf, true
 }
 
-// sweep forgets what can't matter any more.
-func (b *Book) sweep(now float64) {
-	for name, s := range b.own {
-		if now-s.at > keepMs || s.gone && now-s.at > partingMs {
-			delete(b.own, name)
+// removeExpired removes expired sessions, entries and peers.
+func (b *Book) removeExpired(now float64) {
+	for name, current := range b.sessions {
+		if now-current.heartbeatAt > retentionMs || current.left && now-current.heartbeatAt > departureRepeatMs {
+			delete(b.sessions, name)
 		}
 	}
-	for name, e := range b.entries {
-		if now-e.at > keepMs {
+	for name, entry := range b.entries {
+		if now-entry.heartbeatAt > retentionMs {
 			delete(b.entries, name)
 			continue
 		}
-		forget(e.dead, now)
+		forgetExpired(entry.ended, now)
 	}
-	for name, t := range b.tellers {
-		if now-t.at > keepMs {
-			delete(b.tellers, name)
+	for name, sender := range b.peers {
+		if now-sender.lastReportAt > retentionMs {
+			delete(b.peers, name)
 			continue
 		}
-		forget(t.dead, now)
+		forgetExpired(sender.ended, now)
 	}
 }
 
-func forget(dead map[uint64]float64, now float64) {
-	maps.DeleteFunc(dead, func(_ uint64, at float64) bool { return now-at > keepMs })
+func forgetExpired(ended map[uint64]float64, now float64) {
+	maps.DeleteFunc(ended, func(_ uint64, at float64) bool { return now-at > retentionMs })
 }
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -9,68 +9,68 @@
 )
 
 const (
-	// fewest is how many gatekeepers of a zone its clients should have: with one, its loss leaves
-	// them nothing until they ask again.
-	fewest = 2
-	// turnMs moves the window by one place where a group has more members than an answer holds, so
-	// that all of them get clients and few connections are given up at a time.
-	turnMs = 2000
+	// minZoneMembers is how many gatekeepers of their zone clients should get: with one, its loss leaves
+	// them none until they resolve again.
+	minZoneMembers = 2
+	// rotationMs is the interval at which the window moves by one member if a group has more members than
+	// an answer holds. All of them get clients, and only few connections are given up at a time.
+	rotationMs = 2000
 )
 
-// Resolve is the addresses for clients of a zone.
+// Resolve returns up to `most` addresses for the clients of a zone:
 //
-//   - The zone's ready members; the rest of its region is added where the zone has fewer than two,
-//     or less than half of what the region's zones have on average (it lost most of them, and
-//     those left would drown).
-//   - All others, where the region has none.
-//   - Those that aren't ready, where nobody is; those that leave, where nobody else is. An empty
-//     answer counts as a failure, so it is the worst of all.
+//   - The ready members of the zone. The rest of its region is added if the zone has fewer than two,
+//     or less than half of the average of the region's zones (it lost most of them, and the others
+//     would be overloaded).
+//   - All other ready members, if the region has none.
+//   - Members that aren't ready, if none is; members that are leaving, if there are no others. An
+//     empty answer counts as a failure, so it is the last resort.
 //
-// The zone's own come first, then the region's, in an order that each zone has for itself.
-func Resolve(now float64, roll Roll, region, zone string, most int) []string {
-	for _, fit := range []func(Member) bool{
+// The zone's own members come first, then the region's, in an order that differs between zones.
+func Resolve(now float64, list Roll, region, zone string, maxCount int) []string {
+	for _, eligible := range []func(Member) bool{
 		func(g Member) bool { return g.Ready && !g.Leaving && !g.Alone },
 		func(g Member) bool { return g.Ready && !g.Leaving },
 		func(g Member) bool { return !g.Leaving },
 		func(Member) bool { return true },
 	} {
-		if found := pick(now, roll, fit, region, zone, most); len(found) > 0 {
+		if found := pickAddresses(now, list, eligible, region, zone, maxCount); len(found) > 0 {
 			return found
 		}
 	}
 	return nil
 }
 
-func pick(now float64, roll Roll, fit func(Member) bool, region, zone string, most int) []string {
-	var own, near, far []Member
+func pickAddresses(now float64, list Roll, eligible func(Member) bool, region, zone string, maxCount int) []string {
+	var zoneMembers, regionMembers, otherMembers []Member
 	zones := map[string]bool{zone: true}
-	for _, g := range roll.Members {
+	for _, member := range list.Members {
 		switch {
-		case g.Counter == "" || !fit(g):
-		case g.Zone == zone:
-			own = append(own, g)
-		case g.Region == region:
-			near = append(near, g)
-			zones[g.Zone] = true
+		case member.Counter == "" || !eligible(member):
+		case member.Zone == zone:
+			zoneMembers = append(zoneMembers, member)
+		case member.Region == region:
+			regionMembers = append(regionMembers, member)
+			zones[member.Zone] = true
 		default:
-			far = append(far, g)
+			otherMembers = append(otherMembers, member)
 		}
 	}
-	groups := [][]Member{own}
-	if len(own) < fewest || 2*len(own)*len(zones) < len(own)+len(near) {
-		groups = append(groups, near)
+	groups := [][]Member{zoneMembers}
+	if len(zoneMembers) < minZoneMembers || 2*len(zoneMembers)*len(zones) < len(zoneMembers)+len(regionMembers) {
+		groups = append(groups, regionMembers)
 	}
-	if len(own)+len(near) == 0 {
-		groups = append(groups, far)
+	if len(zoneMembers)+len(regionMembers) == 0 {
+		groups = append(groups, otherMembers)
 	}
 	var found []string
 	for _, group := range groups {
 		slices.SortFunc(group, func(a, b Member) int {
-			return cmp.Or(cmp.Compare(rank(zone, a.Station), rank(zone, b.Station)), cmp.Compare(a.Station, b.Station))
+			return cmp.Or(cmp.Compare(rendezvousHash(zone, a.Station), rendezvousHash(zone, b.Station)), cmp.Compare(a.Station, b.Station))
 		})
-		first, room := 0, most-len(found)
+		first, room := 0, maxCount-len(found)
 		if len(group) > room {
-			first = int(math.Mod(math.Floor(math.Abs(now)/turnMs), float64(len(group))))
+			first = int(math.Mod(math.Floor(math.Abs(now)/rotationMs), float64(len(group))))
 		}
 		for i := range min(room, len(group)) {
 			found = append(found, group[(first+i)%len(group)].Counter)
@@ -79,30 +79,30 @@
 	return found
 }
 
-// Home is the inner address of the zone's home gatekeeper of a service, among the zone's ready
-// members. "" if none.
-func Home(roll Roll, zone, service string) string {
+// Home returns the address for other gatekeepers of a service's owner among the ready members of a
+// zone, or "" if there is none.
+func Home(list Roll, zone, service string) string {
 	var ready []string
-	for _, g := range roll.Members {
-		if g.Zone == zone && g.Ready && !g.Leaving {
-			ready = append(ready, g.Inner)
+	for _, member := range list.Members {
+		if member.Zone == zone && member.Ready && !member.Leaving {
+			ready = append(ready, member.Inner)
 		}
 	}
 	return HomeAmong(ready, zone, service)
 }
 
-// HomeAmong is the home among a zone's ready members, by their inner addresses: the one with the
-// highest hash, so that a change of members moves only the services that it concerns. Bothies and
-// gatekeepers find it each for themselves.
+// HomeAmong returns a service's owner among the ready members of a zone, given by their addresses for
+// other gatekeepers. It is the one with the highest hash, so that a change of members moves only the
+// services it concerns. Control nodes and gatekeepers compute it independently.
 func HomeAmong(ready []string, zone, service string) string {
-	var home string
-	var best uint64
-	for _, at := range ready {
-		if h := rank(zone+"\x00"+service, at); home == "" || h > best || h == best && at < home {
-			home, best = at, h
+	var owner string
+	var ownerHash uint64
+	for _, addr := range ready {
+		if hash := rendezvousHash(zone+"\x00"+service, addr); owner == "" || hash > ownerHash || hash == ownerHash && addr < owner {
+			owner, ownerHash = addr, hash
 		}
 	}
-	return home
+	return owner
 }
 
-func rank(key, station string) uint64 { return xxh3.HashString(key + "\x00" + station) }
+func rendezvousHash(key, member string) uint64 { return xxh3.HashString(key + "\x00" + member) }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,14 +1,17 @@
-// Package quota allots tenants' quotas to gatekeepers under leases.
+// Package quota divides each tenant's rate limit among the gatekeepers and grants the parts under
+// leases.
 //
-// One bothy, the one that has the duty, runs an Allotter; every other one keeps its own
-// beside it fed with terms and members, so that who lapsed is known when the duty changes.
-// The module has no clock: now is in milliseconds of a steady clock.
+// The control node that holds the allocation duty runs the active Allotter. Every other control node
+// keeps a standby Allotter supplied with the same limits and members, so that after a change of duty
+// holder the new one knows which gatekeepers have lapsed. The package has no clock: every now is in
+// milliseconds of a steady clock.
 //
-// For each tenant, what all gatekeepers may hold (unexpired grants, and everyone's floor,
-// lapsed ones' too) adds up to no more than its rate and its store, at every moment. A
-// window of W seconds then lets through rate x W + store at most, whoever is cut off,
-// killed or lied to by a lost answer; and the kicks of those that start in it. What nobody holds fills a pool, from which those
-// whose buckets are low are helped by whole tokens.
+// At every moment, what all gatekeepers may hold of a tenant's quota (unexpired grants and every
+// gatekeeper's minimum, including those of lapsed gatekeepers) adds up to no more than the tenant's
+// rate and burst capacity. A window of W seconds therefore admits at most rate x W + burst requests,
+// plus the start bursts of gatekeepers that start within it, even if gatekeepers are partitioned,
+// killed or lose answers. The rate that nobody holds accumulates in a pool, from which whole tokens go
+// to gatekeepers whose buckets are low.
 package quota
 
 import (
@@ -17,478 +20,502 @@
 	"strings"
 )
 
-// TokensMs is how long after its asking an answer's tokens may still be added to a bucket.
+// TokensMs is the time in milliseconds after an allocation request within which the tokens of its
+// answer may still be added to a bucket.
 const TokensMs = 400.0
 
-// KickKeepMs is the time in which a kick must be used.
+// KickKeepMs is the time in milliseconds within which a start burst must be used.
 const KickKeepMs = 2000.0
 
 const (
-	slackUsed  = 0.45   // of the rule's excess and slack is for bursts: with less, small tenants are refused
-	kickPart   = 0.5    // and so much for new lives' first tokens; the rest is for what we don't see
-	floorPart  = 0.5    // of the even share is the floor
-	keepLong   = 600e3  // floors of lapsed gatekeepers are kept so long where Bounds says nothing
-	headroom   = 1.25   // times its demand is what a gatekeeper needs
-	poolMost   = 0.5    // of a small tenant's rate goes through the pool
-	poolLess   = 4.0    // requests a second and gatekeeper from which nothing need go through it
-	wholeBelow = 4.0    // tokens a gatekeeper below which stores are dealt in whole ones
-	poolStore  = 0.05   // of a large store stays with the pool
-	poolThin   = 0.85   // of a rate goes through the pool where the store has no token for each,
-	thinTokens = 6.0    // of a store for each gatekeeper, under which a quota is thin
-	floorThin  = 0.1    // and so much of the even share is the floor
-	wantsMost  = 3.0    // tokens are dealt to one such gatekeeper at a time
-	demandOld  = 10e3   // a demand that is older is taken for none
-	endedMost  = 16     // ended lives remembered of a station
-	eps        = 1e-9   // under this, a difference is rounding
-	gone       = -1e300 // long ago
+	burstSlackShare           = 0.45   // share of the permitted excess and slack used for burst capacity; less than this refuses small tenants' requests
+	startBurstShare           = 0.5    // share of the permitted excess and slack used for start bursts; the rest covers effects that are not modeled
+	minimumShare              = 0.5    // minimum as a share of an even division
+	defaultMinimumRetentionMs = 600e3  // milliseconds; retention of lapsed gatekeepers' minimums where Bounds sets none
+	demandHeadroom            = 1.25   // a gatekeeper needs its demand times this factor
+	maxPoolShare              = 0.5    // largest share of a small tenant's rate that goes through the pool
+	poolFreeRatePerMember     = 4.0    // requests per second per gatekeeper from which no rate goes through the pool
+	wholeTokensBelow          = 4.0    // tokens per gatekeeper below which burst capacity is granted in whole tokens
+	pooledBurstShare          = 0.05   // share of a large burst capacity that stays with the pool
+	scarcePoolShare           = 0.85   // share of the rate that goes through the pool where there is less than one token per gatekeeper
+	smallQuotaTokensPerMember = 6.0    // tokens per gatekeeper below which a quota is small
+	scarceMinimumShare        = 0.1    // minimum as a share of an even division where there is less than one token per gatekeeper
+	maxTokensPerGrant         = 3.0    // tokens granted to one gatekeeper at a time
+	demandExpiryMs            = 10e3   // milliseconds after which a reported demand counts as zero
+	maxEndedIncarnations      = 16     // ended incarnations remembered per node
+	epsilon                   = 1e-9   // smaller differences are rounding errors
+	notRemoved                = -1e300 // removal time of a tenant that is configured
 )
 
-// Terms is a tenant's quota. A Rate of 0 is no limit: nothing is allotted.
+// Terms is a tenant's quota: a rate in requests per second and the burst allowed above it. A rate of 0
+// means no limit, and nothing is allocated.
 type Terms struct{ RatePerS, Surge float64 }
 
-// Bounds is the rule that all gatekeepers together must keep, and how long the floor of
-// one that has lapsed stays its own (0 for ten minutes). A gatekeeper must stop using its
-// floor before that, or be known to have ended.
+// Bounds is what all gatekeepers together may admit beyond a tenant's quota: a share Excess of it plus
+// Slack requests in any window of WindowS seconds. FloorKeepMs is how long the minimum of a lapsed
+// gatekeeper stays reserved for it, in milliseconds (0 for ten minutes). A gatekeeper must stop using
+// its minimum before that, unless it is known to have ended.
 type Bounds struct{ WindowS, Excess, Slack, FloorKeepMs float64 }
 
-// Demand is what was asked lately at a gatekeeper, admitted or refused, a second and tenant.
+// Demand is the recent rate of requests at a gatekeeper, admitted or refused, in requests per second
+// by tenant.
 type Demand map[string]float64
 
-// Slice is a gatekeeper's part of a quota. Rate and Burst hold for the lease, Floor and
-// FloorBurst after it. Tokens is, in what a gatekeeper says that it holds, what its bucket
-// has now; in an answer, what is to be added to it, once, if the answer came within
-// TokensMs of its asking. Kick, in an answer or a Floor, is whole tokens beside the burst that a new
-// life may use in its first two seconds, once, as its bucket starts empty. Wants, in what a gatekeeper says, is how many found no token there
-// since its last asking, and Returned how many tokens it has given up since then: they are no longer in its bucket.
+// Slice is a gatekeeper's part of a quota. Rate and Burst are valid during the lease, Floor (the
+// minimum rate) and FloorBurst (the minimum burst) after it.
+//
+// Tokens is, in a gatekeeper's report, the current content of its bucket; in an answer, the tokens to
+// be added to it, once, if the answer arrives within TokensMs of its request. Kick, in an answer or
+// from Floor, is the start burst: whole tokens above Burst that a new incarnation may use once in its
+// first two seconds, since its bucket starts empty. Wants, in a report, is the number of requests that
+// found no token since the last allocation request. Returned, in a report, is the number of tokens
+// given back since then, which are no longer in the bucket.
 type Slice struct {
 	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
 }
 
-// lent is a grant that may be in use until a time.
-type lent struct{ rate, burst, until float64 }
+// grantRecord is a grant that may be in use until it expires.
+type grantRecord struct{ rate, burst, expiresAt float64 }
 
-// hold is what a gatekeeper may hold of a tenant's quota.
-type hold struct {
-	asked         bool // of this allotter; else it may hold a floor that another one granted
-	was, is       lent // what it said it held at its last asking, and what it was answered
-	floor, fburst float64
-	demand, heard float64
+// holdingRecord is what a gatekeeper may hold of a tenant's quota.
+type holdingRecord struct {
+	reported           bool        // has sent this allocator a request; until then it may hold a minimum granted by another one
+	claimed, granted   grantRecord // as reported by its last allocation request, and as granted in the answer
+	minRate, minBurst  float64
+	demand, reportedAt float64
 }
 
+// member is a known or lapsed gatekeeper.
 type member struct {
-	id, station string
-	known       bool // in the list
-	left        float64
-	turn        uint64
-	place       int
-	used        bool
-}
-
-type tenant struct {
-	name        string
-	salt        uint64
-	terms       Terms
-	rate, store float64 // that may be granted in all
-	kick        float64 // for all gatekeepers, should they all be new
-	kicks       []kicked
-	pool        float64
-	poolAt      float64
-	holds       []hold // by the gatekeeper's slot
-	goneAt      float64
-}
-
-// kicked is tokens that a new life was given.
-type kicked struct{ at, tokens float64 }
-
-// Allotter allots the quotas.
+	id, node     string
+	listed       bool // in the last member list
+	lastListedAt float64
+	lastSeq      uint64 // of its last allocation request
+	memberIndex  int
+	inUse        bool // the slot is not free
+}
+
+// tenantQuota is a tenant's limit and what is granted of it.
+type tenantQuota struct {
+	name          string
+	salt          uint64 // spreads whole tokens over different gatekeepers for each tenant
+	limit         Terms
+	rate, burst   float64 // total that may be granted
+	startBurst    float64 // total of start bursts if all gatekeepers start at once
+	startBursts   []startBurstRecord
+	pool          float64 // tokens that no gatekeeper holds
+	poolUpdatedAt float64
+	holdings      []holdingRecord // by member slot
+	removedAt     float64
+}
+
+// startBurstRecord records a start burst given to a new incarnation.
+type startBurstRecord struct{ grantedAt, tokens float64 }
+
+// Allotter allocates the tenants' quotas. It isn't safe for concurrent use.
 type Allotter struct {
-	// Homes tells that gatekeepers ask homes for tokens of thin quotas: those without a demand
-	// need nothing of them.
+	// Homes tells whether gatekeepers take the tokens of small quotas from the quota's owners. Gatekeepers
+	// without a demand are then allocated nothing of them.
 	Homes bool
 
-	lease   float64
-	bounds  Bounds
-	began   float64
-	known   float64 // from then on, no grant of an earlier allotter is left
-	edition uint64
-	tenants map[string]*tenant
-	members []member // slots; those not used are free
-	byID    map[string]int
-	ended   map[string][]string // lives of a station that are over
-	count   int                 // gatekeepers whose floors count
-	needs   []float64
-	looked  uint64
-	told    bool // of members, at least once
-}
-
-// New makes an allotter that has not begun.
-func New(leaseMs float64, b Bounds) *Allotter {
-	if b.FloorKeepMs <= 0 {
-		b.FloorKeepMs = keepLong
-	}
-	return &Allotter{lease: leaseMs, bounds: b, began: math.Inf(1), known: math.Inf(1), tenants: map[string]*tenant{}, byID: map[string]int{}, ended: map[string][]string{}}
-}
-
-// Begin tells that the duty was won, and that nobody had it in so many milliseconds before. What
-// an earlier allotter granted is unknown until each gatekeeper has asked, or one lease is over
-// since it can last have granted: until then nobody is given more than its floor and what
-// it holds already.
+	leaseMs               float64
+	bounds                Bounds
+	beganAt               float64
+	earlierGrantsExpireAt float64 // from then on, every grant of an earlier allocator has expired
+	version               uint64
+	tenants               map[string]*tenantQuota
+	members               []member // slots, of which some are free
+	byID                  map[string]int
+	endedIncarnations     map[string][]string // ended incarnations by node
+	memberCount           int                 // gatekeepers whose minimums are reserved
+	needsBuffer           []float64
+	holdingsExamined      uint64
+	membersReceived       bool // a member list was received
+}
+
+// New returns an Allotter that does not grant anything before Begin.
+func New(leaseMs float64, bounds Bounds) *Allotter {
+	if bounds.FloorKeepMs <= 0 {
+		bounds.FloorKeepMs = defaultMinimumRetentionMs
+	}
+	return &Allotter{leaseMs: leaseMs, bounds: bounds, beganAt: math.Inf(1), earlierGrantsExpireAt: math.Inf(1), tenants: map[string]*tenantQuota{}, byID: map[string]int{}, endedIncarnations: map[string][]string{}}
+}
+
+// Begin starts granting when this node has won the allocation duty, after the duty had no holder for
+// vacantMs milliseconds. The grants of an earlier allocator are unknown until each gatekeeper has sent
+// a request, or until one lease has passed since that allocator's last possible grant. Until then a
+// gatekeeper is granted no more than its minimum and what it already holds.
 func (a *Allotter) Begin(now, vacantMs float64) {
-	a.began, a.known = now, now+a.lease
+	a.beganAt, a.earlierGrantsExpireAt = now, now+a.leaseMs
 	a.Vacant(vacantMs)
-	for _, t := range a.tenants {
-		t.pool, t.poolAt = 0, now
-		for i := range t.holds {
-			t.holds[i].asked = false
+	for _, tenant := range a.tenants {
+		tenant.pool, tenant.poolUpdatedAt = 0, now
+		for i := range tenant.holdings {
+			tenant.holdings[i].reported = false
 		}
 	}
 }
 
-// Vacant tells that the duty was vacant for longer before Begin than was known then.
-func (a *Allotter) Vacant(ms float64) {
-	a.known = min(a.known, a.began+max(a.lease-max(ms, 0), 0))
+// Vacant reports that the duty had been vacant for vacantMs milliseconds before Begin, where that is
+// longer than was known at Begin.
+func (a *Allotter) Vacant(vacantMs float64) {
+	a.earlierGrantsExpireAt = min(a.earlierGrantsExpireAt, a.beganAt+max(a.leaseMs-max(vacantMs, 0), 0))
 }
 
-// Terms brings the tenants' quotas of a configuration; an older one than is held is not heeded.
-// What was granted under other terms counts until its lease is over, floors until their
-// holders have asked again.
-func (a *Allotter) Terms(now float64, terms map[string]Terms, edition uint64) {
-	if edition < a.edition {
+// Terms installs the tenants' quotas of a configuration version and ignores a version older than the
+// current one. What was granted under other limits counts until its lease ends; minimums count until
+// their holders have sent another request.
+func (a *Allotter) Terms(now float64, terms map[string]Terms, version uint64) {
+	if version < a.version {
 		return
 	}
-	a.edition = edition
-	for name, t := range a.tenants {
+	a.version = version
+	for name, tenant := range a.tenants {
 		if _, ok := terms[name]; ok {
 			continue
 		}
-		a.fill(t, now)
-		if t.goneAt == gone {
-			t.goneAt = now
+		a.updatePool(tenant, now)
+		if tenant.removedAt == notRemoved {
+			tenant.removedAt = now
 		}
-		t.terms, t.rate, t.store, t.pool, t.kick = Terms{}, 0, 0, 0, 0
-		if now > t.goneAt+a.bounds.FloorKeepMs {
+		tenant.limit, tenant.rate, tenant.burst, tenant.pool, tenant.startBurst = Terms{}, 0, 0, 0, 0
+		if now > tenant.removedAt+a.bounds.FloorKeepMs {
 			delete(a.tenants, name)
 		}
 	}
-	for name, x := range terms {
-		t := a.tenants[name]
-		if t == nil {
-			t = &tenant{name: name, salt: hash(name), holds: make([]hold, len(a.members)), poolAt: now}
-			a.tenants[name] = t
+	for name, limit := range terms {
+		tenant := a.tenants[name]
+		if tenant == nil {
+			tenant = &tenantQuota{name: name, salt: hash(name), holdings: make([]holdingRecord, len(a.members)), poolUpdatedAt: now}
+			a.tenants[name] = tenant
 		}
-		a.fill(t, now)
-		t.goneAt = gone
-		t.quota(x, a.bounds)
-		t.pool = min(t.pool, t.store)
+		a.updatePool(tenant, now)
+		tenant.removedAt = notRemoved
+		tenant.setLimit(limit, a.bounds)
+		tenant.pool = min(tenant.pool, tenant.burst)
 	}
 }
 
-// station is an id without its life.
-func station(id string) string {
-	if i := strings.LastIndexByte(id, '/'); i >= 0 {
-		return id[:i]
+// nodeOf returns the node part of a "node/incarnation" id.
+func nodeOf(id string) string {
+	if separator := strings.LastIndexByte(id, '/'); separator >= 0 {
+		return id[:separator]
 	}
 	return id
 }
 
-// Members brings the gatekeepers that are known, by "station/life". One that is missing
-// has lapsed; its floor stays its own until its station comes with another life.
+// Members installs the list of known gatekeepers, as "node/incarnation" ids. A missing gatekeeper has
+// lapsed; its minimum stays reserved until the same node appears with another incarnation or the
+// retention time is over.
 func (a *Allotter) Members(now float64, ids []string) {
-	a.told = true
+	a.membersReceived = true
 	for i := range a.members {
-		a.members[i].known = false
+		a.members[i].listed = false
 	}
 	for _, id := range ids {
-		a.meet(now, id)
+		a.memberSlot(now, id)
 	}
-	a.forget(now)
+	a.removeExpired(now)
 }
 
-// meet finds or makes the slot of a gatekeeper; -1 for a life that is over.
-func (a *Allotter) meet(now float64, id string) int {
-	st := station(id)
-	if slices.Contains(a.ended[st], id) {
+// memberSlot returns the slot of a gatekeeper and creates one if necessary. It returns -1 for an
+// incarnation that has ended.
+func (a *Allotter) memberSlot(now float64, id string) int {
+	node := nodeOf(id)
+	if slices.Contains(a.endedIncarnations[node], id) {
 		return -1
 	}
-	if i, ok := a.byID[id]; ok {
-		a.members[i].known, a.members[i].left = true, now
-		return i
+	if slot, ok := a.byID[id]; ok {
+		a.members[slot].listed, a.members[slot].lastListedAt = true, now
+		return slot
 	}
-	for i := range a.members {
-		if m := &a.members[i]; m.used && m.station == st {
-			a.settle(now)
-			over := append(a.ended[st], m.id)
-			a.ended[st] = over[max(0, len(over)-endedMost):]
-			a.drop(i)
+	for slot := range a.members {
+		if m := &a.members[slot]; m.inUse && m.node == node {
+			a.updatePools(now)
+			ended := append(a.endedIncarnations[node], m.id)
+			a.endedIncarnations[node] = ended[max(0, len(ended)-maxEndedIncarnations):]
+			a.removeSlot(slot)
 		}
 	}
-	a.settle(now)
-	i := slices.IndexFunc(a.members, func(m member) bool { return !m.used })
-	if i < 0 {
-		i = len(a.members)
+	a.updatePools(now)
+	slot := slices.IndexFunc(a.members, func(m member) bool { return !m.inUse })
+	if slot < 0 {
+		slot = len(a.members)
 		a.members = append(a.members, member{})
 		for _, t := range a.tenants {
-			t.holds = append(t.holds, hold{})
+			t.holdings = append(t.holdings, holdingRecord{})
 		}
 	}
-	a.members[i] = member{id: id, station: st, known: true, left: now, used: true}
-	a.byID[id] = i
-	a.places()
-	return i
+	a.members[slot] = member{id: id, node: node, listed: true, lastListedAt: now, inUse: true}
+	a.byID[id] = slot
+	a.assignMemberIndexes()
+	return slot
 }
 
-func (a *Allotter) drop(i int) {
-	delete(a.byID, a.members[i].id)
-	a.members[i] = member{}
-	for _, t := range a.tenants {
-		t.holds[i] = hold{}
+// removeSlot frees the slot of a gatekeeper and all that it held.
+func (a *Allotter) removeSlot(slot int) {
+	delete(a.byID, a.members[slot].id)
+	a.members[slot] = member{}
+	for _, tenant := range a.tenants {
+		tenant.holdings[slot] = holdingRecord{}
 	}
 }
 
-// forget drops lapsed gatekeepers whose floors have been kept for long enough.
-func (a *Allotter) forget(now float64) {
-	any := false
+// removeExpired removes lapsed gatekeepers whose minimums have been reserved for the retention time.
+func (a *Allotter) removeExpired(now float64) {
+	removed := false
 	for i := range a.members {
-		if m := &a.members[i]; m.used && !m.known && now > m.left+a.bounds.FloorKeepMs {
-			a.settle(now)
-			a.drop(i)
-			any = true
+		if m := &a.members[i]; m.inUse && !m.listed && now > m.lastListedAt+a.bounds.FloorKeepMs {
+			a.updatePools(now)
+			a.removeSlot(i)
+			removed = true
 		}
 	}
-	if any {
-		a.places()
+	if removed {
+		a.assignMemberIndexes()
 	}
 }
 
-// places numbers the gatekeepers in an order that any allotter finds.
-func (a *Allotter) places() {
+// assignMemberIndexes numbers the gatekeepers in an order that is the same at every allocator.
+func (a *Allotter) assignMemberIndexes() {
 	var order []int
 	for i := range a.members {
-		if a.members[i].used {
+		if a.members[i].inUse {
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(x, y int) int { return strings.Compare(a.members[x].station, a.members[y].station) })
-	for p, i := range order {
-		a.members[i].place = p
+	slices.SortFunc(order, func(x, y int) int { return strings.Compare(a.members[x].node, a.members[y].node) })
+	for index, i := range order {
+		a.members[i].memberIndex = index
 	}
-	a.count = len(order)
+	a.memberCount = len(order)
 }
 
-// thin tells that the store has no whole token for each gatekeeper: then it stays with the
-// pool, and tokens are dealt to those that ask for one.
-func (t *tenant) thin(n int) bool { return t.store < float64(n) }
+// scarce reports whether the burst capacity is less than one token per gatekeeper. It then stays with
+// the pool, and tokens are granted on request.
+func (t *tenantQuota) scarce(memberCount int) bool { return t.burst < float64(memberCount) }
 
-// pooled is the part of a very small rate that goes through the pool.
-func (t *tenant) pooled(n int) float64 {
-	if t.thin(n) {
-		return poolThin
+// poolShare returns the share of a very small rate that goes through the pool.
+func (t *tenantQuota) poolShare(memberCount int) float64 {
+	if t.scarce(memberCount) {
+		return scarcePoolShare
 	}
-	return poolMost
+	return maxPoolShare
 }
 
-// floorOf is the floor of a gatekeeper where all of it is free.
-func (a *Allotter) floorOf(t *tenant, i int) (rate, burst float64) {
-	return t.floor(a.members[i].place, a.count)
+// minimumOf returns the minimum of the gatekeeper in slot i, before checking whether all of it is
+// unallocated.
+func (a *Allotter) minimumOf(tenant *tenantQuota, slot int) (rate, burst float64) {
+	return tenant.minimum(a.members[slot].memberIndex, a.memberCount)
 }
 
-// floor is the floor of the gatekeeper at a place of so many.
-func (t *tenant) floor(place, count int) (rate, burst float64) {
-	n := float64(count)
-	part := floorPart
-	if t.thin(count) {
-		part = floorThin
+// minimum returns the minimum of the gatekeeper at a member index.
+func (t *tenantQuota) minimum(memberIndex, memberCount int) (rate, burst float64) {
+	n := float64(memberCount)
+	share := minimumShare
+	if t.scarce(memberCount) {
+		share = scarceMinimumShare
 	}
-	rate, burst = part*t.rate/n, part*t.store/n
-	if burst < 1 { // whole tokens for some, by turns over the tenants
+	rate, burst = share*t.rate/n, share*t.burst/n
+	if burst < 1 { // whole tokens for some gatekeepers, which differ between tenants
 		burst = 0
-		if (place+int(t.salt%uint64(count)))%count < int(part*t.store) {
+		if (memberIndex+int(t.salt%uint64(memberCount)))%memberCount < int(share*t.burst) {
 			burst = 1
 		}
 	}
 	return rate, burst
 }
 
-// kickOf is the part of the kicks of the gatekeeper at a place of so many, in whole tokens.
-func (t *tenant) kickOf(place, count int) float64 {
-	all := int(t.kick)
-	part := all / count
-	if (place+int(t.salt%uint64(count)))%count < all%count {
+// startBurstOf returns the start burst, in whole tokens, of the gatekeeper at a member index.
+func (t *tenantQuota) startBurstOf(memberIndex, memberCount int) float64 {
+	total := int(t.startBurst)
+	part := total / memberCount
+	if (memberIndex+int(t.salt%uint64(memberCount)))%memberCount < total%memberCount {
 		part++
 	}
 	return float64(part)
 }
 
-// kickNow is what a new life is given, as far as the kicks of a window allow it: gatekeepers
-// that start again and again get no more than all of them would that start once.
-func (a *Allotter) kickNow(t *tenant, i int, now float64) float64 {
-	t.kicks = slices.DeleteFunc(t.kicks, func(k kicked) bool { return now > k.at+a.bounds.WindowS*1e3+KickKeepMs })
-	left := math.Floor(t.kick)
-	for _, k := range t.kicks {
-		left -= k.tokens
+// takeStartBurst returns the start burst for a new incarnation and records it. Within one window all start
+// bursts add up to no more than if every gatekeeper started once, so that gatekeepers that restart
+// repeatedly gain nothing.
+func (a *Allotter) takeStartBurst(tenant *tenantQuota, slot int, now float64) float64 {
+	tenant.startBursts = slices.DeleteFunc(tenant.startBursts, func(k startBurstRecord) bool { return now > k.grantedAt+a.bounds.WindowS*1e3+KickKeepMs })
+	remaining := math.Floor(tenant.startBurst)
+	for _, k := range tenant.startBursts {
+		remaining -= k.tokens
 	}
-	s := min(t.kickOf(a.members[i].place, a.count), max(left, 0))
-	if s > 0 {
-		t.kicks = append(t.kicks, kicked{now, s})
+	startBurst := min(tenant.startBurstOf(a.members[slot].memberIndex, a.memberCount), max(remaining, 0))
+	if startBurst > 0 {
+		tenant.startBursts = append(tenant.startBursts, startBurstRecord{now, startBurst})
 	}
-	return s
+	return startBurst
 }
 
-// Floor is the floor of the gatekeeper at a place of so many, for one that has just started and
-// finds no allotter: that of its last life was kept for its station, and that life has ended. The
-// kick is to be used at most once in a life, and not where the allotter has given one.
-func Floor(name string, x Terms, b Bounds, place, count int) Slice {
-	t := &tenant{name: name, salt: hash(name)}
-	t.quota(x, b)
-	if t.rate <= 0 || count <= 0 {
+// Floor returns the minimum of the gatekeeper at a member index, for a gatekeeper that has just
+// started and reaches no allocator. The minimum of its previous incarnation was reserved for its node,
+// and that incarnation has ended. The start burst may be used at most once per incarnation, and not if
+// the allocator has granted one.
+func Floor(tenantName string, limit Terms, bounds Bounds, memberIndex, memberCount int) Slice {
+	t := &tenantQuota{name: tenantName, salt: hash(tenantName)}
+	t.setLimit(limit, bounds)
+	if t.rate <= 0 || memberCount <= 0 {
 		return Slice{}
 	}
-	var s Slice
-	s.Floor, s.FloorBurst = t.floor(place, count)
-	s.Kick = t.kickOf(place, count)
-	s.Rate, s.Burst = s.Floor, s.FloorBurst
-	return s
+	var minimum Slice
+	minimum.Floor, minimum.FloorBurst = t.minimum(memberIndex, memberCount)
+	minimum.Kick = t.startBurstOf(memberIndex, memberCount)
+	minimum.Rate, minimum.Burst = minimum.Floor, minimum.FloorBurst
+	return minimum
 }
 
-// Thin tells that a quota's store holds few tokens for each of so many gatekeepers. They are
-// better kept together: gatekeepers ask a home for them, and only homes have a demand.
-func Thin(x Terms, b Bounds, count int) bool {
-	var t tenant
-	t.quota(x, b)
-	return t.rate > 0 && t.store < thinTokens*float64(count)
+// Thin reports whether a quota's burst capacity gives each of memberCount gatekeepers only a few
+// tokens. Such a quota is better kept in one place: gatekeepers request tokens from its owners, and
+// only owners report a demand.
+func Thin(limit Terms, bounds Bounds, memberCount int) bool {
+	var t tenantQuota
+	t.setLimit(limit, bounds)
+	return t.rate > 0 && t.burst < smallQuotaTokensPerMember*float64(memberCount)
 }
 
-// quota is what may be granted of a tenant's quota in all.
-func (t *tenant) quota(x Terms, b Bounds) {
-	t.terms, t.rate, t.store = x, 0, 0
-	t.kick = 0
-	if x.RatePerS > 0 {
-		extra := b.Excess*(x.RatePerS*b.WindowS+x.Surge) + b.Slack
-		t.rate, t.store = x.RatePerS, x.Surge+slackUsed*extra
-		t.kick = kickPart * extra
+// setLimit sets the limit of a tenant and the totals that may be granted of it.
+func (t *tenantQuota) setLimit(limit Terms, bounds Bounds) {
+	t.limit, t.rate, t.burst = limit, 0, 0
+	t.startBurst = 0
+	if limit.RatePerS > 0 {
+		permittedExcess := bounds.Excess*(limit.RatePerS*bounds.WindowS+limit.Surge) + bounds.Slack
+		t.rate, t.burst = limit.RatePerS, limit.Surge+burstSlackShare*permittedExcess
+		t.startBurst = startBurstShare * permittedExcess
 	}
 }
 
-// Looked is how often the holding of one gatekeeper of one quota was looked at: the allotter's work.
-func (a *Allotter) Looked() uint64 { return a.looked }
+// Looked returns how often the holding of one gatekeeper of one quota was examined, as a measure of
+// the allocator's work.
+func (a *Allotter) Looked() uint64 { return a.holdingsExamined }
 
-// bound is what a gatekeeper may hold at most at a time.
-func (a *Allotter) bound(t *tenant, i int, now float64) (rate, burst float64) {
-	a.looked++
-	h := &t.holds[i]
-	rate, burst = h.floor, h.fburst
-	if !h.asked {
-		r, b := a.floorOf(t, i)
+// upperBound returns the most that a gatekeeper may hold at a time.
+func (a *Allotter) upperBound(tenant *tenantQuota, slot int, now float64) (rate, burst float64) {
+	a.holdingsExamined++
+	record := &tenant.holdings[slot]
+	rate, burst = record.minRate, record.minBurst
+	if !record.reported {
+		r, b := a.minimumOf(tenant, slot)
 		rate, burst = max(rate, r), max(burst, b)
 	}
-	for _, l := range [...]*lent{&h.was, &h.is} {
-		if now < l.until {
-			rate, burst = max(rate, l.rate), max(burst, l.burst)
+	for _, grant := range [...]*grantRecord{&record.claimed, &record.granted} {
+		if now < grant.expiresAt {
+			rate, burst = max(rate, grant.rate), max(burst, grant.burst)
 		}
 	}
 	return rate, burst
 }
 
-// free is what nobody but one gatekeeper (-1 for nobody) may hold.
-func (a *Allotter) free(t *tenant, but int, now float64) (rate, burst float64) {
-	rate, burst = t.rate, t.store
+// unallocated returns what no gatekeeper other than the excepted one (-1 for none) may hold.
+func (a *Allotter) unallocated(tenant *tenantQuota, except int, now float64) (rate, burst float64) {
+	rate, burst = tenant.rate, tenant.burst
 	for i := range a.members {
-		if a.members[i].used && i != but {
-			r, b := a.bound(t, i, now)
+		if a.members[i].inUse && i != except {
+			r, b := a.upperBound(tenant, i, now)
 			rate, burst = rate-r, burst-b
 		}
 	}
 	return rate, burst
 }
 
-// settle brings all pools up to now, before what is held changes.
-func (a *Allotter) settle(now float64) {
-	for _, t := range a.tenants {
-		a.fill(t, now)
+// updatePools updates all pools to now; it must run before any holding changes.
+func (a *Allotter) updatePools(now float64) {
+	for _, tenant := range a.tenants {
+		a.updatePool(tenant, now)
 	}
 }
 
-// fill lets a tenant's pool have what nobody holds since it was last looked at. Bounds only
-// shrink between two events, so that what is free at the start of a span is free throughout.
-func (a *Allotter) fill(t *tenant, now float64) {
-	from := t.poolAt
-	t.poolAt = now
-	if t.rate <= 0 || now <= from || now <= a.known && t.pool == 0 {
+// updatePool adds to a tenant's pool the rate that was not held since the last update. Holdings only shrink
+// between two events, so what is unallocated at the start of the interval is unallocated throughout.
+func (a *Allotter) updatePool(tenant *tenantQuota, now float64) {
+	since := tenant.poolUpdatedAt
+	tenant.poolUpdatedAt = now
+	if tenant.rate <= 0 || now <= since || now <= a.earlierGrantsExpireAt && tenant.pool == 0 {
 		return
 	}
-	rate, store := a.free(t, -1, from)
-	if span := now - max(from, a.known); span > 0 {
-		t.pool += max(rate, 0) * span / 1e3
+	rate, burst := a.unallocated(tenant, -1, since)
+	if elapsedMs := now - max(since, a.earlierGrantsExpireAt); elapsedMs > 0 {
+		tenant.pool += max(rate, 0) * elapsedMs / 1e3
 	}
-	t.pool = min(t.pool, max(store, 0))
+	tenant.pool = min(tenant.pool, max(burst, 0))
 }
 
-// Ask is a gatekeeper's asking, with the number of it (each above the last), what was
-// asked of it, and what it holds for how much longer. The answer is what it holds for
-// a lease, from its asking; nil where the asking is an old one. A lowered grant frees its
-// difference at the next asking, which shows that the answer came, or when it runs out.
-func (a *Allotter) Ask(now float64, id string, turn uint64, demand Demand, holding map[string]Slice, leaseLeftMs float64) map[string]Slice {
-	i := a.meet(now, id)
-	// Floors are reckoned by all members: by those alone that happen to have asked they would come out too large, and be
-	// kept beside those that others take up by themselves.
-	if i < 0 || !a.told || now < a.began || turn <= a.members[i].turn {
+// Ask handles a gatekeeper's allocation request. It carries a sequence number (higher in each
+// request), the demand, and what the gatekeeper holds for how much longer. The answer is what the
+// gatekeeper holds for one lease from the request, or nil for a request that is out of date. If a
+// grant is lowered, the difference becomes available with the next request, which shows that the
+// answer arrived, or when the old grant expires.
+func (a *Allotter) Ask(now float64, id string, seq uint64, demand Demand, holding map[string]Slice, leaseLeftMs float64) map[string]Slice {
+	slot := a.memberSlot(now, id)
+	// Minimums are computed from the full member list. Computed only from the members that happen to have
+	// sent a request, they would be too large, and would be reserved beside those that other gatekeepers
+	// use on their own.
+	if slot < 0 || !a.membersReceived || now < a.beganAt || seq <= a.members[slot].lastSeq {
 		return nil
 	}
-	fresh := a.members[i].turn == 0 && !holds(holding)
-	a.members[i].turn = turn
-	out := make(map[string]Slice, len(a.tenants))
-	for name, t := range a.tenants {
-		has, held := holding[name]
-		_, asks := demand[name]
-		h := &t.holds[i]
-		if a.kept(t) && !asks && !held {
-			a.leave(t, h, now)
+	newIncarnation := a.members[slot].lastSeq == 0 && !hasAllocation(holding)
+	a.members[slot].lastSeq = seq
+	answer := make(map[string]Slice, len(a.tenants))
+	for name, tenant := range a.tenants {
+		report, reported := holding[name]
+		_, hasDemand := demand[name]
+		record := &tenant.holdings[slot]
+		if a.usesOwners(tenant) && !hasDemand && !reported {
+			a.recordNoInterest(tenant, record, now)
 			continue
 		}
-		a.fill(t, now)
-		h.asked, h.demand, h.heard = true, demand[name], now
-		h.was, h.is = lent{has.Rate, has.Burst, now + min(leaseLeftMs, a.lease)}, lent{}
-		h.floor, h.fburst = has.Floor, has.FloorBurst
-		if has.Returned > 0 { // what they took up of the store is free again, so the pool has room for them
-			_, store := a.free(t, -1, now)
-			t.pool = min(t.pool+has.Returned, max(store, 0))
+		a.updatePool(tenant, now)
+		record.reported, record.demand, record.reportedAt = true, demand[name], now
+		record.claimed, record.granted = grantRecord{report.Rate, report.Burst, now + min(leaseLeftMs, a.leaseMs)}, grantRecord{}
+		record.minRate, record.minBurst = report.Floor, report.FloorBurst
+		if report.Returned > 0 { // the burst capacity they occupied is unallocated again, so the pool has room for them
+			_, unallocatedBurst := a.unallocated(tenant, -1, now)
+			tenant.pool = min(tenant.pool+report.Returned, max(unallocatedBurst, 0))
 		}
-		if t.rate > 0 {
-			s := a.grant(t, i, now, has)
-			if fresh {
-				s.Kick = a.kickNow(t, i, now)
+		if tenant.rate > 0 {
+			granted := a.grant(tenant, slot, now, report)
+			if newIncarnation {
+				granted.Kick = a.takeStartBurst(tenant, slot, now)
 			}
-			out[name] = s
+			answer[name] = granted
 		}
 	}
-	return out
+	return answer
 }
 
-// kept tells that a quota is thin over so many gatekeepers, and kept by homes that the others ask.
-func (a *Allotter) kept(t *tenant) bool { return a.Homes && t.store < thinTokens*float64(a.count) }
+// usesOwners reports whether a quota is small for the number of gatekeepers and served by owners.
+func (a *Allotter) usesOwners(tenant *tenantQuota) bool {
+	return a.Homes && tenant.burst < smallQuotaTokensPerMember*float64(a.memberCount)
+}
 
-// leave notes that a gatekeeper holds nothing of a quota and wants nothing. That is so for most quotas at most
-// gatekeepers, so it must not look at the quota's other holders: it would make each asking, and above all the first
-// askings of a new allotter, cost as much as the fleet is large, and an allotter that does not get through
-// these within its lease is replaced by one that begins them anew.
-func (a *Allotter) leave(t *tenant, h *hold, now float64) {
+// recordNoInterest records that a gatekeeper neither holds nor requests any of a quota. That is the
+// case for most quotas at most gatekeepers, so it must not examine the other holders: the cost of each
+// request would grow with the number of gatekeepers. A new allocator that can't answer everyone's
+// first request within its lease loses the duty, and its successor has to start over.
+func (a *Allotter) recordNoInterest(tenant *tenantQuota, record *holdingRecord, now float64) {
 	switch {
-	case h.idle(): // nothing changes
-	case !h.asked: // until now it might have held its floor: what the pool got since it was last looked at is given up
-		t.poolAt = max(t.poolAt, now)
+	case record.idle(): // nothing changes
+	case !record.reported: // it might have held its minimum until now, so the pool doesn't get the rate since its last update
+		tenant.poolUpdatedAt = max(tenant.poolUpdatedAt, now)
 	default:
-		a.fill(t, now)
+		a.updatePool(tenant, now)
 	}
-	*h = hold{asked: true, heard: now}
+	*record = holdingRecord{reported: true, reportedAt: now}
 }
 
-// idle tells that a gatekeeper has asked this allotter, and neither holds nor wants anything.
-func (h *hold) idle() bool {
-	return h.asked && h.demand == 0 && h.was == lent{} && h.is == lent{} && h.floor == 0 && h.fburst == 0
+// idle reports whether a gatekeeper has sent this allocator a request and neither holds nor wants
+// anything.
+func (h *holdingRecord) idle() bool {
+	return h.reported && h.demand == 0 && h.claimed == grantRecord{} && h.granted == grantRecord{} && h.minRate == 0 && h.minBurst == 0
 }
 
-// holds tells whether a gatekeeper was allotted anything, or took up its floors, in this life.
-func holds(holding map[string]Slice) bool {
+// hasAllocation reports whether a gatekeeper was allocated anything, or used its minimums, in this
+// incarnation.
+func hasAllocation(holding map[string]Slice) bool {
 	for _, s := range holding {
 		if s.Rate > 0 || s.Burst > 0 || s.Floor > 0 || s.FloorBurst > 0 {
 			return true
@@ -497,161 +524,166 @@
 	return false
 }
 
-func (a *Allotter) grant(t *tenant, i int, now float64, has Slice) Slice {
-	h := &t.holds[i]
-	freeRate, freeBurst := a.free(t, i, now)
+// grant computes and records what a gatekeeper is granted of a quota.
+func (a *Allotter) grant(tenant *tenantQuota, slot int, now float64, report Slice) Slice {
+	record := &tenant.holdings[slot]
+	freeRate, freeBurst := a.unallocated(tenant, slot, now)
 	freeRate, freeBurst = max(freeRate, 0), max(freeBurst, 0)
-	floor, fburst := a.floorOf(t, i)
-	if a.kept(t) && h.demand <= eps {
-		floor, fburst = 0, 0 // its home has the use of it
+	minRate, minBurst := a.minimumOf(tenant, slot)
+	if a.usesOwners(tenant) && record.demand <= epsilon {
+		minRate, minBurst = 0, 0 // the quota's owner may use it
 	}
-	s := Slice{Floor: min(floor, freeRate), FloorBurst: min(fburst, freeBurst)}
-	rate, burst := a.aim(t, i, now, has.Wants)
-	if now < a.known {
+	granted := Slice{Floor: min(minRate, freeRate), FloorBurst: min(minBurst, freeBurst)}
+	rate, burst := a.targetAllocation(tenant, slot, now, report.Wants)
+	if now < a.earlierGrantsExpireAt {
 		rate, burst = 0, 0
-		if now < h.was.until {
-			rate, burst = h.was.rate, h.was.burst
+		if now < record.claimed.expiresAt {
+			rate, burst = record.claimed.rate, record.claimed.burst
 		}
 	}
-	s.Rate = max(s.Floor, min(rate, freeRate))
-	s.Burst = max(s.FloorBurst, min(burst, freeBurst))
-	h.is = lent{s.Rate, s.Burst, now + a.lease}
-	h.floor, h.fburst = max(h.floor, s.Floor), max(h.fburst, s.FloorBurst)
-	_, store := a.free(t, -1, now)
-	store = max(store, 0)
-	// With what fills it until the answer is there, the bucket must not pass its burst.
-	room, avail := s.Burst-has.Tokens-TokensMs/1e3*max(s.Rate, has.Rate), t.pool
-	if has.Tokens >= 1 { // others may need it more
-		avail -= store / 2
-	}
-	if s.Tokens = min(room, avail); s.Tokens < eps {
-		s.Tokens = 0
-	}
-	// What goes into the bucket lies within its burst, so only what stays must fit beside that.
-	t.pool = min(t.pool-s.Tokens, store)
-	return s
-}
-
-// aim is the slice that a gatekeeper would have were nothing lent: DESIGN's local over
-// metered use, as far as the sum fits. Small needs are met; the rest is divided by demand.
-func (a *Allotter) aim(t *tenant, me int, now, wants float64) (rate, burst float64) {
-	total, store, n := t.rate, t.store, 0.0
+	granted.Rate = max(granted.Floor, min(rate, freeRate))
+	granted.Burst = max(granted.FloorBurst, min(burst, freeBurst))
+	record.granted = grantRecord{granted.Rate, granted.Burst, now + a.leaseMs}
+	record.minRate, record.minBurst = max(record.minRate, granted.Floor), max(record.minBurst, granted.FloorBurst)
+	_, unallocatedBurst := a.unallocated(tenant, -1, now)
+	unallocatedBurst = max(unallocatedBurst, 0)
+	// Together with the tokens that accumulate until the answer arrives, the bucket must not exceed its
+	// burst.
+	bucketRoom, available := granted.Burst-report.Tokens-TokensMs/1e3*max(granted.Rate, report.Rate), tenant.pool
+	if report.Tokens >= 1 { // leave half of the pool to gatekeepers without a token
+		available -= unallocatedBurst / 2
+	}
+	if granted.Tokens = min(bucketRoom, available); granted.Tokens < epsilon {
+		granted.Tokens = 0
+	}
+	// Tokens that go into the bucket lie within its burst, so only the rest of the pool must fit beside
+	// it.
+	tenant.pool = min(tenant.pool-granted.Tokens, unallocatedBurst)
+	return granted
+}
+
+// targetAllocation returns the allocation that a gatekeeper would have if nothing were granted yet.
+// Small needs are met in full as far as the sum fits; the rest is divided by demand.
+func (a *Allotter) targetAllocation(tenant *tenantQuota, slot int, now, waiting float64) (rate, burst float64) {
+	totalRate, totalBurst, sharers := tenant.rate, tenant.burst, 0.0
 	for i := range a.members {
 		switch m := &a.members[i]; {
-		case m.used && m.known:
-			n++
-		case m.used: // lapsed
-			r, b := a.bound(t, i, now)
-			total, store = total-r, store-b
+		case m.inUse && m.listed:
+			sharers++
+		case m.inUse: // lapsed, but its minimum is reserved
+			r, b := a.upperBound(tenant, i, now)
+			totalRate, totalBurst = totalRate-r, totalBurst-b
 		}
 	}
-	total, store = max(total, 0), max(store, 0)
-	pooled := t.pooled(a.count) * max(0, 1-total/n/poolLess)
-	if a.kept(t) { // those count that have a demand: the homes
-		if a.demandOf(t, me, now) <= eps { // what it still holds is wanted elsewhere
+	totalRate, totalBurst = max(totalRate, 0), max(totalBurst, 0)
+	poolShare := tenant.poolShare(a.memberCount) * max(0, 1-totalRate/sharers/poolFreeRatePerMember)
+	if a.usesOwners(tenant) { // only the owners, which have a demand, count
+		if a.recentDemand(tenant, slot, now) <= epsilon { // what it still holds is needed elsewhere
 			return 0, 0
 		}
-		n, pooled = a.takers(t, me, now), 0
-	}
-	rate = a.aimRate(t, me, now, total*(1-pooled), n)
-	switch per := store / n; {
-	case per >= wholeBelow:
-		surge := min(t.terms.Surge, store)
-		burst = (1 - poolStore) * ((store-surge)/n + surge*rate/max(total, eps))
-	case per >= 1:
-		burst = math.Floor(per)
-		if per >= 2 {
-			burst += a.slot(t, me, now, int((1-poolStore)*store-n*burst))
-		} else if wants > 0 && t.pool >= 1 && a.calm(t, now) {
+		sharers, poolShare = a.demandingMembers(tenant, slot, now), 0
+	}
+	rate = a.targetRate(tenant, slot, now, totalRate*(1-poolShare), sharers)
+	switch tokensEach := totalBurst / sharers; {
+	case tokensEach >= wholeTokensBelow:
+		surge := min(tenant.limit.Surge, totalBurst)
+		burst = (1 - pooledBurstShare) * ((totalBurst-surge)/sharers + surge*rate/max(totalRate, epsilon))
+	case tokensEach >= 1:
+		burst = math.Floor(tokensEach)
+		if tokensEach >= 2 {
+			burst += a.extraToken(tenant, slot, now, int((1-pooledBurstShare)*totalBurst-sharers*burst))
+		} else if waiting > 0 && tenant.pool >= 1 && a.withinRate(tenant, now) {
 			burst++
 		}
-	case wants > 0 && t.pool >= 1: // dealt to those that need one, and taken back at their next asking
-		burst = min(wants, wantsMost, math.Floor(t.pool)) + rate*TokensMs/1e3
+	case waiting > 0 && tenant.pool >= 1: // granted on request, and taken back with the next allocation request
+		burst = min(waiting, maxTokensPerGrant, math.Floor(tenant.pool)) + rate*TokensMs/1e3
 	}
 	return rate, burst
 }
 
-// takers is how many gatekeepers have a demand, this one among them in any case.
-func (a *Allotter) takers(t *tenant, me int, now float64) float64 {
-	n := 0.0
+// demandingMembers returns the number of gatekeepers with a demand, always including the requesting one.
+func (a *Allotter) demandingMembers(tenant *tenantQuota, slot int, now float64) float64 {
+	count := 0.0
 	for i := range a.members {
-		if m := &a.members[i]; m.used && m.known && (i == me || a.demandOf(t, i, now) > eps) {
-			n++
+		if m := &a.members[i]; m.inUse && m.listed && (i == slot || a.recentDemand(tenant, i, now) > epsilon) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (a *Allotter) aimRate(t *tenant, me int, now, total, n float64) float64 {
-	floor, _ := a.floorOf(t, me)
-	a.needs = a.needs[:0]
-	sum, asked, mine := 0.0, 0.0, 0
+// targetRate returns a gatekeeper's part of a total rate that is divided among the sharers by demand.
+func (a *Allotter) targetRate(tenant *tenantQuota, slot int, now, totalRate, sharers float64) float64 {
+	minRate, _ := a.minimumOf(tenant, slot)
+	a.needsBuffer = a.needsBuffer[:0]
+	needSum, demandSum, ownIndex := 0.0, 0.0, 0
 	for i := range a.members {
-		if m := &a.members[i]; m.used && m.known {
-			if i == me {
-				mine = len(a.needs)
+		if m := &a.members[i]; m.inUse && m.listed {
+			if i == slot {
+				ownIndex = len(a.needsBuffer)
 			}
-			d := a.demandOf(t, i, now)
-			need := max(headroom*d, floor)
-			if d <= eps && i != me && a.kept(t) {
+			demand := a.recentDemand(tenant, i, now)
+			need := max(demandHeadroom*demand, minRate)
+			if demand <= epsilon && i != slot && a.usesOwners(tenant) {
 				need = 0
 			}
-			a.needs = append(a.needs, need)
-			sum, asked = sum+need, asked+d
+			a.needsBuffer = append(a.needsBuffer, need)
+			needSum, demandSum = needSum+need, demandSum+demand
 		}
 	}
-	even, need := total/n, a.needs[mine]
-	if sum <= total { // half of what is over goes evenly, half by demand
-		spare, part := total-sum, 1/n
-		if asked > eps {
-			part = (part + a.demandOf(t, me, now)/asked) / 2
+	evenShare, need := totalRate/sharers, a.needsBuffer[ownIndex]
+	if needSum <= totalRate { // half of the rest is divided evenly, half by demand
+		spare, share := totalRate-needSum, 1/sharers
+		if demandSum > epsilon {
+			share = (share + a.recentDemand(tenant, slot, now)/demandSum) / 2
 		}
-		return need + spare*part
+		return need + spare*share
 	}
-	if need <= even {
+	if need <= evenShare {
 		return need
 	}
-	left, above := total, 0.0
-	for _, x := range a.needs {
-		left -= min(x, even)
-		above += max(x-even, 0)
+	remaining, excessSum := totalRate, 0.0
+	for _, x := range a.needsBuffer {
+		remaining -= min(x, evenShare)
+		excessSum += max(x-evenShare, 0)
 	}
-	return even + max(left, 0)*(need-even)/above
+	return evenShare + max(remaining, 0)*(need-evenShare)/excessSum
 }
 
-// calm tells that less is asked than the rate.
-func (a *Allotter) calm(t *tenant, now float64) bool {
-	sum := 0.0
+// withinRate reports whether the demand is less than the rate.
+func (a *Allotter) withinRate(tenant *tenantQuota, now float64) bool {
+	demandSum := 0.0
 	for i := range a.members {
-		if a.members[i].used {
-			sum += a.demandOf(t, i, now)
+		if a.members[i].inUse {
+			demandSum += a.recentDemand(tenant, i, now)
 		}
 	}
-	return sum < t.rate
+	return demandSum < tenant.rate
 }
 
-// demandOf is what was lately asked at a gatekeeper.
-func (a *Allotter) demandOf(t *tenant, i int, now float64) float64 {
-	if h := &t.holds[i]; h.asked && now < h.heard+demandOld {
+// recentDemand returns the recent demand at a gatekeeper.
+func (a *Allotter) recentDemand(tenant *tenantQuota, slot int, now float64) float64 {
+	if h := &tenant.holdings[slot]; h.reported && now < h.reportedAt+demandExpiryMs {
 		return h.demand
 	}
 	return 0
 }
 
-// slot is a token more for so many gatekeepers, those first that were lately asked most.
-func (a *Allotter) slot(t *tenant, me int, now float64, slots int) float64 {
-	mine, own := a.demandOf(t, me, now), hash(a.members[me].station)^t.salt
+// extraToken returns one more token if the gatekeeper is among the given number with the highest recent
+// demand.
+func (a *Allotter) extraToken(tenant *tenantQuota, slot int, now float64, remaining int) float64 {
+	ownDemand, ownRank := a.recentDemand(tenant, slot, now), hash(a.members[slot].node)^tenant.salt
 	for i := range a.members {
-		if m := &a.members[i]; m.used && m.known && i != me {
-			if d := a.demandOf(t, i, now); d > mine || d == mine && hash(m.station)^t.salt < own {
-				slots--
+		if m := &a.members[i]; m.inUse && m.listed && i != slot {
+			if d := a.recentDemand(tenant, i, now); d > ownDemand || d == ownDemand && hash(m.node)^tenant.salt < ownRank {
+				remaining--
 			}
 		}
 	}
-	return min(1, float64(max(slots, 0)))
+	return min(1, float64(max(remaining, 0)))
 }
 
-// hash is FNV-1a, mixed so that its low bits are even too.
+// hash returns the 64-bit FNV-1a hash of s, mixed so that its low bits are evenly distributed too.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
