--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -79,7 +79,7 @@
 }
 
 // Key returns a worker's identifier in messages between processes.
-func Key(s policy.Server) uint32 { return uint32(s >> 32) }
+func Key(server policy.Server) uint32 { return uint32(server >> 32) }
 
 // workerState is what the owner knows about a worker.
 type workerState struct {
@@ -95,13 +95,15 @@
 	trial               int // number of trials
 }
 
+// decay reduces the weight of older observations.
 func (b *workerState) decay(now float64) {
 	factor := math.Exp2(-(now - b.updatedAt) / halfLifeMs)
 	b.successes, b.failures, b.updatedAt = b.successes*factor, b.failures*factor, now
 }
 
-func (b *workerState) enter(now float64, s policy.Belief) {
-	b.state, b.since = s, now
+// enter changes the state and discards the observations.
+func (b *workerState) enter(now float64, belief policy.Belief) {
+	b.state, b.since = belief, now
 	b.successes, b.failures = 0, 0
 	clear(b.failureReporters)
 }
@@ -151,20 +153,20 @@
 // Step judges the workers. listed contains the workers that accept requests, with their group, such as
 // their region. Workers of one group can't take over the load of another, so the limit on ejections
 // applies to each group.
-func (d *Desk) Step(now float64, listed map[uint32]int) {
+func (d *Desk) Step(now float64, groupByWorker map[uint32]int) {
 	for _, worker := range slices.Sorted(maps.Keys(d.workers)) {
 		state := d.workers[worker]
 		state.decay(now)
 		maps.DeleteFunc(state.reporters, func(_ string, at float64) bool { return now-at > reporterRetentionMs })
 		maps.DeleteFunc(state.failureReporters, func(_ string, at float64) bool { return now-at > 2*halfLifeMs })
-		if group, ok := listed[worker]; ok {
+		if group, ok := groupByWorker[worker]; ok {
 			state.group = group
 		} else {
 			delete(d.workers, worker)
 		}
 	}
 	sizes := map[int]int{}
-	for _, group := range listed {
+	for _, group := range groupByWorker {
 		sizes[group]++
 	}
 	for group, size := range sizes {
@@ -196,18 +198,19 @@
 	return count
 }
 
+// isEjected reports whether only trial requests may be sent to the worker.
 func (b *workerState) isEjected() bool { return b.state == policy.Shunned || b.state == policy.OnTrial }
 
 // readmitAll readmits all workers of a group if so many fail that the cause is not theirs, but for
 // example a network link or an overload.
-func (d *Desk) readmitAll(now float64, group, listed int) {
+func (d *Desk) readmitAll(now float64, group, groupSize int) {
 	outliers := d.ejectedCount(group)
 	for _, state := range d.workers {
 		if state.group == group && state.state <= policy.Watched && state.isOutlier() {
 			outliers++
 		}
 	}
-	if outliers <= 1 || float64(outliers) <= readmitAllShare*float64(listed) {
+	if outliers <= 1 || float64(outliers) <= readmitAllShare*float64(groupSize) {
 		return
 	}
 	d.Calms++
@@ -220,7 +223,8 @@
 	}
 }
 
-func (d *Desk) judge(now float64, state *workerState, listed int) {
+// judge moves a worker to its next state if that is due.
+func (d *Desk) judge(now float64, state *workerState, groupSize int) {
 	ageMs := now - state.since
 	switch state.state {
 	case policy.Unknown, policy.Cleared:
@@ -235,7 +239,7 @@
 		switch {
 		case ageMs < watchMs:
 		case state.isOutlier():
-			if now >= d.noEjectionUntil[state.group] && d.ejectedCount(state.group) < int(maxEjectedShare*float64(listed)) {
+			if now >= d.noEjectionUntil[state.group] && d.ejectedCount(state.group) < int(maxEjectedShare*float64(groupSize)) {
 				d.eject(now, state)
 			}
 		case state.failures > 0.2:
@@ -264,6 +268,7 @@
 	}
 }
 
+// eject ejects a worker, for longer if it was ejected recently.
 func (d *Desk) eject(now float64, state *workerState) {
 	d.Outs++
 	if state.ejectionMs = min(2*state.ejectionMs, maxEjectionMs); state.ejectionMs == 0 || state.state == policy.Watched && now-state.readmittedAt > ejectionResetMs {
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/bulletin/bulletin_test.go
@@ -13,10 +13,10 @@
 // zone is a group of gatekeepers with one owner. Each gatekeeper sends every worker one request per
 // second. Requests to a failing worker fail at the rate set for it.
 type zone struct {
-	desk            *Desk
-	board           Board
+	detector        *Desk
+	subscriber      Board
 	now             float64
-	listed          []uint32
+	workers         []uint32
 	members         []string
 	failureShare    map[uint32]float64
 	onlyObserver    string // the only gatekeeper that observes failures, "" for all
@@ -26,9 +26,9 @@
 }
 
 func newZone(gatekeepers, workers int) *zone {
-	created := &zone{desk: NewDesk(7), failureShare: map[uint32]float64{}, pendingFailures: map[uint32]float64{}, requestsSent: map[uint32]int{}}
+	created := &zone{detector: NewDesk(7), failureShare: map[uint32]float64{}, pendingFailures: map[uint32]float64{}, requestsSent: map[uint32]int{}}
 	for worker := range workers {
-		created.listed = append(created.listed, uint32(worker+1))
+		created.workers = append(created.workers, uint32(worker+1))
 	}
 	for index := range gatekeepers {
 		created.members = append(created.members, fmt.Sprintf("10.0.0.%d:7460", index+1))
@@ -36,14 +36,14 @@
 	return created
 }
 
-// run advances by ms milliseconds, in steps of 300 ms. Announcements are withheld unless heard is set.
+// run advances by ms milliseconds, in steps of 300 ms. Announcements are withheld unless delivered is set.
 func (z *zone) run(ms float64, delivered bool) {
 	for end := z.now + ms; z.now < end; {
 		z.now += 300
 		for index, addr := range z.members {
-			beliefs := z.board.Beliefs(z.now, addr)
+			beliefs := z.subscriber.Beliefs(z.now, addr)
 			var reports []Sight
-			for _, worker := range z.listed {
+			for _, worker := range z.workers {
 				if beliefs[worker] == policy.Shunned || (int(z.now/300)+index+int(worker))%3 != 0 {
 					continue
 				}
@@ -59,19 +59,19 @@
 					reports = append(reports, report)
 				}
 			}
-			z.desk.Hear(z.now, addr, reports)
+			z.detector.Hear(z.now, addr, reports)
 		}
-		z.desk.Step(z.now, z.groups())
-		if issue, due := z.desk.Issue(z.now); due && delivered {
-			z.board.Post(z.now, issue)
+		z.detector.Step(z.now, z.groups())
+		if issue, due := z.detector.Issue(z.now); due && delivered {
+			z.subscriber.Post(z.now, issue)
 		}
-		z.maxEjected = max(z.maxEjected, z.desk.ejectedCount(0))
+		z.maxEjected = max(z.maxEjected, z.detector.ejectedCount(0))
 	}
 }
 
 func (z *zone) groups() map[uint32]int {
 	groupByWorker := map[uint32]int{}
-	for _, worker := range z.listed {
+	for _, worker := range z.workers {
 		groupByWorker[worker] = 0
 	}
 	return groupByWorker
@@ -92,36 +92,36 @@
 		return all
 	}
 	for _, testCase := range []struct {
-		name      string
-		workers   int
-		part      float64
-		ill       []uint32
-		only      string
-		out, most int    // ejected after five seconds; at any time
-		calms     uint64 // 1 if all were readmitted
+		name                string
+		workers             int
+		failureShare        float64
+		failing             []uint32
+		onlyObserver        string
+		ejected, maxEjected int    // ejected after five seconds; at any time
+		massReadmissions    uint64 // 1 if all were readmitted
 	}{
-		{name: "no failures", workers: 20, out: 0},
-		{name: "one worker fails always", workers: 20, part: 1, ill: []uint32{3}, out: 1, most: 1},
-		{name: "one worker fails two in five requests", workers: 20, part: 0.4, ill: []uint32{3}, out: 1, most: 1},
-		{name: "three of twenty workers fail", workers: 20, part: 0.4, ill: []uint32{3, 9, 15}, out: 3, most: 3},
-		{name: "rare failures", workers: 20, part: 0.04, ill: firstWorkers(20), out: 0},
-		{name: "failures observed by one gatekeeper only", workers: 20, part: 1, ill: firstWorkers(20), only: "10.0.0.2:7460", out: 0},
-		{name: "no more ejections than the limit allows", workers: 20, part: 1, ill: firstWorkers(9), out: 6, most: 6},
-		{name: "most workers fail, so all are readmitted", workers: 20, part: 1, ill: firstWorkers(14), out: 0, most: 6, calms: 1},
-		{name: "too few workers to eject one", workers: 3, part: 1, ill: []uint32{1}, out: 0},
+		{name: "no failures", workers: 20, ejected: 0},
+		{name: "one worker fails always", workers: 20, failureShare: 1, failing: []uint32{3}, ejected: 1, maxEjected: 1},
+		{name: "one worker fails two in five requests", workers: 20, failureShare: 0.4, failing: []uint32{3}, ejected: 1, maxEjected: 1},
+		{name: "three of twenty workers fail", workers: 20, failureShare: 0.4, failing: []uint32{3, 9, 15}, ejected: 3, maxEjected: 3},
+		{name: "rare failures", workers: 20, failureShare: 0.04, failing: firstWorkers(20), ejected: 0},
+		{name: "failures observed by one gatekeeper only", workers: 20, failureShare: 1, failing: firstWorkers(20), onlyObserver: "10.0.0.2:7460", ejected: 0},
+		{name: "no more ejections than the limit allows", workers: 20, failureShare: 1, failing: firstWorkers(9), ejected: 6, maxEjected: 6},
+		{name: "most workers fail, so all are readmitted", workers: 20, failureShare: 1, failing: firstWorkers(14), ejected: 0, maxEjected: 6, massReadmissions: 1},
+		{name: "too few workers to eject one", workers: 3, failureShare: 1, failing: []uint32{1}, ejected: 0},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			sim := newZone(8, testCase.workers)
 			sim.run(1000, true)
-			sim.onlyObserver = testCase.only
-			sim.setFailing(testCase.part, testCase.ill...)
+			sim.onlyObserver = testCase.onlyObserver
+			sim.setFailing(testCase.failureShare, testCase.failing...)
 			sim.run(5000, true)
-			if testCase.calms == 0 {
-				assert.Equal(t, sim.desk.ejectedCount(0), testCase.out)
-				assert.Equal(t, sim.maxEjected, max(testCase.most, testCase.out))
+			if testCase.massReadmissions == 0 {
+				assert.Equal(t, sim.detector.ejectedCount(0), testCase.ejected)
+				assert.Equal(t, sim.maxEjected, max(testCase.maxEjected, testCase.ejected))
 			}
 			assert.Assert(t, sim.maxEjected <= int(maxEjectedShare*float64(testCase.workers)))
-			assert.Equal(t, min(sim.desk.Calms, 1), testCase.calms)
+			assert.Equal(t, min(sim.detector.Calms, 1), testCase.massReadmissions)
 		})
 	}
 }
@@ -132,23 +132,23 @@
 	sim := newZone(8, 20)
 	sim.setFailing(1, 5)
 	sim.run(3000, true)
-	assert.Equal(t, sim.desk.workers[5].state, policy.Shunned)
-	requestsBefore, ejectionsBefore := sim.requestsSent[5], sim.desk.Outs
+	assert.Equal(t, sim.detector.workers[5].state, policy.Shunned)
+	requestsBefore, ejectionsBefore := sim.requestsSent[5], sim.detector.Outs
 	sim.run(12000, true)
-	trials := int(sim.desk.Outs - ejectionsBefore)
+	trials := int(sim.detector.Outs - ejectionsBefore)
 	assert.Assert(t, trials >= 2 && trials <= 4, "%d trials, want 2 to 4, as each ejection lasts longer", trials)
 	assert.Assert(t, sim.requestsSent[5]-requestsBefore <= trials*2*trierCount, "%d requests sent, want at most %d", sim.requestsSent[5]-requestsBefore, trials*2*trierCount)
 	sim.setFailing(0)
 	sim.run(maxEjectionMs+5000, true)
-	assert.Equal(t, sim.desk.ejectedCount(0), 0)
-	assert.Equal(t, sim.desk.Backs, uint64(1))
+	assert.Equal(t, sim.detector.ejectedCount(0), 0)
+	assert.Equal(t, sim.detector.Backs, uint64(1))
 	lastRequests := sim.requestsSent[5]
 	sim.run(3000, true)
 	assert.Assert(t, sim.requestsSent[5]-lastRequests > 15, "not all gatekeepers send requests to it again")
 	// A worker that fails again soon afterwards is ejected for longer than the first time.
 	sim.setFailing(1, 5)
 	sim.run(3000, true)
-	assert.Assert(t, sim.desk.workers[5].ejectionMs > 2*minEjectionMs)
+	assert.Assert(t, sim.detector.workers[5].ejectionMs > 2*minEjectionMs)
 }
 
 // TestLossOfOwner checks that announcements that are not renewed expire, and that another owner starts
@@ -157,50 +157,50 @@
 	sim := newZone(8, 20)
 	sim.setFailing(1, 5)
 	sim.run(3000, true)
-	assert.Equal(t, sim.board.Beliefs(sim.now, "any")[5], policy.Shunned)
+	assert.Equal(t, sim.subscriber.Beliefs(sim.now, "any")[5], policy.Shunned)
 	sim.run(announcementExpiryMs+300, false)
-	assert.Equal(t, len(sim.board.Beliefs(sim.now, "any")), 0)
-	next := NewDesk(8)
-	next.Hear(sim.now, sim.members[0], []Sight{{Worker: 5, Bad: 10}})
-	next.Step(sim.now, sim.groups())
-	issue, due := next.Issue(sim.now)
-	assert.Assert(t, due && sim.board.Post(sim.now, issue), "the first announcement of another incarnation was not accepted")
-	assert.Equal(t, sim.board.Beliefs(sim.now, "any")[5], policy.Watched)
-	assert.Assert(t, !sim.board.Post(sim.now, issue), "an announcement was accepted twice")
+	assert.Equal(t, len(sim.subscriber.Beliefs(sim.now, "any")), 0)
+	nextDetector := NewDesk(8)
+	nextDetector.Hear(sim.now, sim.members[0], []Sight{{Worker: 5, Bad: 10}})
+	nextDetector.Step(sim.now, sim.groups())
+	issue, due := nextDetector.Issue(sim.now)
+	assert.Assert(t, due && sim.subscriber.Post(sim.now, issue), "the first announcement of another incarnation was not accepted")
+	assert.Equal(t, sim.subscriber.Beliefs(sim.now, "any")[5], policy.Watched)
+	assert.Assert(t, !sim.subscriber.Post(sim.now, issue), "an announcement was accepted twice")
 }
 
 // TestEjectionLimitPerRegion checks that the many workers of another region don't raise the limit on
 // ejections.
 func TestEjectionLimitPerRegion(t *testing.T) {
-	desk := NewDesk(1)
+	detector := NewDesk(1)
 	groups := map[uint32]int{}
 	for worker := range uint32(40) {
 		groups[worker+1] = int(worker / 30) // ten workers in the second group
 	}
 	for now := 0.0; now < 3000; now += 300 {
 		for worker := uint32(31); worker <= 35; worker++ {
-			desk.Hear(now, "a", []Sight{{Worker: worker, Bad: 10}})
-			desk.Hear(now, "b", []Sight{{Worker: worker, Bad: 10}})
+			detector.Hear(now, "a", []Sight{{Worker: worker, Bad: 10}})
+			detector.Hear(now, "b", []Sight{{Worker: worker, Bad: 10}})
 		}
-		desk.Step(now, groups)
-		assert.Assert(t, desk.ejectedCount(1) <= 3 && desk.ejectedCount(0) == 0)
+		detector.Step(now, groups)
+		assert.Assert(t, detector.ejectedCount(1) <= 3 && detector.ejectedCount(0) == 0)
 	}
-	assert.Equal(t, desk.ejectedCount(1), 3)
+	assert.Equal(t, detector.ejectedCount(1), 3)
 }
 
 // TestWatchedWorkerIsCleared checks that a worker that only one gatekeeper ejected is cleared when the
 // others report successes.
 func TestWatchedWorkerIsCleared(t *testing.T) {
 	sim := newZone(8, 20)
-	sim.desk.Hear(0, sim.members[0], []Sight{{Worker: 2, Bad: 10}})
+	sim.detector.Hear(0, sim.members[0], []Sight{{Worker: 2, Bad: 10}})
 	cleared := false
 	for range 30 {
 		sim.run(300, true)
-		cleared = cleared || sim.board.Beliefs(sim.now, "any")[2] == policy.Cleared
+		cleared = cleared || sim.subscriber.Beliefs(sim.now, "any")[2] == policy.Cleared
 	}
 	assert.Assert(t, cleared)
-	assert.Equal(t, len(sim.board.Beliefs(sim.now, "any")), 0)
-	_, due := sim.desk.Issue(sim.now + 1e6)
+	assert.Equal(t, len(sim.subscriber.Beliefs(sim.now, "any")), 0)
+	_, due := sim.detector.Issue(sim.now + 1e6)
 	assert.Assert(t, !due, "an announcement is due although there is nothing to announce")
 }
 
@@ -208,9 +208,9 @@
 // observations.
 func TestMessagesStaySmall(t *testing.T) {
 	sim := newZone(12, 200)
-	sim.setFailing(0.1, sim.listed...)
+	sim.setFailing(0.1, sim.workers...)
 	sim.run(4000, true)
-	issue, _ := sim.desk.Issue(sim.now + 1e4)
+	issue, _ := sim.detector.Issue(sim.now + 1e4)
 	assert.Assert(t, len(issue.Notes) <= maxAnnouncedWorkers)
 	observations := Sights([]policy.Sighting{{Server: 0xfeed_beef_0000_0001, Good: 1e9, Bad: 0.26}})
 	assert.DeepEqual(t, observations, []Sight{{Worker: 0xfeedbeef, Good: math.MaxUint16, Bad: 3}})
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -169,8 +169,8 @@
 type round struct {
 	startedAt         float64
 	accepted, refused map[string]bool
-	vacantMs          map[string]float64 // by voters that accepted
-	idleMs            map[string]float64 // by all voters that answered
+	vacantMs          map[string]float64 // reported vacancy, by voters that accepted
+	idleMs            map[string]float64 // how long a voter certainly hasn't held the duty, by all that answered
 }
 
 // Machine is one node's state machine. It isn't safe for concurrent use.
@@ -228,14 +228,14 @@
 // address was ever removed from the core and the first electorate is the same, or if the number is the
 // same, there was no other electorate in between that any node still trusts. It must be called before
 // the first Electorate.
-func (m *Machine) Remember(ids []string, edition uint64) {
-	m.rememberedEdition, m.rememberedVoters = edition, slices.Compact(slices.Sorted(slices.Values(ids)))
+func (m *Machine) Remember(voters []string, edition uint64) {
+	m.rememberedEdition, m.rememberedVoters = edition, slices.Compact(slices.Sorted(slices.Values(voters)))
 }
 
 // Settled returns the electorate and its number if no node trusts any other, and nil otherwise. Only
 // this is what a later incarnation may Remember: an electorate just learned says nothing about those
 // before it.
-func (m *Machine) Settled(now float64) (ids []string, edition uint64) {
+func (m *Machine) Settled(now float64) (voters []string, edition uint64) {
 	if m.dropOldElectorates(now); len(m.electorates) != 1 || now < m.soleElectorateSince {
 		return nil, 0
 	}
@@ -243,7 +243,7 @@
 }
 
 // Electorate sets the voters. Editions number the electorates from 1; 0 is one that was agreed before
-// they were numbered. It must be called whenever the view is confirmed, where `asked` is when the
+// they were numbered. It must be called whenever the view is confirmed, where queriedAt is when the
 // query was sent whose answer confirmed it: the view was in force at some moment since then. Without
 // that, a partitioned node could go on forever under an old view while others are two views ahead.
 //
@@ -388,7 +388,7 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// majority reports whether the nodes for which `has` is true are a majority of every required
+// majority reports whether the nodes for which has is true are a majority of every required
 // electorate.
 func (m *Machine) majority(now float64, has func(id string) bool) bool {
 	for _, voterSet := range m.requiredElectorates(now) {
@@ -419,10 +419,11 @@
 
 // isReachable reports whether a message of a node arrived within one lease.
 func (m *Machine) isReachable(now float64, id string) bool {
-	at, ok := m.heardAt[id]
-	return id == m.self || ok && now-at <= m.leaseMs
+	lastHeardAt, ok := m.heardAt[id]
+	return id == m.self || ok && now-lastHeardAt <= m.leaseMs
 }
 
+// releaseExpired gives up the duties whose lease has ended.
 func (m *Machine) releaseExpired(now float64, output *Out) {
 	for _, name := range m.dutyNames {
 		if state := m.duties[name]; state.held && now >= state.leaseUntil {
@@ -477,6 +478,7 @@
 	return count
 }
 
+// resign gives up all duties and tells the other voters.
 func (m *Machine) resign(now float64, output *Out) {
 	m.resigned = true
 	for _, name := range m.dutyNames {
@@ -489,6 +491,7 @@
 	}
 }
 
+// receive handles a message from another node.
 func (m *Machine) receive(now float64, message Message, output *Out) {
 	if message.From == m.self || message.From == "" {
 		return
@@ -517,6 +520,7 @@
 	}
 }
 
+// recordAnnouncement records which duties the sender holds, and the terms it knows.
 func (m *Machine) recordAnnouncement(now float64, message Message) {
 	for _, state := range m.duties {
 		if state.holder == message.From {
@@ -599,13 +603,13 @@
 // recordVoteTime records how long a vote took, even if no round waits for it any more: otherwise a
 // distant voter would never be waited for.
 func (m *Machine) recordVoteTime(now float64, vote Message) {
-	at, ok := m.roundStartedAt[vote.Round]
+	startedAt, ok := m.roundStartedAt[vote.Round]
 	if !ok || vote.Life != m.incarnation {
 		return
 	}
-	tookMs := now - at
-	if before, ok := m.voteTimeMs[vote.From]; ok {
-		tookMs = (before + tookMs) / 2
+	tookMs := now - startedAt
+	if previousMs, ok := m.voteTimeMs[vote.From]; ok {
+		tookMs = (previousMs + tookMs) / 2
 	}
 	m.voteTimeMs[vote.From] = tookMs
 }
@@ -702,6 +706,7 @@
 	}
 }
 
+// advance renews held duties, stands for vacant ones and sends an announcement if one is due.
 func (m *Machine) advance(now float64, output *Out) {
 	mayRequest := m.mayRequestVotes(now)
 	for _, name := range m.dutyNames {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,9 +21,9 @@
 
 func TestVoter(t *testing.T) {
 	type step struct {
-		now  float64
-		e    Event
-		want bool
+		now   float64
+		event Event
+		want  bool
 	}
 	release := func(from string, life, term uint64) Event {
 		e := ballot(from, life, term, 0)
@@ -33,7 +33,7 @@
 	for _, testCase := range []struct {
 		name  string
 		first bool
-		turns []step
+		steps []step
 	}{
 		{"one candidate at a time", true, []step{{0, ballot("a", 1, 1, 1), true}, {1499, ballot("b", 1, 2, 1), false}, {1500, ballot("b", 1, 3, 1), true}}},
 		{"no vote for a lease after a start", false, []step{{1499, ballot("a", 1, 1, 1), false}, {1500, ballot("a", 1, 1, 1), true}}},
@@ -47,12 +47,12 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			m := New("v", 1, 0, 0, testCase.first, "roster")
-			for i, step := range testCase.turns {
-				answer := vote(m.Step(step.now, step.e))
+			for i, step := range testCase.steps {
+				answer := vote(m.Step(step.now, step.event))
 				assert.Equal(t, answer.Yes, step.want, "turn %d", i)
-				if step.e.Message.Kind == Ballot {
-					assert.Equal(t, answer.Round, step.e.Message.Round)
-					assert.Equal(t, answer.Life, step.e.Message.Life)
+				if step.event.Message.Kind == Ballot {
+					assert.Equal(t, answer.Round, step.event.Message.Round)
+					assert.Equal(t, answer.Life, step.event.Message.Life)
 				}
 			}
 		})
@@ -112,13 +112,13 @@
 
 func TestWhenNodesBecomeCandidates(t *testing.T) {
 	for _, testCase := range []struct {
-		name    string
-		first   bool
-		ids     []string
-		edition uint64
-		hears   string
-		from    float64 // no candidacy before
-		until   float64 // none after; 0 if none at all
+		name      string
+		first     bool
+		voters    []string
+		edition   uint64
+		heardFrom string
+		earliest  float64 // no candidacy before
+		latest    float64 // none after; 0 if none at all
 	}{
 		{"single voter", true, []string{"a"}, 1, "", 0, 500},
 		{"sees a majority", true, []string{"a", "b", "c"}, 1, "b", 0, 500},
@@ -131,16 +131,16 @@
 		m := New("a", 3, 0, 0, testCase.first, "roster")
 		stoodAt := 0.0
 		for now := 20.0; now < 6000 && stoodAt == 0; now += 20 {
-			m.Electorate(now, now-10, testCase.ids, testCase.edition, 0)
-			if testCase.hears != "" {
-				m.Step(now, Event{Kind: Heard, Message: Message{Kind: Announce, From: testCase.hears}})
+			m.Electorate(now, now-10, testCase.voters, testCase.edition, 0)
+			if testCase.heardFrom != "" {
+				m.Step(now, Event{Kind: Heard, Message: Message{Kind: Announce, From: testCase.heardFrom}})
 			}
 			m.Step(now, Event{Kind: Tick})
 			if state := m.duties["roster"]; state.standing || state.held {
 				stoodAt = now
 			}
 		}
-		assert.Assert(t, stoodAt >= testCase.from && stoodAt <= testCase.until, "%s: stood at %v, want %v to %v", testCase.name, stoodAt, testCase.from, testCase.until)
+		assert.Assert(t, stoodAt >= testCase.earliest && stoodAt <= testCase.latest, "%s: stood at %v, want %v to %v", testCase.name, stoodAt, testCase.earliest, testCase.latest)
 	}
 }
 
@@ -148,8 +148,8 @@
 // doesn't, and that an electorate just learned is not returned for remembering.
 func TestRemember(t *testing.T) {
 	for _, testCase := range []struct {
-		earlier []string
-		from    float64
+		earlier  []string
+		earliest float64
 	}{{[]string{"a"}, 1500}, {[]string{"a", "b"}, 3000}, {nil, 3000}} {
 		m := New("a", 3, 0, 0, false, "roster")
 		m.Remember(testCase.earlier, 0)
@@ -163,8 +163,8 @@
 				settledAt = now
 			}
 		}
-		assert.Assert(t, wonAt >= testCase.from && wonAt < testCase.from+500, "remembered %v: won at %v, want %v to %v", testCase.earlier, wonAt, testCase.from, testCase.from+500)
-		assert.Assert(t, settledAt >= testCase.from-1500 && settledAt < testCase.from+50, "remembered %v: settled at %v, want %v to %v", testCase.earlier, settledAt, testCase.from-1500, testCase.from+50)
+		assert.Assert(t, wonAt >= testCase.earliest && wonAt < testCase.earliest+500, "remembered %v: won at %v, want %v to %v", testCase.earlier, wonAt, testCase.earliest, testCase.earliest+500)
+		assert.Assert(t, settledAt >= testCase.earliest-1500 && settledAt < testCase.earliest+50, "remembered %v: settled at %v, want %v to %v", testCase.earlier, settledAt, testCase.earliest-1500, testCase.earliest+50)
 	}
 	m := New("a", 3, 0, 0, true, "roster")
 	m.Electorate(0, 0, []string{"a"}, 1, 0)
@@ -195,7 +195,7 @@
 // the known one. If the addresses are the same there can't have been one.
 func TestGapInEditionsIsWaitedOut(t *testing.T) {
 	for _, testCase := range []struct {
-		ids     []string
+		voters  []string
 		edition uint64
 		waits   bool
 	}{
@@ -207,12 +207,12 @@
 		m.Electorate(0, 0, []string{"a"}, 1, 0)
 		stoodAt := 0.0
 		for now := 10.0; now < 6000 && stoodAt == 0; now += 20 {
-			m.Electorate(now, now-10, testCase.ids, testCase.edition, 0)
-			if m.Step(now, Event{Kind: Tick}); now >= m.candidateFrom && len(testCase.ids) > 1 || m.duties["roster"].held {
+			m.Electorate(now, now-10, testCase.voters, testCase.edition, 0)
+			if m.Step(now, Event{Kind: Tick}); now >= m.candidateFrom && len(testCase.voters) > 1 || m.duties["roster"].held {
 				stoodAt = now
 			}
 		}
-		assert.Equal(t, stoodAt > 2900, testCase.waits, "electorate %v, edition %d: stood at %v", testCase.ids, testCase.edition, stoodAt)
+		assert.Equal(t, stoodAt > 2900, testCase.waits, "electorate %v, edition %d: stood at %v", testCase.voters, testCase.edition, stoodAt)
 	}
 }
 
--- a/internal/election/scale_bench_test.go
+++ b/internal/election/scale_bench_test.go
@@ -50,9 +50,9 @@
 	message Message
 }
 
-func newCountedCluster(n int) *countedCluster {
+func newCountedCluster(count int) *countedCluster {
 	c := &countedCluster{machineByID: map[string]*Machine{}}
-	for i := range n {
+	for i := range count {
 		c.ids = append(c.ids, fmt.Sprintf("10.9.0.%d:7461", i+1))
 	}
 	for i, id := range c.ids {
@@ -63,10 +63,10 @@
 	return c
 }
 
-func (w *countedCluster) heldDuties() (count int) {
+func (c *countedCluster) heldDuties() (count int) {
 	for _, duty := range testDuties {
-		for _, m := range w.machines {
-			if _, ok := m.Holds(w.now, duty); ok {
+		for _, m := range c.machines {
+			if _, ok := m.Holds(c.now, duty); ok {
 				count++
 			}
 		}
@@ -74,29 +74,29 @@
 	return count
 }
 
-func (w *countedCluster) send(output Out) {
+func (c *countedCluster) send(output Out) {
 	for _, message := range output.Send {
 		encoded, _ := cbor.Marshal(message)
-		w.sentMessages, w.sentBytes = w.sentMessages+1, w.sentBytes+len(encoded)
-		w.inTransit = append(w.inTransit, delivery{w.now + 40, message})
+		c.sentMessages, c.sentBytes = c.sentMessages+1, c.sentBytes+len(encoded)
+		c.inTransit = append(c.inTransit, delivery{c.now + 40, message})
 	}
 }
 
-func (w *countedCluster) step() {
-	w.now += 20
-	messages := w.inTransit
-	w.inTransit = nil
+func (c *countedCluster) step() {
+	c.now += 20
+	messages := c.inTransit
+	c.inTransit = nil
 	for _, item := range messages {
-		if item.dueAt > w.now {
-			w.inTransit = append(w.inTransit, item)
+		if item.dueAt > c.now {
+			c.inTransit = append(c.inTransit, item)
 		} else {
-			w.send(w.machineByID[item.message.To].Step(w.now, Event{Kind: Heard, Message: item.message}))
+			c.send(c.machineByID[item.message.To].Step(c.now, Event{Kind: Heard, Message: item.message}))
 		}
 	}
-	for _, m := range w.machines {
-		if int(w.now)%300 == 0 {
-			m.Electorate(w.now, w.now, w.ids, 1, 0)
+	for _, m := range c.machines {
+		if int(c.now)%300 == 0 {
+			m.Electorate(c.now, c.now, c.ids, 1, 0)
 		}
-		w.send(m.Step(w.now, Event{Kind: Tick}))
+		c.send(m.Step(c.now, Event{Kind: Tick}))
 	}
 }
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -64,10 +64,10 @@
 	previouslyHeldAt  map[string]float64 // when it was held before it was won
 }
 
-func newSimulation(t *testing.T, seed uint64, voterCount, spare int) *simulation {
+func newSimulation(t *testing.T, seed uint64, voterCount, spareCount int) *simulation {
 	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, uint64(voterCount))), edition: 1, brokenLinks: map[string]bool{}, highestTerms: map[string]uint64{},
 		termsMustIncrease: true, holder: map[string]string{}, lastHeldAt: map[string]float64{}, vacantMs: map[string]float64{}, wonAt: map[string]float64{}, previouslyHeldAt: map[string]float64{}}
-	for i := range voterCount + spare {
+	for i := range voterCount + spareCount {
 		member := &node{id: fmt.Sprint("w", i)}
 		s.nodes = append(s.nodes, member)
 		if i < voterCount {
@@ -81,17 +81,17 @@
 	return s
 }
 
-func (w *simulation) start(target *node, first bool) {
-	target.clockOffsetMs = w.rng.Float64() * 1e7
-	target.machine = New(target.id, w.rng.Uint64(), w.now+target.clockOffsetMs, 0, first, testDuties...)
+func (s *simulation) start(target *node, first bool) {
+	target.clockOffsetMs = s.rng.Float64() * 1e7
+	target.machine = New(target.id, s.rng.Uint64(), s.now+target.clockOffsetMs, 0, first, testDuties...)
 	target.down, target.frozen, target.inbox = false, false, nil
 	if target.storedVoters != nil {
 		target.machine.Remember(target.storedVoters, 0)
 	}
 }
 
-func (w *simulation) node(id string) *node {
-	for _, x := range w.nodes {
+func (s *simulation) node(id string) *node {
+	for _, x := range s.nodes {
 		if x.id == id {
 			return x
 		}
@@ -101,35 +101,35 @@
 
 func linkKey(a, b string) string { return min(a, b) + max(a, b) }
 
-func (w *simulation) connected(a, b *node) bool {
-	return !a.down && !b.down && !a.partitioned && !b.partitioned && !w.brokenLinks[linkKey(a.id, b.id)]
+func (s *simulation) connected(a, b *node) bool {
+	return !a.down && !b.down && !a.partitioned && !b.partitioned && !s.brokenLinks[linkKey(a.id, b.id)]
 }
 
-func (w *simulation) apply(sender *node, output Out) {
+func (s *simulation) apply(sender *node, output Out) {
 	for _, won := range output.Won {
-		w.holderChanges++
-		if at, ok := w.lastHeldAt[won.Duty]; ok {
-			assert.Assert(w.t, at <= w.now-won.VacantMs, "%s was held at %v, but reported at %v as vacant for %v ms", won.Duty, at, w.now, won.VacantMs)
+		s.holderChanges++
+		if at, ok := s.lastHeldAt[won.Duty]; ok {
+			assert.Assert(s.t, at <= s.now-won.VacantMs, "%s was held at %v, but reported at %v as vacant for %v ms", won.Duty, at, s.now, won.VacantMs)
 		}
-		if w.termsMustIncrease {
-			assert.Assert(w.t, won.Term > w.highestTerms[won.Duty], "the term of %s didn't increase at %v", won.Duty, w.now)
+		if s.termsMustIncrease {
+			assert.Assert(s.t, won.Term > s.highestTerms[won.Duty], "the term of %s didn't increase at %v", won.Duty, s.now)
 		}
-		w.highestTerms[won.Duty] = max(won.Term, w.highestTerms[won.Duty])
+		s.highestTerms[won.Duty] = max(won.Term, s.highestTerms[won.Duty])
 	}
 	for _, won := range output.Won {
-		w.wonAt[won.Duty], w.previouslyHeldAt[won.Duty] = w.now, w.lastHeldAt[won.Duty]
-		w.vacantMs[won.Duty] = won.VacantMs
+		s.wonAt[won.Duty], s.previouslyHeldAt[won.Duty] = s.now, s.lastHeldAt[won.Duty]
+		s.vacantMs[won.Duty] = won.VacantMs
 	}
 	for _, tenure := range output.Vacant {
-		if w.previouslyHeldAt[tenure.Duty] > 0 {
-			assert.Assert(w.t, w.previouslyHeldAt[tenure.Duty] <= w.wonAt[tenure.Duty]-tenure.VacantMs, "%s was held at %v, but reported as vacant for %v ms at %v", tenure.Duty, w.previouslyHeldAt[tenure.Duty], tenure.VacantMs, w.wonAt[tenure.Duty])
+		if s.previouslyHeldAt[tenure.Duty] > 0 {
+			assert.Assert(s.t, s.previouslyHeldAt[tenure.Duty] <= s.wonAt[tenure.Duty]-tenure.VacantMs, "%s was held at %v, but reported as vacant for %v ms at %v", tenure.Duty, s.previouslyHeldAt[tenure.Duty], tenure.VacantMs, s.wonAt[tenure.Duty])
 		}
-		w.vacantMs[tenure.Duty] = tenure.VacantMs
+		s.vacantMs[tenure.Duty] = tenure.VacantMs
 	}
 	for _, message := range output.Send {
 		copies := 1
-		if w.faulty {
-			switch w.rng.IntN(20) {
+		if s.faulty {
+			switch s.rng.IntN(20) {
 			case 0, 1:
 				copies = 0
 			case 2:
@@ -137,157 +137,157 @@
 			}
 		}
 		for range copies {
-			delayMs := w.extraDelayMs + 5 + 40*w.rng.Float64()
-			if w.faulty && w.rng.IntN(20) == 0 {
-				delayMs = 4000 * w.rng.Float64()
+			delayMs := s.extraDelayMs + 5 + 40*s.rng.Float64()
+			if s.faulty && s.rng.IntN(20) == 0 {
+				delayMs = 4000 * s.rng.Float64()
 			}
-			w.messages = append(w.messages, transit{w.now + delayMs, message})
+			s.messages = append(s.messages, transit{s.now + delayMs, message})
 		}
 	}
 }
 
 // step advances real time by stepMs.
-func (w *simulation) step() {
-	w.now += stepMs
-	w.messages = slices.DeleteFunc(w.messages, func(message transit) bool {
-		if message.dueAt > w.now {
+func (s *simulation) step() {
+	s.now += stepMs
+	s.messages = slices.DeleteFunc(s.messages, func(message transit) bool {
+		if message.dueAt > s.now {
 			return false
 		}
-		if to := w.node(message.message.To); to != nil && w.connected(w.node(message.message.From), to) {
+		if to := s.node(message.message.To); to != nil && s.connected(s.node(message.message.From), to) {
 			to.inbox = append(to.inbox, message.message)
 		}
 		return true
 	})
-	for i, member := range w.nodes {
+	for i, member := range s.nodes {
 		if member.down || member.frozen {
 			continue
 		}
 		// A query for the view, answered with the one in force when it arrives.
-		if (int(w.now)/stepMs+i*7)%30 == 0 && !member.partitioned && !slices.Contains(w.staleNodes, member) {
-			w.viewAnswers = append(w.viewAnswers, viewAnswer{queriedAt: w.now + member.clockOffsetMs, dueAt: w.now + 60*w.rng.Float64(), to: member, machine: member.machine,
-				voters: w.voters, edition: w.edition})
+		if (int(s.now)/stepMs+i*7)%30 == 0 && !member.partitioned && !slices.Contains(s.staleNodes, member) {
+			s.viewAnswers = append(s.viewAnswers, viewAnswer{queriedAt: s.now + member.clockOffsetMs, dueAt: s.now + 60*s.rng.Float64(), to: member, machine: member.machine,
+				voters: s.voters, edition: s.edition})
 		}
 	}
-	w.viewAnswers = slices.DeleteFunc(w.viewAnswers, func(answer viewAnswer) bool {
-		if answer.dueAt > w.now || answer.to.frozen {
+	s.viewAnswers = slices.DeleteFunc(s.viewAnswers, func(answer viewAnswer) bool {
+		if answer.dueAt > s.now || answer.to.frozen {
 			return false
 		}
 		if answer.to.machine == answer.machine && !answer.to.down && !answer.to.partitioned {
-			answer.machine.Electorate(w.now+answer.to.clockOffsetMs, answer.queriedAt, answer.voters, answer.edition, 0)
+			answer.machine.Electorate(s.now+answer.to.clockOffsetMs, answer.queriedAt, answer.voters, answer.edition, 0)
 		}
 		return true
 	})
-	for _, member := range w.nodes {
+	for _, member := range s.nodes {
 		if member.down || member.frozen {
 			continue
 		}
 		inbox := member.inbox
 		member.inbox = nil
 		for _, message := range inbox {
-			w.apply(member, member.machine.Step(w.now+member.clockOffsetMs, Event{Kind: Heard, Message: message}))
+			s.apply(member, member.machine.Step(s.now+member.clockOffsetMs, Event{Kind: Heard, Message: message}))
 		}
-		if int(w.now)%20 == 0 {
-			w.apply(member, member.machine.Step(w.now+member.clockOffsetMs, Event{Kind: Tick}))
+		if int(s.now)%20 == 0 {
+			s.apply(member, member.machine.Step(s.now+member.clockOffsetMs, Event{Kind: Tick}))
 		}
 	}
-	for _, member := range w.nodes {
-		if ids, _ := member.machine.Settled(w.now + member.clockOffsetMs); ids != nil && w.electorateGrows && !member.down && !member.frozen {
+	for _, member := range s.nodes {
+		if ids, _ := member.machine.Settled(s.now + member.clockOffsetMs); ids != nil && s.electorateGrows && !member.down && !member.frozen {
 			member.storedVoters = ids
 		}
 	}
-	clear(w.holder)
+	clear(s.holder)
 	for _, duty := range testDuties {
-		for _, member := range w.nodes {
+		for _, member := range s.nodes {
 			if member.down {
 				continue
 			}
 			// A frozen node counts too: it may continue at any moment.
-			if _, ok := member.machine.Holds(w.now+member.clockOffsetMs, duty); ok {
-				assert.Assert(w.t, w.holder[duty] == "", "%s and %s both hold %s at %v", w.holder[duty], member.id, duty, w.now)
-				w.holder[duty], w.lastHeldAt[duty] = member.id, w.now
+			if _, ok := member.machine.Holds(s.now+member.clockOffsetMs, duty); ok {
+				assert.Assert(s.t, s.holder[duty] == "", "%s and %s both hold %s at %v", s.holder[duty], member.id, duty, s.now)
+				s.holder[duty], s.lastHeldAt[duty] = member.id, s.now
 			}
 		}
 	}
 }
 
-func (w *simulation) run(ms float64) {
-	for end := w.now + ms; w.now < end; {
-		w.step()
+func (s *simulation) run(ms float64) {
+	for end := s.now + ms; s.now < end; {
+		s.step()
 	}
 }
 
 // waitUntilAllHeld runs until all duties are held, and fails if that takes longer than ms.
-func (w *simulation) waitUntilAllHeld(ms float64) {
-	start := w.now
-	for len(w.holder) < len(testDuties) {
-		assert.Assert(w.t, w.now-start <= ms, "after %v ms without faults only %v are held", ms, w.holder)
-		w.step()
+func (s *simulation) waitUntilAllHeld(ms float64) {
+	start := s.now
+	for len(s.holder) < len(testDuties) {
+		assert.Assert(s.t, s.now-start <= ms, "after %v ms without faults only %v are held", ms, s.holder)
+		s.step()
 	}
 }
 
 // injectFault causes one random fault.
-func (w *simulation) injectFault(restarts, views bool) {
-	victim := w.nodes[w.rng.IntN(len(w.nodes))]
-	other := w.nodes[w.rng.IntN(len(w.nodes))]
-	switch w.rng.IntN(8) {
+func (s *simulation) injectFault(restarts, views bool) {
+	victim := s.nodes[s.rng.IntN(len(s.nodes))]
+	other := s.nodes[s.rng.IntN(len(s.nodes))]
+	switch s.rng.IntN(8) {
 	case 0:
 		victim.frozen = !victim.frozen
 	case 1:
 		victim.partitioned = !victim.partitioned
 	case 2, 3:
 		if victim != other {
-			w.brokenLinks[linkKey(victim.id, other.id)] = !w.brokenLinks[linkKey(victim.id, other.id)]
+			s.brokenLinks[linkKey(victim.id, other.id)] = !s.brokenLinks[linkKey(victim.id, other.id)]
 		}
 	case 4:
-		clear(w.brokenLinks)
+		clear(s.brokenLinks)
 	case 5:
 		if restarts && !victim.down {
-			if !victim.frozen && w.rng.IntN(2) == 0 {
-				w.apply(victim, victim.machine.Step(w.now+victim.clockOffsetMs, Event{Kind: Resign}))
+			if !victim.frozen && s.rng.IntN(2) == 0 {
+				s.apply(victim, victim.machine.Step(s.now+victim.clockOffsetMs, Event{Kind: Resign}))
 			}
-			victim.down, w.termsMustIncrease = true, false
+			victim.down, s.termsMustIncrease = true, false
 		} else if restarts {
-			w.start(victim, false)
+			s.start(victim, false)
 		}
 	case 6:
-		if restarts && w.rng.IntN(3) == 0 {
-			for _, victim := range w.nodes {
-				w.start(victim, false)
+		if restarts && s.rng.IntN(3) == 0 {
+			for _, victim := range s.nodes {
+				s.start(victim, false)
 			}
-			w.termsMustIncrease = false
+			s.termsMustIncrease = false
 		}
 	case 7:
 		if !views {
 			return
 		}
 		// A voter is added, removed or replaced.
-		ids := slices.Clone(w.voters)
-		if w.electorateGrows && slices.Contains(ids, victim.id) {
+		ids := slices.Clone(s.voters)
+		if s.electorateGrows && slices.Contains(ids, victim.id) {
 			return
 		}
 		if i := slices.Index(ids, victim.id); i >= 0 && len(ids) > 1 {
 			ids = slices.Delete(ids, i, i+1)
-			if !slices.Contains(ids, other.id) && other != victim && w.rng.IntN(2) == 0 {
+			if !slices.Contains(ids, other.id) && other != victim && s.rng.IntN(2) == 0 {
 				ids = append(ids, other.id)
 			}
 		} else if i < 0 {
 			ids = append(ids, victim.id)
 		}
-		w.voters = ids
-		w.edition++
-		w.termsMustIncrease = false // the remaining voters may not know of the last term
+		s.voters = ids
+		s.edition++
+		s.termsMustIncrease = false // the remaining voters may not know of the last term
 	}
 }
 
-func (w *simulation) endFaults() {
-	w.faulty = false
-	w.messages = slices.DeleteFunc(w.messages, func(p transit) bool { return p.dueAt > w.now+50 })
-	clear(w.brokenLinks)
-	for _, member := range w.nodes {
+func (s *simulation) endFaults() {
+	s.faulty = false
+	s.messages = slices.DeleteFunc(s.messages, func(p transit) bool { return p.dueAt > s.now+50 })
+	clear(s.brokenLinks)
+	for _, member := range s.nodes {
 		member.partitioned = false
 		member.frozen = false
 		if member.down {
-			w.start(member, false)
+			s.start(member, false)
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -478,6 +478,7 @@
 	}
 }
 
+// forgetExpired removes the ended incarnations that need not be remembered any more.
 func forgetExpired(ended map[uint64]float64, now float64) {
 	maps.DeleteFunc(ended, func(_ uint64, at float64) bool { return now-at > retentionMs })
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -22,34 +22,34 @@
 }
 
 func TestMemberWhileHeartbeatsArrive(t *testing.T) {
-	book := New("b1", 1, 0, 0)
-	book.Sign(0, newMember("b", 1, 1))
-	book.Sign(0, newMember("a", 1, 1))
-	assert.DeepEqual(t, nodesOf(book.Members(1500)), []string{"a", "b"})
-	book.Sign(1500, newMember("a", 1, 2))
-	assert.DeepEqual(t, nodesOf(book.Members(1501)), []string{"a"})
-	assert.DeepEqual(t, book.Known(30_000), []string{"a", "b"})
-	assert.DeepEqual(t, book.Known(30_001), []string{"a"})
-	assert.Equal(t, len(book.Known(40_000)), 0)
+	registry := New("b1", 1, 0, 0)
+	registry.Sign(0, newMember("b", 1, 1))
+	registry.Sign(0, newMember("a", 1, 1))
+	assert.DeepEqual(t, nodesOf(registry.Members(1500)), []string{"a", "b"})
+	registry.Sign(1500, newMember("a", 1, 2))
+	assert.DeepEqual(t, nodesOf(registry.Members(1501)), []string{"a"})
+	assert.DeepEqual(t, registry.Known(30_000), []string{"a", "b"})
+	assert.DeepEqual(t, registry.Known(30_001), []string{"a"})
+	assert.Equal(t, len(registry.Known(40_000)), 0)
 }
 
 func TestVersionIncreasesOnlyWithContent(t *testing.T) {
-	book := New("b1", 1, 0, 0)
+	registry := New("b1", 1, 0, 0)
 	member := newMember("a", 1, 1)
-	assert.Equal(t, book.Members(0).Version, uint64(1))
-	book.Sign(0, member)
-	assert.Equal(t, book.Members(0).Version, uint64(2))
+	assert.Equal(t, registry.Members(0).Version, uint64(1))
+	registry.Sign(0, member)
+	assert.Equal(t, registry.Members(0).Version, uint64(2))
 	for i := range 10 {
 		member.Turn, member.Load = uint64(i+2), float64(i)
-		book.Sign(float64(i*500), member)
-		assert.Equal(t, book.Members(float64(i*500)).Version, uint64(2))
+		registry.Sign(float64(i*500), member)
+		assert.Equal(t, registry.Members(float64(i*500)).Version, uint64(2))
 	}
-	assert.Equal(t, book.Members(4500).Members[0].Load, 9.0)
+	assert.Equal(t, registry.Members(4500).Members[0].Load, 9.0)
 	member.Turn, member.Leaving = 20, true
-	book.Sign(4600, member)
-	assert.Equal(t, book.Members(4600).Version, uint64(3))
-	assert.Equal(t, book.Members(9000).Version, uint64(4))
-	assert.Equal(t, book.Members(9500).Version, uint64(4))
+	registry.Sign(4600, member)
+	assert.Equal(t, registry.Members(4600).Version, uint64(3))
+	assert.Equal(t, registry.Members(9000).Version, uint64(4))
+	assert.Equal(t, registry.Members(9500).Version, uint64(4))
 }
 
 func TestMoveCountsOnceAndNewerHeartbeatWins(t *testing.T) {
@@ -92,41 +92,41 @@
 }
 
 func TestReplacedIncarnationStaysEnded(t *testing.T) {
-	book := New("b1", 1, 0, 0)
-	book.Sign(0, newMember("a", 7, 50))
-	book.Sign(100, newMember("a", 8, 1))
-	book.Sign(200, newMember("a", 7, 51))
-	assert.Equal(t, book.Members(200).Members[0].Life, uint64(8))
-	book.Hear(300, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 52)}}})
-	assert.Equal(t, book.Members(300).Members[0].Life, uint64(8))
+	registry := New("b1", 1, 0, 0)
+	registry.Sign(0, newMember("a", 7, 50))
+	registry.Sign(100, newMember("a", 8, 1))
+	registry.Sign(200, newMember("a", 7, 51))
+	assert.Equal(t, registry.Members(200).Members[0].Life, uint64(8))
+	registry.Hear(300, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 52)}}})
+	assert.Equal(t, registry.Members(300).Members[0].Life, uint64(8))
 
 	// A very late report must not exclude the running incarnation for good.
-	book.Sign(5000, newMember("a", 7, 60))
-	assert.Equal(t, book.Members(5000).Members[0].Life, uint64(7))
+	registry.Sign(5000, newMember("a", 7, 60))
+	assert.Equal(t, registry.Members(5000).Members[0].Life, uint64(7))
 }
 
 // TestRestartedWithin checks that what an incarnation may use once counts from its first report,
 // whoever sent it.
 func TestRestartedWithin(t *testing.T) {
-	book := New("b1", 1, 0, 0)
-	book.Sign(0, newMember("a", 7, 50))
-	assert.Assert(t, !book.Again(10, "a", 7000), "a first incarnation")
-	book.Sign(3000, newMember("a", 7, 80))
-	book.Hear(4000, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 8, 1)}}})
-	assert.Assert(t, book.Again(6999, "a", 7000))
-	assert.Assert(t, !book.Again(7000, "a", 7000))
-	book.Sign(8000, newMember("a", 9, 1))
-	assert.Assert(t, book.Again(10999, "a", 7000), "incarnation 8 was first reported at 4000")
-	assert.Assert(t, !book.Again(11000, "a", 7000))
-	assert.Assert(t, !book.Again(8000, "z", 7000), "an unknown node")
+	registry := New("b1", 1, 0, 0)
+	registry.Sign(0, newMember("a", 7, 50))
+	assert.Assert(t, !registry.Again(10, "a", 7000), "a first incarnation")
+	registry.Sign(3000, newMember("a", 7, 80))
+	registry.Hear(4000, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 8, 1)}}})
+	assert.Assert(t, registry.Again(6999, "a", 7000))
+	assert.Assert(t, !registry.Again(7000, "a", 7000))
+	registry.Sign(8000, newMember("a", 9, 1))
+	assert.Assert(t, registry.Again(10999, "a", 7000), "incarnation 8 was first reported at 4000")
+	assert.Assert(t, !registry.Again(11000, "a", 7000))
+	assert.Assert(t, !registry.Again(8000, "z", 7000), "an unknown node")
 }
 
 func TestUnknownIncarnationWithOlderHeartbeatIsEnded(t *testing.T) {
-	book := New("b1", 1, 0, 0)
-	book.Sign(1000, newMember("a", 8, 1))
-	book.Hear(1100, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 500}}})
-	book.Hear(1200, Page{From: "b2", Life: 1, Serial: 2, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 10}}})
-	assert.Equal(t, book.Members(1200).Members[0].Life, uint64(8))
+	registry := New("b1", 1, 0, 0)
+	registry.Sign(1000, newMember("a", 8, 1))
+	registry.Hear(1100, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 500}}})
+	registry.Hear(1200, Page{From: "b2", Life: 1, Serial: 2, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 10}}})
+	assert.Equal(t, registry.Members(1200).Members[0].Life, uint64(8))
 }
 
 func TestLeavingAppliesEverywhere(t *testing.T) {
@@ -148,13 +148,13 @@
 }
 
 func TestSettled(t *testing.T) {
-	book := New("b1", 1, 1000, 0)
+	registry := New("b1", 1, 1000, 0)
 	all := []string{"b1", "b2"}
-	assert.Assert(t, !book.Settled(1100, all))
-	book.Hear(1200, Page{From: "b2", Life: 1, Serial: 1})
-	assert.Assert(t, book.Settled(1200, all))
-	assert.Assert(t, !book.Settled(2500, []string{"b3"}), "the only other node has never sent a report")
-	assert.Assert(t, book.Settled(2500, []string{"b1"}), "there are no other nodes")
+	assert.Assert(t, !registry.Settled(1100, all))
+	registry.Hear(1200, Page{From: "b2", Life: 1, Serial: 1})
+	assert.Assert(t, registry.Settled(1200, all))
+	assert.Assert(t, !registry.Settled(2500, []string{"b3"}), "the only other node has never sent a report")
+	assert.Assert(t, registry.Settled(2500, []string{"b1"}), "there are no other nodes")
 }
 
 // TestPartitionedNodeIsNotSettled checks that the member list of a partitioned control node is not
@@ -162,44 +162,44 @@
 // the majority is connected again or until all are.
 func TestPartitionedNodeIsNotSettled(t *testing.T) {
 	all := []string{"b1", "b2", "b3", "b4"}
-	book := New("b1", 1, 0, 1500)
+	registry := New("b1", 1, 0, 1500)
 	serial := uint64(0)
 	receive := func(now float64, from ...string) {
 		serial++
 		for _, name := range from {
-			book.Hear(now, Page{From: name, Life: 1, Serial: serial})
+			registry.Hear(now, Page{From: name, Life: 1, Serial: serial})
 		}
 	}
 	for now := 0.0; now < 3000; now += 300 {
 		receive(now, "b2", "b3", "b4")
 	}
-	assert.Assert(t, book.Settled(2900, all))
+	assert.Assert(t, registry.Settled(2900, all))
 	for now := 3000.0; now < 6000; now += 300 {
 		receive(now, "b2", "b3") // one node is lost
-		assert.Assert(t, book.Settled(now, all), "%v", now)
+		assert.Assert(t, registry.Settled(now, all), "%v", now)
 	}
 	receive(6000, "b2") // half of the nodes are not enough once the other half has timed out
-	assert.Assert(t, !book.Settled(5700+peerTimeoutMs+1, all))
-	assert.Assert(t, !book.Settled(20_000, all), "no node has sent a report for long")
+	assert.Assert(t, !registry.Settled(5700+peerTimeoutMs+1, all))
+	assert.Assert(t, !registry.Settled(20_000, all), "no node has sent a report for long")
 	for now := 20_000.0; now < 21_500; now += 300 {
 		receive(now, "b2", "b3")
-		assert.Assert(t, !book.Settled(now, all), "at %v: members with sessions at the fourth node may not have been reported", now)
+		assert.Assert(t, !registry.Settled(now, all), "at %v: members with sessions at the fourth node may not have been reported", now)
 	}
 	receive(21_500, "b2", "b3")
-	assert.Assert(t, book.Settled(21_500, all))
+	assert.Assert(t, registry.Settled(21_500, all))
 	receive(40_000, "b2", "b3", "b4")
-	assert.Assert(t, book.Settled(40_000, all), "all nodes are connected")
+	assert.Assert(t, registry.Settled(40_000, all), "all nodes are connected")
 }
 
 func TestAsOf(t *testing.T) {
-	book := New("a", 1, 0, 1000)
-	_, known := book.AsOf(50, []string{"a", "b"})
+	registry := New("a", 1, 0, 1000)
+	_, known := registry.AsOf(50, []string{"a", "b"})
 	assert.Assert(t, !known, "a node that has never sent a report")
-	book.Hear(100, Page{From: "b", Life: 1, Serial: 1})
-	book.Hear(300, Page{From: "c", Life: 1, Serial: 1})
-	at, known := book.AsOf(900, []string{"a", "b", "c"})
+	registry.Hear(100, Page{From: "b", Life: 1, Serial: 1})
+	registry.Hear(300, Page{From: "c", Life: 1, Serial: 1})
+	at, known := registry.AsOf(900, []string{"a", "b", "c"})
 	assert.Assert(t, known && at == 100)
-	at, known = book.AsOf(900, []string{"a"})
+	at, known = registry.AsOf(900, []string{"a"})
 	assert.Assert(t, known && at == 900)
 }
 
@@ -236,10 +236,10 @@
 
 func TestResolve(t *testing.T) {
 	for _, testCase := range []struct {
-		name   string
-		per    map[string]int
-		change func(*Member)
-		want   map[string]int
+		name        string
+		countByZone map[string]int
+		modify      func(*Member)
+		want        map[string]int
 	}{
 		{"the zone's own members", map[string]int{"a1": 3, "a2": 3, "b1": 3}, nil, map[string]int{"a1": 3}},
 		{"a single member is joined by the region", map[string]int{"a1": 1, "a2": 2, "b1": 3}, nil, map[string]int{"a1": 1, "a2": 2}},
@@ -252,7 +252,7 @@
 		{"no members", nil, nil, map[string]int{}},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			list := members(testCase.per, testCase.change)
+			list := members(testCase.countByZone, testCase.modify)
 			found := Resolve(5, list, "a", "a1", 64)
 			got := map[string]int{}
 			for _, a := range found {
@@ -310,25 +310,25 @@
 func TestNodesAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		const bookCount, gatekeepers = 3, 8
-		clockOffsetMs := [bookCount]float64{0, 1e6, 5e7}
-		var books [bookCount]*Book
-		for i := range books {
-			books[i] = New(fmt.Sprint("b", i), rng.Uint64(), clockOffsetMs[i], 0)
+		const registryCount, gatekeepers = 3, 8
+		clockOffsetMs := [registryCount]float64{0, 1e6, 5e7}
+		var registries [registryCount]*Book
+		for i := range registries {
+			registries[i] = New(fmt.Sprint("b", i), rng.Uint64(), clockOffsetMs[i], 0)
 		}
 		type gatekeeper struct {
-			life, turn uint64
-			at         int
-			down       bool
+			incarnation, sequence uint64
+			registryIndex         int
+			down                  bool
 		}
 		gatekeeperStates := [gatekeepers]gatekeeper{}
 		for i := range gatekeeperStates {
-			gatekeeperStates[i] = gatekeeper{life: rng.Uint64(), at: rng.IntN(bookCount)}
+			gatekeeperStates[i] = gatekeeper{incarnation: rng.Uint64(), registryIndex: rng.IntN(registryCount)}
 		}
 		type message struct {
-			due float64
-			to  int
-			p   Page
+			dueAt float64
+			to    int
+			page  Page
 		}
 		var messages []message
 		for now := 0.0; now < 20_000; now += 50 {
@@ -338,21 +338,21 @@
 				if faulty && rng.IntN(60) == 0 {
 					gatekeeper.down = !gatekeeper.down
 					if !gatekeeper.down {
-						gatekeeper.life, gatekeeper.turn = rng.Uint64(), 0
+						gatekeeper.incarnation, gatekeeper.sequence = rng.Uint64(), 0
 					}
 				}
 				if faulty && rng.IntN(40) == 0 {
-					gatekeeper.at = rng.IntN(bookCount)
+					gatekeeper.registryIndex = rng.IntN(registryCount)
 				}
 				if !gatekeeper.down && (int(now)/50+i)%8 == 0 {
-					gatekeeper.turn++
-					books[gatekeeper.at].Sign(now+clockOffsetMs[gatekeeper.at], newMember(fmt.Sprint("g", i), gatekeeper.life, gatekeeper.turn))
+					gatekeeper.sequence++
+					registries[gatekeeper.registryIndex].Sign(now+clockOffsetMs[gatekeeper.registryIndex], newMember(fmt.Sprint("g", i), gatekeeper.incarnation, gatekeeper.sequence))
 				}
 			}
 			if int(now)%250 == 0 {
-				for i := range books {
-					p := books[i].Tell(now + clockOffsetMs[i])
-					for to := range books {
+				for i := range registries {
+					p := registries[i].Tell(now + clockOffsetMs[i])
+					for to := range registries {
 						for range 1 + rng.IntN(2) {
 							if to != i && !(faulty && rng.IntN(4) == 0) {
 								delayMs := 20 + rng.Float64()*80
@@ -366,14 +366,14 @@
 				}
 			}
 			messages = slices.DeleteFunc(messages, func(p message) bool {
-				if p.due <= now {
-					books[p.to].Hear(now+clockOffsetMs[p.to], p.p)
+				if p.dueAt <= now {
+					registries[p.to].Hear(now+clockOffsetMs[p.to], p.page)
 				}
-				return p.due <= now
+				return p.dueAt <= now
 			})
 		}
-		for i := range books {
-			list := books[i].Members(20_000 + clockOffsetMs[i])
+		for i := range registries {
+			list := registries[i].Members(20_000 + clockOffsetMs[i])
 			got := map[string]uint64{}
 			for _, gatekeeper := range list.Members {
 				got[gatekeeper.Station] = gatekeeper.Life
@@ -381,7 +381,7 @@
 			want := map[string]uint64{}
 			for k, gatekeeper := range gatekeeperStates {
 				if !gatekeeper.down {
-					want[fmt.Sprint("g", k)] = gatekeeper.life
+					want[fmt.Sprint("g", k)] = gatekeeper.incarnation
 				}
 			}
 			assert.DeepEqual(t, got, want)
@@ -487,12 +487,12 @@
 // TestRestoredStarts checks that what an earlier process recorded counts from this process's start
 // until the window is over.
 func TestRestoredStarts(t *testing.T) {
-	book := New("x:1", 1, 0, 0)
-	book.Recall(0, []string{"a", "b"})
-	book.Sign(100, Member{Station: "a", Life: 7, Turn: 1})
-	assert.Assert(t, book.Again(6999, "a", 7000) && !book.Again(7000, "a", 7000))
-	assert.Assert(t, book.Began(200, "a", 7000) && !book.Began(200, "c", 7000))
-	assert.DeepEqual(t, book.Recent(200, 7000), []string{"a", "b"})
-	assert.DeepEqual(t, book.Recent(7050, 7000), []string{"a"})
-	assert.Equal(t, len(book.Recent(7100, 7000)), 0)
+	registry := New("x:1", 1, 0, 0)
+	registry.Recall(0, []string{"a", "b"})
+	registry.Sign(100, Member{Station: "a", Life: 7, Turn: 1})
+	assert.Assert(t, registry.Again(6999, "a", 7000) && !registry.Again(7000, "a", 7000))
+	assert.Assert(t, registry.Began(200, "a", 7000) && !registry.Began(200, "c", 7000))
+	assert.DeepEqual(t, registry.Recent(200, 7000), []string{"a", "b"})
+	assert.DeepEqual(t, registry.Recent(7050, 7000), []string{"a"})
+	assert.Equal(t, len(registry.Recent(7100, 7000)), 0)
 }
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -17,7 +17,7 @@
 	rotationMs = 2000
 )
 
-// Resolve returns up to `most` addresses for the clients of a zone:
+// Resolve returns up to maxCount addresses for the clients of a zone:
 //
 //   - The ready members of the zone. The rest of its region is added if the zone has fewer than two,
 //     or less than half of the average of the region's zones (it lost most of them, and the others
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// pickAddresses returns addresses of eligible members, those of the zone first.
 func pickAddresses(now float64, list Roll, eligible func(Member) bool, region, zone string, maxCount int) []string {
 	var zoneMembers, regionMembers, otherMembers []Member
 	zones := map[string]bool{zone: true}
@@ -105,4 +106,5 @@
 	return owner
 }
 
+// rendezvousHash returns the weight of a member for a key; the highest one wins.
 func rendezvousHash(key, member string) uint64 { return xxh3.HashString(key + "\x00" + member) }
--- a/internal/membership/scale_bench_test.go
+++ b/internal/membership/scale_bench_test.go
@@ -15,23 +15,23 @@
 // computation of the member list.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 18_000} {
-		book, other := New("a", 1, 0, 0), New("b", 2, 0, 0)
+		registry, other := New("a", 1, 0, 0), New("b", 2, 0, 0)
 		for i := range n {
 			member := scaleMember(i)
 			if i%5 == 0 {
 				other.Sign(0, member)
 			} else {
-				book.Sign(0, member)
+				registry.Sign(0, member)
 			}
 		}
-		book.Hear(0, other.Tell(0))
+		registry.Hear(0, other.Tell(0))
 		other.Mark(0)
 		b.Run(fmt.Sprintf("heartbeat/%d", n), func(b *testing.B) {
 			member := scaleMember(1)
 			for b.Loop() {
 				member.Turn++
-				book.Sign(1, member)
-				book.Members(1)
+				registry.Sign(1, member)
+				registry.Members(1)
 			}
 		})
 		b.Run(fmt.Sprintf("brief-report/%d", n), func(b *testing.B) {
@@ -42,13 +42,13 @@
 		})
 		b.Run(fmt.Sprintf("receive/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				book.Hear(1, other.Brief(1))
+				registry.Hear(1, other.Brief(1))
 			}
 		})
 		b.Run(fmt.Sprintf("member-list/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				book.membersValidUntil = 0
-				book.Members(1)
+				registry.membersValidUntil = 0
+				registry.Members(1)
 			}
 		})
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -586,8 +586,8 @@
 	rate = a.targetRate(tenant, slot, now, totalRate*(1-poolShare), sharers)
 	switch tokensEach := totalBurst / sharers; {
 	case tokensEach >= wholeTokensBelow:
-		surge := min(tenant.limit.Surge, totalBurst)
-		burst = (1 - pooledBurstShare) * ((totalBurst-surge)/sharers + surge*rate/max(totalRate, epsilon))
+		limitBurst := min(tenant.limit.Surge, totalBurst)
+		burst = (1 - pooledBurstShare) * ((totalBurst-limitBurst)/sharers + limitBurst*rate/max(totalRate, epsilon))
 	case tokensEach >= 1:
 		burst = math.Floor(tokensEach)
 		if tokensEach >= 2 {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -37,15 +37,15 @@
 // TestAllocations checks the rates granted to three gatekeepers of a tenant with a rate of 90.
 func TestAllocations(t *testing.T) {
 	type request struct {
-		at     float64
-		who    int
-		demand float64
-		least  float64
-		most   float64
+		at         float64
+		gatekeeper int
+		demand     float64
+		minRate    float64
+		maxRate    float64
 	}
 	for _, testCase := range []struct {
-		name string
-		asks []request
+		name     string
+		requests []request
 	}{
 		{"low demand is met and gets a part of the rest", []request{
 			{0, 0, 30, 29, 61}, {0, 1, 10, 14, 60}, {0, 2, 10, 14, 60},
@@ -65,10 +65,10 @@
 	} {
 		allocator, ids := newStartedAllocator(3, Terms{90, 90})
 		held := make([]map[string]Slice, 3)
-		for index, request := range testCase.asks {
-			held[request.who] = allocator.Ask(request.at, ids[request.who], uint64(index)+1, Demand{"t": request.demand}, held[request.who], leaseMs-500)
-			got := held[request.who]["t"]
-			assert.Assert(t, got.Rate >= request.least && got.Rate <= request.most, "%s: request %d got %+v", testCase.name, index, got)
+		for index, request := range testCase.requests {
+			held[request.gatekeeper] = allocator.Ask(request.at, ids[request.gatekeeper], uint64(index)+1, Demand{"t": request.demand}, held[request.gatekeeper], leaseMs-500)
+			got := held[request.gatekeeper]["t"]
+			assert.Assert(t, got.Rate >= request.minRate && got.Rate <= request.maxRate, "%s: request %d got %+v", testCase.name, index, got)
 			assert.Assert(t, got.Floor > 14.9 && got.Burst >= got.FloorBurst, "%s: %+v", testCase.name, got)
 		}
 	}
@@ -180,12 +180,13 @@
 	allocations            map[string]Slice
 }
 
+// cluster is a simulated cluster of gatekeepers with an active and a standby allocator.
 type cluster struct {
 	rng          *rand.Rand
 	limits       map[string]Terms
 	gatekeepers  []*gatekeeper
 	active       *Allotter
-	standby      *Allotter // the standby, of the next holder of the duty
+	standby      *Allotter // allocator of the next holder of the duty
 	now          float64
 	lossShare    float64 // share of the answers that are lost
 	maxDelayMs   float64 // largest delay of an answer in milliseconds; 0 for 100
@@ -196,42 +197,42 @@
 }
 
 // changeHolder hands the duty to the standby allocator after it has been vacant for a time.
-func (f *cluster) changeHolder(vacantMs float64) {
-	f.active, f.standby = f.standby, f.active
-	f.vacantSince, f.vacantUntil, f.beginPending = f.now, f.now+vacantMs, true
+func (c *cluster) changeHolder(vacantMs float64) {
+	c.active, c.standby = c.standby, c.active
+	c.vacantSince, c.vacantUntil, c.beginPending = c.now, c.now+vacantMs, true
 }
 
 // useMinimums does what a gatekeeper does that reaches no allocator, as internal/switchback does.
-func (f *cluster) useMinimums(i int) {
-	self := f.gatekeepers[i]
+func (c *cluster) useMinimums(i int) {
+	self := c.gatekeepers[i]
 	if self.allocated {
 		return
 	}
 	memberIndex := 0
-	for k := range f.gatekeepers {
+	for k := range c.gatekeepers {
 		if fmt.Sprint("m", k) < fmt.Sprint("m", i) {
 			memberIndex++
 		}
 	}
 	minimums := map[string]policy.TenantSlice{}
-	for _, name := range f.limitedTenants() {
-		minimum := Floor(name, f.limits[name], testBounds, memberIndex, len(f.gatekeepers))
+	for _, name := range c.limitedTenants() {
+		minimum := Floor(name, c.limits[name], testBounds, memberIndex, len(c.gatekeepers))
 		if self.gotStartBurst {
 			minimum.Kick = 0
 		}
 		minimums[name] = policy.TenantSlice(minimum)
 	}
 	self.gotStartBurst = true
-	self.tenants.Slices(self.localTime(f.now), minimums, 0)
+	self.tenants.Slices(self.localTime(c.now), minimums, 0)
 }
 
-func (f *cluster) limitedTenants() (out []string) {
-	for name, limit := range f.limits {
+func (c *cluster) limitedTenants() (names []string) {
+	for name, limit := range c.limits {
 		if limit.RatePerS > 0 {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
 func newCluster(seed uint64, count int, limits map[string]Terms) *cluster {
@@ -247,43 +248,43 @@
 	return c
 }
 
-func (f *cluster) configure(version uint64) {
-	f.active.Terms(f.now, f.limits, version)
-	f.standby.Terms(f.now, f.limits, version)
-	for _, g := range f.gatekeepers {
-		g.tenants.Limits(g.localTime(f.now), f.limitedTenants())
+func (c *cluster) configure(version uint64) {
+	c.active.Terms(c.now, c.limits, version)
+	c.standby.Terms(c.now, c.limits, version)
+	for _, g := range c.gatekeepers {
+		g.tenants.Limits(g.localTime(c.now), c.limitedTenants())
 	}
 }
 
-func (f *cluster) startGatekeeper(i int) {
-	g := f.gatekeepers[i]
-	*g = gatekeeper{incarnation: g.incarnation + 1, tenants: policy.NewTenants(), nextRequestAt: f.now + f.rng.Float64()*500, partitionedUntil: g.partitionedUntil, clockOffsetMs: f.rng.Float64() * 1e6}
-	g.tenants.Limits(g.localTime(f.now), f.limitedTenants())
+func (c *cluster) startGatekeeper(i int) {
+	g := c.gatekeepers[i]
+	*g = gatekeeper{incarnation: g.incarnation + 1, tenants: policy.NewTenants(), nextRequestAt: c.now + c.rng.Float64()*500, partitionedUntil: g.partitionedUntil, clockOffsetMs: c.rng.Float64() * 1e6}
+	g.tenants.Limits(g.localTime(c.now), c.limitedTenants())
 }
 
 func (g *gatekeeper) localTime(now float64) policy.Micros {
 	return policy.Micros((now + g.clockOffsetMs) * 1e3)
 }
 
-func (f *cluster) id(i int) string { return fmt.Sprintf("m%d/%d", i, f.gatekeepers[i].incarnation) }
+func (c *cluster) id(i int) string { return fmt.Sprintf("m%d/%d", i, c.gatekeepers[i].incarnation) }
 
 // step advances the time by ms milliseconds and delivers requests and answers.
-func (f *cluster) step(ms float64) {
-	f.now += ms
-	if f.beginPending && f.now >= f.vacantUntil {
-		f.beginPending = false
-		f.active.Begin(f.now, f.now-f.vacantSince)
+func (c *cluster) step(ms float64) {
+	c.now += ms
+	if c.beginPending && c.now >= c.vacantUntil {
+		c.beginPending = false
+		c.active.Begin(c.now, c.now-c.vacantSince)
 	}
-	for i, gatekeeper := range f.gatekeepers {
+	for i, gatekeeper := range c.gatekeepers {
 		undelivered := gatekeeper.pending[:0]
 		for _, pending := range gatekeeper.pending {
 			switch {
-			case pending.arrivesAt > f.now:
+			case pending.arrivesAt > c.now:
 				undelivered = append(undelivered, pending)
-			case pending.seq == gatekeeper.seq && f.now-pending.requestedAt < 1000 && f.now >= gatekeeper.partitionedUntil: // answers the newest request, in time
+			case pending.seq == gatekeeper.seq && c.now-pending.requestedAt < 1000 && c.now >= gatekeeper.partitionedUntil: // answers the newest request, in time
 				allocations := map[string]policy.TenantSlice{}
 				for name, allocation := range pending.allocations {
-					if f.now-pending.requestedAt > TokensMs {
+					if c.now-pending.requestedAt > TokensMs {
 						allocation.Tokens = 0
 					}
 					if gatekeeper.gotStartBurst {
@@ -292,48 +293,48 @@
 					allocations[name] = policy.TenantSlice(allocation)
 				}
 				gatekeeper.allocated, gatekeeper.gotStartBurst = true, true
-				gatekeeper.tenants.Slices(gatekeeper.localTime(f.now), allocations, gatekeeper.localTime(pending.requestedAt+leaseMs))
+				gatekeeper.tenants.Slices(gatekeeper.localTime(c.now), allocations, gatekeeper.localTime(pending.requestedAt+leaseMs))
 			}
 		}
 		gatekeeper.pending = undelivered
-		untilRequestMs := gatekeeper.nextRequestAt - f.now
-		if f.now < gatekeeper.partitionedUntil || untilRequestMs > 0 && (untilRequestMs > 400 || !gatekeeper.tenants.Low(gatekeeper.localTime(f.now))) {
+		untilRequestMs := gatekeeper.nextRequestAt - c.now
+		if c.now < gatekeeper.partitionedUntil || untilRequestMs > 0 && (untilRequestMs > 400 || !gatekeeper.tenants.Low(gatekeeper.localTime(c.now))) {
 			continue
 		}
-		gatekeeper.nextRequestAt = f.now + 500
+		gatekeeper.nextRequestAt = c.now + 500
 		gatekeeper.seq++
-		if f.beginPending {
-			f.useMinimums(i)
+		if c.beginPending {
+			c.useMinimums(i)
 			continue
 		}
-		if f.returnShare > 0 && f.rng.Float64() < f.returnShare {
-			for _, name := range f.limitedTenants() {
-				gatekeeper.tenants.Surrender(gatekeeper.localTime(f.now), name)
+		if c.returnShare > 0 && c.rng.Float64() < c.returnShare {
+			for _, name := range c.limitedTenants() {
+				gatekeeper.tenants.Surrender(gatekeeper.localTime(c.now), name)
 			}
 		}
-		reported, leaseLeft := gatekeeper.tenants.Holding(gatekeeper.localTime(f.now))
+		reported, leaseLeft := gatekeeper.tenants.Holding(gatekeeper.localTime(c.now))
 		holding := map[string]Slice{}
 		for name, allocation := range reported {
 			holding[name] = Slice(allocation)
 		}
-		got := f.active.Ask(f.now, f.id(i), gatekeeper.seq, gatekeeper.tenants.Demand(gatekeeper.localTime(f.now)), holding, float64(leaseLeft)/1e3)
-		if got != nil && f.rng.Float64() >= f.lossShare {
-			gatekeeper.pending = append(gatekeeper.pending, answer{f.now + 10 + f.rng.Float64()*max(f.maxDelayMs, 100*(1+9*f.lossShare)), f.now, gatekeeper.seq, got})
+		got := c.active.Ask(c.now, c.id(i), gatekeeper.seq, gatekeeper.tenants.Demand(gatekeeper.localTime(c.now)), holding, float64(leaseLeft)/1e3)
+		if got != nil && c.rng.Float64() >= c.lossShare {
+			gatekeeper.pending = append(gatekeeper.pending, answer{c.now + 10 + c.rng.Float64()*max(c.maxDelayMs, 100*(1+9*c.lossShare)), c.now, gatekeeper.seq, got})
 		}
 	}
 }
 
 // updateMembers gives both allocators the list of connected gatekeepers, from which the standby learns
 // which have lapsed.
-func (f *cluster) updateMembers() {
+func (c *cluster) updateMembers() {
 	var ids []string
-	for i, g := range f.gatekeepers {
-		if f.now >= g.partitionedUntil-(leaseMs-500) { // the session outlasts the start of a partition
-			ids = append(ids, f.id(i))
+	for i, g := range c.gatekeepers {
+		if c.now >= g.partitionedUntil-(leaseMs-500) { // the session outlasts the start of a partition
+			ids = append(ids, c.id(i))
 		}
 	}
-	f.active.Members(f.now, ids)
-	f.standby.Members(f.now, ids)
+	c.active.Members(c.now, ids)
+	c.standby.Members(c.now, ids)
 }
 
 // window counts the requests admitted in the last window.
@@ -588,13 +589,13 @@
 // owners.
 func TestTenantsWithinTheirLimitAreServed(t *testing.T) {
 	for _, testCase := range []struct {
-		name    string
-		n       int
-		x       Terms
-		load    float64 // demand as a multiple of the rate
-		refused float64 // largest share of the requests within the limit that may be refused
-		hold    float64 // milliseconds that a request waits for a token
-		homes   int     // gatekeepers that own the quota, 0 for none
+		name            string
+		gatekeeperCount int
+		limit           Terms
+		load            float64 // demand as a multiple of the rate
+		maxRefused      float64 // largest share of the requests within the limit that may be refused
+		maxWaitMs       float64 // milliseconds that a request waits for a token
+		owners          int     // gatekeepers that own the quota, 0 for none
 	}{
 		{"tiny, 69 gatekeepers", 69, Terms{5, 5}, 1 / 1.6, 0.02, 0, 2},
 		{"tiny and overloaded, 69 gatekeepers", 69, Terms{5, 5}, 8, 0.05, 0, 2},
@@ -611,17 +612,17 @@
 	} {
 		arrived, served := 0.0, 0.0
 		for seed := range uint64(seedsPerCase) {
-			simulation := newCluster(seed+100, testCase.n, map[string]Terms{"t": testCase.x})
-			simulation.active.Homes = testCase.homes > 0
+			simulation := newCluster(seed+100, testCase.gatekeeperCount, map[string]Terms{"t": testCase.limit})
+			simulation.active.Homes = testCase.owners > 0
 			for step := range 3000 {
 				simulation.step(10)
 				if step%20 == 0 {
 					simulation.updateMembers()
 				}
-				for range poisson(simulation.rng, testCase.x.RatePerS*testCase.load*0.01) {
+				for range poisson(simulation.rng, testCase.limit.RatePerS*testCase.load*0.01) {
 					g := simulation.gatekeepers[simulation.rng.IntN(len(simulation.gatekeepers))]
-					if testCase.homes > 0 {
-						g = simulation.gatekeepers[simulation.rng.IntN(testCase.homes)]
+					if testCase.owners > 0 {
+						g = simulation.gatekeepers[simulation.rng.IntN(testCase.owners)]
 					}
 					if step >= 800 {
 						arrived++
@@ -633,7 +634,7 @@
 					}
 				}
 				for _, g := range simulation.gatekeepers {
-					for len(g.waitingSince) > 0 && simulation.now > g.waitingSince[0]+testCase.hold {
+					for len(g.waitingSince) > 0 && simulation.now > g.waitingSince[0]+testCase.maxWaitMs {
 						g.waitingSince = g.waitingSince[1:]
 					}
 					for len(g.waitingSince) > 0 && g.tenants.Retry(g.localTime(simulation.now), "t") {
@@ -644,9 +645,9 @@
 				}
 			}
 		}
-		withinLimit := min(arrived, testCase.x.RatePerS*22*seedsPerCase)
+		withinLimit := min(arrived, testCase.limit.RatePerS*22*seedsPerCase)
 		t.Logf("%s: %.0f of %.0f requests within the limit served, %.2f%% refused", testCase.name, served, withinLimit, 100*(1-served/withinLimit))
-		assert.Check(t, 1-served/withinLimit <= testCase.refused, testCase.name)
+		assert.Check(t, 1-served/withinLimit <= testCase.maxRefused, testCase.name)
 	}
 }
 
--- a/internal/snowline/controller.go
+++ b/internal/snowline/controller.go
@@ -17,7 +17,7 @@
 
 const (
 	settleMs               = 1200.0  // time for a threshold to reach all gatekeepers and to show in their reports
-	defaultReduction       = 0.95    // share of the admitted load that is kept when the rate is reduced and nothing else is known
+	defaultReductionFactor = 0.95    // share of the admitted load that is kept when the rate is reduced and nothing else is known
 	minReductionFactor     = 0.7     // smallest share of the admitted load kept by one reduction
 	minRateFactor          = 0.7     // smallest share of the rate kept by one reduction: the load counted on a stalled machine may be far too low
 	minAdmittedShare       = 0.05    // smallest admitted share of the offered load
@@ -25,7 +25,7 @@
 	fallingShare           = 0.95    // pressure below this share of its mean is falling
 	pressureMeanMs         = 500.0   // time constant of that mean
 	increaseIntervalMs     = 1000.0  // time between increases of the rate
-	maxIncreaseFactor      = 1.25    // largest factor of an increase; smaller by the square of the unused pressure
+	maxIncreaseFactor      = 1.25    // largest factor of an increase; smaller by the square of the unused capacity
 	increaseWeight         = 0.4     // weight of that square
 	increaseEffectMs       = 4000.0  // pressure within this time after an increase is attributed to it
 	minProbeDelayMs        = 2000.0  // time without pressure after a reduction before the first increase
@@ -38,7 +38,7 @@
 	lowPressureDelayMs     = 600.0   // time of low pressure until the threshold is raised quickly
 	quickIntervalMs        = 700.0   // time between quick increases, and for which a higher threshold must have fitted then
 	quickStepFactor        = 1.2     // largest factor of the admitted load per quick step
-	quickIncreaseWeight    = 0.4     // weight of the squared unused pressure in quick increases
+	quickIncreaseWeight    = 0.4     // weight of the squared unused capacity in quick increases
 	raiseStepShare         = 0.5     // share of the unused rate that is admitted at once: refused clients retry in addition
 	lowerTolerance         = 1.03    // load above this multiple of the rate lowers the threshold
 	raiseTolerance         = 1.0     // load below this multiple of the rate may raise the threshold
@@ -58,7 +58,7 @@
 	increased          bool    // since the last reduction
 	probeDelayMs       float64 // time without pressure required before the next increase
 	raisableSince      float64
-	raisableTo         policy.Mark // lowest threshold that has fitted since looseAt
+	raisableTo         policy.Mark // lowest threshold that has fitted since raisableSince
 	lastNearCapacityAt float64
 	followedLoadAt     float64 // when the threshold followed a rising load
 	lastUnpressedAt    float64 // when pressure was last below pressed
@@ -92,7 +92,7 @@
 }
 
 // Step updates the threshold by the pressure, the arriving load and the rate of workers' answers. The
-// threshold under applies in addition.
+// otherThreshold applies in addition.
 func (v *Valve) Step(now, pressure float64, load Load, served float64, otherThreshold policy.Mark) policy.Mark {
 	if !v.started {
 		v.Resume(now, policy.MarkOpen, load, 0)
@@ -123,7 +123,7 @@
 				v.noQuickUntil = now + v.probeDelayMs
 			}
 		}
-		rate := defaultReduction * admitted
+		rate := defaultReductionFactor * admitted
 		if served > 0 {
 			rate = min(rate, servedAllowance*served)
 		}
--- a/internal/snowline/gatekeeper.go
+++ b/internal/snowline/gatekeeper.go
@@ -32,7 +32,7 @@
 type Standing struct {
 	Cut    policy.Mark
 	Alone  bool // it sheds more than the level demands, by its own pressure
-	CutOff bool // it hasn't received a level for cutOffMs
+	CutOff bool // it hasn't received a level for disconnectedAfterMs
 	Aging  bool // the level it received is aging out
 }
 
@@ -64,7 +64,7 @@
 // Describe describes what is refused.
 func (p *Post) Describe() string { return DescribeAll(p.Standing().Cut, p.serviceThresholds) }
 
-// Hear handles an answer to a request sent at the time asked. A level with a lower number is out of
+// Hear handles an answer to a request sent at requestedAt. A level with a lower number is out of
 // date and doesn't even show that there is a holder.
 func (p *Post) Hear(requestedAt float64, level Level) bool {
 	if level.Number == 0 || p.received && level.Number < p.level.Number {
--- a/internal/snowline/holder.go
+++ b/internal/snowline/holder.go
@@ -224,7 +224,7 @@
 	return valid(report.Pressure) && valid(report.Shared) && valid(report.Served) && loads(report.Load)
 }
 
-// Fix applies an operator's threshold for ms milliseconds; 0 removes it.
+// Fix applies an operator's threshold for durationMs milliseconds; 0 removes it.
 func (h *Holder) Fix(now float64, threshold policy.Mark, durationMs float64) {
 	h.overrideThreshold, h.overrideUntil = threshold, now+durationMs
 }
@@ -328,7 +328,7 @@
 	h.level.Number = max(h.term<<counterBits|h.counter, h.level.Number+1)
 }
 
-// rotate rotates the callers' hash if it is due. That is never sooner than turnMs after the last
+// rotate rotates the callers' hash if it is due. That is never sooner than rotationMs after the last
 // rotation, even if the holder changes, since a new holder counts from the start of its term. No
 // caller is therefore moved twice in that time.
 func (h *Holder) rotate(now float64) bool {
@@ -378,7 +378,7 @@
 	return majorityValue(totals, members), majorityValue(sharedPressures, members)
 }
 
-// majorityValue returns the highest value that more than half of `of` members reach.
+// majorityValue returns the highest value that more than half of the members reach.
 func majorityValue(values []float64, members int) float64 {
 	values = slices.Clone(values)
 	slices.SortFunc(values, func(a, b float64) int { return cmp.Compare(b, a) })
--- a/internal/snowline/snowline_test.go
+++ b/internal/snowline/snowline_test.go
@@ -39,7 +39,7 @@
 type simulation struct {
 	now            float64
 	rng            *rand.Rand
-	gates          []*gatekeeper
+	gatekeepers    []*gatekeeper
 	holders        []*Holder
 	holderIndex    int // index of the holder of the duty, -1 for none
 	term           uint64
@@ -67,7 +67,7 @@
 func newSimulation(seed uint64, gatekeeperCount, holderCount int) *simulation {
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), capacity: 1000, loadFactor: 0.8, noise: 0.05, binsPerTier: policy.MarkBins}
 	for range gatekeeperCount {
-		s.gates = append(s.gates, &gatekeeper{load: Load{}})
+		s.gatekeepers = append(s.gatekeepers, &gatekeeper{load: Load{}})
 	}
 	for range holderCount {
 		s.holders = append(s.holders, s.newHolder())
@@ -77,57 +77,57 @@
 }
 
 // newHolder returns a new holder with one threshold for all services.
-func (w *simulation) newHolder() *Holder {
-	h := NewHolder(w.rng.Uint64())
+func (s *simulation) newHolder() *Holder {
+	h := NewHolder(s.rng.Uint64())
 	h.Whole = true
 	return h
 }
 
 // elect gives the duty to a holder, or to none for -1.
-func (w *simulation) elect(index int) {
-	if w.holderIndex >= 0 && w.holderIndex < len(w.holders) {
-		w.holders[w.holderIndex].End()
+func (s *simulation) elect(index int) {
+	if s.holderIndex >= 0 && s.holderIndex < len(s.holders) {
+		s.holders[s.holderIndex].End()
 	}
-	if w.holderIndex = index; index >= 0 {
-		w.term++
-		w.holders[index].Begin(w.now, w.term)
+	if s.holderIndex = index; index >= 0 {
+		s.term++
+		s.holders[index].Begin(s.now, s.term)
 	}
 }
 
 // offeredLoad returns the arriving load by bins.
-func (w *simulation) offeredLoad() Load {
+func (s *simulation) offeredLoad() Load {
 	load := Load{}
 	for tier, share := range tierShares {
-		for part := range w.binsPerTier {
-			rate := w.loadFactor * w.capacity * share / float64(w.binsPerTier) * (1 + w.noise*(2*w.rng.Float64()-1))
-			load[uint32(policy.Tier(tier, 0, 0))*policy.MarkBins+part] = rate
+		for bin := range s.binsPerTier {
+			rate := s.loadFactor * s.capacity * share / float64(s.binsPerTier) * (1 + s.noise*(2*s.rng.Float64()-1))
+			load[uint32(policy.Tier(tier, 0, 0))*policy.MarkBins+bin] = rate
 		}
 	}
 	return load
 }
 
 // run advances the simulation by ms milliseconds.
-func (w *simulation) run(ms float64) {
-	for end := w.now + ms; w.now < end; w.now += simulationStepMs {
-		w.step()
+func (s *simulation) run(ms float64) {
+	for end := s.now + ms; s.now < end; s.now += simulationStepMs {
+		s.step()
 	}
 }
 
-func (w *simulation) step() {
+func (s *simulation) step() {
 	alive := 0
-	for _, g := range w.gates {
+	for _, g := range s.gatekeepers {
 		if !g.dead {
 			alive++
 		}
 	}
-	offered, admitted, admittedByThreshold := w.offeredLoad(), 0.0, map[policy.Mark]float64{}
-	if w.retries {
-		w.addRetries(offered)
+	offered, admitted, admittedByThreshold := s.offeredLoad(), 0.0, map[policy.Mark]float64{}
+	if s.retries {
+		s.addRetries(offered)
 	}
 	for bin := range offered {
 		offered[bin] /= float64(alive)
 	}
-	for _, g := range w.gates {
+	for _, g := range s.gatekeepers {
 		if g.dead {
 			continue
 		}
@@ -139,59 +139,59 @@
 		g.load.Blend(offered, 1-math.Exp(-simulationStepMs/600))
 	}
 	// The queue holds 0.15 s of work; when it is full, requests are refused.
-	w.backlog += (admitted - w.capacity) * simulationStepMs / 1000
-	w.admitted, w.refused = admitted, 0
-	if maxBacklog := 0.15 * w.capacity; w.backlog > maxBacklog {
-		w.refused = w.backlog - maxBacklog
-		w.backlog = maxBacklog
-	}
-	w.backlog = max(w.backlog, 0)
-	pressure := min(admitted/w.capacity, 1)*0.9 + w.backlog/(0.15*w.capacity)
-	if w.retries {
-		utilization := min(admitted/w.capacity, 1)
-		pressure = (utilization+0.1*math.Pow(utilization, 6)/max(1-utilization, 0.05))/2 + w.backlog/(0.15*w.capacity)
-	}
-	if w.forcedPressure != nil {
-		pressure = w.forcedPressure(w.now)
-	}
-	for _, g := range w.gates {
+	s.backlog += (admitted - s.capacity) * simulationStepMs / 1000
+	s.admitted, s.refused = admitted, 0
+	if maxBacklog := 0.15 * s.capacity; s.backlog > maxBacklog {
+		s.refused = s.backlog - maxBacklog
+		s.backlog = maxBacklog
+	}
+	s.backlog = max(s.backlog, 0)
+	pressure := min(admitted/s.capacity, 1)*0.9 + s.backlog/(0.15*s.capacity)
+	if s.retries {
+		utilization := min(admitted/s.capacity, 1)
+		pressure = (utilization+0.1*math.Pow(utilization, 6)/max(1-utilization, 0.05))/2 + s.backlog/(0.15*s.capacity)
+	}
+	if s.forcedPressure != nil {
+		pressure = s.forcedPressure(s.now)
+	}
+	for _, g := range s.gatekeepers {
 		if g.dead {
 			continue
 		}
 		g.pressure += (1 - math.Exp(-simulationStepMs/300)) * (max(pressure, g.ownPressure) - g.pressure)
-		g.served += (1 - math.Exp(-simulationStepMs/600)) * (min(admitted, w.capacity)/float64(alive) - g.served)
-		if math.Mod(w.now, 100) == 0 {
-			g.follower.Step(w.now, g.pressure, g.load, g.served)
+		g.served += (1 - math.Exp(-simulationStepMs/600)) * (min(admitted, s.capacity)/float64(alive) - g.served)
+		if math.Mod(s.now, 100) == 0 {
+			g.follower.Step(s.now, g.pressure, g.load, g.served)
 		}
-		if math.Mod(w.now, 200) == 0 && !g.disconnected {
-			w.report(g)
+		if math.Mod(s.now, 200) == 0 && !g.disconnected {
+			s.report(g)
 		}
 	}
 	var undelivered []message
-	due := w.inTransit
-	w.inTransit = nil
+	due := s.inTransit
+	s.inTransit = nil
 	for _, pending := range due {
-		if pending.arrivesAt <= w.now {
-			pending.deliver(w.now)
+		if pending.arrivesAt <= s.now {
+			pending.deliver(s.now)
 		} else {
 			undelivered = append(undelivered, pending)
 		}
 	}
-	w.inTransit = append(undelivered, w.inTransit...)
-	if w.holderIndex >= 0 {
-		w.stepHolder(w.holders[w.holderIndex])
+	s.inTransit = append(undelivered, s.inTransit...)
+	if s.holderIndex >= 0 {
+		s.stepHolder(s.holders[s.holderIndex])
 	}
 }
 
-func (w *simulation) stepHolder(h *Holder) {
-	if h.Step(w.now, w.connectedCount()) {
-		w.changedAt = append(w.changedAt, w.now)
-		w.thresholds = append(w.thresholds, h.Level().Cut)
+func (s *simulation) stepHolder(h *Holder) {
+	if h.Step(s.now, s.connectedCount()) {
+		s.changedAt = append(s.changedAt, s.now)
+		s.thresholds = append(s.thresholds, h.Level().Cut)
 	}
 }
 
-func (w *simulation) connectedCount() (count int) {
-	for _, g := range w.gates {
+func (s *simulation) connectedCount() (count int) {
+	for _, g := range s.gatekeepers {
 		if !g.dead && !g.disconnected {
 			count++
 		}
@@ -200,23 +200,23 @@
 }
 
 // report sends a gatekeeper's report and the answer to it.
-func (w *simulation) report(g *gatekeeper) {
+func (s *simulation) report(g *gatekeeper) {
 	g.sequence++
 	report := Report{Station: fmt.Sprintf("%p", g), Life: 1, Turn: g.sequence, Pressure: g.pressure, Why: "room", Served: g.served,
 		Holds: g.follower.Level(), Load: map[uint32]float32{}}
 	for bin, rate := range g.load {
 		report.Load[bin] = float32(rate)
 	}
-	requestedAt := w.now
-	w.send(g, func(now float64) {
-		if w.holderIndex < 0 {
+	requestedAt := s.now
+	s.send(g, func(now float64) {
+		if s.holderIndex < 0 {
 			return
 		}
-		h := w.holders[w.holderIndex]
+		h := s.holders[s.holderIndex]
 		h.Hear(now, report)
-		w.stepHolder(h)
+		s.stepHolder(h)
 		level := h.Level()
-		w.send(g, func(float64) {
+		s.send(g, func(float64) {
 			if !g.disconnected && !g.dead {
 				g.follower.Hear(requestedAt, level)
 			}
@@ -224,38 +224,38 @@
 	})
 }
 
-func (w *simulation) send(g *gatekeeper, deliver func(float64)) {
-	if w.rng.Float64() < w.lossShare {
+func (s *simulation) send(g *gatekeeper, deliver func(float64)) {
+	if s.rng.Float64() < s.lossShare {
 		return
 	}
-	w.inTransit = append(w.inTransit, message{w.now + 10 + 60*w.rng.Float64() + g.delayMs, deliver})
+	s.inTransit = append(s.inTransit, message{s.now + 10 + 60*s.rng.Float64() + g.delayMs, deliver})
 }
 
 // addRetries retries refused requests once, 0.8 s later.
-func (w *simulation) addRetries(fresh Load) {
-	threshold, refused := w.gates[0].follower.Standing().Cut, Load{}
+func (s *simulation) addRetries(fresh Load) {
+	threshold, refused := s.gatekeepers[0].follower.Standing().Cut, Load{}
 	for bin, rate := range fresh {
-		if w.firstTries[bin] += rate; policy.BinMark(bin) >= threshold {
+		if s.firstTries[bin] += rate; policy.BinMark(bin) >= threshold {
 			refused[bin] = rate
-			w.shed[bin] += rate
+			s.shed[bin] += rate
 		}
 	}
-	w.pendingRetries = append(w.pendingRetries, refused)
-	if len(w.pendingRetries) > int(800/simulationStepMs) {
-		for bin, rate := range w.pendingRetries[0] {
+	s.pendingRetries = append(s.pendingRetries, refused)
+	if len(s.pendingRetries) > int(800/simulationStepMs) {
+		for bin, rate := range s.pendingRetries[0] {
 			if policy.BinMark(bin) < threshold { // a request that is refused again isn't retried
 				fresh[bin] += rate
 			}
 		}
-		w.pendingRetries = w.pendingRetries[1:]
+		s.pendingRetries = s.pendingRetries[1:]
 	}
 }
 
 // allAgree reports whether all connected gatekeepers apply the same threshold by the same hash.
-func (w *simulation) allAgree() bool {
+func (s *simulation) allAgree() bool {
 	var first *gatekeeper
-	for _, g := range w.gates {
-		if s := g.follower.Standing(); g.dead || g.disconnected || s.Alone && !s.CutOff { // sheds alone, by its own pressure
+	for _, g := range s.gatekeepers {
+		if standing := g.follower.Standing(); g.dead || g.disconnected || standing.Alone && !standing.CutOff { // sheds alone, by its own pressure
 			continue
 		}
 		if first == nil {
@@ -269,10 +269,10 @@
 }
 
 // checkNoPressure fails the test if any gatekeeper is under pressure.
-func (w *simulation) checkNoPressure(t *testing.T) {
+func (s *simulation) checkNoPressure(t *testing.T) {
 	t.Helper()
-	for i, g := range w.gates {
-		assert.Assert(t, g.pressure < pressed, "gatekeeper %d is under pressure again at %v: %.2f", i, w.now, g.pressure)
+	for i, g := range s.gatekeepers {
+		assert.Assert(t, g.pressure < pressed, "gatekeeper %d is under pressure again at %v: %.2f", i, s.now, g.pressure)
 	}
 }
 
@@ -289,13 +289,13 @@
 				sim.retries, sim.firstTries, sim.shed = true, Load{}, Load{}
 			}
 			sim.run(10e3)
-			assert.Equal(t, sim.gates[0].follower.Standing().Cut, policy.MarkOpen, "requests are shed at 0.8 of the capacity")
+			assert.Equal(t, sim.gatekeepers[0].follower.Standing().Cut, policy.MarkOpen, "requests are shed at 0.8 of the capacity")
 			sim.loadFactor = load
 			pressedAt, sheddingAt := 0.0, 0.0
 			for range 100 {
 				sim.run(simulationStepMs)
 				allPressed, allShedding := true, true
-				for _, g := range sim.gates {
+				for _, g := range sim.gatekeepers {
 					allPressed = allPressed && g.pressure >= 1
 					allShedding = allShedding && g.follower.Standing().Cut < policy.MarkOpen
 				}
@@ -340,7 +340,7 @@
 		assert.Assert(t, sim.refused == 0, "requests refused again at %v", sim.now)
 		sim.checkNoPressure(t)
 	}
-	for _, g := range sim.gates {
+	for _, g := range sim.gatekeepers {
 		assert.Equal(t, g.follower.Standing().Cut, policy.MarkOpen)
 	}
 }
@@ -367,7 +367,7 @@
 					sim.checkNoPressure(t)
 				}
 			}
-			assert.Equal(t, sim.gates[0].follower.Standing().Cut, policy.MarkOpen)
+			assert.Equal(t, sim.gatekeepers[0].follower.Standing().Cut, policy.MarkOpen)
 			shedShare := sim.shed.Sum() / sim.firstTries.Sum()
 			assert.Assert(t, shedShare < 0.18, "%.2f of all requests shed in 20 s after the end, want less than 0.18", shedShare)
 		})
@@ -380,16 +380,16 @@
 	t.Parallel()
 	sim := newSimulation(5, 6, 1)
 	sim.run(5e3)
-	sim.gates[2].ownPressure = 1.5
+	sim.gatekeepers[2].ownPressure = 1.5
 	sim.run(4e3)
-	for i, g := range sim.gates {
+	for i, g := range sim.gatekeepers {
 		standing := g.follower.Standing()
 		assert.Equal(t, standing.Alone, i == 2, "gatekeeper %d: %+v", i, standing)
 		assert.Equal(t, standing.Cut < policy.MarkOpen, i == 2, "gatekeeper %d: %+v", i, standing)
 	}
-	sim.gates[2].ownPressure = 0
+	sim.gatekeepers[2].ownPressure = 0
 	sim.run(60e3)
-	assert.Equal(t, sim.gates[2].follower.Standing(), Standing{Cut: policy.MarkOpen})
+	assert.Equal(t, sim.gatekeepers[2].follower.Standing(), Standing{Cut: policy.MarkOpen})
 }
 
 // TestMajorityUnderPressure checks that the cluster sheds only if more than half of the gatekeepers
@@ -398,15 +398,15 @@
 	t.Parallel()
 	for _, testCase := range []struct {
 		gates, pressed int
-		cut            bool
+		sheds          bool
 	}{{1, 1, true}, {2, 1, false}, {2, 2, true}, {3, 1, false}, {3, 2, true}, {6, 3, false}, {6, 4, true}} {
 		sim := newSimulation(6, testCase.gates, 1)
 		sim.run(5e3)
 		for i := range testCase.pressed {
-			sim.gates[i].ownPressure = 1.5
+			sim.gatekeepers[i].ownPressure = 1.5
 		}
 		sim.run(2e3)
-		assert.Equal(t, sim.holders[0].Level().Cut < policy.MarkOpen, testCase.cut, "%d of %d under pressure", testCase.pressed, testCase.gates)
+		assert.Equal(t, sim.holders[0].Level().Cut < policy.MarkOpen, testCase.sheds, "%d of %d under pressure", testCase.pressed, testCase.gates)
 	}
 }
 
@@ -418,7 +418,7 @@
 	sim.run(5e3)
 	sim.loadFactor = 2
 	sim.run(20e3)
-	disconnected := sim.gates[0]
+	disconnected := sim.gatekeepers[0]
 	lastThreshold := disconnected.follower.Level().Cut
 	assert.Assert(t, lastThreshold < policy.MarkOpen)
 	disconnected.disconnected = true
@@ -439,7 +439,7 @@
 	disconnected.disconnected = false
 	sim.run(1000)
 	sim.run(1000)
-	assert.Equal(t, disconnected.follower.Standing().Cut, sim.gates[1].follower.Standing().Cut, "the cluster's level doesn't apply after reconnecting")
+	assert.Equal(t, disconnected.follower.Standing().Cut, sim.gatekeepers[1].follower.Standing().Cut, "the cluster's level doesn't apply after reconnecting")
 }
 
 // TestServices checks that each service is limited by its own capacity, that all gatekeepers apply the
@@ -544,34 +544,34 @@
 func TestNewHolder(t *testing.T) {
 	t.Parallel()
 	for _, testCase := range []struct {
-		name  string
-		heard bool
-		term  uint64 // factor on the term, from which the new one's is counted
+		name       string
+		knowsLevel bool
+		termFactor uint64 // factor on the term, from which the new one's is counted
 	}{{"knows the level", true, 1}, {"knows no level", false, 1}, {"all terms lost", false, 0}} {
 		t.Run(testCase.name, func(t *testing.T) {
 			sim := newSimulation(8, 6, 2)
-			sim.term = 3 * testCase.term
+			sim.term = 3 * testCase.termFactor
 			sim.run(5e3)
 			sim.loadFactor = 2
 			sim.run(30e3)
-			before := sim.gates[0].follower.Level()
+			before := sim.gatekeepers[0].follower.Level()
 			assert.Assert(t, before.Cut < policy.MarkOpen)
-			if testCase.heard {
+			if testCase.knowsLevel {
 				sim.holders[1].Note(before)
 			}
 			sim.elect(-1)
 			sim.run(1500)
-			sim.term *= testCase.term
+			sim.term *= testCase.termFactor
 			sim.elect(1)
 			for range int(20e3 / simulationStepMs) {
 				sim.run(simulationStepMs)
-				for _, g := range sim.gates {
+				for _, g := range sim.gatekeepers {
 					standing := g.follower.Standing()
-					assert.Assert(t, sim.gates[0].load.Below(standing.Cut) < 1.2*sim.gates[0].load.Below(before.Cut), "threshold raised to %d from %d at %v", standing.Cut, before.Cut, sim.now)
-					assert.Assert(t, sim.gates[0].load.Below(standing.Cut) > 0.7*sim.gates[0].load.Below(before.Cut), "threshold lowered to %d from %d at %v", standing.Cut, before.Cut, sim.now)
+					assert.Assert(t, sim.gatekeepers[0].load.Below(standing.Cut) < 1.2*sim.gatekeepers[0].load.Below(before.Cut), "threshold raised to %d from %d at %v", standing.Cut, before.Cut, sim.now)
+					assert.Assert(t, sim.gatekeepers[0].load.Below(standing.Cut) > 0.7*sim.gatekeepers[0].load.Below(before.Cut), "threshold lowered to %d from %d at %v", standing.Cut, before.Cut, sim.now)
 				}
 			}
-			after := sim.gates[0].follower.Level()
+			after := sim.gatekeepers[0].follower.Level()
 			assert.Assert(t, after.Number > before.Number, "number %x after %x", after.Number, before.Number)
 			assert.Equal(t, after.Key, before.Key, "a new key moves every caller")
 			assert.Assert(t, sim.allAgree())
@@ -696,7 +696,7 @@
 	assert.Assert(t, changes <= 22, "%d changes in five minutes, want at most 22", changes)
 }
 
-// TestRotationsAreApart checks that no two rotations occur within turnMs, even if the holder changes.
+// TestRotationsAreApart checks that no two rotations occur within rotationMs, even if the holder changes.
 func TestRotationsAreApart(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(10, 3, 2)
@@ -735,13 +735,13 @@
 	holder.Begin(0, 1)
 	sequence, now := uint64(0), 0.0
 	for _, testCase := range []struct {
-		ms   float32
-		cut  policy.Mark
-		want byte
+		ms        float32
+		threshold policy.Mark
+		want      byte
 	}{{60, policy.MarkOpen, 6}, {66, policy.MarkOpen, 6}, {90, policy.MarkOpen, 7}, {60, policy.MarkOpen, 7}, {20, 5, 7}, {20, policy.MarkOpen, 5}} {
 		sequence, now = sequence+1, now+2000
 		holder.Hear(now, Report{Station: "a", Life: 1, Turn: sequence, Edition: 1, Work: map[int]float32{0: testCase.ms}})
-		holder.level.Cut = testCase.cut
+		holder.level.Cut = testCase.threshold
 		holder.updateCosts()
 		assert.Equal(t, holder.level.Work[0], testCase.want, "%v ms", testCase.ms)
 	}
@@ -754,17 +754,17 @@
 	sim.run(5e3)
 	sim.holders[0].Fix(sim.now, 5000, 3000)
 	sim.run(1000)
-	assert.Equal(t, sim.gates[1].follower.Standing().Cut, policy.Mark(5000))
+	assert.Equal(t, sim.gatekeepers[1].follower.Standing().Cut, policy.Mark(5000))
 	sim.run(4000)
-	assert.Equal(t, sim.gates[1].follower.Standing().Cut, policy.MarkOpen)
+	assert.Equal(t, sim.gatekeepers[1].follower.Standing().Cut, policy.MarkOpen)
 }
 
 // TestOneSlowService checks that one slow service doesn't count as pressure on the cluster.
 func TestOneSlowService(t *testing.T) {
 	t.Parallel()
 	for _, testCase := range []struct {
-		all  []Service
-		want float64
+		services []Service
+		want     float64
 	}{
 		{nil, 0},
 		{[]Service{{2, 10}}, 2},
@@ -773,7 +773,7 @@
 		{[]Service{{0.4, 20}, {2, 60}, {1.5, 20}}, 1.5},
 		{[]Service{{1.2, 33}, {1.1, 33}, {0.2, 33}}, 1.1},
 	} {
-		assert.Equal(t, MostMeet(testCase.all), testCase.want, "%v", testCase.all)
+		assert.Equal(t, MostMeet(testCase.services), testCase.want, "%v", testCase.services)
 	}
 }
 
@@ -781,28 +781,28 @@
 	t.Parallel()
 	threshold := policy.Mark(policy.Tier(2, 1, 0)) << 12
 	for _, testCase := range []struct {
-		cut  policy.Mark
-		want string
+		threshold policy.Mark
+		want      string
 	}{
 		{policy.MarkOpen, "nothing"},
 		{threshold, "from tenants of priority 2, routes of priority 1 on, all"},
 		{threshold + 4<<8, "of tenants of priority 2, routes of priority 1 12 of 16 callers' parts, and all below"},
 	} {
-		assert.Equal(t, Describe(testCase.cut), testCase.want)
+		assert.Equal(t, Describe(testCase.threshold), testCase.want)
 	}
 }
 
 func TestOptions(t *testing.T) {
 	t.Parallel()
 	for _, testCase := range []struct {
-		o  Options
-		ok bool
+		options Options
+		valid   bool
 	}{
 		{Options{}, true}, {Options{On: true, Never: 2, Least: 0.1, Caller: "X-Branch"}, true},
 		{Options{On: true, Never: -1}, false}, {Options{On: true, Least: 0.6}, false}, {Options{On: true, Least: math.NaN()}, false},
 		{Options{On: true, Caller: CallerAddress, Whole: true}, true}, {Options{Whole: true}, false}, {Options{On: true, Caller: "X Branch"}, false}, {Options{Never: 1}, false},
 	} {
-		assert.Equal(t, testCase.o.Check() == nil, testCase.ok, "%+v: %v", testCase.o, testCase.o.Check())
+		assert.Equal(t, testCase.options.Check() == nil, testCase.valid, "%+v: %v", testCase.options, testCase.options.Check())
 	}
 }
 
@@ -817,9 +817,9 @@
 		sim.binsPerTier = 4
 		sim.run(3e3)
 		levelByNumber := map[uint64]Level{}
-		numbers := make([]uint64, len(sim.gates))
+		numbers := make([]uint64, len(sim.gatekeepers))
 		checkLevels := func() {
-			for i, affected := range sim.gates {
+			for i, affected := range sim.gatekeepers {
 				level := affected.follower.Level()
 				assert.Assert(t, level.Number >= numbers[i], "the number of gatekeeper %d decreased", i)
 				numbers[i] = level.Number
@@ -833,7 +833,7 @@
 			}
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "events") {
-			affected := sim.gates[rapid.IntRange(0, len(sim.gates)-1).Draw(t, "gate")]
+			affected := sim.gatekeepers[rapid.IntRange(0, len(sim.gatekeepers)-1).Draw(t, "gate")]
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0:
 				sim.loadFactor = rapid.Float64Range(0.3, 3).Draw(t, "load")
@@ -847,8 +847,8 @@
 				sim.lossShare = rapid.Float64Range(0, 0.6).Draw(t, "loss")
 			case 5: // a gatekeeper restarts and knows no level
 				affected.follower, affected.load, affected.sequence = Post{}, Load{}, affected.sequence+1000
-				for i := range sim.gates {
-					if sim.gates[i] == affected {
+				for i := range sim.gatekeepers {
+					if sim.gatekeepers[i] == affected {
 						numbers[i] = 0
 					}
 				}
@@ -869,7 +869,7 @@
 		// No faults: all gatekeepers are connected, no message is lost, and the load is below the known
 		// capacity.
 		sim.lossShare = 0
-		for _, affected := range sim.gates {
+		for _, affected := range sim.gatekeepers {
 			affected.disconnected, affected.delayMs = false, 0
 		}
 		if sim.holderIndex < 0 {
