--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -49,7 +49,7 @@
 type Sight struct {
 	_         struct{} `cbor:",toarray"`
 	Worker    uint32   // upper half of its hash
-	Good, Bad uint16
+	Good, Bad uint16   // successes and failures, in tenths
 }
 
 // Note is the state of one worker. Triers are the peer addresses of the gatekeepers that send it trial
@@ -125,7 +125,7 @@
 	Outs, Backs, Calms uint64
 }
 
-// NewDesk returns a Desk. The incarnation, life, is drawn at random by each process.
+// NewDesk returns a Desk. Each process draws the incarnation at random.
 func NewDesk(incarnation uint64) *Desk {
 	return &Desk{incarnation: incarnation, workers: map[uint32]*workerState{}, noEjectionUntil: map[int]float64{}, announcedAt: math.Inf(-1)}
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -25,8 +25,8 @@
 		event Event
 		want  bool
 	}
-	release := func(from string, life, term uint64) Event {
-		e := ballot(from, life, term, 0)
+	release := func(from string, incarnation, term uint64) Event {
+		e := ballot(from, incarnation, term, 0)
 		e.Message.Kind = Free
 		return e
 	}
@@ -49,7 +49,7 @@
 			m := New("v", 1, 0, 0, testCase.first, "roster")
 			for i, step := range testCase.steps {
 				answer := vote(m.Step(step.now, step.event))
-				assert.Equal(t, answer.Yes, step.want, "turn %d", i)
+				assert.Equal(t, answer.Yes, step.want, "step %d", i)
 				if step.event.Message.Kind == Ballot {
 					assert.Equal(t, answer.Round, step.event.Message.Round)
 					assert.Equal(t, answer.Life, step.event.Message.Life)
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -261,19 +261,19 @@
 			return
 		}
 		// A voter is added, removed or replaced.
-		ids := slices.Clone(s.voters)
-		if s.electorateGrows && slices.Contains(ids, victim.id) {
+		voters := slices.Clone(s.voters)
+		if s.electorateGrows && slices.Contains(voters, victim.id) {
 			return
 		}
-		if i := slices.Index(ids, victim.id); i >= 0 && len(ids) > 1 {
-			ids = slices.Delete(ids, i, i+1)
-			if !slices.Contains(ids, other.id) && other != victim && s.rng.IntN(2) == 0 {
-				ids = append(ids, other.id)
+		if i := slices.Index(voters, victim.id); i >= 0 && len(voters) > 1 {
+			voters = slices.Delete(voters, i, i+1)
+			if !slices.Contains(voters, other.id) && other != victim && s.rng.IntN(2) == 0 {
+				voters = append(voters, other.id)
 			}
 		} else if i < 0 {
-			ids = append(ids, victim.id)
+			voters = append(voters, victim.id)
 		}
-		s.voters = ids
+		s.voters = voters
 		s.edition++
 		s.termsMustIncrease = false // the remaining voters may not know of the last term
 	}
@@ -281,7 +281,7 @@
 
 func (s *simulation) endFaults() {
 	s.faulty = false
-	s.messages = slices.DeleteFunc(s.messages, func(p transit) bool { return p.dueAt > s.now+50 })
+	s.messages = slices.DeleteFunc(s.messages, func(pending transit) bool { return pending.dueAt > s.now+50 })
 	clear(s.brokenLinks)
 	for _, member := range s.nodes {
 		member.partitioned = false
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -124,16 +124,16 @@
 }
 
 // extraDelay returns how much longer than the fastest report a report took to arrive.
-func (t *peer) extraDelay(now, sentAt float64) float64 {
+func (p *peer) extraDelay(now, sentAt float64) float64 {
 	if sentAt == 0 {
 		return 0
 	}
-	if leadMs := now - sentAt; !t.hasClockLead {
-		t.clockLeadMs, t.hasClockLead = leadMs, true
+	if leadMs := now - sentAt; !p.hasClockLead {
+		p.clockLeadMs, p.hasClockLead = leadMs, true
 	} else {
-		t.clockLeadMs = min(leadMs, t.clockLeadMs+maxClockDrift*(now-t.lastReportAt))
+		p.clockLeadMs = min(leadMs, p.clockLeadMs+maxClockDrift*(now-p.lastReportAt))
 	}
-	return now - sentAt - t.clockLeadMs
+	return now - sentAt - p.clockLeadMs
 }
 
 // Book is one control node's view of all sessions. It isn't safe for concurrent use.
@@ -153,7 +153,7 @@
 	restored map[string]float64
 }
 
-// New returns an empty Book. The caller draws life, the incarnation, at random for each process:
+// New returns an empty Book. The caller draws the incarnation at random for each process:
 // otherwise the reports of a restarted control node would look older than those before.
 func New(self string, incarnation uint64, now, lapseMs float64) *Book {
 	if lapseMs <= 0 {
@@ -213,7 +213,7 @@
 			return
 		}
 	default:
-		if _, dead := sender.ended[page.Life]; dead && now-sender.lastReportAt <= 2*b.lapseMs {
+		if _, ended := sender.ended[page.Life]; ended && now-sender.lastReportAt <= 2*b.lapseMs {
 			return
 		}
 		delete(sender.ended, page.Life)
@@ -257,7 +257,7 @@
 	return hash.Sum64()
 }
 
-// Brief returns the report for receivers of a full report with the same mark: it only renews sessions.
+// Brief returns the report for receivers of a full report with the same Mark: it only renews sessions.
 func (b *Book) Brief(now float64) Page {
 	b.sequence++
 	page := Page{From: b.self, Life: b.incarnation, Serial: b.sequence, At: math.Round(now) + 1}
@@ -417,25 +417,25 @@
 // most members, since those with sessions elsewhere have lapsed here or were not reported yet, and
 // gatekeepers would divide shared limits among too few.
 func (b *Book) Settled(now float64, nodes []string) bool {
-	others, inTouch := 0, make([]float64, 0, len(nodes))
+	others, connectedSince := 0, make([]float64, 0, len(nodes))
 	for _, name := range nodes {
 		if name == b.self {
 			continue
 		}
 		others++
 		if sender := b.peers[name]; sender != nil && now-sender.lastReportAt <= peerTimeoutMs {
-			inTouch = append(inTouch, sender.connectedSince)
+			connectedSince = append(connectedSince, sender.connectedSince)
 		}
 	}
-	if len(inTouch) == others {
+	if len(connectedSince) == others {
 		return true
 	}
 	needed := (others + 1) / 2 // together with this one more than half
-	if len(inTouch) < needed {
+	if len(connectedSince) < needed {
 		return false
 	}
-	slices.Sort(inTouch)
-	return now-inTouch[needed-1] >= b.lapseMs
+	slices.Sort(connectedSince)
+	return now-connectedSince[needed-1] >= b.lapseMs
 }
 
 // AsOf returns the time as of which the list contains all members: when the control node that has been
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -351,7 +351,7 @@
 			}
 			if int(now)%250 == 0 {
 				for i := range registries {
-					p := registries[i].Tell(now + clockOffsetMs[i])
+					report := registries[i].Tell(now + clockOffsetMs[i])
 					for to := range registries {
 						for range 1 + rng.IntN(2) {
 							if to != i && !(faulty && rng.IntN(4) == 0) {
@@ -359,17 +359,17 @@
 								if faulty && rng.IntN(10) == 0 {
 									delayMs += 1000
 								}
-								messages = append(messages, message{now + delayMs, to, p})
+								messages = append(messages, message{now + delayMs, to, report})
 							}
 						}
 					}
 				}
 			}
-			messages = slices.DeleteFunc(messages, func(p message) bool {
-				if p.dueAt <= now {
-					registries[p.to].Hear(now+clockOffsetMs[p.to], p.page)
+			messages = slices.DeleteFunc(messages, func(pending message) bool {
+				if pending.dueAt <= now {
+					registries[pending.to].Hear(now+clockOffsetMs[pending.to], pending.page)
 				}
-				return p.dueAt <= now
+				return pending.dueAt <= now
 			})
 		}
 		for i := range registries {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -420,26 +420,26 @@
 		simulation.lossShare = 0.1
 		windows := map[string]*window{"big": {}, "small": {}, "bare": {}}
 		startBursts := 0
-		for step := range 4500 {
+		for stepIndex := range 4500 {
 			simulation.step(10)
-			if step%20 == 0 {
+			if stepIndex%20 == 0 {
 				simulation.updateMembers()
 			}
-			phase := step % 900 // idle time fills the buckets, an overload spends them, and then gatekeepers are killed
-			if phase == 720+int(seed)*3 && step > 900 {
-				share := []float64{1, 0.5, 1, 0.8}[(step/900+int(seed))%4]
+			phase := stepIndex % 900 // idle time fills the buckets, an overload spends them, and then gatekeepers are killed
+			if phase == 720+int(seed)*3 && stepIndex > 900 {
+				share := []float64{1, 0.5, 1, 0.8}[(stepIndex/900+int(seed))%4]
 				for i := range simulation.gatekeepers {
 					if simulation.rng.Float64() <= share {
 						simulation.startGatekeeper(i)
 						simulation.gatekeepers[i].nextRequestAt = simulation.now + simulation.rng.Float64()*100
 					}
 				}
-				if (step/900+int(seed))%4 != 1 {
+				if (stepIndex/900+int(seed))%4 != 1 {
 					simulation.changeHolder(simulation.rng.Float64() * 1500)
 					if share == 1 {
 						simulation.standby = New(leaseMs, testBounds)
 						simulation.active = New(leaseMs, testBounds)
-						simulation.configure(uint64(step))
+						simulation.configure(uint64(stepIndex))
 						simulation.updateMembers()
 					}
 				}
@@ -503,17 +503,17 @@
 // TestVacancyShortensTheWait checks that the grants of an earlier allocator count as expired one lease
 // after its end, so that the time for which the duty was vacant is not waited for again.
 func TestVacancyShortensTheWait(t *testing.T) {
-	for _, testCase := range []struct{ vacant, learned, known float64 }{
+	for _, testCase := range []struct{ vacantMs, learnedVacantMs, waitMs float64 }{
 		{0, 0, leaseMs}, {1000, 0, leaseMs - 1000}, {9000, 0, 0}, {0, 2000, leaseMs - 2000}, {1000, 500, leaseMs - 1000}, {-5, 0, leaseMs},
 	} {
 		allocator, ids := newStartedAllocator(3, Terms{90, 0})
-		allocator.Begin(10e3, testCase.vacant)
-		allocator.Vacant(testCase.learned)
+		allocator.Begin(10e3, testCase.vacantMs)
+		allocator.Vacant(testCase.learnedVacantMs)
 		var held map[string]Slice
 		for round := range 60 {
 			elapsedMs := 50 * float64(round)
 			held = allocator.Ask(10e3+elapsedMs, ids[0], uint64(round)+1, Demand{"t": 90}, held, leaseMs-50)
-			assert.Equal(t, held["t"].Rate > 15.1, elapsedMs >= testCase.known, "%+v at %v: %+v", testCase, elapsedMs, held)
+			assert.Equal(t, held["t"].Rate > 15.1, elapsedMs >= testCase.waitMs, "%+v at %v: %+v", testCase, elapsedMs, held)
 		}
 	}
 }
@@ -647,7 +647,7 @@
 		}
 		withinLimit := min(arrived, testCase.limit.RatePerS*22*seedsPerCase)
 		t.Logf("%s: %.0f of %.0f requests within the limit served, %.2f%% refused", testCase.name, served, withinLimit, 100*(1-served/withinLimit))
-		assert.Check(t, 1-served/withinLimit <= testCase.maxRefused, testCase.name)
+		assert.Check(t, 1-served/withinLimit <= testCase.maxRefused, "%s: %.4f of the requests within the limit refused, want at most %v", testCase.name, 1-served/withinLimit, testCase.maxRefused)
 	}
 }
 
--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -219,7 +219,7 @@
 	{corner: "cold workers", name: "what an earlier holder of the duty granted is forgotten", file: "internal/slowstart/slowstart.go",
 		old: "c.safeAt = now, now+lease+WindowMs", wrong: "c.safeAt = now, now+0*lease", tests: "TestNobodyHasAPartBeforeEarlierLeasesHaveRunOut"},
 	{corner: "members", name: "who is cut off from the core tells how many members there are", file: "internal/membership/membership.go",
-		old: "	if len(inTouch) < needed {", wrong: "	if now-b.createdAt < b.lapseMs {", tests: "TestPartitionedNodeIsNotSettled"},
+		old: "	if len(connectedSince) < needed {", wrong: "	if now-b.createdAt < b.lapseMs {", tests: "TestPartitionedNodeIsNotSettled"},
 	{corner: "budget", name: "a part of the tries grows at once", file: "policy/tries.go",
 		old: "	if n >= t.part.members {", wrong: "	if true {", tests: "TestAPartOfTheTriesGrowsLate"},
 	{corner: "budget", name: "who knows of nobody has all of the slack", file: "policy/tries.go",
--- a/internal/snowline/holder.go
+++ b/internal/snowline/holder.go
@@ -16,16 +16,16 @@
 	Number uint64      `cbor:"1,keyasint,omitempty"` // the term of the duty, and a counter
 	Cut    policy.Mark `cbor:"2,keyasint,omitempty"`
 	Turn   uint64      `cbor:"3,keyasint,omitempty"` // number of rotations of the callers' hash
-	Key    uint64      `cbor:"4,keyasint,omitempty"`
+	Key    uint64      `cbor:"4,keyasint,omitempty"` // of the callers' hash
 
-	Never  int     `cbor:"5,keyasint,omitempty"` // tenants that are never shed, the share of each tier that isn't, and the header that names callers
-	Least  float64 `cbor:"6,keyasint,omitempty"`
-	Caller string  `cbor:"7,keyasint,omitempty"`
+	Never  int     `cbor:"5,keyasint,omitempty"` // tenants with a priority below this number are never shed
+	Least  float64 `cbor:"6,keyasint,omitempty"` // share of each tier that is never shed
+	Caller string  `cbor:"7,keyasint,omitempty"` // request header that names a tenant's caller
 
 	Edition uint64 `cbor:"8,keyasint,omitempty"` // version of the configuration whose routes Work refers to
 	Work    []byte `cbor:"9,keyasint,omitempty"` // cost of a request in doublings of a millisecond, by route
 
-	Why string `cbor:"10,keyasint,omitempty"`
+	Why string `cbor:"10,keyasint,omitempty"` // what caused the level, in words
 	// Pressure is the current pressure of the cluster; it changes without a new number.
 	Pressure float64 `cbor:"11,keyasint,omitempty"`
 	// Fits is the capacity estimated by the holder, for the next holder; it changes without a new number
@@ -94,7 +94,8 @@
 // Holder computes the level at the control node that holds the shedding duty. The other nodes keep one
 // too and record the levels they pass on, in case they win the duty.
 type Holder struct {
-	// Settings of this node: what is never shed, and the header that names callers.
+	// Never, Least and Caller are settings of this node: what is never shed, and the header that names
+	// callers, as in Level.
 	Never  int
 	Least  float64
 	Caller string
@@ -109,7 +110,7 @@
 	steppedAt         float64
 	rotatedAt         float64
 	changedAt         float64 // when the threshold was last changed
-	resumed           bool
+	resumed           bool    // the controllers continue from the level of the last holder
 	reports           map[string]*receivedReport
 	load              Load
 	served            float64
@@ -118,9 +119,9 @@
 	overrideThreshold policy.Mark // by an operator's order
 	overrideUntil     float64
 	pressedCount      int
-	behind            bool // gatekeepers apply a higher number than ours
-	levelSent         bool // a level of this term was sent
-	counterStart      uint64
+	behind            bool   // gatekeepers apply a higher number than ours
+	levelSent         bool   // a level of this term was sent
+	counterStart      uint64 // of the counter in each term
 }
 
 // serviceState is what is known about one service.
--- a/internal/snowline/load.go
+++ b/internal/snowline/load.go
@@ -52,7 +52,7 @@
 	return policy.MarkOpen
 }
 
-// Blend moves a smoothed load towards the load seen in an interval, by the weight part.
+// Blend moves a smoothed load towards the load seen in an interval, by a weight from 0 to 1.
 func (l Load) Blend(seen Load, weight float64) {
 	for bin := range seen {
 		if _, ok := l[bin]; !ok {
--- a/internal/snowline/options.go
+++ b/internal/snowline/options.go
@@ -14,14 +14,14 @@
 // Options are the command-line settings of load shedding. Only control nodes are given what is never
 // shed: they send it to the gatekeepers with the level, so that all of them apply the same.
 type Options struct {
-	On     bool
-	Never  int
-	Least  float64
-	Caller string
-	Whole  bool
+	On     bool    // shed load by the cluster's level
+	Never  int     // tenants with a priority below this number are never shed
+	Least  float64 // share of each tier that is never shed
+	Caller string  // request header that names a tenant's caller, or CallerAddress
+	Whole  bool    // one threshold for all services
 }
 
-// CallerAddress, in place of a header's name, makes each client address a caller.
+// CallerAddress makes each client address a caller if it is given in place of a header's name.
 const CallerAddress = "@address"
 
 const maxMinServedShare = 0.5 // a larger share would leave too little to shed
--- a/internal/snowline/snowline_test.go
+++ b/internal/snowline/snowline_test.go
@@ -397,16 +397,16 @@
 func TestMajorityUnderPressure(t *testing.T) {
 	t.Parallel()
 	for _, testCase := range []struct {
-		gates, pressed int
-		sheds          bool
+		gatekeepers, pressedCount int
+		sheds                     bool
 	}{{1, 1, true}, {2, 1, false}, {2, 2, true}, {3, 1, false}, {3, 2, true}, {6, 3, false}, {6, 4, true}} {
-		sim := newSimulation(6, testCase.gates, 1)
+		sim := newSimulation(6, testCase.gatekeepers, 1)
 		sim.run(5e3)
-		for i := range testCase.pressed {
+		for i := range testCase.pressedCount {
 			sim.gatekeepers[i].ownPressure = 1.5
 		}
 		sim.run(2e3)
-		assert.Equal(t, sim.holders[0].Level().Cut < policy.MarkOpen, testCase.sheds, "%d of %d under pressure", testCase.pressed, testCase.gates)
+		assert.Equal(t, sim.holders[0].Level().Cut < policy.MarkOpen, testCase.sheds, "%d of %d under pressure", testCase.pressedCount, testCase.gatekeepers)
 	}
 }
 
@@ -447,10 +447,10 @@
 // requests takes nothing from the others.
 func TestServices(t *testing.T) {
 	t.Parallel()
-	const gates = 4
+	const gatekeeperCount = 4
 	holder := NewHolder(1)
 	holder.Begin(0, 1)
-	followers, full, shared := make([]Post, gates), map[string]bool{}, 0.0
+	followers, full, shared := make([]Post, gatekeeperCount), map[string]bool{}, 0.0
 	sequence, now := uint64(0), 0.0
 	run := func(ms float64) {
 		for end := now + ms; now < end; now += 100 {
@@ -472,7 +472,7 @@
 				}
 				assert.Assert(t, holder.Hear(now, report))
 			}
-			holder.Step(now, gates)
+			holder.Step(now, gatekeeperCount)
 			for i := range followers {
 				followers[i].Hear(now, holder.Level())
 				followers[i].Step(now, 0, Load{}, 0)
