--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -382,7 +382,7 @@
 	{corner: "cut off", name: "a page that stood still has dead guests look alive", file: "internal/membership/membership.go",
 		old: "	extraDelayMs := sender.extraDelay(now, page.At)\n", wrong: "	extraDelayMs := 0 * sender.extraDelay(now, page.At)\n", tests: "TestReportDelayedByFreeze"},
 	{corner: "cut off", name: "a clock that runs slow makes guests old", file: "internal/membership/membership.go",
-		old: "t.clockLeadMs+maxClockDrift*(now-t.lastReportAt)", wrong: "t.clockLeadMs", tests: "TestReportDelayedByFreeze"},
+		old: "p.clockLeadMs+maxClockDrift*(now-p.lastReportAt)", wrong: "p.clockLeadMs", tests: "TestReportDelayedByFreeze"},
 
 	// Duties and members.
 	{corner: "duties", name: "a voice is given to two", file: "internal/election/election.go",
