--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -2,27 +2,26 @@
 
 import "testing"
 
-// TestReplacedClassesLeaveHeldRequestsTheirRank: what was taken before goes by its
-// own worth, what comes after by the new one.
-func TestReplacedClassesLeaveHeldRequestsTheirRank(t *testing.T) {
-	s := settings()
+// Requests that are held when the classes are replaced keep their rank; later ones get the new rank.
+func TestHeldRequestsKeepRankOfReplacedClasses(t *testing.T) {
+	s := testSettings()
 	s.Gateways = 1
 	s.Plans = s.Plans[:1]
-	g, r := start(s, 1)
-	for id := range uint32(5) { // as many as the bound lets out
+	g, r := startGateway(s, 1)
+	for id := range uint32(5) { // as many as the limit allows
 		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1})
 	}
 	ask := func(id uint32, class int) {
 		g.Request(100e6, r, Request{ID: id, Class: class, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1})
 	}
-	ask(10, 0) // worth 1
-	ask(11, 1) // worth 2
+	ask(10, 0) // value 1
+	ask(11, 1) // value 2
 	dear := s.Classes[0]
 	dear.Worth = 9
 	g.SetClasses(100e6, r, []Class{dear, s.Classes[1], s.Classes[2]})
-	ask(12, 0) // worth 9
+	ask(12, 0) // value 9
 	if len(r.sent) != 5 {
-		t.Fatalf("%d are out, want 5 and the rest held", len(r.sent))
+		t.Fatalf("%d sent, want 5 and the rest held", len(r.sent))
 	}
 	for id := range uint32(3) {
 		g.Outcome(100200e3, r, Outcome{ID: id, Status: OK, Terminal: true, Latency: 200e3, Server: 1})
@@ -32,17 +31,17 @@
 		order = append(order, x.id)
 	}
 	if len(order) < 2 || order[0] != 12 || order[1] != 11 {
-		t.Fatalf("released in the order %v, want 12 and 11 first", order)
+		t.Fatalf("held requests were sent in the order %v, want 12 and 11 first", order)
 	}
 }
 
-// TestReplacedClassesLeaveRequestsUnderWayTheirTerms guards rule 2: a keyed
-// request may go out again only in the window that it was taken under.
-func TestReplacedClassesLeaveRequestsUnderWayTheirTerms(t *testing.T) {
-	s := settings()
+// Requests in progress keep the terms of their class: a keyed request is repeated only within the window it was
+// taken under.
+func TestRequestsInProgressKeepTermsOfReplacedClasses(t *testing.T) {
+	s := testSettings()
 	s.Gateways = 1
 	s.Classes[1].Group = GroupAll
-	g, r := start(s, 4)
+	g, r := startGateway(s, 4)
 	g.Request(100e6, r, Request{ID: 1, Class: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
 	longer := s.Classes[1]
 	longer.Window, longer.Repeat = 60e6, Safe
@@ -50,18 +49,17 @@
 	first := r.sent[0]
 	g.Outcome(101100e3, r, Outcome{ID: 1, Status: Reset, Latency: 1100e3, Server: first.to})
 	if _, refused := r.refused[1]; len(r.sent) != 1 || !refused {
-		t.Fatalf("%d sends past the window, refused %v", len(r.sent), refused)
+		t.Fatalf("%d sends after the repeat window, refused %v; want 1 and true", len(r.sent), refused)
 	}
 }
 
-// TestFewerRanksThanARequestUnderWayKnew guards against a crash found in CI: classes of a
-// like worth leave fewer ranks, and what was out or waited for the counter at the change
-// was held at a rank that there was no more.
-func TestFewerRanksThanARequestUnderWayKnew(t *testing.T) {
-	s := settings()
+// Guards against a crash: classes of equal value leave fewer ranks, and a request that was in flight or awaited the
+// counter at the change was held at a rank that no longer existed.
+func TestFewerRanksAfterReplacedClasses(t *testing.T) {
+	s := testSettings()
 	s.Gateways, s.Counter, s.CounterTimeout = 1, true, 30e3
 	s.Plans = s.Plans[:1]
-	g, r := start(s, 4)
+	g, r := startGateway(s, 4)
 	ask := func(id uint32) {
 		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1})
 	}
@@ -69,7 +67,7 @@
 	g.Counted(100e6, r, r.counts[0].name, 1e3, OK, 1)
 	ask(2)
 	if len(r.sent) != 1 || len(r.counts) != 2 {
-		t.Fatalf("%d sent, %d calls: the first is out, the second waits", len(r.sent), len(r.counts))
+		t.Fatalf("%d sent and %d counter calls, want 1 (the first request) and 2", len(r.sent), len(r.counts))
 	}
 	for i := range s.Classes {
 		s.Classes[i].Worth = 5
@@ -78,6 +76,6 @@
 	g.Outcome(100e6, r, Outcome{ID: 1, Status: Full, Latency: 1e3, Server: r.sent[0].to})
 	g.Counted(100e6, r, r.counts[1].name, 1e3, OK, 1)
 	if len(r.sent) != 3 {
-		t.Errorf("%d sends, want the first's second one and the second's first", len(r.sent))
+		t.Errorf("%d sends, want 3: a retry of the first request, and the second", len(r.sent))
 	}
 }
--- a/policy/encoding_test.go
+++ b/policy/encoding_test.go
@@ -8,8 +8,8 @@
 	"foxwood/policy"
 )
 
-// Captures and the process that takes over read settings and states of earlier releases.
-func TestSettingsAndStatesKeepTheirEncoding(t *testing.T) {
+// Captures, and a process that takes over from another, read settings and states of earlier releases.
+func TestSettingsAndSnapshotsKeepTheirEncoding(t *testing.T) {
 	encoding.Check[policy.Settings](t, "Settings", json.Marshal, json.Unmarshal)
 	encoding.Check[policy.Snapshot](t, "Snapshot", json.Marshal, json.Unmarshal)
 	encoding.Check[policy.Draw](t, "Draw", json.Marshal, json.Unmarshal)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"foxwood/policy"
 )
 
-// printer is a host that prints what it is asked to do.
+// printer is a host that prints the actions it is asked for.
 type printer struct{}
 
 func (printer) Send(id uint32, to policy.Server, _ policy.Micros) {
--- /dev/null
+++ b/policy/gateways.go
@@ -0,0 +1,13 @@
+package policy
+
+// Among sets the number of gateways and this one's index among them, as gateways come and go.
+func (g *Gateway) Among(now Micros, host Host, self, gateways int) {
+	g.beginEvent(now, host)
+	before := g.fleetPart(1)
+	g.settings.Gateways = max(gateways, 1)
+	if after := g.fleetPart(1); before > 0 && after != before { // the limit is a part of the fleet's
+		g.inFlightLimit *= after / before
+		g.inFlightLimit = max(g.inFlightLimit, g.fleetPart(minLimitPerServer))
+	}
+	g.dispatch()
+}
--- a/policy/places_test.go
+++ b/policy/limits_test.go
@@ -6,10 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHomesAreNeverCrossed: where the only servers at home take nothing, a request is
-// refused rather than sent elsewhere, also at its second try.
-func TestHomesAreNeverCrossed(t *testing.T) {
-	g, r := start(settings(), 0)
+// If the only servers in a request's regions take nothing, the request is refused rather than sent to another
+// region, also at a retry.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
+	g, r := startGateway(testSettings(), 0)
 	es := []Entry{{Server: 1, State: Ready, Region: 0}, {Server: 2, State: Ready, Region: 1}, {Server: 3, State: Ready, Region: 63}}
 	g.Servers(100e6, r, FullList, es)
 	home := map[uint64][]Server{1: {1}, 2: {2}, 1 << 63: {3}, 3: {1, 2}, 0: {1, 2, 3}}
@@ -28,9 +28,9 @@
 					ok = ok || s == x.to
 				}
 				if !ok {
-					t.Fatalf("homes %x: sent to %d", homes, x.to)
+					t.Fatalf("regions %x: sent to server %d", homes, x.to)
 				}
-				g.Outcome(100e6, r, Outcome{ID: id, Attempt: attempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3, Terminal: st == OK})
+				g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3, Terminal: st == OK})
 			}
 			for _, s := range g.servers {
 				s.fullUntil = 0
@@ -41,11 +41,11 @@
 	g.Request(100e6, r, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
 	g.Timer(102e6, r, tokenGiveUp<<32|9999)
 	if _, refused := r.refused[9999]; len(r.sent) != sent || !refused {
-		t.Fatalf("%d sent, refused %v, with nobody at home", len(r.sent)-sent, refused)
+		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true", len(r.sent)-sent, refused)
 	}
 }
 
-func attempts(r *recorder, id uint32) (n int) {
+func countAttempts(r *recorder, id uint32) (n int) {
 	for _, x := range r.sent {
 		if x.id == id {
 			n++
@@ -54,22 +54,22 @@
 	return n
 }
 
-// coldOnly bounds the sends to cold servers alone.
-func coldOnly(most func() int) func(Server, bool) int {
+// coldOnly limits the sends to cold servers alone.
+func coldOnly(limit func() int) func(Server, bool) int {
 	return func(_ Server, cold bool) int {
 		if !cold {
 			return -1
 		}
-		return most()
+		return limit()
 	}
 }
 
-// TestAServerThatMayBeColdIsBounded, though nobody says that it is.
-func TestAServerThatMayBeColdIsBounded(t *testing.T) {
-	s := settings()
+// The limit on sends applies to a server that may be cold, even if the list does not say so.
+func TestMaybeColdServerIsLimited(t *testing.T) {
+	s := testSettings()
 	s.Gateways = 1
 	s.ColdSends = func(Server, bool) int { return 2 }
-	g, r := start(s, 0)
+	g, r := startGateway(s, 0)
 	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready}})
 	for id := range uint32(5) {
 		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
@@ -77,13 +77,13 @@
 	assert.Equal(t, len(r.sent), 2)
 }
 
-// TestAColdServersSendsAreBoundedInAnySecond, also those of just before it became cold, and
-// whatever list comes in between.
-func TestAColdServersSendsAreBoundedInAnySecond(t *testing.T) {
+// The limit holds over any second, including the one just before a server became cold, and across changes of the
+// server list.
+func TestColdServerSendsAreLimitedPerSecond(t *testing.T) {
 	const most = 3
-	s := settings()
+	s := testSettings()
 	s.ColdSends = coldOnly(func() int { return most })
-	g, r := start(s, 0)
+	g, r := startGateway(s, 0)
 	at := Micros(100e6)
 	cold := []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}}
 	g.Servers(at, r, FullList, []Entry{{Server: 1, State: Ready}})
@@ -110,125 +110,126 @@
 	}
 	for i := most; i < len(sends); i++ {
 		if sends[i]-sends[i-most] <= second {
-			t.Fatalf("sends %d and %d are %d us apart", i-most, i, sends[i]-sends[i-most])
+			t.Fatalf("sends %d and %d are %d us apart, want more than a second", i-most, i, sends[i]-sends[i-most])
 		}
 	}
 }
 
-// TestAColdServersSendsCountAsTheyLeave: an attempt that waits for a connection may leave in any second to come, and
-// counts in all until it has.
-func TestAColdServersSendsCountAsTheyLeave(t *testing.T) {
+// An attempt that waits for a connection may leave in any second to come, so it counts until it has left and for a
+// second after.
+func TestColdServerSendsCountWhenTheyLeave(t *testing.T) {
 	const most = 3
-	s := settings()
+	s := testSettings()
 	s.Gateways = 1
 	share := most
 	s.ColdSends = coldOnly(func() int { return share })
-	g, r := start(s, 0)
+	g, r := startGateway(s, 0)
 	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}})
 	room := func(at Micros) bool {
 		g.now = at
-		return g.coldSendRoom(g.byID[1])
+		return g.hasColdSendBudget(g.byID[1])
 	}
 	for id := range uint32(most) {
 		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
 	}
 	assert.Equal(t, len(r.sent), most)
-	assert.Assert(t, !room(101500e3), "three wait for a connection")
+	assert.Assert(t, !room(101500e3), "three attempts wait for a connection")
 	g.Left(101600e3, 0, 0)
-	g.Left(101600e3, 0, 0) // told twice
+	g.Left(101600e3, 0, 0) // reported twice
 	g.Outcome(101600e3, r, Outcome{ID: 1, Status: Reset, Server: 1, Terminal: true})
-	assert.Assert(t, !room(102e6), "one has left in this second, one may have, one waits")
+	assert.Assert(t, !room(102e6), "one attempt left in this second, one may have, one waits")
 	assert.Assert(t, g.MayLeave(102e6, 2, 0))
 	share = 2
-	assert.Assert(t, !g.MayLeave(102e6, 2, 0), "our part has shrunk")
+	assert.Assert(t, !g.MayLeave(102e6, 2, 0), "our part of the budget has shrunk")
 	share = most
-	assert.Assert(t, room(102700e3), "only the one that waits counts")
+	assert.Assert(t, room(102700e3), "only the waiting attempt counts")
 	g.Outcome(102700e3, r, Outcome{ID: 2, Status: Moot, Server: 1, Terminal: true})
 	assert.Equal(t, g.byID[1].unsent, 0)
 	g.Outcome(102700e3, r, Outcome{ID: 0, Status: OK, Server: 1, Terminal: true})
-	assert.Equal(t, len(g.byID[1].coldSends), 1, "one that has left counts once")
+	assert.Equal(t, len(g.byID[1].coldSends), 1, "an attempt that has left counts once")
 
 	g.Request(104e6, r, Request{ID: 9, Customer: 9, Left: 9e6, Units: 1})
 	share = 0
 	assert.Assert(t, !g.MayLeave(104e6, 9, 0))
 	g.Servers(104e6, r, FullList, []Entry{{Server: 1, State: Ready}})
-	assert.Assert(t, g.MayLeave(104e6, 9, 0), "it is warm")
+	assert.Assert(t, g.MayLeave(104e6, 9, 0), "the server is warm")
 }
 
-// TestAFurtherTryIsAskedForOnceAndADenialEndsTheRequest: by a refusal or, where it may have
-// run and is not to be repeated, a failure.
-func TestAFurtherTryIsAskedForOnceAndADenialEndsTheRequest(t *testing.T) {
+// FurtherTry is asked once for each retry. Without budget a request is refused or, if it may have run and must not
+// be repeated, failed.
+func TestRetryBudgetIsAskedOncePerRetry(t *testing.T) {
 	left, asked := 1, 0
-	s := settings()
+	s := testSettings()
 	s.FurtherTry = func(int) bool { asked++; left--; return left >= 0 }
-	g, r := start(s, 4)
+	g, r := startGateway(s, 4)
 	fail := func(id uint32, st Status) {
 		x := r.sent[len(r.sent)-1]
-		g.Outcome(100e6, r, Outcome{ID: id, Attempt: attempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3})
+		g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3})
 	}
 	g.Request(100e6, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
 	if asked != 0 {
-		t.Fatal("asked for a first try")
+		t.Fatal("the budget was asked for a first try")
 	}
 	fail(1, Full)
 	if asked != 1 || len(r.sent) != 2 {
-		t.Fatalf("asked %d times, %d sent", asked, len(r.sent))
+		t.Fatalf("asked %d times, %d sent; want 1 and 2", asked, len(r.sent))
 	}
 	fail(1, Reset)
 	if _, refused := r.refused[1]; asked != 2 || len(r.sent) != 2 || !refused {
-		t.Fatalf("asked %d times, %d sent, refused %v", asked, len(r.sent), refused)
+		t.Fatalf("asked %d times, %d sent, refused %v; want 2, 2 and true", asked, len(r.sent), refused)
 	}
 	g.Request(100e6, r, Request{ID: 2, Class: 2, Customer: 2, Left: 1500e3, Units: 1})
 	fail(2, Reset)
 	if _, refused := r.refused[2]; asked != 2 || refused || !r.failed[2] {
-		t.Fatalf("asked %d times, refused %v, failed %v", asked, refused, r.failed[2])
+		t.Fatalf("asked %d times, refused %v, failed %v; want 2, false and true", asked, refused, r.failed[2])
 	}
 }
 
-// TestARequestThatWasNeverSentIsRefusedAfterItsPart, and one marked as a repeat has as long.
-func TestARequestThatWasNeverSentIsRefusedAfterItsPart(t *testing.T) {
-	s := settings()
+// A request that was never sent is refused after a fraction of its latency target, whether it is marked as a retry
+// or not.
+func TestUnsentRequestIsRefusedAfterHoldPart(t *testing.T) {
+	s := testSettings()
 	s.HoldPart = 0.25
-	g, r := start(s, 0)
+	g, r := startGateway(s, 0)
 	for id, again := range []bool{false, true} {
 		g.Request(100e6, r, Request{ID: uint32(id), Customer: 1, Left: 2e6, Units: 1, Again: again})
-		q := g.reqs[uint32(id)]
+		q := g.requests[uint32(id)]
 		if q == nil {
 			t.Fatal("refused at once")
 		}
-		if at := g.giveUp(q) - 100e6; at != 125e3 {
-			t.Fatalf("held for %d us of an aim of 500 ms", at)
+		if at := g.holdDeadline(q) - 100e6; at != 125e3 {
+			t.Fatalf("held for %d us, want 125000, a quarter of the latency target", at)
 		}
 		g.Timer(100e6+125e3, r, tokenGiveUp<<32|uint64(id))
 		if _, refused := r.refused[uint32(id)]; !refused {
-			t.Fatal("still held")
+			t.Fatal("still held after a quarter of its latency target")
 		}
 		g.now = 100e6
 	}
 }
 
-// TestASafeRequestLeavesASilentServerOnce, where the budget has a try, and no other does.
-func TestASafeRequestLeavesASilentServerOnce(t *testing.T) {
+// A safe request is moved from a silent server once if the retry budget allows; other requests are not moved.
+func TestSafeRequestIsMovedFromSilentServerOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  int
 		budget bool
 		want   int
 	}{
-		"safe":                {0, true, 1},
-		"beyond a budget":     {0, false, 0},
-		"not to be run twice": {2, true, 0},
+		"safe":            {0, true, 1},
+		"safe, no budget": {0, false, 0},
+		"unsafe":          {2, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := 0
-			s := settings()
+			s := testSettings()
 			s.SafeAfter, s.FurtherTry = 1, func(int) bool { asked++; return c.budget }
-			g, r := start(s, 2)
+			g, r := startGateway(s, 2)
 			g.Request(100e6, r, Request{ID: 1, Class: c.class, Customer: 1, Left: 1500e3, Units: 1})
 			for at := Micros(100e6); at < 100e6+300e3; at += 10e3 {
 				g.Timer(at, r, tokenTick<<32)
 				if n := len(r.cancels); n > 0 && len(r.sent) == 1 {
 					if at < 100e6+250e3 {
-						t.Fatalf("taken away after %d us", at-100e6)
+						t.Fatalf("moved after %d us, want at least half the latency target", at-100e6)
 					}
 					g.Outcome(at, r, Outcome{ID: 1, Status: Cancelled, Server: r.sent[0].to, Latency: at - 100e6})
 				}
@@ -237,84 +238,83 @@
 				t.Fatalf("%d cancels, %d sent", len(r.cancels), len(r.sent))
 			}
 			if c.want == 1 && (asked != 1 || r.sent[0].to == r.sent[1].to) {
-				t.Fatalf("asked %d times, sent to %v", asked, r.sent)
+				t.Fatalf("asked %d times, want 1; sent to %v, want two servers", asked, r.sent)
 			}
 		})
 	}
 }
 
-// TestADearServerIsTheLastChoice: one far away is not used while one nearby is as good.
-func TestADearServerIsTheLastChoice(t *testing.T) {
-	g, r := start(settings(), 0)
+// A server with a high cost, such as one far away, is not used while a cheaper one is as good.
+func TestExpensiveServerIsTheLastChoice(t *testing.T) {
+	g, r := startGateway(testSettings(), 0)
 	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready, Dear: 10}, {Server: 2, State: Ready}})
 	for id := range uint32(5) {
 		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
 		if r.sent[id].to != 2 {
-			t.Fatalf("sent to %d", r.sent[id].to)
+			t.Fatalf("sent to server %d, want 2", r.sent[id].to)
 		}
 		g.Outcome(100e6, r, Outcome{ID: id, Status: OK, Server: 2, Latency: 1e3, Terminal: true})
 	}
 }
 
-// TestTheBoundGoesByTheAimWhereItIsTold guards a system whose aims are a few times the work:
-// by the module's own terms an answer at half of its aim cuts the bound, and what would have been
-// in time is refused.
-func TestTheBoundGoesByTheAimWhereItIsTold(t *testing.T) {
+// Guards systems whose latency targets are only a few times the work: with the default terms, answers at half of
+// the target cut the limit, and requests that could be served in time were refused.
+func TestLimitUsesConfiguredTerms(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bound BoundTerms
 		lat   Micros
 		cut   bool
 	}{
-		{"own terms, half of the aim", BoundTerms{}, 150 * milli, true},
-		{"by the aim, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli, false},
-		{"by the aim, past it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli, true},
+		{"default terms, half of the target", BoundTerms{}, 150 * milli, true},
+		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli, false},
+		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli, true},
 	} {
 		g := New(Settings{Gateways: 1, Classes: []Class{{Aim: 300 * milli, Deadline: 2 * second, Worth: 1}}, Plans: []Plan{{Price: 1}},
 			MaxAttempts: 1, Bound: c.bound}, 1)
-		g.now, g.bound, g.listed = second, 20, 4
+		g.now, g.inFlightLimit, g.listedCount = second, 20, 4
 		for range 200 {
 			g.now += 20 * milli
-			g.judge(&attempt{req: &request{class: &g.classes[0], units: 1}, srv: &server{rel: 1}}, Outcome{Status: OK, Latency: c.lat})
+			g.recordOutcome(&attempt{request: &request{class: &g.classes[0], units: 1}, server: &server{slowness: 1}}, Outcome{Status: OK, Latency: c.lat})
 		}
-		if got := g.bound < 20; got != c.cut {
-			t.Errorf("%s: the bound went to %.1f", c.name, g.bound)
+		if got := g.inFlightLimit < 20; got != c.cut {
+			t.Errorf("%s: the limit went from 20 to %.1f", c.name, g.inFlightLimit)
 		}
 	}
 }
 
-// TestASeldomAnswerTellsMore guards the choice of a gateway that hears of a server a few times a
-// second: what it learnt of it by twenty answers is ten seconds old.
-func TestASeldomAnswerTellsMore(t *testing.T) {
+// With few answers per second from a server, an average over twenty answers would be ten seconds old, so each
+// answer must weigh more.
+func TestInfrequentAnswerWeighsMore(t *testing.T) {
 	g := New(Settings{Gateways: 9, Learn: 1.5, Classes: []Class{{Aim: second}}, Plans: []Plan{{Price: 1}}}, 1)
 	g.now = 10 * second
-	s := &server{relAt: 9 * second}
-	if got := g.gainOf(s); got < 0.29 {
-		t.Errorf("after a second an answer weighs %.2f", got)
+	s := &server{slownessAt: 9 * second}
+	if got := g.slownessWeight(s); got < 0.29 {
+		t.Errorf("an answer after a second weighs %.2f, want at least 0.29", got)
 	}
-	s.relAt = g.now - milli
-	if got := g.gainOf(s); got != relGain {
-		t.Errorf("after a millisecond an answer weighs %.2f", got)
+	s.slownessAt = g.now - milli
+	if got := g.slownessWeight(s); got != slownessGain {
+		t.Errorf("an answer after a millisecond weighs %.2f, want the least weight", got)
 	}
-	g.set.Learn = 0
-	s.relAt = 0
-	if got := g.gainOf(s); got != relGain {
-		t.Errorf("where nothing is set an answer weighs %.2f", got)
+	g.settings.Learn = 0
+	s.slownessAt = 0
+	if got := g.slownessWeight(s); got != slownessGain {
+		t.Errorf("an answer weighs %.2f without the setting, want the least weight", got)
 	}
 }
 
-// TestWhatNoServerMayHaveIsGivenUp: a request that its only server turned away unrun is answered
-// once it has been held for a part of its aim, not when its client's time is over.
-func TestWhatNoServerMayHaveIsGivenUp(t *testing.T) {
+// A request that its only server refused is answered after it has been held for a fraction of its latency target,
+// not when its client's time is over.
+func TestRequestWithoutServerIsAnsweredEarly(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		part float64
 		by   Micros
 	}{
-		{"held for a part of the aim", 0.25, 200 * milli},
-		{"without such a part, as before", 0, 2 * second},
+		{"held for a fraction of the target", 0.25, 200 * milli},
+		{"without such a fraction", 0, 2 * second},
 	} {
-		h := &ender{}
+		h := &timerHost{}
 		g := New(Settings{Gateways: 1, Tick: milli, MaxAttempts: 3, RetryAfter: true, HoldPart: c.part,
 			Classes: []Class{{Aim: 500 * milli, Deadline: 2 * second, Worth: 1, LateWorth: 1, Repeat: Unsafe}}, Plans: []Plan{{Price: 1}}}, 1)
 		now := second
@@ -323,13 +323,13 @@
 		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Ready}})
 		g.Request(now, h, Request{ID: 7, Left: 2 * second, Units: 1, Spread: 1})
 		if h.sends != 1 {
-			t.Fatalf("%s: %d sends", c.name, h.sends)
+			t.Fatalf("%s: %d sends, want 1", c.name, h.sends)
 		}
 		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Draining}})
 		g.Outcome(now, h, Outcome{ID: 7, Status: Full, Server: 1, Latency: milli})
 		for h.refused == 0 && now < 4*second {
 			now += milli
-			h.due(g)
+			h.fireTimers(g)
 		}
 		if got := h.refused - second; h.refused == 0 || got > c.by {
 			t.Errorf("%s: refused after %d ms", c.name, got/milli)
@@ -337,27 +337,27 @@
 	}
 }
 
-// ender is a host that keeps timers and notes a refusal.
-type ender struct {
+// timerHost is a Host that keeps timers and records when it was asked to refuse.
+type timerHost struct {
 	now     *Micros
 	sends   int
 	refused Micros
 	timers  map[uint64]Micros
 }
 
-func (h *ender) Send(uint32, Server, Micros)   { h.sends++ }
-func (h *ender) Refuse(uint32, Micros)         { h.refused = *h.now }
-func (h *ender) Fail(uint32)                   { h.refused = *h.now }
-func (h *ender) Cancel(uint32, int)            {}
-func (h *ender) Count(uint64, float64, Micros) {}
-func (h *ender) Timer(token uint64, after Micros) {
+func (h *timerHost) Send(uint32, Server, Micros)   { h.sends++ }
+func (h *timerHost) Refuse(uint32, Micros)         { h.refused = *h.now }
+func (h *timerHost) Fail(uint32)                   { h.refused = *h.now }
+func (h *timerHost) Cancel(uint32, int)            {}
+func (h *timerHost) Count(uint64, float64, Micros) {}
+func (h *timerHost) Timer(token uint64, after Micros) {
 	if h.timers == nil {
 		h.timers = map[uint64]Micros{}
 	}
 	h.timers[token] = *h.now + after
 }
 
-func (h *ender) due(g *Gateway) {
+func (h *timerHost) fireTimers(g *Gateway) {
 	for token, at := range h.timers {
 		if at <= *h.now {
 			delete(h.timers, token)
@@ -366,10 +366,10 @@
 	}
 }
 
-// TestAShutServerIsTriedByUnsafeRequestsToo, where there are no others: later than by safe ones, one
-// at a time, and only a good answer opens it.
-func TestAShutServerIsTriedByUnsafeRequestsToo(t *testing.T) {
-	g, r := start(settings(), 0)
+// In a service that gets only unsafe requests, an ejected server is probed by them too: later than by safe ones,
+// one at a time, and only a good answer ends the ejection.
+func TestEjectedServerIsProbedByUnsafeRequests(t *testing.T) {
+	g, r := startGateway(testSettings(), 0)
 	now := Micros(100e6)
 	g.Servers(now, r, FullList, []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
 	s := g.byID[1]
@@ -388,7 +388,7 @@
 		x := r.sent[before]
 		o := Outcome{ID: x.id, Status: OK, Server: x.to, Latency: milli, Terminal: true}
 		if x.to == 1 {
-			if tried++; now < s.retryAt+s.ejectedFor {
+			if tried++; now < s.probeAt+s.ejection {
 				early++
 			}
 			if tried == 1 {
@@ -398,16 +398,16 @@
 		g.Outcome(now, r, o)
 	}
 	if early > 0 || tried < 3 || s.ejected {
-		t.Fatalf("%d tries, %d of them early, still shut %v", tried, early, s.ejected)
+		t.Fatalf("%d probes, want 3; %d of them early, want 0; still ejected %v", tried, early, s.ejected)
 	}
 }
 
-// TestAnIdleGatewayTicksSeldom, and at its usual pace as soon as there is a request; a timer that was asked for before
-// that begins no second row of ticks.
-func TestAnIdleGatewayTicksSeldom(t *testing.T) {
-	s := settings()
+// An idle gateway ticks seldom, and at the usual interval as soon as there is a request. A timer that was requested
+// before must not start a second series of ticks.
+func TestIdleGatewayTicksSeldom(t *testing.T) {
+	s := testSettings()
 	s.Step, s.IdleStep = 20*milli, 100*milli
-	g, r := start(s, 0)
+	g, r := startGateway(s, 0)
 	at := Micros(100e6)
 	g.Servers(at, r, FullList, []Entry{{Server: 1, State: Ready}})
 	g.tickDue = at
@@ -417,7 +417,7 @@
 	at += 30 * milli
 	g.Request(at, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
 	assert.Equal(t, g.tickDue, at+20*milli)
-	assert.Equal(t, g.set.IdleStep-at%g.set.IdleStep, 70*milli, "idle ticks of several gateways fall together")
+	assert.Equal(t, g.settings.IdleStep-at%g.settings.IdleStep, 70*milli, "idle ticks of several gateways coincide")
 	at += 20 * milli
 	g.Timer(at, r, tokenTick<<32)
 	assert.Equal(t, g.tickDue, at+20*milli)
@@ -425,6 +425,6 @@
 		g.Timer(at, r, tokenTick<<32)
 	}
 	due := g.tickDue
-	g.Timer(idle, r, tokenTick<<32) // the one that the request made void
+	g.Timer(idle, r, tokenTick<<32) // the one that the request voided
 	assert.Equal(t, g.tickDue, due)
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -1,13 +1,13 @@
 package policy
 
-// Load is what a gateway has to do now, for those who watch it.
+// Load is a gateway's current work, for monitoring.
 type Load struct {
-	Queued    int    // requests that wait to be sent
+	Queued    int    // requests waiting to be sent
 	InFlight  int    // attempts without an outcome
-	ColdSends uint64 // attempts that have left for servers that were cold, since the start
+	ColdSends uint64 // attempts sent to cold servers since the start
 }
 
-// Load tells what there is to do now.
+// Load returns the gateway's current work.
 func (g *Gateway) Load() Load {
-	return Load{Queued: g.queued, InFlight: g.inFlight, ColdSends: g.toCold}
+	return Load{Queued: g.queued, InFlight: g.inFlight, ColdSends: g.coldSendCount}
 }
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -6,145 +6,147 @@
 	"testing"
 )
 
-// A model of a leased ceiling, explored whole: two gateways, a counter, and one who picks what
-// happens next. Time goes by in half windows; a ceiling's store holds 24 units and gets 4 a
-// tick, so that with the module's own leaseOwn and leaseParts a window is two ticks and passes
-// 4 units, and a gateway's own part holds 6 and gets 1 a tick (docs/design/ceilings.md).
+// A model of a leased ceiling, explored exhaustively: two gateways, a counter, and an adversary that picks the next
+// event. Time advances by half windows. The ceiling's bucket holds 24 units and refills by 4 per tick. With the
+// package's own fractions a window lasts two ticks and leases 4 units, and a gateway's own part holds 6 and refills
+// by 1 per tick (docs/design/ceilings.md).
 const (
-	modelBurst = 24
-	modelRate  = 4
-	modelGates = 2
-	modelPool  = (1 - leaseOwn) * modelBurst / leaseParts
-	modelHold  = modelBurst / modelRate / leaseParts // ticks of a window, and that a lease is held at most
-	modelOwn   = leaseOwn * modelBurst / modelGates
-	modelFill  = leaseOwn * modelRate / modelGates
+	modelBurst    = 24
+	modelRate     = 4
+	modelGateways = 2
+	modelLease    = (1 - unleasedFraction) * modelBurst / leaseWindows
+	modelWindow   = modelBurst / modelRate / leaseWindows // ticks of a window, and of the longest time that a lease is held
+	modelOwnBurst = unleasedFraction * modelBurst / modelGateways
+	modelOwnRate  = unleasedFraction * modelRate / modelGateways
 )
 
-// modelState is the whole of it between two happenings.
+// modelState is the state of the model between two events.
 type modelState struct {
-	store int8             // of the ceiling, as it truly is
-	phase int8             // tick of the window
-	total [modelGates]int8 // added in the window; on both sides alike but in a split
-	own   [modelGates]int8
-	held  [modelGates][modelHold + 1]int8 // leases not sent yet, by their age in ticks
+	bucket int8                // true content of the ceiling's bucket
+	phase  int8                // tick within the window
+	leased [modelGateways]int8 // added in the window; on both sides alike unless the counter is split
+	own    [modelGateways]int8
+	leases [modelGateways][modelWindow + 1]int8 // leases not sent yet, by their age in ticks
 }
 
-// modelFault is what the model is told to get wrong.
+// modelFault is a fault built into the model.
 type modelFault int
 
 const (
-	modelSound     modelFault = iota
-	bornFull                  // a new life's own part is full
-	heldOn                    // a lease is kept past its window
-	poolTwice                 // a window passes twice as much
-	splitApart                // the counter is two, one for each gateway
-	replacedAtOnce            // a counter that holds nothing takes its place at any moment
-	modelFaults
+	noFault          modelFault = iota
+	fullAfterRestart            // a restarted gateway's own part is full
+	leaseKept                   // a lease is kept past its window
+	leaseTwice                  // a window leases twice as much
+	splitCounter                // each gateway has a counter of its own
+	replacedCounter             // an empty counter may replace the counter at any time
+	modelFaultCount
 )
 
-// happening is one thing that may come next.
-type happening struct {
-	what string
-	to   modelState
+// modelEvent is one possible next event and the state it leads to.
+type modelEvent struct {
+	name  string
+	state modelState
 }
 
-// next gives all that may happen.
-func (s modelState) next(f modelFault) (all []happening) {
-	pool := int8(modelPool)
-	if f == poolTwice {
-		pool *= 2
+// next returns all possible events.
+func (s modelState) next(fault modelFault) (events []modelEvent) {
+	lease := int8(modelLease)
+	if fault == leaseTwice {
+		lease *= 2
 	}
 	tick := s
-	tick.store = min(s.store+modelRate, modelBurst)
-	if tick.phase = (s.phase + 1) % modelHold; tick.phase == 0 {
-		tick.total = [modelGates]int8{}
+	tick.bucket = min(s.bucket+modelRate, modelBurst)
+	if tick.phase = (s.phase + 1) % modelWindow; tick.phase == 0 {
+		tick.leased = [modelGateways]int8{}
 	}
-	for i := range modelGates {
-		tick.own[i] = min(s.own[i]+modelFill, modelOwn)
-		h := s.held[i]
-		tick.held[i] = [modelHold + 1]int8{}
-		copy(tick.held[i][1:], h[:])
-		if f == heldOn {
-			tick.held[i][modelHold] += h[modelHold]
+	for i := range modelGateways {
+		tick.own[i] = min(s.own[i]+modelOwnRate, modelOwnBurst)
+		leases := s.leases[i]
+		tick.leases[i] = [modelWindow + 1]int8{}
+		copy(tick.leases[i][1:], leases[:])
+		if fault == leaseKept {
+			tick.leases[i][modelWindow] += leases[modelWindow]
 		}
 	}
-	all = append(all, happening{"a tick", tick})
-	for i := range modelGates {
-		say := func(what string, to modelState) { all = append(all, happening{fmt.Sprintf("%d %s", i, what), to}) }
+	events = append(events, modelEvent{"a tick", tick})
+	for i := range modelGateways {
+		add := func(name string, state modelState) {
+			events = append(events, modelEvent{fmt.Sprintf("%d %s", i, name), state})
+		}
 		own := s
-		own.store, own.own[i] = s.store-s.own[i], 0
-		say("sends its own part", own)
-		lease, lost := s, s
-		got := max(pool-s.total[i], 0)
-		for side := range modelGates {
-			if side == i || f != splitApart {
-				lease.total[side] += got
+		own.bucket, own.own[i] = s.bucket-s.own[i], 0
+		add("sends its own part", own)
+		leased, lost := s, s
+		units := max(lease-s.leased[i], 0)
+		for side := range modelGateways {
+			if side == i || fault != splitCounter {
+				leased.leased[side] += units
 			}
 		}
-		lost.total = lease.total
-		lease.held[i][0] += got
-		say("leases the rest of the window", lease)
-		say("leases it and hears nothing", lost)
+		lost.leased = leased.leased
+		leased.leases[i][0] += units
+		add("leases the rest of the window", leased)
+		add("leases it and hears nothing", lost)
 		send := s
-		for _, n := range s.held[i] {
-			send.store -= n
+		for _, n := range s.leases[i] {
+			send.bucket -= n
 		}
-		send.held[i] = [modelHold + 1]int8{}
-		say("sends what it leased", send)
+		send.leases[i] = [modelWindow + 1]int8{}
+		add("sends what it leased", send)
 		died := s
-		died.own[i], died.held[i] = 0, [modelHold + 1]int8{}
-		if f == bornFull {
-			died.own[i] = modelOwn
+		died.own[i], died.leases[i] = 0, [modelWindow + 1]int8{}
+		if fault == fullAfterRestart {
+			died.own[i] = modelOwnBurst
 		}
-		say("dies and comes back", died)
+		add("dies and comes back", died)
 	}
-	if f == replacedAtOnce {
-		anew := s
-		anew.total = [modelGates]int8{}
-		all = append(all, happening{"the counter is replaced", anew})
+	if fault == replacedCounter {
+		replaced := s
+		replaced.leased = [modelGateways]int8{}
+		events = append(events, modelEvent{"the counter is replaced", replaced})
 	}
-	return all
+	return events
 }
 
-// explore goes through every state that can come about, and tells the first way, of the
-// fewest happenings, to send more than the ceiling's store holds.
-func explore(f modelFault) (states int, broken []string) {
-	type way struct {
+// explore visits every reachable state. It returns the shortest sequence of events that sends more than the
+// ceiling's bucket holds, or nil.
+func explore(fault modelFault) (states int, broken []string) {
+	type path struct {
 		state modelState
-		last  int // the way before it
+		last  int // index of the previous path
 		by    string
 	}
-	first := modelState{store: modelBurst}
-	ways, seen := []way{{first, -1, ""}}, map[modelState]bool{first: true}
-	for at := 0; at < len(ways); at++ {
-		for _, h := range ways[at].state.next(f) {
-			by, to := h.what, h.to
-			if to.store < 0 {
-				for i := at; ways[i].last >= 0; i = ways[i].last {
-					broken = append([]string{ways[i].by}, broken...)
+	first := modelState{bucket: modelBurst}
+	paths, seen := []path{{first, -1, ""}}, map[modelState]bool{first: true}
+	for current := 0; current < len(paths); current++ {
+		for _, event := range paths[current].state.next(fault) {
+			name, state := event.name, event.state
+			if state.bucket < 0 {
+				for i := current; paths[i].last >= 0; i = paths[i].last {
+					broken = append([]string{paths[i].by}, broken...)
 				}
-				return len(seen), append(broken, by)
+				return len(seen), append(broken, name)
 			}
-			if !seen[to] {
-				seen[to] = true
-				ways = append(ways, way{to, at, by})
+			if !seen[state] {
+				seen[state] = true
+				paths = append(paths, path{state, current, name})
 			}
 		}
 	}
 	return len(seen), nil
 }
 
-// TestNoWayLeadsBeyondALeasedCeiling explores the model whole, and then with each fault:
-// each is found. The last two are what the proof does not cover, and says so.
-func TestNoWayLeadsBeyondALeasedCeiling(t *testing.T) {
-	if modelPool != 4 || modelHold != 2 || modelOwn != 6 || modelFill != 1 {
-		t.Fatalf("the model's units do not fit the module's parts: %v %v %v %v", modelPool, modelHold, modelOwn, modelFill)
+// Without a fault no sequence of events exceeds the ceiling; with each fault one is found. The last two faults are
+// those that the proof in the design page does not cover.
+func TestModelOfLeasedCeiling(t *testing.T) {
+	if modelLease != 4 || modelWindow != 2 || modelOwnBurst != 6 || modelOwnRate != 1 {
+		t.Fatalf("the model's units do not match the package's fractions: lease %v, window %v, own burst %v, own rate %v", modelLease, modelWindow, modelOwnBurst, modelOwnRate)
 	}
-	for f := modelSound; f < modelFaults; f++ {
+	for f := noFault; f < modelFaultCount; f++ {
 		states, broken := explore(f)
-		t.Logf("fault %d: %d states, %s", f, states, strings.Join(broken, "; "))
-		if (broken != nil) != (f != modelSound) {
-			t.Errorf("fault %d: after %d states the way beyond the ceiling is %q", f, states, broken)
+		t.Logf("fault %d: %d states, path %s", f, states, strings.Join(broken, "; "))
+		if (broken != nil) != (f != noFault) {
+			t.Errorf("fault %d: after %d states the path above the ceiling is %q", f, states, broken)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,8 @@
 package policy
 
-// The decisions of one gateway. The interface (settings, events, actions) is in
-// types.go. Every customer is policed by a token bucket over its
-// demand-following slice of the quota; what passes is held behind a bound on
-// attempts in flight, in a strict priority queue ranked by class worth times
-// plan price.
+// The decisions of one gateway; types.go has its settings, events and actions. Each customer has a token
+// bucket over the gateway's share of the quota, which follows demand. Admitted requests wait for the limit on
+// attempts in flight, in a strict priority queue ordered by class value times plan price.
 
 import (
 	"cmp"
@@ -16,114 +14,114 @@
 	second = Micros(1e6)
 	milli  = Micros(1e3)
 
-	// Policing.
-	counterPeriod = second // of the measure of our part of a customer's use
-	shareGain     = 0.3    // weight of the newest period in the share
-	stalePeriods  = 4      // periods without a total after which a share is back at the floor
-	idleAge       = 20 * second
-
-	// The shared store on the counter.
-	storeWindow = 10 * second // a counter name stands for one customer and so long
-	storeKeep   = 0.2         // of the burst must be left to let in without asking
-	storeTell   = 0.4         // of our even part of a store is used before the counter is told
-	storeAsk    = second / 10 // between two calls for a store that is spent
-	storeSmooth = 1.0         // seconds over which the others' use is smoothed
-	storeLeast  = 0.25        // of the largest request a store may be below nothing by our measure
-
-	// Drawing on the counter.
-	callCut     = 0.9        // of the draws stay when the counter fails one
-	callGrow    = 0.3        // of all draws come back in a second,
-	callBack    = 0.01       // and at an answer at most, so about one call in ten fails,
-	callDown    = 3 * second // but for the first answer after so long without one
-	unknownWait = second / 4 // advised where the counter could not be asked
-	holdGain    = 0.05       // weight of the newest attempt in how long a plan's attempts are out
-	callLeast   = 0.2        // of the draws look for a counter that is down
-	capFill     = 0.7        // of a cap is out on average when a window is used up
-	totalSlack  = 1.001      // totals come with seven digits
-	drawWindow  = 0.8        // of the time in which a thin store fills: a window, which passes a burst
-	leaseOwn    = 0.5        // of our even part of a thin ceiling is ours; the rest is leased by windows,
-	leaseParts  = 3          // so many in the time in which a ceiling's store fills
-
-	// The bound on attempts in flight.
-	startPerServer = 5.0  // a server, for all gateways together: the start
-	mostPerServer  = 24.0 // the bound does not rise past this
-	leastPerServer = 3.0  // a server, for all gateways: the bound is not cut below its part
-	growWithin     = 0.25 // of the aim: faster answers let the bound rise
-	growStep       = 2.0  // over the bound is added to it by a quick answer
-	growMost       = 0.05 // of the bound is added by an answer at most
-	cutPast        = 0.4  // of the aim: slower answers on average cut it
-	stretchGain    = 0.03 // weight of the newest answer in that average, at least,
-	stretchMost    = 0.1  // and of one that comes after a tenth of a second, so that seldom ones count
-	ownPart        = 0.4  // of the aim at most is set aside for the answer itself
-	stretchSettles = 50
-	idleForget     = 60 * second
-	knee           = 1.3   // times the least latency seen: the bound rises no more
-	kneeCut        = 1.8   // times it: the bound is cut
-	cutFactor      = 0.7   // of the bound stays at a cut
-	turnStep       = 0.618 // of the gateways is the distance between turns of a part below one
-
-	// Repeats.
-	fullGain   = 0.02 // weight of the newest try in the part that has the longest left
-	fullMarked = 0.8  // of a class's first tries must have it
-	lateLeast  = 0.5  // of the worth must remain past the aim for a late repeat to be let in
+	// Quotas.
+	sharePeriod       = second // period over which our share of a customer's use is measured
+	shareGain         = 0.3    // weight of the newest period in the share
+	shareStalePeriods = 4      // periods without a counter total after which a share is the even part
+	minCustomerIdle   = 20 * second
+
+	// The shared bucket, kept on the counter.
+	counterWindow   = 10 * second // span of a counter name, which stands for one customer and one window
+	minUnaskedFill  = 0.2         // fraction of the burst that must remain to admit without a call
+	reportFraction  = 0.4         // fraction of our even part of a bucket that is used before it is reported
+	minAskInterval  = second / 10 // least time between two calls for an empty bucket
+	othersSmoothing = 1.0         // seconds over which the other gateways' use rate is smoothed
+	maxDebt         = 0.25        // largest estimated debt of a bucket, in units of the largest request
+
+	// Calls to the counter.
+	callCutFactor      = 0.9        // factor on the fraction of calls made, at each failed call
+	callGrowth         = 0.3        // added to that fraction per second,
+	maxCallGrowth      = 0.01       // but at most this per answer, so that about one call in ten fails,
+	counterOutage      = 3 * second // unless no answer has come for this long
+	counterDownWait    = second / 4 // advised to clients where the counter could not be asked
+	attemptTimeGain    = 0.05       // weight of the newest attempt in a plan's mean attempt time
+	minCallFraction    = 0.2        // fraction of calls that are still made to a failed counter
+	capTargetFill      = 0.7        // mean fraction of a concurrency cap in flight when a window is used up
+	totalTolerance     = 1.001      // totals come with seven digits
+	drawWindowFraction = 0.8        // fraction of the burst's fill time; a window passes one burst
+	unleasedFraction   = 0.5        // fraction of our even part of a small ceiling that needs no lease
+	leaseWindows       = 3          // lease windows in the time in which a ceiling's bucket fills
+
+	// The limit on attempts in flight.
+	startLimitPerServer = 5.0  // initial limit for each server, all gateways together
+	maxLimitPerServer   = 24.0 // the limit does not rise above this
+	minLimitPerServer   = 3.0  // for all gateways; the limit is not cut below our part of it
+	growBelow           = 0.25 // of the latency target: faster answers let the limit rise
+	growStep            = 2.0  // divided by the limit is what a fast answer adds to it
+	maxGrowth           = 0.05 // largest fraction of the limit that one answer adds
+	cutAbove            = 0.4  // of the latency target: slower answers on average cut the limit
+	minRatioWeight      = 0.03 // least weight of the newest answer in the latency ratio
+	maxRatioWeight      = 0.1  // its weight after 0.1 s or more, so that infrequent answers count
+	maxServiceFraction  = 0.4  // of the latency target, at most, is reserved for the answer itself
+	minRatioSamples     = 50
+	minRatioDrift       = 60 * second
+	growKnee            = 1.3   // times the least latency ratio seen: the limit stops rising
+	cutKnee             = 1.8   // times the least latency ratio seen: the limit is cut
+	cutFactor           = 0.7   // factor on the limit at a cut
+	turnDistance        = 0.618 // distance between successive turns, as a fraction of the gateways
+
+	// Retries.
+	fullTimeGain     = 0.02 // weight of the newest try in the share that has the full client time
+	minFullTimeShare = 0.8  // least such share for a shorter time to mark a late retry
+	minLateValue     = 0.5  // least value past the latency target for a late retry to be admitted
 
 	// Servers.
-	relGain      = 0.05       // weight of the newest answer in a server's slowness
-	relFail      = 2.0        // slowness grows by this at a failure
-	relWorst     = 20.0       // times the expected latency count at most
-	costNoise    = 0.05       // chance breaks ties of cost
-	subsetLeast  = 6          // servers are used at least, the first in our own order
-	subsetEvery  = 1.0        // or so many that each gets a request of ours in so many seconds
-	ownGateways  = 4.0        // so few still see a server's load in what they have out themselves
-	spreadMost   = 0.5        // the power of chance in the choice where there are very many
-	relForget    = 6 * second // an unused server's bad name halves in this time
-	loadLeast    = 0.25       // an attempt counts as this much of an average one at least
-	loadMost     = 4.0        // and as this much at most
-	lostFactor   = 4.0        // expected latencies of silence that shut a server off,
-	lostLeast    = 1.5        // and so many halves of the shortest aim at least
-	failsToEject = 3
-	connectSlow  = 100 * milli // a connection that failed later than this was not refused
-	ejectFirst   = second / 2
-	ejectMost    = 8 * second
-	trialCost    = 100.0 // times as dear is a server while a trial of it is out
-	fullPause    = 50 * milli
-	coldSafety   = 0.5  // of our part of a cold server's budget is used
-	warmForget   = 30.0 // seconds after which what servers were seen to bear counts half
-	zoneFactor   = 10   // cost of a far server grows by this times the price of crossing
-
-	step = 10 * milli // pace of the housekeeping tick
+	slownessGain       = 0.05       // weight of the newest answer in a server's slowness
+	failureSlowdown    = 2.0        // factor on the slowness at a failure
+	maxSlowness        = 20.0       // upper bound of a slowness, in expected latencies
+	tieBreakNoise      = 0.05       // random noise that breaks ties of cost
+	minSubset          = 6          // least number of servers used, the first in our own order
+	subsetSeconds      = 1.0        // or as many as get one request of ours in this many seconds each
+	fewGateways        = 4.0        // up to this many see a server's load in their own attempts
+	defaultExponent    = 0.5        // exponent of the random factor in the choice with very many gateways
+	slownessHalfLife   = 6 * second // half-life of the slowness of an unused server
+	minWork            = 0.25       // least weight of an attempt in a server's load; 1 is the average
+	maxWork            = 4.0        // greatest weight
+	silenceFactor      = 4.0        // expected latencies of silence that eject a server,
+	minSilenceTargets  = 1.5        // and at least this many halves of the shortest latency target
+	failsToEject       = 3
+	slowConnect        = 100 * milli // a connection that fails later than this was not refused
+	minEjection        = second / 2
+	maxEjection        = 8 * second
+	probeCostFactor    = 100.0 // factor on the cost of a server that is being probed
+	fullPause          = 50 * milli
+	coldBudgetFraction = 0.5  // of our part of a cold server's budget is used
+	warmRateHalfLife   = 30.0 // half-life of the measured rate of warm servers, in seconds
+	crossZoneFactor    = 10   // cost factor of a server in another zone, times the crossing price
+
+	tickInterval = 10 * milli // interval of the housekeeping tick
 )
 
-// Kinds of timer token, and what is drawn from the counter.
+// Kinds of timer token, and of what is drawn from the counter.
 const (
 	tokenTick = iota
 	tokenGiveUp
 
-	drawUnits = 0 // of a store, or places of a cap
+	drawUnits = 0 // units of a bucket, or places of a concurrency cap
 	drawLease = 1 // units of a ceiling
 )
 
-// New makes a gateway from its settings. The seed makes its choices its own.
-func New(s Settings, seed uint64) *Gateway {
-	g := &Gateway{set: s, rng: seed | 1, reqs: map[uint32]*request{}, customers: map[uint64]*customer{},
-		draws: map[uint64][]drawn{}, calls: 1, byID: map[Server]*server{}}
-	g.wheel = make([][]*customer, counterPeriod/step)
-	for _, c := range s.Classes {
-		g.classes = append(g.classes, classState{Class: c, lat: float64(c.Aim) / 4})
+// New returns a gateway with the given settings. The seed starts its random choices.
+func New(settings Settings, seed uint64) *Gateway {
+	g := &Gateway{settings: settings, rng: seed | 1, requests: map[uint32]*request{}, customers: map[uint64]*customer{},
+		pendingCalls: map[uint64][]counterCall{}, callFraction: 1, byID: map[Server]*server{}}
+	g.wheel = make([][]*customer, sharePeriod/tickInterval)
+	for _, class := range settings.Classes {
+		g.classes = append(g.classes, classState{Class: class, latency: float64(class.Aim) / 4})
 	}
 	g.capWindow = second
-	for _, c := range s.Classes {
-		g.capWindow = min(g.capWindow, c.Aim/2)
+	for _, class := range settings.Classes {
+		g.capWindow = min(g.capWindow, class.Aim/2)
 	}
 	g.capWindow = max(g.capWindow, milli)
-	for i, p := range s.Plans {
-		g.plans = append(g.plans, planState{Plan: p, index: i, holds: float64(g.capWindow)})
+	for i, plan := range settings.Plans {
+		g.plans = append(g.plans, planState{Plan: plan, index: i, attemptTime: float64(g.capWindow)})
 	}
 	g.rankLevels()
 	return g
 }
 
-// rankLevels gives each class and plan its place in the strict order.
+// rankLevels gives each pair of class and plan its level in the strict order.
 func (g *Gateway) rankLevels() {
 	rank := func(i, j int) float64 { return -g.classes[i].Worth * g.plans[j].Price }
 	var ranks []float64
@@ -143,584 +141,581 @@
 	}
 }
 
-// Start begins the gateway's life.
-func (g *Gateway) Start(now Micros, do Host) {
-	g.enter(now, do)
-	g.born, g.lastRate, g.wheelAt = now, now, now/step
-	g.armTick(g.pace())
+// Start starts the gateway's clock and its housekeeping tick.
+func (g *Gateway) Start(now Micros, host Host) {
+	g.beginEvent(now, host)
+	g.startedAt, g.ratesAt, g.wheelAt = now, now, now/tickInterval
+	g.armTick(g.tickDelay())
 }
 
-// ---- policing ----
+// ---- quotas ----
 
-// currentShare is the part of the quota that is ours: by what the counter said last,
-// or the even part where it is silent.
-func (g *Gateway) currentShare(c *customer) float64 {
-	if g.now-c.shareAt > stalePeriods*counterPeriod {
-		return 1 / c.spread
+// currentShare is our share of a customer's quota by the last counter totals, or the even part when they are
+// stale.
+func (g *Gateway) currentShare(cust *customer) float64 {
+	if g.now-cust.shareAt > shareStalePeriods*sharePeriod {
+		return 1 / cust.gateways
 	}
-	return c.share
+	return cust.share
 }
 
-// store is what our bucket of a customer holds at most.
-func (g *Gateway) store(c *customer) float64 {
-	return max(c.plan.Burst*g.currentShare(c), 1)
+// bucketCapacity is the most that our bucket of a customer holds.
+func (g *Gateway) bucketCapacity(cust *customer) float64 {
+	return max(cust.plan.Burst*g.currentShare(cust), 1)
 }
 
-// rate is what a customer's bucket fills at: its plan's, or, where a cap is thin, the
-// starts that keep the cap filled.
-func (g *Gateway) rate(c *customer) float64 {
-	if p := c.plan; p.Rate <= 0 && g.thin(c) {
-		return capFill * float64(p.Open) / max(p.holds, 1) * 1e6
+// refillRate is the plan's rate or, where a small concurrency cap is drawn from the counter, the rate of
+// starts that keeps the cap filled.
+func (g *Gateway) refillRate(cust *customer) float64 {
+	if plan := cust.plan; plan.Rate <= 0 && g.needsDraw(cust) {
+		return capTargetFill * float64(plan.Open) / max(plan.attemptTime, 1) * 1e6
 	}
-	return c.plan.Rate
+	return cust.plan.Rate
 }
 
-// admit takes a request's units from its customer's bucket, or tells how long
-// the client should stay away.
-func (g *Gateway) admit(q *request) (bool, Micros) {
-	c := q.cust
-	g.refill(c)
-	if rate := g.rate(c); rate > 0 {
-		// A request larger than our part of the store passes a full bucket.
-		if need := min(q.units, g.store(c)); c.tokens < need {
-			return false, waitFor(need-c.tokens, rate*g.currentShare(c))
+// admit takes a request's units from its customer's bucket, or returns how long the client should wait.
+func (g *Gateway) admit(req *request) (bool, Micros) {
+	cust := req.customer
+	g.refill(cust)
+	if rate := g.refillRate(cust); rate > 0 {
+		// A request larger than our part of the bucket passes a full one.
+		if need := min(req.units, g.bucketCapacity(cust)); cust.tokens < need {
+			return false, waitFor(need-cust.tokens, rate*g.currentShare(cust))
 		}
-		g.take(q)
+		g.takeUnits(req)
 	}
 	return true, 0
 }
 
-// take takes a request's units from our bucket and from what we know of the shared
-// store.
-func (g *Gateway) take(q *request) {
-	q.cust.tokens -= q.units
-	q.cust.level -= q.units
-	q.tokensTaken = q.units
+// takeUnits takes a request's units from our bucket and from the estimate of the shared one.
+func (g *Gateway) takeUnits(req *request) {
+	req.customer.tokens -= req.units
+	req.customer.sharedTokens -= req.units
+	req.tokensTaken = req.units
 }
 
-// told brings the answer to a call.
-func (g *Gateway) told(d drawn, st Status, total float64) {
-	c, q := d.c, d.q
-	g.flow(c)
+// handleShared handles the answer to a call for a shared bucket.
+func (g *Gateway) handleShared(call counterCall, status Status, total float64) {
+	cust, req := call.customer, call.request
+	g.advanceShared(cust)
 	switch {
-	case st == Full || st == ConnectFailed: // nothing was added
-		c.untold += d.units
-	case d.n == c.window: // what may have been added is taken for added
-		c.mine += d.units + d.booked
-		c.untold -= d.booked // until it is sent
-		if st == OK {
-			g.hear(c, total)
+	case status == Full || status == ConnectFailed: // nothing was added
+		cust.unreported += call.units
+	case call.window == cust.window: // what may have been added counts as added
+		cust.ownInWindow += call.units + call.booked
+		cust.unreported -= call.booked // until it is sent
+		if status == OK {
+			g.applyTotal(cust, total)
 		}
 	}
-	if q == nil {
+	if req == nil {
 		return
 	}
-	q.drawing = false
+	req.awaitsCounter = false
 	switch {
-	case q.done: // the client left meanwhile
-	case g.beyond(q):
-	case st != OK:
-		g.police(q)
-	case c.level >= q.units:
-		g.grant(q)
+	case req.done: // the client has left
+	case g.refuseOverCeiling(req):
+	case status != OK:
+		g.checkBucket(req)
+	case cust.sharedTokens >= req.units:
+		g.admitShared(req)
 	default:
-		g.refuse(q, waitFor(q.units-c.level, q.plan.Rate))
-		if d.booked > 0 {
-			g.call(c, nil) // gives it back
+		g.refuse(req, waitFor(req.units-cust.sharedTokens, req.plan.Rate))
+		if call.booked > 0 {
+			g.callCounter(cust, nil) // returns the booked units
 		}
 	}
 }
 
-// grant lets on what the shared store has the units for.
-func (g *Gateway) grant(q *request) {
-	g.take(q)
-	g.let(q)
+// admitShared admits a request that the shared bucket has the units for.
+func (g *Gateway) admitShared(req *request) {
+	g.takeUnits(req)
+	g.passCeiling(req)
 }
 
-// let lets on what its quota has the units for, if the ceiling has them: our own part of it,
-// or what the counter leases of the rest.
-func (g *Gateway) let(q *request) {
-	switch rate, _ := g.ceiling(q.cust); {
-	case rate <= 0 || q.cust.guard >= q.units:
-		g.reserve(q)
-		g.enqueue(q)
-	case !g.leased(q.plan) || !g.draw(q, drawLease):
-		g.refuse(q, waitFor(q.units-q.cust.guard, rate))
+// passCeiling queues a request within its quota if the ceiling has the units too: our own part, or a lease.
+func (g *Gateway) passCeiling(req *request) {
+	switch rate, _ := g.ownCeiling(req.customer); {
+	case rate <= 0 || req.customer.ceilingTokens >= req.units:
+		g.reserveUnits(req)
+		g.enqueue(req)
+	case !g.ceilingLeased(req.plan) || !g.draw(req, drawLease):
+		g.refuse(req, waitFor(req.units-req.customer.ceilingTokens, rate))
 	}
 }
 
-// leased tells that a ceiling's even parts hold less than one of the largest requests, so
-// that a part of it is leased from the counter. What the windows pass that a time touches,
-// held for one window more, is no more than the ceiling's store holds and gets in it, however
-// often gateways are born and whatever each of them knows (docs/design/ceilings.md).
-func (g *Gateway) leased(p *planState) bool {
-	return g.set.Counter && p.CeilingRate > 0 && leasePool(p) >= g.set.Largest &&
-		p.CeilingBurst < float64(g.set.Gateways)*g.set.Largest
+// ceilingLeased reports whether the even parts of a ceiling hold less than one of the largest requests, so
+// that a part of it is leased from the counter. Over any time span, what the windows that touch it pass, with
+// each lease held for one more window, stays within the ceiling's burst and refill, however often gateways
+// restart and whatever each of them knows (docs/design/ceilings.md).
+func (g *Gateway) ceilingLeased(plan *planState) bool {
+	return g.settings.Counter && plan.CeilingRate > 0 && leasePool(plan) >= g.settings.Largest &&
+		plan.CeilingBurst < float64(g.settings.Gateways)*g.settings.Largest
 }
 
-// leasePool is what a window passes of a ceiling.
-func leasePool(p *planState) float64 { return (1 - leaseOwn) * p.CeilingBurst / leaseParts }
+// leasePool is the number of units that one window leases of a ceiling.
+func leasePool(plan *planState) float64 {
+	return (1 - unleasedFraction) * plan.CeilingBurst / leaseWindows
+}
 
-// ceiling is the part of a customer's ceiling that is ours without a lease.
-func (g *Gateway) ceiling(c *customer) (rate, burst float64) {
-	part := 1 / c.spread
-	if g.leased(c.plan) {
-		part *= leaseOwn
+// ownCeiling is the part of a customer's ceiling that we may use without a lease.
+func (g *Gateway) ownCeiling(cust *customer) (rate, burst float64) {
+	part := 1 / cust.gateways
+	if g.ceilingLeased(cust.plan) {
+		part *= unleasedFraction
 	}
-	return c.plan.CeilingRate * part, c.plan.CeilingBurst * part
+	return cust.plan.CeilingRate * part, cust.plan.CeilingBurst * part
 }
 
-// tellUse runs once a second for each customer: the counter learns of what is untold.
-func (g *Gateway) tellUse(c *customer) {
-	much := math.Abs(c.untold) > max(storeTell/4*c.plan.Burst/c.spread, storeLeast*g.set.Largest)
-	if much && g.random() < g.calls {
-		g.call(c, nil)
+// reportUse runs once a second for each customer and reports use that the counter does not have yet.
+func (g *Gateway) reportUse(cust *customer) {
+	due := math.Abs(cust.unreported) > max(reportFraction/4*cust.plan.Burst/cust.gateways, maxDebt*g.settings.Largest)
+	if due && g.random() < g.callFraction {
+		g.callCounter(cust, nil)
 	}
 }
 
-// ask judges a try by the shared store: by what we know of it where that is plenty or
-// surely too little, else by a call that the try waits for.
-func (g *Gateway) ask(q *request) {
-	c, p := q.cust, q.plan
-	g.flow(c)
-	age := float64(g.now-c.heardAt) / 1e6
+// checkShared decides on a try by the estimate of the shared bucket where that is clearly enough or too
+// little, otherwise by a counter call that the try waits for.
+func (g *Gateway) checkShared(req *request) {
+	cust, plan := req.customer, req.plan
+	g.advanceShared(cust)
+	age := float64(g.now-cust.totalAt) / 1e6
 	switch {
-	case c.heardAt == 0:
-	case c.level < q.units && (g.now-c.heardAt < storeAsk || c.level+c.othersRate*age < q.units):
-		g.refuse(q, waitFor(q.units-c.level, p.Rate))
+	case cust.totalAt == 0:
+	case cust.sharedTokens < req.units && (g.now-cust.totalAt < minAskInterval || cust.sharedTokens+cust.othersRate*age < req.units):
+		g.refuse(req, waitFor(req.units-cust.sharedTokens, plan.Rate))
 		return
-	case c.level-q.units >= storeKeep*p.Burst+p.Rate*age: // others may have used what came in
-		g.grant(q)
+	case cust.sharedTokens-req.units >= minUnaskedFill*plan.Burst+plan.Rate*age: // others may have used the refill
+		g.admitShared(req)
 		return
 	}
-	if !g.mayCall(q) {
-		g.police(q)
+	if !g.mayAwaitCounter(req) {
+		g.checkBucket(req)
 		return
 	}
-	g.await(q)
-	g.call(c, q)
+	g.awaitCounter(req)
+	g.callCounter(cust, req)
 }
 
-// mayCall tells whether a request may wait for the counter: rule 1, the answer may
-// come later than its client waits.
-func (g *Gateway) mayCall(q *request) bool {
-	return g.random() < g.calls && q.deadline-g.now >= g.set.CounterTimeout+4*max(g.set.Tick, milli)
+// mayAwaitCounter reports whether a request may wait for the counter. The answer must not come later than its
+// client waits.
+func (g *Gateway) mayAwaitCounter(req *request) bool {
+	return g.random() < g.callFraction && req.deadline-g.now >= g.settings.CounterTimeout+4*max(g.settings.Tick, milli)
 }
 
-// Counted brings the answer to a counter call.
-func (g *Gateway) Counted(now Micros, do Host, name uint64, _ Micros, st Status, total float64) {
-	g.enter(now, do)
-	if back := callGrow * float64(now-g.callAt) / 1e6; st == OK {
-		if now-g.callAt < callDown { // it was not silent
-			back = min(back, callBack)
+// Counted handles the answer to a counter call.
+func (g *Gateway) Counted(now Micros, host Host, name uint64, _ Micros, status Status, total float64) {
+	g.beginEvent(now, host)
+	if growth := callGrowth * float64(now-g.lastCounterAnswer) / 1e6; status == OK {
+		if now-g.lastCounterAnswer < counterOutage { // the counter was not silent
+			growth = min(growth, maxCallGrowth)
 		}
-		g.calls, g.callAt = min(g.calls+back, 1), now
-	} else if st != Reset { // a broken link says nothing of crowding
-		g.calls = max(g.calls*callCut, callLeast)
+		g.callFraction, g.lastCounterAnswer = min(g.callFraction+growth, 1), now
+	} else if status != Reset { // a broken connection does not mean overload
+		g.callFraction = max(g.callFraction*callCutFactor, minCallFraction)
 	}
-	list := g.draws[name]
-	if len(list) == 0 {
+	calls := g.pendingCalls[name]
+	if len(calls) == 0 {
 		return
 	}
-	if g.draws[name] = list[1:]; len(list) == 1 {
-		delete(g.draws, name)
+	if g.pendingCalls[name] = calls[1:]; len(calls) == 1 {
+		delete(g.pendingCalls, name)
 	}
-	if d := list[0]; d.c != nil {
-		g.told(d, st, total)
+	if call := calls[0]; call.customer != nil {
+		g.handleShared(call, status, total)
 	} else {
-		g.drew(d, st, total)
+		g.handleDraw(call, status, total)
 	}
 }
 
 // ---- requests ----
 
-// Request takes a client's try.
-func (g *Gateway) Request(now Micros, do Host, r Request) {
-	g.enter(now, do)
-	if g.reqs[r.ID] != nil {
+// Request handles a client's try.
+func (g *Gateway) Request(now Micros, host Host, try Request) {
+	g.beginEvent(now, host)
+	if g.requests[try.ID] != nil {
 		return
 	}
-	g.busyTick()
-	if r.Class < 0 || r.Class >= len(g.classes) || r.Plan < 0 || r.Plan >= len(g.plans) {
-		do.Refuse(r.ID, 0)
+	g.armBusyTick()
+	if try.Class < 0 || try.Class >= len(g.classes) || try.Plan < 0 || try.Plan >= len(g.plans) {
+		host.Refuse(try.ID, 0)
 		return
 	}
-	q := &request{id: r.ID, class: &g.classes[r.Class], plan: &g.plans[r.Plan], cust: g.customer(r),
-		units: r.Units, filling: r.Filling, level: g.levels[r.Class][r.Plan], arrived: now,
-		deadline: now + r.Left, halfway: g.halfway(r), homes: r.Homes, kind: r.Class}
-	g.reqs[r.ID] = q
-	q.arrived -= g.waited(q.class, r.Left, r.Again)
-	if g.late(q) {
-		g.refuse(q, second)
+	req := &request{id: try.ID, class: &g.classes[try.Class], plan: &g.plans[try.Plan], customer: g.customerFor(try),
+		units: try.Units, bodyPending: try.Filling, level: g.levels[try.Class][try.Plan], arrived: now,
+		deadline: now + try.Left, unsentDeadline: g.unsentDeadline(try), regions: try.Homes, arrivalClass: try.Class}
+	g.requests[try.ID] = req
+	req.arrived -= g.priorWait(req.class, try.Left, try.Again)
+	if g.tooLate(req) {
+		g.refuse(req, second)
 		return
 	}
 	switch {
-	case g.beyond(q):
-	case g.shared(q.cust):
-		g.ask(q)
-	case g.thin(q.cust):
-		if !g.draw(q, drawUnits) {
-			g.guess(q)
+	case g.refuseOverCeiling(req):
+	case g.usesSharedBucket(req.customer):
+		g.checkShared(req)
+	case g.needsDraw(req.customer):
+		if !g.draw(req, drawUnits) {
+			g.decideWithoutDraw(req)
 		}
 	default:
-		g.police(q)
+		g.checkBucket(req)
 	}
 }
 
-// beyond refuses a try that the ceiling has no room for by what we know.
-func (g *Gateway) beyond(q *request) bool {
-	g.refill(q.cust)
-	if q.plan.CeilingRate <= 0 || q.cust.guard >= q.units || g.leased(q.plan) {
+// refuseOverCeiling refuses a try that the ceiling is known to have no units for.
+func (g *Gateway) refuseOverCeiling(req *request) bool {
+	g.refill(req.customer)
+	if req.plan.CeilingRate <= 0 || req.customer.ceilingTokens >= req.units || g.ceilingLeased(req.plan) {
 		return false
 	}
-	g.let(q) // refuses
+	g.passCeiling(req) // refuses
 	return true
 }
 
-// police lets a request on that its customer's bucket has units for.
-func (g *Gateway) police(q *request) {
-	if ok, wait := g.admit(q); ok {
-		g.let(q)
+// checkBucket admits a request that its customer's own bucket has units for.
+func (g *Gateway) checkBucket(req *request) {
+	if ok, wait := g.admit(req); ok {
+		g.passCeiling(req)
 	} else {
-		g.refuse(q, wait)
+		g.refuse(req, wait)
 	}
 }
 
-func (g *Gateway) enqueue(q *request) {
-	if g.pressed() {
-		if wait := g.waitOf(q.level); g.now+wait > g.giveUp(q) {
-			g.refuse(q, wait)
+func (g *Gateway) enqueue(req *request) {
+	if g.atLimit() {
+		if wait := g.expectedWait(req.level); g.now+wait > g.holdDeadline(req) {
+			g.refuse(req, wait)
 			return
 		}
 	}
-	g.hold(q)
+	g.enqueueHeld(req)
 	g.dispatch()
-	if q.held {
-		g.do.Timer(tokenGiveUp<<32|uint64(q.id), max(g.giveUp(q)-g.now, 0))
+	if req.held {
+		g.host.Timer(tokenGiveUp<<32|uint64(req.id), max(g.holdDeadline(req)-g.now, 0))
 	}
 }
 
-// terms are how a thin store, cap or ceiling is drawn on: a name on the counter stands for a
-// customer and a window of time. Of a store a window passes a burst; of a cap so many attempts
-// that few more are out at once, as long as they last by our measure.
-func (g *Gateway) terms(c *customer, kind int) (n, window Micros, pool float64) {
-	p := c.plan
+// drawTerms returns how a small bucket, cap or ceiling is drawn: the number and length of the counter window,
+// and how much it passes. A window of a bucket passes a burst; one of a concurrency cap passes as many
+// attempts, by their measured time, as keep few more than the cap in flight.
+func (g *Gateway) drawTerms(cust *customer, kind int) (number, window Micros, pool float64) {
+	plan := cust.plan
 	switch {
 	case kind == drawLease:
-		window = Micros(p.CeilingBurst / p.CeilingRate / leaseParts * 1e6)
-		pool = leasePool(p)
-	case p.Open > 0:
-		window, pool = g.capWindow, max(capFill*float64(p.Open)*float64(g.capWindow)/max(p.holds, 1), 1)
+		window = Micros(plan.CeilingBurst / plan.CeilingRate / leaseWindows * 1e6)
+		pool = leasePool(plan)
+	case plan.Open > 0:
+		window, pool = g.capWindow, max(capTargetFill*float64(plan.Open)*float64(g.capWindow)/max(plan.attemptTime, 1), 1)
 	default:
-		window, pool = Micros(drawWindow*p.Burst/p.Rate*1e6), p.Burst
+		window, pool = Micros(drawWindowFraction*plan.Burst/plan.Rate*1e6), plan.Burst
 	}
 	window = max(window, milli)
-	return (g.now + phase(c, window)) / window, window, pool
+	return (g.now + windowPhase(cust, window)) / window, window, pool
 }
 
-// thin tells that our even part of a customer's store or cap holds less than one of the
-// largest requests, and that we see too little of it to know the store between two totals.
-func (g *Gateway) thin(c *customer) bool {
-	if c.plan.Open > 0 {
-		return g.set.Counter && float64(c.plan.Open) < c.spread
+// needsDraw reports whether our even part of a customer's bucket or cap holds less than one of the largest
+// requests, and we see too little of its traffic to know the shared state between two totals.
+func (g *Gateway) needsDraw(cust *customer) bool {
+	if cust.plan.Open > 0 {
+		return g.settings.Counter && float64(cust.plan.Open) < cust.gateways
 	}
-	return g.set.Counter && c.plan.Rate > 0 && c.spread > ownGateways &&
-		c.plan.Burst < c.spread*max(g.set.Largest, 1)
+	return g.settings.Counter && cust.plan.Rate > 0 && cust.gateways > fewGateways &&
+		cust.plan.Burst < cust.gateways*max(g.settings.Largest, 1)
 }
 
-// draw asks the counter for what a request draws, or refuses it at once where that is known
-// to be spent; false tells that the counter can't be asked.
-func (g *Gateway) draw(q *request, kind int) bool {
-	n, window, _ := g.terms(q.cust, kind)
-	if n == q.cust.spent[kind] {
-		g.refuse(q, window/2)
+// draw asks the counter for a request's units, or refuses it at once if the window is known to be spent. It
+// returns false if the counter cannot be asked.
+func (g *Gateway) draw(req *request, kind int) bool {
+	number, window, _ := g.drawTerms(req.customer, kind)
+	if number == req.customer.spentWindow[kind] {
+		g.refuse(req, window/2)
 		return true
 	}
-	if !g.mayCall(q) {
+	if !g.mayAwaitCounter(req) {
 		return false
 	}
-	amount := q.units
-	if kind == drawUnits && q.plan.Open > 0 {
+	amount := req.units
+	if kind == drawUnits && req.plan.Open > 0 {
 		amount = 1
 	}
-	g.await(q)
-	name := mix(q.cust.key, uint64(n)|uint64(2+kind)<<62)
-	g.draws[name] = append(g.draws[name], drawn{q: q, n: n, kind: kind})
-	g.do.Count(name, amount, 2*window)
+	g.awaitCounter(req)
+	name := hash(req.customer.key, uint64(number)|uint64(2+kind)<<62)
+	g.pendingCalls[name] = append(g.pendingCalls[name], counterCall{request: req, window: number, kind: kind})
+	g.host.Count(name, amount, 2*window)
 	return true
 }
 
-// guess judges a try that could not draw: by our slice, which holds one request, as most are
-// inside their quotas, and who comes again to the same gateway mostly is not. Who was seen to
-// spend this window or the last is refused.
-func (g *Gateway) guess(q *request) {
-	if n, window, _ := g.terms(q.cust, drawUnits); n-q.cust.spent[drawUnits] <= 1 {
-		g.refuse(q, window/2)
+// decideWithoutDraw decides on a try that could not draw by our own bucket, which holds one request: most
+// customers stay within their quotas, and one that returns to the same gateway mostly does not. A customer
+// that was seen to spend this window or the last one is refused.
+func (g *Gateway) decideWithoutDraw(req *request) {
+	if number, window, _ := g.drawTerms(req.customer, drawUnits); number-req.customer.spentWindow[drawUnits] <= 1 {
+		g.refuse(req, window/2)
 	} else {
-		g.police(q)
+		g.checkBucket(req)
 	}
 }
 
-func (g *Gateway) drew(d drawn, st Status, total float64) {
-	q := d.q
-	q.drawing = false
-	_, window, pool := g.terms(q.cust, d.kind)
+func (g *Gateway) handleDraw(call counterCall, status Status, total float64) {
+	req := call.request
+	req.awaitsCounter = false
+	_, window, pool := g.drawTerms(req.customer, call.kind)
 	switch {
-	case q.done: // the client left meanwhile
-	case st != OK && d.kind == drawLease:
-		g.refuse(q, unknownWait)
-	case st != OK:
-		g.guess(q)
-	case total > pool*totalSlack:
-		q.cust.spent[d.kind] = d.n
-		g.refuse(q, window/2)
-	case d.kind == drawLease:
-		q.leasedAt = g.now
-		g.enqueue(q)
+	case req.done: // the client has left
+	case status != OK && call.kind == drawLease:
+		g.refuse(req, counterDownWait)
+	case status != OK:
+		g.decideWithoutDraw(req)
+	case total > pool*totalTolerance:
+		req.customer.spentWindow[call.kind] = call.window
+		g.refuse(req, window/2)
+	case call.kind == drawLease:
+		req.leasedAt = g.now
+		g.enqueue(req)
 	default:
-		g.let(q)
+		g.passCeiling(req)
 	}
 }
 
-// waited is how long a client has been at it before this try, where it is marked as a
-// repeat and left tells: first tries have the longest left seen, and a repeat less than that
-// where the class's deadline cuts it short. It guards against quota and room spent on
-// answers that come past the aim anyway. It acts only while most first tries have the
-// longest left, so that odd patience of single clients is not misread.
-func (g *Gateway) waited(cl *classState, left Micros, again bool) Micros {
-	if left > cl.longest {
-		cl.longest, cl.full = left, 0.5
+// priorWait estimates how long a client has been trying before a marked retry: a first try has the longest
+// time left that was seen, a retry less because the class's deadline cuts it. This avoids quota and capacity
+// spent on answers past the latency target. It applies only while most first tries have the full time, so
+// that short client time-outs are not misread.
+func (g *Gateway) priorWait(class *classState, timeLeft Micros, isRetry bool) Micros {
+	if timeLeft > class.maxTimeLeft {
+		class.maxTimeLeft, class.fullTimeShare = timeLeft, 0.5
 	}
-	short := left < cl.longest-cl.longest/64
+	isShort := timeLeft < class.maxTimeLeft-class.maxTimeLeft/64
 	switch {
-	case again && short && cl.full >= fullMarked:
-		return max(cl.Deadline-left, 0)
-	case again:
-	case short:
-		cl.full -= cl.full * fullGain
+	case isRetry && isShort && class.fullTimeShare >= minFullTimeShare:
+		return max(class.Deadline-timeLeft, 0)
+	case isRetry:
+	case isShort:
+		class.fullTimeShare -= class.fullTimeShare * fullTimeGain
 	default:
-		cl.full += (1 - cl.full) * fullGain
+		class.fullTimeShare += (1 - class.fullTimeShare) * fullTimeGain
 	}
 	return 0
 }
 
-// byTurns rounds a part of something shared: in each turn so many of all gateways round
-// it up that the parts add up, told by our number, the time and what is shared alone.
-// It guards against hundreds of gateways with one send each on servers that bear fewer.
-func (g *Gateway) byTurns(part float64, turn Micros, of uint64) float64 {
-	at := float64(uint64(g.now/turn)+of>>44)*turnStep + float64(g.set.Self)/float64(max(g.set.Gateways, 1))
-	return math.Floor(part + at - math.Floor(at))
+// roundInTurns rounds our part of a shared amount. In each turn as many gateways round up as make the sum
+// right, by their number, the time and a hash that all share. Otherwise hundreds of gateways with one send
+// each would overload servers that bear fewer.
+func (g *Gateway) roundInTurns(amount float64, turn Micros, salt uint64) float64 {
+	offset := float64(uint64(g.now/turn)+salt>>44)*turnDistance + float64(g.settings.Self)/float64(max(g.settings.Gateways, 1))
+	return math.Floor(amount + offset - math.Floor(offset))
 }
 
-func (g *Gateway) pressed() bool {
-	return float64(g.inFlight-g.stuck-g.filling) >= g.byTurns(g.bound, g.capWindow/2, 0)
+func (g *Gateway) atLimit() bool {
+	return float64(g.inFlight-g.inFlightSilent-g.inFlightBodies) >= g.roundInTurns(g.inFlightLimit, g.capWindow/2, 0)
 }
 
-// waitOf is how long a new request of a level is likely to be held.
-func (g *Gateway) waitOf(level int) Micros {
-	n := 1
+// expectedWait is how long a new request of a level is likely to be held.
+func (g *Gateway) expectedWait(level int) Micros {
+	ahead := 1
 	for i := 0; i <= level; i++ {
-		n += len(g.queue[i])
+		ahead += len(g.queue[i])
 	}
-	return Micros(float64(n) / max(g.doneRate, min(g.bound, 1)/g.typical()*1e6, 1) * 1e6)
+	return Micros(float64(ahead) / max(g.answerRate, min(g.inFlightLimit, 1)/g.meanLatency()*1e6, 1) * 1e6)
 }
 
-// giveUp is when a held request can no longer meet its aim. The time an answer
-// takes counts up to a part of the aim: a class is never shut out by what is
-// remembered of it, as it would then never be measured again.
-func (g *Gateway) giveUp(q *request) Micros {
-	own := min(q.class.lat, ownPart*float64(q.class.Aim))
-	last := q.deadline - 2*max(g.set.Tick, milli)
-	if !q.sent { // a refusal costs the client less while it has half of its time left
-		last = min(last, q.halfway)
-		if q.leasedAt > 0 { // its units lapse
-			_, window, _ := g.terms(q.cust, drawLease)
-			last = min(last, q.leasedAt+(leaseParts-2)*window-g.set.CounterTimeout)
+// holdDeadline is when a held request can no longer meet its latency target. The expected answer time counts
+// up to a fraction of the target only: otherwise a class with a high remembered latency would be refused for
+// ever, as it would not be measured again.
+func (g *Gateway) holdDeadline(req *request) Micros {
+	service := min(req.class.latency, maxServiceFraction*float64(req.class.Aim))
+	latest := req.deadline - 2*max(g.settings.Tick, milli)
+	if !req.sent { // a refusal costs the client less with half its time left
+		latest = min(latest, req.unsentDeadline)
+		if req.leasedAt > 0 { // the lease lapses
+			_, window, _ := g.drawTerms(req.customer, drawLease)
+			latest = min(latest, req.leasedAt+(leaseWindows-2)*window-g.settings.CounterTimeout)
 		}
 	}
-	return min(q.arrived+q.class.Aim-Micros(own), last)
+	return min(req.arrived+req.class.Aim-Micros(service), latest)
 }
 
-// dispatch lets held requests go, highest rank first, while the bound allows.
+// dispatch sends held requests, highest rank first, while the limit on attempts in flight allows.
 func (g *Gateway) dispatch() {
 	for level := 0; level < len(g.queue) && g.queued > 0; level++ {
 		for i := 0; i < len(g.queue[level]); {
-			if g.pressed() {
+			if g.atLimit() {
 				return
 			}
-			q := g.queue[level][i]
-			// Of a cap, what follows our share is ours, and one place, which draws keep in bounds.
-			most := max(1, int(float64(q.plan.Open)*g.currentShare(q.cust)))
-			if q.plan.Open > 0 && !q.sent && q.cust.open >= most {
-				// places come free sooner elsewhere than here: no use to hold it
-				g.refuse(q, Micros(g.typical()))
+			req := g.queue[level][i]
+			// Our share of a cap is ours to use, and at least one place, which draws keep within bounds.
+			capPart := max(1, int(float64(req.plan.Open)*g.currentShare(req.customer)))
+			if req.plan.Open > 0 && !req.sent && req.customer.inFlight >= capPart {
+				// places come free sooner at other gateways, so holding it does not help
+				g.refuse(req, Micros(g.meanLatency()))
 				continue
 			}
-			if !g.mayRetry(q) { // its window or its time may have passed while it was held
-				g.end(q, g.waitOf(q.level))
+			if !g.mayRetry(req) { // its retry window or its time may have passed while it was held
+				g.endRequest(req, g.expectedWait(req.level))
 				continue
 			}
-			s := g.pick(q)
-			if s == nil {
+			srv := g.pickServer(req)
+			if srv == nil {
 				i++
 				continue
 			}
 			g.queue[level] = append(g.queue[level][:i], g.queue[level][i+1:]...)
 			g.queued--
-			q.held = false
-			g.send(q, s)
+			req.held = false
+			g.send(req, srv)
 		}
 	}
 }
 
-// end gives the final answer to a request that goes no further: a refusal only
-// where trying again is harmless.
-func (g *Gateway) end(q *request, wait Micros) {
-	harmless := !q.uncertain || q.class.Repeat == Safe ||
-		q.class.Repeat == Keyed && q.class.Group == GroupAll
+// endRequest gives the final answer to a request that goes no further: a refusal only where a retry is
+// harmless.
+func (g *Gateway) endRequest(req *request, wait Micros) {
+	harmless := !req.mayHaveRun || req.class.Repeat == Safe ||
+		req.class.Repeat == Keyed && req.class.Group == GroupAll
 	if harmless {
-		g.refuse(q, wait)
+		g.refuse(req, wait)
 	} else {
-		g.fail(q)
+		g.fail(req)
 	}
 }
 
-func (g *Gateway) send(q *request, s *server) {
-	left := q.deadline - g.now
-	if !q.sent {
-		q.sent = true
-		if q.admitted {
-			q.cust.pending -= q.units
+func (g *Gateway) send(req *request, srv *server) {
+	timeLeft := req.deadline - g.now
+	if !req.sent {
+		req.sent = true
+		if req.admitted {
+			req.customer.pending -= req.units
 		}
-		g.note(q.cust, q.units)
+		g.recordUse(req.customer, req.units)
 	}
-	g.openAttempt(q, s, min(max(q.class.expect(q.units)/g.typical(), loadLeast), loadMost))
+	g.openAttempt(req, srv, min(max(req.class.expectedLatency(req.units)/g.meanLatency(), minWork), maxWork))
 	g.sends++
-	s.trial = s.ejected
-	g.noteSend(s)
-	g.do.Send(q.id, s.id, max(left, 1))
+	srv.probing = srv.ejected
+	g.recordSend(srv)
+	g.host.Send(req.id, srv.id, max(timeLeft, 1))
 }
 
 // Outcome ends an attempt.
-func (g *Gateway) Outcome(now Micros, do Host, o Outcome) {
-	g.enter(now, do)
-	q := g.reqs[o.ID]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].open {
-		return // odd, late or told twice
-	}
-	a := q.attempts[o.Attempt]
-	g.closeAttempt(a)
-	q.plan.holds += (float64(now-a.sent) - q.plan.holds) * holdGain
-	g.sight(a, o)
-	c := q.cust
-	if o.Status == OK && o.Settled > 0 && g.set.Settles && !q.done && q.tokensTaken > 0 {
-		c.tokens -= o.Settled - q.units
-		c.level -= o.Settled - q.units
-		g.note(c, o.Settled-q.units)
-	}
-	ran := o.Status != Full && o.Status != ConnectFailed && o.Status != Moot
-	if ran && !q.uncertain {
-		q.uncertain, q.ranOn, q.ranAt = true, a.srv, a.sent
+func (g *Gateway) Outcome(now Micros, host Host, outcome Outcome) {
+	g.beginEvent(now, host)
+	req := g.requests[outcome.ID]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) || !req.attempts[outcome.Attempt].open {
+		return // unknown, late or reported twice
+	}
+	att := req.attempts[outcome.Attempt]
+	g.closeAttempt(att)
+	req.plan.attemptTime += (float64(now-att.sent) - req.plan.attemptTime) * attemptTimeGain
+	g.observe(att, outcome)
+	cust := req.customer
+	if outcome.Status == OK && outcome.Settled > 0 && g.settings.Settles && !req.done && req.tokensTaken > 0 {
+		cust.tokens -= outcome.Settled - req.units
+		cust.sharedTokens -= outcome.Settled - req.units
+		g.recordUse(cust, outcome.Settled-req.units)
+	}
+	mayHaveRun := outcome.Status != Full && outcome.Status != ConnectFailed && outcome.Status != Moot
+	if mayHaveRun && !req.mayHaveRun {
+		req.mayHaveRun, req.ranOn, req.ranAt = true, att.server, att.sent
 	}
 	switch {
-	case q.done || o.Terminal || o.Status == OK:
-		g.finish(q)
-	case !o.Spent && g.mayRetry(q) && g.further(q):
-		g.hold(q)
-		do.Timer(tokenGiveUp<<32|uint64(q.id), max(g.nextLook(q)-now, 0))
+	case req.done || outcome.Terminal || outcome.Status == OK:
+		g.finish(req)
+	case !outcome.Spent && g.mayRetry(req) && g.mayAttemptAgain(req):
+		g.enqueueHeld(req)
+		host.Timer(tokenGiveUp<<32|uint64(req.id), max(g.nextCheck(req)-now, 0))
 	default:
-		g.end(q, Micros(g.typical()))
+		g.endRequest(req, Micros(g.meanLatency()))
 	}
 	g.dispatch()
 }
 
-// late tells that an answer would come past the aim, and that little worth is left then,
-// or that no time is.
-func (g *Gateway) late(q *request) bool {
-	return g.now >= g.giveUp(q) && q.class.LateWorth < lateLeast ||
-		q.deadline-g.now < 4*max(g.set.Tick, milli)
+// tooLate reports that an answer would come past the latency target with little value left, or that no time
+// is left.
+func (g *Gateway) tooLate(req *request) bool {
+	return g.now >= g.holdDeadline(req) && req.class.LateWorth < minLateValue ||
+		req.deadline-g.now < 4*max(g.settings.Tick, milli)
 }
 
-// mayRetry guards rule 2: what may have run goes out again only as its class allows. And
-// it guards workers against what is too late: it would take the place of what is not.
-func (g *Gateway) mayRetry(q *request) bool {
-	if len(q.attempts) >= cmp.Or(q.class.Attempts, g.set.MaxAttempts, 1) || g.late(q) {
+// mayRetry reports whether a request may be sent again. One that may have run is repeated only as its class
+// allows, and one that is too late must not take a server's place from one that is not.
+func (g *Gateway) mayRetry(req *request) bool {
+	if len(req.attempts) >= cmp.Or(req.class.Attempts, g.settings.MaxAttempts, 1) || g.tooLate(req) {
 		return false
 	}
-	if !q.uncertain || q.class.Repeat == Safe {
+	if !req.mayHaveRun || req.class.Repeat == Safe {
 		return true
 	}
-	return q.class.Repeat == Keyed && g.now-q.ranAt < q.class.Window-4*g.set.Tick
+	return req.class.Repeat == Keyed && g.now-req.ranAt < req.class.Window-4*g.settings.Tick
 }
 
 // ClientGone ends a request whose client has left.
-func (g *Gateway) ClientGone(now Micros, do Host, id uint32) {
-	g.enter(now, do)
-	if q := g.reqs[id]; q != nil && !q.done {
-		g.giveBack(q)
-		g.unhold(q)
-		g.finish(q)
-		g.cancelAll(q)
+func (g *Gateway) ClientGone(now Micros, host Host, id uint32) {
+	g.beginEvent(now, host)
+	if req := g.requests[id]; req != nil && !req.done {
+		g.returnUnits(req)
+		g.unqueue(req)
+		g.finish(req)
+		g.cancelAll(req)
 	}
 }
 
-// Timer brings back a token.
-func (g *Gateway) Timer(now Micros, do Host, token uint64) {
-	g.enter(now, do)
+// Timer handles the token of an expired timer.
+func (g *Gateway) Timer(now Micros, host Host, token uint64) {
+	g.beginEvent(now, host)
 	switch token >> 32 {
 	case tokenTick:
-		g.tickDone()
+		g.tickTimer()
 	case tokenGiveUp:
-		q := g.reqs[uint32(token)]
-		if q == nil || q.done || !q.held && !q.drawing {
+		req := g.requests[uint32(token)]
+		if req == nil || req.done || !req.held && !req.awaitsCounter {
 			return
 		}
-		if g.patient(q) {
-			do.Timer(token, max(g.nextLook(q)-now, step))
+		if g.keepsWaiting(req) {
+			host.Timer(token, max(g.nextCheck(req)-now, tickInterval))
 			return
 		}
-		g.end(q, g.waitOf(q.level))
+		g.endRequest(req, g.expectedWait(req.level))
 	}
 }
 
-// SetClasses replaces the table of classes while requests are under way. They keep
-// the terms they came with, and held ones the place that those give them. A class
-// with the same times in its place keeps what was learned of it.
-func (g *Gateway) SetClasses(now Micros, do Host, classes []Class) {
-	g.enter(now, do)
-	old, held := g.classes, g.queue
+// SetClasses replaces the classes while requests are in progress. These keep the terms they arrived with, and
+// held ones the rank that those give. A class with unchanged times at the same index keeps its measurements.
+func (g *Gateway) SetClasses(now Micros, host Host, classes []Class) {
+	g.beginEvent(now, host)
+	oldClasses, oldQueue := g.classes, g.queue
 	g.classes = nil
-	for i, c := range classes {
-		st := classState{Class: c, lat: float64(c.Aim) / 4}
-		if i < len(old) && old[i].Aim == c.Aim && old[i].Deadline == c.Deadline {
-			st, st.Class = old[i], c
+	for i, class := range classes {
+		state := classState{Class: class, latency: float64(class.Aim) / 4}
+		if i < len(oldClasses) && oldClasses[i].Aim == class.Aim && oldClasses[i].Deadline == class.Deadline {
+			state, state.Class = oldClasses[i], class
 		}
-		g.classes = append(g.classes, st)
+		g.classes = append(g.classes, state)
 	}
 	g.rankLevels()
-	for _, q := range g.reqs { // those too that are out or wait for the counter: they may be held yet
-		for i := range min(len(old), len(g.classes)) {
-			if q.class == &old[i] && old[i].Class == g.classes[i].Class {
-				q.class = &g.classes[i]
+	for _, req := range g.requests { // also those in flight or awaiting the counter, which may be held later
+		for i := range min(len(oldClasses), len(g.classes)) {
+			if req.class == &oldClasses[i] && oldClasses[i].Class == g.classes[i].Class {
+				req.class = &g.classes[i]
 				break
 			}
 		}
-		q.level = g.levelOf(q)
+		req.level = g.levelFor(req)
 	}
-	for _, level := range held {
-		for _, q := range level {
-			g.queue[q.level] = append(g.queue[q.level], q)
+	for _, level := range oldQueue {
+		for _, req := range level {
+			g.queue[req.level] = append(g.queue[req.level], req)
 		}
 	}
 	g.dispatch()
 }
 
-// levelOf is the first level that ranks no higher than a request's own terms.
-func (g *Gateway) levelOf(q *request) int {
+// levelFor is the first level that ranks no higher than the request's own terms.
+func (g *Gateway) levelFor(req *request) int {
 	level := len(g.queue) - 1
 	for i := range g.classes {
 		for j := range g.plans {
-			if g.classes[i].Worth*g.plans[j].Price <= q.class.Worth*q.plan.Price {
+			if g.classes[i].Worth*g.plans[j].Price <= req.class.Worth*req.plan.Price {
 				level = min(level, g.levels[i][j])
 			}
 		}
@@ -728,286 +723,282 @@
 	return level
 }
 
-func (g *Gateway) hold(q *request) {
-	q.held, q.heldAt = true, g.now
+func (g *Gateway) enqueueHeld(req *request) {
+	req.held, req.heldAt = true, g.now
 	g.queued++
-	at := len(g.queue[q.level])
-	if q.sent { // what was sent before goes first in its rank
+	at := len(g.queue[req.level])
+	if req.sent { // a retry goes first within its rank
 		at = 0
 	}
-	g.queue[q.level] = slices.Insert(g.queue[q.level], at, q)
+	g.queue[req.level] = slices.Insert(g.queue[req.level], at, req)
 }
 
-// ---- the bound ----
+// ---- the limit on attempts in flight ----
 
-func (g *Gateway) judge(a *attempt, o Outcome) {
-	s, cl := a.srv, a.req.class
-	lat := float64(o.Latency)
-	trial := s.trial
-	s.trial = false
-	g.report(s, cl, o.Load)
-	if o.Status == OK || o.Status == Full || o.Status == Failed {
-		s.answered, g.answered, s.lost = g.now, g.now, false // the end of our own patience is no answer
+func (g *Gateway) recordOutcome(att *attempt, outcome Outcome) {
+	srv, class := att.server, att.request.class
+	latency := float64(outcome.Latency)
+	wasProbing := srv.probing
+	srv.probing = false
+	g.applyLoadReport(srv, class, outcome.Load)
+	if outcome.Status == OK || outcome.Status == Full || outcome.Status == Failed {
+		srv.lastAnswer, g.lastAnswer, srv.silent = g.now, g.now, false // our own time-out is no answer
 	}
-	switch o.Status {
+	switch outcome.Status {
 	case OK:
-		g.dones++
-		s.fails, s.ejected, s.trial, s.ejectedFor = 0, false, false, 0
-		gain := max(0.02, 1/float64(cl.n+2))
-		cl.n++
-		r := lat / max(cl.expect(a.req.units), 1)
-		cl.units += (a.req.units - cl.units) * gain
-		cl.lat += (lat - cl.lat) * gain
-		s.rel = g.relOf(s) + (min(r, relWorst)-g.relOf(s))*g.gainOf(s)
-		s.relAt = g.now
-		weight := min(max(float64(g.now-g.idleAt)/1e6, stretchGain), stretchMost)
-		g.stretch += (min(lat/float64(max(cl.Aim, 1)), 3) - g.stretch) * weight
-		if g.answers++; g.answers == stretchSettles || g.stretch < g.idle {
-			g.idle = g.stretch
+		g.goodAnswers++
+		srv.failures, srv.ejected, srv.probing, srv.ejection = 0, false, false, 0
+		gain := max(0.02, 1/float64(class.answers+2))
+		class.answers++
+		ratio := latency / max(class.expectedLatency(att.request.units), 1)
+		class.meanUnits += (att.request.units - class.meanUnits) * gain
+		class.latency += (latency - class.latency) * gain
+		srv.slowness = g.currentSlowness(srv) + (min(ratio, maxSlowness)-g.currentSlowness(srv))*g.slownessWeight(srv)
+		srv.slownessAt = g.now
+		weight := min(max(float64(g.now-g.minRatioAt)/1e6, minRatioWeight), maxRatioWeight)
+		g.latencyRatio += (min(latency/float64(max(class.Aim, 1)), 3) - g.latencyRatio) * weight
+		if g.ratioSamples++; g.ratioSamples == minRatioSamples || g.latencyRatio < g.minRatio {
+			g.minRatio = g.latencyRatio
 		}
-		g.idle += (g.stretch - g.idle) * min(float64(g.now-g.idleAt)/float64(idleForget), 1)
-		g.idleAt = g.now
-		if t := g.boundTerms(); g.stretch <= t.Within && g.stretch <= t.Knee*max(g.idle, g.unsettled()) {
-			if float64(g.inFlight+1) >= g.bound/2 {
-				g.bound = min(g.bound+min(growStep/g.bound, growMost*g.bound), g.perServer(mostPerServer))
+		g.minRatio += (g.latencyRatio - g.minRatio) * min(float64(g.now-g.minRatioAt)/float64(minRatioDrift), 1)
+		g.minRatioAt = g.now
+		if terms := g.limitTerms(); g.latencyRatio <= terms.Within && g.latencyRatio <= terms.Knee*max(g.minRatio, g.minRatioIfUnsettled()) {
+			if float64(g.inFlight+1) >= g.inFlightLimit/2 {
+				g.inFlightLimit = min(g.inFlightLimit+min(growStep/g.inFlightLimit, maxGrowth*g.inFlightLimit), g.fleetPart(maxLimitPerServer))
 			}
-		} else if g.stretch > t.Past || g.stretch > t.KneeCut*g.idle && g.aboveStart() {
-			g.cut(cl.Aim / 2)
+		} else if g.latencyRatio > terms.Past || g.latencyRatio > terms.KneeCut*g.minRatio && g.aboveStart() {
+			g.cutLimit(class.Aim / 2)
 		}
 	case Full:
-		s.fullUntil = g.now + fullPause
-		g.cut(cl.Aim / 4)
+		srv.fullUntil = g.now + fullPause
+		g.cutLimit(class.Aim / 4)
 	case Timeout, ConnectFailed, Reset, Failed:
-		s.fails++
-		if s.fails > 1 || o.Status == Timeout || o.Status == Failed { // a single break is chance
-			s.rel = min(max(g.relOf(s), 1)*relFail, relWorst)
-			s.relAt = g.now
+		srv.failures++
+		if srv.failures > 1 || outcome.Status == Timeout || outcome.Status == Failed { // a single reset is not counted
+			srv.slowness = min(max(g.currentSlowness(srv), 1)*failureSlowdown, maxSlowness)
+			srv.slownessAt = g.now
 		}
-		gone := o.Status == ConnectFailed && (s.fails > 1 || o.Latency > connectSlow)
-		if s.fails >= failsToEject || gone || trial {
-			g.eject(s)
+		unreachable := outcome.Status == ConnectFailed && (srv.failures > 1 || outcome.Latency > slowConnect)
+		if srv.failures >= failsToEject || unreachable || wasProbing {
+			g.eject(srv)
 		}
 	}
 }
 
-func (g *Gateway) cut(pause Micros) {
-	if g.now-g.cutAt < pause {
+func (g *Gateway) cutLimit(pause Micros) {
+	if g.now-g.limitCutAt < pause {
 		return
 	}
-	g.cutAt = g.now
-	g.bound = max(g.bound*cutFactor, g.perServer(leastPerServer))
+	g.limitCutAt = g.now
+	g.inFlightLimit = max(g.inFlightLimit*cutFactor, g.fleetPart(minLimitPerServer))
 }
 
-// perServer is a number for each server, as our part of the fleet.
-func (g *Gateway) perServer(n float64) float64 {
-	return n * float64(max(g.listed, 1)) / float64(max(g.set.Gateways, 1))
+// fleetPart is our part of an amount per server over the fleet.
+func (g *Gateway) fleetPart(n float64) float64 {
+	return n * float64(max(g.listedCount, 1)) / float64(max(g.settings.Gateways, 1))
 }
 
 // ---- servers ----
 
-// expect is the latency to expect of a request: units tell of its work, and half
-// of the class's average goes by them.
-func (cl *classState) expect(units float64) float64 {
-	return cl.lat * (1 + units/max(cl.units, 1e-6)) / 2
+// expectedLatency is the latency to expect of a request: half of the class's average scales with its units.
+func (cl *classState) expectedLatency(units float64) float64 {
+	return cl.latency * (1 + units/max(cl.meanUnits, 1e-6)) / 2
 }
 
-func (g *Gateway) relOf(s *server) float64 {
-	if s.rel <= 1 {
-		return s.rel
+func (g *Gateway) currentSlowness(srv *server) float64 {
+	if srv.slowness <= 1 {
+		return srv.slowness
 	}
-	return 1 + (s.rel-1)*math.Exp2(-float64(g.now-s.relAt)/float64(relForget))
+	return 1 + (srv.slowness-1)*math.Exp2(-float64(g.now-srv.slownessAt)/float64(slownessHalfLife))
 }
 
-// watch looks for a server that has gone silent while others answer. It is shut off,
-// and what it holds no longer counts against the bound. Where a trial finds it still
-// silent, that request goes elsewhere; at first a heavy request looks the same, and
-// sending such ones twice would cost more. It guards against a part of the servers
-// being cut off: each request sent there waits, and takes a place, until its client
-// gives up.
-func (g *Gateway) watch() {
-	g.stuck = 0
-	for _, s := range g.servers {
-		most := max(lostFactor*g.typical()*g.relOf(s), lostLeast*float64(g.capWindow))
-		if g.silence(s) < most || float64(g.now-g.answered) > most {
+// checkSilence ejects servers that have gone silent while others answer, and stops counting their attempts
+// against the limit; otherwise each request sent to an unreachable part of the fleet would keep a place until
+// its client gives up. A request that was a probe of a silent server is moved to another one. Requests from
+// before are not moved: a slow request looks the same at first, and sending such ones twice costs more.
+func (g *Gateway) checkSilence() {
+	g.inFlightSilent = 0
+	for _, srv := range g.servers {
+		maxSilence := max(silenceFactor*g.meanLatency()*g.currentSlowness(srv), minSilenceTargets*float64(g.capWindow))
+		if g.silence(srv) < maxSilence || float64(g.now-g.lastAnswer) > maxSilence {
 			continue
 		}
-		g.stuck += s.open
-		if s.ejected && g.now < s.retryAt {
+		g.inFlightSilent += srv.inFlight
+		if srv.ejected && g.now < srv.probeAt {
 			continue
 		}
-		for a := s.head; a != nil && g.set.Cancel && s.lost; a = a.next { // it was a trial
-			if q := a.req; !q.done && g.mayRetry(q) && g.again(q) {
-				g.do.Cancel(q.id, a.n)
+		for att := srv.head; att != nil && g.settings.Cancel && srv.silent; att = att.next { // it was a probe
+			if req := att.request; !req.done && g.mayRetry(req) && g.mayMove(req) {
+				g.host.Cancel(req.id, att.index)
 			}
 		}
-		g.eject(s)
-		s.lost = true
+		g.eject(srv)
+		srv.silent = true
 	}
 }
 
-// eject shuts a server off, longer each time; but where all are shut off the trouble is
-// not this one's, and to find them back must not take long.
-func (g *Gateway) eject(s *server) {
-	if s.ejected && g.now < s.retryAt {
+// eject ejects a server, longer each time. If no other server is left, the fault is unlikely to be this
+// server's, and recovery must be quick.
+func (g *Gateway) eject(srv *server) {
+	if srv.ejected && g.now < srv.probeAt {
 		return
 	}
-	s.ejectedFor = min(max(2*s.ejectedFor, ejectFirst), ejectMost)
-	if !slices.ContainsFunc(g.servers, func(o *server) bool { return o != s && o.takes() && !o.ejected }) {
-		s.ejectedFor = ejectFirst
+	srv.ejection = min(max(2*srv.ejection, minEjection), maxEjection)
+	if !slices.ContainsFunc(g.servers, func(other *server) bool { return other != srv && other.takesRequests() && !other.ejected }) {
+		srv.ejection = minEjection
 	}
-	s.ejected, s.trial = true, false
-	s.retryAt = g.now + s.ejectedFor
+	srv.ejected, srv.probing = true, false
+	srv.probeAt = g.now + srv.ejection
 }
 
-// coldRoom guards rule 4: our sends to a cold server in any window stay under our
-// part of its budget, judged by what warm servers bear. Where none is warm what they bore
-// before counts, and at the least that each does one request at a time: else a fleet that
-// is all cold would get nothing, and so would never be seen to bear anything.
-func (g *Gateway) coldRoom(s *server) bool {
-	for len(s.coldSends) > 0 && g.now-s.coldSends[0] > g.set.FallWindow {
-		s.coldSends = s.coldSends[1:]
-	}
-	bears := max(g.warmLoad, 1e6/g.typical()/float64(max(g.set.Gateways, 1)))
-	allow := coldSafety * g.set.FallMultiple * g.warmth(s) * bears * float64(g.set.FallWindow) / 1e6
-	return float64(len(s.coldSends)) < g.byTurns(allow, max(g.set.FallWindow, step), mix(uint64(s.id), 0))
+// hasColdBudget reports whether our sends to a cold server within the window are under our part of its
+// budget, judged by the measured rate of warm servers. Where none is warm, the remembered rate
+// counts, and at least one request at a time per server: otherwise an all-cold fleet would get nothing and
+// never be measured.
+func (g *Gateway) hasColdBudget(srv *server) bool {
+	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > g.settings.FallWindow {
+		srv.coldSends = srv.coldSends[1:]
+	}
+	rate := max(g.warmRate, 1e6/g.meanLatency()/float64(max(g.settings.Gateways, 1)))
+	budget := coldBudgetFraction * g.settings.FallMultiple * g.warmFraction(srv) * rate * float64(g.settings.FallWindow) / 1e6
+	return float64(len(srv.coldSends)) < g.roundInTurns(budget, max(g.settings.FallWindow, tickInterval), hash(uint64(srv.id), 0))
 }
 
-// subset is how many servers of our own order we use.
-func (g *Gateway) subset() int {
-	least, every := g.subsetTerms()
-	return max(min(max(least, int(g.sendRate*every)), len(g.servers)), 1)
+// subsetSize is how many servers of our own order we use.
+func (g *Gateway) subsetSize() int {
+	minimum, seconds := g.subsetTerms()
+	return max(min(max(minimum, int(g.sendRate*seconds)), len(g.servers)), 1)
 }
 
-// pick chooses the server with the least expected wait among those allowed. The more
-// gateways there are, the less of a server's load do we see, and the more is left to chance:
-// else each would have its favourites, and some servers the favour of many.
-func (g *Gateway) pick(q *request) *server {
+// pickServer chooses the allowed server with the least expected wait. The more gateways there are, the less
+// each sees of a server's load, and the more is left to chance: otherwise gateways would crowd onto the same
+// servers.
+func (g *Gateway) pickServer(req *request) *server {
 	var best *server
 	bestCost := math.Inf(1)
-	k := g.subset()
-	for n := 0; n < len(g.servers) && k > 0; n++ {
-		s := g.servers[n]
-		if !s.takes() || g.now < s.fullUntil || g.barred(q, s) {
+	candidates := g.subsetSize()
+	for i := 0; i < len(g.servers) && candidates > 0; i++ {
+		srv := g.servers[i]
+		if !srv.takesRequests() || g.now < srv.fullUntil || g.barred(req, srv) {
 			continue
 		}
-		if s.ejected && g.now < g.triedFrom(q, s) {
+		if srv.ejected && g.now < g.probeFrom(req, srv) {
 			continue
 		}
-		if q.uncertain && q.class.Repeat == Keyed && !sameGroup(q.class.Group, q.ranOn, s) {
+		if req.mayHaveRun && req.class.Repeat == Keyed && !sameGroup(req.class.Group, req.ranOn, srv) {
 			continue
 		}
-		cost := g.cost(s)
-		if g.cold(s) {
-			if !g.coldRoom(s) {
+		cost := g.serverCost(srv)
+		if g.isCold(srv) {
+			if !g.hasColdBudget(srv) {
 				continue
 			}
-			cost /= g.warmth(s)
+			cost /= g.warmFraction(srv)
 		}
-		k--
-		if s.trial { // one that has not proved itself is the last choice
-			cost *= trialCost
+		candidates--
+		if srv.probing { // a server under probe is the last choice
+			cost *= probeCostFactor
 		}
-		for i := range q.attempts {
-			if q.attempts[i].srv == s {
+		for i := range req.attempts {
+			if req.attempts[i].server == srv {
 				cost *= 4
 			}
 		}
-		cost *= g.luck(s)
+		cost *= g.choiceFactor(srv)
 		if cost < bestCost {
-			best, bestCost = s, cost
+			best, bestCost = srv, cost
 		}
 	}
 	return best
 }
 
-func (g *Gateway) cost(s *server) float64 {
-	return g.relOf(s) * (s.load + 1) * g.dear(s)
+func (g *Gateway) serverCost(srv *server) float64 {
+	return g.currentSlowness(srv) * (srv.work + 1) * g.costFactor(srv)
 }
 
-// dear is what the list says of a server's cost: its size and its zone.
-func (g *Gateway) dear(s *server) float64 {
-	dear := cmp.Or(s.e.Dear, 1)
-	if g.set.Weights && s.e.Weight > 0 {
-		dear /= s.e.Weight
+// costFactor is the cost of a server by the list: its weight and its zone.
+func (g *Gateway) costFactor(srv *server) float64 {
+	factor := cmp.Or(srv.entry.Dear, 1)
+	if g.settings.Weights && srv.entry.Weight > 0 {
+		factor /= srv.entry.Weight
 	}
-	if s.e.Zone != g.set.Zone {
-		dear *= 1 + zoneFactor*g.set.CrossZonePrice
+	if srv.entry.Zone != g.settings.Zone {
+		factor *= 1 + crossZoneFactor*g.settings.CrossZonePrice
 	}
-	return dear
+	return factor
 }
 
-// Servers brings the server list or changes to it.
-func (g *Gateway) Servers(now Micros, do Host, kind ListKind, entries []Entry) {
-	g.enter(now, do)
+// Servers takes in a server list or changes to it.
+func (g *Gateway) Servers(now Micros, host Host, kind ListKind, entries []Entry) {
+	g.beginEvent(now, host)
 	if kind != ListFailed {
 		g.mergeList(kind, entries)
 	}
-	g.listed = 0
-	for _, s := range g.servers { // rendezvous hashing: each gateway has an order of its own
-		if s.listed { // what is out at one that is gone makes the fleet no larger
-			g.listed++
+	g.listedCount = 0
+	for _, srv := range g.servers { // rendezvous hashing: each gateway has its own order
+		if srv.listed { // attempts at a removed server do not enlarge the fleet
+			g.listedCount++
 		}
-		h := mix(uint64(s.id), uint64(g.set.Self)+1)
-		s.place = -math.Log(float64(h>>11+1)/(1<<53)) * g.dear(s)
+		h := hash(uint64(srv.id), uint64(g.settings.Self)+1)
+		srv.order = -math.Log(float64(h>>11+1)/(1<<53)) * g.costFactor(srv)
 	}
-	g.ring()
-	slices.SortFunc(g.servers, func(a, b *server) int { return cmp.Compare(a.place, b.place) })
-	if !g.boundSet && len(g.servers) > 0 {
-		g.boundSet, g.bound = true, g.perServer(startPerServer)
+	g.orderByRing()
+	slices.SortFunc(g.servers, func(a, b *server) int { return cmp.Compare(a.order, b.order) })
+	if !g.limitSet && len(g.servers) > 0 {
+		g.limitSet, g.inFlightLimit = true, g.fleetPart(startLimitPerServer)
 	}
-	g.bound = max(g.bound, g.perServer(leastPerServer)) // of a fleet that has grown
+	g.inFlightLimit = max(g.inFlightLimit, g.fleetPart(minLimitPerServer)) // the fleet may have grown
 	g.dispatch()
 }
 
-// mergeList brings the list up to date and drops what is neither listed nor in use. A
-// server that has started anew, or was gone, is met anew: what is out stays with its old
-// life, whose late answers and breaks say nothing of the new one. Only what counts against
-// a cold start's budget is taken over.
+// mergeList updates the servers and drops those that are neither listed nor in use. A server that has
+// restarted or was gone gets a new record: open attempts stay with the old one, since their results say
+// nothing of the new process. Only sends that count against the cold budget carry over.
 func (g *Gateway) mergeList(kind ListKind, entries []Entry) {
 	if kind != Delta {
-		for _, s := range g.servers {
-			s.listed = false
+		for _, srv := range g.servers {
+			srv.listed = false
 		}
 	}
-	for _, e := range entries {
-		s := g.byID[e.Server]
-		if s == nil || e.State != Gone && (e.ReadyAt != s.e.ReadyAt || s.e.State == Gone) {
-			fresh := &server{id: e.Server, rel: 1}
-			if s != nil {
-				s.listed, fresh.coldSends = false, s.coldSends
+	for _, entry := range entries {
+		srv := g.byID[entry.Server]
+		if srv == nil || entry.State != Gone && (entry.ReadyAt != srv.entry.ReadyAt || srv.entry.State == Gone) {
+			fresh := &server{id: entry.Server, slowness: 1}
+			if srv != nil {
+				srv.listed, fresh.coldSends = false, srv.coldSends
 			}
-			s = fresh
-			g.byID[e.Server] = s
-			g.servers = append(g.servers, s)
+			srv = fresh
+			g.byID[entry.Server] = srv
+			g.servers = append(g.servers, srv)
 		}
-		s.e, s.listed = e, e.State != Gone
+		srv.entry, srv.listed = entry, entry.State != Gone
 	}
-	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
-		unused := !s.listed && s.open == 0 && !g.minded(s)
-		if unused && g.byID[s.id] == s {
-			delete(g.byID, s.id)
+	g.servers = slices.DeleteFunc(g.servers, func(srv *server) bool {
+		unused := !srv.listed && srv.inFlight == 0 && !g.hasRecentSends(srv)
+		if unused && g.byID[srv.id] == srv {
+			delete(g.byID, srv.id)
 		}
 		return unused
 	})
 }
 
-// cold tells whether a server has just started.
-func (g *Gateway) cold(s *server) bool {
-	return s.e.ReadyAt > 0 && g.now-s.e.ReadyAt < g.set.ColdFor
+// isCold reports whether a server has started recently.
+func (g *Gateway) isCold(srv *server) bool {
+	return srv.entry.ReadyAt > 0 && g.now-srv.entry.ReadyAt < g.settings.ColdFor
 }
 
-// warmth is the part of its capacity that a cold server has at least.
-func (g *Gateway) warmth(s *server) float64 {
-	age := float64(g.now-s.e.ReadyAt) / float64(max(g.set.ColdFor, 1))
-	return g.set.ColdShare + (1-g.set.ColdShare)*min(max(age, 0), 1)
+// warmFraction is the least fraction of its capacity that a cold server has.
+func (g *Gateway) warmFraction(srv *server) float64 {
+	age := float64(g.now-srv.entry.ReadyAt) / float64(max(g.settings.ColdFor, 1))
+	return g.settings.ColdShare + (1-g.settings.ColdShare)*min(max(age, 0), 1)
 }
 
-func sameGroup(gr Group, a, b *server) bool {
-	switch gr {
+func sameGroup(group Group, a, b *server) bool {
+	switch group {
 	case GroupZone:
-		return a.e.Zone == b.e.Zone
+		return a.entry.Zone == b.entry.Zone
 	case GroupCell:
-		return a.e.Zone == b.e.Zone && a.e.Cell == b.e.Cell
+		return a.entry.Zone == b.entry.Zone && a.entry.Cell == b.entry.Cell
 	}
 	return true
 }
@@ -1015,19 +1006,19 @@
 // ---- housekeeping ----
 
 func (g *Gateway) tick() {
-	at := g.now / step
-	for g.wheelAt < at {
+	slot := g.now / tickInterval
+	for g.wheelAt < slot {
 		g.wheelAt++
-		g.turn(int(g.wheelAt % int64(len(g.wheel))))
+		g.visitSlot(int(g.wheelAt % int64(len(g.wheel))))
 	}
-	if dt := g.now - g.lastRate; dt >= second/4 {
+	if dt := g.now - g.ratesAt; dt >= second/4 {
 		secs := float64(dt) / 1e6
-		g.doneRate += (float64(g.dones)/secs - g.doneRate) * 0.3
+		g.answerRate += (float64(g.goodAnswers)/secs - g.answerRate) * 0.3
 		g.sendRate += (float64(g.sends)/secs - g.sendRate) * 0.2
-		g.dones, g.sends, g.lastRate = 0, 0, g.now
-		g.warmLoad = max(g.doneRate/float64(g.subset()), g.warmLoad*math.Exp2(-secs/warmForget))
+		g.goodAnswers, g.sends, g.ratesAt = 0, 0, g.now
+		g.warmRate = max(g.answerRate/float64(g.subsetSize()), g.warmRate*math.Exp2(-secs/warmRateHalfLife))
 	}
-	g.watch()
-	g.hasten()
+	g.checkSilence()
+	g.moveFromSilent()
 	g.dispatch()
 }
--- a/policy/recover.go
+++ b/policy/recover.go
@@ -1,74 +1,72 @@
 package policy
 
-// What a module believes of an earlier life of its gatekeeper, where a capture has kept
-// it. A request that was open then has lost its client with its connection, so of
-// requests nothing is taken over.
+// Recovery of state from an earlier run of the gateway, where a capture has kept it. Open requests lost their
+// clients with the connection, so no requests are recovered.
 
 const (
-	// lostMost is the longest that a capture may lack of a life that was killed: a block's
-	// age, and as long again for the disk.
-	lostMost = second / 2
-	// believeRoom is how old the bound and the workers' health may be: the fleet's load
-	// changes faster than customers' stores.
-	believeRoom = 10 * second
+	// maxLostTail is the longest tail of state that a capture may lack after a crash: the age of a block, and
+	// as long again for the disk.
+	maxLostTail = second / 2
+	// maxFleetStateAge is how old the limit on attempts and the servers' health may be: the fleet's load
+	// changes faster than customers' buckets.
+	maxFleetStateAge = 10 * second
 )
 
-// Recover takes over what an earlier life knew at its end. exact tells that its end was a
-// proper one, so that nothing is missing. What is believed:
+// Recover takes over the state that an earlier run had at its end. exact reports that it ended in an orderly
+// way, so that nothing is missing. What is taken over, and for how long:
 //
-//	customers' buckets     for as long as one met anew would hold less or as much
-//	ceilings' stores       the same; empty at the end of a life that was killed, since it
-//	                       may have sent on what they held
-//	the shared stores      as they were known, with the age that they have
-//	workers' health        for 10 s; their cold starts' sends, as long as they count
-//	the bound              for 10 s
-//	classes' latencies     where the class has the same terms
-//	requests, attempts     not at all
-func (g *Gateway) Recover(now Micros, do Host, s Snapshot, exact bool) {
-	g.enter(now, do)
-	if s.Version != SnapshotVersion || len(s.Plans) != len(g.plans) || s.Now > now {
+//	customers' buckets   until a new record would hold at least as much
+//	ceilings' buckets    likewise; empty after a crash, since the units may have been spent
+//	the shared buckets   as last known, with their age
+//	servers' health      for 10 s; sends that count against a cold budget, as long as they count
+//	limit on attempts    for 10 s
+//	classes' latencies   if the class has the same terms
+//	requests, attempts   not at all
+func (g *Gateway) Recover(now Micros, host Host, snapshot Snapshot, exact bool) {
+	g.beginEvent(now, host)
+	if snapshot.Version != SnapshotVersion || len(snapshot.Plans) != len(g.plans) || snapshot.Now > now {
 		return
 	}
-	for i := range min(s.InForce, len(g.classes)) {
-		if c := s.Classes[i]; g.classes[i].Class == c.Class {
-			g.classes[i] = c.state()
+	for i := range min(snapshot.InForce, len(g.classes)) {
+		if rec := snapshot.Classes[i]; g.classes[i].Class == rec.Class {
+			g.classes[i] = rec.state()
 		}
 	}
-	for i, p := range s.Plans {
-		g.plans[i].holds = p.Holds
+	for i, rec := range snapshot.Plans {
+		g.plans[i].attemptTime = rec.Holds
 	}
-	for _, at := range s.Listed {
-		g.recoverCustomer(&s.Clients[at], s.Now, exact)
+	for _, index := range snapshot.Listed {
+		g.recoverCustomer(&snapshot.Clients[index], snapshot.Now, exact)
 	}
-	if now-s.Now > believeRoom {
+	if now-snapshot.Now > maxFleetStateAge {
 		return
 	}
-	g.bound, g.boundSet = s.Bound, s.BoundSet
-	for _, at := range s.Order { // the list that comes drops those that it does not name
-		r := s.Servers[at]
-		srv := restoreServer(&r)
-		srv.listed, srv.load, srv.trial, srv.lost = false, 0, false, false
+	g.inFlightLimit, g.limitSet = snapshot.Bound, snapshot.BoundSet
+	for _, index := range snapshot.Order { // the next server list drops those that it does not name
+		rec := snapshot.Servers[index]
+		srv := restoreServer(&rec)
+		srv.listed, srv.work, srv.probing, srv.silent = false, 0, false, false
 		g.byID[srv.id] = srv
 		g.servers = append(g.servers, srv)
 	}
 }
 
-func (g *Gateway) recoverCustomer(r *CustomerRecord, end Micros, exact bool) {
-	if r.Plan < 0 || r.Plan >= len(g.plans) {
+func (g *Gateway) recoverCustomer(rec *CustomerRecord, end Micros, exact bool) {
+	if rec.Plan < 0 || rec.Plan >= len(g.plans) {
 		return
 	}
-	c := g.restoreCustomer(r)
-	if g.now-c.touched > c.keepFor() {
+	cust := g.restoreCustomer(rec)
+	if g.now-cust.lastRequest > cust.idleTimeout() {
 		return
 	}
-	c.open, c.pending = 0, 0
+	cust.inFlight, cust.pending = 0, 0
 	if !exact {
-		lost := float64(lostMost) / 1e6
-		c.tokens = min(c.tokens, c.tokens-c.plan.Rate*c.share*lost)
-		c.level -= c.plan.Rate * lost
-		c.guard, c.at = min(c.guard, 0), end+lostMost
+		lost := float64(maxLostTail) / 1e6
+		cust.tokens = min(cust.tokens, cust.tokens-cust.plan.Rate*cust.share*lost)
+		cust.sharedTokens -= cust.plan.Rate * lost
+		cust.ceilingTokens, cust.refilledAt = min(cust.ceilingTokens, 0), end+maxLostTail
 	}
-	g.customers[c.key] = c
-	i := c.key * 0x9e3779b97f4a7c15 >> 32 % uint64(len(g.wheel))
-	g.wheel[i] = append(g.wheel[i], c)
+	g.customers[cust.key] = cust
+	slot := cust.key * 0x9e3779b97f4a7c15 >> 32 % uint64(len(g.wheel))
+	g.wheel[slot] = append(g.wheel[slot], cust)
 }
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -2,117 +2,121 @@
 
 import "slices"
 
-// What is shed before the queue. All requests stand on one line, those to be served first
-// lowest: by their tenant's rank, then their route's, then by which of two routes of one rank
-// waits, then by a keyed hash of the tenant and its caller. A cut of the line refuses all above
-// it. Who cuts at the same mark treats the same caller alike: there are no dice in it.
+// Load shedding before the queue. All requests have a position in one order, those to be served first lowest:
+// by the rank of their tenant, the rank of their route, the order among routes of one rank, and last a keyed
+// hash of tenant and caller. A cut refuses all requests at or above a position. Gateways with the same cut
+// treat the same caller alike, as nothing is random.
 
-// Mark is a place on the line: twelve bits of tier, then twelve of the place inside it.
+// Mark is a position in the shedding order: twelve bits of tier, then twelve bits of position within the
+// tier.
 type Mark = uint32
 
 const (
 	// MarkOpen is the cut that refuses nothing.
 	MarkOpen Mark = 1 << 24
-	// MarkBins is the parts of a tier in which load is counted.
+	// MarkBins is the number of bins of a tier in which load is counted.
 	MarkBins = 16
 
-	partBits  = 12
-	partMask  = 1<<partBits - 1
-	rankMost  = 15
-	turnPart  = 1 << (partBits - 4) // of the circle by which a turn moves the hash
-	shedSoon  = second / 2
-	shedLate  = 4 * second
-	shedTiers = 3 // below the cut from which on no longer wait is told
+	offsetBits   = 12
+	offsetMask   = 1<<offsetBits - 1
+	maxRank      = 15
+	shedTurnStep = 1 << (offsetBits - 4) // fraction of the hash circle by which one turn moves all callers, in units of position
+	shedBaseWait = second / 2
+	maxShedWait  = 4 * second
+	maxRanksPast = 3 // from this many ranks above the cut on, the wait grows no further
 )
 
-// Tier is a request's tier: tenant's rank, route's, and which of the routes of one rank waits.
+// Tier returns a request's tier, from the ranks of its tenant and its route and the route's order within its
+// rank.
 func Tier(tenant, route, waits int) int {
-	of := func(rank int) int { return min(max(rank, 0), rankMost) }
-	return of(tenant)<<8 | of(route)<<4 | of(waits)
+	clamp := func(rank int) int { return min(max(rank, 0), maxRank) }
+	return clamp(tenant)<<8 | clamp(route)<<4 | clamp(waits)
 }
 
-// TierMark is where a tier begins on the line.
-func TierMark(tier int) Mark { return max(Mark(tier)<<partBits, 1) }
+// TierMark returns the position at which a tier begins.
+func TierMark(tier int) Mark { return max(Mark(tier)<<offsetBits, 1) }
 
-// TierOf is the tier of a mark.
-func TierOf(m Mark) int { return int(m >> partBits) }
+// TierOf returns the tier of a position.
+func TierOf(m Mark) int { return int(m >> offsetBits) }
 
-// BinOf is the part of the line that a mark's load is counted in, and BinMark where it begins.
-func BinOf(m Mark) uint32      { return m / (1 << partBits / MarkBins) }
-func BinMark(bin uint32) Mark  { return bin * (1 << partBits / MarkBins) }
-func partOf(m Mark) (part int) { return int(m & partMask) }
+// BinOf returns the bin that counts the load at a position; BinMark returns the position at which a bin
+// begins.
+func BinOf(m Mark) uint32        { return m / (1 << offsetBits / MarkBins) }
+func BinMark(bin uint32) Mark    { return bin * (1 << offsetBits / MarkBins) }
+func offsetOf(m Mark) (part int) { return int(m & offsetMask) }
 
-// ShedTerms is how the line is drawn. All gatekeepers must have the same.
+// ShedTerms are the parameters of the shedding order. All gateways must have the same.
 type ShedTerms struct {
-	Key   uint64  // of the hash; who does not know it can't tell who is last
-	Turn  uint64  // rises slowly, so that nobody is last for ever
-	Never int     // tenants of ranks below it are never shed
-	Least float64 // of each tier is never shed
+	Key   uint64  // secret key of the hash, so that callers cannot find out who is refused first
+	Turn  uint64  // increases slowly, so that no caller is always refused first
+	Never int     // tenants with a rank below it are never shed
+	Least float64 // fraction of each tier that is never shed
 }
 
-// Spot is a request's place on the line. What is never shed stands at its start. A turn moves
-// all callers of a tier round by the same sixteenth, so that it moves each at most once.
+// Spot returns a request's position. Requests that are never shed have position 0. A turn rotates all callers
+// of a tier by a sixteenth, so that each of them crosses a cut at most once.
 func (t ShedTerms) Spot(tenantRank, tier int, tenant, caller string) Mark {
 	if tenantRank < t.Never {
 		return 0
 	}
-	part := (CallerHash(t.Key, tenant, caller)>>(64-partBits) + t.Turn*turnPart) & partMask
-	if float64(part) < t.Least*(1<<partBits) {
+	offset := (CallerHash(t.Key, tenant, caller)>>(64-offsetBits) + t.Turn*shedTurnStep) & offsetMask
+	if float64(offset) < t.Least*(1<<offsetBits) {
 		return 0
 	}
-	return Mark(tier)<<partBits | Mark(part)
+	return Mark(tier)<<offsetBits | Mark(offset)
 }
 
-// Sheds tells whether a cut refuses a request. What stands at the line's start it never does.
+// Sheds reports whether a cut refuses a request. It never refuses position 0.
 func Sheds(spot, cut Mark) bool { return spot != 0 && spot >= cut }
 
 // CallerHash is the keyed hash of a tenant and the caller it names.
 func CallerHash(key uint64, tenant, caller string) uint64 {
-	h := mix(key, 0x5b0e)
+	sum := hash(key, 0x5b0e)
 	for i := range len(tenant) {
-		h = (h ^ uint64(tenant[i])) * 0x100000001b3
+		sum = (sum ^ uint64(tenant[i])) * 0x100000001b3
 	}
-	h = mix(h, key) // ends the tenant's name, whatever bytes it holds
+	sum = hash(sum, key) // separates the names, whatever bytes they hold
 	for i := range len(caller) {
-		h = (h ^ uint64(caller[i])) * 0x100000001b3
+		sum = (sum ^ uint64(caller[i])) * 0x100000001b3
 	}
-	return mix(h, key)
+	return hash(sum, key)
 }
 
-// ShedWait is what a refused request is told to wait: longer the further its tier lies past
-// the cut, and spread by its caller and its own salt, so that a tier does not return at once.
+// ShedWait returns how long a refused client is told to wait: longer the further its tier is above the cut,
+// and spread by caller and salt, so that a tier does not return all at once.
 func ShedWait(spot, cut Mark, salt uint64) Micros {
-	past := min(max(TierOf(spot)>>4-TierOf(cut)>>4, 0), shedTiers) // by ranks, not by waits
-	most := min(shedSoon*Micros(int64(1)<<(past+1)), shedLate)
-	part := float64(partOf(spot))/(1<<partBits)*0.5 + float64(mix(salt, uint64(spot))%1024)/1024*0.5
-	return most/2 + Micros(part*float64(most)/2)
+	ranksPast := min(max(TierOf(spot)>>4-TierOf(cut)>>4, 0), maxRanksPast) // by the tenants' and routes' ranks only
+	maxWait := min(shedBaseWait*Micros(int64(1)<<(ranksPast+1)), maxShedWait)
+	fraction := float64(offsetOf(spot))/(1<<offsetBits)*0.5 + float64(hash(salt, uint64(spot))%1024)/1024*0.5
+	return maxWait/2 + Micros(fraction*float64(maxWait)/2)
 }
 
-// RouteFigures is what tells which of two routes of one rank waits.
+// RouteFigures are the properties of a route that decide its order within its rank.
 type RouteFigures struct {
 	Rank int
 	Aim  Micros
-	Work int // of a request, in doublings; 0 where it is not known
+	Work int // log2 of a request's work; 0 if unknown
 }
 
-// Waits numbers the routes of each rank: the one with the longer aim can wait longer, and of one
-// aim the one whose refusal frees more work goes first. Equal figures get equal numbers.
+// Waits returns the order of each route within its rank. A route with a longer latency target comes later,
+// since it can wait longer; with equal targets the one whose refusal frees more work. Routes with equal
+// figures get equal numbers.
 func Waits(routes []RouteFigures) []int {
-	out := make([]int, len(routes))
-	for i, r := range routes {
+	order := make([]int, len(routes))
+	for i, route := range routes {
 		var before []RouteFigures
-		for _, o := range routes {
-			if o.Rank == r.Rank && (o.Aim < r.Aim || o.Aim == r.Aim && o.Work < r.Work) && !slices.Contains(before, o) {
-				before = append(before, o)
+		for _, other := range routes {
+			if other.Rank == route.Rank && (other.Aim < route.Aim || other.Aim == route.Aim && other.Work < route.Work) && !slices.Contains(before, other) {
+				before = append(before, other)
 			}
 		}
-		out[i] = min(len(before), rankMost)
+		order[i] = min(len(before), maxRank)
 	}
-	return out
+	return order
 }
 
-// Room is the bound on attempts out, those out that count against it, and the requests that wait
-// behind it.
+// Room returns the limit on attempts in flight, the attempts that count against it, and the number of
+// requests waiting in the queue.
 func (g *Gateway) Room() (bound float64, out, held int) {
-	return g.bound, max(g.inFlight-g.stuck-g.filling, 0), g.queued
+	return g.inFlightLimit, max(g.inFlight-g.inFlightSilent-g.inFlightBodies, 0), g.queued
 }
--- a/policy/shed_test.go
+++ b/policy/shed_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTheOrder: tenant's rank first, then the route's, then who waits, then the hash.
-func TestTheOrder(t *testing.T) {
+// Positions go by the tenant's rank, then the route's, then the order within the rank, then the hash.
+func TestShedOrder(t *testing.T) {
 	terms := ShedTerms{Key: 7}
 	of := func(tenant, route, waits int) Mark {
 		return terms.Spot(tenant, Tier(tenant, route, waits), "t", "c")
@@ -19,23 +19,23 @@
 		{of(1, 2, 0), of(1, 2, 1)},
 		{of(15, 15, 15), MarkOpen},
 	} {
-		assert.Assert(t, c.low < c.high, "%#x %#x", c.low, c.high)
+		assert.Assert(t, c.low < c.high, "position %#x is not below %#x", c.low, c.high)
 	}
-	assert.Equal(t, of(99, 99, 99), of(15, 15, 15), "ranks past the last are the last")
+	assert.Equal(t, of(99, 99, 99), of(15, 15, 15), "ranks above the highest count as the highest")
 	assert.Equal(t, TierOf(of(3, 2, 1)), Tier(3, 2, 1))
 }
 
-// TestWaits: aim, then work; equal figures are equal, and no name plays a part.
-func TestWaits(t *testing.T) {
+// The latency target decides first, then the work. Equal properties get equal numbers, and names play no part.
+func TestRouteOrder(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		routes []RouteFigures
 		want   []int
 	}{
-		{"the longer aim waits", []RouteFigures{{0, 800, 1}, {0, 500, 9}}, []int{1, 0}},
-		{"of one aim the dearer waits", []RouteFigures{{0, 500, 3}, {0, 500, 7}}, []int{0, 1}},
-		{"equal figures", []RouteFigures{{0, 500, 3}, {0, 500, 3}, {0, 600, 3}}, []int{0, 0, 1}},
-		{"other ranks don't count", []RouteFigures{{0, 900, 0}, {1, 100, 0}, {1, 200, 0}}, []int{0, 0, 1}},
+		{"longer target", []RouteFigures{{0, 800, 1}, {0, 500, 9}}, []int{1, 0}},
+		{"more work", []RouteFigures{{0, 500, 3}, {0, 500, 7}}, []int{0, 1}},
+		{"equal properties", []RouteFigures{{0, 500, 3}, {0, 500, 3}, {0, 600, 3}}, []int{0, 0, 1}},
+		{"other ranks", []RouteFigures{{0, 900, 0}, {1, 100, 0}, {1, 200, 0}}, []int{0, 0, 1}},
 		{"none", nil, []int{}},
 	} {
 		got := Waits(c.routes)
@@ -43,11 +43,11 @@
 	}
 }
 
-// TestACallerIsCutWhole: one caller, one answer; and cuts of two tenants of one rank are fair.
-func TestACallerIsCutWhole(t *testing.T) {
+// All requests of a caller get the same answer, and a cut is fair to two tenants of one rank.
+func TestShedDecisionIsTheSameForACaller(t *testing.T) {
 	terms := ShedTerms{Key: 0xabcdef}
 	tier := Tier(2, 0, 0)
-	cut := Mark(tier)<<partBits | 1<<(partBits-1)
+	cut := Mark(tier)<<offsetBits | 1<<(offsetBits-1)
 	below := map[string]int{}
 	const callers = 2000
 	for _, tenant := range []string{"one", "two"} {
@@ -61,17 +61,17 @@
 		}
 	}
 	for tenant, n := range below {
-		assert.Assert(t, n > callers*45/100 && n < callers*55/100, "%s: %d of %d pass half a cut", tenant, n, callers)
+		assert.Assert(t, n > callers*45/100 && n < callers*55/100, "%s: %d of %d callers pass a cut at half a tier", tenant, n, callers)
 	}
-	assert.Assert(t, CallerHash(1, "ab", "c") != CallerHash(1, "a", "bc"), "names run together")
-	assert.Assert(t, CallerHash(1, "a", "b") != CallerHash(2, "a", "b"), "the key plays no part")
+	assert.Assert(t, CallerHash(1, "ab", "c") != CallerHash(1, "a", "bc"), "tenant and caller are not separated")
+	assert.Assert(t, CallerHash(1, "a", "b") != CallerHash(2, "a", "b"), "the key has no effect")
 }
 
-// TestTurns: each turn moves a caller at most once across a cut, and sixteen give all the same.
-func TestTurns(t *testing.T) {
+// Each turn moves a caller across a cut at most once, and over sixteen turns all callers are treated alike.
+func TestShedTurns(t *testing.T) {
 	tier := Tier(1, 0, 0)
 	for _, eighths := range []Mark{1, 4, 7} {
-		cut := Mark(tier)<<partBits | eighths<<(partBits-3)
+		cut := Mark(tier)<<offsetBits | eighths<<(offsetBits-3)
 		for i := range 200 {
 			passed := 0
 			for turn := range uint64(16) {
@@ -79,13 +79,13 @@
 					passed++
 				}
 			}
-			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns at %d eighths", i, passed, eighths)
+			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns with a cut at %d eighths", i, passed, eighths)
 		}
 	}
 }
 
-// TestFloors: tenants that are never shed, and the least part of a tier.
-func TestFloors(t *testing.T) {
+// Tenants and the part of a tier that are never shed.
+func TestNeverShed(t *testing.T) {
 	terms := ShedTerms{Key: 5, Never: 1, Least: 0.25}
 	assert.Equal(t, terms.Spot(0, Tier(0, 5, 0), "t", "c"), Mark(0))
 	kept := 0
@@ -94,13 +94,13 @@
 			kept++
 		}
 	}
-	assert.Assert(t, kept > 440 && kept < 560, "%d of 2000 kept of a quarter", kept)
+	assert.Assert(t, kept > 440 && kept < 560, "%d of 2000 callers are never shed, want a quarter", kept)
 }
 
-// TestShedWait: spread over callers, longer for lower tiers, and never at once.
+// The waits are spread over callers, are longer for lower tiers, and are never zero.
 func TestShedWait(t *testing.T) {
 	terms := ShedTerms{Key: 5}
-	cut := Mark(Tier(1, 0, 0)) << partBits
+	cut := Mark(Tier(1, 0, 0)) << offsetBits
 	last := Micros(0)
 	for rank := 1; rank < 4; rank++ {
 		least, most := Micros(1<<62), Micros(0)
@@ -108,8 +108,8 @@
 			w := ShedWait(terms.Spot(rank, Tier(rank, 0, 0), "t", fmt.Sprint(i)), cut, uint64(i))
 			least, most = min(least, w), max(most, w)
 		}
-		assert.Assert(t, least >= shedSoon/2 && most <= shedLate && most > least*3/2, "rank %d: %d to %d", rank, least, most)
-		assert.Assert(t, least >= last, "rank %d waits less than the one above", rank)
+		assert.Assert(t, least >= shedBaseWait/2 && most <= maxShedWait && most > least*3/2, "rank %d: waits from %d to %d us", rank, least, most)
+		assert.Assert(t, least >= last, "rank %d waits less than the rank before it", rank)
 		last = least
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -8,171 +8,201 @@
 	"slices"
 )
 
-// A module's whole state as plain data, to keep and to go on from. Nothing is decided
-// here. What the records point at is named by its place in a list.
+// Snapshots: the whole state of a gateway as plain data, to keep it and to continue from it. Nothing is
+// decided here. Pointers between records become indexes into the snapshot's lists.
 
-// SnapshotVersion changes with the records in state.go. A snapshot of another version is
-// not taken: half a state would decide otherwise than the whole one.
+// SnapshotVersion changes whenever the records in state.go change. Snapshots of another version are rejected,
+// since decisions from a partial state differ from those of the whole state.
 const SnapshotVersion = 4
 
-// Snapshot is the state of a module between two calls.
+// Snapshot is the state of a gateway between two calls. Its fields and those of the records have the meaning of
+// the corresponding fields in state.go. The names in JSON are fixed, since captures contain them.
 type Snapshot struct {
-	Version  int
-	Settings Settings
-	RNG      uint64
-	Now      Micros
-	Born     Micros
+	Version  int      `json:"Version"`
+	Settings Settings `json:"Settings"`
+	RNG      uint64   `json:"RNG"`
+	Now      Micros   `json:"Now"`
+	Born     Micros   `json:"Born"`
 
-	Classes  []ClassRecord // in force, and behind them those that requests still have
-	InForce  int
-	Plans    []PlanRecord
-	Requests []RequestRecord
-	Queue    [][]int // of requests, by level
-	Known    []int   // requests that the module knows by their id
-	Clients  []CustomerRecord
-	Listed   []int   // customers that the module knows by their key
-	Wheel    [][]int // of customers
-	WheelAt  int64
-	Servers  []ServerRecord
-	Order    []int // of servers in use, in the module's own order
-	Draws    []DrawRecord
+	Classes  []ClassRecord    `json:"Classes"` // in force, followed by replaced ones that requests still use
+	InForce  int              `json:"InForce"`
+	Plans    []PlanRecord     `json:"Plans"`
+	Requests []RequestRecord  `json:"Requests"`
+	Queue    [][]int          `json:"Queue"` // indexes of requests, by queue level
+	Known    []int            `json:"Known"` // indexes of the requests that Gateway.reqs holds
+	Clients  []CustomerRecord `json:"Clients"`
+	Listed   []int            `json:"Listed"` // indexes of the customers that the gateway's map holds
+	Wheel    [][]int          `json:"Wheel"`  // indexes of customers, by slot of the timing wheel
+	WheelAt  int64            `json:"WheelAt"`
+	Servers  []ServerRecord   `json:"Servers"`
+	Order    []int            `json:"Order"` // indexes of the servers in use, in the gateway's own order
+	Draws    []DrawRecord     `json:"Draws"`
 
-	InFlight, Stuck    int
-	Filling            int
-	Answered           Micros
-	Bound              float64
-	BoundSet           bool
-	CutAt, IdleAt      Micros
-	Idle               float64
-	Answers            int
-	Stretch            float64
-	DoneRate, SendRate float64
-	WarmLoad           float64
-	LastRate           Micros
-	Sends, Dones       int
-	Calls              float64
-	CallAt             Micros
-	CapWindow          Micros // of the classes at the start
+	InFlight  int     `json:"InFlight"`
+	Stuck     int     `json:"Stuck"`
+	Filling   int     `json:"Filling"`
+	Answered  Micros  `json:"Answered"`
+	Bound     float64 `json:"Bound"`
+	BoundSet  bool    `json:"BoundSet"`
+	CutAt     Micros  `json:"CutAt"`
+	IdleAt    Micros  `json:"IdleAt"`
+	Idle      float64 `json:"Idle"`
+	Answers   int     `json:"Answers"`
+	Stretch   float64 `json:"Stretch"`
+	DoneRate  float64 `json:"DoneRate"`
+	SendRate  float64 `json:"SendRate"`
+	WarmLoad  float64 `json:"WarmLoad"`
+	LastRate  Micros  `json:"LastRate"`
+	Sends     int     `json:"Sends"`
+	Dones     int     `json:"Dones"`
+	Calls     float64 `json:"Calls"`
+	CallAt    Micros  `json:"CallAt"`
+	CapWindow Micros  `json:"CapWindow"` // window of concurrency cap draws, from the initial classes
 }
 
-// ClassRecord is what is learned of a class.
+// ClassRecord is a class with its measurements.
 type ClassRecord struct {
 	Class
-	Units   float64
-	Longest Micros
-	Full    float64
-	Lat     float64
-	N       int
+	Units   float64 `json:"Units"`
+	Longest Micros  `json:"Longest"`
+	Full    float64 `json:"Full"`
+	Lat     float64 `json:"Lat"`
+	N       int     `json:"N"`
 }
 
 func (c *ClassRecord) state() classState {
-	return classState{Class: c.Class, units: c.Units, longest: c.Longest, full: c.Full, lat: c.Lat, n: c.N}
+	return classState{Class: c.Class, meanUnits: c.Units, maxTimeLeft: c.Longest, fullTimeShare: c.Full, latency: c.Lat, answers: c.N}
 }
 
-// PlanRecord is what is learned of a plan.
-type PlanRecord struct{ Holds float64 }
+// PlanRecord holds the measurements of a plan: the mean time of its attempts in flight, in µs.
+type PlanRecord struct {
+	Holds float64 `json:"Holds"`
+}
 
 // AttemptRecord is one attempt of a request.
 type AttemptRecord struct {
-	Server int
-	Sent   Micros
-	Open   bool
-	Load   float64
+	Server int     `json:"Server"`
+	Sent   Micros  `json:"Sent"`
+	Open   bool    `json:"Open"`
+	Load   float64 `json:"Load"`
 
-	Filling bool
+	Filling bool `json:"Filling"`
 }
 
 // RequestRecord is one request.
 type RequestRecord struct {
-	ID                         uint32
-	Class, Plan, Client        int
-	Units                      float64
-	Level                      int
-	Arrived, Deadline, Halfway Micros
-	Attempts                   []AttemptRecord
-	Open                       int
-	Sent, Done, Held           bool
-	Drawing, Admitted          bool
-	Uncertain, Filling         bool
-	RanOn                      int // server, -1 where none
-	RanAt                      Micros
-	Taken                      float64
-	LeasedAt                   Micros
+	ID        uint32          `json:"ID"`
+	Class     int             `json:"Class"`
+	Plan      int             `json:"Plan"`
+	Client    int             `json:"Client"`
+	Units     float64         `json:"Units"`
+	Level     int             `json:"Level"`
+	Arrived   Micros          `json:"Arrived"`
+	Deadline  Micros          `json:"Deadline"`
+	Halfway   Micros          `json:"Halfway"`
+	Attempts  []AttemptRecord `json:"Attempts"`
+	Open      int             `json:"Open"`
+	Sent      bool            `json:"Sent"`
+	Done      bool            `json:"Done"`
+	Held      bool            `json:"Held"`
+	Drawing   bool            `json:"Drawing"`
+	Admitted  bool            `json:"Admitted"`
+	Uncertain bool            `json:"Uncertain"`
+	Filling   bool            `json:"Filling"`
+	RanOn     int             `json:"RanOn"` // index of a server, -1 for none
+	RanAt     Micros          `json:"RanAt"`
+	Taken     float64         `json:"Taken"`
+	LeasedAt  Micros          `json:"LeasedAt"`
 }
 
-// CustomerRecord is one customer.
+// CustomerRecord is one customer under a plan.
 type CustomerRecord struct {
-	Key                uint64
-	Plan               int
-	Spread, Tokens     float64
-	At                 Micros
-	Share              float64
-	ShareAt            Micros
-	OwnMean, AllMean   float64
-	Guard, Pending     float64
-	Open               int
-	Touched            Micros
-	Level              float64
-	LevelAt, HeardAt   Micros
-	OthersRate, Untold float64
-	Window             int64
-	Mine, Others       float64
-	OwnUse, OthersUse  float64
-	AccAt              Micros
-	Spent              [2]int64
+	Key        uint64   `json:"Key"`
+	Plan       int      `json:"Plan"`
+	Spread     float64  `json:"Spread"`
+	Tokens     float64  `json:"Tokens"`
+	At         Micros   `json:"At"`
+	Share      float64  `json:"Share"`
+	ShareAt    Micros   `json:"ShareAt"`
+	OwnMean    float64  `json:"OwnMean"`
+	AllMean    float64  `json:"AllMean"`
+	Guard      float64  `json:"Guard"`
+	Pending    float64  `json:"Pending"`
+	Open       int      `json:"Open"`
+	Touched    Micros   `json:"Touched"`
+	Level      float64  `json:"Level"`
+	LevelAt    Micros   `json:"LevelAt"`
+	HeardAt    Micros   `json:"HeardAt"`
+	OthersRate float64  `json:"OthersRate"`
+	Untold     float64  `json:"Untold"`
+	Window     int64    `json:"Window"`
+	Mine       float64  `json:"Mine"`
+	Others     float64  `json:"Others"`
+	OwnUse     float64  `json:"OwnUse"`
+	OthersUse  float64  `json:"OthersUse"`
+	AccAt      Micros   `json:"AccAt"`
+	Spent      [2]int64 `json:"Spent"`
 }
 
-// ServerRecord is one server, and its open attempts, oldest first: request and attempt.
+// ServerRecord is one server. Out holds its attempts in flight, oldest first, as pairs of request index and
+// attempt number.
 type ServerRecord struct {
 	Entry
-	ID                          Server
-	Listed                      bool
-	Place, Rel                  float64
-	RelAt                       Micros
-	Load                        float64
-	Answered                    Micros
-	Fails                       int
-	Ejected, Trial, Lost        bool
-	EjectedFor, RetryAt, FullTo Micros
-	ColdSends                   []Micros
-	Out                         [][2]int
+	ID         Server   `json:"ID"`
+	Listed     bool     `json:"Listed"`
+	Place      float64  `json:"Place"`
+	Rel        float64  `json:"Rel"`
+	RelAt      Micros   `json:"RelAt"`
+	Load       float64  `json:"Load"`
+	Answered   Micros   `json:"Answered"`
+	Fails      int      `json:"Fails"`
+	Ejected    bool     `json:"Ejected"`
+	Trial      bool     `json:"Trial"`
+	Lost       bool     `json:"Lost"`
+	EjectedFor Micros   `json:"EjectedFor"`
+	RetryAt    Micros   `json:"RetryAt"`
+	FullTo     Micros   `json:"FullTo"`
+	ColdSends  []Micros `json:"ColdSends"`
+	Out        [][2]int `json:"Out"`
 }
 
-// DrawRecord is the counter calls of a name that are out, in their order.
+// DrawRecord holds the counter calls in progress for one counter name, oldest first.
 type DrawRecord struct {
-	Name uint64
-	Out  []DrawnRecord
+	Name uint64        `json:"Name"`
+	Out  []DrawnRecord `json:"Out"`
 }
 
-// DrawnRecord is one of them. Request and Client are -1 where there is none.
+// DrawnRecord is one counter call in progress. Request and Client are -1 if there is none.
 type DrawnRecord struct {
-	Request, Client int
-	N               int64
-	Units, Booked   float64
-	Kind            int
+	Request int     `json:"Request"`
+	Client  int     `json:"Client"`
+	N       int64   `json:"N"`
+	Units   float64 `json:"Units"`
+	Booked  float64 `json:"Booked"`
+	Kind    int     `json:"Kind"`
 }
 
-// index gives places in a list to what is pointed at.
+// index numbers values in the order in which they are first looked up.
 type index[T comparable] struct {
-	at  map[T]int
-	all []T
+	indexes map[T]int
+	values  []T
 }
 
-func (x *index[T]) of(v T) int {
-	if x.at == nil {
-		x.at = map[T]int{}
+func (x *index[T]) indexOf(v T) int {
+	if x.indexes == nil {
+		x.indexes = map[T]int{}
 	}
-	i, ok := x.at[v]
+	i, ok := x.indexes[v]
 	if !ok {
-		i = len(x.all)
-		x.at[v] = i
-		x.all = append(x.all, v)
+		i = len(x.values)
+		x.indexes[v] = i
+		x.values = append(x.values, v)
 	}
 	return i
 }
 
-// sorted lists the values of a map in the order of its keys.
-func sorted[K cmp.Ordered, V any](m map[K]V) []V {
+// sortedValues returns the values of a map in the order of its keys.
+func sortedValues[K cmp.Ordered, V any](m map[K]V) []V {
 	all := make([]V, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		all = append(all, m[k])
@@ -180,236 +210,236 @@
 	return all
 }
 
-// Snapshot is the module's state. It may be taken between two calls.
+// Snapshot returns the state of the gateway. It may be called between any two other calls.
 func (g *Gateway) Snapshot() Snapshot {
-	s := Snapshot{Version: SnapshotVersion, Settings: g.set, RNG: g.rng, Now: g.now, Born: g.born, InForce: len(g.classes), WheelAt: g.wheelAt,
-		InFlight: g.inFlight, Stuck: g.stuck, Filling: g.filling, Answered: g.answered, Bound: g.bound, BoundSet: g.boundSet, CutAt: g.cutAt,
-		IdleAt: g.idleAt, Idle: g.idle, Answers: g.answers, Stretch: g.stretch, DoneRate: g.doneRate, SendRate: g.sendRate, WarmLoad: g.warmLoad,
-		LastRate: g.lastRate, Sends: g.sends, Dones: g.dones, Calls: g.calls, CallAt: g.callAt, CapWindow: g.capWindow}
+	snapshot := Snapshot{Version: SnapshotVersion, Settings: g.settings, RNG: g.rng, Now: g.now, Born: g.startedAt, InForce: len(g.classes), WheelAt: g.wheelAt,
+		InFlight: g.inFlight, Stuck: g.inFlightSilent, Filling: g.inFlightBodies, Answered: g.lastAnswer, Bound: g.inFlightLimit, BoundSet: g.limitSet, CutAt: g.limitCutAt,
+		IdleAt: g.minRatioAt, Idle: g.minRatio, Answers: g.ratioSamples, Stretch: g.latencyRatio, DoneRate: g.answerRate, SendRate: g.sendRate, WarmLoad: g.warmRate,
+		LastRate: g.ratesAt, Sends: g.sends, Dones: g.goodAnswers, Calls: g.callFraction, CallAt: g.lastCounterAnswer, CapWindow: g.capWindow}
 	var classes index[*classState]
 	var requests index[*request]
 	var clients index[*customer]
 	var servers index[*server]
 	for i := range g.classes {
-		classes.of(&g.classes[i])
+		classes.indexOf(&g.classes[i])
 	}
 	for _, p := range g.plans {
-		s.Plans = append(s.Plans, PlanRecord{p.holds})
+		snapshot.Plans = append(snapshot.Plans, PlanRecord{p.attemptTime})
 	}
 	for _, srv := range g.servers {
-		s.Order = append(s.Order, servers.of(srv))
+		snapshot.Order = append(snapshot.Order, servers.indexOf(srv))
 	}
-	for _, q := range sorted(g.reqs) {
-		s.Known = append(s.Known, requests.of(q))
+	for _, req := range sortedValues(g.requests) {
+		snapshot.Known = append(snapshot.Known, requests.indexOf(req))
 	}
 	for _, level := range g.queue {
-		var at []int
-		for _, q := range level {
-			at = append(at, requests.of(q))
+		var indexes []int
+		for _, req := range level {
+			indexes = append(indexes, requests.indexOf(req))
 		}
-		s.Queue = append(s.Queue, at)
+		snapshot.Queue = append(snapshot.Queue, indexes)
 	}
-	for _, c := range sorted(g.customers) {
-		s.Listed = append(s.Listed, clients.of(c))
+	for _, state := range sortedValues(g.customers) {
+		snapshot.Listed = append(snapshot.Listed, clients.indexOf(state))
 	}
 	for _, slot := range g.wheel {
-		var at []int
-		for _, c := range slot {
-			at = append(at, clients.of(c))
+		var indexes []int
+		for _, state := range slot {
+			indexes = append(indexes, clients.indexOf(state))
 		}
-		s.Wheel = append(s.Wheel, at)
-	}
-	for _, name := range slices.Sorted(maps.Keys(g.draws)) {
-		d := DrawRecord{Name: name}
-		for _, one := range g.draws[name] {
-			r := DrawnRecord{Request: -1, Client: -1, N: one.n, Units: one.units, Booked: one.booked, Kind: one.kind}
-			if one.q != nil {
-				r.Request = requests.of(one.q)
+		snapshot.Wheel = append(snapshot.Wheel, indexes)
+	}
+	for _, name := range slices.Sorted(maps.Keys(g.pendingCalls)) {
+		draw := DrawRecord{Name: name}
+		for _, call := range g.pendingCalls[name] {
+			rec := DrawnRecord{Request: -1, Client: -1, N: call.window, Units: call.units, Booked: call.booked, Kind: call.kind}
+			if call.request != nil {
+				rec.Request = requests.indexOf(call.request)
 			}
-			if one.c != nil {
-				r.Client = clients.of(one.c)
+			if call.customer != nil {
+				rec.Client = clients.indexOf(call.customer)
 			}
-			d.Out = append(d.Out, r)
+			draw.Out = append(draw.Out, rec)
 		}
-		s.Draws = append(s.Draws, d)
+		snapshot.Draws = append(snapshot.Draws, draw)
 	}
-	for i := 0; i < len(requests.all); i++ {
-		s.Requests = append(s.Requests, g.requestRecord(requests.all[i], &classes, &clients, &servers))
+	for i := 0; i < len(requests.values); i++ {
+		snapshot.Requests = append(snapshot.Requests, g.requestRecord(requests.values[i], &classes, &clients, &servers))
 	}
-	for _, c := range classes.all {
-		s.Classes = append(s.Classes, ClassRecord{c.Class, c.units, c.longest, c.full, c.lat, c.n})
+	for _, state := range classes.values {
+		snapshot.Classes = append(snapshot.Classes, ClassRecord{state.Class, state.meanUnits, state.maxTimeLeft, state.fullTimeShare, state.latency, state.answers})
 	}
-	for _, c := range clients.all {
-		s.Clients = append(s.Clients, customerRecord(c))
+	for _, state := range clients.values {
+		snapshot.Clients = append(snapshot.Clients, customerRecord(state))
 	}
-	for _, srv := range servers.all {
-		s.Servers = append(s.Servers, serverRecord(srv, &requests))
+	for _, srv := range servers.values {
+		snapshot.Servers = append(snapshot.Servers, serverRecord(srv, &requests))
 	}
-	return s
+	return snapshot
 }
 
-func (g *Gateway) requestRecord(q *request, classes *index[*classState], clients *index[*customer], servers *index[*server]) RequestRecord {
-	r := RequestRecord{ID: q.id, Class: classes.of(q.class), Plan: q.plan.index, Client: clients.of(q.cust), Units: q.units, Level: q.level,
-		Arrived: q.arrived, Deadline: q.deadline, Halfway: q.halfway, Open: q.open, Sent: q.sent, Done: q.done, Held: q.held,
-		Drawing: q.drawing, Admitted: q.admitted, Uncertain: q.uncertain, Filling: q.filling, RanOn: -1, RanAt: q.ranAt, Taken: q.tokensTaken, LeasedAt: q.leasedAt}
-	if q.ranOn != nil {
-		r.RanOn = servers.of(q.ranOn)
+func (g *Gateway) requestRecord(req *request, classes *index[*classState], clients *index[*customer], servers *index[*server]) RequestRecord {
+	rec := RequestRecord{ID: req.id, Class: classes.indexOf(req.class), Plan: req.plan.index, Client: clients.indexOf(req.customer), Units: req.units, Level: req.level,
+		Arrived: req.arrived, Deadline: req.deadline, Halfway: req.unsentDeadline, Open: req.inFlight, Sent: req.sent, Done: req.done, Held: req.held,
+		Drawing: req.awaitsCounter, Admitted: req.admitted, Uncertain: req.mayHaveRun, Filling: req.bodyPending, RanOn: -1, RanAt: req.ranAt, Taken: req.tokensTaken, LeasedAt: req.leasedAt}
+	if req.ranOn != nil {
+		rec.RanOn = servers.indexOf(req.ranOn)
 	}
-	for _, a := range q.attempts {
-		r.Attempts = append(r.Attempts, AttemptRecord{servers.of(a.srv), a.sent, a.open, a.load, a.filling})
+	for _, att := range req.attempts {
+		rec.Attempts = append(rec.Attempts, AttemptRecord{servers.indexOf(att.server), att.sent, att.open, att.work, att.bodyPending})
 	}
-	return r
+	return rec
 }
 
-func customerRecord(c *customer) CustomerRecord {
-	return CustomerRecord{Key: c.key, Plan: c.plan.index, Spread: c.spread, Tokens: c.tokens, At: c.at, Share: c.share, ShareAt: c.shareAt,
-		OwnMean: c.ownMean, AllMean: c.allMean, Guard: c.guard, Pending: c.pending, Open: c.open,
-		Touched: c.touched, Level: c.level, LevelAt: c.levelAt, HeardAt: c.heardAt, OthersRate: c.othersRate, Untold: c.untold,
-		Window: c.window, Mine: c.mine, Others: c.others, OwnUse: c.ownUse, OthersUse: c.othersUse, AccAt: c.accAt,
-		Spent: c.spent}
+func customerRecord(cust *customer) CustomerRecord {
+	return CustomerRecord{Key: cust.key, Plan: cust.plan.index, Spread: cust.gateways, Tokens: cust.tokens, At: cust.refilledAt, Share: cust.share, ShareAt: cust.shareAt,
+		OwnMean: cust.ownMean, AllMean: cust.allMean, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight,
+		Touched: cust.lastRequest, Level: cust.sharedTokens, LevelAt: cust.sharedAt, HeardAt: cust.totalAt, OthersRate: cust.othersRate, Untold: cust.unreported,
+		Window: cust.window, Mine: cust.ownInWindow, Others: cust.othersInWindow, OwnUse: cust.ownUse, OthersUse: cust.othersUse, AccAt: cust.usePeriodStart,
+		Spent: cust.spentWindow}
 }
 
-func serverRecord(s *server, requests *index[*request]) ServerRecord {
-	r := ServerRecord{Entry: s.e, ID: s.id, Listed: s.listed, Place: s.place, Rel: s.rel, RelAt: s.relAt, Load: s.load, Answered: s.answered,
-		Fails: s.fails, Ejected: s.ejected, Trial: s.trial, Lost: s.lost, EjectedFor: s.ejectedFor,
-		RetryAt: s.retryAt, FullTo: s.fullUntil, ColdSends: slices.Clone(s.coldSends)}
-	for a := s.head; a != nil; a = a.next {
-		r.Out = append(r.Out, [2]int{requests.of(a.req), a.n})
-	}
-	return r
+func serverRecord(srv *server, requests *index[*request]) ServerRecord {
+	rec := ServerRecord{Entry: srv.entry, ID: srv.id, Listed: srv.listed, Place: srv.order, Rel: srv.slowness, RelAt: srv.slownessAt, Load: srv.work, Answered: srv.lastAnswer,
+		Fails: srv.failures, Ejected: srv.ejected, Trial: srv.probing, Lost: srv.silent, EjectedFor: srv.ejection,
+		RetryAt: srv.probeAt, FullTo: srv.fullUntil, ColdSends: slices.Clone(srv.coldSends)}
+	for att := srv.head; att != nil; att = att.next {
+		rec.Out = append(rec.Out, [2]int{requests.indexOf(att.request), att.index})
+	}
+	return rec
 }
 
-// ErrSnapshot tells that a snapshot is not one that this build can go on from.
+// ErrSnapshot means that this build cannot continue from a snapshot.
 var ErrSnapshot = errors.New("policy: a snapshot that can't be gone on from")
 
-// Restore makes a module that goes on from a snapshot.
-func Restore(s Snapshot) (g *Gateway, err error) {
-	if s.Version != SnapshotVersion {
-		return nil, fmt.Errorf("%w: version %d, not %d", ErrSnapshot, s.Version, SnapshotVersion)
-	}
-	defer func() { // places that lead nowhere
-		if r := recover(); r != nil {
-			g, err = nil, fmt.Errorf("%w: %v", ErrSnapshot, r)
+// Restore returns a gateway that continues from a snapshot.
+func Restore(snapshot Snapshot) (g *Gateway, err error) {
+	if snapshot.Version != SnapshotVersion {
+		return nil, fmt.Errorf("%w: version %d, not %d", ErrSnapshot, snapshot.Version, SnapshotVersion)
+	}
+	defer func() { // an index out of range
+		if rec := recover(); rec != nil {
+			g, err = nil, fmt.Errorf("%w: %v", ErrSnapshot, rec)
 		}
 	}()
-	set := s.Settings
-	set.Classes = nil
-	for _, c := range s.Classes[:s.InForce] {
-		set.Classes = append(set.Classes, c.Class)
-	}
-	g = New(set, 0)
-	g.set = s.Settings
-	classes := make([]*classState, len(s.Classes))
-	for i, c := range s.Classes {
-		if i >= s.InForce {
+	initial := snapshot.Settings
+	initial.Classes = nil
+	for _, rec := range snapshot.Classes[:snapshot.InForce] {
+		initial.Classes = append(initial.Classes, rec.Class)
+	}
+	g = New(initial, 0)
+	g.settings = snapshot.Settings
+	classes := make([]*classState, len(snapshot.Classes))
+	for i, rec := range snapshot.Classes {
+		if i >= snapshot.InForce {
 			classes[i] = &classState{}
 		} else {
 			classes[i] = &g.classes[i]
 		}
-		*classes[i] = c.state()
+		*classes[i] = rec.state()
 	}
-	for i, p := range s.Plans {
-		g.plans[i].holds = p.Holds
+	for i, rec := range snapshot.Plans {
+		g.plans[i].attemptTime = rec.Holds
 	}
-	clients := make([]*customer, len(s.Clients))
-	for i := range s.Clients {
-		clients[i] = g.restoreCustomer(&s.Clients[i])
+	clients := make([]*customer, len(snapshot.Clients))
+	for i := range snapshot.Clients {
+		clients[i] = g.restoreCustomer(&snapshot.Clients[i])
 	}
-	servers := make([]*server, len(s.Servers))
-	for i := range s.Servers {
-		servers[i] = restoreServer(&s.Servers[i])
+	servers := make([]*server, len(snapshot.Servers))
+	for i := range snapshot.Servers {
+		servers[i] = restoreServer(&snapshot.Servers[i])
 	}
-	requests := make([]*request, len(s.Requests))
-	for i := range s.Requests {
-		requests[i] = g.restoreRequest(&s.Requests[i], classes, clients, servers)
+	requests := make([]*request, len(snapshot.Requests))
+	for i := range snapshot.Requests {
+		requests[i] = g.restoreRequest(&snapshot.Requests[i], classes, clients, servers)
 	}
-	for i, r := range s.Servers {
-		for _, at := range r.Out {
-			servers[i].link(requests[at[0]].attempts[at[1]])
+	for i, rec := range snapshot.Servers {
+		for _, pair := range rec.Out {
+			servers[i].appendAttempt(requests[pair[0]].attempts[pair[1]])
 		}
 	}
-	for _, i := range s.Known {
-		g.reqs[requests[i].id] = requests[i]
+	for _, i := range snapshot.Known {
+		g.requests[requests[i].id] = requests[i]
 	}
-	for level, list := range s.Queue {
+	for level, list := range snapshot.Queue {
 		for _, i := range list {
 			g.queue[level] = append(g.queue[level], requests[i])
 			g.queued++
 		}
 	}
-	for _, i := range s.Listed {
+	for _, i := range snapshot.Listed {
 		g.customers[clients[i].key] = clients[i]
 	}
-	for slot, list := range s.Wheel {
+	for slot, list := range snapshot.Wheel {
 		for _, i := range list {
 			g.wheel[slot] = append(g.wheel[slot], clients[i])
 		}
 	}
-	for _, i := range s.Order {
+	for _, i := range snapshot.Order {
 		srv := servers[i]
 		g.servers = append(g.servers, srv)
 		if srv.listed {
-			g.listed++
+			g.listedCount++
 		}
-		if srv.listed || g.byID[srv.id] == nil { // not an old life in the place of the new
+		if srv.listed || g.byID[srv.id] == nil { // not a removed server's record in place of its successor's
 			g.byID[srv.id] = srv
 		}
 	}
-	for _, d := range s.Draws {
-		for _, one := range d.Out {
-			out := drawn{n: one.N, units: one.Units, booked: one.Booked, kind: one.Kind}
-			if one.Request >= 0 {
-				out.q = requests[one.Request]
+	for _, draw := range snapshot.Draws {
+		for _, rec := range draw.Out {
+			call := counterCall{window: rec.N, units: rec.Units, booked: rec.Booked, kind: rec.Kind}
+			if rec.Request >= 0 {
+				call.request = requests[rec.Request]
 			}
-			if one.Client >= 0 {
-				out.c = clients[one.Client]
+			if rec.Client >= 0 {
+				call.customer = clients[rec.Client]
 			}
-			g.draws[d.Name] = append(g.draws[d.Name], out)
+			g.pendingCalls[draw.Name] = append(g.pendingCalls[draw.Name], call)
 		}
 	}
-	g.rng, g.now, g.born, g.wheelAt = s.RNG, s.Now, s.Born, s.WheelAt
-	g.inFlight, g.stuck, g.filling, g.answered, g.bound, g.boundSet = s.InFlight, s.Stuck, s.Filling, s.Answered, s.Bound, s.BoundSet
-	g.cutAt, g.idleAt, g.idle, g.answers, g.stretch = s.CutAt, s.IdleAt, s.Idle, s.Answers, s.Stretch
-	g.doneRate, g.sendRate, g.warmLoad, g.lastRate, g.sends, g.dones = s.DoneRate, s.SendRate, s.WarmLoad, s.LastRate, s.Sends, s.Dones
-	g.calls, g.callAt, g.capWindow = s.Calls, s.CallAt, s.CapWindow
+	g.rng, g.now, g.startedAt, g.wheelAt = snapshot.RNG, snapshot.Now, snapshot.Born, snapshot.WheelAt
+	g.inFlight, g.inFlightSilent, g.inFlightBodies, g.lastAnswer, g.inFlightLimit, g.limitSet = snapshot.InFlight, snapshot.Stuck, snapshot.Filling, snapshot.Answered, snapshot.Bound, snapshot.BoundSet
+	g.limitCutAt, g.minRatioAt, g.minRatio, g.ratioSamples, g.latencyRatio = snapshot.CutAt, snapshot.IdleAt, snapshot.Idle, snapshot.Answers, snapshot.Stretch
+	g.answerRate, g.sendRate, g.warmRate, g.ratesAt, g.sends, g.goodAnswers = snapshot.DoneRate, snapshot.SendRate, snapshot.WarmLoad, snapshot.LastRate, snapshot.Sends, snapshot.Dones
+	g.callFraction, g.lastCounterAnswer, g.capWindow = snapshot.Calls, snapshot.CallAt, snapshot.CapWindow
 	return g, nil
 }
 
-func (g *Gateway) restoreCustomer(r *CustomerRecord) *customer {
-	c := &customer{key: r.Key, plan: &g.plans[r.Plan], spread: r.Spread, tokens: r.Tokens, at: r.At, share: r.Share, shareAt: r.ShareAt,
-		ownMean: r.OwnMean, allMean: r.AllMean, guard: r.Guard, pending: r.Pending, open: r.Open, touched: r.Touched,
-		level: r.Level, levelAt: r.LevelAt, heardAt: r.HeardAt, othersRate: r.OthersRate, untold: r.Untold,
-		window: r.Window, mine: r.Mine, others: r.Others, ownUse: r.OwnUse, othersUse: r.OthersUse, accAt: r.AccAt, spent: r.Spent}
-	return c
+func (g *Gateway) restoreCustomer(rec *CustomerRecord) *customer {
+	cust := &customer{key: rec.Key, plan: &g.plans[rec.Plan], gateways: rec.Spread, tokens: rec.Tokens, refilledAt: rec.At, share: rec.Share, shareAt: rec.ShareAt,
+		ownMean: rec.OwnMean, allMean: rec.AllMean, ceilingTokens: rec.Guard, pending: rec.Pending, inFlight: rec.Open, lastRequest: rec.Touched,
+		sharedTokens: rec.Level, sharedAt: rec.LevelAt, totalAt: rec.HeardAt, othersRate: rec.OthersRate, unreported: rec.Untold,
+		window: rec.Window, ownInWindow: rec.Mine, othersInWindow: rec.Others, ownUse: rec.OwnUse, othersUse: rec.OthersUse, usePeriodStart: rec.AccAt, spentWindow: rec.Spent}
+	return cust
 }
 
-func restoreServer(r *ServerRecord) *server {
-	return &server{id: r.ID, e: r.Entry, listed: r.Listed, place: r.Place, rel: r.Rel, relAt: r.RelAt, load: r.Load, answered: r.Answered,
-		fails: r.Fails, ejected: r.Ejected, trial: r.Trial, lost: r.Lost, ejectedFor: r.EjectedFor,
-		retryAt: r.RetryAt, fullUntil: r.FullTo, coldSends: slices.Clone(r.ColdSends)}
+func restoreServer(rec *ServerRecord) *server {
+	return &server{id: rec.ID, entry: rec.Entry, listed: rec.Listed, order: rec.Place, slowness: rec.Rel, slownessAt: rec.RelAt, work: rec.Load, lastAnswer: rec.Answered,
+		failures: rec.Fails, ejected: rec.Ejected, probing: rec.Trial, silent: rec.Lost, ejection: rec.EjectedFor,
+		probeAt: rec.RetryAt, fullUntil: rec.FullTo, coldSends: slices.Clone(rec.ColdSends)}
 }
 
-func (g *Gateway) restoreRequest(r *RequestRecord, classes []*classState, clients []*customer, servers []*server) *request {
-	q := &request{id: r.ID, class: classes[r.Class], plan: &g.plans[r.Plan], cust: clients[r.Client], units: r.Units, level: r.Level,
-		arrived: r.Arrived, deadline: r.Deadline, halfway: r.Halfway, open: r.Open, sent: r.Sent, done: r.Done, held: r.Held,
-		drawing: r.Drawing, admitted: r.Admitted, uncertain: r.Uncertain, filling: r.Filling, ranAt: r.RanAt, tokensTaken: r.Taken, leasedAt: r.LeasedAt}
-	if r.RanOn >= 0 {
-		q.ranOn = servers[r.RanOn]
+func (g *Gateway) restoreRequest(rec *RequestRecord, classes []*classState, clients []*customer, servers []*server) *request {
+	req := &request{id: rec.ID, class: classes[rec.Class], plan: &g.plans[rec.Plan], customer: clients[rec.Client], units: rec.Units, level: rec.Level,
+		arrived: rec.Arrived, deadline: rec.Deadline, unsentDeadline: rec.Halfway, inFlight: rec.Open, sent: rec.Sent, done: rec.Done, held: rec.Held,
+		awaitsCounter: rec.Drawing, admitted: rec.Admitted, mayHaveRun: rec.Uncertain, bodyPending: rec.Filling, ranAt: rec.RanAt, tokensTaken: rec.Taken, leasedAt: rec.LeasedAt}
+	if rec.RanOn >= 0 {
+		req.ranOn = servers[rec.RanOn]
 	}
-	for i, a := range r.Attempts {
-		q.attempts = append(q.attempts, &attempt{req: q, srv: servers[a.Server], n: i, sent: a.Sent, open: a.Open, load: a.Load, filling: a.Filling})
+	for i, a := range rec.Attempts {
+		req.attempts = append(req.attempts, &attempt{request: req, server: servers[a.Server], index: i, sent: a.Sent, open: a.Open, work: a.Load, bodyPending: a.Filling})
 	}
-	return q
+	return req
 }
 
-// link puts an open attempt behind the others of its server.
-func (s *server) link(a *attempt) {
-	a.prev = s.tail
+// link appends an open attempt to its server's list.
+func (s *server) appendAttempt(att *attempt) {
+	att.prev = s.tail
 	if s.tail != nil {
-		s.tail.next = a
+		s.tail.next = att
 	} else {
-		s.head = a
+		s.head = att
 	}
-	s.tail = a
-	s.open++
+	s.tail = att
+	s.inFlight++
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,182 +1,181 @@
 package policy
 
-// The records a gateway keeps and the plumbing around them. Nothing is decided
-// here.
+// The records that a gateway keeps, and helpers that keep them consistent. Nothing is decided here.
 
 type request struct {
-	id          uint32
-	class       *classState
-	plan        *planState
-	cust        *customer
-	units       float64
-	level       int
-	arrived     Micros
-	deadline    Micros
-	halfway     Micros // of its client's time
-	attempts    []*attempt
-	open        int  // attempts outstanding
-	sent, done  bool // a first attempt was made; the final answer is given
-	filling     bool // its last byte is still to come
-	held        bool
-	heldAt      Micros // since when it is
-	drawing     bool   // the counter is asked for its units
-	admitted    bool
-	uncertain   bool // an attempt may have run
-	ranOn       *server
-	ranAt       Micros // send of the first attempt that may have run
-	tokensTaken float64
-	leasedAt    Micros // when its units of a ceiling were
+	id             uint32
+	class          *classState
+	plan           *planState
+	customer       *customer
+	units          float64
+	level          int
+	arrived        Micros
+	deadline       Micros
+	unsentDeadline Micros // while it was never sent, it is refused by then
+	attempts       []*attempt
+	inFlight       int  // attempts in flight
+	sent, done     bool // a first attempt was made; the final answer is given
+	bodyPending    bool // the last byte of its body has not arrived yet
+	held           bool
+	heldAt         Micros // when it was last put in the queue
+	awaitsCounter  bool   // it awaits the counter
+	admitted       bool
+	mayHaveRun     bool // an attempt may have run on a server
+	ranOn          *server
+	ranAt          Micros // send time of the first attempt that may have run
+	tokensTaken    float64
+	leasedAt       Micros // when its units of a ceiling were leased; 0 if they were not
 
-	homes   uint64  // regions that it may go to
-	kind    int     // the class that it came with
-	granted bool    // its next attempt was asked for already
-	avoid   *server // was silent with it
+	regions      uint64  // bit set of the regions it may go to; 0 for any
+	arrivalClass int     // index of its class at its arrival
+	retryGranted bool    // Settings.FurtherTry already allowed its next attempt
+	avoidServer  *server // its attempt there was cancelled because the server was silent
 }
 
 type attempt struct {
-	req        *request
-	srv        *server
-	n          int
-	sent       Micros
-	open       bool
-	load       float64 // its work against the average
-	filling    bool    // the worker can't have begun
-	muted      bool    // its silence was told
-	left       bool    // it is on its way to the server
-	prev, next *attempt
+	request         *request
+	server          *server
+	index           int
+	sent            Micros
+	open            bool
+	work            float64 // its expected latency relative to the mean
+	bodyPending     bool    // counted as waiting for the request's body: the server cannot have started
+	silenceObserved bool    // its server's silence was already observed with it
+	departed        bool    // it has been sent to the server
+	prev, next      *attempt
 }
 
 type server struct {
-	id         Server
-	e          Entry
-	listed     bool
-	place      float64 // in our own order of the servers
-	rel        float64 // latency relative to the fleet's
-	relAt      Micros
-	open       int
-	load       float64  // work of own attempts outstanding
-	head, tail *attempt // own attempts outstanding, oldest first
-	answered   Micros   // last answer of any kind
-	fails      int
-	ejected    bool
-	ejectedFor Micros
-	retryAt    Micros
-	trial      bool // a trial is out
-	lost       bool // shut off as silent, and not heard of since
-	fullUntil  Micros
-	coldSends  []Micros // of the last second
-	unsent     int      // attempts that have not left yet
-	belief     Belief   // of the zone's gateways
-	seen       seen
-	told       float64 // requests for each slot that it had, by its last report
-	toldAt     Micros
-	usedAt     Micros // our last send, or where it stands among the turns
-	weighedAt  Micros // when it was last among those to choose from
+	id             Server
+	entry          Entry
+	listed         bool
+	order          float64 // position in our own order of the servers, ascending
+	slowness       float64 // latency relative to the fleet's, decays towards 1
+	slownessAt     Micros
+	inFlight       int
+	work           float64  // sum of the work of our attempts in flight
+	head, tail     *attempt // our attempts in flight, oldest first
+	lastAnswer     Micros   // time of the last answer of any kind
+	failures       int
+	ejected        bool
+	ejection       Micros
+	probeAt        Micros
+	probing        bool // a probe is in flight
+	silent         bool // ejected as silent, and not heard of since
+	fullUntil      Micros
+	coldSends      []Micros // sends that still count against its cold budget
+	unsent         int      // attempts decided on that have not been sent yet
+	verdict        Belief   // verdict of the zone's gateways
+	unreported     observations
+	reportedLoad   float64 // requests per slot in its last load report
+	reportedAt     Micros
+	lastUsed       Micros // our last send, or a time drawn to spread the first sends
+	lastConsidered Micros // when it was last a candidate
 }
 
-// takes tells whether the list has a server take new work.
-func (s *server) takes() bool { return s.listed && s.e.State == Ready }
+// takesRequests reports whether the list lets a server take new requests.
+func (s *server) takesRequests() bool { return s.listed && s.entry.State == Ready }
 
 type classState struct {
 	Class
-	units   float64 // average units of its answered requests
-	longest Micros  // longest time left of a try
-	full    float64 // part of the tries that have it
-	lat     float64 // fleet latency of good answers, slow average
-	n       int
+	meanUnits     float64 // mean units of its answered requests
+	maxTimeLeft   Micros  // longest time left of a try, in µs
+	fullTimeShare float64 // fraction of first tries that have nearly that much
+	latency       float64 // mean latency of good answers from the fleet, in µs
+	answers       int
 }
 
 type planState struct {
 	Plan
-	index int
-	holds float64 // how long its attempts are out
+	index       int
+	attemptTime float64 // mean time that its attempts are in flight, in µs
 }
 
 type customer struct {
-	key     uint64
-	plan    *planState
-	spread  float64
-	tokens  float64
-	at      Micros
-	share   float64
-	shareAt Micros
-	ownMean float64 // smoothed own use by periods
-	allMean float64 // smoothed use by all gateways in them
-	guard   float64 // our part of the ceiling's store
-	pending float64 // units admitted and not sent yet
-	open    int
-	touched Micros
-	// counter
-	level      float64 // what is in the shared store by what we know
-	levelAt    Micros
-	heardAt    Micros  // last total
-	othersRate float64 // units a second that the others use
-	untold     float64 // own use that the counter has not been told
-	window     int64   // the name's
-	mine       float64 // added by us in the window
-	others     float64 // added by the others, by the last total
-	ownUse     float64 // since accAt, and the others'
-	othersUse  float64
-	accAt      Micros
-	spent      [2]int64 // the windows that are, by what is drawn
+	key           uint64
+	plan          *planState
+	gateways      float64
+	tokens        float64
+	refilledAt    Micros
+	share         float64
+	shareAt       Micros
+	ownMean       float64 // our use per period, smoothed
+	allMean       float64 // use of all gateways per period, smoothed
+	ceilingTokens float64 // units in our part of the ceiling's bucket
+	pending       float64 // units admitted and not sent yet
+	inFlight      int
+	lastRequest   Micros
+	// Shared bucket, kept on the counter.
+	sharedTokens   float64 // estimate of the units in the shared bucket
+	sharedAt       Micros
+	totalAt        Micros  // time of the last total; 0 before the first
+	othersRate     float64 // units per second that the other gateways use
+	unreported     float64 // our use that the counter does not have yet
+	window         int64   // number of the current counter window
+	ownInWindow    float64 // units that we added in the window
+	othersInWindow float64 // units that the others added, by the last total
+	ownUse         float64 // our use since usePeriodStart, and the others'
+	othersUse      float64
+	usePeriodStart Micros
+	spentWindow    [2]int64 // windows known to be spent, by drawUnits and drawLease
 }
 
-// drawn is a counter call that is out.
-type drawn struct {
-	q *request  // waits for it, if any
-	c *customer // where it is for the shared store
-	n int64     // the window
+// counterCall is a counter call in progress.
+type counterCall struct {
+	request  *request  // request that waits for it, or nil
+	customer *customer // customer whose shared bucket it is for; nil for a draw
+	window   int64     // number of the counter window
 
-	kind int // of draw, where it is none for the shared store
+	kind int // drawUnits or drawLease; unused for a shared bucket
 
-	units, booked float64 // used before, and by the request that waits
+	units, booked float64 // earlier use, and units of the request that waits
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
-	set       Settings
-	rng       uint64
-	do        Host
-	now       Micros
-	born      Micros
-	classes   []classState
-	plans     []planState
-	levels    [][]int // class, plan -> place in queue
-	queue     [][]*request
-	queued    int
-	reqs      map[uint32]*request
-	customers map[uint64]*customer
-	wheel     [][]*customer
-	wheelAt   int64
-	tickDue   Micros // when the tick that was last asked for is due
-	servers   []*server
-	byID      map[Server]*server
-	listed    int // servers
-	ringed    Ring
+	settings    Settings
+	rng         uint64
+	host        Host
+	now         Micros
+	startedAt   Micros
+	classes     []classState
+	plans       []planState
+	levels      [][]int // by class and plan, the index in queue
+	queue       [][]*request
+	queued      int
+	requests    map[uint32]*request
+	customers   map[uint64]*customer
+	wheel       [][]*customer
+	wheelAt     int64
+	tickDue     Micros // when the latest requested tick is due
+	servers     []*server
+	byID        map[Server]*server
+	listedCount int // number of listed servers
+	ringPlace   Ring
 
-	inFlight int
-	stuck    int    // of them, on servers that are silent
-	filling  int    // of them, with a last byte still to come
-	answered Micros // last answer of any server
-	bound    float64
-	boundSet bool
-	cutAt    Micros
-	idle     float64 // least smoothed stretch seen, forgotten slowly
-	idleAt   Micros
-	answers  int
-	stretch  float64 // answers' latency over their aim, smoothed
-	doneRate float64 // answers a second
-	sendRate float64
-	warmLoad float64 // good answers a second that a server has given us
-	lastRate Micros
-	sends    int
-	dones    int
-	toCold   uint64 // sends that have left for servers that were cold
+	inFlight       int
+	inFlightSilent int    // attempts at silent servers, part of inFlight
+	inFlightBodies int    // attempts waiting for a request body, part of inFlight
+	lastAnswer     Micros // time of the last answer of any server
+	inFlightLimit  float64
+	limitSet       bool
+	limitCutAt     Micros
+	minRatio       float64 // least latency ratio seen, drifts up to the current one
+	minRatioAt     Micros
+	ratioSamples   int
+	latencyRatio   float64 // smoothed latency of answers over their latency target
+	answerRate     float64 // good answers per second
+	sendRate       float64
+	warmRate       float64 // good answers per second that a warm server has given us
+	ratesAt        Micros
+	sends          int
+	goodAnswers    int
+	coldSendCount  uint64 // attempts sent to cold servers
 
-	draws     map[uint64][]drawn
-	calls     float64 // part of the draws that are made
-	capWindow Micros
-	callAt    Micros
+	pendingCalls      map[uint64][]counterCall
+	callFraction      float64 // fraction of the counter calls that are made
+	capWindow         Micros
+	lastCounterAnswer Micros
 }
 
 func (g *Gateway) random() float64 {
@@ -186,16 +185,16 @@
 	return float64(g.rng>>11) / (1 << 53)
 }
 
-func mix(a, b uint64) uint64 {
+func hash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xc2b2ae3d27d4eb4f
 	x ^= x >> 29
 	x *= 0xbf58476d1ce4e5b9
 	return x ^ x>>32
 }
 
-func drop(list *[]*request, q *request) bool {
+func removeRequest(list *[]*request, req *request) bool {
 	for i, x := range *list {
-		if x == q {
+		if x == req {
 			*list = append((*list)[:i], (*list)[i+1:]...)
 			return true
 		}
@@ -203,106 +202,106 @@
 	return false
 }
 
-func (g *Gateway) unhold(q *request) {
-	if !q.held {
+func (g *Gateway) unqueue(req *request) {
+	if !req.held {
 		return
 	}
-	q.held = false
-	if drop(&g.queue[q.level], q) {
+	req.held = false
+	if removeRequest(&g.queue[req.level], req) {
 		g.queued--
 	}
 }
 
-func (g *Gateway) closeAttempt(a *attempt) {
-	s := a.srv
-	g.leave(a) // whatever became of it
-	if a.prev != nil {
-		a.prev.next = a.next
+func (g *Gateway) closeAttempt(att *attempt) {
+	srv := att.server
+	g.recordDeparture(att) // if it was never reported as sent
+	if att.prev != nil {
+		att.prev.next = att.next
 	} else {
-		s.head = a.next
+		srv.head = att.next
 	}
-	if a.next != nil {
-		a.next.prev = a.prev
+	if att.next != nil {
+		att.next.prev = att.prev
 	} else {
-		s.tail = a.prev
+		srv.tail = att.prev
 	}
-	a.open = false
-	s.open--
-	if a.filling {
-		g.filling--
+	att.open = false
+	srv.inFlight--
+	if att.bodyPending {
+		g.inFlightBodies--
 	} else {
-		s.load -= a.load
+		srv.work -= att.work
 	}
-	a.req.open--
-	a.req.cust.open--
+	att.request.inFlight--
+	att.request.customer.inFlight--
 	g.inFlight--
 }
 
-func (g *Gateway) cancelAll(q *request) {
-	for i := range q.attempts {
-		if q.attempts[i].open && g.set.Cancel {
-			g.do.Cancel(q.id, i)
+func (g *Gateway) cancelAll(req *request) {
+	for i := range req.attempts {
+		if req.attempts[i].open && g.settings.Cancel {
+			g.host.Cancel(req.id, i)
 		}
 	}
 }
 
-// openAttempt adds an attempt to its request's and its server's lists.
-func (g *Gateway) openAttempt(q *request, s *server, load float64) {
-	a := &attempt{req: q, srv: s, n: len(q.attempts), sent: g.now, open: true, load: load, filling: q.filling}
-	q.attempts = append(q.attempts, a)
-	s.link(a)
-	if a.filling {
-		g.filling++
+// openAttempt adds an attempt to its request's and its server's records.
+func (g *Gateway) openAttempt(req *request, srv *server, load float64) {
+	att := &attempt{request: req, server: srv, index: len(req.attempts), sent: g.now, open: true, work: load, bodyPending: req.bodyPending}
+	req.attempts = append(req.attempts, att)
+	srv.appendAttempt(att)
+	if att.bodyPending {
+		g.inFlightBodies++
 	} else {
-		s.load += load
+		srv.work += load
 	}
-	q.open++
-	q.cust.open++
+	req.inFlight++
+	req.customer.inFlight++
 	g.inFlight++
 }
 
-func (g *Gateway) refuse(q *request, wait Micros) {
-	g.giveBack(q)
-	g.unhold(q)
-	if !g.set.RetryAfter {
+func (g *Gateway) refuse(req *request, wait Micros) {
+	g.returnUnits(req)
+	g.unqueue(req)
+	if !g.settings.RetryAfter {
 		wait = 0
 	}
-	g.do.Refuse(q.id, wait)
-	g.finish(q)
+	g.host.Refuse(req.id, wait)
+	g.finish(req)
 }
 
-func (g *Gateway) fail(q *request) {
-	g.giveBack(q)
-	g.unhold(q)
-	g.do.Fail(q.id)
-	g.finish(q)
+func (g *Gateway) fail(req *request) {
+	g.returnUnits(req)
+	g.unqueue(req)
+	g.host.Fail(req.id)
+	g.finish(req)
 }
 
-func (g *Gateway) finish(q *request) {
-	q.done = true
-	if q.open == 0 {
-		delete(g.reqs, q.id)
+func (g *Gateway) finish(req *request) {
+	req.done = true
+	if req.inFlight == 0 {
+		delete(g.requests, req.id)
 	}
 }
 
-func (g *Gateway) enter(now Micros, do Host) {
-	g.now, g.do = now, do
+func (g *Gateway) beginEvent(now Micros, host Host) {
+	g.now, g.host = now, host
 }
 
-// silence is how long a server with work of ours has answered nothing.
-func (g *Gateway) silence(s *server) float64 {
-	if s.head == nil {
+// silence is how long a server with attempts of ours in flight has answered nothing, in µs.
+func (g *Gateway) silence(srv *server) float64 {
+	if srv.head == nil {
 		return 0
 	}
-	return float64(g.now - max(s.answered, s.head.sent))
+	return float64(g.now - max(srv.lastAnswer, srv.head.sent))
 }
 
-// typical is the fleet's latency over all classes.
-func (g *Gateway) typical() float64 {
+// meanLatency is the fleet's mean latency over all classes, in µs.
+func (g *Gateway) meanLatency() float64 {
 	sum, n := 0.0, 0.0
 	for i := range g.classes {
-		sum += g.classes[i].lat * float64(g.classes[i].n+1)
-		n += float64(g.classes[i].n + 1)
+		sum += g.classes[i].latency * float64(g.classes[i].answers+1)
+		n += float64(g.classes[i].answers + 1)
 	}
 	return max(sum/max(n, 1), 1)
 }
--- a/policy/store.go
+++ b/policy/store.go
@@ -2,191 +2,192 @@
 
 import "slices"
 
-// Customers' stores: ours, and what a gateway knows of those that all gateways share
-// through the counter. A number on it stands for a customer and a window of time; every
-// gateway adds its use, and the total tells each what the others have used.
+// Customers' token buckets: our own, and the estimate of those that all gateways share through the counter. A
+// counter name stands for a customer and a time window. Every gateway adds its use; from the total each
+// learns the use of the others.
 
-// shared tells whether a customer's store is kept on the counter, for all gateways.
-func (g *Gateway) shared(c *customer) bool {
-	return g.set.Counter && c.plan.Rate > 0 && c.plan.Open == 0 && !g.thin(c)
+// usesSharedBucket reports whether a customer's bucket is kept on the counter, for all gateways.
+func (g *Gateway) usesSharedBucket(cust *customer) bool {
+	return g.settings.Counter && cust.plan.Rate > 0 && cust.plan.Open == 0 && !g.needsDraw(cust)
 }
 
-// flow brings what we know of a customer's shared store to the present: it fills at
-// the plan's rate, less what the other gateways use by our measure.
-func (g *Gateway) flow(c *customer) {
-	dt := float64(g.now-c.levelAt) / 1e6
-	c.levelAt = g.now
-	c.level += (c.plan.Rate - c.othersRate) * dt
-	g.limit(c)
+// advanceShared advances the estimate of the shared bucket to the present: it fills at the plan's rate less
+// the measured use of the other gateways.
+func (g *Gateway) advanceShared(cust *customer) {
+	dt := float64(g.now-cust.sharedAt) / 1e6
+	cust.sharedAt = g.now
+	cust.sharedTokens += (cust.plan.Rate - cust.othersRate) * dt
+	g.clampShared(cust)
 }
 
-// limit keeps what we believe of a store within what it can hold: what is sent on
-// beyond a quota takes nothing from it, so it is never far below nothing.
-func (g *Gateway) limit(c *customer) {
-	c.level = max(min(c.level, c.plan.Burst), -storeLeast*g.set.Largest)
+// clampShared keeps that estimate within the burst. Requests sent on beyond a quota take nothing from the
+// bucket, so its debt is bounded too.
+func (g *Gateway) clampShared(cust *customer) {
+	cust.sharedTokens = max(min(cust.sharedTokens, cust.plan.Burst), -maxDebt*g.settings.Largest)
 }
 
-// phase is how far a customer's windows on the counter are shifted: they end at different
-// moments.
-func phase(c *customer, window Micros) Micros { return Micros(mix(c.key, 0) % uint64(window)) }
+// windowPhase shifts a customer's counter windows, so that those of different customers end at different
+// times.
+func windowPhase(cust *customer, window Micros) Micros {
+	return Micros(hash(cust.key, 0) % uint64(window))
+}
 
-// call adds to a customer's number what the counter was not told yet; the total that
-// comes back tells the use of the others. A request may wait for it: its units are added
-// with the question where it is likely to be let in, so that one call does.
-func (g *Gateway) call(c *customer, q *request) {
-	if n := (g.now + phase(c, storeWindow)) / storeWindow; n != c.window {
-		c.window, c.mine, c.others = n, 0, 0
+// callCounter adds unreported use to a customer's counter; the total returned shows the use of the others. A
+// request may wait for the answer: its units are added in the same call if it is likely to be admitted.
+func (g *Gateway) callCounter(cust *customer, req *request) {
+	if window := (g.now + windowPhase(cust, counterWindow)) / counterWindow; window != cust.window {
+		cust.window, cust.ownInWindow, cust.othersInWindow = window, 0, 0
 	}
-	d := drawn{q: q, c: c, n: c.window, units: c.untold}
-	if q != nil && c.level >= q.units { // it will be let in: told at once
-		d.booked = q.units
+	call := counterCall{request: req, customer: cust, window: cust.window, units: cust.unreported}
+	if req != nil && cust.sharedTokens >= req.units { // likely admitted: booked in the same call
+		call.booked = req.units
 	}
-	name := mix(c.key, uint64(c.window)|1<<62)
-	g.draws[name] = append(g.draws[name], d)
-	g.do.Count(name, d.units+d.booked, 2*storeWindow)
-	c.untold = 0
+	name := hash(cust.key, uint64(cust.window)|1<<62)
+	g.pendingCalls[name] = append(g.pendingCalls[name], call)
+	g.host.Count(name, call.units+call.booked, 2*counterWindow)
+	cust.unreported = 0
 }
 
-// hear takes a total of a customer's window: what the others have added since the
-// last one has left the store, beyond what flow took for it.
-func (g *Gateway) hear(c *customer, total float64) {
-	since := float64(g.now-max(c.heardAt, c.window*storeWindow-phase(c, storeWindow))) / 1e6
-	used := total - c.mine - c.others // below nothing where requests were cheaper than guessed
-	c.others = total - c.mine
-	if used < -g.set.Largest { // the counter has lost what it held: our slice knows best
-		used = c.othersRate * since
-		c.level = min(c.level, max(c.tokens, 0)*c.spread)
+// applyTotal takes in a total of a customer's window: use that the others have added since the last one
+// leaves the bucket, less what advanceShared already took for it.
+func (g *Gateway) applyTotal(cust *customer, total float64) {
+	since := float64(g.now-max(cust.totalAt, cust.window*counterWindow-windowPhase(cust, counterWindow))) / 1e6
+	used := total - cust.ownInWindow - cust.othersInWindow // negative if requests cost less than estimated
+	cust.othersInWindow = total - cust.ownInWindow
+	if used < -g.settings.Largest { // the counter lost its data: rely on our own share
+		used = cust.othersRate * since
+		cust.sharedTokens = min(cust.sharedTokens, max(cust.tokens, 0)*cust.gateways)
 	}
-	c.level += c.othersRate*since - used
-	g.limit(c)
+	cust.sharedTokens += cust.othersRate*since - used
+	g.clampShared(cust)
 	if since > 0 {
-		rate := min(max(used/since, 0), c.plan.Rate)
-		c.othersRate += (rate - c.othersRate) * since / (since + storeSmooth)
+		rate := min(max(used/since, 0), cust.plan.Rate)
+		cust.othersRate += (rate - cust.othersRate) * since / (since + othersSmoothing)
 	}
-	c.heardAt = g.now
-	c.tokens = min(max(c.level, 0)*g.currentShare(c), g.store(c))
-	if c.othersUse += max(used, 0); g.now-c.accAt >= counterPeriod && total >= c.mine*0.999 {
-		g.learn(c, c.ownUse, c.ownUse+c.othersUse)
-		c.ownUse, c.othersUse, c.accAt = 0, 0, g.now
+	cust.totalAt = g.now
+	cust.tokens = min(max(cust.sharedTokens, 0)*g.currentShare(cust), g.bucketCapacity(cust))
+	if cust.othersUse += max(used, 0); g.now-cust.usePeriodStart >= sharePeriod && total >= cust.ownInWindow*0.999 {
+		g.updateShare(cust, cust.ownUse, cust.ownUse+cust.othersUse)
+		cust.ownUse, cust.othersUse, cust.usePeriodStart = 0, 0, g.now
 	}
 }
 
-// note records use of our own. The counter is told once it has become much.
-func (g *Gateway) note(c *customer, units float64) {
-	if g.shared(c) {
-		c.ownUse += units
-		c.untold += units
-		much := max(storeTell*max(c.level, 0)/c.spread, storeLeast*g.set.Largest)
-		if c.untold > much && g.random() < g.calls {
-			g.call(c, nil)
+// recordUse records our own use, and reports it to the counter once there is enough of it.
+func (g *Gateway) recordUse(cust *customer, units float64) {
+	if g.usesSharedBucket(cust) {
+		cust.ownUse += units
+		cust.unreported += units
+		threshold := max(reportFraction*max(cust.sharedTokens, 0)/cust.gateways, maxDebt*g.settings.Largest)
+		if cust.unreported > threshold && g.random() < g.callFraction {
+			g.callCounter(cust, nil)
 		}
 	}
 }
 
-// learn moves the share to our part of what all gateways used.
-func (g *Gateway) learn(c *customer, own, all float64) {
-	c.ownMean += (own - c.ownMean) * shareGain
-	c.allMean += (max(all, own) - c.allMean) * shareGain
-	c.shareAt = g.now
-	c.share = 1 / c.spread
-	if c.allMean > 0 {
-		c.share = min(max(c.ownMean/c.allMean, 1/c.spread), 1)
+// updateShare moves the share towards our part of the use of all gateways.
+func (g *Gateway) updateShare(cust *customer, own, all float64) {
+	cust.ownMean += (own - cust.ownMean) * shareGain
+	cust.allMean += (max(all, own) - cust.allMean) * shareGain
+	cust.shareAt = g.now
+	cust.share = 1 / cust.gateways
+	if cust.allMean > 0 {
+		cust.share = min(max(cust.ownMean/cust.allMean, 1/cust.gateways), 1)
 	}
 }
 
-// reserve takes a request's units from what else bounds its customer.
-func (g *Gateway) reserve(q *request) {
-	if q.plan.CeilingRate > 0 {
-		q.cust.guard -= q.units
+// reserveUnits takes a request's units from its ceiling and counts them as pending.
+func (g *Gateway) reserveUnits(req *request) {
+	if req.plan.CeilingRate > 0 {
+		req.customer.ceilingTokens -= req.units
 	}
-	q.cust.pending += q.units
-	q.admitted = true
+	req.customer.pending += req.units
+	req.admitted = true
 }
 
-// await lets a request wait for the counter.
-func (g *Gateway) await(q *request) {
-	q.drawing = true
-	g.do.Timer(tokenGiveUp<<32|uint64(q.id), max(q.deadline-2*max(g.set.Tick, milli)-g.now, 0))
+// awaitCounter lets a request wait for the counter, until shortly before its client gives up.
+func (g *Gateway) awaitCounter(req *request) {
+	req.awaitsCounter = true
+	g.host.Timer(tokenGiveUp<<32|uint64(req.id), max(req.deadline-2*max(g.settings.Tick, milli)-g.now, 0))
 }
 
-// refill brings our bucket and our part of the ceiling to the present.
-func (g *Gateway) refill(c *customer) {
-	dt := float64(g.now-c.at) / 1e6
+// refill advances our bucket and our part of the ceiling to the present.
+func (g *Gateway) refill(cust *customer) {
+	dt := float64(g.now-cust.refilledAt) / 1e6
 	if dt <= 0 {
 		return
 	}
-	c.at = g.now
-	p := c.plan
-	// What is admitted and still held has left our stores but not the shared
-	// ones, which fill no further meanwhile; so neither do ours.
-	c.tokens = min(c.tokens+g.rate(c)*g.currentShare(c)*dt, g.store(c)-c.pending)
-	if p.CeilingRate > 0 {
-		rate, burst := g.ceiling(c)
-		c.guard = min(c.guard+rate*dt, burst-c.pending)
+	cust.refilledAt = g.now
+	plan := cust.plan
+	// Units admitted and still held have left our buckets but not the shared ones, which do not fill further
+	// meanwhile; so ours do not either.
+	cust.tokens = min(cust.tokens+g.refillRate(cust)*g.currentShare(cust)*dt, g.bucketCapacity(cust)-cust.pending)
+	if plan.CeilingRate > 0 {
+		rate, burst := g.ownCeiling(cust)
+		cust.ceilingTokens = min(cust.ceilingTokens+rate*dt, burst-cust.pending)
 	}
 }
 
-// recordKey names the record of a customer under a plan. It guards a customer against
-// requests that come in its name with another plan: its stores would be kept by that.
+// recordKey is the key of a customer's record under a plan. A request that claims another plan in a
+// customer's name must not change the buckets of the real one.
 func recordKey(customer uint64, plan int) uint64 { return customer ^ uint64(plan)<<48 }
 
-// customer is the record of a request's customer, made where there is none. Of the sets
-// that requests claim, the widest counts: a single false one would hand us the whole of a
-// quota or ceiling that others share.
-func (g *Gateway) customer(r Request) *customer {
-	key := recordKey(r.Customer, r.Plan)
-	c, spread := g.customers[key], float64(min(max(r.Spread, 1), max(g.set.Gateways, 1)))
-	if c == nil {
-		c = &customer{key: key, plan: &g.plans[r.Plan], spread: spread, at: g.now}
-		c.share = 1 / c.spread
-		c.tokens = g.store(c)
-		c.level, c.levelAt, c.accAt = c.plan.Burst, g.now, g.now
-		p := c.plan
-		if p.CeilingRate > 0 {
-			// A gateway just born does not know what it spent in an earlier life:
-			// its part of the ceiling fills from nothing since then.
-			rate, burst := g.ceiling(c)
-			c.guard = min(burst, rate*float64(g.now-g.born)/1e6)
+// customerFor returns the record of a request's customer, creating it if necessary. The largest gateway count
+// that requests have claimed is used: a single false claim of one gateway would give us the whole quota or
+// ceiling.
+func (g *Gateway) customerFor(try Request) *customer {
+	key := recordKey(try.Customer, try.Plan)
+	cust, spread := g.customers[key], float64(min(max(try.Spread, 1), max(g.settings.Gateways, 1)))
+	if cust == nil {
+		cust = &customer{key: key, plan: &g.plans[try.Plan], gateways: spread, refilledAt: g.now}
+		cust.share = 1 / cust.gateways
+		cust.tokens = g.bucketCapacity(cust)
+		cust.sharedTokens, cust.sharedAt, cust.usePeriodStart = cust.plan.Burst, g.now, g.now
+		plan := cust.plan
+		if plan.CeilingRate > 0 {
+			// A new gateway does not know what it spent before a restart, so its part of the ceiling fills
+			// from zero since its start.
+			rate, burst := g.ownCeiling(cust)
+			cust.ceilingTokens = min(burst, rate*float64(g.now-g.startedAt)/1e6)
 		}
-		g.customers[key] = c
-		i := c.key * 0x9e3779b97f4a7c15 >> 32 % uint64(len(g.wheel))
-		g.wheel[i] = append(g.wheel[i], c)
+		g.customers[key] = cust
+		slot := cust.key * 0x9e3779b97f4a7c15 >> 32 % uint64(len(g.wheel))
+		g.wheel[slot] = append(g.wheel[slot], cust)
 	}
-	c.spread, c.touched = max(c.spread, spread), g.now
-	return c
+	cust.gateways, cust.lastRequest = max(cust.gateways, spread), g.now
+	return cust
 }
 
-// keepFor is how long an idle customer is remembered: until its stores are surely
-// full, as one met anew starts with what has filled since our birth (rule 5).
-func (c *customer) keepFor() Micros {
-	p := c.plan
-	return max(idleAge, waitFor(p.Burst*c.spread, p.Rate), waitFor(p.CeilingBurst, p.CeilingRate))
+// idleTimeout is how long an idle customer is kept: until its buckets are surely full, since a new record
+// starts with what has filled since our start.
+func (c *customer) idleTimeout() Micros {
+	plan := c.plan
+	return max(minCustomerIdle, waitFor(plan.Burst*c.gateways, plan.Rate), waitFor(plan.CeilingBurst, plan.CeilingRate))
 }
 
-// turn visits the customers whose second ends now.
-func (g *Gateway) turn(slot int) {
-	g.wheel[slot] = slices.DeleteFunc(g.wheel[slot], func(c *customer) bool {
-		g.tellUse(c)
-		idle := g.now-c.touched > c.keepFor() && c.open == 0 && c.pending <= 0
+// visitSlot visits the customers whose second ends now.
+func (g *Gateway) visitSlot(slot int) {
+	g.wheel[slot] = slices.DeleteFunc(g.wheel[slot], func(cust *customer) bool {
+		g.reportUse(cust)
+		idle := g.now-cust.lastRequest > cust.idleTimeout() && cust.inFlight == 0 && cust.pending <= 0
 		if idle {
-			delete(g.customers, c.key)
+			delete(g.customers, cust.key)
 		}
 		return idle
 	})
 }
 
-// giveBack returns what a request took that was never sent.
-func (g *Gateway) giveBack(q *request) {
-	if q.sent {
+// returnUnits returns what a request took that was never sent.
+func (g *Gateway) returnUnits(req *request) {
+	if req.sent {
 		return
 	}
-	q.cust.tokens += q.tokensTaken
-	q.cust.level += q.tokensTaken
-	if q.admitted {
-		q.cust.pending -= q.units
+	req.customer.tokens += req.tokensTaken
+	req.customer.sharedTokens += req.tokensTaken
+	if req.admitted {
+		req.customer.pending -= req.units
 	}
-	if q.admitted && q.plan.CeilingRate > 0 {
-		q.cust.guard += q.units
+	if req.admitted && req.plan.CeilingRate > 0 {
+		req.customer.ceilingTokens += req.units
 	}
-	q.tokensTaken, q.admitted = 0, false
+	req.tokensTaken, req.admitted = 0, false
 }
