--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -1,300 +1,301 @@
 package policy
 
-// The buckets of one gatekeeper for the tenants' quotas. What they fill at is allotted to
-// it under a lease (internal/quota); the module never asks for anything itself.
+// Token buckets of one gateway for the tenants' quotas. An allotter gives each gateway its refill rates under
+// a lease (internal/quota); nothing here communicates with it.
 
 const (
-	tenantIdle   = 60 * second // an unused bucket without a slice is forgotten
-	demandSpan   = 2.0         // seconds over which what was asked is smoothed
-	floodLeast   = 4.0         // requests a second beyond twice what was asked before that are a flood,
-	floodSpan    = 0.5         // over so many seconds at least
-	tenantSoon   = 20 * milli  // the least and the longest wait that a refused one is told
-	tenantLate   = 2 * second
-	tenantAsked  = 300 * milli // the longest where no slice was brought yet: an asking is on its way
-	kickSpan     = 2 * second  // the allotter goes by that
-	tenantSpread = 0.3         // of the wait is added by turns, so that the refused don't return together
-	tenantFirst  = 2.0         // tokens at most are left for first tries by those who come again,
-	firstPart    = 0.5         // and so much of what a burst holds beyond one
+	bucketIdle       = 60 * second // a bucket without an allotment that is unused for this long is dropped
+	demandSeconds    = 2.0         // seconds over which demand is smoothed
+	floodMinRate     = 4.0         // requests per second beyond twice the earlier demand that count as a flood,
+	floodSeconds     = 0.5         // averaged over at least this many seconds
+	minTenantWait    = 20 * milli  // shortest wait that a refused client is told
+	maxTenantWait    = 2 * second
+	maxFirstWait     = 300 * milli // longest wait told before the first allotment, which has been asked for already
+	startTokensLife  = 2 * second  // lifetime of the start-up tokens; the allotter relies on this value
+	waitSpread       = 0.3         // largest fraction added to a wait, by turns, so that refused clients return at different times
+	firstTryTokens   = 2.0         // most tokens that retries leave for first tries,
+	firstTryFraction = 0.5         // but at most this fraction of the burst beyond one token
 )
 
-// TenantSlice is our part of a tenant's quota: under the lease, and after it. Tokens are
-// added once. Kick is whole tokens beside the burst, for the start of a life: they end after
-// kickSpan. Wants, in a Holding, is how many found no token since the Holding before. Returned, in a
-// Holding, is tokens that were given up since then.
+// TenantSlice is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
+// Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
+// for the start of a process; they expire after kickSpan. Wants, in a Holding, is the number of requests that
+// found no token since the last Holding. Returned, in a Holding, is the number of tokens given up since then.
 type TenantSlice struct {
 	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
 }
 
-// tenantBucket is the bucket of one tenant.
+// tenantBucket is the token bucket of one tenant.
 type tenantBucket struct {
-	slice  TenantSlice
-	held   bool // a slice was brought
-	tokens float64
-	at     Micros
-	asked  float64 // since the last Demand
-	demand float64
-	used   Micros
-	wants  float64 // found no token since the last Holding
-	given  float64 // up, since the last Holding
-	kick   float64
-	kickTo Micros
+	allotment      TenantSlice
+	allotted       bool // an allotment has been received
+	tokens         float64
+	filledAt       Micros
+	requests       float64 // requests since the last Demand
+	demand         float64
+	lastUsed       Micros
+	unserved       float64 // requests that found no token since the last Holding
+	returned       float64 // tokens given up since the last Holding
+	startTokens    float64
+	startTokensEnd Micros
 }
 
-// take takes a token, of the bucket first, as it fills again. That must hold least.
-func (b *tenantBucket) take(now Micros, least float64) bool {
+// take takes a token, first from the bucket, which refills; the bucket must hold at least least tokens.
+func (b *tenantBucket) take(now Micros, minTokens float64) bool {
 	switch {
-	case b.tokens >= least:
+	case b.tokens >= minTokens:
 		b.tokens--
-	case b.kick >= 1 && now < b.kickTo:
-		b.kick--
+	case b.startTokens >= 1 && now < b.startTokensEnd:
+		b.startTokens--
 	default:
 		return false
 	}
 	return true
 }
 
-// Tenants holds the buckets of one gatekeeper. They start empty: an earlier life of this
-// process may have spent what they would hold.
+// Tenants holds the tenants' buckets of one gateway. They start empty, since the process may have spent their
+// content before a restart.
 type Tenants struct {
-	// FloorFor is how long the floors hold once the lease is over, 0 for ever. The allotter
-	// keeps them for us for a stated time; they must end before it does.
+	// FloorFor is how long the floors remain valid after the lease, 0 for ever. The allotter keeps them
+	// reserved for a stated time, which must not end before.
 	FloorFor Micros
 
-	buckets map[string]*tenantBucket
-	limits  map[string]bool // tenants that have a limit, by the configuration
-	until   Micros
-	counted Micros // the last Demand
-	turn    uint64
+	buckets  map[string]*tenantBucket
+	limited  map[string]bool // tenants that the configuration gives a limit
+	leaseEnd Micros
+	demandAt Micros // time of the last Demand
+	waitTurn uint64
 }
 
-// NewTenants makes a gatekeeper's buckets, all empty.
+// NewTenants returns empty buckets for a gateway.
 func NewTenants() *Tenants {
-	return &Tenants{buckets: map[string]*tenantBucket{}, limits: map[string]bool{}}
+	return &Tenants{buckets: map[string]*tenantBucket{}, limited: map[string]bool{}}
 }
 
-// Limits brings the tenants that have a limit. What has one and no slice is refused; a
-// tenant that isn't named passes.
+// Limits sets the tenants that have a limit. A tenant with a limit and no allotment is refused; one without a
+// limit always passes.
 func (t *Tenants) Limits(now Micros, names []string) {
-	clear(t.limits)
-	for _, n := range names {
-		t.limits[n] = true
-		t.bucket(now, n)
+	clear(t.limited)
+	for _, name := range names {
+		t.limited[name] = true
+		t.bucket(now, name)
 	}
-	for n := range t.buckets {
-		if !t.limits[n] {
-			delete(t.buckets, n)
+	for name := range t.buckets {
+		if !t.limited[name] {
+			delete(t.buckets, name)
 		}
 	}
 }
 
 func (t *Tenants) bucket(now Micros, name string) *tenantBucket {
-	b := t.buckets[name]
-	if b == nil {
-		b = &tenantBucket{at: now, used: now}
-		t.buckets[name] = b
+	bucket := t.buckets[name]
+	if bucket == nil {
+		bucket = &tenantBucket{filledAt: now, lastUsed: now}
+		t.buckets[name] = bucket
 	}
-	return b
+	return bucket
 }
 
-// Slices replaces what is held until a time; a bucket above its new burst gives up the rest.
-// A tenant with a limit that isn't named keeps what it holds, without its lease: its floor.
-func (t *Tenants) Slices(now Micros, slices map[string]TenantSlice, until Micros) {
-	for name, b := range t.buckets {
-		t.refill(b, now)
-		if _, ok := slices[name]; !ok {
-			b.slice.Rate, b.slice.Burst = b.slice.Floor, b.slice.FloorBurst
+// Slices replaces the allotments, valid until a time. A bucket above its new burst gives up the rest. A
+// tenant with a limit that is not named keeps its floor only.
+func (t *Tenants) Slices(now Micros, allotments map[string]TenantSlice, until Micros) {
+	for name, bucket := range t.buckets {
+		t.refill(bucket, now)
+		if _, ok := allotments[name]; !ok {
+			bucket.allotment.Rate, bucket.allotment.Burst = bucket.allotment.Floor, bucket.allotment.FloorBurst
 		}
 	}
-	for name, s := range slices {
-		b := t.bucket(now, name)
-		b.tokens += s.Tokens
-		if over := b.tokens - s.Burst; over > 0 {
-			b.tokens, b.given = s.Burst, b.given+over
+	for name, allotment := range allotments {
+		bucket := t.bucket(now, name)
+		bucket.tokens += allotment.Tokens
+		if excess := bucket.tokens - allotment.Burst; excess > 0 {
+			bucket.tokens, bucket.returned = allotment.Burst, bucket.returned+excess
 		}
-		if s.Kick > 0 {
-			b.kick, b.kickTo = s.Kick, now+kickSpan
+		if allotment.Kick > 0 {
+			bucket.startTokens, bucket.startTokensEnd = allotment.Kick, now+startTokensLife
 		}
-		s.Tokens, s.Kick = 0, 0
-		b.slice, b.held = s, true
+		allotment.Tokens, allotment.Kick = 0, 0
+		bucket.allotment, bucket.allotted = allotment, true
 	}
-	t.until = until
+	t.leaseEnd = until
 }
 
-// refill fills a bucket: at its slice until the lease is over, then at its floor.
-func (t *Tenants) refill(b *tenantBucket, now Micros) {
-	if now <= b.at {
+// refill fills a bucket: at its allotted rate until the lease ends, then at its floor.
+func (t *Tenants) refill(bucket *tenantBucket, now Micros) {
+	if now <= bucket.filledAt {
 		return
 	}
-	if lease := min(now, t.until) - b.at; lease > 0 {
-		b.tokens = min(b.tokens+b.slice.Rate*float64(lease)/1e6, b.slice.Burst)
-		b.at += lease
+	if lease := min(now, t.leaseEnd) - bucket.filledAt; lease > 0 {
+		bucket.tokens = min(bucket.tokens+bucket.allotment.Rate*float64(lease)/1e6, bucket.allotment.Burst)
+		bucket.filledAt += lease
 	}
-	if now > b.at {
+	if now > bucket.filledAt {
 		end := now
 		if t.FloorFor > 0 {
-			end = min(now, t.until+t.FloorFor)
+			end = min(now, t.leaseEnd+t.FloorFor)
 		}
-		b.tokens = min(b.tokens+b.slice.Floor*float64(max(end-b.at, 0))/1e6, b.slice.FloorBurst)
+		bucket.tokens = min(bucket.tokens+bucket.allotment.Floor*float64(max(end-bucket.filledAt, 0))/1e6, bucket.allotment.FloorBurst)
 		if end < now {
-			b.tokens = 0
+			bucket.tokens = 0
 		}
-		b.at = now
+		bucket.filledAt = now
 	}
 }
 
-// rate is what a bucket fills at now.
-func (t *Tenants) rate(b *tenantBucket, now Micros) float64 {
-	if now < t.until {
-		return b.slice.Rate
+// rate is the current refill rate of a bucket, in tokens per second.
+func (t *Tenants) fillRate(bucket *tenantBucket, now Micros) float64 {
+	if now < t.leaseEnd {
+		return bucket.allotment.Rate
 	}
-	return b.slice.Floor
+	return bucket.allotment.Floor
 }
 
-// Admit takes a request's token, or tells how long its client should stay away. One that comes
-// again leaves the last tokens to first tries: where a tenant asks for more than it has, most
-// who come are returning, and what they are given is worth less by the time that they lost.
-func (t *Tenants) Admit(now Micros, name string, again bool) (bool, Micros) {
-	if !t.limits[name] {
+// Admit takes a token for a request, or returns how long its client should wait. A retry leaves the last
+// tokens to first tries: where demand exceeds the quota most requests are retries, and an answer to one is
+// worth less after the time it has lost.
+func (t *Tenants) Admit(now Micros, name string, isRetry bool) (bool, Micros) {
+	if !t.limited[name] {
 		return true, 0
 	}
-	b := t.bucket(now, name)
-	t.refill(b, now)
-	b.asked++
-	b.used = now
-	least := 1.0
-	if again {
-		burst := b.slice.Burst
-		if now >= t.until {
-			burst = b.slice.FloorBurst
+	bucket := t.bucket(now, name)
+	t.refill(bucket, now)
+	bucket.requests++
+	bucket.lastUsed = now
+	minTokens := 1.0
+	if isRetry {
+		burst := bucket.allotment.Burst
+		if now >= t.leaseEnd {
+			burst = bucket.allotment.FloorBurst
 		}
-		least += min(tenantFirst, max(burst-1, 0)*firstPart)
+		minTokens += min(firstTryTokens, max(burst-1, 0)*firstTryFraction)
 	}
-	if b.take(now, least) {
+	if bucket.take(now, minTokens) {
 		return true, 0
 	}
-	b.wants++
-	wait := float64(tenantLate) / (1 + tenantSpread)
-	if !b.held {
-		wait = float64(tenantAsked)
+	bucket.unserved++
+	wait := float64(maxTenantWait) / (1 + waitSpread)
+	if !bucket.allotted {
+		wait = float64(maxFirstWait)
 	}
-	if r := t.rate(b, now); r > 0 {
-		wait = min((least-b.tokens)/r*1e6*max(b.demand/r, 1), wait)
+	if rate := t.fillRate(bucket, now); rate > 0 {
+		wait = min((minTokens-bucket.tokens)/rate*1e6*max(bucket.demand/rate, 1), wait)
 	}
-	t.turn++
-	wait *= 1 + tenantSpread*float64(mix(t.turn, 0x7e4a)%1024)/1024
-	return false, max(tenantSoon, min(Micros(wait), tenantLate))
+	t.waitTurn++
+	wait *= 1 + waitSpread*float64(hash(t.waitTurn, 0x7e4a)%1024)/1024
+	return false, max(minTenantWait, min(Micros(wait), maxTenantWait))
 }
 
-// Retry takes a token for a request that Admit turned down and that is still held, for the
-// answer to an asking. It is no new demand.
+// Retry takes a token for a request that Admit refused and that is still held, after a new allotment. It does
+// not count as demand.
 func (t *Tenants) Retry(now Micros, name string) bool {
-	b := t.buckets[name]
-	if b == nil || !t.limits[name] {
-		return !t.limits[name]
+	bucket := t.buckets[name]
+	if bucket == nil || !t.limited[name] {
+		return !t.limited[name]
 	}
-	t.refill(b, now)
-	return b.take(now, 1)
+	t.refill(bucket, now)
+	return bucket.take(now, 1)
 }
 
-// Spend takes a token if there is one, and counts no demand: for a request that another
-// gatekeeper's bucket is asked about otherwise.
+// Spend takes a token if there is one, without counting demand: for a request that otherwise asks another
+// gateway's bucket.
 func (t *Tenants) Spend(now Micros, name string) bool {
-	b := t.buckets[name]
-	if b == nil || !t.limits[name] {
+	bucket := t.buckets[name]
+	if bucket == nil || !t.limited[name] {
 		return false
 	}
-	t.refill(b, now)
-	return b.take(now, 1)
+	t.refill(bucket, now)
+	return bucket.take(now, 1)
 }
 
-// GiveBack returns the token of a request that surely never went to a worker.
+// GiveBack returns the token of a request that never reached a server.
 func (t *Tenants) GiveBack(now Micros, name string) {
-	if b := t.buckets[name]; b != nil {
-		t.refill(b, now)
-		most := b.slice.Burst
-		if now >= t.until {
-			most = b.slice.FloorBurst
+	if bucket := t.buckets[name]; bucket != nil {
+		t.refill(bucket, now)
+		capacity := bucket.allotment.Burst
+		if now >= t.leaseEnd {
+			capacity = bucket.allotment.FloorBurst
 		}
-		b.tokens = min(b.tokens+1, most)
+		bucket.tokens = min(bucket.tokens+1, capacity)
 	}
 }
 
-// Low tells that a bucket which had a use lately has no whole token, so that asking the allotter
-// again soon is worth while.
+// Low reports whether a bucket that was used recently has no whole token, so that asking the allotter again
+// soon is worthwhile.
 func (t *Tenants) Low(now Micros) bool {
-	for _, b := range t.buckets {
-		t.refill(b, now)
-		if b.tokens < 1 && now-b.used < second/2 {
+	for _, bucket := range t.buckets {
+		t.refill(bucket, now)
+		if bucket.tokens < 1 && now-bucket.lastUsed < second/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// Demand is what was asked of each tenant a second, smoothed; it counts from its last call.
+// Demand returns the smoothed demand on each tenant, in requests per second. It measures from its previous
+// call.
 func (t *Tenants) Demand(now Micros) map[string]float64 {
-	out := make(map[string]float64, len(t.buckets))
-	span := float64(now-t.counted) / 1e6
-	t.counted = now
-	for name, b := range t.buckets {
+	demand := make(map[string]float64, len(t.buckets))
+	span := float64(now-t.demandAt) / 1e6
+	t.demandAt = now
+	for name, bucket := range t.buckets {
 		if span > 0 {
-			part := min(span/(span+demandSpan), 1)
-			// A sudden flood is believed sooner. One request is none, however soon it was asked after it: it would draw
-			// to here what others need.
-			if b.asked > (2*b.demand+floodLeast)*max(span, floodSpan) {
-				part = max(part, 0.5)
+			weight := min(span/(span+demandSeconds), 1)
+			// A sudden flood is believed sooner. A single request is not a flood, however short the measured
+			// time is: it would draw the quota here from where it is needed.
+			if bucket.requests > (2*bucket.demand+floodMinRate)*max(span, floodSeconds) {
+				weight = max(weight, 0.5)
 			}
-			b.demand += part * (b.asked/span - b.demand)
-			b.asked = 0
+			bucket.demand += weight * (bucket.requests/span - bucket.demand)
+			bucket.requests = 0
 		}
-		if b.demand > 1e-3 {
-			out[name] = b.demand
+		if bucket.demand > 1e-3 {
+			demand[name] = bucket.demand
 		}
-		if !t.limits[name] && now-b.used > tenantIdle {
+		if !t.limited[name] && now-bucket.lastUsed > bucketIdle {
 			delete(t.buckets, name)
 		}
 	}
-	return out
+	return demand
 }
 
-// Holding is what is held now and for how much longer, for the next asking. Tokens is what
-// each bucket has.
+// Holding returns what is held and how much longer the lease lasts, for the next call to the allotter. Tokens
+// is the content of each bucket.
 func (t *Tenants) Holding(now Micros) (map[string]TenantSlice, Micros) {
-	out := make(map[string]TenantSlice, len(t.buckets))
-	for name, b := range t.buckets {
-		if b.held || b.wants > 0 || b.given > 0 {
-			t.refill(b, now)
-			s := b.slice
-			s.Tokens, s.Wants, s.Returned = b.tokens, b.wants, b.given
-			out[name] = s
-			b.wants, b.given = 0, 0
+	held := make(map[string]TenantSlice, len(t.buckets))
+	for name, bucket := range t.buckets {
+		if bucket.allotted || bucket.unserved > 0 || bucket.returned > 0 {
+			t.refill(bucket, now)
+			allotment := bucket.allotment
+			allotment.Tokens, allotment.Wants, allotment.Returned = bucket.tokens, bucket.unserved, bucket.returned
+			held[name] = allotment
+			bucket.unserved, bucket.returned = 0, 0
 		}
 	}
-	return out, max(t.until-now, 0)
+	return held, max(t.leaseEnd-now, 0)
 }
 
-// Lease is how much longer what is held lasts.
-func (t *Tenants) Lease(now Micros) Micros { return max(t.until-now, 0) }
+// Lease returns how much longer the lease lasts.
+func (t *Tenants) Lease(now Micros) Micros { return max(t.leaseEnd-now, 0) }
 
-// Surrender gives up what is held of a tenant's quota, for others: its slice, its tokens and what was asked for. The
-// next Holding tells how many tokens that were. If its telling is lost, nobody has them.
+// Surrender gives up our part of a tenant's quota for others: its allotment, its tokens and its measured
+// demand. The next Holding reports the number of tokens. If that report is lost, nobody gets them.
 func (t *Tenants) Surrender(now Micros, name string) {
-	b := t.buckets[name]
-	if b == nil || !b.held {
+	bucket := t.buckets[name]
+	if bucket == nil || !bucket.allotted {
 		return
 	}
-	t.refill(b, now)
-	*b = tenantBucket{at: now, used: b.used, given: b.given + b.tokens, kick: b.kick, kickTo: b.kickTo}
+	t.refill(bucket, now)
+	*bucket = tenantBucket{filledAt: now, lastUsed: bucket.lastUsed, returned: bucket.returned + bucket.tokens, startTokens: bucket.startTokens, startTokensEnd: bucket.startTokensEnd}
 }
 
-// Idle tells that nothing was asked of a tenant for a time.
+// Idle reports whether a tenant has had no request for the given time.
 func (t *Tenants) Idle(now Micros, name string, since Micros) bool {
-	b := t.buckets[name]
-	return b == nil || now-b.used > since
+	bucket := t.buckets[name]
+	return bucket == nil || now-bucket.lastUsed > since
 }
 
-// Forget drops the bucket of a tenant that is gone.
+// Forget drops the bucket of a removed tenant.
 func (t *Tenants) Forget(name string) {
 	delete(t.buckets, name)
-	delete(t.limits, name)
+	delete(t.limited, name)
 }
--- a/policy/tenants_test.go
+++ b/policy/tenants_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTenantsBuckets goes through one bucket's life: empty at the start, filled at the slice,
-// clamped by a smaller one, at the floor after the lease, and at nothing after the floor's end.
-func TestTenantsBuckets(t *testing.T) {
+// Follows one bucket: empty at the start, filled at its allotted rate, limited by a smaller burst, at its floor
+// after the lease, and empty after the end of the floor.
+func TestTenantBucketLifecycle(t *testing.T) {
 	b := NewTenants()
 	b.FloorFor = 10 * second
 	ok, _ := b.Admit(0, "nobody's", false)
@@ -21,20 +21,20 @@
 	for _, c := range []struct {
 		name  string
 		at    Micros
-		slice *TenantSlice // brought first, for a lease of 2.5 s
+		slice *TenantSlice // received first, for a lease of 2.5 s
 		ask   int
 		on    int
 	}{
-		{"no slice", 0, nil, 3, 0},
-		{"a slice is brought empty", 0, &big, 3, 0},
+		{"no allotment", 0, nil, 3, 0},
+		{"an empty allotment", 0, &big, 3, 0},
 		{"half a second of ten", second / 2, nil, 9, 5},
 		{"full", 2 * second, nil, 20, 8},
-		{"two seconds and a half of ten, then a floor", 3 * second, nil, 20, 3},
+		{"2.5 seconds of ten, then the floor", 3 * second, nil, 20, 3},
 		{"the floor", 4 * second, nil, 20, 2},
-		{"the floor's end, empty", 20 * second, nil, 20, 0},
-		{"tokens that were sent", 20 * second, &gift, 20, 2},
+		{"after the floor's end", 20 * second, nil, 20, 0},
+		{"allotted tokens", 20 * second, &gift, 20, 2},
 		{"full again", 22 * second, &big, 0, 0},
-		{"clamped", 22 * second, &small, 20, 1},
+		{"lower burst", 22 * second, &small, 20, 1},
 	} {
 		if c.slice != nil {
 			b.Slices(c.at, map[string]TenantSlice{"t": *c.slice}, c.at+5*second/2)
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestTenantsGiveBackAndDemand: what never ran is given back, up to the burst; what was
-// asked counts whether it was let in or not; a flood is known within a second.
-func TestTenantsGiveBackAndDemand(t *testing.T) {
+// The token of a request that never ran is returned, up to the burst. Demand counts all requests, admitted or not,
+// and a flood shows within a second.
+func TestTenantTokenReturnAndDemand(t *testing.T) {
 	b := NewTenants()
 	b.Limits(0, []string{"t", "u"})
 	b.Slices(0, map[string]TenantSlice{"t": {Rate: 1, Burst: 1, Tokens: 1}}, 100*second)
@@ -78,7 +78,7 @@
 		b.Demand(Micros(k+1) * second / 2)
 	}
 	d := b.Demand(second)
-	assert.Assert(t, d["t"] > 100 && d["t"] < 210, "%v", d)
+	assert.Assert(t, d["t"] > 100 && d["t"] < 210, "demand %v, want 100 to 210 per second", d)
 	b.Limits(second, []string{"u"})
 	ok, _ = b.Admit(second, "t", false)
 	assert.Assert(t, ok)
@@ -86,8 +86,8 @@
 	assert.Assert(t, len(held) == 0 && left == 99*second)
 }
 
-// TestTheRefusedAreSpread: those refused in one moment aren't told to come in one moment.
-func TestTheRefusedAreSpread(t *testing.T) {
+// Clients refused at the same time are not told to return at the same time.
+func TestTenantWaitsAreSpread(t *testing.T) {
 	b := NewTenants()
 	b.Limits(0, []string{"t"})
 	b.Slices(0, map[string]TenantSlice{"t": {Rate: 2, Burst: 3}}, 100*second)
@@ -99,8 +99,8 @@
 	assert.Assert(t, len(waits) > 40)
 }
 
-// TestTries goes through one gatekeeper's budget: ratio 0.2, slack 62, ten seconds.
-func TestTries(t *testing.T) {
+// Checks the budget of one gateway with ratio 0.2, allowance 62 and a window of 10 s.
+func TestRetryBudget(t *testing.T) {
 	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 62}
 	for _, c := range []struct {
 		name     string
@@ -110,11 +110,11 @@
 		on       int
 	}{
 		{"alone", 10 * second, 1, 0, 0, 43},
-		{"alone, just born", 0, 1, 0, 0, 21},
-		{"an even part and a place among the first", 10 * second, 11, 9, 0, 4},
+		{"alone, just started", 0, 1, 0, 0, 21},
+		{"an even part and a low index", 10 * second, 11, 9, 0, 4},
 		{"an even part", 10 * second, 11, 10, 0, 3},
-		{"many gatekeepers, an early place", 10 * second, 69, 42, 0, 1},
-		{"many gatekeepers, a late place", 10 * second, 69, 43, 0, 0},
+		{"many gateways, a low index", 10 * second, 69, 42, 0, 1},
+		{"many gateways, a high index", 10 * second, 69, 43, 0, 0},
 		{"with requests", 10 * second, 69, 43, 100, 17},
 	} {
 		b := NewTries(0, rule)
@@ -133,29 +133,29 @@
 	}
 }
 
-// TestAPartOfTheTriesGrowsLate: those that are missing have used theirs in the window, or go on with it.
-func TestAPartOfTheTriesGrowsLate(t *testing.T) {
+// When gateways go missing, our part grows only after a window: they have used their part of it, or go on using it.
+func TestRetryBudgetPartGrowsAfterWindow(t *testing.T) {
 	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 62}
 	b := NewTries(-rule.Window, rule)
-	assert.Equal(t, b.slack(0), 0, "nobody knows how many there are")
+	assert.Equal(t, b.allowance(0), 0, "the number of gateways is unknown")
 	b.Members(0, 1, 0)
-	alone := b.slack(0)
+	alone := b.allowance(0)
 	b.Members(0, 9, 8)
-	ninth := b.slack(0)
-	assert.Assert(t, ninth > 0 && 9*ninth <= alone, "%d of %d", ninth, alone)
-	b.Members(second, 2, 0) // told by one that has lost sight of the others
-	assert.Equal(t, b.slack(second), ninth)
+	ninth := b.allowance(0)
+	assert.Assert(t, ninth > 0 && 9*ninth <= alone, "a ninth of the allowance is %d of %d", ninth, alone)
+	b.Members(second, 2, 0) // reported by a process that has lost contact with the others
+	assert.Equal(t, b.allowance(second), ninth)
 	b.Members(3*second, 9, 8)
-	assert.Equal(t, b.slack(12*second), ninth)
+	assert.Equal(t, b.allowance(12*second), ninth)
 	b.Members(20*second, 3, 2)
-	assert.Equal(t, b.slack(30*second-1), ninth)
-	assert.Assert(t, b.slack(30*second) > 2*ninth)
+	assert.Equal(t, b.allowance(30*second-1), ninth)
+	assert.Assert(t, b.allowance(30*second) > 2*ninth)
 	b.Members(31*second, 9, 8)
-	assert.Equal(t, b.slack(31*second), ninth, "a smaller one holds at once")
+	assert.Equal(t, b.allowance(31*second), ninth, "a smaller part applies at once")
 }
 
-// TestTriesKeepEveryWindow: over steady and uneven requests, no window has more.
-func TestTriesKeepEveryWindow(t *testing.T) {
+// With steady and uneven requests, no window has more retries than the rule allows.
+func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
 	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 58}
 	b := NewTries(0, rule)
 	b.Members(0, 9, 3)
@@ -186,14 +186,14 @@
 	assert.Equal(t, len(b.services), 0)
 }
 
-// TestTheKick: whole tokens beside the burst, taken after the bucket's, gone after two seconds,
-// and not told as held.
-func TestTheKick(t *testing.T) {
+// Start-up tokens come on top of the burst, are taken after the bucket's own, expire after two seconds, and are not
+// reported as held.
+func TestTenantStartTokens(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		at   Micros
 		on   int
-	}{{"at once", 0, 3}, {"beside what has come", second, 4}, {"late", 2 * second, 1}} {
+	}{{"at the start", 0, 3}, {"with refilled tokens", second, 4}, {"expired", 2 * second, 1}} {
 		b := NewTenants()
 		b.Limits(0, []string{"t"})
 		b.Slices(0, map[string]TenantSlice{"t": {Floor: 1, FloorBurst: 1, Kick: 3}}, 0)
@@ -213,19 +213,18 @@
 	assert.Assert(t, b.Retry(0, "t") && !b.Retry(0, "t"))
 }
 
-// TestTenantsFirstTries: who comes again leaves the last tokens to first tries, never all of a
-// burst, and is told to stay away for longer the more is asked.
-func TestTenantsFirstTries(t *testing.T) {
+// Retries leave the last tokens to first tries, but never the whole burst, and the wait told grows with the demand.
+func TestTenantRetriesLeaveTokensToFirstTries(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		slice        TenantSlice
-		again, first int // how many of ten are let on, one kind after the other
+		again, first int // of ten requests each, how many are admitted, retries first
 	}{
-		{"much", TenantSlice{Rate: 10, Burst: 8, Tokens: 8}, 6, 2},
-		{"little", TenantSlice{Rate: 10, Burst: 3, Tokens: 3}, 2, 1},
-		{"one", TenantSlice{Rate: 10, Burst: 1, Tokens: 1}, 1, 0},
-		{"none", TenantSlice{Rate: 10, Burst: 8}, 0, 0},
-		{"the start of a life", TenantSlice{Rate: 10, Burst: 8, Kick: 3}, 3, 0},
+		{"many tokens", TenantSlice{Rate: 10, Burst: 8, Tokens: 8}, 6, 2},
+		{"few tokens", TenantSlice{Rate: 10, Burst: 3, Tokens: 3}, 2, 1},
+		{"one token", TenantSlice{Rate: 10, Burst: 1, Tokens: 1}, 1, 0},
+		{"no tokens", TenantSlice{Rate: 10, Burst: 8}, 0, 0},
+		{"start-up tokens", TenantSlice{Rate: 10, Burst: 8, Kick: 3}, 3, 0},
 	} {
 		b := NewTenants()
 		b.Limits(0, []string{"t"})
@@ -257,9 +256,9 @@
 	assert.Assert(t, wait(200) > 3*wait(5))
 }
 
-// TestPatience: a first try has all of its client's time, and one that comes again has lost some,
-// whatever the time is; where all have less than before, that becomes the time in the end.
-func TestPatience(t *testing.T) {
+// A first try has all of its client's time and a retry has less, whatever the time is. If all clients have less
+// than before, that becomes the full time eventually.
+func TestRetryDetection(t *testing.T) {
 	var p Patience
 	for _, c := range []struct {
 		left  Micros
@@ -274,22 +273,22 @@
 	assert.Assert(t, !p.Again(1000*milli))
 }
 
-// TestOneRequestIsNoFlood: what was asked between two askings that are close together is no higher rate for it. One
-// request counted as four a second drew the quota to where it was asked, from where it was needed.
-func TestOneRequestIsNoFlood(t *testing.T) {
+// One request between two calls of Demand that are close together does not raise the rate. It once counted as four
+// per second, which drew the quota to this gateway from where it was needed.
+func TestSingleRequestIsNotAFlood(t *testing.T) {
 	b := NewTenants()
 	b.Limits(0, []string{"t"})
 	b.Demand(0)
 	for k := range 20 {
 		now := Micros(k+1) * 120 * milli
-		if k%8 == 0 { // one a second
+		if k%8 == 0 { // one per second
 			b.Admit(now-60*milli, "t", false)
 		}
 		if d := b.Demand(now)["t"]; d > 1.2 {
-			t.Fatalf("%.2f requests a second are reported at %d ms, one is made", d, now/milli)
+			t.Fatalf("%.2f requests per second are reported at %d ms, want about 1", d, now/milli)
 		}
 	}
-	for k := range 3 { // a flood is still believed within three askings
+	for k := range 3 { // a flood is still believed within three calls
 		now := Micros(k)*500*milli + 3*second
 		for range 50 {
 			b.Admit(now, "t", false)
@@ -297,26 +296,26 @@
 		b.Demand(now + 400*milli)
 	}
 	if d := b.Demand(5 * second)["t"]; d < 25 {
-		t.Fatalf("%.2f a second of a hundred are reported", d)
+		t.Fatalf("%.2f of 100 requests per second are reported, want at least 25", d)
 	}
 }
 
-// TestWhatALowerBurstCutsIsGivenBack: the tokens above it are told once as returned, and those of a slice that is surrendered.
-func TestWhatALowerBurstCutsIsGivenBack(t *testing.T) {
+// Tokens above a lowered burst are reported once as returned, and so are those of a surrendered allotment.
+func TestTokensAboveLoweredBurstAreReturned(t *testing.T) {
 	b := NewTenants()
 	b.Limits(0, []string{"t"})
 	b.Slices(0, map[string]TenantSlice{"t": {Burst: 6, Tokens: 5}}, second)
 	b.Slices(0, map[string]TenantSlice{"t": {Burst: 2}}, second)
 	held, _ := b.Holding(0)
 	if s := held["t"]; s.Returned != 3 || s.Tokens != 2 {
-		t.Fatalf("%+v is held", s)
+		t.Fatalf("%+v is held, want 2 tokens and 3 returned", s)
 	}
 	b.Surrender(0, "t")
 	held, _ = b.Holding(0)
 	if s := held["t"]; s != (TenantSlice{Returned: 2}) {
-		t.Fatalf("%+v is held behind a surrender", s)
+		t.Fatalf("%+v is held after a surrender, want 2 returned", s)
 	}
 	if held, _ = b.Holding(0); held["t"] != (TenantSlice{}) {
-		t.Fatalf("%+v is told twice", held["t"])
+		t.Fatalf("%+v is reported twice", held["t"])
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,217 +1,245 @@
-// Package policy decides for one gateway in front of a shared back end: which
-// requests of which customers go on, when, and to which server.
+// Package policy makes the decisions of one gateway in front of a shared pool of servers: which requests of
+// which customers are admitted, when they are sent, to which server, and whether they are tried again.
 //
-// This file is the interface: settings, events and actions. The decisions are
-// in policy.go.
+// The package is pure: it has no clock, no goroutines and no input or output. The host calls the methods of a
+// [Gateway] with the current time for every event, and carries out the actions that the Gateway asks of its
+// [Host]. The same events and seed give the same actions, so that decisions can be replayed from a capture.
+//
+// Terms used throughout:
+//
+//   - A class is a kind of request with a latency target, a value and rules for repeating it.
+//   - A plan is what a customer pays for: a quota (a token bucket), a ceiling (a hard limit, a second bucket)
+//     and a concurrency cap.
+//   - The counter is a service outside this package that adds up numbers for all gateways. Through it they
+//     share buckets and lease or draw units that are too few to divide.
+//   - The limit is the number of attempts that the gateway keeps in flight. It adapts to the latency of answers.
+//   - A cold server has started recently and can do less than a warm one.
+//
+// Decisions keep four guarantees: every request is answered before its client's time is over; a request that
+// may have run is sent again only as its class allows; cold servers get no more than their budget; and all
+// gateways together stay within a customer's ceiling, across restarts too.
+//
+// This file has the interface: settings, events and actions. The decisions are in policy.go.
 package policy
 
-// Micros is a time or a span in microseconds on the host's monotonic clock.
+// Micros is a time or a duration in microseconds, on the host's monotonic clock.
 type Micros = int64
 
-// Server names a back-end server; the module only compares it.
+// Server identifies a back-end server. The package only compares it.
 type Server uint64
 
-// Repeat tells how a class bears being run more than once.
+// Repeat says whether requests of a class may be run more than once.
 type Repeat int
 
-// The ways in which a class may repeat.
+// The kinds of repeatability.
 const (
 	Safe   Repeat = iota // may be repeated freely
-	Keyed                // repeats are dropped inside a group, for a time
+	Keyed                // servers of a group drop repeats, within a time window
 	Unsafe               // must never run twice
 )
 
-// Group tells which servers drop repeats of a keyed request.
+// Group says which servers together drop repeats of a keyed request.
 type Group int
 
-// The groups of a keyed class.
+// The groups of servers.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all servers
+	GroupZone              // the servers of one zone
+	GroupCell              // the servers of one cell of a zone
 )
 
 // Class is a class of requests.
 type Class struct {
-	Aim, Deadline, Window Micros
-	Worth, LateWorth      float64
-	Repeat                Repeat
-	Group                 Group
-	Attempts              int // a request may have; 0 for what the settings say
+	Aim       Micros  `json:"Aim"`       // latency target, from the client's first try
+	Deadline  Micros  `json:"Deadline"`  // time that clients wait for an answer
+	Window    Micros  `json:"Window"`    // time for which servers drop repeats of a keyed request
+	Worth     float64 `json:"Worth"`     // value of an answer within the latency target
+	LateWorth float64 `json:"LateWorth"` // value of a later one
+	Repeat    Repeat  `json:"Repeat"`
+	Group     Group   `json:"Group"`
+	Attempts  int     `json:"Attempts"` // most attempts for a request; 0 for Settings.MaxAttempts
 }
 
-// Plan is what a customer pays for: quota, caps and price. A zero Rate, Open or
-// CeilingRate means that there is no such limit. OverCost stands in settings and captures;
-// decisions do not go by it.
+// Plan is what a customer pays for: quota, limits and price. A zero Rate, Open or CeilingRate means that there
+// is no such limit. Rates are in units per second, bursts in units.
 type Plan struct {
-	Rate, Burst                             float64
-	Open                                    int
-	CeilingRate, CeilingBurst, CeilingSlack float64
-	Price, OverCost                         float64
+	Rate         float64 `json:"Rate"`
+	Burst        float64 `json:"Burst"`
+	Open         int     `json:"Open"` // concurrency cap: most attempts in flight, for all gateways together
+	CeilingRate  float64 `json:"CeilingRate"`
+	CeilingBurst float64 `json:"CeilingBurst"`
+	CeilingSlack float64 `json:"CeilingSlack"` // units by which audits let a ceiling be passed; no decision uses it
+	Price        float64 `json:"Price"`        // relative to other plans
+	OverCost     float64 `json:"OverCost"`     // kept in settings and captures only; no decision uses it
 }
 
-// Settings is what a gateway is told at its start. Zero values mean that the
-// facility is absent.
+// Settings are the settings of a gateway. A zero value means that the facility is absent.
 type Settings struct {
-	Self, Gateways, Zone int
-	Classes              []Class
-	Plans                []Plan
-	Tick                 Micros
-
-	Weights    bool     // the list's weights say something of size
-	InlineLoad []string // values of load reports that come with answers
-	Reported   bool     // and decisions go by them: running, waiting, slots
-
-	MaxAttempts int
-	Cancel      bool
-	RetryAfter  bool
-
-	Counter        bool
-	CounterTimeout Micros
-	Settles        bool
-	Largest        float64
-
-	ColdShare, FallMultiple float64
-	ColdFor, FallWindow     Micros
-	CrossZonePrice          float64
-
-	// What follows is left out of captures where it is not set.
-
-	// HoldPart is the part of its aim in which a request that was never sent is refused at
-	// the latest; 0 for today's rules alone.
-	HoldPart float64 `json:",omitempty"`
-	// SafeAfter is how many expected latencies, but at least half an aim, a server may be
-	// silent before what it holds of safe requests goes elsewhere, once; 0 for never.
-	SafeAfter float64 `json:",omitempty"`
-	// Bound says where the bound moves; zero values are this module's own.
-	Bound BoundTerms `json:",omitzero"`
-	// Spread is the power of chance in the choice of a server where gateways are many: 1 has
-	// each server's part go with what it can do. 0 for a half.
-	Spread float64 `json:",omitempty"`
-	// Turns has servers used by turns in place of by chance.
-	Turns bool `json:",omitempty"`
-	// Learn is the seconds over which a server's slowness is learnt, 0 for twenty answers.
-	Learn float64 `json:",omitempty"`
-	// Step is the pace of the housekeeping tick; 0 for 10 ms.
-	Step Micros `json:",omitempty"`
-	// IdleStep is the pace while there is no request; 0 for Step.
-	IdleStep Micros `json:",omitempty"`
-	// Beliefs has what is seen of servers told, and what is believed of them heeded.
-	Beliefs bool `json:",omitempty"`
-	// FurtherTry is asked once for each attempt of a request behind its first, and takes it
-	// from a budget where it says yes. The class is the one that the request came with.
+	Self     int     `json:"Self"`     // index of this gateway among all
+	Gateways int     `json:"Gateways"` // number of gateways
+	Zone     int     `json:"Zone"`
+	Classes  []Class `json:"Classes"`
+	Plans    []Plan  `json:"Plans"`
+	Tick     Micros  `json:"Tick"` // granularity of the host's timers
+
+	Weights    bool     `json:"Weights"`    // weights in the server list tell the servers' sizes
+	InlineLoad []string `json:"InlineLoad"` // names of the load values that come with answers
+	Reported   bool     `json:"Reported"`   // decisions use them; they are: running, waiting, slots
+
+	MaxAttempts int  `json:"MaxAttempts"` // for a request
+	Cancel      bool `json:"Cancel"`      // the host can cancel attempts
+	RetryAfter  bool `json:"RetryAfter"`  // refusals tell clients how long to wait
+
+	Counter        bool    `json:"Counter"` // there is a counter
+	CounterTimeout Micros  `json:"CounterTimeout"`
+	Settles        bool    `json:"Settles"` // answers tell the true units of requests
+	Largest        float64 `json:"Largest"` // units of the largest request
+
+	ColdShare      float64 `json:"ColdShare"`      // fraction of its capacity that a server has when it starts
+	FallMultiple   float64 `json:"FallMultiple"`   // multiple of its capacity that overloads a cold server,
+	ColdFor        Micros  `json:"ColdFor"`        // time after its start for which a server is cold
+	FallWindow     Micros  `json:"FallWindow"`     // sustained over this window
+	CrossZonePrice float64 `json:"CrossZonePrice"` // of a request to another zone
+
+	// The following are left out of captures if they are not set.
+
+	// HoldPart is the fraction of its latency target after which a request that was never sent is refused at the
+	// latest; 0 for no such limit.
+	HoldPart float64 `json:"HoldPart,omitempty"`
+	// SafeAfter is the number of expected latencies, but at least half a latency target, that a server may be
+	// silent before its safe requests are moved to another one, once; 0 for never.
+	SafeAfter float64 `json:"SafeAfter,omitempty"`
+	// Bound says where the limit on attempts in flight moves; zero values stand for the package's defaults.
+	Bound BoundTerms `json:"Bound,omitzero"`
+	// Spread is the exponent of the random factor in the choice of a server when there are many gateways. With 1
+	// the requests for a server are proportional to its capacity. 0 stands for 0.5.
+	Spread float64 `json:"Spread,omitempty"`
+	// Turns makes the gateway use servers in rotation instead of at random.
+	Turns bool `json:"Turns,omitempty"`
+	// Learn is the time in seconds over which a server's slowness is averaged; 0 for twenty answers.
+	Learn float64 `json:"Learn,omitempty"`
+	// Step is the interval of the housekeeping tick; 0 for 10 ms.
+	Step Micros `json:"Step,omitempty"`
+	// IdleStep is the interval while there is no request; 0 for Step.
+	IdleStep Micros `json:"IdleStep,omitempty"`
+	// Beliefs enables the zone's verdicts on servers: observations are collected, and verdicts obeyed.
+	Beliefs bool `json:"Beliefs,omitempty"`
+	// FurtherTry is called once for each attempt after a request's first. It returns whether the retry budget
+	// allows the attempt, and takes it from the budget. The class is the one that the request arrived with.
 	FurtherTry func(class int) bool `json:"-"`
-	// ColdSends is how many sends of ours a server may get in any second, below 0 for any number. It is told
+	// ColdSends returns how many sends of ours a server may get in any second, negative for no limit. cold tells
 	// whether the server is known to be cold (Entry.ColdUntil).
 	ColdSends func(s Server, cold bool) int `json:"-"`
 }
 
-// BoundTerms are where the bound on attempts in flight moves, as parts of the aim that answers
-// take on average, and as multiples of the least that was seen.
+// BoundTerms say where the limit on attempts in flight moves. It goes by the mean ratio of the answers' latency to
+// their latency target.
 type BoundTerms struct {
-	Within, Past  float64 // under the one it rises, past the other it is cut
-	Knee, KneeCut float64 // from the one on it rises no more, from the other on it is cut
+	Within  float64 `json:"Within"`  // ratio below which the limit rises
+	Past    float64 `json:"Past"`    // ratio above which it is cut
+	Knee    float64 `json:"Knee"`    // multiple of the least ratio seen from which on it rises no more
+	KneeCut float64 `json:"KneeCut"` // multiple of the least ratio seen from which on it is cut
 }
 
 // Request is a client's try that has arrived.
 type Request struct {
 	ID          uint32
-	Class, Plan int
+	Class, Plan int // indexes in Settings.Classes and Settings.Plans
 	Customer    uint64
-	Left        Micros
-	Units       float64
-	Spread      int  // through how many gateways the customer comes
-	Again       bool // marked as a client's repeat
-	Filling     bool // its last byte is still to come: Gateway.Filled tells when it has
+	Left        Micros  // time until the client gives up
+	Units       float64 // estimated cost, in units of quota
+	Spread      int     // number of gateways that the customer's requests come through
+	Again       bool    // the client marked it as a retry
+	Filling     bool    // the last byte of its body has not arrived; Gateway.Filled reports when it has
 
-	Homes uint64 // regions whose servers it may go to, a bit for each; 0 for any
+	Homes uint64 // bit set of the regions whose servers it may go to; 0 for any
 }
 
 // Status is the way an attempt, a probe or a counter call ended.
 type Status int
 
-// The ways to end, with the wire's numbers.
+// The statuses, with their numbers in the wire protocol.
 const (
-	Failed Status = iota
-	OK
-	Full
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
+	Failed        Status = iota // with an error answer
+	OK                          // with a good answer
+	Full                        // refused by a server that was full; the request did not run
+	Timeout                     // without an answer in time
+	ConnectFailed               // without a connection; the request did not run
+	Reset                       // by a broken connection
+	Cancelled                   // by Host.Cancel
+	Moot                        // before it was sent; the request did not run
 )
 
 // Outcome ends one attempt.
 type Outcome struct {
 	ID       uint32
 	Latency  Micros
-	Terminal bool
-	Spent    bool // its body can't be sent again
+	Terminal bool // the client has its answer
+	Spent    bool // the body can't be sent again
 	Status   Status
-	Settled  float64 // the true units, 0 for none
-	Used     int     // 1 + percent of the quota used, 0 for none; captures keep it, decisions do not go by it
-	Attempt  int
+	Settled  float64 // true units of the request, 0 if unknown
+	Used     int     // 1 + percentage of the quota used, 0 if unknown; kept in captures, not used by decisions
+	Attempt  int     // number of the attempt, from 0
 	Server   Server
-	Load     []float32 // what the worker reports; captures keep it, decisions do not go by it
+	Load     []float32 // load report of the server; used by decisions only with Settings.Reported
 }
 
-// State is what the list says of a server.
+// State is the state of a server in the server list.
 type State int
 
-// The states of a listed server, with the wire's numbers.
+// The states of a listed server, with their numbers in the wire protocol.
 const (
-	Gone State = iota
-	Ready
-	Draining
+	Gone     State = iota // removed from the list
+	Ready                 // takes requests
+	Draining              // takes no new requests
 )
 
 // Entry is one line of the server list.
 type Entry struct {
-	Server     Server
-	State      State
-	Weight     float64
-	Zone, Cell int
-	ReadyAt    Micros // latest start, 0 for long ago
-
-	Region    int     `json:",omitempty"` // its bit in Request.Homes
-	Dear      float64 `json:",omitempty"` // times as dear as others, 0 for 1
-	ColdUntil Micros  `json:",omitempty"` // Settings.ColdSends bounds its sends until then
+	Server  Server  `json:"Server"`
+	State   State   `json:"State"`
+	Weight  float64 `json:"Weight"` // relative size, used with Settings.Weights
+	Zone    int     `json:"Zone"`
+	Cell    int     `json:"Cell"`
+	ReadyAt Micros  `json:"ReadyAt"` // latest start, 0 for long ago
+
+	Region    int     `json:"Region,omitempty"`    // bit number in Request.Homes
+	Dear      float64 `json:"Dear,omitempty"`      // cost relative to other servers, 0 for 1
+	ColdUntil Micros  `json:"ColdUntil,omitempty"` // time until which Settings.ColdSends treats it as cold
 }
 
-// Standing is what the module thinks of a listed server at present, for other
-// proxies that choose by it.
+// Standing is the gateway's current assessment of a listed server, for other proxies that choose by it.
 type Standing struct {
 	Server Server
 	State  State
-	Shut   bool    // kept from requests for a while, for failures or as full
-	Part   float64 // of the requests it should get, against the others'
+	Shut   bool    // ejected after failures, or paused because it was full
+	Part   float64 // requests it should get, relative to the other servers
 	Zone   int
 }
 
-// ListKind tells how to read a list.
+// ListKind says how to read a server list.
 type ListKind int
 
-// The kinds of list, with the wire's numbers.
+// The kinds of list, with their numbers in the wire protocol.
 const (
-	Cached ListKind = iota
-	FullList
-	ListFailed
-	Delta
+	Cached     ListKind = iota // a full list from a cache
+	FullList                   // a full list; servers it does not name are gone
+	ListFailed                 // no list; the last one stays in force
+	Delta                      // changes to the last list
 )
 
 // Host carries out what a Gateway decides.
 type Host interface {
-	// Send starts the next attempt of a request; timeout 0 is the client's own.
+	// Send starts the next attempt of a request, with a time-out.
 	Send(id uint32, to Server, timeout Micros)
-	// Refuse is a final answer: nothing ran, and trying again is harmless.
+	// Refuse gives the final answer that the request did not run or may safely be tried again after retryAfter.
 	Refuse(id uint32, retryAfter Micros)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final answer that the request failed and may have run.
 	Fail(id uint32)
-	// Cancel stops waiting for an attempt; its Outcome still comes.
+	// Cancel stops waiting for an attempt; its Outcome still follows.
 	Cancel(id uint32, attempt int)
-	// Timer asks for one Gateway.Timer call with the token.
+	// Timer asks for one call of Gateway.Timer with the token, after a time.
 	Timer(token uint64, after Micros)
-	// Count adds to a shared number; Gateway.Counted brings the total.
+	// Count adds to a named number on the counter, which keeps it for ttl; Gateway.Counted gets the total.
 	Count(name uint64, amount float64, ttl Micros)
 }
--- a/policy/belief_test.go
+++ b/policy/verdicts_test.go
@@ -6,26 +6,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBeliefs: what is believed of a server, by where sixty requests go, each answered in 50 ms.
-func TestBeliefs(t *testing.T) {
+// Checks how a verdict on a server decides where sixty requests go, each answered in 50 ms.
+func TestVerdictsDecideServerUse(t *testing.T) {
 	const odd = Server(3)
 	for _, c := range []struct {
 		name   string
 		belief Belief
-		fails  bool // and shut off for it before
+		fails  bool // the server fails and is ejected first
 		kind   Repeat
 		safe   bool // safe requests were answered before
-		most   int  // of the sixty
+		most   int  // bounds on the requests of sixty that it gets
 		least  int
 	}{
-		{name: "nothing", least: 1, most: 60},
-		{name: "watched", belief: Watched, least: 1, most: 60},
-		{name: "shunned", belief: Shunned},
-		{name: "tried by us", belief: OnTrial, least: 1, most: 60},
-		{name: "tried, but not with what must not be lost", belief: OnTrial, kind: Unsafe, safe: true},
-		{name: "tried where there is nothing else", belief: OnTrial, kind: Unsafe, least: 1, most: 60},
-		{name: "shut off by us alone, long ago, unsafe", fails: true, kind: Unsafe, least: 1, most: 60},
-		{name: "and cleared", belief: Cleared, fails: true, kind: Unsafe, least: 1, most: 60},
+		{name: "no verdict", least: 1, most: 60},
+		{name: "suspect", belief: Watched, least: 1, most: 60},
+		{name: "unhealthy", belief: Shunned},
+		{name: "on probe by us", belief: OnTrial, least: 1, most: 60},
+		{name: "on probe, but not with unsafe requests where there are safe ones", belief: OnTrial, kind: Unsafe, safe: true},
+		{name: "on probe with unsafe requests where there are no others", belief: OnTrial, kind: Unsafe, least: 1, most: 60},
+		{name: "ejected by us alone, long ago, unsafe requests", fails: true, kind: Unsafe, least: 1, most: 60},
+		{name: "ejected by us, but recovered by verdict", belief: Cleared, fails: true, kind: Unsafe, least: 1, most: 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			class := Class{Aim: second, Deadline: 3 * second, Worth: 1, LateWorth: 1}
@@ -60,7 +60,7 @@
 				}
 			}
 			if !c.safe {
-				g.classes[0].n = 0
+				g.classes[0].answers = 0
 			}
 			now += 20 * second
 			g.Believe(now, h, map[Server]Belief{odd: c.belief})
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestSightings: failures are told, good answers of those that are watched only, and silence once.
-func TestSightings(t *testing.T) {
+// Failures are reported, good answers only of servers with a verdict, and silence once.
+func TestObservationReports(t *testing.T) {
 	class := Class{Aim: second, Deadline: 9 * second, Worth: 1, LateWorth: 1}
 	h := newRecorder()
 	g := New(Settings{Gateways: 1, Classes: []Class{class}, Plans: []Plan{{Price: 1}}, MaxAttempts: 1, Beliefs: true}, 1)
@@ -96,7 +96,7 @@
 		g.Believe(now, h, map[Server]Belief{3 - to: Shunned, to: Watched})
 		id++
 		g.Request(now, h, Request{ID: id, Left: 9 * second, Units: 1})
-		if st != Moot { // no end
+		if st != Moot { // Moot: no answer
 			now += 50 * milli
 			g.Outcome(now, h, Outcome{ID: id, Latency: 50 * milli, Status: st, Server: to})
 		}
@@ -105,26 +105,26 @@
 		do(1, OK)
 	}
 	g.Believe(now, h, nil)
-	assert.Equal(t, len(g.Sightings(now)), 0, "nobody watches it")
+	assert.Equal(t, len(g.Sightings(now)), 0, "good answers without a verdict are not reported")
 	do(1, Failed)
 	got := g.Sightings(now)
 	assert.Equal(t, len(got), 1)
-	assert.Assert(t, got[0].Server == 1 && got[0].Bad == 1 && got[0].Good > 3, "%v", got)
-	assert.Equal(t, len(g.Sightings(now)), 0, "once")
+	assert.Assert(t, got[0].Server == 1 && got[0].Bad == 1 && got[0].Good > 3, "want one failure and more than 3 good answers of server 1, got %v", got)
+	assert.Equal(t, len(g.Sightings(now)), 0, "observations are reported once")
 	do(1, Reset)
-	assert.Equal(t, g.Sightings(now)[0].Bad, sightReset)
+	assert.Equal(t, g.Sightings(now)[0].Bad, resetWeight)
 	do(1, Full)
 	do(1, Cancelled)
 	assert.Equal(t, len(g.Sightings(now)), 0)
 	do(2, Moot)
 	mute := id
 	now += 2 * second
-	do(1, OK) // others answer
+	do(1, OK) // other servers answer
 	g.Believe(now, h, nil)
 	got = g.Sightings(now)
 	assert.Equal(t, len(got), 1)
-	assert.Assert(t, got[0].Server == 2 && got[0].Bad == 1, "%v", got)
+	assert.Assert(t, got[0].Server == 2 && got[0].Bad == 1, "want one failure of server 2, got %v", got)
 	now += second
 	g.Outcome(now, h, Outcome{ID: mute, Latency: 3 * second, Status: Timeout, Server: 2})
-	assert.Equal(t, len(g.Sightings(now)), 0, "its end says nothing new")
+	assert.Equal(t, len(g.Sightings(now)), 0, "the outcome of a silent attempt is not a new observation")
 }
--- a/policy/view.go
+++ b/policy/view.go
@@ -5,46 +5,45 @@
 	"slices"
 )
 
-// What the module thinks at a moment, for people who ask why it decided as it did.
-// Nothing is decided here, and nothing is changed.
+// Read-only views of the state, which show why the gateway decides as it does.
 
-// View is the module's state as far as it bears on a request of one customer.
+// View is the gateway's state as far as it affects the requests of one customer.
 type View struct {
-	Bound    float64 // on attempts out
-	InFlight int     // attempts out
-	Stuck    int     // of them, on servers that are silent
-	Held     int     // requests that wait for room
-	Calls    float64 // part of the counter calls that are made
-	Known    bool    // whether there is a record of the customer
+	Bound    float64 // limit on attempts in flight
+	InFlight int     // attempts in flight
+	Stuck    int     // attempts in flight at silent servers
+	Held     int     // requests waiting in the queue
+	Calls    float64 // fraction of the counter calls that are made
+	Known    bool    // there is a record of the customer
 	Customer CustomerView
 	Servers  []ServerView // in this gateway's own order
 }
 
-// CustomerView is the record of a customer, brought to the present. Units are of quota.
+// CustomerView is the record of a customer, advanced to the present. Amounts are in units of quota.
 type CustomerView struct {
 	Tokens     float64 // in its bucket here
-	Store      float64 // that the bucket holds at most
-	Rate       float64 // units a second that it fills by
-	Share      float64 // our part of the quota
-	Shared     bool    // whether its store is kept on the counter
-	Level      float64 // in the shared store, by what is known
-	OthersRate float64 // units a second that the other gateways use
-	HeardAge   Micros  // since the last total, -1 before the first
+	Store      float64 // capacity of that bucket
+	Rate       float64 // refill rate of that bucket, in units per second
+	Share      float64 // our share of the quota
+	Shared     bool    // its bucket is shared through the counter
+	Level      float64 // estimated content of the shared bucket
+	OthersRate float64 // units per second used by the other gateways
+	HeardAge   Micros  // since the last counter total, -1 before the first
 	Ceiling    bool
-	Guard      float64 // in our part of the ceiling's store
-	Pending    float64 // units admitted and not sent
-	Open       int     // attempts out
-	// Windows are what is drawn on the counter by windows of time, where our own part is too
-	// thin: the quota's, and a leased part of the ceiling's.
+	Guard      float64 // in our part of the ceiling's bucket
+	Pending    float64 // units admitted and not sent yet
+	Open       int     // attempts in flight
+	// Windows are the counter windows that units are drawn from where our own part is too small: of the
+	// quota, and of the leased part of a ceiling.
 	Windows []WindowView
 }
 
-// WindowView is what all gateways may draw together in one window of time.
+// WindowView is what all gateways together may draw in one window of time.
 type WindowView struct {
-	Lease bool // of the ceiling
+	Lease bool // of a ceiling
 	Pool  float64
 	Lasts Micros
-	Spent bool // the present one is known to be
+	Spent bool // the current window is known to be spent
 }
 
 // ServerView is the record of a server.
@@ -52,72 +51,71 @@
 	Server   Server
 	State    State
 	Listed   bool
-	Open     int     // own attempts out
-	Load     float64 // their work, in average ones
-	Slowness float64 // against the fleet's latency
-	Cost     float64 // by which it is chosen, before chance
-	Shut     Micros  // for which it is shut off, 0 where it is not
-	Full     Micros  // for which it is left alone as full
+	Open     int     // our attempts in flight
+	Load     float64 // their work, relative to the mean
+	Slowness float64 // latency relative to the fleet's
+	Cost     float64 // cost by which it is chosen, before the random or rotating factor
+	Shut     Micros  // remaining time of its ejection, 0 for none
+	Full     Micros  // remaining time for which it gets no requests because it was full
 	Cold     bool
 }
 
-// View is the module's state at a time, for a customer under a plan.
+// View returns the state at a time, for a customer under a plan.
 func (g *Gateway) View(now Micros, customer uint64, plan int) View {
 	g.now = now
-	v := View{Bound: g.bound, InFlight: g.inFlight, Stuck: g.stuck, Held: g.queued, Calls: g.calls}
-	for _, s := range g.servers {
-		sv := ServerView{Server: s.id, State: s.e.State, Listed: s.listed, Open: s.open, Load: s.load,
-			Slowness: g.relOf(s), Cost: g.cost(s), Full: max(s.fullUntil-now, 0), Cold: g.cold(s)}
-		if s.ejected {
-			sv.Shut = max(s.retryAt-now, 0)
+	view := View{Bound: g.inFlightLimit, InFlight: g.inFlight, Stuck: g.inFlightSilent, Held: g.queued, Calls: g.callFraction}
+	for _, srv := range g.servers {
+		row := ServerView{Server: srv.id, State: srv.entry.State, Listed: srv.listed, Open: srv.inFlight, Load: srv.work,
+			Slowness: g.currentSlowness(srv), Cost: g.serverCost(srv), Full: max(srv.fullUntil-now, 0), Cold: g.isCold(srv)}
+		if srv.ejected {
+			row.Shut = max(srv.probeAt-now, 0)
 		}
-		v.Servers = append(v.Servers, sv)
+		view.Servers = append(view.Servers, row)
 	}
 	known := g.customers[recordKey(customer, plan)]
 	if known == nil {
-		return v
+		return view
 	}
-	c := *known // the present of a copy
-	g.refill(&c)
-	v.Known = true
-	v.Customer = CustomerView{Tokens: c.tokens, Store: g.store(&c), Rate: g.rate(&c) * g.currentShare(&c), Share: g.currentShare(&c),
-		Shared: g.shared(&c), HeardAge: -1, Ceiling: c.plan.CeilingRate > 0, Guard: c.guard, Pending: c.pending, Open: c.open}
-	if v.Customer.Shared {
-		g.flow(&c)
-		v.Customer.Level, v.Customer.OthersRate = c.level, c.othersRate
-		if c.heardAt > 0 {
-			v.Customer.HeardAge = now - c.heardAt
+	cust := *known // advance a copy only
+	g.refill(&cust)
+	view.Known = true
+	view.Customer = CustomerView{Tokens: cust.tokens, Store: g.bucketCapacity(&cust), Rate: g.refillRate(&cust) * g.currentShare(&cust), Share: g.currentShare(&cust),
+		Shared: g.usesSharedBucket(&cust), HeardAge: -1, Ceiling: cust.plan.CeilingRate > 0, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight}
+	if view.Customer.Shared {
+		g.advanceShared(&cust)
+		view.Customer.Level, view.Customer.OthersRate = cust.sharedTokens, cust.othersRate
+		if cust.totalAt > 0 {
+			view.Customer.HeardAge = now - cust.totalAt
 		}
 	}
-	if g.thin(&c) {
-		v.Customer.Windows = append(v.Customer.Windows, g.windowView(&c, drawUnits))
+	if g.needsDraw(&cust) {
+		view.Customer.Windows = append(view.Customer.Windows, g.windowView(&cust, drawUnits))
 	}
-	if g.leased(c.plan) {
-		v.Customer.Windows = append(v.Customer.Windows, g.windowView(&c, drawLease))
+	if g.ceilingLeased(cust.plan) {
+		view.Customer.Windows = append(view.Customer.Windows, g.windowView(&cust, drawLease))
 	}
-	return v
+	return view
 }
 
-func (g *Gateway) windowView(c *customer, kind int) WindowView {
-	n, window, pool := g.terms(c, kind)
-	return WindowView{Lease: kind == drawLease, Pool: pool, Lasts: window, Spent: c.spent[kind] == n}
+func (g *Gateway) windowView(cust *customer, kind int) WindowView {
+	number, window, pool := g.drawTerms(cust, kind)
+	return WindowView{Lease: kind == drawLease, Pool: pool, Lasts: window, Spent: cust.spentWindow[kind] == number}
 }
 
-// Standings tells what the module thinks of its servers, and how many attempts it
-// would have out at once. It changes nothing.
+// Standings returns the state of the listed servers and the limit on attempts in flight. It changes nothing.
 func (g *Gateway) Standings(now Micros) (list []Standing, bound float64) {
 	g.now = now
-	for _, s := range g.servers {
-		if !s.listed {
+	for _, srv := range g.servers {
+		if !srv.listed {
 			continue
 		}
-		part := 1 / (g.relOf(s) * g.dear(s))
-		if g.cold(s) {
-			part *= g.warmth(s)
+		weight := 1 / (g.currentSlowness(srv) * g.costFactor(srv))
+		if g.isCold(srv) {
+			weight *= g.warmFraction(srv)
 		}
-		shut := s.ejected && now < s.retryAt || now < s.fullUntil
-		list = append(list, Standing{Server: s.id, State: s.e.State, Shut: shut, Part: part, Zone: s.e.Zone})
+		unavailable := srv.ejected && now < srv.probeAt || now < srv.fullUntil
+		list = append(list, Standing{Server: srv.id, State: srv.entry.State, Shut: unavailable, Part: weight, Zone: srv.entry.Zone})
 	}
 	slices.SortFunc(list, func(a, b Standing) int { return cmp.Compare(a.Server, b.Server) })
-	return list, g.bound
+	return list, g.inFlightLimit
 }
