--- a/policy/policy.go
+++ b/policy/policy.go
@@ -54,7 +54,7 @@
 	maxRatioWeight      = 0.1  // its weight after 0.1 s or more, so that infrequent answers count
 	maxServiceFraction  = 0.4  // of the latency target, at most, is reserved for the answer itself
 	minRatioSamples     = 50
-	minRatioDrift       = 60 * second
+	ratioDrift          = 60 * second
 	growKnee            = 1.3   // times the least latency ratio seen: the limit stops rising
 	cutKnee             = 1.8   // times the least latency ratio seen: the limit is cut
 	cutFactor           = 0.7   // factor on the limit at a cut
@@ -103,8 +103,9 @@
 
 // New returns a gateway with the given settings. The seed starts its random choices.
 func New(settings Settings, seed uint64) *Gateway {
-	g := &Gateway{settings: settings, rng: seed | 1, requests: map[uint32]*request{}, customers: map[uint64]*customer{},
-		pendingCalls: map[uint64][]counterCall{}, callFraction: 1, byID: map[Server]*server{}}
+	g := &Gateway{settings: settings, rng: seed | 1, requests: map[uint32]*request{},
+		customers: map[uint64]*customer{}, pendingCalls: map[uint64][]counterCall{}, callFraction: 1,
+		byID: map[Server]*server{}}
 	g.wheel = make([][]*customer, sharePeriod/tickInterval)
 	for _, class := range settings.Classes {
 		g.classes = append(g.classes, classState{Class: class, latency: float64(class.Aim) / 4})
@@ -148,10 +149,7 @@
 	g.armTick(g.tickDelay())
 }
 
-// ---- quotas ----
-
-// currentShare is our share of a customer's quota by the last counter totals, or the even part when they are
-// stale.
+// currentShare is our share of a customer's quota: by the last counter totals or, if they are stale, even.
 func (g *Gateway) currentShare(cust *customer) float64 {
 	if g.now-cust.shareAt > shareStalePeriods*sharePeriod {
 		return 1 / cust.gateways
@@ -164,8 +162,7 @@
 	return max(cust.plan.Burst*g.currentShare(cust), 1)
 }
 
-// refillRate is the plan's rate or, where a small concurrency cap is drawn from the counter, the rate of
-// starts that keeps the cap filled.
+// refillRate is the plan's rate or, for a concurrency cap drawn from the counter, the rate that fills it.
 func (g *Gateway) refillRate(cust *customer) float64 {
 	if plan := cust.plan; plan.Rate <= 0 && g.needsDraw(cust) {
 		return capTargetFill * float64(plan.Open) / max(plan.attemptTime, 1) * 1e6
@@ -269,8 +266,8 @@
 
 // reportUse runs once a second for each customer and reports use that the counter does not have yet.
 func (g *Gateway) reportUse(cust *customer) {
-	due := math.Abs(cust.unreported) > max(reportFraction/4*cust.plan.Burst/cust.gateways, maxDebt*g.settings.Largest)
-	if due && g.random() < g.callFraction {
+	threshold := max(reportFraction/4*cust.plan.Burst/cust.gateways, maxDebt*g.settings.Largest)
+	if math.Abs(cust.unreported) > threshold && g.random() < g.callFraction {
 		g.callCounter(cust, nil)
 	}
 }
@@ -283,10 +280,11 @@
 	age := float64(g.now-cust.totalAt) / 1e6
 	switch {
 	case cust.totalAt == 0:
-	case cust.sharedTokens < req.units && (g.now-cust.totalAt < minAskInterval || cust.sharedTokens+cust.othersRate*age < req.units):
+	case cust.sharedTokens < req.units &&
+		(g.now-cust.totalAt < minAskInterval || cust.sharedTokens+cust.othersRate*age < req.units):
 		g.refuse(req, waitFor(req.units-cust.sharedTokens, plan.Rate))
 		return
-	case cust.sharedTokens-req.units >= minUnaskedFill*plan.Burst+plan.Rate*age: // others may have used the refill
+	case cust.sharedTokens-req.units >= minUnaskedFill*plan.Burst+plan.Rate*age: // others may have used it
 		g.admitShared(req)
 		return
 	}
@@ -298,10 +296,10 @@
 	g.callCounter(cust, req)
 }
 
-// mayAwaitCounter reports whether a request may wait for the counter. The answer must not come later than its
-// client waits.
+// mayAwaitCounter reports whether a request may wait for the counter: its client must not leave before.
 func (g *Gateway) mayAwaitCounter(req *request) bool {
-	return g.random() < g.callFraction && req.deadline-g.now >= g.settings.CounterTimeout+4*max(g.settings.Tick, milli)
+	return g.random() < g.callFraction &&
+		req.deadline-g.now >= g.settings.CounterTimeout+4*max(g.settings.Tick, milli)
 }
 
 // Counted handles the answer to a counter call.
@@ -329,8 +327,6 @@
 	}
 }
 
-// ---- requests ----
-
 // Request handles a client's try.
 func (g *Gateway) Request(now Micros, host Host, try Request) {
 	g.beginEvent(now, host)
@@ -342,9 +338,10 @@
 		host.Refuse(try.ID, 0)
 		return
 	}
-	req := &request{id: try.ID, class: &g.classes[try.Class], plan: &g.plans[try.Plan], customer: g.customerFor(try),
-		units: try.Units, bodyPending: try.Filling, level: g.levels[try.Class][try.Plan], arrived: now,
-		deadline: now + try.Left, unsentDeadline: g.unsentDeadline(try), regions: try.Homes, arrivalClass: try.Class}
+	req := &request{id: try.ID, class: &g.classes[try.Class], plan: &g.plans[try.Plan],
+		customer: g.customerFor(try), units: try.Units, bodyPending: try.Filling,
+		level: g.levels[try.Class][try.Plan], arrived: now, deadline: now + try.Left,
+		unsentDeadline: g.unsentDeadline(try), regions: try.Homes, arrivalClass: try.Class}
 	g.requests[try.ID] = req
 	req.arrived -= g.priorWait(req.class, try.Left, try.Again)
 	if g.tooLate(req) {
@@ -407,7 +404,8 @@
 		window = Micros(plan.CeilingBurst / plan.CeilingRate / leaseWindows * 1e6)
 		pool = leasePool(plan)
 	case plan.Open > 0:
-		window, pool = g.capWindow, max(capTargetFill*float64(plan.Open)*float64(g.capWindow)/max(plan.attemptTime, 1), 1)
+		window = g.capWindow
+		pool = max(capTargetFill*float64(plan.Open)*float64(g.capWindow)/max(plan.attemptTime, 1), 1)
 	default:
 		window, pool = Micros(drawWindowFraction*plan.Burst/plan.Rate*1e6), plan.Burst
 	}
@@ -451,7 +449,8 @@
 // customers stay within their quotas, and one that returns to the same gateway mostly does not. A customer
 // that was seen to spend this window or the last one is refused.
 func (g *Gateway) decideWithoutDraw(req *request) {
-	if number, window, _ := g.drawTerms(req.customer, drawUnits); number-req.customer.spentWindow[drawUnits] <= 1 {
+	number, window, _ := g.drawTerms(req.customer, drawUnits)
+	if number-req.customer.spentWindow[drawUnits] <= 1 {
 		g.refuse(req, window/2)
 	} else {
 		g.checkBucket(req)
@@ -500,16 +499,17 @@
 	return 0
 }
 
-// roundInTurns rounds our part of a shared amount. In each turn as many gateways round up as make the sum
-// right, by their number, the time and a hash that all share. Otherwise hundreds of gateways with one send
-// each would overload servers that bear fewer.
+// roundInTurns rounds our part of a shared amount. In each turn, by index, time and a common salt, as many
+// gateways round up as make the sum right; otherwise hundreds with one send each would overload servers.
 func (g *Gateway) roundInTurns(amount float64, turn Micros, salt uint64) float64 {
-	offset := float64(uint64(g.now/turn)+salt>>44)*turnDistance + float64(g.settings.Self)/float64(max(g.settings.Gateways, 1))
+	offset := float64(uint64(g.now/turn)+salt>>44)*turnDistance +
+		float64(g.settings.Self)/float64(max(g.settings.Gateways, 1))
 	return math.Floor(amount + offset - math.Floor(offset))
 }
 
 func (g *Gateway) atLimit() bool {
-	return float64(g.inFlight-g.inFlightSilent-g.inFlightBodies) >= g.roundInTurns(g.inFlightLimit, g.capWindow/2, 0)
+	counted := g.inFlight - g.inFlightSilent - g.inFlightBodies
+	return float64(counted) >= g.roundInTurns(g.inFlightLimit, g.capWindow/2, 0)
 }
 
 // expectedWait is how long a new request of a level is likely to be held.
@@ -569,8 +569,7 @@
 	}
 }
 
-// endRequest gives the final answer to a request that goes no further: a refusal only where a retry is
-// harmless.
+// endRequest gives the final answer to a request: a refusal only where a retry is harmless.
 func (g *Gateway) endRequest(req *request, wait Micros) {
 	harmless := !req.mayHaveRun || req.class.Repeat == Safe ||
 		req.class.Repeat == Keyed && req.class.Group == GroupAll
@@ -601,7 +600,8 @@
 func (g *Gateway) Outcome(now Micros, host Host, outcome Outcome) {
 	g.beginEvent(now, host)
 	req := g.requests[outcome.ID]
-	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) || !req.attempts[outcome.Attempt].open {
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) ||
+		!req.attempts[outcome.Attempt].open {
 		return // unknown, late or reported twice
 	}
 	att := req.attempts[outcome.Attempt]
@@ -609,7 +609,8 @@
 	req.plan.attemptTime += (float64(now-att.sent) - req.plan.attemptTime) * attemptTimeGain
 	g.observe(att, outcome)
 	cust := req.customer
-	if outcome.Status == OK && outcome.Settled > 0 && g.settings.Settles && !req.done && req.tokensTaken > 0 {
+	if outcome.Status == OK && outcome.Settled > 0 && g.settings.Settles &&
+		!req.done && req.tokensTaken > 0 {
 		cust.tokens -= outcome.Settled - req.units
 		cust.sharedTokens -= outcome.Settled - req.units
 		g.recordUse(cust, outcome.Settled-req.units)
@@ -630,8 +631,7 @@
 	g.dispatch()
 }
 
-// tooLate reports that an answer would come past the latency target with little value left, or that no time
-// is left.
+// tooLate reports that an answer would come past the latency target with little value, or not in time at all.
 func (g *Gateway) tooLate(req *request) bool {
 	return g.now >= g.holdDeadline(req) && req.class.LateWorth < minLateValue ||
 		req.deadline-g.now < 4*max(g.settings.Tick, milli)
@@ -687,7 +687,8 @@
 	g.classes = nil
 	for i, class := range classes {
 		state := classState{Class: class, latency: float64(class.Aim) / 4}
-		if i < len(oldClasses) && oldClasses[i].Aim == class.Aim && oldClasses[i].Deadline == class.Deadline {
+		if i < len(oldClasses) &&
+			oldClasses[i].Aim == class.Aim && oldClasses[i].Deadline == class.Deadline {
 			state, state.Class = oldClasses[i], class
 		}
 		g.classes = append(g.classes, state)
@@ -733,8 +734,6 @@
 	g.queue[req.level] = slices.Insert(g.queue[req.level], at, req)
 }
 
-// ---- the limit on attempts in flight ----
-
 func (g *Gateway) recordOutcome(att *attempt, outcome Outcome) {
 	srv, class := att.server, att.request.class
 	latency := float64(outcome.Latency)
@@ -753,20 +752,24 @@
 		ratio := latency / max(class.expectedLatency(att.request.units), 1)
 		class.meanUnits += (att.request.units - class.meanUnits) * gain
 		class.latency += (latency - class.latency) * gain
-		srv.slowness = g.currentSlowness(srv) + (min(ratio, maxSlowness)-g.currentSlowness(srv))*g.slownessWeight(srv)
+		srv.slowness = g.currentSlowness(srv) +
+			(min(ratio, maxSlowness)-g.currentSlowness(srv))*g.slownessWeight(srv)
 		srv.slownessAt = g.now
 		weight := min(max(float64(g.now-g.minRatioAt)/1e6, minRatioWeight), maxRatioWeight)
 		g.latencyRatio += (min(latency/float64(max(class.Aim, 1)), 3) - g.latencyRatio) * weight
 		if g.ratioSamples++; g.ratioSamples == minRatioSamples || g.latencyRatio < g.minRatio {
 			g.minRatio = g.latencyRatio
 		}
-		g.minRatio += (g.latencyRatio - g.minRatio) * min(float64(g.now-g.minRatioAt)/float64(minRatioDrift), 1)
+		g.minRatio += (g.latencyRatio - g.minRatio) * min(float64(g.now-g.minRatioAt)/float64(ratioDrift), 1)
 		g.minRatioAt = g.now
-		if terms := g.limitTerms(); g.latencyRatio <= terms.Within && g.latencyRatio <= terms.Knee*max(g.minRatio, g.minRatioIfUnsettled()) {
+		if terms := g.limitTerms(); g.latencyRatio <= terms.Within &&
+			g.latencyRatio <= terms.Knee*max(g.minRatio, g.minRatioIfUnsettled()) {
 			if float64(g.inFlight+1) >= g.inFlightLimit/2 {
-				g.inFlightLimit = min(g.inFlightLimit+min(growStep/g.inFlightLimit, maxGrowth*g.inFlightLimit), g.fleetPart(maxLimitPerServer))
+				growth := min(growStep/g.inFlightLimit, maxGrowth*g.inFlightLimit)
+				g.inFlightLimit = min(g.inFlightLimit+growth, g.fleetPart(maxLimitPerServer))
 			}
-		} else if g.latencyRatio > terms.Past || g.latencyRatio > terms.KneeCut*g.minRatio && g.aboveStart() {
+		} else if g.latencyRatio > terms.Past ||
+			g.latencyRatio > terms.KneeCut*g.minRatio && g.aboveStart() {
 			g.cutLimit(class.Aim / 2)
 		}
 	case Full:
@@ -774,7 +777,7 @@
 		g.cutLimit(class.Aim / 4)
 	case Timeout, ConnectFailed, Reset, Failed:
 		srv.failures++
-		if srv.failures > 1 || outcome.Status == Timeout || outcome.Status == Failed { // a single reset is not counted
+		if srv.failures > 1 || outcome.Status == Timeout || outcome.Status == Failed { // one may be chance
 			srv.slowness = min(max(g.currentSlowness(srv), 1)*failureSlowdown, maxSlowness)
 			srv.slownessAt = g.now
 		}
@@ -798,8 +801,6 @@
 	return n * float64(max(g.listedCount, 1)) / float64(max(g.settings.Gateways, 1))
 }
 
-// ---- servers ----
-
 // expectedLatency is the latency to expect of a request: half of the class's average scales with its units.
 func (cl *classState) expectedLatency(units float64) float64 {
 	return cl.latency * (1 + units/max(cl.meanUnits, 1e-6)) / 2
@@ -819,7 +820,8 @@
 func (g *Gateway) checkSilence() {
 	g.inFlightSilent = 0
 	for _, srv := range g.servers {
-		maxSilence := max(silenceFactor*g.meanLatency()*g.currentSlowness(srv), minSilenceTargets*float64(g.capWindow))
+		maxSilence := max(silenceFactor*g.meanLatency()*g.currentSlowness(srv),
+			minSilenceTargets*float64(g.capWindow))
 		if g.silence(srv) < maxSilence || float64(g.now-g.lastAnswer) > maxSilence {
 			continue
 		}
@@ -827,7 +829,7 @@
 		if srv.ejected && g.now < srv.probeAt {
 			continue
 		}
-		for att := srv.head; att != nil && g.settings.Cancel && srv.silent; att = att.next { // it was a probe
+		for att := srv.head; att != nil && g.settings.Cancel && srv.silent; att = att.next { // a probe
 			if req := att.request; !req.done && g.mayRetry(req) && g.mayMove(req) {
 				g.host.Cancel(req.id, att.index)
 			}
@@ -844,7 +846,9 @@
 		return
 	}
 	srv.ejection = min(max(2*srv.ejection, minEjection), maxEjection)
-	if !slices.ContainsFunc(g.servers, func(other *server) bool { return other != srv && other.takesRequests() && !other.ejected }) {
+	if !slices.ContainsFunc(g.servers, func(other *server) bool {
+		return other != srv && other.takesRequests() && !other.ejected
+	}) {
 		srv.ejection = minEjection
 	}
 	srv.ejected, srv.probing = true, false
@@ -860,8 +864,10 @@
 		srv.coldSends = srv.coldSends[1:]
 	}
 	rate := max(g.warmRate, 1e6/g.meanLatency()/float64(max(g.settings.Gateways, 1)))
-	budget := coldBudgetFraction * g.settings.FallMultiple * g.warmFraction(srv) * rate * float64(g.settings.FallWindow) / 1e6
-	return float64(len(srv.coldSends)) < g.roundInTurns(budget, max(g.settings.FallWindow, tickInterval), hash(uint64(srv.id), 0))
+	budget := coldBudgetFraction * g.settings.FallMultiple * g.warmFraction(srv) *
+		rate * float64(g.settings.FallWindow) / 1e6
+	turn := max(g.settings.FallWindow, tickInterval)
+	return float64(len(srv.coldSends)) < g.roundInTurns(budget, turn, hash(uint64(srv.id), 0))
 }
 
 // subsetSize is how many servers of our own order we use.
@@ -871,8 +877,7 @@
 }
 
 // pickServer chooses the allowed server with the least expected wait. The more gateways there are, the less
-// each sees of a server's load, and the more is left to chance: otherwise gateways would crowd onto the same
-// servers.
+// each sees of a server's load, and the more is left to chance, so that they do not all choose the same one.
 func (g *Gateway) pickServer(req *request) *server {
 	var best *server
 	bestCost := math.Inf(1)
@@ -962,7 +967,8 @@
 	}
 	for _, entry := range entries {
 		srv := g.byID[entry.Server]
-		if srv == nil || entry.State != Gone && (entry.ReadyAt != srv.entry.ReadyAt || srv.entry.State == Gone) {
+		if srv == nil ||
+			entry.State != Gone && (entry.ReadyAt != srv.entry.ReadyAt || srv.entry.State == Gone) {
 			fresh := &server{id: entry.Server, slowness: 1}
 			if srv != nil {
 				srv.listed, fresh.coldSends = false, srv.coldSends
@@ -1003,8 +1009,6 @@
 	return true
 }
 
-// ---- housekeeping ----
-
 func (g *Gateway) tick() {
 	slot := g.now / tickInterval
 	for g.wheelAt < slot {
--- a/policy/store.go
+++ b/policy/store.go
@@ -11,8 +11,7 @@
 	return g.settings.Counter && cust.plan.Rate > 0 && cust.plan.Open == 0 && !g.needsDraw(cust)
 }
 
-// advanceShared advances the estimate of the shared bucket to the present: it fills at the plan's rate less
-// the measured use of the other gateways.
+// advanceShared advances the estimate of the shared bucket: refill at the plan's rate less the others' use.
 func (g *Gateway) advanceShared(cust *customer) {
 	dt := float64(g.now-cust.sharedAt) / 1e6
 	cust.sharedAt = g.now
@@ -20,14 +19,12 @@
 	g.clampShared(cust)
 }
 
-// clampShared keeps that estimate within the burst. Requests sent on beyond a quota take nothing from the
-// bucket, so its debt is bounded too.
+// clampShared keeps that estimate within the burst, and its debt small: over quota, nothing is taken from it.
 func (g *Gateway) clampShared(cust *customer) {
 	cust.sharedTokens = max(min(cust.sharedTokens, cust.plan.Burst), -maxDebt*g.settings.Largest)
 }
 
-// windowPhase shifts a customer's counter windows, so that those of different customers end at different
-// times.
+// windowPhase shifts a customer's counter windows, so that customers' windows end at different times.
 func windowPhase(cust *customer, window Micros) Micros {
 	return Micros(hash(cust.key, 0) % uint64(window))
 }
@@ -51,7 +48,8 @@
 // applyTotal takes in a total of a customer's window: use that the others have added since the last one
 // leaves the bucket, less what advanceShared already took for it.
 func (g *Gateway) applyTotal(cust *customer, total float64) {
-	since := float64(g.now-max(cust.totalAt, cust.window*counterWindow-windowPhase(cust, counterWindow))) / 1e6
+	windowStart := cust.window*counterWindow - windowPhase(cust, counterWindow)
+	since := float64(g.now-max(cust.totalAt, windowStart)) / 1e6
 	used := total - cust.ownInWindow - cust.othersInWindow // negative if requests cost less than estimated
 	cust.othersInWindow = total - cust.ownInWindow
 	if used < -g.settings.Largest { // the counter lost its data: rely on our own share
@@ -66,7 +64,8 @@
 	}
 	cust.totalAt = g.now
 	cust.tokens = min(max(cust.sharedTokens, 0)*g.currentShare(cust), g.bucketCapacity(cust))
-	if cust.othersUse += max(used, 0); g.now-cust.usePeriodStart >= sharePeriod && total >= cust.ownInWindow*0.999 {
+	cust.othersUse += max(used, 0)
+	if g.now-cust.usePeriodStart >= sharePeriod && total >= cust.ownInWindow*0.999 {
 		g.updateShare(cust, cust.ownUse, cust.ownUse+cust.othersUse)
 		cust.ownUse, cust.othersUse, cust.usePeriodStart = 0, 0, g.now
 	}
@@ -107,7 +106,8 @@
 // awaitCounter lets a request wait for the counter, until shortly before its client gives up.
 func (g *Gateway) awaitCounter(req *request) {
 	req.awaitsCounter = true
-	g.host.Timer(tokenGiveUp<<32|uint64(req.id), max(req.deadline-2*max(g.settings.Tick, milli)-g.now, 0))
+	latest := req.deadline - 2*max(g.settings.Tick, milli)
+	g.host.Timer(tokenGiveUp<<32|uint64(req.id), max(latest-g.now, 0))
 }
 
 // refill advances our bucket and our part of the ceiling to the present.
@@ -120,7 +120,8 @@
 	plan := cust.plan
 	// Units admitted and still held have left our buckets but not the shared ones, which do not fill further
 	// meanwhile; so ours do not either.
-	cust.tokens = min(cust.tokens+g.refillRate(cust)*g.currentShare(cust)*dt, g.bucketCapacity(cust)-cust.pending)
+	refill := g.refillRate(cust) * g.currentShare(cust) * dt
+	cust.tokens = min(cust.tokens+refill, g.bucketCapacity(cust)-cust.pending)
 	if plan.CeilingRate > 0 {
 		rate, burst := g.ownCeiling(cust)
 		cust.ceilingTokens = min(cust.ceilingTokens+rate*dt, burst-cust.pending)
@@ -131,9 +132,8 @@
 // customer's name must not change the buckets of the real one.
 func recordKey(customer uint64, plan int) uint64 { return customer ^ uint64(plan)<<48 }
 
-// customerFor returns the record of a request's customer, creating it if necessary. The largest gateway count
-// that requests have claimed is used: a single false claim of one gateway would give us the whole quota or
-// ceiling.
+// customerFor returns the record of a request's customer, a new one if necessary. It uses the largest gateway
+// count that requests claim: a single false claim of one gateway would give us the whole quota or ceiling.
 func (g *Gateway) customerFor(try Request) *customer {
 	key := recordKey(try.Customer, try.Plan)
 	cust, spread := g.customers[key], float64(min(max(try.Spread, 1), max(g.settings.Gateways, 1)))
@@ -161,7 +161,8 @@
 // starts with what has filled since our start.
 func (c *customer) idleTimeout() Micros {
 	plan := c.plan
-	return max(minCustomerIdle, waitFor(plan.Burst*c.gateways, plan.Rate), waitFor(plan.CeilingBurst, plan.CeilingRate))
+	return max(minCustomerIdle, waitFor(plan.Burst*c.gateways, plan.Rate),
+		waitFor(plan.CeilingBurst, plan.CeilingRate))
 }
 
 // visitSlot visits the customers whose second ends now.
