--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -122,7 +122,8 @@
 					c.served++
 				}
 			}
-			gateway.Outcome(c.now, h, Outcome{ID: id, Attempt: attempt, Status: status, Terminal: status == OK, Latency: c.now - sent, Server: to})
+			gateway.Outcome(c.now, h, Outcome{ID: id, Attempt: attempt, Status: status, Terminal: status == OK,
+				Latency: c.now - sent, Server: to})
 		})
 	}
 	if !srv.up {
@@ -173,7 +174,8 @@
 			id := uint32(len(c.arrived) + 1)
 			i := int(id) % 2
 			c.arrived[id] = c.now
-			c.gateways[i].Request(c.now, c.hosts[i], Request{ID: id, Customer: uint64(id % 50), Left: 2e6, Units: 1, Spread: 2})
+			c.gateways[i].Request(c.now, c.hosts[i], Request{ID: id, Customer: uint64(id % 50), Left: 2e6,
+				Units: 1, Spread: 2})
 		}
 	}
 	return c.served - before
@@ -247,7 +249,8 @@
 				got[k] = sim.run(1e6, c.rate)
 				bounds = append(bounds, sim.gateways[0].inFlightLimit)
 			}
-			t.Logf("answered in time by second %v, limit %.1f, cold budget used at most %.2f, sent too late %d", got, bounds, sim.maxColdLoad, sim.late)
+			t.Logf("answered in time by second %v, limit %.1f, cold budget used at most %.2f, sent too late %d",
+				got, bounds, sim.maxColdLoad, sim.late)
 			for k, n := range got {
 				if n < c.least[k] {
 					t.Errorf("second %d: %d answered in time, want at least %d", k+1, n, c.least[k])
@@ -271,7 +274,8 @@
 	b := newBench(testSettings(), 8)
 	id := b.request(0, 0, 1)
 	for n := range b.gateway.settings.MaxAttempts {
-		b.gateway.Outcome(b.now, b.host, Outcome{ID: id, Attempt: n, Status: Reset, Server: b.host.sent[n].to, Latency: 10e3})
+		b.gateway.Outcome(b.now, b.host, Outcome{ID: id, Attempt: n, Status: Reset, Server: b.host.sent[n].to,
+			Latency: 10e3})
 	}
 	if after, no := b.host.refused[id]; !no || after <= 0 {
 		t.Errorf("refused %v with a retry-after of %d us, want true and more than 0", no, after)
@@ -335,7 +339,8 @@
 			if s == nil || s == old {
 				t.Fatal("the new process has the record of the old one")
 			}
-			if s.ejected || s.failures > 0 || s.slowness != 1 || s.fullUntil != 0 || s.silent || s.inFlight != 0 || len(s.coldSends) != 1 {
+			if s.ejected || s.failures > 0 || s.slowness != 1 || s.fullUntil != 0 || s.silent || s.inFlight != 0 ||
+				len(s.coldSends) != 1 {
 				t.Errorf("the new record took over more than the cold sends: %+v", s)
 			}
 			b.gateway.Servers(b.now, b.host, Delta, nil)
@@ -411,12 +416,14 @@
 				continue
 			}
 			refused++
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1, Status: ConnectFailed, Latency: 1e3, Server: 1})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1,
+				Status: ConnectFailed, Latency: 1e3, Server: 1})
 		}
 		if len(out) > 15 { // the others have five each
 			x := out[0]
 			out = out[1:]
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1, Status: OK, Terminal: true, Latency: 150e3, Server: x.to})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1,
+				Status: OK, Terminal: true, Latency: 150e3, Server: x.to})
 		}
 	}
 	if refused > 8 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -54,7 +54,8 @@
 func (f *fleet) try(index, plan int, customer uint64, left Micros) bool {
 	f.nextID++
 	gateway, host := f.gateways[index], f.hosts[index]
-	gateway.Request(f.now, host, Request{ID: f.nextID, Plan: plan, Customer: customer, Left: left, Units: 1, Spread: len(f.gateways)})
+	gateway.Request(f.now, host, Request{ID: f.nextID, Plan: plan, Customer: customer, Left: left, Units: 1,
+		Spread: len(f.gateways)})
 	f.answerCounter(index)
 	return f.answer(index, f.nextID)
 }
@@ -66,7 +67,8 @@
 		sent := host.sent[f.handled[index]]
 		sentOn = sentOn || sent.id == id
 		f.attempts++
-		gateway.Outcome(f.now, host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 20e3, Server: sent.to, Settled: f.actualUnits})
+		gateway.Outcome(f.now, host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 20e3,
+			Server: sent.to, Settled: f.actualUnits})
 	}
 	return sentOn
 }
@@ -388,7 +390,8 @@
 	f := newFleet(t, s, 300, 5)
 	for k := range 50 {
 		f.try(k, k%2, 5, 2e6)
-		f.gateways[k].Request(f.now, f.hosts[k], Request{ID: 1e6, Customer: 1, Left: 1e6, Units: 1, Spread: 1 << 19})
+		f.gateways[k].Request(f.now, f.hosts[k], Request{ID: 1e6, Customer: 1, Left: 1e6, Units: 1,
+			Spread: 1 << 19})
 		f.advance(1e3)
 	}
 }
@@ -455,7 +458,8 @@
 	s := testSettings()
 	s.Largest = 6
 	s.Plans = s.Plans[1:2]
-	s.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverCost: 1, CeilingRate: 40, CeilingBurst: 88, CeilingSlack: 8}
+	s.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverCost: 1, CeilingRate: 40, CeilingBurst: 88,
+		CeilingSlack: 8}
 	p := s.Plans[0]
 	for _, c := range []struct {
 		name        string
@@ -493,7 +497,8 @@
 				if !c.few {
 					i = int(hash(uint64(ms), 5) % 7)
 				}
-				f.gateways[i].Request(f.now, f.hosts[i], Request{ID: f.nextID, Customer: 5, Left: 2e6, Units: 3, Spread: 7})
+				f.gateways[i].Request(f.now, f.hosts[i], Request{ID: f.nextID, Customer: 5, Left: 2e6, Units: 3,
+					Spread: 7})
 				f.answerCounter(i)
 			}
 			for i := range 7 {
@@ -597,7 +602,8 @@
 		g.Outcome(at, r, Outcome{ID: i, Status: OK, Terminal: true, Latency: 750e3, Server: r.sent[i].to})
 	}
 	if g.inFlightLimit >= bound {
-		t.Errorf("the limit is %.1f after six answers of 1.5 times the latency target, want less than %.1f", g.inFlightLimit, bound)
+		t.Errorf("the limit is %.1f after six answers of 1.5 times the latency target, want less than %.1f",
+			g.inFlightLimit, bound)
 	}
 }
 
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -99,7 +99,8 @@
 	g.ClientGone(now, h, 1000)
 	g.Outcome(now, h, Outcome{ID: 1000, Status: Cancelled, Server: 1})
 	if g.inFlight != 0 || g.inFlightBodies != 0 || g.byID[1].work > 1e-9 {
-		t.Fatalf("%d attempts in flight, %d uploading, work %g; want none", g.inFlight, g.inFlightBodies, g.byID[1].work)
+		t.Fatalf("%d attempts in flight, %d uploading, work %g; want none", g.inFlight, g.inFlightBodies,
+			g.byID[1].work)
 	}
 }
 
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -188,7 +188,8 @@
 	for _, srv := range g.servers {
 		for att := srv.head; att != nil; att = att.next {
 			req := att.request
-			if req.done || req.bodyPending || req.avoidServer != nil || req.inFlight != 1 || req.class.Repeat != Safe {
+			if req.done || req.bodyPending || req.avoidServer != nil || req.inFlight != 1 ||
+				req.class.Repeat != Safe {
 				continue
 			}
 			expect := req.class.latency
@@ -215,7 +216,8 @@
 	if g.settings.Learn <= 0 {
 		return slownessGain
 	}
-	return min(max(1-math.Exp(-float64(g.now-srv.slownessAt)/1e6/g.settings.Learn), slownessGain), maxSlownessWeight)
+	return min(max(1-math.Exp(-float64(g.now-srv.slownessAt)/1e6/g.settings.Learn), slownessGain),
+		maxSlownessWeight)
 }
 
 const maxSlownessWeight = 0.3 // upper bound of the weight of one answer in a server's slowness
@@ -223,7 +225,8 @@
 // boundTerms returns where the limit on attempts moves: the settings, or the defaults.
 func (g *Gateway) limitTerms() BoundTerms {
 	set := g.settings.Bound
-	return BoundTerms{Within: cmp.Or(set.Within, growBelow), Past: cmp.Or(set.Past, cutAbove), Knee: cmp.Or(set.Knee, growKnee),
+	return BoundTerms{Within: cmp.Or(set.Within, growBelow), Past: cmp.Or(set.Past, cutAbove),
+		Knee:    cmp.Or(set.Knee, growKnee),
 		KneeCut: cmp.Or(set.KneeCut, cutKnee)}
 }
 
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -10,7 +10,8 @@
 // region, also at a retry.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	g, r := startGateway(testSettings(), 0)
-	es := []Entry{{Server: 1, State: Ready, Region: 0}, {Server: 2, State: Ready, Region: 1}, {Server: 3, State: Ready, Region: 63}}
+	es := []Entry{{Server: 1, State: Ready, Region: 0}, {Server: 2, State: Ready, Region: 1},
+		{Server: 3, State: Ready, Region: 63}}
 	g.Servers(100e6, r, FullList, es)
 	home := map[uint64][]Server{1: {1}, 2: {2}, 1 << 63: {3}, 3: {1, 2}, 0: {1, 2, 3}}
 	id := uint32(0)
@@ -30,7 +31,8 @@
 				if !ok {
 					t.Fatalf("regions %x: sent to server %d", homes, x.to)
 				}
-				g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3, Terminal: st == OK})
+				g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to,
+					Latency: 1e3, Terminal: st == OK})
 			}
 			for _, s := range g.servers {
 				s.fullUntil = 0
@@ -41,7 +43,8 @@
 	g.Request(100e6, r, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
 	g.Timer(102e6, r, tokenGiveUp<<32|9999)
 	if _, refused := r.refused[9999]; len(r.sent) != sent || !refused {
-		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true", len(r.sent)-sent, refused)
+		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true", len(r.sent)-sent,
+			refused)
 	}
 }
 
@@ -164,7 +167,8 @@
 	g, r := startGateway(s, 4)
 	fail := func(id uint32, st Status) {
 		x := r.sent[len(r.sent)-1]
-		g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to, Latency: 1e3})
+		g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to,
+			Latency: 1e3})
 	}
 	g.Request(100e6, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
 	if asked != 0 {
@@ -267,15 +271,19 @@
 		cut   bool
 	}{
 		{"default terms, half of the target", BoundTerms{}, 150 * milli, true},
-		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli, false},
-		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli, true},
+		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli,
+			false},
+		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli,
+			true},
 	} {
-		g := New(Settings{Gateways: 1, Classes: []Class{{Aim: 300 * milli, Deadline: 2 * second, Worth: 1}}, Plans: []Plan{{Price: 1}},
+		g := New(Settings{Gateways: 1, Classes: []Class{{Aim: 300 * milli, Deadline: 2 * second, Worth: 1}},
+			Plans:       []Plan{{Price: 1}},
 			MaxAttempts: 1, Bound: c.bound}, 1)
 		g.now, g.inFlightLimit, g.listedCount = second, 20, 4
 		for range 200 {
 			g.now += 20 * milli
-			g.recordOutcome(&attempt{request: &request{class: &g.classes[0], units: 1}, server: &server{slowness: 1}}, Outcome{Status: OK, Latency: c.lat})
+			g.recordOutcome(&attempt{request: &request{class: &g.classes[0], units: 1},
+				server: &server{slowness: 1}}, Outcome{Status: OK, Latency: c.lat})
 		}
 		if got := g.inFlightLimit < 20; got != c.cut {
 			t.Errorf("%s: the limit went from 20 to %.1f", c.name, g.inFlightLimit)
@@ -316,7 +324,8 @@
 	} {
 		h := &timerHost{}
 		g := New(Settings{Gateways: 1, Tick: milli, MaxAttempts: 3, RetryAfter: true, HoldPart: c.part,
-			Classes: []Class{{Aim: 500 * milli, Deadline: 2 * second, Worth: 1, LateWorth: 1, Repeat: Unsafe}}, Plans: []Plan{{Price: 1}}}, 1)
+			Classes: []Class{{Aim: 500 * milli, Deadline: 2 * second, Worth: 1, LateWorth: 1,
+				Repeat: Unsafe}}, Plans: []Plan{{Price: 1}}}, 1)
 		now := second
 		h.now = &now
 		g.Start(now, h)
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -44,7 +44,8 @@
 		now += aim / 2
 		g.Timer(now, r, tokenTick<<32)
 		if len(r.sent) != 2 {
-			t.Errorf("%s: the second request was sent %d times within half the latency target, want 1", c.name, len(r.sent)-1)
+			t.Errorf("%s: the second request was sent %d times within half the latency target, want 1", c.name,
+				len(r.sent)-1)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -15,10 +15,10 @@
 	milli  = Micros(1e3)
 
 	// Quotas.
-	sharePeriod       = second // period over which our share of a customer's use is measured
-	shareGain         = 0.3    // weight of the newest period in the share
-	shareStalePeriods = 4      // periods without a counter total after which a share is the even part
-	minCustomerIdle   = 20 * second
+	sharePeriod       = second      // period over which our share of a customer's use is measured
+	shareGain         = 0.3         // weight of the newest period in the share
+	shareStalePeriods = 4           // periods without a counter total after which a share is the even part
+	minCustomerIdle   = 20 * second // idle time before which a customer's record is kept in any case
 
 	// The shared bucket, kept on the counter.
 	counterWindow   = 10 * second // span of a counter name, which stands for one customer and one window
@@ -43,22 +43,22 @@
 	leaseWindows       = 3          // lease windows in the time in which a ceiling's bucket fills
 
 	// The limit on attempts in flight.
-	startLimitPerServer = 5.0  // initial limit for each server, all gateways together
-	maxLimitPerServer   = 24.0 // the limit does not rise above this
-	minLimitPerServer   = 3.0  // for all gateways; the limit is not cut below our part of it
-	growBelow           = 0.25 // of the latency target: faster answers let the limit rise
-	growStep            = 2.0  // divided by the limit is what a fast answer adds to it
-	maxGrowth           = 0.05 // largest fraction of the limit that one answer adds
-	cutAbove            = 0.4  // of the latency target: slower answers on average cut the limit
-	minRatioWeight      = 0.03 // least weight of the newest answer in the latency ratio
-	maxRatioWeight      = 0.1  // its weight after 0.1 s or more, so that infrequent answers count
-	maxServiceFraction  = 0.4  // of the latency target, at most, is reserved for the answer itself
-	minRatioSamples     = 50
-	ratioDrift          = 60 * second
-	growKnee            = 1.3   // times the least latency ratio seen: the limit stops rising
-	cutKnee             = 1.8   // times the least latency ratio seen: the limit is cut
-	cutFactor           = 0.7   // factor on the limit at a cut
-	turnDistance        = 0.618 // distance between successive turns, as a fraction of the gateways
+	startLimitPerServer = 5.0         // initial limit for each server, all gateways together
+	maxLimitPerServer   = 24.0        // the limit does not rise above this
+	minLimitPerServer   = 3.0         // for all gateways; the limit is not cut below our part of it
+	growBelow           = 0.25        // of the latency target: faster answers let the limit rise
+	growStep            = 2.0         // divided by the limit is what a fast answer adds to it
+	maxGrowth           = 0.05        // largest fraction of the limit that one answer adds
+	cutAbove            = 0.4         // of the latency target: slower answers on average cut the limit
+	minRatioWeight      = 0.03        // least weight of the newest answer in the latency ratio
+	maxRatioWeight      = 0.1         // its weight after 0.1 s or more, so that infrequent answers count
+	maxServiceFraction  = 0.4         // of the latency target, at most, is reserved for the answer itself
+	minRatioSamples     = 50          // answers before the least latency ratio counts
+	ratioDrift          = 60 * second // time in which the least ratio drifts to the current one
+	growKnee            = 1.3         // times the least latency ratio seen: the limit stops rising
+	cutKnee             = 1.8         // times the least latency ratio seen: the limit is cut
+	cutFactor           = 0.7         // factor on the limit at a cut
+	turnDistance        = 0.618       // distance between successive turns, as a fraction of the gateways
 
 	// Retries.
 	fullTimeGain     = 0.02 // weight of the newest try in the share that has the full client time
@@ -66,28 +66,28 @@
 	minLateValue     = 0.5  // least value past the latency target for a late retry to be admitted
 
 	// Servers.
-	slownessGain       = 0.05       // weight of the newest answer in a server's slowness
-	failureSlowdown    = 2.0        // factor on the slowness at a failure
-	maxSlowness        = 20.0       // upper bound of a slowness, in expected latencies
-	tieBreakNoise      = 0.05       // random noise that breaks ties of cost
-	minSubset          = 6          // least number of servers used, the first in our own order
-	subsetSeconds      = 1.0        // or as many as get one request of ours in this many seconds each
-	fewGateways        = 4.0        // up to this many see a server's load in their own attempts
-	defaultExponent    = 0.5        // exponent of the random factor in the choice with very many gateways
-	slownessHalfLife   = 6 * second // half-life of the slowness of an unused server
-	minWork            = 0.25       // least weight of an attempt in a server's load; 1 is the average
-	maxWork            = 4.0        // greatest weight
-	silenceFactor      = 4.0        // expected latencies of silence that eject a server,
-	minSilenceTargets  = 1.5        // and at least this many halves of the shortest latency target
-	failsToEject       = 3
+	slownessGain       = 0.05        // weight of the newest answer in a server's slowness
+	failureSlowdown    = 2.0         // factor on the slowness at a failure
+	maxSlowness        = 20.0        // upper bound of a slowness, in expected latencies
+	tieBreakNoise      = 0.05        // random noise that breaks ties of cost
+	minSubset          = 6           // least number of servers used, the first in our own order
+	subsetSeconds      = 1.0         // or as many as get one request of ours in this many seconds each
+	fewGateways        = 4.0         // up to this many see a server's load in their own attempts
+	defaultExponent    = 0.5         // exponent of the random factor in the choice with very many gateways
+	slownessHalfLife   = 6 * second  // half-life of the slowness of an unused server
+	minWork            = 0.25        // least weight of an attempt in a server's load; 1 is the average
+	maxWork            = 4.0         // greatest weight
+	silenceFactor      = 4.0         // expected latencies of silence that eject a server,
+	minSilenceTargets  = 1.5         // and at least this many halves of the shortest latency target
+	failsToEject       = 3           // failures in a row
 	slowConnect        = 100 * milli // a connection that fails later than this was not refused
-	minEjection        = second / 2
-	maxEjection        = 8 * second
-	probeCostFactor    = 100.0 // factor on the cost of a server that is being probed
-	fullPause          = 50 * milli
-	coldBudgetFraction = 0.5  // of our part of a cold server's budget is used
-	warmRateHalfLife   = 30.0 // half-life of the measured rate of warm servers, in seconds
-	crossZoneFactor    = 10   // cost factor of a server in another zone, times the crossing price
+	minEjection        = second / 2  // first ejection of a server; each further one is twice as long
+	maxEjection        = 8 * second  // longest ejection
+	probeCostFactor    = 100.0       // factor on the cost of a server that is being probed
+	fullPause          = 50 * milli  // without requests for a server after a refusal as full
+	coldBudgetFraction = 0.5         // of our part of a cold server's budget is used
+	warmRateHalfLife   = 30.0        // half-life of the measured rate of warm servers, in seconds
+	crossZoneFactor    = 10          // cost factor of a server in another zone, times the crossing price
 
 	tickInterval = 10 * milli // interval of the housekeeping tick
 )
@@ -457,6 +457,7 @@
 	}
 }
 
+// handleDraw handles the answer to a draw.
 func (g *Gateway) handleDraw(call counterCall, status Status, total float64) {
 	req := call.request
 	req.awaitsCounter = false
@@ -521,9 +522,8 @@
 	return Micros(float64(ahead) / max(g.answerRate, min(g.inFlightLimit, 1)/g.meanLatency()*1e6, 1) * 1e6)
 }
 
-// holdDeadline is when a held request can no longer meet its latency target. The expected answer time counts
-// up to a fraction of the target only: otherwise a class with a high remembered latency would be refused for
-// ever, as it would not be measured again.
+// holdDeadline is when a held request can no longer meet its latency target. The answer time counts up to a
+// fraction of it: else a class with a high remembered latency would never be admitted and measured again.
 func (g *Gateway) holdDeadline(req *request) Micros {
 	service := min(req.class.latency, maxServiceFraction*float64(req.class.Aim))
 	latest := req.deadline - 2*max(g.settings.Tick, milli)
@@ -856,9 +856,8 @@
 }
 
 // hasColdBudget reports whether our sends to a cold server within the window are under our part of its
-// budget, judged by the measured rate of warm servers. Where none is warm, the remembered rate
-// counts, and at least one request at a time per server: otherwise an all-cold fleet would get nothing and
-// never be measured.
+// budget, judged by the measured rate of warm servers. Where none is warm, the remembered rate counts, and at
+// least one request at a time per server: otherwise an all-cold fleet would get nothing, unmeasured.
 func (g *Gateway) hasColdBudget(srv *server) bool {
 	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > g.settings.FallWindow {
 		srv.coldSends = srv.coldSends[1:]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -75,7 +75,8 @@
 		g.Request(100e6, r, Request{ID: i, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
 	}
 	if len(r.sent) != 10 || len(r.refused) != 10 {
-		t.Fatalf("sent %d, refused %d; want 10 and 10, as our part is half of a burst of 20", len(r.sent), len(r.refused))
+		t.Fatalf("sent %d, refused %d; want 10 and 10, as our part is half of a burst of 20", len(r.sent),
+			len(r.refused))
 	}
 	// at a refill of 5 units per second, the next unit is there after 200 ms
 	if w := r.refused[10]; w < 190e3 || w > 210e3 {
@@ -141,7 +142,8 @@
 	answered := 0
 	for ; b.handled < len(b.host.sent); b.handled++ {
 		sent := b.host.sent[b.handled]
-		b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: status, Terminal: status == OK, Latency: latency, Server: sent.to})
+		b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: status, Terminal: status == OK,
+			Latency: latency, Server: sent.to})
 		answered++
 	}
 	return answered
@@ -199,7 +201,8 @@
 		t.Errorf("the limit is %.0f at a constant latency, want at least 40", flat)
 	}
 	if steep > flat/2 {
-		t.Errorf("the limit is %.0f if latency grows with it, want at most half of the %.0f at a constant latency", steep, flat)
+		t.Errorf("the limit is %.0f if latency grows with it, want at most half of the %.0f at a constant latency",
+			steep, flat)
 	}
 }
 
@@ -327,7 +330,8 @@
 		}
 		if b.gateway.inFlight > 30 {
 			x := b.host.sent[done]
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 80e3, Server: x.to})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 80e3,
+				Server: x.to})
 			done++
 		}
 		b.handled = len(b.host.sent)
@@ -348,7 +352,8 @@
 		t.Fatalf("sent %v: the retry must stay in the cell", b.host.sent)
 	}
 	b.now += b.gateway.settings.Classes[1].Window
-	b.gateway.Outcome(b.now, b.host, Outcome{ID: first.id, Attempt: 1, Status: Reset, Server: first.to, Latency: 100e3})
+	b.gateway.Outcome(b.now, b.host, Outcome{ID: first.id, Attempt: 1, Status: Reset, Server: first.to,
+		Latency: 100e3})
 	if len(b.host.sent) != 2 || !b.host.failed[first.id] {
 		t.Fatal("sent again or not failed after the repeat window")
 	}
@@ -537,7 +542,8 @@
 	}
 	idle(2 * minCustomerIdle)
 	if b.gateway.customers[1] != nil || b.gateway.customers[recordKey(2, 1)] == nil {
-		t.Fatalf("after %d s %d customers are kept, want only the one with a ceiling", 2*minCustomerIdle/second, len(b.gateway.customers))
+		t.Fatalf("after %d s %d customers are kept, want only the one with a ceiling", 2*minCustomerIdle/second,
+			len(b.gateway.customers))
 	}
 	idle(100e6)
 	if len(b.gateway.customers) != 0 {
@@ -558,7 +564,8 @@
 		b.now += second
 		b.gateway.Counted(b.now, b.host, 1, 1000, c.st, 0)
 		if b.gateway.callFraction != c.want {
-			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st, b.gateway.callFraction, c.want)
+			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st, b.gateway.callFraction,
+				c.want)
 		}
 	}
 }
@@ -580,7 +587,8 @@
 			if x.to == 3 {
 				load = 0
 			}
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 40e3, Server: x.to, Load: []float32{load}})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 40e3,
+				Server: x.to, Load: []float32{load}})
 		}
 	}
 	at := map[Server]int{}
@@ -591,7 +599,8 @@
 		at[x.to]++
 	}
 	if len(b.host.sent)-b.handled < 16 || at[3] > 6 {
-		t.Errorf("of %d requests %d went to the server that reports idle, want at most 6 of 16", len(b.host.sent)-b.handled, at[3])
+		t.Errorf("of %d requests %d went to the server that reports idle, want at most 6 of 16",
+			len(b.host.sent)-b.handled, at[3])
 	}
 }
 
@@ -644,7 +653,8 @@
 		b.answer(10e3, OK)
 	}
 	for id, again := range map[uint32]bool{1: false, 2: true} {
-		b.gateway.Request(b.now, b.host, Request{ID: id, Customer: 2, Left: 1200e3, Units: 1, Spread: 2, Again: again})
+		b.gateway.Request(b.now, b.host, Request{ID: id, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
+			Again: again})
 		if _, no := b.host.refused[id]; no != again {
 			t.Errorf("marked as a retry %v: refused %v", again, no)
 		}
@@ -664,7 +674,8 @@
 			if x := b.host.sent[b.handled]; x.to > 4 {
 				silent++
 			} else {
-				b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 10e3, Server: x.to})
+				b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 10e3,
+					Server: x.to})
 			}
 		}
 		b.now += 10e3
--- a/policy/recover_test.go
+++ b/policy/recover_test.go
@@ -101,7 +101,8 @@
 		clients int
 	}{{second, 5, 1}, {11 * second, 1, 1}, {200 * second, 1, 0}} {
 		g, _ := restarted(&s, end+c.after, true)
-		if diff := cmp.Diff([]float64{c.rel, float64(c.clients)}, []float64{g.servers[0].slowness, float64(len(g.customers))}); diff != "" {
+		if diff := cmp.Diff([]float64{c.rel, float64(c.clients)},
+			[]float64{g.servers[0].slowness, float64(len(g.customers))}); diff != "" {
 			t.Errorf("after %d s, slowness and customers: %s", c.after/second, diff)
 		}
 	}
--- a/policy/rotation_test.go
+++ b/policy/rotation_test.go
@@ -82,7 +82,8 @@
 			if status == OK {
 				sim.end(id, true)
 			}
-			sim.gateways[h.index].Outcome(sim.now, h, Outcome{ID: id, Status: status, Latency: sim.now - sentAt, Attempt: attempt, Server: to, Load: load})
+			sim.gateways[h.index].Outcome(sim.now, h, Outcome{ID: id, Status: status, Latency: sim.now - sentAt,
+				Attempt: attempt, Server: to, Load: load})
 		})
 	}
 	sim.after(800, func() {
@@ -131,7 +132,8 @@
 }
 
 func newSimulation(turns bool, gateways, zones, workers int, class Class) *simulation {
-	sim := &simulation{now: 100e6, random: rand.New(rand.NewPCG(7, 1)), servers: map[Server]*simServer{}, sends: map[Server]int{}, arrivals: map[uint32]Micros{},
+	sim := &simulation{now: 100e6, random: rand.New(rand.NewPCG(7, 1)), servers: map[Server]*simServer{},
+		sends: map[Server]int{}, arrivals: map[uint32]Micros{},
 		ended: map[uint32]bool{}, class: class}
 	var list []Entry
 	for i := range workers {
@@ -140,13 +142,16 @@
 		list = append(list, Entry{Server: id, State: Ready})
 	}
 	for i := range gateways {
-		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways, Plans: []Plan{{Price: 1}}, Classes: []Class{class}, Tick: 1000,
+		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways, Plans: []Plan{{Price: 1}},
+			Classes: []Class{class}, Tick: 1000,
 			MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, HoldPart: 0.22, Step: 20000, Spread: 1, Learn: 1.5, Turns: turns,
 			Bound: BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}}
-		gateway, host := New(settings, uint64(i)*7+1), &simHost{simulation: sim, index: i, attempts: map[uint32]int{}}
+		gateway, host := New(settings, uint64(i)*7+1), &simHost{simulation: sim, index: i,
+			attempts: map[uint32]int{}}
 		sim.gateways, sim.hosts = append(sim.gateways, gateway), append(sim.hosts, host)
 		gateway.Start(sim.now, host)
-		gateway.Stand(sim.now, host, Ring{Zone: hash(uint64(i%zones), 3), Rank: i / zones, Of: (gateways + zones - 1 - i%zones) / zones})
+		gateway.Stand(sim.now, host, Ring{Zone: hash(uint64(i%zones), 3), Rank: i / zones,
+			Of: (gateways + zones - 1 - i%zones) / zones})
 		gateway.Servers(sim.now, host, FullList, list)
 	}
 	return sim
@@ -163,7 +168,8 @@
 		id++
 		index := c.random.IntN(len(c.gateways))
 		c.arrivals[id] = c.now
-		c.gateways[index].Request(c.now, c.hosts[index], Request{ID: id, Customer: 1, Left: c.class.Deadline, Units: 1, Spread: 1})
+		c.gateways[index].Request(c.now, c.hosts[index], Request{ID: id, Customer: 1, Left: c.class.Deadline,
+			Units: 1, Spread: 1})
 		c.after(Micros(c.random.ExpFloat64()/rate*1e6), next)
 	}
 	next()
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -20,7 +20,7 @@
 	offsetBits   = 12
 	offsetMask   = 1<<offsetBits - 1
 	maxRank      = 15
-	shedTurnStep = 1 << (offsetBits - 4) // fraction of the hash circle by which one turn moves all callers, in units of position
+	shedTurnStep = 1 << (offsetBits - 4) // positions by which one turn moves all callers
 	shedBaseWait = second / 2
 	maxShedWait  = 4 * second
 	maxRanksPast = 3 // from this many ranks above the cut on, the wait grows no further
@@ -106,7 +106,8 @@
 	for i, route := range routes {
 		var before []RouteFigures
 		for _, other := range routes {
-			if other.Rank == route.Rank && (other.Aim < route.Aim || other.Aim == route.Aim && other.Work < route.Work) && !slices.Contains(before, other) {
+			if other.Rank == route.Rank && (other.Aim < route.Aim || other.Aim == route.Aim &&
+				other.Work < route.Work) && !slices.Contains(before, other) {
 				before = append(before, other)
 			}
 		}
--- a/policy/shed_test.go
+++ b/policy/shed_test.go
@@ -61,7 +61,8 @@
 		}
 	}
 	for tenant, n := range below {
-		assert.Assert(t, n > callers*45/100 && n < callers*55/100, "%s: %d of %d callers pass a cut at half a tier", tenant, n, callers)
+		assert.Assert(t, n > callers*45/100 && n < callers*55/100,
+			"%s: %d of %d callers pass a cut at half a tier", tenant, n, callers)
 	}
 	assert.Assert(t, CallerHash(1, "ab", "c") != CallerHash(1, "a", "bc"), "tenant and caller are not separated")
 	assert.Assert(t, CallerHash(1, "a", "b") != CallerHash(2, "a", "b"), "the key has no effect")
@@ -79,7 +80,8 @@
 					passed++
 				}
 			}
-			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns with a cut at %d eighths", i, passed, eighths)
+			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns with a cut at %d eighths", i,
+				passed, eighths)
 		}
 	}
 }
@@ -108,7 +110,8 @@
 			w := ShedWait(terms.Spot(rank, Tier(rank, 0, 0), "t", fmt.Sprint(i)), cut, uint64(i))
 			least, most = min(least, w), max(most, w)
 		}
-		assert.Assert(t, least >= shedBaseWait/2 && most <= maxShedWait && most > least*3/2, "rank %d: waits from %d to %d us", rank, least, most)
+		assert.Assert(t, least >= shedBaseWait/2 && most <= maxShedWait && most > least*3/2,
+			"rank %d: waits from %d to %d us", rank, least, most)
 		assert.Assert(t, least >= last, "rank %d waits less than the rank before it", rank)
 		last = least
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -71,7 +71,8 @@
 }
 
 func (c *ClassRecord) state() classState {
-	return classState{Class: c.Class, meanUnits: c.Units, maxTimeLeft: c.Longest, fullTimeShare: c.Full, latency: c.Lat, answers: c.N}
+	return classState{Class: c.Class, meanUnits: c.Units, maxTimeLeft: c.Longest, fullTimeShare: c.Full,
+		latency: c.Lat, answers: c.N}
 }
 
 // PlanRecord holds the measurements of a plan: the mean time of its attempts in flight, in µs.
@@ -212,7 +213,8 @@
 
 // Snapshot returns the state of the gateway. It may be called between any two other calls.
 func (g *Gateway) Snapshot() Snapshot {
-	snapshot := Snapshot{Version: SnapshotVersion, Settings: g.settings, RNG: g.rng, Now: g.now, Born: g.startedAt, InForce: len(g.classes), WheelAt: g.wheelAt,
+	snapshot := Snapshot{Version: SnapshotVersion, Settings: g.settings, RNG: g.rng, Now: g.now, Born: g.startedAt,
+		InForce: len(g.classes), WheelAt: g.wheelAt,
 		InFlight: g.inFlight, Stuck: g.inFlightSilent, Filling: g.inFlightBodies, Answered: g.lastAnswer, Bound: g.inFlightLimit, BoundSet: g.limitSet, CutAt: g.limitCutAt,
 		IdleAt: g.minRatioAt, Idle: g.minRatio, Answers: g.ratioSamples, Stretch: g.latencyRatio, DoneRate: g.answerRate, SendRate: g.sendRate, WarmLoad: g.warmRate,
 		LastRate: g.ratesAt, Sends: g.sends, Dones: g.goodAnswers, Calls: g.callFraction, CallAt: g.lastCounterAnswer, CapWindow: g.capWindow}
@@ -252,7 +254,8 @@
 	for _, name := range slices.Sorted(maps.Keys(g.pendingCalls)) {
 		draw := DrawRecord{Name: name}
 		for _, call := range g.pendingCalls[name] {
-			rec := DrawnRecord{Request: -1, Client: -1, N: call.window, Units: call.units, Booked: call.booked, Kind: call.kind}
+			rec := DrawnRecord{Request: -1, Client: -1, N: call.window, Units: call.units, Booked: call.booked,
+				Kind: call.kind}
 			if call.request != nil {
 				rec.Request = requests.indexOf(call.request)
 			}
@@ -264,10 +267,12 @@
 		snapshot.Draws = append(snapshot.Draws, draw)
 	}
 	for i := 0; i < len(requests.values); i++ {
-		snapshot.Requests = append(snapshot.Requests, g.requestRecord(requests.values[i], &classes, &clients, &servers))
+		snapshot.Requests = append(snapshot.Requests, g.requestRecord(requests.values[i], &classes, &clients,
+			&servers))
 	}
 	for _, state := range classes.values {
-		snapshot.Classes = append(snapshot.Classes, ClassRecord{state.Class, state.meanUnits, state.maxTimeLeft, state.fullTimeShare, state.latency, state.answers})
+		snapshot.Classes = append(snapshot.Classes, ClassRecord{state.Class, state.meanUnits, state.maxTimeLeft,
+			state.fullTimeShare, state.latency, state.answers})
 	}
 	for _, state := range clients.values {
 		snapshot.Clients = append(snapshot.Clients, customerRecord(state))
@@ -278,21 +283,25 @@
 	return snapshot
 }
 
-func (g *Gateway) requestRecord(req *request, classes *index[*classState], clients *index[*customer], servers *index[*server]) RequestRecord {
-	rec := RequestRecord{ID: req.id, Class: classes.indexOf(req.class), Plan: req.plan.index, Client: clients.indexOf(req.customer), Units: req.units, Level: req.level,
+func (g *Gateway) requestRecord(req *request, classes *index[*classState], clients *index[*customer],
+	servers *index[*server]) RequestRecord {
+	rec := RequestRecord{ID: req.id, Class: classes.indexOf(req.class), Plan: req.plan.index,
+		Client: clients.indexOf(req.customer), Units: req.units, Level: req.level,
 		Arrived: req.arrived, Deadline: req.deadline, Halfway: req.unsentDeadline, Open: req.inFlight, Sent: req.sent, Done: req.done, Held: req.held,
 		Drawing: req.awaitsCounter, Admitted: req.admitted, Uncertain: req.mayHaveRun, Filling: req.bodyPending, RanOn: -1, RanAt: req.ranAt, Taken: req.tokensTaken, LeasedAt: req.leasedAt}
 	if req.ranOn != nil {
 		rec.RanOn = servers.indexOf(req.ranOn)
 	}
 	for _, att := range req.attempts {
-		rec.Attempts = append(rec.Attempts, AttemptRecord{servers.indexOf(att.server), att.sent, att.open, att.work, att.bodyPending})
+		rec.Attempts = append(rec.Attempts, AttemptRecord{servers.indexOf(att.server), att.sent, att.open,
+			att.work, att.bodyPending})
 	}
 	return rec
 }
 
 func customerRecord(cust *customer) CustomerRecord {
-	return CustomerRecord{Key: cust.key, Plan: cust.plan.index, Spread: cust.gateways, Tokens: cust.tokens, At: cust.refilledAt, Share: cust.share, ShareAt: cust.shareAt,
+	return CustomerRecord{Key: cust.key, Plan: cust.plan.index, Spread: cust.gateways, Tokens: cust.tokens,
+		At: cust.refilledAt, Share: cust.share, ShareAt: cust.shareAt,
 		OwnMean: cust.ownMean, AllMean: cust.allMean, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight,
 		Touched: cust.lastRequest, Level: cust.sharedTokens, LevelAt: cust.sharedAt, HeardAt: cust.totalAt, OthersRate: cust.othersRate, Untold: cust.unreported,
 		Window: cust.window, Mine: cust.ownInWindow, Others: cust.othersInWindow, OwnUse: cust.ownUse, OthersUse: cust.othersUse, AccAt: cust.usePeriodStart,
@@ -300,7 +309,8 @@
 }
 
 func serverRecord(srv *server, requests *index[*request]) ServerRecord {
-	rec := ServerRecord{Entry: srv.entry, ID: srv.id, Listed: srv.listed, Place: srv.order, Rel: srv.slowness, RelAt: srv.slownessAt, Load: srv.work, Answered: srv.lastAnswer,
+	rec := ServerRecord{Entry: srv.entry, ID: srv.id, Listed: srv.listed, Place: srv.order, Rel: srv.slowness,
+		RelAt: srv.slownessAt, Load: srv.work, Answered: srv.lastAnswer,
 		Fails: srv.failures, Ejected: srv.ejected, Trial: srv.probing, Lost: srv.silent, EjectedFor: srv.ejection,
 		RetryAt: srv.probeAt, FullTo: srv.fullUntil, ColdSends: slices.Clone(srv.coldSends)}
 	for att := srv.head; att != nil; att = att.next {
@@ -310,12 +320,12 @@
 }
 
 // ErrSnapshot means that this build cannot continue from a snapshot.
-var ErrSnapshot = errors.New("policy: a snapshot that can't be gone on from")
+var ErrSnapshot = errors.New("policy: cannot restore the snapshot")
 
 // Restore returns a gateway that continues from a snapshot.
 func Restore(snapshot Snapshot) (g *Gateway, err error) {
 	if snapshot.Version != SnapshotVersion {
-		return nil, fmt.Errorf("%w: version %d, not %d", ErrSnapshot, snapshot.Version, SnapshotVersion)
+		return nil, fmt.Errorf("%w: got version %d, want %d", ErrSnapshot, snapshot.Version, SnapshotVersion)
 	}
 	defer func() { // an index out of range
 		if rec := recover(); rec != nil {
@@ -406,7 +416,8 @@
 }
 
 func (g *Gateway) restoreCustomer(rec *CustomerRecord) *customer {
-	cust := &customer{key: rec.Key, plan: &g.plans[rec.Plan], gateways: rec.Spread, tokens: rec.Tokens, refilledAt: rec.At, share: rec.Share, shareAt: rec.ShareAt,
+	cust := &customer{key: rec.Key, plan: &g.plans[rec.Plan], gateways: rec.Spread, tokens: rec.Tokens,
+		refilledAt: rec.At, share: rec.Share, shareAt: rec.ShareAt,
 		ownMean: rec.OwnMean, allMean: rec.AllMean, ceilingTokens: rec.Guard, pending: rec.Pending, inFlight: rec.Open, lastRequest: rec.Touched,
 		sharedTokens: rec.Level, sharedAt: rec.LevelAt, totalAt: rec.HeardAt, othersRate: rec.OthersRate, unreported: rec.Untold,
 		window: rec.Window, ownInWindow: rec.Mine, othersInWindow: rec.Others, ownUse: rec.OwnUse, othersUse: rec.OthersUse, usePeriodStart: rec.AccAt, spentWindow: rec.Spent}
@@ -414,20 +425,24 @@
 }
 
 func restoreServer(rec *ServerRecord) *server {
-	return &server{id: rec.ID, entry: rec.Entry, listed: rec.Listed, order: rec.Place, slowness: rec.Rel, slownessAt: rec.RelAt, work: rec.Load, lastAnswer: rec.Answered,
+	return &server{id: rec.ID, entry: rec.Entry, listed: rec.Listed, order: rec.Place, slowness: rec.Rel,
+		slownessAt: rec.RelAt, work: rec.Load, lastAnswer: rec.Answered,
 		failures: rec.Fails, ejected: rec.Ejected, probing: rec.Trial, silent: rec.Lost, ejection: rec.EjectedFor,
 		probeAt: rec.RetryAt, fullUntil: rec.FullTo, coldSends: slices.Clone(rec.ColdSends)}
 }
 
-func (g *Gateway) restoreRequest(rec *RequestRecord, classes []*classState, clients []*customer, servers []*server) *request {
-	req := &request{id: rec.ID, class: classes[rec.Class], plan: &g.plans[rec.Plan], customer: clients[rec.Client], units: rec.Units, level: rec.Level,
+func (g *Gateway) restoreRequest(rec *RequestRecord, classes []*classState, clients []*customer,
+	servers []*server) *request {
+	req := &request{id: rec.ID, class: classes[rec.Class], plan: &g.plans[rec.Plan], customer: clients[rec.Client],
+		units: rec.Units, level: rec.Level,
 		arrived: rec.Arrived, deadline: rec.Deadline, unsentDeadline: rec.Halfway, inFlight: rec.Open, sent: rec.Sent, done: rec.Done, held: rec.Held,
 		awaitsCounter: rec.Drawing, admitted: rec.Admitted, mayHaveRun: rec.Uncertain, bodyPending: rec.Filling, ranAt: rec.RanAt, tokensTaken: rec.Taken, leasedAt: rec.LeasedAt}
 	if rec.RanOn >= 0 {
 		req.ranOn = servers[rec.RanOn]
 	}
 	for i, a := range rec.Attempts {
-		req.attempts = append(req.attempts, &attempt{request: req, server: servers[a.Server], index: i, sent: a.Sent, open: a.Open, work: a.Load, bodyPending: a.Filling})
+		req.attempts = append(req.attempts, &attempt{request: req, server: servers[a.Server], index: i,
+			sent: a.Sent, open: a.Open, work: a.Load, bodyPending: a.Filling})
 	}
 	return req
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,29 +2,30 @@
 
 // The records that a gateway keeps, and helpers that keep them consistent. Nothing is decided here.
 
+// request is a client's try from its arrival until its final answer and the end of its last attempt.
 type request struct {
 	id             uint32
 	class          *classState
 	plan           *planState
 	customer       *customer
-	units          float64
-	level          int
-	arrived        Micros
-	deadline       Micros
-	unsentDeadline Micros // while it was never sent, it is refused by then
+	units          float64 // estimated units of quota
+	level          int     // index in Gateway.queue
+	arrived        Micros  // time of its client's first try, as far as known
+	deadline       Micros  // when its client gives up
+	unsentDeadline Micros  // while it was never sent, it is refused by then
 	attempts       []*attempt
-	inFlight       int  // attempts in flight
-	sent, done     bool // a first attempt was made; the final answer is given
-	bodyPending    bool // the last byte of its body has not arrived yet
-	held           bool
-	heldAt         Micros // when it was last put in the queue
-	awaitsCounter  bool   // it awaits the counter
-	admitted       bool
-	mayHaveRun     bool // an attempt may have run on a server
-	ranOn          *server
-	ranAt          Micros // send time of the first attempt that may have run
-	tokensTaken    float64
-	leasedAt       Micros // when its units of a ceiling were leased; 0 if they were not
+	inFlight       int     // attempts in flight
+	sent, done     bool    // a first attempt was made; the final answer is given
+	bodyPending    bool    // the last byte of its body has not arrived yet
+	held           bool    // it is in the queue
+	heldAt         Micros  // when it was last put in the queue
+	awaitsCounter  bool    // it awaits the counter
+	admitted       bool    // its units are reserved
+	mayHaveRun     bool    // an attempt may have run on a server
+	ranOn          *server // server of that attempt
+	ranAt          Micros  // send time of the first attempt that may have run
+	tokensTaken    float64 // units taken from the customer's buckets
+	leasedAt       Micros  // when its units of a ceiling were leased; 0 if they were not
 
 	regions      uint64  // bit set of the regions it may go to; 0 for any
 	arrivalClass int     // index of its class at its arrival
@@ -32,12 +33,13 @@
 	avoidServer  *server // its attempt there was cancelled because the server was silent
 }
 
+// attempt is one send of a request to a server.
 type attempt struct {
 	request         *request
 	server          *server
-	index           int
-	sent            Micros
-	open            bool
+	index           int     // in request.attempts
+	sent            Micros  // when it was decided on
+	open            bool    // it has no outcome yet
 	work            float64 // its expected latency relative to the mean
 	bodyPending     bool    // counted as waiting for the request's body: the server cannot have started
 	silenceObserved bool    // its server's silence was already observed with it
@@ -45,69 +47,73 @@
 	prev, next      *attempt
 }
 
+// server is what the gateway knows of one process of a listed server.
 type server struct {
 	id             Server
-	entry          Entry
+	entry          Entry // its line of the server list
 	listed         bool
-	order          float64 // position in our own order of the servers, ascending
-	slowness       float64 // latency relative to the fleet's, decays towards 1
-	slownessAt     Micros
-	inFlight       int
-	work           float64  // sum of the work of our attempts in flight
-	head, tail     *attempt // our attempts in flight, oldest first
-	lastAnswer     Micros   // time of the last answer of any kind
-	failures       int
-	ejected        bool
-	ejection       Micros
-	probeAt        Micros
-	probing        bool // a probe is in flight
-	silent         bool // ejected as silent, and not heard of since
-	fullUntil      Micros
-	coldSends      []Micros // sends that still count against its cold budget
-	unsent         int      // attempts decided on that have not been sent yet
-	verdict        Belief   // verdict of the zone's gateways
-	unreported     observations
-	reportedLoad   float64 // requests per slot in its last load report
-	reportedAt     Micros
-	lastUsed       Micros // our last send, or a time drawn to spread the first sends
-	lastConsidered Micros // when it was last a candidate
+	order          float64      // position in our own order of the servers, ascending
+	slowness       float64      // latency relative to the fleet's, decays towards 1
+	slownessAt     Micros       // when slowness was last updated
+	inFlight       int          // our attempts in flight
+	work           float64      // sum of the work of our attempts in flight
+	head, tail     *attempt     // our attempts in flight, oldest first
+	lastAnswer     Micros       // time of the last answer of any kind
+	failures       int          // failures in a row
+	ejected        bool         // it gets no requests but probes
+	ejection       Micros       // length of the latest ejection
+	probeAt        Micros       // when it may be probed
+	probing        bool         // a probe is in flight
+	silent         bool         // ejected as silent, and not heard of since
+	fullUntil      Micros       // it gets no requests before
+	coldSends      []Micros     // sends that still count against its cold budget
+	unsent         int          // attempts decided on that have not been sent yet
+	verdict        Belief       // verdict of the zone's gateways
+	unreported     observations // observations for the next report
+	reportedLoad   float64      // requests per slot in its last load report
+	reportedAt     Micros       // time of that report
+	lastUsed       Micros       // our last send, or a time drawn to spread the first sends
+	lastConsidered Micros       // when it was last a candidate
 }
 
 // takesRequests reports whether the list lets a server take new requests.
 func (s *server) takesRequests() bool { return s.listed && s.entry.State == Ready }
 
+// classState is a class with its measurements.
 type classState struct {
 	Class
 	meanUnits     float64 // mean units of its answered requests
 	maxTimeLeft   Micros  // longest time left of a try, in µs
 	fullTimeShare float64 // fraction of first tries that have nearly that much
 	latency       float64 // mean latency of good answers from the fleet, in µs
-	answers       int
+	answers       int     // number of good answers
 }
 
+// planState is a plan with its measurements.
 type planState struct {
 	Plan
 	index       int
 	attemptTime float64 // mean time that its attempts are in flight, in µs
 }
 
+// customer is the record of one customer under one plan.
 type customer struct {
-	key           uint64
+	key           uint64 // see recordKey
 	plan          *planState
-	gateways      float64
-	tokens        float64
-	refilledAt    Micros
-	share         float64
-	shareAt       Micros
+	gateways      float64 // number of gateways that the customer comes through
+	tokens        float64 // units in our own bucket
+	refilledAt    Micros  // when tokens and ceilingTokens were last advanced
+	share         float64 // our share of the quota, from 0 to 1
+	shareAt       Micros  // when share was last updated
 	ownMean       float64 // our use per period, smoothed
 	allMean       float64 // use of all gateways per period, smoothed
 	ceilingTokens float64 // units in our part of the ceiling's bucket
 	pending       float64 // units admitted and not sent yet
-	inFlight      int
-	lastRequest   Micros
+	inFlight      int     // attempts in flight
+	lastRequest   Micros  // time of the last request
 	// Shared bucket, kept on the counter.
 	sharedTokens   float64 // estimate of the units in the shared bucket
-	sharedAt       Micros
+	sharedAt       Micros  // when sharedTokens was last advanced
 	totalAt        Micros  // time of the last total; 0 before the first
 	othersRate     float64 // units per second that the other gateways use
 	unreported     float64 // our use that the counter does not have yet
@@ -116,7 +122,7 @@
 	othersInWindow float64 // units that the others added, by the last total
 	ownUse         float64 // our use since usePeriodStart, and the others'
 	othersUse      float64
-	usePeriodStart Micros
+	usePeriodStart Micros   // start of the current share period
 	spentWindow    [2]int64 // windows known to be spent, by drawUnits and drawLease
 }
 
@@ -134,50 +140,51 @@
 // Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	settings    Settings
-	rng         uint64
+	rng         uint64 // state of the random numbers
 	host        Host
-	now         Micros
+	now         Micros // time of the current event
 	startedAt   Micros
 	classes     []classState
 	plans       []planState
-	levels      [][]int // by class and plan, the index in queue
-	queue       [][]*request
-	queued      int
+	levels      [][]int      // by class and plan, the index in queue
+	queue       [][]*request // held requests, by level
+	queued      int          // requests in queue
 	requests    map[uint32]*request
 	customers   map[uint64]*customer
-	wheel       [][]*customer
-	wheelAt     int64
-	tickDue     Micros // when the latest requested tick is due
-	servers     []*server
+	wheel       [][]*customer // timing wheel: customers by the tick of their visit each second
+	wheelAt     int64         // last visited slot, in ticks
+	tickDue     Micros        // when the latest requested tick is due
+	servers     []*server     // in our own order
 	byID        map[Server]*server
 	listedCount int // number of listed servers
 	ringPlace   Ring
 
-	inFlight       int
-	inFlightSilent int    // attempts at silent servers, part of inFlight
-	inFlightBodies int    // attempts waiting for a request body, part of inFlight
-	lastAnswer     Micros // time of the last answer of any server
-	inFlightLimit  float64
-	limitSet       bool
-	limitCutAt     Micros
+	inFlight       int     // attempts in flight
+	inFlightSilent int     // attempts at silent servers, part of inFlight
+	inFlightBodies int     // attempts waiting for a request body, part of inFlight
+	lastAnswer     Micros  // time of the last answer of any server
+	inFlightLimit  float64 // limit on attempts in flight
+	limitSet       bool    // the limit has its initial value
+	limitCutAt     Micros  // time of the last cut
 	minRatio       float64 // least latency ratio seen, drifts up to the current one
-	minRatioAt     Micros
-	ratioSamples   int
+	minRatioAt     Micros  // when latencyRatio was last updated
+	ratioSamples   int     // number of answers in latencyRatio
 	latencyRatio   float64 // smoothed latency of answers over their latency target
 	answerRate     float64 // good answers per second
-	sendRate       float64
+	sendRate       float64 // sends per second
 	warmRate       float64 // good answers per second that a warm server has given us
-	ratesAt        Micros
-	sends          int
-	goodAnswers    int
-	coldSendCount  uint64 // attempts sent to cold servers
+	ratesAt        Micros  // when the rates were last updated
+	sends          int     // sends since ratesAt
+	goodAnswers    int     // good answers since ratesAt
+	coldSendCount  uint64  // attempts sent to cold servers
 
-	pendingCalls      map[uint64][]counterCall
-	callFraction      float64 // fraction of the counter calls that are made
-	capWindow         Micros
-	lastCounterAnswer Micros
+	pendingCalls      map[uint64][]counterCall // counter calls in progress by name, oldest first
+	callFraction      float64                  // fraction of the counter calls that are made
+	capWindow         Micros                   // counter window of concurrency caps
+	lastCounterAnswer Micros                   // time of the last answer of the counter
 }
 
+// random returns the next pseudo-random number in [0, 1), by xorshift.
 func (g *Gateway) random() float64 {
 	g.rng ^= g.rng << 13
 	g.rng ^= g.rng >> 7
@@ -185,6 +192,7 @@
 	return float64(g.rng>>11) / (1 << 53)
 }
 
+// hash mixes two numbers into a well distributed one.
 func hash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xc2b2ae3d27d4eb4f
 	x ^= x >> 29
@@ -192,6 +200,7 @@
 	return x ^ x>>32
 }
 
+// removeRequest removes a request from a list and reports whether it was there.
 func removeRequest(list *[]*request, req *request) bool {
 	for i, x := range *list {
 		if x == req {
@@ -202,6 +211,7 @@
 	return false
 }
 
+// unqueue removes a request from the queue if it is held.
 func (g *Gateway) unqueue(req *request) {
 	if !req.held {
 		return
@@ -212,6 +222,7 @@
 	}
 }
 
+// closeAttempt removes an attempt from its request's, server's and customer's counts.
 func (g *Gateway) closeAttempt(att *attempt) {
 	srv := att.server
 	g.recordDeparture(att) // if it was never reported as sent
@@ -237,6 +248,7 @@
 	g.inFlight--
 }
 
+// cancelAll cancels a request's open attempts.
 func (g *Gateway) cancelAll(req *request) {
 	for i := range req.attempts {
 		if req.attempts[i].open && g.settings.Cancel {
@@ -260,6 +272,7 @@
 	g.inFlight++
 }
 
+// refuse ends a request with a refusal and returns its unused units.
 func (g *Gateway) refuse(req *request, wait Micros) {
 	g.returnUnits(req)
 	g.unqueue(req)
@@ -270,6 +283,7 @@
 	g.finish(req)
 }
 
+// fail ends a request with a failure.
 func (g *Gateway) fail(req *request) {
 	g.returnUnits(req)
 	g.unqueue(req)
@@ -277,6 +291,7 @@
 	g.finish(req)
 }
 
+// finish marks a request as answered and drops it once no attempt is open.
 func (g *Gateway) finish(req *request) {
 	req.done = true
 	if req.inFlight == 0 {
@@ -284,6 +299,7 @@
 	}
 }
 
+// beginEvent sets the time and the host for the actions of an event.
 func (g *Gateway) beginEvent(now Micros, host Host) {
 	g.now, g.host = now, host
 }
@@ -306,6 +322,7 @@
 	return max(sum/max(n, 1), 1)
 }
 
+// waitFor is the time in which a rate per second yields the units, at most an hour.
 func waitFor(units, rate float64) Micros {
 	if rate <= 0 {
 		return second
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -12,14 +12,14 @@
 	maxTenantWait    = 2 * second
 	maxFirstWait     = 300 * milli // longest wait told before the first allotment, which has been asked for already
 	startTokensLife  = 2 * second  // lifetime of the start-up tokens; the allotter relies on this value
-	waitSpread       = 0.3         // largest fraction added to a wait, by turns, so that refused clients return at different times
+	waitSpread       = 0.3         // largest fraction added to a wait, so that clients return at different times
 	firstTryTokens   = 2.0         // most tokens that retries leave for first tries,
 	firstTryFraction = 0.5         // but at most this fraction of the burst beyond one token
 )
 
 // TenantSlice is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
 // Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
-// for the start of a process; they expire after kickSpan. Wants, in a Holding, is the number of requests that
+// for the start of a process; they expire after startTokensLife. Wants, in a Holding, is the number of requests that
 // found no token since the last Holding. Returned, in a Holding, is the number of tokens given up since then.
 type TenantSlice struct {
 	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
@@ -134,7 +134,8 @@
 		if t.FloorFor > 0 {
 			end = min(now, t.leaseEnd+t.FloorFor)
 		}
-		bucket.tokens = min(bucket.tokens+bucket.allotment.Floor*float64(max(end-bucket.filledAt, 0))/1e6, bucket.allotment.FloorBurst)
+		bucket.tokens = min(bucket.tokens+bucket.allotment.Floor*float64(max(end-bucket.filledAt, 0))/1e6,
+			bucket.allotment.FloorBurst)
 		if end < now {
 			bucket.tokens = 0
 		}
@@ -285,7 +286,8 @@
 		return
 	}
 	t.refill(bucket, now)
-	*bucket = tenantBucket{filledAt: now, lastUsed: bucket.lastUsed, returned: bucket.returned + bucket.tokens, startTokens: bucket.startTokens, startTokensEnd: bucket.startTokensEnd}
+	*bucket = tenantBucket{filledAt: now, lastUsed: bucket.lastUsed, returned: bucket.returned + bucket.tokens,
+		startTokens: bucket.startTokens, startTokensEnd: bucket.startTokensEnd}
 }
 
 // Idle reports whether a tenant has had no request for the given time.
--- a/policy/tenants_test.go
+++ b/policy/tenants_test.go
@@ -263,7 +263,8 @@
 	for _, c := range []struct {
 		left  Micros
 		again bool
-	}{{2000 * milli, false}, {1994 * milli, false}, {1960 * milli, true}, {700 * milli, true}, {2000 * milli, false}, {3000 * milli, false},
+	}{{2000 * milli, false}, {1994 * milli, false}, {1960 * milli, true}, {700 * milli, true}, {2000 * milli,
+		false}, {3000 * milli, false},
 		{2000 * milli, true}} {
 		assert.Equal(t, p.Again(c.left), c.again, c.left)
 	}
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -72,7 +72,8 @@
 	if srv.head == nil || srv.entry.ColdUntil > g.now {
 		return
 	}
-	maxSilence := max(silenceFactor*g.meanLatency()*min(g.currentSlowness(srv), maxPatienceSlowness), minSilenceTargets*float64(g.capWindow))
+	maxSilence := max(silenceFactor*g.meanLatency()*min(g.currentSlowness(srv), maxPatienceSlowness),
+		minSilenceTargets*float64(g.capWindow))
 	if g.silence(srv) < maxSilence || float64(g.now-g.lastAnswer) > maxSilence {
 		return
 	}
@@ -91,7 +92,8 @@
 	for _, srv := range g.servers {
 		g.observeSilence(srv)
 		srv.unreported.decay(now)
-		isReport := srv.unreported.bad >= minObservation || srv.verdict >= Watched && srv.unreported.good+srv.unreported.bad >= minObservation
+		isReport := srv.unreported.bad >= minObservation || srv.verdict >= Watched &&
+			srv.unreported.good+srv.unreported.bad >= minObservation
 		if srv.listed && isReport {
 			list = append(list, Sighting{Server: srv.id, Good: srv.unreported.good, Bad: srv.unreported.bad})
 			srv.unreported = observations{decayedAt: now}
--- a/policy/verdicts_test.go
+++ b/policy/verdicts_test.go
@@ -22,17 +22,21 @@
 		{name: "suspect", belief: Watched, least: 1, most: 60},
 		{name: "unhealthy", belief: Shunned},
 		{name: "on probe by us", belief: OnTrial, least: 1, most: 60},
-		{name: "on probe, but not with unsafe requests where there are safe ones", belief: OnTrial, kind: Unsafe, safe: true},
-		{name: "on probe with unsafe requests where there are no others", belief: OnTrial, kind: Unsafe, least: 1, most: 60},
+		{name: "on probe, but not with unsafe requests where there are safe ones", belief: OnTrial, kind: Unsafe,
+			safe: true},
+		{name: "on probe with unsafe requests where there are no others", belief: OnTrial, kind: Unsafe, least: 1,
+			most: 60},
 		{name: "ejected by us alone, long ago, unsafe requests", fails: true, kind: Unsafe, least: 1, most: 60},
-		{name: "ejected by us, but recovered by verdict", belief: Cleared, fails: true, kind: Unsafe, least: 1, most: 60},
+		{name: "ejected by us, but recovered by verdict", belief: Cleared, fails: true, kind: Unsafe, least: 1,
+			most: 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			class := Class{Aim: second, Deadline: 3 * second, Worth: 1, LateWorth: 1}
 			unsafe := class
 			unsafe.Repeat = Unsafe
 			h := newRecorder()
-			g := New(Settings{Gateways: 12, Spread: 1, Classes: []Class{class, unsafe}, Plans: []Plan{{Price: 1}}, MaxAttempts: 1, Beliefs: true}, 1)
+			g := New(Settings{Gateways: 12, Spread: 1, Classes: []Class{class, unsafe}, Plans: []Plan{{Price: 1}},
+				MaxAttempts: 1, Beliefs: true}, 1)
 			now, id := second, uint32(0)
 			g.Start(now, h)
 			var entries []Entry
@@ -85,7 +89,8 @@
 func TestObservationReports(t *testing.T) {
 	class := Class{Aim: second, Deadline: 9 * second, Worth: 1, LateWorth: 1}
 	h := newRecorder()
-	g := New(Settings{Gateways: 1, Classes: []Class{class}, Plans: []Plan{{Price: 1}}, MaxAttempts: 1, Beliefs: true}, 1)
+	g := New(Settings{Gateways: 1, Classes: []Class{class}, Plans: []Plan{{Price: 1}}, MaxAttempts: 1,
+		Beliefs: true}, 1)
 	now := second
 	g.Start(now, h)
 	entries := []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}}
@@ -109,7 +114,8 @@
 	do(1, Failed)
 	got := g.Sightings(now)
 	assert.Equal(t, len(got), 1)
-	assert.Assert(t, got[0].Server == 1 && got[0].Bad == 1 && got[0].Good > 3, "want one failure and more than 3 good answers of server 1, got %v", got)
+	assert.Assert(t, got[0].Server == 1 && got[0].Bad == 1 && got[0].Good > 3,
+		"want one failure and more than 3 good answers of server 1, got %v", got)
 	assert.Equal(t, len(g.Sightings(now)), 0, "observations are reported once")
 	do(1, Reset)
 	assert.Equal(t, g.Sightings(now)[0].Bad, resetWeight)
--- a/policy/view.go
+++ b/policy/view.go
@@ -63,10 +63,13 @@
 // View returns the state at a time, for a customer under a plan.
 func (g *Gateway) View(now Micros, customer uint64, plan int) View {
 	g.now = now
-	view := View{Bound: g.inFlightLimit, InFlight: g.inFlight, Stuck: g.inFlightSilent, Held: g.queued, Calls: g.callFraction}
+	view := View{Bound: g.inFlightLimit, InFlight: g.inFlight, Stuck: g.inFlightSilent, Held: g.queued,
+		Calls: g.callFraction}
 	for _, srv := range g.servers {
-		row := ServerView{Server: srv.id, State: srv.entry.State, Listed: srv.listed, Open: srv.inFlight, Load: srv.work,
-			Slowness: g.currentSlowness(srv), Cost: g.serverCost(srv), Full: max(srv.fullUntil-now, 0), Cold: g.isCold(srv)}
+		row := ServerView{Server: srv.id, State: srv.entry.State, Listed: srv.listed, Open: srv.inFlight,
+			Load:     srv.work,
+			Slowness: g.currentSlowness(srv), Cost: g.serverCost(srv), Full: max(srv.fullUntil-now,
+				0), Cold: g.isCold(srv)}
 		if srv.ejected {
 			row.Shut = max(srv.probeAt-now, 0)
 		}
@@ -79,7 +82,8 @@
 	cust := *known // advance a copy only
 	g.refill(&cust)
 	view.Known = true
-	view.Customer = CustomerView{Tokens: cust.tokens, Store: g.bucketCapacity(&cust), Rate: g.refillRate(&cust) * g.currentShare(&cust), Share: g.currentShare(&cust),
+	view.Customer = CustomerView{Tokens: cust.tokens, Store: g.bucketCapacity(&cust),
+		Rate: g.refillRate(&cust) * g.currentShare(&cust), Share: g.currentShare(&cust),
 		Shared: g.usesSharedBucket(&cust), HeardAge: -1, Ceiling: cust.plan.CeilingRate > 0, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight}
 	if view.Customer.Shared {
 		g.advanceShared(&cust)
@@ -114,7 +118,8 @@
 			weight *= g.warmFraction(srv)
 		}
 		unavailable := srv.ejected && now < srv.probeAt || now < srv.fullUntil
-		list = append(list, Standing{Server: srv.id, State: srv.entry.State, Shut: unavailable, Part: weight, Zone: srv.entry.Zone})
+		list = append(list, Standing{Server: srv.id, State: srv.entry.State, Shut: unavailable, Part: weight,
+			Zone: srv.entry.Zone})
 	}
 	slices.SortFunc(list, func(a, b Standing) int { return cmp.Compare(a.Server, b.Server) })
 	return list, g.inFlightLimit
