--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -134,7 +134,8 @@
 		for srv.arrivals[0] < c.now-c.settings.FallWindow {
 			srv.arrivals = srv.arrivals[1:]
 		}
-		c.maxColdLoad = max(c.maxColdLoad, float64(len(srv.arrivals))/(c.settings.FallMultiple*c.capacity(srv)*float64(c.settings.FallWindow)/1e6))
+		c.maxColdLoad = max(c.maxColdLoad,
+			float64(len(srv.arrivals))/(c.settings.FallMultiple*c.capacity(srv)*float64(c.settings.FallWindow)/1e6))
 	}
 	if srv.inFlight >= 24 {
 		end(1e3, Full)
@@ -339,7 +340,8 @@
 			if s == nil || s == old {
 				t.Fatal("the new process has the record of the old one")
 			}
-			if s.ejected || s.failures > 0 || s.slowness != 1 || s.fullUntil != 0 || s.silent || s.inFlight != 0 ||
+			if s.ejected || s.failures > 0 || s.slowness != 1 || s.fullUntil != 0 || s.silent ||
+				s.inFlight != 0 ||
 				len(s.coldSends) != 1 {
 				t.Errorf("the new record took over more than the cold sends: %+v", s)
 			}
@@ -416,14 +418,16 @@
 				continue
 			}
 			refused++
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1,
-				Status: ConnectFailed, Latency: 1e3, Server: 1})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id,
+				Attempt: len(b.gateway.requests[x.id].attempts) - 1,
+				Status:  ConnectFailed, Latency: 1e3, Server: 1})
 		}
 		if len(out) > 15 { // the others have five each
 			x := out[0]
 			out = out[1:]
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Attempt: len(b.gateway.requests[x.id].attempts) - 1,
-				Status: OK, Terminal: true, Latency: 150e3, Server: x.to})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id,
+				Attempt: len(b.gateway.requests[x.id].attempts) - 1,
+				Status:  OK, Terminal: true, Latency: 150e3, Server: x.to})
 		}
 	}
 	if refused > 8 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -31,7 +31,8 @@
 func newFleet(t *testing.T, settings Settings, gateways, servers int) *fleet {
 	settings.Gateways, settings.Counter, settings.CounterTimeout = gateways, true, 30e3
 	f := &fleet{t: t, settings: settings, totals: map[uint64]float64{}, now: 100e6}
-	f.gateways, f.hosts, f.handled = make([]*Gateway, gateways), make([]*recorder, gateways), make([]int, gateways)
+	f.gateways, f.hosts = make([]*Gateway, gateways), make([]*recorder, gateways)
+	f.handled = make([]int, gateways)
 	for i := range gateways {
 		f.restart(i, servers)
 	}
@@ -473,7 +474,8 @@
 		{"a flood through all", 10, false, false, 1, 18},
 		{"a flood through all, with lost calls and restarts", 10, false, true, 1, 0},
 		{"a flood through one, with a quota above the ceiling", 10, true, false, 20, 18},
-		{"a flood through all, with a quota above the ceiling, lost calls and restarts", 10, false, true, 20, 0},
+		{"a flood through all, with a quota above the ceiling, lost calls and restarts", 10, false, true, 20,
+			0},
 	} {
 		s.Plans[0].Rate, s.Plans[0].Burst = p.Rate*c.quota, p.Burst*c.quota
 		f := newFleet(t, s, 80, 60)
@@ -508,7 +510,8 @@
 				units += 3 * float64(f.attempts-before)
 			}
 			if store < -p.CeilingSlack {
-				t.Fatalf("%s: the ceiling's bucket is at %.1f after %d ms, below its tolerance", c.name, store, ms)
+				t.Fatalf("%s: the ceiling's bucket is at %.1f after %d ms, below its tolerance", c.name, store,
+					ms)
 			}
 		}
 		t.Logf("%s: %.1f units per second", c.name, units/20)
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -141,6 +141,7 @@
 	silent := g.silence(g.byID[1])
 	g.Progress(later, 1)
 	if silent == 0 || g.silence(g.byID[1]) != 0 {
-		t.Fatalf("silent for %v us before the progress and %v us after, want 0 after", silent, g.silence(g.byID[1]))
+		t.Fatalf("silent for %v us before the progress and %v us after, want 0 after", silent,
+			g.silence(g.byID[1]))
 	}
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -43,7 +43,8 @@
 	g.Request(100e6, r, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
 	g.Timer(102e6, r, tokenGiveUp<<32|9999)
 	if _, refused := r.refused[9999]; len(r.sent) != sent || !refused {
-		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true", len(r.sent)-sent,
+		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true",
+			len(r.sent)-sent,
 			refused)
 	}
 }
@@ -113,7 +114,8 @@
 	}
 	for i := most; i < len(sends); i++ {
 		if sends[i]-sends[i-most] <= second {
-			t.Fatalf("sends %d and %d are %d us apart, want more than a second", i-most, i, sends[i]-sends[i-most])
+			t.Fatalf("sends %d and %d are %d us apart, want more than a second", i-most, i,
+				sends[i]-sends[i-most])
 		}
 	}
 }
@@ -235,7 +237,8 @@
 					if at < 100e6+250e3 {
 						t.Fatalf("moved after %d us, want at least half the latency target", at-100e6)
 					}
-					g.Outcome(at, r, Outcome{ID: 1, Status: Cancelled, Server: r.sent[0].to, Latency: at - 100e6})
+					g.Outcome(at, r, Outcome{ID: 1, Status: Cancelled, Server: r.sent[0].to,
+						Latency: at - 100e6})
 				}
 			}
 			if len(r.cancels) != c.want || len(r.sent) != 1+c.want {
@@ -271,7 +274,8 @@
 		cut   bool
 	}{
 		{"default terms, half of the target", BoundTerms{}, 150 * milli, true},
-		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli,
+		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5},
+			150 * milli,
 			false},
 		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli,
 			true},
@@ -426,7 +430,8 @@
 	at += 30 * milli
 	g.Request(at, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
 	assert.Equal(t, g.tickDue, at+20*milli)
-	assert.Equal(t, g.settings.IdleStep-at%g.settings.IdleStep, 70*milli, "idle ticks of several gateways coincide")
+	assert.Equal(t, g.settings.IdleStep-at%g.settings.IdleStep, 70*milli,
+		"idle ticks of several gateways coincide")
 	at += 20 * milli
 	g.Timer(at, r, tokenTick<<32)
 	assert.Equal(t, g.tickDue, at+20*milli)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -109,7 +109,8 @@
 		if len(r.sent) != 1 {
 			t.Fatal("the request was not sent")
 		}
-		g.Outcome(100100e3, r, Outcome{ID: 1, Status: st, Server: r.sent[0].to, Latency: 100e3, Terminal: st == OK})
+		g.Outcome(100100e3, r, Outcome{ID: 1, Status: st, Server: r.sent[0].to, Latency: 100e3,
+			Terminal: st == OK})
 		ran := st != Full && st != ConnectFailed && st != Moot
 		switch {
 		case st == OK && (r.failed[1] || len(r.sent) != 1):
@@ -217,7 +218,8 @@
 	for range 4 {
 		b.now += 10e3
 		n := b.handled
-		b.gateway.Outcome(b.now, b.host, Outcome{ID: b.host.sent[n].id, Status: OK, Terminal: true, Latency: 10e3})
+		b.gateway.Outcome(b.now, b.host, Outcome{ID: b.host.sent[n].id, Status: OK, Terminal: true,
+			Latency: 10e3})
 		b.handled++
 	}
 	want := []uint32{high, mid, low}
@@ -267,7 +269,8 @@
 				b.nextID = sent
 				b.gateway, b.host = New(s, 9), newRecorder()
 				b.gateway.Start(at, b.host)
-				b.gateway.Servers(at, b.host, Cached, []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
+				b.gateway.Servers(at, b.host, Cached, []Entry{{Server: 1, State: Ready},
+					{Server: 2, State: Ready}})
 			}
 			b.now = at
 			n := len(b.host.sent)
@@ -450,11 +453,13 @@
 		b.request(0, 0, uint64(i+10))
 		b.answer(10e3, OK)
 	}
-	b.gateway.Request(b.now, b.host, Request{ID: 1, Customer: 2, Left: 1200e3, Units: 1, Spread: 2, Again: true})
+	b.gateway.Request(b.now, b.host, Request{ID: 1, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
+		Again: true})
 	if _, no := b.host.refused[1]; !no {
 		t.Fatal("a retry 800 ms after its first try was admitted past its latency target of 500 ms")
 	}
-	b.gateway.Request(b.now, b.host, Request{ID: 2, Customer: 2, Left: 1900e3, Units: 1, Spread: 2, Again: true})
+	b.gateway.Request(b.now, b.host, Request{ID: 2, Customer: 2, Left: 1900e3, Units: 1, Spread: 2,
+		Again: true})
 	if _, no := b.host.refused[2]; no {
 		t.Fatal("a retry within its latency target was refused")
 	}
@@ -482,13 +487,17 @@
 			switch take() % 7 {
 			case 0:
 				g.Request(at, r, Request{ID: uint32(take()), Class: take()%5 - 1, Plan: take()%5 - 1,
-					Customer: uint64(take() % 4), Left: Micros(take()) * 1e4, Units: float64(take() % 7), Spread: take() % 4})
+					Customer: uint64(take() % 4), Left: Micros(take()) * 1e4, Units: float64(take() % 7),
+					Spread: take() % 4})
 			case 1:
 				g.Outcome(at, r, Outcome{ID: uint32(take()), Status: Status(take() % 8), Attempt: take() % 4,
-					Terminal: take()%2 == 0, Latency: Micros(take()) * 1e4, Used: take(), Settled: float64(take() % 7)})
+					Terminal: take()%2 == 0, Latency: Micros(take()) * 1e4, Used: take(),
+					Settled: float64(take() % 7)})
 			case 2:
-				g.Servers(at, r, ListKind(take()%4), []Entry{{Server: Server(take() % 6), State: State(take() % 3),
-					Cell: take() % 3, Zone: take() % 2, ReadyAt: at * Micros(take()%2), Weight: float64(take() % 3)}})
+				g.Servers(at, r, ListKind(take()%4), []Entry{{Server: Server(take() % 6),
+					State: State(take() % 3),
+					Cell:  take() % 3, Zone: take() % 2, ReadyAt: at * Micros(take()%2),
+					Weight: float64(take() % 3)}})
 			case 3:
 				g.Timer(at, r, tokenTick<<32)
 			case 4:
@@ -564,7 +573,8 @@
 		b.now += second
 		b.gateway.Counted(b.now, b.host, 1, 1000, c.st, 0)
 		if b.gateway.callFraction != c.want {
-			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st, b.gateway.callFraction,
+			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st,
+				b.gateway.callFraction,
 				c.want)
 		}
 	}
--- a/policy/rotation_test.go
+++ b/policy/rotation_test.go
@@ -142,9 +142,11 @@
 		list = append(list, Entry{Server: id, State: Ready})
 	}
 	for i := range gateways {
-		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways, Plans: []Plan{{Price: 1}},
+		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways,
+			Plans:   []Plan{{Price: 1}},
 			Classes: []Class{class}, Tick: 1000,
-			MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, HoldPart: 0.22, Step: 20000, Spread: 1, Learn: 1.5, Turns: turns,
+			MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, HoldPart: 0.22, Step: 20000, Spread: 1,
+			Learn: 1.5, Turns: turns,
 			Bound: BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}}
 		gateway, host := New(settings, uint64(i)*7+1), &simHost{simulation: sim, index: i,
 			attempts: map[uint32]int{}}
@@ -192,7 +194,8 @@
 	chance, turns := share(false), share(true)
 	t.Logf("within the latency target: at random %.3f, in rotation %.3f", chance, turns)
 	if turns < 0.93 || turns < chance+0.04 {
-		t.Errorf("within the latency target: in rotation %.3f, want at least 0.93; at random %.3f", turns, chance)
+		t.Errorf("within the latency target: in rotation %.3f, want at least 0.93; at random %.3f", turns,
+			chance)
 	}
 }
 
--- a/policy/shed_test.go
+++ b/policy/shed_test.go
@@ -64,7 +64,8 @@
 		assert.Assert(t, n > callers*45/100 && n < callers*55/100,
 			"%s: %d of %d callers pass a cut at half a tier", tenant, n, callers)
 	}
-	assert.Assert(t, CallerHash(1, "ab", "c") != CallerHash(1, "a", "bc"), "tenant and caller are not separated")
+	assert.Assert(t, CallerHash(1, "ab", "c") != CallerHash(1, "a", "bc"),
+		"tenant and caller are not separated")
 	assert.Assert(t, CallerHash(1, "a", "b") != CallerHash(2, "a", "b"), "the key has no effect")
 }
 
@@ -80,7 +81,8 @@
 					passed++
 				}
 			}
-			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns with a cut at %d eighths", i,
+			assert.Equal(t, passed, int(eighths)*2, "caller %d passes %d of 16 turns with a cut at %d eighths",
+				i,
 				passed, eighths)
 		}
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -213,11 +213,13 @@
 
 // Snapshot returns the state of the gateway. It may be called between any two other calls.
 func (g *Gateway) Snapshot() Snapshot {
-	snapshot := Snapshot{Version: SnapshotVersion, Settings: g.settings, RNG: g.rng, Now: g.now, Born: g.startedAt,
-		InForce: len(g.classes), WheelAt: g.wheelAt,
-		InFlight: g.inFlight, Stuck: g.inFlightSilent, Filling: g.inFlightBodies, Answered: g.lastAnswer, Bound: g.inFlightLimit, BoundSet: g.limitSet, CutAt: g.limitCutAt,
-		IdleAt: g.minRatioAt, Idle: g.minRatio, Answers: g.ratioSamples, Stretch: g.latencyRatio, DoneRate: g.answerRate, SendRate: g.sendRate, WarmLoad: g.warmRate,
-		LastRate: g.ratesAt, Sends: g.sends, Dones: g.goodAnswers, Calls: g.callFraction, CallAt: g.lastCounterAnswer, CapWindow: g.capWindow}
+	snapshot := Snapshot{Version: SnapshotVersion, Settings: g.settings, RNG: g.rng, Now: g.now,
+		Born: g.startedAt, InForce: len(g.classes), WheelAt: g.wheelAt, InFlight: g.inFlight,
+		Stuck: g.inFlightSilent, Filling: g.inFlightBodies, Answered: g.lastAnswer, Bound: g.inFlightLimit,
+		BoundSet: g.limitSet, CutAt: g.limitCutAt, IdleAt: g.minRatioAt, Idle: g.minRatio,
+		Answers: g.ratioSamples, Stretch: g.latencyRatio, DoneRate: g.answerRate, SendRate: g.sendRate,
+		WarmLoad: g.warmRate, LastRate: g.ratesAt, Sends: g.sends, Dones: g.goodAnswers,
+		Calls: g.callFraction, CallAt: g.lastCounterAnswer, CapWindow: g.capWindow}
 	var classes index[*classState]
 	var requests index[*request]
 	var clients index[*customer]
@@ -254,8 +256,8 @@
 	for _, name := range slices.Sorted(maps.Keys(g.pendingCalls)) {
 		draw := DrawRecord{Name: name}
 		for _, call := range g.pendingCalls[name] {
-			rec := DrawnRecord{Request: -1, Client: -1, N: call.window, Units: call.units, Booked: call.booked,
-				Kind: call.kind}
+			rec := DrawnRecord{Request: -1, Client: -1, N: call.window, Units: call.units,
+				Booked: call.booked, Kind: call.kind}
 			if call.request != nil {
 				rec.Request = requests.indexOf(call.request)
 			}
@@ -286,9 +288,11 @@
 func (g *Gateway) requestRecord(req *request, classes *index[*classState], clients *index[*customer],
 	servers *index[*server]) RequestRecord {
 	rec := RequestRecord{ID: req.id, Class: classes.indexOf(req.class), Plan: req.plan.index,
-		Client: clients.indexOf(req.customer), Units: req.units, Level: req.level,
-		Arrived: req.arrived, Deadline: req.deadline, Halfway: req.unsentDeadline, Open: req.inFlight, Sent: req.sent, Done: req.done, Held: req.held,
-		Drawing: req.awaitsCounter, Admitted: req.admitted, Uncertain: req.mayHaveRun, Filling: req.bodyPending, RanOn: -1, RanAt: req.ranAt, Taken: req.tokensTaken, LeasedAt: req.leasedAt}
+		Client: clients.indexOf(req.customer), Units: req.units, Level: req.level, Arrived: req.arrived,
+		Deadline: req.deadline, Halfway: req.unsentDeadline, Open: req.inFlight, Sent: req.sent,
+		Done: req.done, Held: req.held, Drawing: req.awaitsCounter, Admitted: req.admitted,
+		Uncertain: req.mayHaveRun, Filling: req.bodyPending, RanOn: -1, RanAt: req.ranAt,
+		Taken: req.tokensTaken, LeasedAt: req.leasedAt}
 	if req.ranOn != nil {
 		rec.RanOn = servers.indexOf(req.ranOn)
 	}
@@ -301,17 +305,18 @@
 
 func customerRecord(cust *customer) CustomerRecord {
 	return CustomerRecord{Key: cust.key, Plan: cust.plan.index, Spread: cust.gateways, Tokens: cust.tokens,
-		At: cust.refilledAt, Share: cust.share, ShareAt: cust.shareAt,
-		OwnMean: cust.ownMean, AllMean: cust.allMean, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight,
-		Touched: cust.lastRequest, Level: cust.sharedTokens, LevelAt: cust.sharedAt, HeardAt: cust.totalAt, OthersRate: cust.othersRate, Untold: cust.unreported,
-		Window: cust.window, Mine: cust.ownInWindow, Others: cust.othersInWindow, OwnUse: cust.ownUse, OthersUse: cust.othersUse, AccAt: cust.usePeriodStart,
-		Spent: cust.spentWindow}
+		At: cust.refilledAt, Share: cust.share, ShareAt: cust.shareAt, OwnMean: cust.ownMean,
+		AllMean: cust.allMean, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight,
+		Touched: cust.lastRequest, Level: cust.sharedTokens, LevelAt: cust.sharedAt, HeardAt: cust.totalAt,
+		OthersRate: cust.othersRate, Untold: cust.unreported, Window: cust.window, Mine: cust.ownInWindow,
+		Others: cust.othersInWindow, OwnUse: cust.ownUse, OthersUse: cust.othersUse,
+		AccAt: cust.usePeriodStart, Spent: cust.spentWindow}
 }
 
 func serverRecord(srv *server, requests *index[*request]) ServerRecord {
 	rec := ServerRecord{Entry: srv.entry, ID: srv.id, Listed: srv.listed, Place: srv.order, Rel: srv.slowness,
-		RelAt: srv.slownessAt, Load: srv.work, Answered: srv.lastAnswer,
-		Fails: srv.failures, Ejected: srv.ejected, Trial: srv.probing, Lost: srv.silent, EjectedFor: srv.ejection,
+		RelAt: srv.slownessAt, Load: srv.work, Answered: srv.lastAnswer, Fails: srv.failures,
+		Ejected: srv.ejected, Trial: srv.probing, Lost: srv.silent, EjectedFor: srv.ejection,
 		RetryAt: srv.probeAt, FullTo: srv.fullUntil, ColdSends: slices.Clone(srv.coldSends)}
 	for att := srv.head; att != nil; att = att.next {
 		rec.Out = append(rec.Out, [2]int{requests.indexOf(att.request), att.index})
@@ -407,36 +412,59 @@
 			g.pendingCalls[draw.Name] = append(g.pendingCalls[draw.Name], call)
 		}
 	}
-	g.rng, g.now, g.startedAt, g.wheelAt = snapshot.RNG, snapshot.Now, snapshot.Born, snapshot.WheelAt
-	g.inFlight, g.inFlightSilent, g.inFlightBodies, g.lastAnswer, g.inFlightLimit, g.limitSet = snapshot.InFlight, snapshot.Stuck, snapshot.Filling, snapshot.Answered, snapshot.Bound, snapshot.BoundSet
-	g.limitCutAt, g.minRatioAt, g.minRatio, g.ratioSamples, g.latencyRatio = snapshot.CutAt, snapshot.IdleAt, snapshot.Idle, snapshot.Answers, snapshot.Stretch
-	g.answerRate, g.sendRate, g.warmRate, g.ratesAt, g.sends, g.goodAnswers = snapshot.DoneRate, snapshot.SendRate, snapshot.WarmLoad, snapshot.LastRate, snapshot.Sends, snapshot.Dones
-	g.callFraction, g.lastCounterAnswer, g.capWindow = snapshot.Calls, snapshot.CallAt, snapshot.CapWindow
+	g.rng = snapshot.RNG
+	g.now = snapshot.Now
+	g.startedAt = snapshot.Born
+	g.wheelAt = snapshot.WheelAt
+	g.inFlight = snapshot.InFlight
+	g.inFlightSilent = snapshot.Stuck
+	g.inFlightBodies = snapshot.Filling
+	g.lastAnswer = snapshot.Answered
+	g.inFlightLimit = snapshot.Bound
+	g.limitSet = snapshot.BoundSet
+	g.limitCutAt = snapshot.CutAt
+	g.minRatioAt = snapshot.IdleAt
+	g.minRatio = snapshot.Idle
+	g.ratioSamples = snapshot.Answers
+	g.latencyRatio = snapshot.Stretch
+	g.answerRate = snapshot.DoneRate
+	g.sendRate = snapshot.SendRate
+	g.warmRate = snapshot.WarmLoad
+	g.ratesAt = snapshot.LastRate
+	g.sends = snapshot.Sends
+	g.goodAnswers = snapshot.Dones
+	g.callFraction = snapshot.Calls
+	g.lastCounterAnswer = snapshot.CallAt
+	g.capWindow = snapshot.CapWindow
 	return g, nil
 }
 
 func (g *Gateway) restoreCustomer(rec *CustomerRecord) *customer {
 	cust := &customer{key: rec.Key, plan: &g.plans[rec.Plan], gateways: rec.Spread, tokens: rec.Tokens,
-		refilledAt: rec.At, share: rec.Share, shareAt: rec.ShareAt,
-		ownMean: rec.OwnMean, allMean: rec.AllMean, ceilingTokens: rec.Guard, pending: rec.Pending, inFlight: rec.Open, lastRequest: rec.Touched,
-		sharedTokens: rec.Level, sharedAt: rec.LevelAt, totalAt: rec.HeardAt, othersRate: rec.OthersRate, unreported: rec.Untold,
-		window: rec.Window, ownInWindow: rec.Mine, othersInWindow: rec.Others, ownUse: rec.OwnUse, othersUse: rec.OthersUse, usePeriodStart: rec.AccAt, spentWindow: rec.Spent}
+		refilledAt: rec.At, share: rec.Share, shareAt: rec.ShareAt, ownMean: rec.OwnMean,
+		allMean: rec.AllMean, ceilingTokens: rec.Guard, pending: rec.Pending, inFlight: rec.Open,
+		lastRequest: rec.Touched, sharedTokens: rec.Level, sharedAt: rec.LevelAt, totalAt: rec.HeardAt,
+		othersRate: rec.OthersRate, unreported: rec.Untold, window: rec.Window, ownInWindow: rec.Mine,
+		othersInWindow: rec.Others, ownUse: rec.OwnUse, othersUse: rec.OthersUse, usePeriodStart: rec.AccAt,
+		spentWindow: rec.Spent}
 	return cust
 }
 
 func restoreServer(rec *ServerRecord) *server {
 	return &server{id: rec.ID, entry: rec.Entry, listed: rec.Listed, order: rec.Place, slowness: rec.Rel,
-		slownessAt: rec.RelAt, work: rec.Load, lastAnswer: rec.Answered,
-		failures: rec.Fails, ejected: rec.Ejected, probing: rec.Trial, silent: rec.Lost, ejection: rec.EjectedFor,
+		slownessAt: rec.RelAt, work: rec.Load, lastAnswer: rec.Answered, failures: rec.Fails,
+		ejected: rec.Ejected, probing: rec.Trial, silent: rec.Lost, ejection: rec.EjectedFor,
 		probeAt: rec.RetryAt, fullUntil: rec.FullTo, coldSends: slices.Clone(rec.ColdSends)}
 }
 
 func (g *Gateway) restoreRequest(rec *RequestRecord, classes []*classState, clients []*customer,
 	servers []*server) *request {
-	req := &request{id: rec.ID, class: classes[rec.Class], plan: &g.plans[rec.Plan], customer: clients[rec.Client],
-		units: rec.Units, level: rec.Level,
-		arrived: rec.Arrived, deadline: rec.Deadline, unsentDeadline: rec.Halfway, inFlight: rec.Open, sent: rec.Sent, done: rec.Done, held: rec.Held,
-		awaitsCounter: rec.Drawing, admitted: rec.Admitted, mayHaveRun: rec.Uncertain, bodyPending: rec.Filling, ranAt: rec.RanAt, tokensTaken: rec.Taken, leasedAt: rec.LeasedAt}
+	req := &request{id: rec.ID, class: classes[rec.Class], plan: &g.plans[rec.Plan],
+		customer: clients[rec.Client], units: rec.Units, level: rec.Level, arrived: rec.Arrived,
+		deadline: rec.Deadline, unsentDeadline: rec.Halfway, inFlight: rec.Open, sent: rec.Sent,
+		done: rec.Done, held: rec.Held, awaitsCounter: rec.Drawing, admitted: rec.Admitted,
+		mayHaveRun: rec.Uncertain, bodyPending: rec.Filling, ranAt: rec.RanAt, tokensTaken: rec.Taken,
+		leasedAt: rec.LeasedAt}
 	if rec.RanOn >= 0 {
 		req.ranOn = servers[rec.RanOn]
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -259,7 +259,8 @@
 
 // openAttempt adds an attempt to its request's and its server's records.
 func (g *Gateway) openAttempt(req *request, srv *server, load float64) {
-	att := &attempt{request: req, server: srv, index: len(req.attempts), sent: g.now, open: true, work: load, bodyPending: req.bodyPending}
+	att := &attempt{request: req, server: srv, index: len(req.attempts), sent: g.now, open: true, work: load,
+		bodyPending: req.bodyPending}
 	req.attempts = append(req.attempts, att)
 	srv.appendAttempt(att)
 	if att.bodyPending {
--- a/policy/view.go
+++ b/policy/view.go
@@ -84,7 +84,8 @@
 	view.Known = true
 	view.Customer = CustomerView{Tokens: cust.tokens, Store: g.bucketCapacity(&cust),
 		Rate: g.refillRate(&cust) * g.currentShare(&cust), Share: g.currentShare(&cust),
-		Shared: g.usesSharedBucket(&cust), HeardAge: -1, Ceiling: cust.plan.CeilingRate > 0, Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight}
+		Shared: g.usesSharedBucket(&cust), HeardAge: -1, Ceiling: cust.plan.CeilingRate > 0,
+		Guard: cust.ceilingTokens, Pending: cust.pending, Open: cust.inFlight}
 	if view.Customer.Shared {
 		g.advanceShared(&cust)
 		view.Customer.Level, view.Customer.OthersRate = cust.sharedTokens, cust.othersRate
@@ -103,7 +104,8 @@
 
 func (g *Gateway) windowView(cust *customer, kind int) WindowView {
 	number, window, pool := g.drawTerms(cust, kind)
-	return WindowView{Lease: kind == drawLease, Pool: pool, Lasts: window, Spent: cust.spentWindow[kind] == number}
+	return WindowView{Lease: kind == drawLease, Pool: pool, Lasts: window,
+		Spent: cust.spentWindow[kind] == number}
 }
 
 // Standings returns the state of the listed servers and the limit on attempts in flight. It changes nothing.
