--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -246,15 +246,15 @@
 			sim.late, sim.maxColdLoad = 0, 0
 			var got [5]int
 			var bounds []float64
-			for k := range got {
-				got[k] = sim.run(1e6, c.rate)
+			for i := range got {
+				got[i] = sim.run(1e6, c.rate)
 				bounds = append(bounds, sim.gateways[0].inFlightLimit)
 			}
 			t.Logf("answered in time by second %v, limit %.1f, cold budget used at most %.2f, sent too late %d",
 				got, bounds, sim.maxColdLoad, sim.late)
-			for k, n := range got {
-				if n < c.least[k] {
-					t.Errorf("second %d: %d answered in time, want at least %d", k+1, n, c.least[k])
+			for i, n := range got {
+				if n < c.least[i] {
+					t.Errorf("second %d: %d answered in time, want at least %d", i+1, n, c.least[i])
 				}
 			}
 			if sim.maxColdLoad > 0.75 { // half of the budget, and what rounding to whole requests adds
@@ -302,11 +302,11 @@
 // The limit of a gateway that started with a single server rises when the list grows to ten.
 func TestLimitRisesWithFleet(t *testing.T) {
 	b := newBench(testSettings(), 1)
-	var es []Entry
+	var entries []Entry
 	for i := range 10 {
-		es = append(es, Entry{Server: Server(i + 1), State: Ready})
+		entries = append(entries, Entry{Server: Server(i + 1), State: Ready})
 	}
-	b.gateway.Servers(b.now, b.host, FullList, es)
+	b.gateway.Servers(b.now, b.host, FullList, entries)
 	if least := b.gateway.fleetPart(minLimitPerServer); b.gateway.inFlightLimit < least {
 		t.Errorf("the limit is %.1f for 10 servers, want at least %.1f", b.gateway.inFlightLimit, least)
 	}
@@ -364,9 +364,9 @@
 		"no other gateway": {ID: 1, Plan: 1, Customer: 5, Left: 2e6, Units: 1, Spread: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := testSettings()
-			s.Plans[1].Rate, s.Plans[1].Burst = 1000, 1000
-			b := newBench(s, 4)
+			settings := testSettings()
+			settings.Plans[1].Rate, settings.Plans[1].Burst = 1000, 1000
+			b := newBench(settings, 4)
 			b.now += 100e6 // our part of every ceiling is full
 			b.gateway.Timer(b.now, b.host, tokenTick<<32)
 			b.gateway.Request(b.now, b.host, false1)
@@ -402,9 +402,9 @@
 
 // A server that refuses connections gets only an occasional probe, though it looks idle beside the others.
 func TestFailingServerIsEjected(t *testing.T) {
-	s := testSettings()
-	s.Plans[0].Rate, s.Plans[0].Burst = 1e6, 1e6
-	b := newBench(s, 4)
+	settings := testSettings()
+	settings.Plans[0].Rate, settings.Plans[0].Burst = 1e6, 1e6
+	b := newBench(settings, 4)
 	b.gateway.inFlightLimit = 40
 	refused := 0
 	var out []sentAttempt
@@ -412,22 +412,22 @@
 		b.now += 10e3
 		b.request(0, 0, uint64(step))
 		for ; b.handled < len(b.host.sent); b.handled++ {
-			x := b.host.sent[b.handled]
-			if x.to != 1 {
-				out = append(out, x)
+			sent := b.host.sent[b.handled]
+			if sent.to != 1 {
+				out = append(out, sent)
 				continue
 			}
 			refused++
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id,
-				Attempt: len(b.gateway.requests[x.id].attempts) - 1,
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id,
+				Attempt: len(b.gateway.requests[sent.id].attempts) - 1,
 				Status:  ConnectFailed, Latency: 1e3, Server: 1})
 		}
 		if len(out) > 15 { // the others have five each
-			x := out[0]
+			sent := out[0]
 			out = out[1:]
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id,
-				Attempt: len(b.gateway.requests[x.id].attempts) - 1,
-				Status:  OK, Terminal: true, Latency: 150e3, Server: x.to})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id,
+				Attempt: len(b.gateway.requests[sent.id].attempts) - 1,
+				Status:  OK, Terminal: true, Latency: 150e3, Server: sent.to})
 		}
 	}
 	if refused > 8 {
@@ -442,12 +442,12 @@
 	for i := range 16 {
 		b.request(0, 0, uint64(i))
 	}
-	var es []Entry
+	var entries []Entry
 	for i := range 8 {
-		es = append(es, Entry{Server: Server(i + 1), State: Ready, ReadyAt: b.now})
+		entries = append(entries, Entry{Server: Server(i + 1), State: Ready, ReadyAt: b.now})
 	}
 	b.gateway.inFlightLimit = 1
-	b.gateway.Servers(b.now, b.host, FullList, es)
+	b.gateway.Servers(b.now, b.host, FullList, entries)
 	if b.gateway.inFlightLimit != minLimitPerServer*8/2 {
 		t.Errorf("the minimum limit of 8 servers is %.1f", b.gateway.inFlightLimit)
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -118,24 +118,24 @@
 			return f.attempts - before
 		}
 		p := f.settings.Plans[0]
-		if on, most := flood(10), int(1.25*(p.Burst+10*p.Rate)); on > most || on < int(8*p.Rate) {
-			t.Errorf("%d gateways let %d through at their start, want %d to %d", n, on, int(8*p.Rate), most)
+		if admitted, most := flood(10), int(1.25*(p.Burst+10*p.Rate)); admitted > most || admitted < int(8*p.Rate) {
+			t.Errorf("%d gateways let %d through at their start, want %d to %d", n, admitted, int(8*p.Rate), most)
 		}
 		for i := range n {
 			f.restart(i, 20)
 		}
-		if on, most := flood(10), int(1.25*(p.Burst+10*p.Rate)); on > most {
-			t.Errorf("%d gateways let %d through after a restart, want at most %d", n, on, most)
+		if admitted, most := flood(10), int(1.25*(p.Burst+10*p.Rate)); admitted > most {
+			t.Errorf("%d gateways let %d through after a restart, want at most %d", n, admitted, most)
 		}
 	}
 }
 
 // smallPlan returns settings with a plan whose burst, divided among many gateways, is less than a request each.
 func smallPlan() Settings {
-	s := testSettings()
-	s.Plans = []Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}}
-	s.Largest = 6
-	return s
+	settings := testSettings()
+	settings.Plans = []Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}}
+	settings.Largest = 6
+	return settings
 }
 
 // Guards against too many counter calls: with 80 gateways that each had little traffic, two calls per try, repeated
@@ -205,8 +205,8 @@
 func TestQuotaIsUsableThroughOneGateway(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		f := newFleet(t, testSettings(), n, 20)
-		for k := range 1000 { // nine tries per second at a quota of ten
-			if k%11 == 0 {
+		for i := range 1000 { // nine tries per second at a quota of ten
+			if i%11 == 0 {
 				f.try(0, 0, 5, 2e6)
 			}
 			f.advance(10e3)
@@ -225,17 +225,17 @@
 	if n := len(f.hosts[3].refused) + len(f.hosts[3].sent); n != 1 || len(f.totals) != 0 {
 		t.Fatalf("%d answers and sends, want 1; %d counter names, want 0, as the client leaves before the counter answers", n, len(f.totals))
 	}
-	g, r := f.gateways[4], f.hosts[4]
-	g.Request(f.now, r, Request{ID: 9999, Customer: 5, Left: 2e6, Units: 1, Spread: 300})
-	if len(r.counts) != 1 {
+	g, host := f.gateways[4], f.hosts[4]
+	g.Request(f.now, host, Request{ID: 9999, Customer: 5, Left: 2e6, Units: 1, Spread: 300})
+	if len(host.counts) != 1 {
 		t.Fatal("the request made no draw")
 	}
-	g.Timer(f.now+2e6-8e3, r, tokenGiveUp<<32|9999)
-	if _, no := r.refused[9999]; !no {
+	g.Timer(f.now+2e6-8e3, host, tokenGiveUp<<32|9999)
+	if _, refused := host.refused[9999]; !refused {
 		t.Fatal("an unanswered draw holds its request past the client's time")
 	}
-	g.Counted(f.now+3e6, r, r.counts[0].name, 30e3, OK, 1)
-	if len(r.sent) != 0 {
+	g.Counted(f.now+3e6, host, host.counts[0].name, 30e3, OK, 1)
+	if len(host.sent) != 0 {
 		t.Fatal("sent after its final answer")
 	}
 }
@@ -244,15 +244,15 @@
 // shares of one request. Draws resume when the counter is back.
 func TestDecisionsWithoutCounter(t *testing.T) {
 	f := newFleet(t, testSettings(), 300, 20)
-	for k := range 400 {
-		f.try(k%30, 0, uint64(k/30%2), 2e6) // two customers flood
+	for i := range 400 {
+		f.try(i%30, 0, uint64(i/30%2), 2e6) // two customers flood
 		f.advance(3e3)
 	}
 	f.counterDown = true
 	count := func(tries int, customer uint64) int {
 		before := f.attempts
-		for k := range tries {
-			f.try(k%30, 0, customer, 2e6)
+		for i := range tries {
+			f.try(i%30, 0, customer, 2e6)
 		}
 		for range 40 { // the limit lets them pass in turns
 			f.advance(10e3)
@@ -311,8 +311,8 @@
 		for k := range 30 {
 			f.try(i, 0, uint64(1000+100*i+k), 2e6)
 		}
-		for _, x := range f.hosts[i].sent {
-			own[x.to] = true
+		for _, sent := range f.hosts[i].sent {
+			own[sent.to] = true
 		}
 		if len(own) > minSubset {
 			t.Fatalf("gateway %d used %d servers, more than its subset", i, len(own))
@@ -334,9 +334,9 @@
 // A plan without a rate has no bucket. If its concurrency cap is small and the counter does not answer, our share
 // of the cap limits it.
 func TestSmallCapIsEnforcedWithoutCounter(t *testing.T) {
-	s := testSettings()
-	s.Plans[2].Rate, s.Plans[2].Burst = 0, 0
-	f := newFleet(t, s, 300, 20)
+	settings := testSettings()
+	settings.Plans[2].Rate, settings.Plans[2].Burst = 0, 0
+	f := newFleet(t, settings, 300, 20)
 	f.counterDown = true
 	on := 0
 	for range 200 { // one second of tries through one gateway
@@ -385,13 +385,13 @@
 
 // Plans with a rate and no burst, or with an absurdly large burst, are unusual but valid.
 func TestUnusualPlansDoNotPanic(t *testing.T) {
-	s := testSettings()
-	s.Plans[0].Burst = 0
-	s.Plans[1].Rate, s.Plans[1].Burst = 1e-9, 100
-	f := newFleet(t, s, 300, 5)
-	for k := range 50 {
-		f.try(k, k%2, 5, 2e6)
-		f.gateways[k].Request(f.now, f.hosts[k], Request{ID: 1e6, Customer: 1, Left: 1e6, Units: 1,
+	settings := testSettings()
+	settings.Plans[0].Burst = 0
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1e-9, 100
+	f := newFleet(t, settings, 300, 5)
+	for i := range 50 {
+		f.try(i, i%2, 5, 2e6)
+		f.gateways[i].Request(f.now, f.hosts[i], Request{ID: 1e6, Customer: 1, Left: 1e6, Units: 1,
 			Spread: 1 << 19})
 		f.advance(1e3)
 	}
@@ -427,12 +427,12 @@
 // requests that cost less than estimated. Counter totals from before a restart must not be used for the ceiling:
 // they lack unreported use and count true units, whereas a ceiling counts estimates.
 func TestCeilingHoldsWithRestartsAndSilentCounter(t *testing.T) {
-	s := testSettings()
-	s.Settles = true
-	p := &s.Plans[1]
+	settings := testSettings()
+	settings.Settles = true
+	p := &settings.Plans[1]
 	p.Rate, p.Burst = 18, 38
 	for _, silent := range []int{0, 2, 3} {
-		f := newFleet(t, s, 2, 20)
+		f := newFleet(t, settings, 2, 20)
 		f.actualUnits = 0.25
 		store := p.CeilingBurst
 		for step := range 8000 {
@@ -456,12 +456,12 @@
 // through one, which leases the others' parts. Wherever the tries arrive, and even if gateways restart and calls
 // are lost, all gateways together stay within the ceiling.
 func TestSmallCeilingIsLeased(t *testing.T) {
-	s := testSettings()
-	s.Largest = 6
-	s.Plans = s.Plans[1:2]
-	s.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverCost: 1, CeilingRate: 40, CeilingBurst: 88,
+	settings := testSettings()
+	settings.Largest = 6
+	settings.Plans = settings.Plans[1:2]
+	settings.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverCost: 1, CeilingRate: 40, CeilingBurst: 88,
 		CeilingSlack: 8}
-	p := s.Plans[0]
+	p := settings.Plans[0]
 	for _, c := range []struct {
 		name        string
 		every       int // milliseconds between tries of three units
@@ -477,8 +477,8 @@
 		{"a flood through all, with a quota above the ceiling, lost calls and restarts", 10, false, true, 20,
 			0},
 	} {
-		s.Plans[0].Rate, s.Plans[0].Burst = p.Rate*c.quota, p.Burst*c.quota
-		f := newFleet(t, s, 80, 60)
+		settings.Plans[0].Rate, settings.Plans[0].Burst = p.Rate*c.quota, p.Burst*c.quota
+		f := newFleet(t, settings, 80, 60)
 		store, units := p.CeilingBurst, 0.0
 		for ms := range 20000 {
 			f.now += 1e3
@@ -529,8 +529,8 @@
 		f := newFleet(t, testSettings(), 2, 20)
 		second := func() int {
 			before := f.attempts
-			for k := range 100 {
-				f.try(k%3/2, 0, 5, 2e6)
+			for i := range 100 {
+				f.try(i%3/2, 0, 5, 2e6)
 				f.advance(10e3)
 			}
 			return f.attempts - before
@@ -569,16 +569,16 @@
 	const bad = Server(3)
 	got, all := 0, 0
 	for self := range 20 {
-		s := smallPlan()
-		s.Gateways, s.Self = 80, self
-		b := newBench(s, 6)
-		for k := range 60 { // a request every 150 ms, each in flight for 100 ms
-			b.request(0, 0, uint64(k))
+		settings := smallPlan()
+		settings.Gateways, settings.Self = 80, self
+		b := newBench(settings, 6)
+		for i := range 60 { // a request every 150 ms, each in flight for 100 ms
+			b.request(0, 0, uint64(i))
 			b.now += 100e3
 			for ; b.handled < len(b.host.sent); b.handled++ {
-				x := b.host.sent[b.handled]
-				o := Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 100e3, Server: x.to}
-				if all++; x.to == bad {
+				sent := b.host.sent[b.handled]
+				o := Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 100e3, Server: sent.to}
+				if all++; sent.to == bad {
 					if got++; got%2 == 0 {
 						o.Status, o.Terminal, o.Latency = Failed, false, 5e3
 					}
@@ -597,12 +597,12 @@
 // Guards against a limit that reacts too late to slow servers: with hundreds of gateways each gets an answer every
 // 0.1 s, so an average over 33 answers took seconds to adapt.
 func TestInfrequentAnswersMoveLimit(t *testing.T) {
-	g, r := startGateway(testSettings(), 20)
+	g, host := startGateway(testSettings(), 20)
 	bound := g.inFlightLimit
 	for i := range uint32(6) {
 		at := 100e6 + Micros(i)*100e3
-		g.Request(at, r, Request{ID: i, Customer: uint64(i), Left: 2e6, Units: 1, Spread: 2})
-		g.Outcome(at, r, Outcome{ID: i, Status: OK, Terminal: true, Latency: 750e3, Server: r.sent[i].to})
+		g.Request(at, host, Request{ID: i, Customer: uint64(i), Left: 2e6, Units: 1, Spread: 2})
+		g.Outcome(at, host, Outcome{ID: i, Status: OK, Terminal: true, Latency: 750e3, Server: host.sent[i].to})
 	}
 	if g.inFlightLimit >= bound {
 		t.Errorf("the limit is %.1f after six answers of 1.5 times the latency target, want less than %.1f",
@@ -613,9 +613,9 @@
 // A try that was drawn from the counter took nothing from our own share. If its answer tells more units than
 // estimated, the share must stay whole for an outage of the counter.
 func TestSettlementOfDrawnTryLeavesOwnBucket(t *testing.T) {
-	s := smallPlan()
-	s.Settles = true
-	f := newFleet(t, s, 80, 20)
+	settings := smallPlan()
+	settings.Settles = true
+	f := newFleet(t, settings, 80, 20)
 	f.actualUnits = 6
 	if !f.try(3, 0, 5, 2e6) {
 		t.Fatal("the first try was not sent")
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -32,10 +32,10 @@
 // Sends of the other process count against a cold server's budget.
 func TestTwoProcessesShareColdBudget(t *testing.T) {
 	room := func(others int) int {
-		s := ceilingSettings()
-		s.Plans[0].CeilingRate = 0
-		s.ColdShare, s.FallMultiple, s.ColdFor, s.FallWindow = 0.2, 3, 10*second, second
-		g, h, now := New(s, 1), &quietHost{}, Micros(1e12)
+		settings := ceilingSettings()
+		settings.Plans[0].CeilingRate = 0
+		settings.ColdShare, settings.FallMultiple, settings.ColdFor, settings.FallWindow = 0.2, 3, 10*second, second
+		g, h, now := New(settings, 1), &quietHost{}, Micros(1e12)
 		g.Start(now, h)
 		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Ready, ReadyAt: now - second}})
 		for range others {
@@ -74,30 +74,30 @@
 
 // The limit on attempts counts the servers' work, so requests whose body is still arriving do not count.
 func TestUploadDoesNotCountBeforeLastByte(t *testing.T) {
-	g, now, h := running(t, 0)
+	g, now, host := running(t, 0)
 	upload := func(id uint32) {
-		g.Request(now, h, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1, Filling: true})
+		g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1, Filling: true})
 	}
 	most := int(g.inFlightLimit)
 	for id := range uint32(3 * most) {
 		upload(id)
 	}
-	if h.sent != 3*most {
-		t.Fatalf("%d of %d uploads were sent, want all", h.sent, 3*most)
+	if host.sent != 3*most {
+		t.Fatalf("%d of %d uploads were sent, want all", host.sent, 3*most)
 	}
 	for id := range uint32(most) { // as many as the limit allows become work
 		g.Filled(now, id)
 		g.Filled(now, id)
 	}
 	upload(1000)
-	if h.sent != 3*most || g.inFlight-g.inFlightBodies != most {
-		t.Fatalf("%d sent, %d of them count as work", h.sent, g.inFlight-g.inFlightBodies)
+	if host.sent != 3*most || g.inFlight-g.inFlightBodies != most {
+		t.Fatalf("%d sent, %d of them count as work", host.sent, g.inFlight-g.inFlightBodies)
 	}
 	for id := range uint32(3 * most) {
-		g.Outcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, Server: 1})
+		g.Outcome(now, host, Outcome{ID: id, Status: OK, Latency: 1000, Server: 1})
 	}
-	g.ClientGone(now, h, 1000)
-	g.Outcome(now, h, Outcome{ID: 1000, Status: Cancelled, Server: 1})
+	g.ClientGone(now, host, 1000)
+	g.Outcome(now, host, Outcome{ID: 1000, Status: Cancelled, Server: 1})
 	if g.inFlight != 0 || g.inFlightBodies != 0 || g.byID[1].work > 1e-9 {
 		t.Fatalf("%d attempts in flight, %d uploading, work %g; want none", g.inFlight, g.inFlightBodies,
 			g.byID[1].work)
@@ -107,35 +107,35 @@
 // A request whose body cannot be sent again is not sent again, whatever its class allows.
 func TestRequestWithConsumedBodyIsNotRetried(t *testing.T) {
 	for spent, want := range map[bool]int{false: 2, true: 1} {
-		g, now, h := running(t, 0)
-		g.Request(now, h, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
-		g.Outcome(now, h, Outcome{ID: 1, Status: ConnectFailed, Spent: spent, Server: 1})
-		if h.sent != want || (h.refused == 1) != spent {
-			t.Errorf("body consumed %v: %d attempts, %d refused", spent, h.sent, h.refused)
+		g, now, host := running(t, 0)
+		g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
+		g.Outcome(now, host, Outcome{ID: 1, Status: ConnectFailed, Spent: spent, Server: 1})
+		if host.sent != want || (host.refused == 1) != spent {
+			t.Errorf("body consumed %v: %d attempts, %d refused", spent, host.sent, host.refused)
 		}
 	}
 }
 
 // A request keeps the number of attempts that its class had when it arrived.
 func TestRequestKeepsMaxAttemptsOfArrival(t *testing.T) {
-	g, now, h := running(t, 0)
+	g, now, host := running(t, 0)
 	fewer := g.classes[0].Class
 	fewer.Attempts = 1
-	g.Request(now, h, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
-	g.SetClasses(now, h, []Class{fewer})
-	g.Request(now, h, Request{ID: 2, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
+	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
+	g.SetClasses(now, host, []Class{fewer})
+	g.Request(now, host, Request{ID: 2, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
 	for id := range uint32(2) {
-		g.Outcome(now, h, Outcome{ID: id + 1, Status: Failed, Server: 1})
+		g.Outcome(now, host, Outcome{ID: id + 1, Status: Failed, Server: 1})
 	}
-	if h.sent != 3 {
-		t.Fatalf("%d attempts, want 3: two of the first request and one of the second", h.sent)
+	if host.sent != 3 {
+		t.Fatalf("%d attempts, want 3: two of the first request and one of the second", host.sent)
 	}
 }
 
 // A server that receives a long body is not silent.
 func TestProgressEndsSilence(t *testing.T) {
-	g, now, h := running(t, 0)
-	g.Request(now, h, Request{ID: 1, Customer: 1, Left: 60e6, Units: 1, Spread: 1})
+	g, now, host := running(t, 0)
+	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 60e6, Units: 1, Spread: 1})
 	later := now + 5*second
 	g.now = later
 	silent := g.silence(g.byID[1])
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -9,18 +9,18 @@
 // If the only servers in a request's regions take nothing, the request is refused rather than sent to another
 // region, also at a retry.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
-	g, r := startGateway(testSettings(), 0)
-	es := []Entry{{Server: 1, State: Ready, Region: 0}, {Server: 2, State: Ready, Region: 1},
+	g, host := startGateway(testSettings(), 0)
+	entries := []Entry{{Server: 1, State: Ready, Region: 0}, {Server: 2, State: Ready, Region: 1},
 		{Server: 3, State: Ready, Region: 63}}
-	g.Servers(100e6, r, FullList, es)
+	g.Servers(100e6, host, FullList, entries)
 	home := map[uint64][]Server{1: {1}, 2: {2}, 1 << 63: {3}, 3: {1, 2}, 0: {1, 2, 3}}
 	id := uint32(0)
 	for homes, want := range home {
 		for range 20 {
 			id++
-			g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Homes: homes})
-			for _, st := range []Status{Full, OK} {
-				x := r.sent[len(r.sent)-1]
+			g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Homes: homes})
+			for _, status := range []Status{Full, OK} {
+				x := host.sent[len(host.sent)-1]
 				if x.id != id {
 					break
 				}
@@ -31,27 +31,28 @@
 				if !ok {
 					t.Fatalf("regions %x: sent to server %d", homes, x.to)
 				}
-				g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to,
-					Latency: 1e3, Terminal: st == OK})
+				g.Outcome(100e6, host, Outcome{ID: id, Attempt: countAttempts(host, id) - 1, Status: status,
+					Server:  x.to,
+					Latency: 1e3, Terminal: status == OK})
 			}
 			for _, s := range g.servers {
 				s.fullUntil = 0
 			}
 		}
 	}
-	sent := len(r.sent)
-	g.Request(100e6, r, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
-	g.Timer(102e6, r, tokenGiveUp<<32|9999)
-	if _, refused := r.refused[9999]; len(r.sent) != sent || !refused {
+	sent := len(host.sent)
+	g.Request(100e6, host, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
+	g.Timer(102e6, host, tokenGiveUp<<32|9999)
+	if _, refused := host.refused[9999]; len(host.sent) != sent || !refused {
 		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true",
-			len(r.sent)-sent,
+			len(host.sent)-sent,
 			refused)
 	}
 }
 
-func countAttempts(r *recorder, id uint32) (n int) {
-	for _, x := range r.sent {
-		if x.id == id {
+func countAttempts(host *recorder, id uint32) (n int) {
+	for _, sent := range host.sent {
+		if sent.id == id {
 			n++
 		}
 	}
@@ -70,44 +71,44 @@
 
 // The limit on sends applies to a server that may be cold, even if the list does not say so.
 func TestMaybeColdServerIsLimited(t *testing.T) {
-	s := testSettings()
-	s.Gateways = 1
-	s.ColdSends = func(Server, bool) int { return 2 }
-	g, r := startGateway(s, 0)
-	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready}})
+	settings := testSettings()
+	settings.Gateways = 1
+	settings.ColdSends = func(Server, bool) int { return 2 }
+	g, host := startGateway(settings, 0)
+	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready}})
 	for id := range uint32(5) {
-		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
 	}
-	assert.Equal(t, len(r.sent), 2)
+	assert.Equal(t, len(host.sent), 2)
 }
 
 // The limit holds over any second, including the one just before a server became cold, and across changes of the
 // server list.
 func TestColdServerSendsAreLimitedPerSecond(t *testing.T) {
 	const most = 3
-	s := testSettings()
-	s.ColdSends = coldOnly(func() int { return most })
-	g, r := startGateway(s, 0)
-	at := Micros(100e6)
+	settings := testSettings()
+	settings.ColdSends = coldOnly(func() int { return most })
+	g, host := startGateway(settings, 0)
+	now := Micros(100e6)
 	cold := []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}}
-	g.Servers(at, r, FullList, []Entry{{Server: 1, State: Ready}})
+	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
 	var sends []Micros
-	for id := uint32(1); at < 110e6; id++ {
-		g.Request(at, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
-		for ; len(sends) < len(r.sent); at += 100 {
-			x := r.sent[len(sends)]
-			sends = append(sends, at)
-			g.Outcome(at, r, Outcome{ID: x.id, Status: OK, Server: 1, Latency: 1e3, Terminal: true})
+	for id := uint32(1); now < 110e6; id++ {
+		g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
+		for ; len(sends) < len(host.sent); now += 100 {
+			sent := host.sent[len(sends)]
+			sends = append(sends, now)
+			g.Outcome(now, host, Outcome{ID: sent.id, Status: OK, Server: 1, Latency: 1e3, Terminal: true})
 		}
 		switch id % 10 {
 		case 3:
-			g.Servers(at, r, FullList, cold)
+			g.Servers(now, host, FullList, cold)
 		case 5:
-			g.Servers(at, r, FullList, nil)
-			g.Servers(at, r, FullList, cold)
+			g.Servers(now, host, FullList, nil)
+			g.Servers(now, host, FullList, cold)
 		}
-		at += 17e3
-		g.Timer(at, r, tokenTick<<32)
+		now += 17e3
+		g.Timer(now, host, tokenTick<<32)
 	}
 	if len(sends) < 9*most {
 		t.Fatalf("only %d sends in ten seconds", len(sends))
@@ -124,39 +125,39 @@
 // second after.
 func TestColdServerSendsCountWhenTheyLeave(t *testing.T) {
 	const most = 3
-	s := testSettings()
-	s.Gateways = 1
+	settings := testSettings()
+	settings.Gateways = 1
 	share := most
-	s.ColdSends = coldOnly(func() int { return share })
-	g, r := startGateway(s, 0)
-	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}})
+	settings.ColdSends = coldOnly(func() int { return share })
+	g, host := startGateway(settings, 0)
+	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}})
 	room := func(at Micros) bool {
 		g.now = at
 		return g.hasColdSendBudget(g.byID[1])
 	}
 	for id := range uint32(most) {
-		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
 	}
-	assert.Equal(t, len(r.sent), most)
+	assert.Equal(t, len(host.sent), most)
 	assert.Assert(t, !room(101500e3), "three attempts wait for a connection")
 	g.Left(101600e3, 0, 0)
 	g.Left(101600e3, 0, 0) // reported twice
-	g.Outcome(101600e3, r, Outcome{ID: 1, Status: Reset, Server: 1, Terminal: true})
+	g.Outcome(101600e3, host, Outcome{ID: 1, Status: Reset, Server: 1, Terminal: true})
 	assert.Assert(t, !room(102e6), "one attempt left in this second, one may have, one waits")
 	assert.Assert(t, g.MayLeave(102e6, 2, 0))
 	share = 2
 	assert.Assert(t, !g.MayLeave(102e6, 2, 0), "our part of the budget has shrunk")
 	share = most
 	assert.Assert(t, room(102700e3), "only the waiting attempt counts")
-	g.Outcome(102700e3, r, Outcome{ID: 2, Status: Moot, Server: 1, Terminal: true})
+	g.Outcome(102700e3, host, Outcome{ID: 2, Status: Moot, Server: 1, Terminal: true})
 	assert.Equal(t, g.byID[1].unsent, 0)
-	g.Outcome(102700e3, r, Outcome{ID: 0, Status: OK, Server: 1, Terminal: true})
+	g.Outcome(102700e3, host, Outcome{ID: 0, Status: OK, Server: 1, Terminal: true})
 	assert.Equal(t, len(g.byID[1].coldSends), 1, "an attempt that has left counts once")
 
-	g.Request(104e6, r, Request{ID: 9, Customer: 9, Left: 9e6, Units: 1})
+	g.Request(104e6, host, Request{ID: 9, Customer: 9, Left: 9e6, Units: 1})
 	share = 0
 	assert.Assert(t, !g.MayLeave(104e6, 9, 0))
-	g.Servers(104e6, r, FullList, []Entry{{Server: 1, State: Ready}})
+	g.Servers(104e6, host, FullList, []Entry{{Server: 1, State: Ready}})
 	assert.Assert(t, g.MayLeave(104e6, 9, 0), "the server is warm")
 }
 
@@ -164,50 +165,50 @@
 // be repeated, failed.
 func TestRetryBudgetIsAskedOncePerRetry(t *testing.T) {
 	left, asked := 1, 0
-	s := testSettings()
-	s.FurtherTry = func(int) bool { asked++; left--; return left >= 0 }
-	g, r := startGateway(s, 4)
-	fail := func(id uint32, st Status) {
-		x := r.sent[len(r.sent)-1]
-		g.Outcome(100e6, r, Outcome{ID: id, Attempt: countAttempts(r, id) - 1, Status: st, Server: x.to,
+	settings := testSettings()
+	settings.FurtherTry = func(int) bool { asked++; left--; return left >= 0 }
+	g, host := startGateway(settings, 4)
+	fail := func(id uint32, status Status) {
+		x := host.sent[len(host.sent)-1]
+		g.Outcome(100e6, host, Outcome{ID: id, Attempt: countAttempts(host, id) - 1, Status: status, Server: x.to,
 			Latency: 1e3})
 	}
-	g.Request(100e6, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
+	g.Request(100e6, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
 	if asked != 0 {
 		t.Fatal("the budget was asked for a first try")
 	}
 	fail(1, Full)
-	if asked != 1 || len(r.sent) != 2 {
-		t.Fatalf("asked %d times, %d sent; want 1 and 2", asked, len(r.sent))
+	if asked != 1 || len(host.sent) != 2 {
+		t.Fatalf("asked %d times, %d sent; want 1 and 2", asked, len(host.sent))
 	}
 	fail(1, Reset)
-	if _, refused := r.refused[1]; asked != 2 || len(r.sent) != 2 || !refused {
-		t.Fatalf("asked %d times, %d sent, refused %v; want 2, 2 and true", asked, len(r.sent), refused)
+	if _, refused := host.refused[1]; asked != 2 || len(host.sent) != 2 || !refused {
+		t.Fatalf("asked %d times, %d sent, refused %v; want 2, 2 and true", asked, len(host.sent), refused)
 	}
-	g.Request(100e6, r, Request{ID: 2, Class: 2, Customer: 2, Left: 1500e3, Units: 1})
+	g.Request(100e6, host, Request{ID: 2, Class: 2, Customer: 2, Left: 1500e3, Units: 1})
 	fail(2, Reset)
-	if _, refused := r.refused[2]; asked != 2 || refused || !r.failed[2] {
-		t.Fatalf("asked %d times, refused %v, failed %v; want 2, false and true", asked, refused, r.failed[2])
+	if _, refused := host.refused[2]; asked != 2 || refused || !host.failed[2] {
+		t.Fatalf("asked %d times, refused %v, failed %v; want 2, false and true", asked, refused, host.failed[2])
 	}
 }
 
 // A request that was never sent is refused after a fraction of its latency target, whether it is marked as a retry
 // or not.
 func TestUnsentRequestIsRefusedAfterHoldPart(t *testing.T) {
-	s := testSettings()
-	s.HoldPart = 0.25
-	g, r := startGateway(s, 0)
+	settings := testSettings()
+	settings.HoldPart = 0.25
+	g, host := startGateway(settings, 0)
 	for id, again := range []bool{false, true} {
-		g.Request(100e6, r, Request{ID: uint32(id), Customer: 1, Left: 2e6, Units: 1, Again: again})
-		q := g.requests[uint32(id)]
-		if q == nil {
+		g.Request(100e6, host, Request{ID: uint32(id), Customer: 1, Left: 2e6, Units: 1, Again: again})
+		req := g.requests[uint32(id)]
+		if req == nil {
 			t.Fatal("refused at once")
 		}
-		if at := g.holdDeadline(q) - 100e6; at != 125e3 {
+		if at := g.holdDeadline(req) - 100e6; at != 125e3 {
 			t.Fatalf("held for %d us, want 125000, a quarter of the latency target", at)
 		}
-		g.Timer(100e6+125e3, r, tokenGiveUp<<32|uint64(id))
-		if _, refused := r.refused[uint32(id)]; !refused {
+		g.Timer(100e6+125e3, host, tokenGiveUp<<32|uint64(id))
+		if _, refused := host.refused[uint32(id)]; !refused {
 			t.Fatal("still held after a quarter of its latency target")
 		}
 		g.now = 100e6
@@ -227,25 +228,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := 0
-			s := testSettings()
-			s.SafeAfter, s.FurtherTry = 1, func(int) bool { asked++; return c.budget }
-			g, r := startGateway(s, 2)
-			g.Request(100e6, r, Request{ID: 1, Class: c.class, Customer: 1, Left: 1500e3, Units: 1})
-			for at := Micros(100e6); at < 100e6+300e3; at += 10e3 {
-				g.Timer(at, r, tokenTick<<32)
-				if n := len(r.cancels); n > 0 && len(r.sent) == 1 {
-					if at < 100e6+250e3 {
-						t.Fatalf("moved after %d us, want at least half the latency target", at-100e6)
+			settings := testSettings()
+			settings.SafeAfter, settings.FurtherTry = 1, func(int) bool { asked++; return c.budget }
+			g, host := startGateway(settings, 2)
+			g.Request(100e6, host, Request{ID: 1, Class: c.class, Customer: 1, Left: 1500e3, Units: 1})
+			for now := Micros(100e6); now < 100e6+300e3; now += 10e3 {
+				g.Timer(now, host, tokenTick<<32)
+				if n := len(host.cancels); n > 0 && len(host.sent) == 1 {
+					if now < 100e6+250e3 {
+						t.Fatalf("moved after %d us, want at least half the latency target", now-100e6)
 					}
-					g.Outcome(at, r, Outcome{ID: 1, Status: Cancelled, Server: r.sent[0].to,
-						Latency: at - 100e6})
+					g.Outcome(now, host, Outcome{ID: 1, Status: Cancelled, Server: host.sent[0].to,
+						Latency: now - 100e6})
 				}
 			}
-			if len(r.cancels) != c.want || len(r.sent) != 1+c.want {
-				t.Fatalf("%d cancels, %d sent", len(r.cancels), len(r.sent))
+			if len(host.cancels) != c.want || len(host.sent) != 1+c.want {
+				t.Fatalf("%d cancels, %d sent", len(host.cancels), len(host.sent))
 			}
-			if c.want == 1 && (asked != 1 || r.sent[0].to == r.sent[1].to) {
-				t.Fatalf("asked %d times, want 1; sent to %v, want two servers", asked, r.sent)
+			if c.want == 1 && (asked != 1 || host.sent[0].to == host.sent[1].to) {
+				t.Fatalf("asked %d times, want 1; sent to %v, want two servers", asked, host.sent)
 			}
 		})
 	}
@@ -253,14 +254,14 @@
 
 // A server with a high cost, such as one far away, is not used while a cheaper one is as good.
 func TestExpensiveServerIsTheLastChoice(t *testing.T) {
-	g, r := startGateway(testSettings(), 0)
-	g.Servers(100e6, r, FullList, []Entry{{Server: 1, State: Ready, Dear: 10}, {Server: 2, State: Ready}})
+	g, host := startGateway(testSettings(), 0)
+	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready, Dear: 10}, {Server: 2, State: Ready}})
 	for id := range uint32(5) {
-		g.Request(100e6, r, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
-		if r.sent[id].to != 2 {
-			t.Fatalf("sent to server %d, want 2", r.sent[id].to)
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
+		if host.sent[id].to != 2 {
+			t.Fatalf("sent to server %d, want 2", host.sent[id].to)
 		}
-		g.Outcome(100e6, r, Outcome{ID: id, Status: OK, Server: 2, Latency: 1e3, Terminal: true})
+		g.Outcome(100e6, host, Outcome{ID: id, Status: OK, Server: 2, Latency: 1e3, Terminal: true})
 	}
 }
 
@@ -326,25 +327,25 @@
 		{"held for a fraction of the target", 0.25, 200 * milli},
 		{"without such a fraction", 0, 2 * second},
 	} {
-		h := &timerHost{}
+		host := &timerHost{}
 		g := New(Settings{Gateways: 1, Tick: milli, MaxAttempts: 3, RetryAfter: true, HoldPart: c.part,
 			Classes: []Class{{Aim: 500 * milli, Deadline: 2 * second, Worth: 1, LateWorth: 1,
 				Repeat: Unsafe}}, Plans: []Plan{{Price: 1}}}, 1)
 		now := second
-		h.now = &now
-		g.Start(now, h)
-		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Ready}})
-		g.Request(now, h, Request{ID: 7, Left: 2 * second, Units: 1, Spread: 1})
-		if h.sends != 1 {
-			t.Fatalf("%s: %d sends, want 1", c.name, h.sends)
+		host.now = &now
+		g.Start(now, host)
+		g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
+		g.Request(now, host, Request{ID: 7, Left: 2 * second, Units: 1, Spread: 1})
+		if host.sends != 1 {
+			t.Fatalf("%s: %d sends, want 1", c.name, host.sends)
 		}
-		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Draining}})
-		g.Outcome(now, h, Outcome{ID: 7, Status: Full, Server: 1, Latency: milli})
-		for h.refused == 0 && now < 4*second {
+		g.Servers(now, host, FullList, []Entry{{Server: 1, State: Draining}})
+		g.Outcome(now, host, Outcome{ID: 7, Status: Full, Server: 1, Latency: milli})
+		for host.refused == 0 && now < 4*second {
 			now += milli
-			h.fireTimers(g)
+			host.fireTimers(g)
 		}
-		if got := h.refused - second; h.refused == 0 || got > c.by {
+		if got := host.refused - second; host.refused == 0 || got > c.by {
 			t.Errorf("%s: refused after %d ms", c.name, got/milli)
 		}
 	}
@@ -382,25 +383,25 @@
 // In a service that gets only unsafe requests, an ejected server is probed by them too: later than by safe ones,
 // one at a time, and only a good answer ends the ejection.
 func TestEjectedServerIsProbedByUnsafeRequests(t *testing.T) {
-	g, r := startGateway(testSettings(), 0)
+	g, host := startGateway(testSettings(), 0)
 	now := Micros(100e6)
-	g.Servers(now, r, FullList, []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
+	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
 	s := g.byID[1]
 	g.eject(s)
-	g.Servers(now, r, FullList, []Entry{{Server: 1, State: Ready}})
+	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
 	id, early, tried := uint32(0), 0, 0
 	for end := now + 10*second; now < end && tried < 3; now += 600 * milli / 7 {
 		id++
-		g.Timer(now, r, tokenTick<<32)
-		before := len(r.sent)
-		g.Request(now, r, Request{ID: id, Class: 2, Customer: uint64(id), Left: 1e6, Units: 1})
-		if len(r.sent) == before {
-			g.ClientGone(now, r, id)
+		g.Timer(now, host, tokenTick<<32)
+		before := len(host.sent)
+		g.Request(now, host, Request{ID: id, Class: 2, Customer: uint64(id), Left: 1e6, Units: 1})
+		if len(host.sent) == before {
+			g.ClientGone(now, host, id)
 			continue
 		}
-		x := r.sent[before]
-		o := Outcome{ID: x.id, Status: OK, Server: x.to, Latency: milli, Terminal: true}
-		if x.to == 1 {
+		sent := host.sent[before]
+		o := Outcome{ID: sent.id, Status: OK, Server: sent.to, Latency: milli, Terminal: true}
+		if sent.to == 1 {
 			if tried++; now < s.probeAt+s.ejection {
 				early++
 			}
@@ -408,7 +409,7 @@
 				o.Status = Timeout
 			}
 		}
-		g.Outcome(now, r, o)
+		g.Outcome(now, host, o)
 	}
 	if early > 0 || tried < 3 || s.ejected {
 		t.Fatalf("%d probes, want 3; %d of them early, want 0; still ejected %v", tried, early, s.ejected)
@@ -418,27 +419,27 @@
 // An idle gateway ticks seldom, and at the usual interval as soon as there is a request. A timer that was requested
 // before must not start a second series of ticks.
 func TestIdleGatewayTicksSeldom(t *testing.T) {
-	s := testSettings()
-	s.Step, s.IdleStep = 20*milli, 100*milli
-	g, r := startGateway(s, 0)
-	at := Micros(100e6)
-	g.Servers(at, r, FullList, []Entry{{Server: 1, State: Ready}})
-	g.tickDue = at
-	g.Timer(at, r, tokenTick<<32)
-	assert.Equal(t, g.tickDue, at+100*milli)
+	settings := testSettings()
+	settings.Step, settings.IdleStep = 20*milli, 100*milli
+	g, host := startGateway(settings, 0)
+	now := Micros(100e6)
+	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
+	g.tickDue = now
+	g.Timer(now, host, tokenTick<<32)
+	assert.Equal(t, g.tickDue, now+100*milli)
 	idle := g.tickDue
-	at += 30 * milli
-	g.Request(at, r, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
-	assert.Equal(t, g.tickDue, at+20*milli)
-	assert.Equal(t, g.settings.IdleStep-at%g.settings.IdleStep, 70*milli,
+	now += 30 * milli
+	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
+	assert.Equal(t, g.tickDue, now+20*milli)
+	assert.Equal(t, g.settings.IdleStep-now%g.settings.IdleStep, 70*milli,
 		"idle ticks of several gateways coincide")
-	at += 20 * milli
-	g.Timer(at, r, tokenTick<<32)
-	assert.Equal(t, g.tickDue, at+20*milli)
-	for at += 20 * milli; at < idle; at += 20 * milli {
-		g.Timer(at, r, tokenTick<<32)
+	now += 20 * milli
+	g.Timer(now, host, tokenTick<<32)
+	assert.Equal(t, g.tickDue, now+20*milli)
+	for now += 20 * milli; now < idle; now += 20 * milli {
+		g.Timer(now, host, tokenTick<<32)
 	}
 	due := g.tickDue
-	g.Timer(idle, r, tokenTick<<32) // the one that the request voided
+	g.Timer(idle, host, tokenTick<<32) // the one that the request voided
 	assert.Equal(t, g.tickDue, due)
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -19,22 +19,22 @@
 		{name: "no slots", load: []float32{2, 8, 0}},
 		{name: "too few values", load: []float32{8}},
 	} {
-		s := testSettings()
-		s.Reported = !c.off
-		g, r := startGateway(s, 0)
+		settings := testSettings()
+		settings.Reported = !c.off
+		g, host := startGateway(settings, 0)
 		now := Micros(100e6)
-		g.Servers(now, r, FullList, []Entry{{Server: 1, State: Ready}})
+		g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
 		aim := g.classes[0].Aim
 		send := func(id uint32) bool {
-			before := len(r.sent)
-			g.Request(now, r, Request{ID: id, Customer: uint64(id), Left: 10 * aim, Units: 1})
-			return len(r.sent) > before
+			before := len(host.sent)
+			g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 10 * aim, Units: 1})
+			return len(host.sent) > before
 		}
 		if !send(1) {
 			t.Fatalf("%s: the first request was not sent", c.name)
 		}
 		bound := g.inFlightLimit
-		g.Outcome(now, r, Outcome{ID: 1, Status: OK, Server: 1, Latency: aim / 4, Load: c.load, Terminal: true})
+		g.Outcome(now, host, Outcome{ID: 1, Status: OK, Server: 1, Latency: aim / 4, Load: c.load, Terminal: true})
 		if got := !send(2); got != c.full {
 			t.Errorf("%s: server full %v, want %v", c.name, got, c.full)
 		}
@@ -42,10 +42,10 @@
 			t.Errorf("%s: limit cut %v, want %v", c.name, got, c.full)
 		}
 		now += aim / 2
-		g.Timer(now, r, tokenTick<<32)
-		if len(r.sent) != 2 {
+		g.Timer(now, host, tokenTick<<32)
+		if len(host.sent) != 2 {
 			t.Errorf("%s: the second request was sent %d times within half the latency target, want 1", c.name,
-				len(r.sent)-1)
+				len(host.sent)-1)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -70,54 +70,54 @@
 }
 
 func TestBucketAdmitsOurShareOfBurst(t *testing.T) {
-	g, r := startGateway(testSettings(), 8)
+	g, host := startGateway(testSettings(), 8)
 	for i := range uint32(20) {
-		g.Request(100e6, r, Request{ID: i, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+		g.Request(100e6, host, Request{ID: i, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
 	}
-	if len(r.sent) != 10 || len(r.refused) != 10 {
-		t.Fatalf("sent %d, refused %d; want 10 and 10, as our part is half of a burst of 20", len(r.sent),
-			len(r.refused))
+	if len(host.sent) != 10 || len(host.refused) != 10 {
+		t.Fatalf("sent %d, refused %d; want 10 and 10, as our part is half of a burst of 20", len(host.sent),
+			len(host.refused))
 	}
 	// at a refill of 5 units per second, the next unit is there after 200 ms
-	if w := r.refused[10]; w < 190e3 || w > 210e3 {
+	if w := host.refused[10]; w < 190e3 || w > 210e3 {
 		t.Fatalf("told to wait %d us, want about 200000", w)
 	}
-	g.Request(100e6+210e3, r, Request{ID: 99, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
-	if _, no := r.refused[99]; no {
+	g.Request(100e6+210e3, host, Request{ID: 99, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+	if _, no := host.refused[99]; no {
 		t.Fatal("refused after the advised wait")
 	}
 }
 
 func TestCeilingStartsEmptyAfterRestart(t *testing.T) {
-	g, r := startGateway(testSettings(), 8)
+	g, host := startGateway(testSettings(), 8)
 	for i := range uint32(10) {
-		g.Request(100e6, r, Request{ID: i, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+		g.Request(100e6, host, Request{ID: i, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
 	}
-	if len(r.sent) != 0 {
-		t.Fatalf("sent %d at the start, want 0: the units may have been spent before a restart", len(r.sent))
+	if len(host.sent) != 0 {
+		t.Fatalf("sent %d at the start, want 0: the units may have been spent before a restart", len(host.sent))
 	}
-	g.Request(101e6, r, Request{ID: 50, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
-	if len(r.sent) != 1 {
+	g.Request(101e6, host, Request{ID: 50, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+	if len(host.sent) != 1 {
 		t.Fatal("our part of the ceiling did not fill after the start")
 	}
 }
 
 func TestUnsafeRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	for st := Failed; st <= Moot; st++ {
-		g, r := startGateway(testSettings(), 4)
-		g.Request(100e6, r, Request{ID: 1, Class: 2, Customer: 1, Left: 1500e3, Units: 1, Spread: 2})
-		if len(r.sent) != 1 {
+		g, host := startGateway(testSettings(), 4)
+		g.Request(100e6, host, Request{ID: 1, Class: 2, Customer: 1, Left: 1500e3, Units: 1, Spread: 2})
+		if len(host.sent) != 1 {
 			t.Fatal("the request was not sent")
 		}
-		g.Outcome(100100e3, r, Outcome{ID: 1, Status: st, Server: r.sent[0].to, Latency: 100e3,
+		g.Outcome(100100e3, host, Outcome{ID: 1, Status: st, Server: host.sent[0].to, Latency: 100e3,
 			Terminal: st == OK})
 		ran := st != Full && st != ConnectFailed && st != Moot
 		switch {
-		case st == OK && (r.failed[1] || len(r.sent) != 1):
+		case st == OK && (host.failed[1] || len(host.sent) != 1):
 			t.Errorf("status %d: a request was retried or failed after a good answer", st)
-		case st != OK && ran && (!r.failed[1] || len(r.sent) != 1):
-			t.Errorf("status %d: sent %d times, failed %v; want 1 and true", st, len(r.sent), r.failed[1])
-		case !ran && len(r.sent) != 2:
+		case st != OK && ran && (!host.failed[1] || len(host.sent) != 1):
+			t.Errorf("status %d: sent %d times, failed %v; want 1 and true", st, len(host.sent), host.failed[1])
+		case !ran && len(host.sent) != 2:
 			t.Errorf("status %d means that it did not run, but it was not sent again", st)
 		}
 	}
@@ -184,9 +184,9 @@
 // far below the latency target.
 func TestLimitStopsAtLatencyKnee(t *testing.T) {
 	rise := func(latency func(inFlight int) Micros) float64 {
-		s := testSettings()
-		s.Plans[0].Rate, s.Plans[0].Burst = 1e6, 1e6
-		b := newBench(s, 8)
+		settings := testSettings()
+		settings.Plans[0].Rate, settings.Plans[0].Burst = 1e6, 1e6
+		b := newBench(settings, 8)
 		for range 400 {
 			b.now += 20e3
 			for range 60 {
@@ -208,8 +208,8 @@
 }
 
 func TestHeldRequestsLeaveInRankOrder(t *testing.T) {
-	s := testSettings()
-	b := newBench(s, 1)
+	settings := testSettings()
+	b := newBench(settings, 1)
 	b.gateway.inFlightLimit, b.gateway.answerRate = 1, 1000
 	b.request(0, 0, 1)
 	low := b.request(0, 0, 2)
@@ -250,29 +250,29 @@
 // A customer's requests stay within its ceiling over all gateways, whatever they hold or send and however often
 // they restart.
 func TestCeilingHoldsAcrossRestarts(t *testing.T) {
-	s := testSettings()
-	s.Plans[1].Rate, s.Plans[1].Burst = 1000, 1000
-	p := s.Plans[1]
-	gws := make([]*bench, 2)
-	for i := range gws {
-		gws[i] = newBench(s, 2)
-	}
-	store, at := p.CeilingBurst, Micros(100e6)
+	settings := testSettings()
+	settings.Plans[1].Rate, settings.Plans[1].Burst = 1000, 1000
+	p := settings.Plans[1]
+	benches := make([]*bench, 2)
+	for i := range benches {
+		benches[i] = newBench(settings, 2)
+	}
+	store, now := p.CeilingBurst, Micros(100e6)
 	for step := range 4000 {
-		at += 5e3
+		now += 5e3
 		store = min(store+p.CeilingRate*0.005, p.CeilingBurst)
-		for i, b := range gws {
+		for i, b := range benches {
 			if step%700 == 350*i {
 				sent := b.nextID
-				gws[i] = newBench(s, 2)
-				b = gws[i]
+				benches[i] = newBench(settings, 2)
+				b = benches[i]
 				b.nextID = sent
-				b.gateway, b.host = New(s, 9), newRecorder()
-				b.gateway.Start(at, b.host)
-				b.gateway.Servers(at, b.host, Cached, []Entry{{Server: 1, State: Ready},
+				b.gateway, b.host = New(settings, 9), newRecorder()
+				b.gateway.Start(now, b.host)
+				b.gateway.Servers(now, b.host, Cached, []Entry{{Server: 1, State: Ready},
 					{Server: 2, State: Ready}})
 			}
-			b.now = at
+			b.now = now
 			n := len(b.host.sent)
 			b.request(0, 1, 7)
 			if step%9 == 0 {
@@ -316,31 +316,31 @@
 }
 
 func TestColdServerStaysWithinBudget(t *testing.T) {
-	s := testSettings()
-	s.Plans[0].Rate, s.Plans[0].Burst = 1e6, 1e6
-	b := newBench(s, 4)
+	settings := testSettings()
+	settings.Plans[0].Rate, settings.Plans[0].Burst = 1e6, 1e6
+	b := newBench(settings, 4)
 	b.gateway.Servers(b.now, b.host, Delta, []Entry{{Server: 9, State: Ready, ReadyAt: b.now}})
 	b.gateway.inFlightLimit = 60
 	var cold, all, done int
 	for range 100 { // one second of a hundred requests
 		b.now += 10e3
 		b.request(0, 0, 1)
-		for _, x := range b.host.sent[b.handled:] {
+		for _, sent := range b.host.sent[b.handled:] {
 			all++
-			if x.to == 9 {
+			if sent.to == 9 {
 				cold++
 			}
 		}
 		if b.gateway.inFlight > 30 {
-			x := b.host.sent[done]
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 80e3,
-				Server: x.to})
+			sent := b.host.sent[done]
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 80e3,
+				Server: sent.to})
 			done++
 		}
 		b.handled = len(b.host.sent)
 		b.gateway.Timer(b.now, b.host, tokenTick<<32)
 	}
-	if even := all / 5; cold == 0 || float64(cold) > s.FallMultiple*0.3*float64(even) {
+	if even := all / 5; cold == 0 || float64(cold) > settings.FallMultiple*0.3*float64(even) {
 		t.Fatalf("the cold server got %d of %d requests", cold, all)
 	}
 }
@@ -387,9 +387,9 @@
 // If the counter does not answer, shares return to the even part. Totals below our own contribution, from a counter
 // that lost its data, are not believed.
 func TestShareWithSilentOrEmptyCounter(t *testing.T) {
-	s := testSettings()
-	s.Counter = true
-	b := newBench(s, 8)
+	settings := testSettings()
+	settings.Counter = true
+	b := newBench(settings, 8)
 	c := func() *customer { return b.gateway.customers[1] }
 	turn := func(reply func(countCall)) {
 		for range 100 {
@@ -436,9 +436,9 @@
 }
 
 func TestSettledUnitsAdjustBucket(t *testing.T) {
-	s := testSettings()
-	s.Settles = true
-	b := newBench(s, 2)
+	settings := testSettings()
+	settings.Settles = true
+	b := newBench(settings, 2)
 	b.request(0, 0, 1)
 	before := b.gateway.customers[1].tokens
 	b.gateway.Outcome(b.now, b.host, Outcome{ID: b.nextID, Status: OK, Terminal: true, Settled: 5, Latency: 10})
@@ -469,11 +469,11 @@
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
 	f.Add([]byte("requests, outcomes, lists and timers in any order"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := testSettings()
-		s.Counter = true
-		g, r := New(s, 3), newRecorder()
-		at := Micros(1e6)
-		g.Start(at, r)
+		settings := testSettings()
+		settings.Counter = true
+		g, host := New(settings, 3), newRecorder()
+		now := Micros(1e6)
+		g.Start(now, host)
 		take := func() int {
 			if len(data) == 0 {
 				return 0
@@ -483,32 +483,32 @@
 			return int(x)
 		}
 		for len(data) > 0 {
-			at += Micros(take()) * 1e3
+			now += Micros(take()) * 1e3
 			switch take() % 7 {
 			case 0:
-				g.Request(at, r, Request{ID: uint32(take()), Class: take()%5 - 1, Plan: take()%5 - 1,
+				g.Request(now, host, Request{ID: uint32(take()), Class: take()%5 - 1, Plan: take()%5 - 1,
 					Customer: uint64(take() % 4), Left: Micros(take()) * 1e4, Units: float64(take() % 7),
 					Spread: take() % 4})
 			case 1:
-				g.Outcome(at, r, Outcome{ID: uint32(take()), Status: Status(take() % 8), Attempt: take() % 4,
+				g.Outcome(now, host, Outcome{ID: uint32(take()), Status: Status(take() % 8), Attempt: take() % 4,
 					Terminal: take()%2 == 0, Latency: Micros(take()) * 1e4, Used: take(),
 					Settled: float64(take() % 7)})
 			case 2:
-				g.Servers(at, r, ListKind(take()%4), []Entry{{Server: Server(take() % 6),
+				g.Servers(now, host, ListKind(take()%4), []Entry{{Server: Server(take() % 6),
 					State: State(take() % 3),
-					Cell:  take() % 3, Zone: take() % 2, ReadyAt: at * Micros(take()%2),
+					Cell:  take() % 3, Zone: take() % 2, ReadyAt: now * Micros(take()%2),
 					Weight: float64(take() % 3)}})
 			case 3:
-				g.Timer(at, r, tokenTick<<32)
+				g.Timer(now, host, tokenTick<<32)
 			case 4:
-				g.Timer(at, r, tokenGiveUp<<32|uint64(take()))
+				g.Timer(now, host, tokenGiveUp<<32|uint64(take()))
 			case 5:
-				g.ClientGone(at, r, uint32(take()))
+				g.ClientGone(now, host, uint32(take()))
 			case 6:
-				for _, x := range r.counts {
-					g.Counted(at, r, x.name, 0, Status(take()%8), float64(take()))
+				for _, x := range host.counts {
+					g.Counted(now, host, x.name, 0, Status(take()%8), float64(take()))
 				}
-				r.counts = nil
+				host.counts = nil
 			}
 			if g.inFlight < 0 || g.queued < 0 {
 				t.Fatalf("%d in flight, %d queued; want no negative counts", g.inFlight, g.queued)
@@ -520,9 +520,9 @@
 // Guards against an overloaded fleet: the minimum limit was counted for each gateway alone, so that with many
 // gateways the sum was more than the servers bear.
 func TestMinimumLimitIsDividedAmongGateways(t *testing.T) {
-	s := testSettings()
-	s.Gateways = 12
-	b := newBench(s, 24)
+	settings := testSettings()
+	settings.Gateways = 12
+	b := newBench(settings, 24)
 	for range 100 {
 		b.now += 1e6
 		b.request(0, 0, uint64(b.nextID))
@@ -535,9 +535,9 @@
 
 // The record of an idle customer is kept while its part of the ceiling still fills.
 func TestIdleCustomersAreDroppedOnlyWithFullBuckets(t *testing.T) {
-	s := testSettings()
-	s.Plans[1].CeilingRate, s.Plans[1].CeilingBurst = 1, 100
-	b := newBench(s, 8)
+	settings := testSettings()
+	settings.Plans[1].CeilingRate, settings.Plans[1].CeilingBurst = 1, 100
+	b := newBench(settings, 8)
 	b.now += 200e6
 	b.gateway.Timer(b.now, b.host, tokenTick<<32)
 	b.request(0, 0, 1)
@@ -563,9 +563,9 @@
 // Calls to the counter become rarer only if it is overloaded. Broken connections do not count: three per second
 // once suppressed nine tenths of all calls.
 func TestCounterResetDoesNotReduceCalls(t *testing.T) {
-	s := testSettings()
-	s.Counter = true
-	b := newBench(s, 8)
+	settings := testSettings()
+	settings.Counter = true
+	b := newBench(settings, 8)
 	for _, c := range []struct {
 		st   Status
 		want float64
@@ -583,30 +583,30 @@
 // Guards against herding. Load reports are older than most requests live, and all gateways see the same ones. With
 // four gateways, each had all its requests at two or three of eight servers while the others were idle.
 func TestIdleLoadReportDoesNotCauseHerding(t *testing.T) {
-	s := testSettings()
-	s.InlineLoad, s.Plans[0].Burst = []string{"inflight"}, 1000
-	b := newBench(s, 8)
+	settings := testSettings()
+	settings.InlineLoad, settings.Plans[0].Burst = []string{"inflight"}, 1000
+	b := newBench(settings, 8)
 	for range 10 { // each server reports now and then, one of them that it is idle
 		b.now += 50e3
 		for i := range 16 {
 			b.request(0, 0, uint64(i))
 		}
 		for ; b.handled < len(b.host.sent); b.handled++ {
-			x := b.host.sent[b.handled]
+			sent := b.host.sent[b.handled]
 			load := float32(8)
-			if x.to == 3 {
+			if sent.to == 3 {
 				load = 0
 			}
-			b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 40e3,
-				Server: x.to, Load: []float32{load}})
+			b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 40e3,
+				Server: sent.to, Load: []float32{load}})
 		}
 	}
 	at := map[Server]int{}
 	for i := range 16 {
 		b.request(0, 0, uint64(100+i))
 	}
-	for _, x := range b.host.sent[b.handled:] {
-		at[x.to]++
+	for _, sent := range b.host.sent[b.handled:] {
+		at[sent.to]++
 	}
 	if len(b.host.sent)-b.handled < 16 || at[3] > 6 {
 		t.Errorf("of %d requests %d went to the server that reports idle, want at most 6 of 16",
@@ -617,9 +617,9 @@
 // Gateways that share a bucket know the others' use from the totals: a bucket that others have spent admits
 // nothing, and one that is far from spent needs no call.
 func TestBucketIsSharedThroughCounter(t *testing.T) {
-	s := testSettings()
-	s.CounterTimeout = 30e3
-	f := newFleet(t, s, 2, 8)
+	settings := testSettings()
+	settings.CounterTimeout = 30e3
+	f := newFleet(t, settings, 2, 8)
 	on := 0
 	if !f.try(1, 0, 5, 2e6) {
 		t.Fatal("a first try was refused")
@@ -656,8 +656,8 @@
 // If clients mark their retries, a first try with a short client time-out is not taken for a late retry. Half of
 // all tries were once refused as late.
 func TestOnlyMarkedRetriesAreRefusedAsLate(t *testing.T) {
-	s := testSettings()
-	b := newBench(s, 8)
+	settings := testSettings()
+	b := newBench(settings, 8)
 	for i := range 50 {
 		b.request(0, 0, uint64(i+10))
 		b.answer(10e3, OK)
--- a/policy/recover_test.go
+++ b/policy/recover_test.go
@@ -73,18 +73,18 @@
 		"no snapshot":                {10, false, false, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, end, h := running(t, c.spent)
-			if h.sent != min(c.spent, 30) {
-				t.Fatalf("the first process sent %d", h.sent)
+			g, end, host := running(t, c.spent)
+			if host.sent != min(c.spent, 30) {
+				t.Fatalf("the first process sent %d", host.sent)
 			}
 			var s *Snapshot
 			if c.warm {
 				taken := g.Snapshot()
 				s = &taken
 			}
-			g, h = restarted(s, end+second, c.exact)
-			if sendRequests(g, h, end+second, 50); h.sent < c.least || h.sent > c.most {
-				t.Errorf("sent %d, want %d to %d", h.sent, c.least, c.most)
+			g, host = restarted(s, end+second, c.exact)
+			if sendRequests(g, host, end+second, 50); host.sent < c.least || host.sent > c.most {
+				t.Errorf("sent %d, want %d to %d", host.sent, c.least, c.most)
 			}
 		})
 	}
--- a/policy/rotation_test.go
+++ b/policy/rotation_test.go
@@ -201,9 +201,9 @@
 
 // The gateways of a zone cover a region's servers evenly, for any number of gateways.
 func TestRingCoversServersEvenly(t *testing.T) {
-	for _, k := range []struct{ gws, servers int }{{12, 27}, {10, 23}, {3, 60}, {1, 4}, {11, 137}} {
+	for _, i := range []struct{ gws, servers int }{{12, 27}, {10, 23}, {3, 60}, {1, 4}, {11, 137}} {
 		uses := func(n int) []map[Server]bool {
-			c := newSimulation(true, n, 1, k.servers, Class{Aim: second, Deadline: 2 * second})
+			c := newSimulation(true, n, 1, i.servers, Class{Aim: second, Deadline: 2 * second})
 			var all []map[Server]bool
 			for _, g := range c.gateways {
 				own := map[Server]bool{}
@@ -215,20 +215,20 @@
 			return all
 		}
 		count := map[Server]int{}
-		own := uses(k.gws)
+		own := uses(i.gws)
 		for _, set := range own {
 			for s := range set {
 				count[s]++
 			}
 		}
-		even := float64(k.gws*minRotation) / float64(k.servers)
+		even := float64(i.gws*minRotation) / float64(i.servers)
 		for s, n := range count {
 			if math.Abs(float64(n)-even) > 1 {
-				t.Errorf("%+v: server %d is used by %d gateways, want %.1f plus or minus 1", k, s, n, even)
+				t.Errorf("%+v: server %d is used by %d gateways, want %.1f plus or minus 1", i, s, n, even)
 			}
 		}
-		if even >= 1 && len(count) < k.servers {
-			t.Errorf("%+v: only %d servers are used", k, len(count))
+		if even >= 1 && len(count) < i.servers {
+			t.Errorf("%+v: only %d servers are used", i, len(count))
 		}
 	}
 }
--- a/policy/tenants_test.go
+++ b/policy/tenants_test.go
@@ -39,16 +39,16 @@
 		if c.slice != nil {
 			b.Slices(c.at, map[string]TenantSlice{"t": *c.slice}, c.at+5*second/2)
 		}
-		on := 0
+		admitted := 0
 		for range c.ask {
 			ok, wait := b.Admit(c.at, "t", false)
 			if ok {
-				on++
+				admitted++
 			} else {
 				assert.Assert(t, wait >= 20*milli && wait <= 2*second)
 			}
 		}
-		assert.Equal(t, on, c.on, c.name)
+		assert.Equal(t, admitted, c.on, c.name)
 	}
 }
 
@@ -63,19 +63,19 @@
 	b.GiveBack(0, "t")
 	b.GiveBack(0, "t")
 	b.GiveBack(0, "nobody")
-	on := 0
+	admitted := 0
 	for range 3 {
 		if ok, _ := b.Admit(0, "t", false); ok {
-			on++
+			admitted++
 		}
 	}
-	assert.Equal(t, on, 1)
+	assert.Equal(t, admitted, 1)
 	assert.Assert(t, b.Low(0))
-	for k := range 2 {
+	for i := range 2 {
 		for range 100 {
-			b.Admit(Micros(k+1)*second/2, "t", false)
+			b.Admit(Micros(i+1)*second/2, "t", false)
 		}
-		b.Demand(Micros(k+1) * second / 2)
+		b.Demand(Micros(i+1) * second / 2)
 	}
 	d := b.Demand(second)
 	assert.Assert(t, d["t"] > 100 && d["t"] < 210, "demand %v, want 100 to 210 per second", d)
@@ -197,13 +197,13 @@
 		b := NewTenants()
 		b.Limits(0, []string{"t"})
 		b.Slices(0, map[string]TenantSlice{"t": {Floor: 1, FloorBurst: 1, Kick: 3}}, 0)
-		on := 0
+		admitted := 0
 		for range 10 {
 			if ok, _ := b.Admit(c.at, "t", false); ok {
-				on++
+				admitted++
 			}
 		}
-		assert.Equal(t, on, c.on, c.name)
+		assert.Equal(t, admitted, c.on, c.name)
 		held, _ := b.Holding(c.at)
 		assert.Equal(t, held["t"].Kick, 0.0)
 	}
@@ -280,17 +280,17 @@
 	b := NewTenants()
 	b.Limits(0, []string{"t"})
 	b.Demand(0)
-	for k := range 20 {
-		now := Micros(k+1) * 120 * milli
-		if k%8 == 0 { // one per second
+	for i := range 20 {
+		now := Micros(i+1) * 120 * milli
+		if i%8 == 0 { // one per second
 			b.Admit(now-60*milli, "t", false)
 		}
 		if d := b.Demand(now)["t"]; d > 1.2 {
 			t.Fatalf("%.2f requests per second are reported at %d ms, want about 1", d, now/milli)
 		}
 	}
-	for k := range 3 { // a flood is still believed within three calls
-		now := Micros(k)*500*milli + 3*second
+	for i := range 3 { // a flood is still believed within three calls
+		now := Micros(i)*500*milli + 3*second
 		for range 50 {
 			b.Admit(now, "t", false)
 		}
--- a/policy/verdicts_test.go
+++ b/policy/verdicts_test.go
@@ -36,28 +36,28 @@
 			class := Class{Aim: second, Deadline: 3 * second, Worth: 1, LateWorth: 1}
 			unsafe := class
 			unsafe.Repeat = Unsafe
-			h := newRecorder()
+			host := newRecorder()
 			g := New(Settings{Gateways: 12, Spread: 1, Classes: []Class{class, unsafe},
 				Plans:       []Plan{{Price: 1}},
 				MaxAttempts: 1, Beliefs: true}, 1)
 			now, id := second, uint32(0)
-			g.Start(now, h)
+			g.Start(now, host)
 			var entries []Entry
 			for s := range Server(9) {
 				entries = append(entries, Entry{Server: s + 1, State: Ready})
 			}
-			g.Servers(now, h, FullList, entries)
+			g.Servers(now, host, FullList, entries)
 			ask := func(class int) Server {
 				id++
-				at := len(h.sent)
+				at := len(host.sent)
 				now += 20 * milli
-				g.Request(now, h, Request{ID: id, Class: class, Left: 3 * second, Units: 1})
-				assert.Equal(t, len(h.sent), at+1)
-				return h.sent[at].to
+				g.Request(now, host, Request{ID: id, Class: class, Left: 3 * second, Units: 1})
+				assert.Equal(t, len(host.sent), at+1)
+				return host.sent[at].to
 			}
-			end := func(s Server, st Status) {
+			end := func(s Server, status Status) {
 				now += 50 * milli
-				g.Outcome(now, h, Outcome{ID: id, Latency: 50 * milli, Status: st, Server: s})
+				g.Outcome(now, host, Outcome{ID: id, Latency: 50 * milli, Status: status, Server: s})
 			}
 			for n := 0; n < 60 || c.fails && !g.byID[odd].ejected; n++ {
 				if s := ask(int(Safe)); c.fails && s == odd {
@@ -70,7 +70,7 @@
 				g.classes[0].answers = 0
 			}
 			now += 20 * second
-			g.Believe(now, h, map[Server]Belief{odd: c.belief})
+			g.Believe(now, host, map[Server]Belief{odd: c.belief})
 			n := 0
 			class2 := 0
 			if c.kind == Unsafe {
@@ -91,28 +91,28 @@
 // Failures are reported, good answers only of servers with a verdict, and silence once.
 func TestObservationReports(t *testing.T) {
 	class := Class{Aim: second, Deadline: 9 * second, Worth: 1, LateWorth: 1}
-	h := newRecorder()
+	host := newRecorder()
 	g := New(Settings{Gateways: 1, Classes: []Class{class}, Plans: []Plan{{Price: 1}}, MaxAttempts: 1,
 		Beliefs: true}, 1)
 	now := second
-	g.Start(now, h)
+	g.Start(now, host)
 	entries := []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}}
-	g.Servers(now, h, FullList, entries)
+	g.Servers(now, host, FullList, entries)
 	id := uint32(0)
-	do := func(to Server, st Status) {
+	do := func(to Server, status Status) {
 		now += 100 * milli
-		g.Believe(now, h, map[Server]Belief{3 - to: Shunned, to: Watched})
+		g.Believe(now, host, map[Server]Belief{3 - to: Shunned, to: Watched})
 		id++
-		g.Request(now, h, Request{ID: id, Left: 9 * second, Units: 1})
-		if st != Moot { // Moot: no answer
+		g.Request(now, host, Request{ID: id, Left: 9 * second, Units: 1})
+		if status != Moot { // Moot: no answer
 			now += 50 * milli
-			g.Outcome(now, h, Outcome{ID: id, Latency: 50 * milli, Status: st, Server: to})
+			g.Outcome(now, host, Outcome{ID: id, Latency: 50 * milli, Status: status, Server: to})
 		}
 	}
 	for range 4 {
 		do(1, OK)
 	}
-	g.Believe(now, h, nil)
+	g.Believe(now, host, nil)
 	assert.Equal(t, len(g.Sightings(now)), 0, "good answers without a verdict are not reported")
 	do(1, Failed)
 	got := g.Sightings(now)
@@ -129,11 +129,11 @@
 	mute := id
 	now += 2 * second
 	do(1, OK) // other servers answer
-	g.Believe(now, h, nil)
+	g.Believe(now, host, nil)
 	got = g.Sightings(now)
 	assert.Equal(t, len(got), 1)
 	assert.Assert(t, got[0].Server == 2 && got[0].Bad == 1, "want one failure of server 2, got %v", got)
 	now += second
-	g.Outcome(now, h, Outcome{ID: mute, Latency: 3 * second, Status: Timeout, Server: 2})
+	g.Outcome(now, host, Outcome{ID: mute, Latency: 3 * second, Status: Timeout, Server: 2})
 	assert.Equal(t, len(g.Sightings(now)), 0, "the outcome of a silent attempt is not a new observation")
 }
