--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -73,7 +73,7 @@
 	c.sendList(index)
 }
 
-// list sends a gateway the list of the servers that are up.
+// sendList sends a gateway the list of the servers that are up.
 func (c *cluster) sendList(index int) {
 	var entries []Entry
 	for i, srv := range c.servers {
@@ -278,8 +278,8 @@
 		b.gateway.Outcome(b.now, b.host, Outcome{ID: id, Attempt: n, Status: Reset, Server: b.host.sent[n].to,
 			Latency: 10e3})
 	}
-	if after, no := b.host.refused[id]; !no || after <= 0 {
-		t.Errorf("refused %v with a retry-after of %d us, want true and more than 0", no, after)
+	if after, refused := b.host.refused[id]; !refused || after <= 0 {
+		t.Errorf("refused %v with a retry-after of %d us, want true and more than 0", refused, after)
 	}
 }
 
@@ -291,10 +291,10 @@
 	first, held := b.request(0, 0, 1), b.request(0, 0, 2)
 	b.now += 600e3 // past the target, and the timers have not fired yet
 	b.gateway.Outcome(b.now, b.host, Outcome{ID: first, Status: Reset, Server: 1, Latency: 600e3})
-	if _, no := b.host.refused[first]; len(b.host.sent) != 1 || !no {
-		t.Errorf("retry past the latency target: %d sends, refused %v; want 1 and true", len(b.host.sent), no)
+	if _, refused := b.host.refused[first]; len(b.host.sent) != 1 || !refused {
+		t.Errorf("retry past the latency target: %d sends, refused %v; want 1 and true", len(b.host.sent), refused)
 	}
-	if _, no := b.host.refused[held]; !no {
+	if _, refused := b.host.refused[held]; !refused {
 		t.Error("a request held past its latency target was not refused")
 	}
 }
@@ -391,12 +391,12 @@
 	b.gateway.inFlightLimit, b.gateway.answerRate = 1, 4
 	b.gateway.classes[0].latency, b.gateway.classes[1].latency, b.gateway.classes[2].latency = 250e3, 250e3, 250e3
 	for i := range 2 { // one is in flight, one is held for a quarter of a second
-		if _, no := b.host.refused[b.request(0, 0, uint64(i))]; no {
+		if _, refused := b.host.refused[b.request(0, 0, uint64(i))]; refused {
 			t.Fatalf("request %d was refused though it can be served in time", i)
 		}
 	}
-	if after, no := b.host.refused[b.request(0, 0, 9)]; !no || after <= 0 {
-		t.Errorf("refused %v with a retry-after of %d us, want true and more than 0", no, after)
+	if after, refused := b.host.refused[b.request(0, 0, 9)]; !refused || after <= 0 {
+		t.Errorf("refused %v with a retry-after of %d us, want true and more than 0", refused, after)
 	}
 }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -145,26 +145,26 @@
 	for most, least := range map[int]float64{0: 0.99, 300: 0.6} { // half are decided without a call, by shares of one request
 		f := newFleet(t, smallPlan(), 80, 60)
 		f.maxCalls = most
-		tries, on := 0, 0
+		tries, admitted := 0, 0
 		run := func(seconds int) {
 			for range seconds * 100 { // six tries in 10 ms, 600 per second, of 300 customers
 				for range 6 {
 					tries++
 					at := hash(uint64(tries), 3) // a customer seldom returns to the same gateway soon
 					if f.try(int(at%80), 0, at>>32%300+1, 2e6) {
-						on++
+						admitted++
 					}
 				}
 				f.advance(10e3)
 			}
 		}
 		run(10)
-		tries, on, f.calls, f.lostCalls = 0, 0, 0, 0
+		tries, admitted, f.calls, f.lostCalls = 0, 0, 0, 0
 		run(10)
 		a, b := float64(f.calls)/float64(tries), float64(f.lostCalls)/float64(f.calls)
-		t.Logf("counter with %d calls per second: %.2f calls per try, %.2f of them lost, %.2f of the tries admitted", most, a, b, float64(on)/float64(tries))
-		if a > 1.4 || b > 0.25 || float64(on) < least*float64(tries) {
-			t.Errorf("counter with %d calls per second: %.2f calls per try, %.2f of them lost, %d of %d tries within their quotas admitted", most, a, b, on, tries)
+		t.Logf("counter with %d calls per second: %.2f calls per try, %.2f of them lost, %.2f of the tries admitted", most, a, b, float64(admitted)/float64(tries))
+		if a > 1.4 || b > 0.25 || float64(admitted) < least*float64(tries) {
+			t.Errorf("counter with %d calls per second: %.2f calls per try, %.2f of them lost, %d of %d tries within their quotas admitted", most, a, b, admitted, tries)
 		}
 	}
 }
@@ -182,10 +182,10 @@
 		set := smallPlan()
 		set.Plans[0].OverCost = c.over
 		f := newFleet(t, set, 300, 200)
-		on := 0
+		admitted := 0
 		for k := range 6000 {
 			if k%c.every == 0 && f.try(k/c.every*7%300, 0, 5, 2e6) {
-				on++
+				admitted++
 			}
 			f.now += 10e3
 			for i := k % 50; i < 300; i += 50 { // every gateway ticks twice per second
@@ -194,9 +194,9 @@
 				f.answer(i, 0)
 			}
 		}
-		t.Logf("a try every %d ms: %d admitted, %d calls", c.every*10, on, f.calls)
-		if on < c.least || on > c.most {
-			t.Errorf("a try every %d ms: %d admitted, want %d to %d", c.every*10, on, c.least, c.most)
+		t.Logf("a try every %d ms: %d admitted, %d calls", c.every*10, admitted, f.calls)
+		if admitted < c.least || admitted > c.most {
+			t.Errorf("a try every %d ms: %d admitted, want %d to %d", c.every*10, admitted, c.least, c.most)
 		}
 	}
 }
@@ -259,11 +259,11 @@
 		}
 		return f.attempts - before
 	}
-	if on := count(30, 0); on > 0 {
-		t.Errorf("%d of 30 tries of a flooding customer were admitted without the counter, want 0", on)
+	if admitted := count(30, 0); admitted > 0 {
+		t.Errorf("%d of 30 tries of a flooding customer were admitted without the counter, want 0", admitted)
 	}
-	if on := count(60, 50); on != 30 {
-		t.Errorf("%d of 60 tries were admitted, want 30, one for each gateway", on)
+	if admitted := count(60, 50); admitted != 30 {
+		t.Errorf("%d of 60 tries were admitted, want 30, one for each gateway", admitted)
 	}
 	f.counterDown = false
 	for range 200 {
@@ -338,15 +338,15 @@
 	settings.Plans[2].Rate, settings.Plans[2].Burst = 0, 0
 	f := newFleet(t, settings, 300, 20)
 	f.counterDown = true
-	on := 0
+	admitted := 0
 	for range 200 { // one second of tries through one gateway
 		f.advance(5e3)
 		if f.try(3, 2, 5, 2e6) {
-			on++
+			admitted++
 		}
 	}
-	if on > 3 {
-		t.Fatalf("one of 300 gateways admitted %d of 200 tries under a cap of 4, want at most 3", on)
+	if admitted > 3 {
+		t.Fatalf("one of 300 gateways admitted %d of 200 tries under a cap of 4, want at most 3", admitted)
 	}
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -38,7 +38,7 @@
 	r.counts = append(r.counts, countCall{name, a})
 }
 
-// settings returns a small deployment: a safe, a keyed and an unsafe class; a cheap plan, a plan with a ceiling and
+// testSettings returns a small deployment: a safe, a keyed and an unsafe class; a cheap plan, a plan with a ceiling and
 // an expensive plan with a concurrency cap.
 func testSettings() Settings {
 	return Settings{
@@ -57,7 +57,7 @@
 	}
 }
 
-// start returns a gateway with n warm servers, numbered from 1, two to a cell.
+// startGateway returns a gateway with warm servers, numbered from 1, two to a cell.
 func startGateway(settings Settings, servers int) (*Gateway, *recorder) {
 	gateway, host := New(settings, 7), newRecorder()
 	gateway.Start(100e6, host)
@@ -79,11 +79,11 @@
 			len(host.refused))
 	}
 	// at a refill of 5 units per second, the next unit is there after 200 ms
-	if w := host.refused[10]; w < 190e3 || w > 210e3 {
-		t.Fatalf("told to wait %d us, want about 200000", w)
+	if wait := host.refused[10]; wait < 190e3 || wait > 210e3 {
+		t.Fatalf("told to wait %d us, want about 200000", wait)
 	}
 	g.Request(100e6+210e3, host, Request{ID: 99, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
-	if _, no := host.refused[99]; no {
+	if _, refused := host.refused[99]; refused {
 		t.Fatal("refused after the advised wait")
 	}
 }
@@ -103,22 +103,22 @@
 }
 
 func TestUnsafeRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
-	for st := Failed; st <= Moot; st++ {
+	for status := Failed; status <= Moot; status++ {
 		g, host := startGateway(testSettings(), 4)
 		g.Request(100e6, host, Request{ID: 1, Class: 2, Customer: 1, Left: 1500e3, Units: 1, Spread: 2})
 		if len(host.sent) != 1 {
 			t.Fatal("the request was not sent")
 		}
-		g.Outcome(100100e3, host, Outcome{ID: 1, Status: st, Server: host.sent[0].to, Latency: 100e3,
-			Terminal: st == OK})
-		ran := st != Full && st != ConnectFailed && st != Moot
+		g.Outcome(100100e3, host, Outcome{ID: 1, Status: status, Server: host.sent[0].to, Latency: 100e3,
+			Terminal: status == OK})
+		ran := status != Full && status != ConnectFailed && status != Moot
 		switch {
-		case st == OK && (host.failed[1] || len(host.sent) != 1):
-			t.Errorf("status %d: a request was retried or failed after a good answer", st)
-		case st != OK && ran && (!host.failed[1] || len(host.sent) != 1):
-			t.Errorf("status %d: sent %d times, failed %v; want 1 and true", st, len(host.sent), host.failed[1])
+		case status == OK && (host.failed[1] || len(host.sent) != 1):
+			t.Errorf("status %d: a request was retried or failed after a good answer", status)
+		case status != OK && ran && (!host.failed[1] || len(host.sent) != 1):
+			t.Errorf("status %d: sent %d times, failed %v; want 1 and true", status, len(host.sent), host.failed[1])
 		case !ran && len(host.sent) != 2:
-			t.Errorf("status %d means that it did not run, but it was not sent again", st)
+			t.Errorf("status %d means that it did not run, but it was not sent again", status)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		}
 	}
 	id := b.request(0, 0, 1)
-	if _, no := b.host.refused[id]; no {
+	if _, refused := b.host.refused[id]; refused {
 		t.Fatal("refused though the wait is a small part of the latency target")
 	}
 }
@@ -360,7 +360,7 @@
 	if len(b.host.sent) != 2 || !b.host.failed[first.id] {
 		t.Fatal("sent again or not failed after the repeat window")
 	}
-	if _, no := b.host.refused[first.id]; no {
+	if _, refused := b.host.refused[first.id]; refused {
 		t.Fatal("refused though it may have run")
 	}
 }
@@ -421,12 +421,12 @@
 		t.Fatalf("share %.2f, want at least 0.9, as all use is ours", c().share)
 	}
 	load(func(x countCall) { b.gateway.Counted(b.now, b.host, x.name, 30000, Timeout, 0) })
-	if sh := b.gateway.currentShare(c()); sh != 0.5 {
-		t.Fatalf("share %.2f with a silent counter, want the even part", sh)
+	if share := b.gateway.currentShare(c()); share != 0.5 {
+		t.Fatalf("share %.2f with a silent counter, want the even part", share)
 	}
 	load(func(x countCall) { b.gateway.Counted(b.now, b.host, x.name, 1000, OK, 0) })
-	if sh := b.gateway.currentShare(c()); sh != 0.5 {
-		t.Fatalf("share %.2f from totals below our own contribution, want the even part", sh)
+	if share := b.gateway.currentShare(c()); share != 0.5 {
+		t.Fatalf("share %.2f from totals below our own contribution, want the even part", share)
 	}
 	total = map[uint64]float64{}
 	load(honest)
@@ -455,12 +455,12 @@
 	}
 	b.gateway.Request(b.now, b.host, Request{ID: 1, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
 		Again: true})
-	if _, no := b.host.refused[1]; !no {
+	if _, refused := b.host.refused[1]; !refused {
 		t.Fatal("a retry 800 ms after its first try was admitted past its latency target of 500 ms")
 	}
 	b.gateway.Request(b.now, b.host, Request{ID: 2, Customer: 2, Left: 1900e3, Units: 1, Spread: 2,
 		Again: true})
-	if _, no := b.host.refused[2]; no {
+	if _, refused := b.host.refused[2]; refused {
 		t.Fatal("a retry within its latency target was refused")
 	}
 }
@@ -620,28 +620,28 @@
 	settings := testSettings()
 	settings.CounterTimeout = 30e3
 	f := newFleet(t, settings, 2, 8)
-	on := 0
+	admitted := 0
 	if !f.try(1, 0, 5, 2e6) {
 		t.Fatal("a first try was refused")
 	}
 	for range 17 { // of 20 altogether, through a gateway whose even part is 10
 		f.advance(1e3)
 		if f.try(0, 0, 5, 2e6) {
-			on++
+			admitted++
 		}
 	}
-	if on != 17 {
-		t.Errorf("%d of 17 tries within the quota were admitted through one gateway", on)
+	if admitted != 17 {
+		t.Errorf("%d of 17 tries within the quota were admitted through one gateway", admitted)
 	}
-	on = 0
+	admitted = 0
 	for range 10 {
 		f.advance(1e3)
 		if f.try(1, 0, 5, 2e6) {
-			on++
+			admitted++
 		}
 	}
-	if on > 4 {
-		t.Errorf("the other gateway admitted %d, want at most 4 where 2 were left", on)
+	if admitted > 4 {
+		t.Errorf("the other gateway admitted %d, want at most 4 where 2 were left", admitted)
 	}
 	f.advance(20e6)
 	f.try(0, 0, 6, 2e6)
@@ -665,8 +665,8 @@
 	for id, again := range map[uint32]bool{1: false, 2: true} {
 		b.gateway.Request(b.now, b.host, Request{ID: id, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
 			Again: again})
-		if _, no := b.host.refused[id]; no != again {
-			t.Errorf("marked as a retry %v: refused %v", again, no)
+		if _, refused := b.host.refused[id]; refused != again {
+			t.Errorf("marked as a retry %v: refused %v", again, refused)
 		}
 	}
 }
@@ -681,11 +681,11 @@
 	silent := 0
 	for step := range 40 {
 		for ; b.handled < len(b.host.sent); b.handled++ {
-			if x := b.host.sent[b.handled]; x.to > 4 {
+			if sent := b.host.sent[b.handled]; sent.to > 4 {
 				silent++
 			} else {
-				b.gateway.Outcome(b.now, b.host, Outcome{ID: x.id, Status: OK, Terminal: true, Latency: 10e3,
-					Server: x.to})
+				b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 10e3,
+					Server: sent.to})
 			}
 		}
 		b.now += 10e3
--- a/policy/tenants_test.go
+++ b/policy/tenants_test.go
@@ -93,8 +93,8 @@
 	b.Slices(0, map[string]TenantSlice{"t": {Rate: 2, Burst: 3}}, 100*second)
 	waits := map[Micros]int{}
 	for range 50 {
-		_, w := b.Admit(0, "t", false)
-		waits[w]++
+		_, wait := b.Admit(0, "t", false)
+		waits[wait]++
 	}
 	assert.Assert(t, len(waits) > 40)
 }
