--- a/policy/gateways.go
+++ b/policy/gateways.go
@@ -1,6 +1,6 @@
 package policy
 
-// Among sets the number of gateways and this one's index among them, as gateways come and go.
+// Among sets the number of gateways, as gateways come and go. The index self of this one is not used.
 func (g *Gateway) Among(now Micros, host Host, self, gateways int) {
 	g.beginEvent(now, host)
 	before := g.fleetPart(1)
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -18,6 +18,7 @@
 	return g.settings.IdleStep - g.now%g.settings.IdleStep // at the same time as other gateways of the process
 }
 
+// busyTickInterval is the interval of the tick while there are requests.
 func (g *Gateway) busyTickInterval() Micros { return cmp.Or(g.settings.Step, tickInterval) }
 
 // armTick requests the next tick. It voids an earlier request for a later time.
@@ -222,12 +223,15 @@
 
 const maxSlownessWeight = 0.3 // upper bound of the weight of one answer in a server's slowness
 
-// boundTerms returns where the limit on attempts moves: the settings, or the defaults.
+// limitTerms returns where the limit on attempts moves: the settings, or the defaults.
 func (g *Gateway) limitTerms() BoundTerms {
 	set := g.settings.Bound
-	return BoundTerms{Within: cmp.Or(set.Within, growBelow), Past: cmp.Or(set.Past, cutAbove),
+	return BoundTerms{
+		Within:  cmp.Or(set.Within, growBelow),
+		Past:    cmp.Or(set.Past, cutAbove),
 		Knee:    cmp.Or(set.Knee, growKnee),
-		KneeCut: cmp.Or(set.KneeCut, cutKnee)}
+		KneeCut: cmp.Or(set.KneeCut, cutKnee),
+	}
 }
 
 // minRatioIfUnsettled is above any latency ratio while there are too few answers to know the least one.
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -30,7 +30,7 @@
 type Tries struct {
 	rule      TriesRule
 	startedAt Micros
-	part      budgetPart
+	part      budgetPart // our current part
 	next      budgetPart // replaces part when a window has passed since nextAt
 	nextAt    Micros
 	services  map[string]*tryCount
@@ -62,6 +62,7 @@
 	}
 }
 
+// countAt returns the counts of a service, advanced to the present.
 func (t *Tries) countAt(now Micros, service string) *tryCount {
 	count := t.services[service]
 	step := now / max(t.rule.Window/windowSteps, 1)
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -9,7 +9,7 @@
 	floodMinRate     = 4.0         // requests per second beyond twice the earlier demand that count as a flood,
 	floodSeconds     = 0.5         // averaged over at least this many seconds
 	minTenantWait    = 20 * milli  // shortest wait that a refused client is told
-	maxTenantWait    = 2 * second
+	maxTenantWait    = 2 * second  // longest wait that a refused client is told
 	maxFirstWait     = 300 * milli // longest wait told before the first allotment, which has been asked for already
 	startTokensLife  = 2 * second  // lifetime of the start-up tokens; the allotter relies on this value
 	waitSpread       = 0.3         // largest fraction added to a wait, so that clients return at different times
@@ -19,28 +19,29 @@
 
 // TenantSlice is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
 // Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
-// for the start of a process; they expire after startTokensLife. Wants, in a Holding, is the number of requests that
-// found no token since the last Holding. Returned, in a Holding, is the number of tokens given up since then.
+// for the start of a process; they expire after startTokensLife. Wants, in a Holding, is the number of
+// requests that found no token since the last Holding. Returned, in a Holding, is the number of tokens given
+// up since then.
 type TenantSlice struct {
 	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
 }
 
 // tenantBucket is the token bucket of one tenant.
 type tenantBucket struct {
-	allotment      TenantSlice
-	allotted       bool // an allotment has been received
-	tokens         float64
-	filledAt       Micros
-	requests       float64 // requests since the last Demand
-	demand         float64
-	lastUsed       Micros
-	unserved       float64 // requests that found no token since the last Holding
-	returned       float64 // tokens given up since the last Holding
-	startTokens    float64
-	startTokensEnd Micros
+	allotment      TenantSlice // without its Tokens and Kick, which were added
+	allotted       bool        // an allotment has been received
+	tokens         float64     // content of the bucket
+	filledAt       Micros      // when the bucket was last refilled
+	requests       float64     // requests since the last Demand
+	demand         float64     // smoothed requests per second
+	lastUsed       Micros      // time of the last request
+	unserved       float64     // requests that found no token since the last Holding
+	returned       float64     // tokens given up since the last Holding
+	startTokens    float64     // start-up tokens left
+	startTokensEnd Micros      // when they expire
 }
 
-// take takes a token, first from the bucket, which refills; the bucket must hold at least least tokens.
+// take takes a token, first from the bucket, which refills; the bucket must hold at least minTokens.
 func (b *tenantBucket) take(now Micros, minTokens float64) bool {
 	switch {
 	case b.tokens >= minTokens:
@@ -62,9 +63,9 @@
 
 	buckets  map[string]*tenantBucket
 	limited  map[string]bool // tenants that the configuration gives a limit
-	leaseEnd Micros
-	demandAt Micros // time of the last Demand
-	waitTurn uint64
+	leaseEnd Micros          // when the lease on the allotments ends
+	demandAt Micros          // time of the last Demand
+	waitTurn uint64          // number of waits told, spreads them
 }
 
 // NewTenants returns empty buckets for a gateway.
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -26,7 +26,7 @@
 
 const (
 	observationHalfLife  = 2 * second // half-life of observations not reported yet
-	resetWeight          = 0.3        // weight of a reset as a failure: the server may just have closed an idle connection
+	resetWeight          = 0.3        // weight of a reset as a failure: it may be an idle connection's end
 	minObservation       = 0.25       // observations that weigh less are not reported
 	maxPatienceSlowness  = 2.0        // upper bound, in mean fleet latencies, of the patience with a slow server
 	maxRecoveredSlowness = 1.5        // upper bound of the slowness of a server that is probed or healthy again
@@ -38,11 +38,13 @@
 	decayedAt Micros
 }
 
+// add counts answers.
 func (s *observations) add(now Micros, good, bad float64) {
 	s.decay(now)
 	s.good, s.bad = s.good+good, s.bad+bad
 }
 
+// decay reduces the counts by the time since the last call.
 func (s *observations) decay(now Micros) {
 	if s.good+s.bad > 0 {
 		kept := math.Exp2(-float64(now-s.decayedAt) / float64(observationHalfLife))
@@ -134,6 +136,7 @@
 	return false
 }
 
+// hasSafeClass reports whether safe requests have been answered.
 func (g *Gateway) hasSafeClass() bool {
 	for i := range g.classes {
 		if g.classes[i].Repeat == Safe && g.classes[i].answers > 0 {
