--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -341,8 +341,7 @@
 				t.Fatal("the new process has the record of the old one")
 			}
 			if s.ejected || s.failures > 0 || s.slowness != 1 || s.fullUntil != 0 || s.silent ||
-				s.inFlight != 0 ||
-				len(s.coldSends) != 1 {
+				s.inFlight != 0 || len(s.coldSends) != 1 {
 				t.Errorf("the new record took over more than the cold sends: %+v", s)
 			}
 			b.gateway.Servers(b.now, b.host, Delta, nil)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -474,8 +474,7 @@
 		{"a flood through all", 10, false, false, 1, 18},
 		{"a flood through all, with lost calls and restarts", 10, false, true, 1, 0},
 		{"a flood through one, with a quota above the ceiling", 10, true, false, 20, 18},
-		{"a flood through all, with a quota above the ceiling, lost calls and restarts", 10, false, true, 20,
-			0},
+		{"quota above the ceiling, all gateways, lost calls and restarts", 10, false, true, 20, 0},
 	} {
 		settings.Plans[0].Rate, settings.Plans[0].Burst = p.Rate*c.quota, p.Burst*c.quota
 		f := newFleet(t, settings, 80, 60)
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -45,8 +45,7 @@
 	g.Timer(102e6, host, tokenGiveUp<<32|9999)
 	if _, refused := host.refused[9999]; len(host.sent) != sent || !refused {
 		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true",
-			len(host.sent)-sent,
-			refused)
+			len(host.sent)-sent, refused)
 	}
 }
 
@@ -275,9 +274,7 @@
 		cut   bool
 	}{
 		{"default terms, half of the target", BoundTerms{}, 150 * milli, true},
-		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5},
-			150 * milli,
-			false},
+		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli, false},
 		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli,
 			true},
 	} {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -495,8 +495,7 @@
 					Settled: float64(take() % 7)})
 			case 2:
 				g.Servers(now, host, ListKind(take()%4), []Entry{{Server: Server(take() % 6),
-					State: State(take() % 3),
-					Cell:  take() % 3, Zone: take() % 2, ReadyAt: now * Micros(take()%2),
+					State: State(take() % 3), Cell: take() % 3, Zone: take() % 2, ReadyAt: now * Micros(take()%2),
 					Weight: float64(take() % 3)}})
 			case 3:
 				g.Timer(now, host, tokenTick<<32)
@@ -574,8 +573,7 @@
 		b.gateway.Counted(b.now, b.host, 1, 1000, c.st, 0)
 		if b.gateway.callFraction != c.want {
 			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st,
-				b.gateway.callFraction,
-				c.want)
+				b.gateway.callFraction, c.want)
 		}
 	}
 }
--- a/policy/rotation_test.go
+++ b/policy/rotation_test.go
@@ -143,8 +143,7 @@
 	}
 	for i := range gateways {
 		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways,
-			Plans:   []Plan{{Price: 1}},
-			Classes: []Class{class}, Tick: 1000,
+			Plans: []Plan{{Price: 1}}, Classes: []Class{class}, Tick: 1000,
 			MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, HoldPart: 0.22, Step: 20000, Spread: 1,
 			Learn: 1.5, Turns: turns,
 			Bound: BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}}
--- a/policy/verdicts_test.go
+++ b/policy/verdicts_test.go
@@ -22,12 +22,8 @@
 		{name: "suspect", belief: Watched, least: 1, most: 60},
 		{name: "unhealthy", belief: Shunned},
 		{name: "on probe by us", belief: OnTrial, least: 1, most: 60},
-		{name: "on probe, but not with unsafe requests where there are safe ones", belief: OnTrial,
-			kind: Unsafe,
-			safe: true},
-		{name: "on probe with unsafe requests where there are no others", belief: OnTrial, kind: Unsafe,
-			least: 1,
-			most:  60},
+		{name: "on probe, unsafe requests, others are safe", belief: OnTrial, kind: Unsafe, safe: true},
+		{name: "on probe, unsafe requests only", belief: OnTrial, kind: Unsafe, least: 1, most: 60},
 		{name: "ejected by us alone, long ago, unsafe requests", fails: true, kind: Unsafe, least: 1, most: 60},
 		{name: "ejected by us, but recovered by verdict", belief: Cleared, fails: true, kind: Unsafe, least: 1,
 			most: 60},
@@ -38,8 +34,7 @@
 			unsafe.Repeat = Unsafe
 			host := newRecorder()
 			g := New(Settings{Gateways: 12, Spread: 1, Classes: []Class{class, unsafe},
-				Plans:       []Plan{{Price: 1}},
-				MaxAttempts: 1, Beliefs: true}, 1)
+				Plans: []Plan{{Price: 1}}, MaxAttempts: 1, Beliefs: true}, 1)
 			now, id := second, uint32(0)
 			g.Start(now, host)
 			var entries []Entry
