--- a/cmd/switchback/main.go
+++ b/cmd/switchback/main.go
@@ -1,4 +1,4 @@
-// Command switchback is the proxy of the whole system.
+// Command switchback runs a gatekeeper: the proxy that forwards clients' requests to workers.
 package main
 
 import (
@@ -15,22 +15,22 @@
 
 func main() {
 	var shed snowline.Options
-	var bulletin, shadow bool
-	os.Exit(cli.Main(cli.Program{Name: "switchback", Summary: "Carry clients' requests to workers",
+	var outlierReports, mirroring bool
+	os.Exit(cli.Main(cli.Program{Name: "switchback", Summary: "Forward clients' requests to workers",
 		Flags: func(f *flag.FlagSet) {
 			shed.Gatekeepers(f)
-			f.BoolVar(&bulletin, "bulletin", false, "judge workers by what all gatekeepers of the zone see of them")
-			f.BoolVar(&shadow, "shadow", false, "copy journeys for shadow services where an order says so")
+			f.BoolVar(&outlierReports, "bulletin", false, "eject outlier workers by the reports of all gatekeepers of the zone")
+			f.BoolVar(&mirroring, "shadow", false, "mirror traffic where a mirroring rule says so")
 		}, Check: shed.Check,
 		Make: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			p, err := switchback.New(set, log)
 			if err == nil && shed.On {
 				p.Shed(switchback.ShedAlike)
 			}
-			if err == nil && bulletin {
+			if err == nil && outlierReports {
 				p.Bulletin()
 			}
-			if err == nil && shadow {
+			if err == nil && mirroring {
 				p.Shadow()
 			}
 			return p, err
--- a/internal/slowstart/scale_bench_test.go
+++ b/internal/slowstart/scale_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkScaleAsk is one asking among so many gatekeepers that each ask twice a second, and what the coordinator holds
-// for each.
+// BenchmarkScaleAsk measures one call of Ask in a fleet of gatekeepers that each ask twice a second, and the memory
+// that the coordinator holds for each.
 func BenchmarkScaleAsk(b *testing.B) {
 	for _, n := range []int{100, 1000, 18_000} {
 		b.Run(fmt.Sprint("gates=", n), func(b *testing.B) {
@@ -18,11 +18,11 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			k := New(1300)
-			k.Begin(0, 1e9)
+			coordinator := New(1300)
+			coordinator.Begin(0, 1e9)
 			now, i := 0.0, 0
 			ask := func() {
-				k.Ask(now, ids[i])
+				coordinator.Ask(now, ids[i])
 				if i++; i == n {
 					i = 0
 				}
@@ -38,12 +38,12 @@
 				ask()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/gate")
-			runtime.KeepAlive(k)
+			runtime.KeepAlive(coordinator)
 		})
 	}
 }
 
-// BenchmarkScaleSends is what a gatekeeper asks for each cold worker that it looks at.
+// BenchmarkScaleSends measures what a gatekeeper computes for each cold worker that it considers.
 func BenchmarkScaleSends(b *testing.B) {
 	for _, n := range []int{9, 18_000} {
 		b.Run(fmt.Sprint("gates=", n), func(b *testing.B) {
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,16 +1,19 @@
-// Package slowstart divides what a cold worker bears in a second among all gatekeepers.
+// Package slowstart divides the send budget of cold workers among all gatekeepers. A cold worker is one that has just
+// started and can take only a limited number of requests a second.
 //
-// One registry, the one that allots quotas, runs a Coordinator. Every gatekeeper asks it again and again, and is
-// granted its part for the length of a lease. A part is a slot of a division, which lists all gatekeepers that held a
-// lease when it was made. Gatekeepers keep their slots from one division to the next, a restarted one has the slot of its
-// earlier life, and a slot that falls vacant stays so for a while: so a change concerns few, also in a large fleet where
-// changes never end. Divisions are replaced in two steps: while a change is under way everybody is
-// granted the old part and the new one and uses the smaller, and the new one holds alone only after every lease
-// that knew nothing of it has run out and a second more has gone by. So in any second all gatekeepers together send
-// a cold worker no more than its budget, whoever is cut off, frozen, restarted, or told late. A gatekeeper without a
-// lease sends cold workers nothing.
+// One registry, the one that allots quotas, runs a Coordinator. Every gatekeeper asks it periodically and is granted
+// its share of the budget under a lease. A share is one slot of an assignment, which lists all gatekeepers that held
+// a lease when it was made. Gatekeepers keep their slots from one assignment to the next, a restarted gatekeeper gets
+// the slot of its earlier incarnation, and a vacated slot stays vacant for a while. So each change concerns few
+// gatekeepers, even in a large fleet that changes all the time.
 //
-// The package has no clock: times are milliseconds of the caller's steady clock.
+// Assignments are replaced in two steps. During a change every gatekeeper is granted both its old and its new share
+// and uses the smaller. The new assignment applies alone only after every lease granted without it has expired and
+// one more second has passed. So in any second all gatekeepers together send a cold worker no more than its budget,
+// even if some of them are cut off, frozen, restarted or informed late. A gatekeeper without a lease sends nothing to
+// cold workers.
+//
+// The package has no clock of its own: times are milliseconds of the caller's monotonic clock.
 package slowstart
 
 import (
@@ -19,27 +22,27 @@
 	"strings"
 )
 
-// WindowMs is the span in which requests to a cold worker are counted.
+// WindowMs is the length of the sliding window, in milliseconds, in which requests to a cold worker are counted.
 const WindowMs = 1000.0
 
-// Part is a gatekeeper's slot in a division of so many. A Count of 0 is no part.
+// Part is one slot of an assignment with Count slots. A Count of 0 means no share.
 type Part struct {
 	Index int `cbor:"1,keyasint,omitempty"`
 	Count int `cbor:"2,keyasint,omitempty"`
 }
 
-// Grant is what a gatekeeper holds for a lease. While a change is under way Next counts too.
+// Grant is what a gatekeeper is granted under a lease. During a change, when Changing is set, Next limits it too.
 type Grant struct {
 	Current  Part `cbor:"1,keyasint,omitempty"`
 	Next     Part `cbor:"2,keyasint,omitempty"`
 	Changing bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Left is how long the lease still holds, in milliseconds; below 0 it is over.
-func (l *Lease) Left(now float64) float64 { return l.until - now }
+// Left returns how long the lease remains valid, in milliseconds; it is negative once the lease has expired.
+func (l *Lease) Left(now float64) float64 { return l.expiresAt - now }
 
-// Sends is the requests a second that the holder of a grant may send to a cold worker that bears budget requests
-// from all gatekeepers together.
+// Sends returns how many requests a second the holder of the grant may send to a cold worker that takes budget
+// requests a second from all gatekeepers together.
 func (g Grant) Sends(budget float64, worker uint64) int {
 	sends := g.Current.sends(budget, worker)
 	if g.Changing {
@@ -48,27 +51,27 @@
 	return sends
 }
 
-// sends is the part's whole requests. What doesn't come out even goes to as many parts, which lie apart from each
-// other in the division; each worker has its own.
+// sends returns the whole requests a second of the share. The remainder of the division goes to shares that lie far
+// apart in the assignment; which ones they are differs from worker to worker.
 func (p Part) sends(budget float64, worker uint64) int {
 	if p.Count <= 0 || p.Index < 0 || p.Index >= p.Count || budget <= 0 {
 		return 0
 	}
-	all := int(budget)
-	sends, rest := all/p.Count, all%p.Count
-	if p.order(worker) < rest {
+	total := int(budget)
+	sends, remainder := total/p.Count, total%p.Count
+	if p.permutedIndex(worker) < remainder {
 		sends++
 	}
 	return sends
 }
 
-// order is the part's place in an order of the parts that the worker has: any two parts have different ones.
-func (p Part) order(worker uint64) int {
+// permutedIndex returns the position of the share in a permutation of all shares that is specific to the worker.
+func (p Part) permutedIndex(worker uint64) int {
 	offset := int(mix(worker) % uint64(p.Count))
 	return (p.Index*stride(p.Count) + offset) % p.Count
 }
 
-// stride is a step through a division that reaches all its parts and keeps neighbours apart.
+// stride returns a step that visits all slots of an assignment and keeps neighbouring slots apart.
 func stride(count int) int {
 	step := max(int(float64(count)*goldenRatio), 1)
 	for gcd(step, count) > 1 {
@@ -77,6 +80,7 @@
 	return step
 }
 
+// goldenRatio is the conjugate of the golden ratio: steps of this fraction spread points evenly over a range.
 const goldenRatio = 0.618
 
 func gcd(a, b int) int {
@@ -86,7 +90,7 @@
 	return a
 }
 
-// mix spreads a worker's identity over all bits.
+// mix spreads the identity of a worker over all 64 bits (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -95,151 +99,152 @@
 	return x ^ x>>33
 }
 
-// Lease is a gatekeeper's grant and when it ends.
+// Lease is the newest grant of a gatekeeper and the time at which it expires.
 type Lease struct {
-	grant Grant
-	until float64
+	grant     Grant
+	expiresAt float64
 }
 
-// Take replaces the grant by one that was asked for at a time and holds for leaseMs from then.
-func (l *Lease) Take(g Grant, asked, leaseMs float64) {
-	l.grant, l.until = g, asked+leaseMs
+// Take replaces the grant by one that was requested at the time asked and is valid for leaseMs from then on.
+func (l *Lease) Take(grant Grant, askedAt, leaseMs float64) {
+	l.grant, l.expiresAt = grant, askedAt+leaseMs
 }
 
-// Sends is the requests a second that may be sent to a cold worker now.
+// Sends returns how many requests a second may be sent to a cold worker now. It is 0 without a valid lease.
 func (l *Lease) Sends(now, budget float64, worker uint64) int {
-	if now >= l.until {
+	if now >= l.expiresAt {
 		return 0
 	}
 	return l.grant.Sends(budget, worker)
 }
 
-// keepVacantMs is how long a division keeps slots that nobody holds.
+// keepVacantMs is how long an assignment keeps vacant slots, in milliseconds.
 const keepVacantMs = 10_000.0
 
-// division is who holds which slot, by "station/life"; "" for a slot that nobody holds.
-type division []string
+// assignment lists the holder of each slot as "node/incarnation", or "" for a vacant slot.
+type assignment []string
 
-// holding is a gatekeeper's newest lease.
-type holding struct {
-	since, until float64
+// leaseRecord is the newest lease of a gatekeeper.
+type leaseRecord struct {
+	firstAskedAt, expiresAt float64
 }
 
-// Standing is the part of a budget of those whose leases are over: what is given to leases and what is kept for them may
-// together be no more than what a cold worker bears. Who never had a part takes the one that is told here.
-func (l *Lease) Standing(budget float64, worker uint64, otherwise Part) int {
+// Standing returns the requests a second for a gatekeeper whose lease has expired. It applies to a separate part of
+// the budget: what leases grant and what is reserved for expired ones must together stay within what a cold worker
+// can take. A gatekeeper that never had a grant uses the given share.
+func (l *Lease) Standing(budget float64, worker uint64, fallback Part) int {
 	if l.grant.Current.Count > 0 {
 		return l.grant.Sends(budget, worker)
 	}
-	return otherwise.sends(budget, worker)
+	return fallback.sends(budget, worker)
 }
 
-// Coordinator grants the parts. It isn't safe for use by several goroutines.
+// Coordinator grants shares. It is not safe for concurrent use.
 type Coordinator struct {
-	lease       float64
-	began       float64
-	safeAt      float64 // from then on no request under an earlier coordinator's lease counts any more
-	leases      map[string]holding
-	checkAt     float64 // before then no lease runs out
-	current     division
-	next        division
-	slots       map[string]int // of current
-	nextSlots   map[string]int
-	changing    bool
-	changeAt    float64 // when next holds alone
-	vacantSince float64 // since when current has vacant slots, +Inf for none
+	leaseMs        float64
+	startedAt      float64
+	safeAt         float64 // from then on no request sent under a lease of an earlier coordinator is inside the window
+	leases         map[string]leaseRecord
+	nextCheckAt    float64 // no lease expires before then
+	current        assignment
+	next           assignment
+	currentSlots   map[string]int // by holder, of current
+	nextSlots      map[string]int // by holder, of next
+	changing       bool
+	activateNextAt float64 // when next replaces current
+	vacantSince    float64 // since when current has vacant slots, +Inf if it has none
 }
 
-// New makes a coordinator that has not begun.
+// New returns a coordinator that has not been started and grants nothing yet. Leases are valid for leaseMs.
 func New(leaseMs float64) *Coordinator {
-	return &Coordinator{lease: leaseMs, began: math.Inf(1), safeAt: math.Inf(1), leases: map[string]holding{}, vacantSince: math.Inf(1)}
+	return &Coordinator{leaseMs: leaseMs, startedAt: math.Inf(1), safeAt: math.Inf(1), leases: map[string]leaseRecord{}, vacantSince: math.Inf(1)}
 }
 
-// Begin tells that the duty was won, and that nobody had it in the vacantMs before. Leases of an earlier holder are
-// unknown: until they have surely run out nobody has a part.
+// Begin starts the coordinator after this registry has won the duty, which nobody held in the vacantMs before. Leases
+// granted by an earlier holder are unknown, so no share is granted until all of them must have expired.
 func (c *Coordinator) Begin(now, vacantMs float64) {
-	lease := c.lease
-	*c = *New(lease)
-	c.began, c.safeAt = now, now+lease+WindowMs
+	leaseMs := c.leaseMs
+	*c = *New(leaseMs)
+	c.startedAt, c.safeAt = now, now+leaseMs+WindowMs
 	c.Vacant(vacantMs)
 }
 
-// Vacant tells that the duty was vacant for longer before Begin than was known then.
+// Vacant reports that nobody held the duty for vacantMs before Begin, where that is longer than was known then.
 func (c *Coordinator) Vacant(vacantMs float64) {
-	c.safeAt = min(c.safeAt, c.began+max(c.lease+WindowMs-max(vacantMs, 0), 0))
+	c.safeAt = min(c.safeAt, c.startedAt+max(c.leaseMs+WindowMs-max(vacantMs, 0), 0))
 }
 
-// Ask grants a gatekeeper its part for a lease from its asking.
+// Ask grants a gatekeeper its share under a lease that begins now. The id is "node/incarnation".
 func (c *Coordinator) Ask(now float64, id string) Grant {
-	held, known := c.leases[id]
+	record, known := c.leases[id]
 	if !known {
-		c.checkAt, held.since = now, now
+		c.nextCheckAt, record.firstAskedAt = now, now
 	}
-	held.until = now + c.lease
-	c.leases[id] = held
+	record.expiresAt = now + c.leaseMs
+	c.leases[id] = record
 	c.advance(now)
-	g := Grant{Current: partOf(c.current, c.slots, id)}
+	grant := Grant{Current: shareOf(c.current, c.currentSlots, id)}
 	if c.changing {
-		g.Next, g.Changing = partOf(c.next, c.nextSlots, id), true
+		grant.Next, grant.Changing = shareOf(c.next, c.nextSlots, id), true
 	}
-	return g
+	return grant
 }
 
-// advance ends a change that is due, and begins one where gatekeepers have come or their leases have run out.
+// advance completes a change that is due, and begins one if gatekeepers have joined or their leases have expired.
 func (c *Coordinator) advance(now float64) {
-	if c.changing && now >= c.changeAt {
-		c.put(now, c.next)
+	if c.changing && now >= c.activateNextAt {
+		c.activate(now, c.next)
 		c.next, c.nextSlots, c.changing = nil, nil, false
-		c.checkAt = now
+		c.nextCheckAt = now
 	}
-	if c.changing || now < c.checkAt {
+	if c.changing || now < c.nextCheckAt {
 		return
 	}
 	if len(c.current) == 0 && now < c.safeAt {
 		return
 	}
 	holders := c.holders(now)
-	if len(c.current) == 0 { // nobody holds anything yet
-		c.put(now, holders)
+	if len(c.current) == 0 { // no assignment yet, so nobody can hold a larger share
+		c.activate(now, holders)
 		return
 	}
-	next := c.current.replaced(holders)
+	next := c.current.withHolders(holders)
 	if now-c.vacantSince >= keepVacantMs {
 		next = next.compacted()
 	}
 	if !slices.Equal(next, c.current) {
-		c.next, c.nextSlots, c.changing, c.changeAt = next, next.index(), true, now+c.lease+WindowMs
+		c.next, c.nextSlots, c.changing, c.activateNextAt = next, next.slotsByHolder(), true, now+c.leaseMs+WindowMs
 	}
 }
 
-// put has a division hold alone.
-func (c *Coordinator) put(now float64, d division) {
-	c.current, c.slots = d, d.index()
+// activate makes an assignment the only one in force.
+func (c *Coordinator) activate(now float64, slots assignment) {
+	c.current, c.currentSlots = slots, slots.slotsByHolder()
 	switch {
-	case !slices.Contains(d, ""):
+	case !slices.Contains(slots, ""):
 		c.vacantSince = math.Inf(1)
 	case math.IsInf(c.vacantSince, 1):
 		c.vacantSince = now
 	}
 }
 
-// holders is the gatekeepers whose leases have not run out, in order. Others are forgotten. Of two lives of a station
-// the one that came last counts.
-func (c *Coordinator) holders(now float64) division {
-	newest := make(map[string]string, len(c.leases)) // by station
-	c.checkAt = now + c.lease
-	for id, held := range c.leases {
-		if held.until <= now {
+// holders returns the gatekeepers with a valid lease, sorted, and deletes the expired leases. Of two incarnations of
+// a node only the one that joined last is returned.
+func (c *Coordinator) holders(now float64) assignment {
+	newest := make(map[string]string, len(c.leases)) // id by node
+	c.nextCheckAt = now + c.leaseMs
+	for id, record := range c.leases {
+		if record.expiresAt <= now {
 			delete(c.leases, id)
 			continue
 		}
-		c.checkAt = min(c.checkAt, held.until)
-		other, two := newest[station(id)]
-		if !two || c.leases[other].since < held.since || c.leases[other].since == held.since && other < id {
-			newest[station(id)] = id
+		c.nextCheckAt = min(c.nextCheckAt, record.expiresAt)
+		otherID, found := newest[nodeOf(id)]
+		if !found || c.leases[otherID].firstAskedAt < record.firstAskedAt || c.leases[otherID].firstAskedAt == record.firstAskedAt && otherID < id {
+			newest[nodeOf(id)] = id
 		}
 	}
-	ids := make(division, 0, len(newest))
+	ids := make(assignment, 0, len(newest))
 	for _, id := range newest {
 		ids = append(ids, id)
 	}
@@ -247,26 +252,26 @@
 	return ids
 }
 
-// replaced is the division for other holders. Those that are in it keep their slots. A newcomer has the slot of its
-// station's earlier life, else a vacant one, else a new one.
-func (d division) replaced(holders division) division {
-	lives := make(map[string]string, len(holders)) // by station
+// withHolders returns the assignment for other holders. Gatekeepers that already have a slot keep it. A new one gets the
+// slot of an earlier incarnation of its node, else a vacant slot, else an additional slot.
+func (d assignment) withHolders(holders assignment) assignment {
+	byNode := make(map[string]string, len(holders)) // id by node
 	for _, id := range holders {
-		lives[station(id)] = id
+		byNode[nodeOf(id)] = id
 	}
-	next := make(division, len(d))
+	next := make(assignment, len(d))
 	var vacant []int
 	for slot, id := range d {
-		if life, ok := lives[station(id)]; ok && id != "" {
-			next[slot] = life
-			delete(lives, station(id))
+		if newID, ok := byNode[nodeOf(id)]; ok && id != "" {
+			next[slot] = newID
+			delete(byNode, nodeOf(id))
 		} else {
 			vacant = append(vacant, slot)
 		}
 	}
 	for _, id := range holders {
-		if lives[station(id)] != id {
-			continue // it has its slot
+		if byNode[nodeOf(id)] != id {
+			continue // already has its slot
 		}
 		if len(vacant) == 0 {
 			next = append(next, id)
@@ -278,13 +283,13 @@
 	return next
 }
 
-// compacted is the division without its vacant slots.
-func (d division) compacted() division {
+// compacted returns the assignment without its vacant slots.
+func (d assignment) compacted() assignment {
 	return slices.DeleteFunc(slices.Clone(d), func(id string) bool { return id == "" })
 }
 
-// index is each holder's slot.
-func (d division) index() map[string]int {
+// slotsByHolder returns the slot of each holder.
+func (d assignment) slotsByHolder() map[string]int {
 	slots := make(map[string]int, len(d))
 	for slot, id := range d {
 		if id != "" {
@@ -294,18 +299,19 @@
 	return slots
 }
 
-// station is an id without its life.
-func station(id string) string {
+// nodeOf returns the node of an id "node/incarnation".
+func nodeOf(id string) string {
 	if i := strings.LastIndexByte(id, '/'); i >= 0 {
 		return id[:i]
 	}
 	return id
 }
 
-func partOf(d division, slots map[string]int, id string) Part {
-	slot, ok := slots[id]
+// shareOf returns the share of a holder, or no share if it has no slot.
+func shareOf(slots assignment, slotsByHolder map[string]int, id string) Part {
+	slot, ok := slotsByHolder[id]
 	if !ok {
 		return Part{}
 	}
-	return Part{Index: slot, Count: len(d)}
+	return Part{Index: slot, Count: len(slots)}
 }
--- /dev/null
+++ b/internal/switchback/fanout_test.go
@@ -0,0 +1,245 @@
+package switchback
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"gotest.tools/v3/assert"
+
+	"foxwood/internal/bootconfig"
+	"foxwood/internal/configcache"
+	"foxwood/internal/membership"
+	"foxwood/internal/rpc"
+	"foxwood/internal/waymark"
+)
+
+// testZone is a zone of gatekeepers and a registry, over loopback addresses. Nothing runs by itself: the test decides
+// who sends a heartbeat and who makes an offer.
+type testZone struct {
+	t    *testing.T
+	port int
+
+	mu       sync.Mutex
+	answers  map[string]waymark.Signed // answers of the registry, by node
+	requests map[string][]waymark.Sign
+	registry *rpc.Server
+}
+
+const registryHost = "127.0.0.9"
+
+// configBody returns a compressed configuration.
+func configBody(edition int) []byte {
+	return waymark.Deflate(fmt.Appendf(nil, `{"edition":"%08x","courses":{"columns":["name","domain","streetPrefix","kind","deadlineS","targetS","priority","destination"],`+
+		`"rows":[["r","h.example","/","safe",2,0.3,1,"d"]]},"destinations":{"columns":["name","healthPath","berthCap"],"rows":[["d","/health",110]]},`+
+		`"sizeLimits":{"envelopeBytes":16384,"bodyBytes":67108864,"envelopeS":3,"idleS":15}}`, edition))
+}
+
+// newTestZone starts the registry of a zone without gatekeepers.
+func newTestZone(t *testing.T) *testZone {
+	zone := &testZone{t: t, answers: map[string]waymark.Signed{}, requests: map[string][]waymark.Sign{}}
+	listener, err := rpc.Listen(registryHost + ":0")
+	assert.NilError(t, err)
+	zone.port = listener.Addr().(*net.TCPAddr).Port
+	zone.registry = rpc.NewServer()
+	rpc.Handle(zone.registry, func(_ context.Context, request waymark.Sign) (waymark.Signed, error) {
+		zone.mu.Lock()
+		defer zone.mu.Unlock()
+		zone.requests[request.Member.Station] = append(zone.requests[request.Member.Station], request)
+		return zone.answers[request.Member.Station], nil
+	})
+	go func() { _ = zone.registry.Serve(listener) }()
+	t.Cleanup(zone.registry.Close)
+	return zone
+}
+
+// addr returns the inner address of the n-th gatekeeper.
+func (v *testZone) addr(n int) string { return fmt.Sprintf("127.0.0.%d:%d", 10+n, v.port) }
+
+// start starts the n-th gatekeeper, which holds nothing yet.
+func (v *testZone) start(n int, final bool) (*Proxy, *rpc.Server) {
+	v.t.Helper()
+	settings := &bootconfig.Settings{Station: fmt.Sprint("g", n), Zone: "z", Region: "r", IP: fmt.Sprint("127.0.0.", 10+n),
+		InnerDocks: []int{v.port, v.port + 1}, FirstStations: []string{registryHost + ":1"},
+		SizeLimits: bootconfig.SizeLimits{Handles: 1000}}
+	settings.Bounds.RevocationFinal, settings.Bounds.RevokeS = final, 5
+	p, err := New(settings, zerolog.Nop())
+	assert.NilError(v.t, err)
+	listener, err := rpc.Listen(settings.Inner(0))
+	assert.NilError(v.t, err)
+	server := rpc.NewServer()
+	rpc.Handle(server, p.handleSubscribe)
+	rpc.Handle(server, p.handleOffer)
+	go func() { _ = server.Serve(listener) }()
+	v.t.Cleanup(server.Close)
+	return p, server
+}
+
+// heartbeat has a gatekeeper send one heartbeat, which is answered as given, and returns the request.
+func (v *testZone) heartbeat(p *Proxy, answer waymark.Signed) waymark.Sign {
+	v.t.Helper()
+	v.mu.Lock()
+	v.answers[p.settings.Station] = answer
+	v.mu.Unlock()
+	p.heartbeat(v.t.Context())
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	all := v.requests[p.settings.Station]
+	assert.Assert(v.t, len(all) > 0, "the registry received no heartbeat")
+	return all[len(all)-1]
+}
+
+// stateOf returns what the gatekeeper's loop has in force.
+func stateOf(p *Proxy) (version uint64, workers []string, ready, keys bool, members int) {
+	p.runOnLoop(func() {
+		if p.config != nil {
+			version = p.config.Edition
+		}
+		for _, w := range p.workers {
+			workers = append(workers, w.Destination+"/"+w.ID)
+		}
+		ready, keys, members = p.ready(), p.keysValid(), p.memberCount
+	})
+	return
+}
+
+// workerList returns the announcement and the content of a worker list.
+func workerList(version, since uint64, workers ...string) (*waymark.Marks, []waymark.Part) {
+	p := waymark.Part{Destination: "d", Version: version, Since: since}
+	for _, w := range workers {
+		p.Workers = append(p.Workers, waymark.Worker{ID: w, Addr: "127.0.0.1:9", Zone: "z"})
+	}
+	return &waymark.Marks{Version: version, Whole: since == 0, Behind: map[string]uint64{"d": 0}}, []waymark.Part{p}
+}
+
+// startTwo starts two gatekeepers that hold configuration 1 and one worker, and know each other. It returns the zone
+// home of the workers first.
+func (v *testZone) startTwo(final bool) (home, other *Proxy, homeInner *rpc.Server) {
+	first, firstServer := v.start(0, final)
+	second, secondServer := v.start(1, final)
+	marks, parts := workerList(1, 0, "w1")
+	v.heartbeat(first, waymark.Signed{Edition: 1, Body: configBody(1), Marks: marks, Parts: parts, Settled: true,
+		Crowd: &waymark.Crowd{Mark: 1, Place: 0, Count: 2, Peers: []string{v.addr(1)}, Near: []int{1}}})
+	v.heartbeat(second, waymark.Signed{Edition: 1, Body: configBody(1), Marks: marks, Parts: parts, Settled: true,
+		Crowd: &waymark.Crowd{Mark: 2, Place: 1, Count: 2, Peers: []string{v.addr(0)}, Near: []int{0}}})
+	if membership.HomeAmong([]string{v.addr(0), v.addr(1)}, "z", "d") == v.addr(0) {
+		return first, second, firstServer
+	}
+	return second, first, secondServer
+}
+
+// TestUpdatesComeFromZoneHome: a gatekeeper that only gets an announcement of workers fetches them from the zone home
+// with one call, and does not request them from the registry.
+func TestUpdatesComeFromZoneHome(t *testing.T) {
+	zone := newTestZone(t)
+	home, other, _ := zone.startTwo(true)
+	marks, parts := workerList(2, 1, "w2")
+	zone.heartbeat(home, waymark.Signed{Edition: 1, Marks: marks, Parts: parts})
+	zone.heartbeat(other, waymark.Signed{Edition: 1, Marks: marks})
+	_, workers, ready, keys, _ := stateOf(other)
+	assert.Equal(t, len(workers), 2)
+	assert.Assert(t, ready && keys)
+	request := zone.heartbeat(other, waymark.Signed{Edition: 1})
+	assert.Assert(t, request.Want == nil)
+	assert.Equal(t, request.Roster, uint64(2))
+}
+
+// TestRegistryReplacesFailedZoneHome: the registry sends what the zone home does not have, because the home is dead,
+// out of touch or behind.
+func TestRegistryReplacesFailedZoneHome(t *testing.T) {
+	for name, spoil := range map[string]func(*Proxy, *rpc.Server){
+		"dead": func(_ *Proxy, s *rpc.Server) { s.Close() },
+		"cut from the core": func(p *Proxy, _ *rpc.Server) {
+			p.fanout.start = p.fanout.start.Add(-time.Second)
+			p.fanout.noteHeartbeat(1, false)
+		},
+		"behind": func(*Proxy, *rpc.Server) {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			zone := newTestZone(t)
+			home, other, inner := zone.startTwo(false)
+			spoil(home, inner)
+			marks, parts := workerList(2, 1, "w2")
+			zone.heartbeat(other, waymark.Signed{Edition: 1, Marks: marks})
+			request := zone.heartbeat(other, waymark.Signed{Edition: 1, Parts: parts})
+			assert.DeepEqual(t, request.Want, map[string]uint64{"d": 1})
+			_, workers, _, _, _ := stateOf(other)
+			assert.Equal(t, len(workers), 2)
+			assert.Assert(t, zone.heartbeat(other, waymark.Signed{Edition: 1}).Want == nil)
+		})
+	}
+}
+
+// TestSubscribeWaitsForUpdate: the zone home answers once it holds what is asked for.
+func TestSubscribeWaitsForUpdate(t *testing.T) {
+	zone := newTestZone(t)
+	home, _, _ := zone.startTwo(false)
+	got := make(chan waymark.Subscribed)
+	go func() {
+		a, _ := home.handleSubscribe(t.Context(), waymark.Subscribe{Edition: 2, Wait: maxSubscribeWaitMs})
+		got <- a
+	}()
+	home.storeConfig(configBody(2))
+	assert.DeepEqual(t, (<-got).Body, configBody(2))
+}
+
+// TestRestartDuringRegistryLoss: a gatekeeper that starts while all registries are down serves with what a zone peer
+// hands over, under the member index of its previous incarnation. If revocations are final it accepts no keys.
+func TestRestartDuringRegistryLoss(t *testing.T) {
+	for _, final := range []bool{false, true} {
+		t.Run(fmt.Sprint("final ", final), func(t *testing.T) {
+			zone := newTestZone(t)
+			home, other, inner := zone.startTwo(final)
+			zone.registry.Close()
+			inner.Close() // the process of the home ends, and another one starts without any state
+			number := 0
+			if home.settings.Station == "g1" {
+				number = 1
+			}
+			restarted, _ := zone.start(number, final)
+			ended, cancel := context.WithCancel(t.Context())
+			cancel()
+			restarted.heartbeat(ended)
+			other.heartbeat(ended)
+			other.offerAll(t.Context())
+			_, workers, _, _, _ := stateOf(restarted)
+			assert.Equal(t, len(workers), 0, "workers before the offer is due, as the registries may return at once")
+
+			other.fanout.start = other.fanout.start.Add(-offerAfterMs * time.Millisecond)
+			other.offerAll(t.Context())
+			edition, workers, ready, keys, members := stateOf(restarted)
+			assert.Equal(t, edition, uint64(1))
+			assert.DeepEqual(t, workers, []string{"d/w1"})
+			assert.Equal(t, ready, !final)
+			assert.Equal(t, keys, !final)
+			assert.Equal(t, members, 2)
+			restarted.runOnLoop(func() {
+				assert.Check(t, !restarted.hasSession, "a hand-over is not a session")
+				assert.Check(t, restarted.memberIndex == number)
+				assert.Check(t, restarted.heartbeatRequest().Roster == 1, "version in the next heartbeat")
+			})
+		})
+	}
+}
+
+// TestOneHandOverAtATime guards against all members of a zone sending a large body to the same gatekeeper.
+func TestOneHandOverAtATime(t *testing.T) {
+	zone := newTestZone(t)
+	p, _ := zone.start(0, false)
+	offer := waymark.Lend{Edition: 3}
+	held, err := p.handleOffer(t.Context(), offer)
+	assert.NilError(t, err)
+	assert.Assert(t, !held.Later)
+	held, _ = p.handleOffer(t.Context(), offer)
+	assert.Assert(t, held.Later)
+	offer.Given, offer.Body = true, configBody(3)
+	held, _ = p.handleOffer(t.Context(), offer)
+	assert.Equal(t, held.Edition, uint64(3))
+	held, _ = p.handleOffer(t.Context(), waymark.Lend{Edition: 3})
+	assert.Assert(t, !held.Later, "an offer of what is already held must not be put off")
+	assert.Assert(t, configcache.New().Exceeds(&offer))
+}
--- /dev/null
+++ b/internal/switchback/outliers.go
@@ -0,0 +1,200 @@
+package switchback
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"foxwood/internal/bulletin"
+	"foxwood/internal/membership"
+	"foxwood/internal/rpc"
+	"foxwood/internal/waymark"
+	"foxwood/policy"
+)
+
+// outlierInterval is the time between two outlier reports of a gatekeeper with something to report, and between two
+// judgements of a zone home.
+const outlierInterval = 300 * time.Millisecond
+
+// outlierReporter is this gatekeeper's part in sharing outlier reports about workers with its zone. Its methods run
+// on the loop.
+type outlierReporter struct {
+	p        *Proxy
+	judges   map[string]*bulletin.Desk  // by destination of which this gatekeeper is the zone home
+	verdicts map[string]*bulletin.Board // the newest verdicts of the zone home, by destination
+	active   map[string]bool            // destinations with verdicts in force
+	counts   struct {
+		ReportsSent      uint64 `json:"Told"`
+		ReportsReceived  uint64 `json:"Heard"`
+		VerdictsIssued   uint64 `json:"Issued"`
+		VerdictsReceived uint64 `json:"Posted"`
+	}
+}
+
+// Bulletin has this gatekeeper share outlier reports with its zone. It is to be called before Serve.
+func (p *Proxy) Bulletin() {
+	h := &outlierReporter{p: p, judges: map[string]*bulletin.Desk{}, verdicts: map[string]*bulletin.Board{}, active: map[string]bool{}}
+	p.runOnLoop(func() {
+		p.outliers = h
+		p.loop.Every(outlierInterval, h.tick)
+		p.loop.Every(countersLogInterval, h.logCounters)
+	})
+}
+
+// tick reports what was observed, judges where this gatekeeper is the zone home, and drops verdicts that have
+// expired.
+func (h *outlierReporter) tick() {
+	p := h.p
+	var zonePeers []string
+	peers := map[string]*rpc.Peer{}
+	p.fanout.withLock(func(float64) {
+		zonePeers = slices.Clone(p.fanout.zonePeers)
+		for _, addr := range zonePeers {
+			peers[addr] = p.fanout.peer(addr)
+		}
+	})
+	self := p.settings.Inner(0)
+	ready := zonePeers
+	if p.isReady.Load() {
+		ready = append(slices.Clone(zonePeers), self)
+	}
+	now := p.clock.Now()
+	var calls []func()
+	for _, pool := range p.poolList {
+		zoneHome := membership.HomeAmong(ready, p.settings.Zone, pool.name)
+		if observed := pool.core.Sightings(); len(observed) > 0 {
+			h.counts.ReportsSent++
+			report := waymark.Seen{From: self, Destination: pool.name, Sights: bulletin.Sights(observed)}
+			if zoneHome == self {
+				h.judge(pool.name).Hear(now, self, report.Sights)
+			} else if peer := peers[zoneHome]; peer != nil {
+				calls = append(calls, func() { _ = rpc.Tell(peer, report) })
+			}
+		}
+		if zoneHome != self {
+			delete(h.judges, pool.name)
+		} else if judge := h.judges[pool.name]; judge != nil {
+			judge.Step(now, pool.usableWorkers())
+			if issue, due := judge.Issue(now); due {
+				h.counts.VerdictsIssued++
+				h.receive(waymark.Posted{Destination: pool.name, Issue: issue})
+				for _, peer := range peers {
+					calls = append(calls, func() { _ = rpc.Tell(peer, waymark.Posted{Destination: pool.name, Issue: issue}) })
+				}
+			}
+		}
+		if h.active[pool.name] { // verdicts expire unless they are renewed
+			h.apply(pool)
+		}
+	}
+	if len(calls) > 0 { // a peer that does not read must not block the loop
+		go func() {
+			for _, call := range calls {
+				call()
+			}
+		}()
+	}
+}
+
+// judge returns the judge of a destination of which this gatekeeper is the zone home.
+func (h *outlierReporter) judge(destination string) *bulletin.Desk {
+	judge := h.judges[destination]
+	if judge == nil {
+		judge = bulletin.NewDesk(h.p.incarnation)
+		h.judges[destination] = judge
+	}
+	return judge
+}
+
+// usableWorkers returns the workers that may get new requests, with the bit of their region.
+func (s *pool) usableWorkers() map[uint32]int {
+	p, regions := s.p, map[uint32]int{}
+	for _, w := range p.workers {
+		if w.Destination == s.name && !w.Closing && !w.misdirected && !p.evacuated[w.Zone] {
+			regions[bulletin.Key(policy.Server(hash64(w.ID)))] = p.regionOf(w.Zone)
+		}
+	}
+	return regions
+}
+
+// receive takes the verdicts of a zone home. It runs on the loop.
+func (h *outlierReporter) receive(verdicts waymark.Posted) {
+	pool := h.p.pools[verdicts.Destination]
+	if pool == nil {
+		return
+	}
+	current := h.verdicts[verdicts.Destination]
+	if current == nil {
+		current = &bulletin.Board{}
+		h.verdicts[verdicts.Destination] = current
+	}
+	if current.Post(h.p.clock.Now(), verdicts.Issue) {
+		h.counts.VerdictsReceived++
+		h.apply(pool)
+	}
+}
+
+// apply passes the verdicts that are in force now to the core of a pool.
+func (h *outlierReporter) apply(pool *pool) {
+	beliefs := h.verdicts[pool.name].Beliefs(h.p.clock.Now(), h.p.settings.Inner(0))
+	byServer := make(map[policy.Server]policy.Belief, len(beliefs))
+	for _, w := range h.p.workers {
+		id := policy.Server(hash64(w.ID))
+		if belief, ok := beliefs[bulletin.Key(id)]; ok && w.Destination == pool.name {
+			byServer[id] = belief
+		}
+	}
+	h.active[pool.name] = len(byServer) > 0
+	pool.core.Believe(byServer)
+}
+
+// handleReport receives what a zone peer has observed, as its zone home. A report for a destination that is not
+// served here is dropped.
+func (p *Proxy) handleReport(_ context.Context, report waymark.Seen) (answer waymark.Noted, err error) {
+	p.loop.Post(func() {
+		if h := p.outliers; h != nil && p.pools[report.Destination] != nil {
+			h.counts.ReportsReceived++
+			h.judge(report.Destination).Hear(p.clock.Now(), report.From, report.Sights)
+		}
+	})
+	return answer, nil
+}
+
+// handleVerdicts receives the verdicts of a zone home.
+func (p *Proxy) handleVerdicts(_ context.Context, verdicts waymark.Posted) (answer waymark.Noted, err error) {
+	p.loop.Post(func() {
+		if p.outliers != nil {
+			p.outliers.receive(verdicts)
+		}
+	})
+	return answer, nil
+}
+
+// logCounters writes the counters to the log.
+func (h *outlierReporter) logCounters() {
+	if h.counts.ReportsSent+h.counts.VerdictsReceived > 0 {
+		e := h.p.log.Info().Interface("counts", h.counts)
+		for name, d := range h.judges {
+			e = e.Uints64(name, []uint64{d.Outs, d.Backs, d.Calms})
+		}
+		e.Msg("outlier report counters")
+	}
+}
+
+// statusLines returns its lines of the status command. It runs on the loop.
+func (h *outlierReporter) statusLines() (lines []string) {
+	now := h.p.clock.Now()
+	for _, name := range slices.Sorted(maps.Keys(h.verdicts)) {
+		out := 0
+		beliefs := h.verdicts[name].Beliefs(now, h.p.settings.Inner(0))
+		for _, b := range beliefs {
+			if b == policy.Shunned || b == policy.OnTrial {
+				out++
+			}
+		}
+		lines = append(lines, fmt.Sprintf("bulletin of %s: %d workers named, %d out", name, len(beliefs), out))
+	}
+	return lines
+}
--- a/internal/switchback/pool.go
+++ b/internal/switchback/pool.go
@@ -12,159 +12,165 @@
 	"foxwood/policy"
 )
 
-// pool is what serves one destination: a core with its decision module, and the links to its
-// workers.
+// pool serves one destination: it holds the core with its decision module and the connections to the workers.
 type pool struct {
-	p       *Proxy
-	name    string
-	core    *gatekeeper.Gatekeeper
-	fleet   *link.Fleet
-	classes []policy.Class
-	known   map[terms]int
-	dest    timetable.Destination
+	p            *Proxy
+	name         string
+	core         *gatekeeper.Gatekeeper // queues the requests and decides which worker gets which
+	fleet        *link.Fleet            // the connections to the workers
+	classes      []policy.Class
+	classIndexes map[classTerms]int    // index in classes, by terms
+	config       timetable.Destination // as configured
 }
 
-// terms are what makes a class: courses of the same terms share what is learned.
-type terms struct {
-	safe             bool
-	deadline, target float64
-	priority, tries  int
+// classTerms are the terms that make a class. Routes with the same terms share a class, and so the statistics that
+// the decision module keeps for it.
+type classTerms struct {
+	safe               bool
+	deadline, target   float64
+	priority, attempts int
 }
 
+// Constants of the decision modules and of the connections to workers.
 const (
-	plans        = 8  // ranks of tenants
-	rankBits     = 16 // ranks of routes within one
-	connectMax   = 600.0
-	idleMost     = 8000.0 // a link's rest, where the worker does not say
-	holdPart     = 0.22   // of the aim is a request held at most before it was ever sent
-	stepMicros   = 20000
-	idleStep     = 100000
-	leasedPart   = 0.45   // of what a cold worker bears goes to gatekeepers under leases,
-	standingPart = 0.55   // and this to those that are out of touch with the core
-	outOfTouch   = 1200.0 // milliseconds without the tail's word
-	safeAfter    = 8      // expected latencies of silence after which a safe request is sent elsewhere
+	tenantRanks            = 8      // tenants' priorities that are told apart
+	routeRanks             = 16     // routes' priorities that are told apart within each of them
+	connectTimeoutMs       = 600.0  // milliseconds for a connection to a worker to be established
+	maxIdleMs              = 8000.0 // milliseconds that an idle connection is kept if the worker states no time
+	holdFraction           = 0.22   // of a class's target latency: a request is held back at most this long before it is first sent
+	tickMicros             = 20000  // microseconds between two housekeeping ticks of the decision module
+	idleTickMicros         = 100000 // the same while no requests are open
+	leasedBudgetFraction   = 0.45   // of the budget of a cold worker, for gatekeepers with a lease
+	fallbackBudgetFraction = 0.55   // of the budget of a cold worker, for gatekeepers that are out of touch with the registries
+	outOfTouchMs           = 1200.0 // milliseconds without newer state of the chain's tail after which a gatekeeper is out of touch
+	safeRetryLatencies     = 8      // expected latencies without an answer after which a safe request is also sent to another worker
 )
 
-// answerLimits bound no worker's answer that flows: an operator's limits are for what clients send.
+// answerLimits sets no limit to a worker's answer that is streamed: the configured limits are for what clients send.
 var answerLimits = http1.Limits{Large: math.MaxInt}
 
-// plan is the module's plan of a tenant's priority: plans differ in rank only, the tenants'
-// buckets lie before all pools.
-func plan(priority int) int { return min(max(priority, 0), plans-1) }
+// planOf returns the plan of a tenant's priority in the decision module. Plans differ in rank only, since tenants'
+// buckets are checked before a request reaches a pool.
+func planOf(priority int) int { return min(max(priority, 0), tenantRanks-1) }
 
-// worth has the module's order by worth times price be the order by the tenant's priority
-// first, the route's then.
-func worth(priority int) float64 { return math.Exp2(-float64(min(max(priority, 0), rankBits-1))) }
+// worthOf returns the worth of a route's priority. The module orders requests by worth times price, which makes it
+// the order by the tenant's priority first and the route's priority second.
+func worthOf(priority int) float64 { return math.Exp2(-float64(min(max(priority, 0), routeRanks-1))) }
 
-// class is the module's number of a course's class here.
-func (s *pool) class(c *timetable.Course) int {
-	k := terms{c.Safe, c.Deadline, c.Target, c.Priority, c.Tries}
-	if i, ok := s.known[k]; ok {
-		return i
+// class returns the index of the class for a route in this pool, and adds the class if there is none.
+func (s *pool) class(route *timetable.Course) int {
+	terms := classTerms{route.Safe, route.Deadline, route.Target, route.Priority, route.Tries}
+	if index, ok := s.classIndexes[terms]; ok {
+		return index
 	}
 	repeat := policy.Unsafe
-	if c.Safe {
+	if route.Safe {
 		repeat = policy.Safe
 	}
 	s.classes = append(s.classes, policy.Class{
-		Aim: policy.Micros(c.Target * 1e6), Deadline: policy.Micros(c.Deadline * 1e6), Worth: worth(c.Priority), LateWorth: 1,
-		Repeat: repeat, Attempts: c.Tries,
+		Aim: policy.Micros(route.Target * 1e6), Deadline: policy.Micros(route.Deadline * 1e6), Worth: worthOf(route.Priority), LateWorth: 1,
+		Repeat: repeat, Attempts: route.Tries,
 	})
-	s.known[k] = len(s.classes) - 1
+	s.classIndexes[terms] = len(s.classes) - 1
 	s.core.SetClasses(append([]policy.Class(nil), s.classes...))
 	return len(s.classes) - 1
 }
 
-// pool is the one of a destination, made where there is none.
+// pool returns the pool of a destination, and creates it if there is none.
 func (p *Proxy) pool(name string) *pool {
 	if s := p.pools[name]; s != nil {
 		return s
 	}
-	s := &pool{p: p, name: name, known: map[terms]int{}}
-	s.fleet = link.NewFleet(p.loop, p.clock, p.front, p.connect, idleMost, link.Transport{})
+	s := &pool{p: p, name: name, classIndexes: map[classTerms]int{}}
+	s.fleet = link.NewFleet(p.loop, p.clock, p.handler, p.connectTimeoutMs, maxIdleMs, link.Transport{})
 	s.fleet.PartMost, s.fleet.KeepAlive = 2000, true
 	s.fleet.Limits = &answerLimits
-	ladder := make([]policy.Plan, plans)
-	for i := range ladder {
-		ladder[i].Price = math.Exp2(-float64(rankBits * i))
+	planList := make([]policy.Plan, tenantRanks)
+	for i := range planList {
+		planList[i].Price = math.Exp2(-float64(routeRanks * i))
 	}
-	set := policy.Settings{
-		// A number of its own from the start, whatever its place is later: gatekeepers that share one
-		// also share an order of the workers, and all use the same few.
-		Self: int(hash(p.set.Station) >> 40), Gateways: max(p.members, 1), Plans: ladder, Tick: 1000, MaxAttempts: 1, Cancel: true, RetryAfter: true,
-		Largest: 1, HoldPart: holdPart, Step: stepMicros, IdleStep: idleStep, SafeAfter: safeAfter,
+	settings := policy.Settings{
+		// Each gatekeeper has a number of its own from the start, whatever its member index will be: gatekeepers with
+		// the same number order the workers in the same way and would all use the same few.
+		Self: int(hash64(p.settings.Station) >> 40), Gateways: max(p.memberCount, 1), Plans: planList, Tick: 1000, MaxAttempts: 1, Cancel: true, RetryAfter: true,
+		Largest: 1, HoldPart: holdFraction, Step: tickMicros, IdleStep: idleTickMicros, SafeAfter: safeRetryLatencies,
 		Turns: true, Learn: 1.5, Bound: policy.BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5},
-		ColdSends: s.coldSends, Reported: true, Beliefs: p.herald != nil,
-		FurtherTry: func(int) bool { return p.tries.Take(p.micros(), name) },
+		ColdSends: s.coldSends, Reported: true, Beliefs: p.outliers != nil,
+		FurtherTry: func(int) bool { return p.retryBudget.Take(p.micros(), name) },
 	}
-	// All pools ask for one alarm: the earliest counts.
-	s.core = gatekeeper.New(gatekeeper.Config{Settings: set, Seed: p.seed ^ hash(name), Clock: p.clock, Fleet: s.fleet,
+	// All pools share one alarm, which is set to the earliest time.
+	s.core = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: p.seed ^ hash64(name), Clock: p.clock, Fleet: s.fleet,
 		Counter: noCounter{}, Wake: func(at float64) { p.wake(at) }})
 	s.fleet.Attach(s.core)
-	if p.shadow != nil {
-		s.fleet.Sent = p.shadow.sent
+	if p.mirror != nil {
+		s.fleet.Sent = p.mirror.noteForwarded
 	}
 	s.core.Stand(p.ring())
 	p.pools[name] = s
-	p.order = append(p.order, s)
-	s.place()
+	p.poolList = append(p.poolList, s)
+	s.updateWorkers()
 	return s
 }
 
-// coldSends is how many sends a second this gatekeeper may make to a worker, so that all of them together stay under what
-// a cold one bears; below 0 for any number. Without a lease cold workers get nothing. Who has been out of touch with the
-// core for long would not hear that a worker has become cold: for all it knows each is.
-func (s *pool) coldSends(w policy.Server, cold bool) int {
-	p, b := s.p, s.p.set.Bounds
-	bears := s.dest.ColdPerS*b.ColdExcess + b.ColdSlack
+// coldSends returns how many requests a second this gatekeeper may send to a worker, so that all gatekeepers together
+// stay within the budget of a cold one. A negative number means any number. Without a lease a cold worker gets
+// nothing. A gatekeeper that has been out of touch with the registries for long would not learn that a worker has
+// become cold, so it treats every worker as possibly cold.
+func (s *pool) coldSends(worker policy.Server, cold bool) int {
+	p, bounds := s.p, s.p.settings.Bounds
+	budget := s.config.ColdPerS*bounds.ColdExcess + bounds.ColdSlack
 	switch now := p.clock.Now(); {
 	case cold:
-		return p.slowStart.Sends(now, leasedPart*bears, uint64(w))
-	case s.dest.ColdPerS <= 0 || p.members <= 1 || now-p.touched < outOfTouch:
+		return p.slowStart.Sends(now, leasedBudgetFraction*budget, uint64(worker))
+	case s.config.ColdPerS <= 0 || p.memberCount <= 1 || now-p.tailStateAt < outOfTouchMs:
 		return -1
 	}
-	return p.slowStart.Standing(standingPart*bears, uint64(w), slowstart.Part{Index: p.place, Count: p.members})
+	return p.slowStart.Standing(fallbackBudgetFraction*budget, uint64(worker), slowstart.Part{Index: p.memberIndex, Count: p.memberCount})
 }
 
-// coldUntil is when a worker is no longer cold: by the list, or by the evacuation of its zone that was taken back, as
-// its workers may have become cold and the list is late to tell.
+// coldUntil returns until when a worker is cold: according to the list, or because the evacuation of its zone was
+// revoked. Workers of such a zone may have become cold before the list says so.
 func (s *pool) coldUntil(w *worker) policy.Micros {
-	back, ok := s.p.takenBack[w.Zone]
-	if !ok || s.dest.ColdPerS <= 0 {
+	revokedAt, ok := s.p.evacuationRevokedAt[w.Zone]
+	if !ok || s.config.ColdPerS <= 0 {
 		return w.coldUntil
 	}
-	return max(w.coldUntil, policy.Micros((back+s.dest.ColdS*1000)*1000))
+	return max(w.coldUntil, policy.Micros((revokedAt+s.config.ColdS*1000)*1000))
 }
 
-// place brings the pool's workers to what the roster and the evacuations say.
-func (s *pool) place() {
+// updateWorkers passes the workers in force to the core, with those that must not get new requests marked as
+// draining.
+func (s *pool) updateWorkers() {
 	p := s.p
 	var entries []policy.Entry
 	for _, w := range p.workers {
 		if w.Destination != s.name {
 			continue
 		}
-		e := policy.Entry{Server: policy.Server(hash(w.ID)), State: policy.Ready, Region: p.regionOf(w.Zone), Dear: p.dear(w.Zone),
+		entry := policy.Entry{Server: policy.Server(hash64(w.ID)), State: policy.Ready, Region: p.regionOf(w.Zone), Dear: p.zoneCost(w.Zone),
 			ColdUntil: s.coldUntil(w)}
-		if w.Closing || p.evacuated[w.Zone] || w.wrong {
-			e.State = policy.Draining
+		if w.Closing || p.evacuated[w.Zone] || w.misdirected {
+			entry.State = policy.Draining
 		}
-		if e.State == policy.Ready {
-			s.fleet.Place(e.Server, w.Addr, 0)
-			s.fleet.Lines(e.Server, []byte(headExpect+": "+w.ID+"\r\n"))
+		if entry.State == policy.Ready {
+			s.fleet.Place(entry.Server, w.Addr, 0)
+			s.fleet.Lines(entry.Server, []byte(headerExpectWorker+": "+w.ID+"\r\n"))
 		}
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
 	s.core.Workers(policy.FullList, entries)
 }
 
-func hash(s string) uint64 {
+// hash64 returns the FNV-1a hash of a string.
+func hash64(s string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s))
 	return h.Sum64()
 }
 
-// noCounter stands where the deployment in service has its shared counter.
+// noCounter takes the place of the counter that the gatekeepers of other deployments share. Here quotas are checked
+// before a request reaches a pool.
 type noCounter struct{}
 
+// Add implements the counter and does nothing.
 func (noCounter) Add(*gatekeeper.Count) {}
--- a/internal/switchback/proxy.go
+++ b/internal/switchback/proxy.go
@@ -1,6 +1,10 @@
-// Package switchback is the proxy: today's links, core and decision module, with a pool for
-// each destination, fed by a session with a control gatekeeper. One event loop owns all its
-// state; the session runs beside it and hands over what it hears.
+// Package switchback is the data plane of foxwood: the proxy process, which is called a gatekeeper. It accepts
+// clients' requests and forwards them to workers.
+//
+// A gatekeeper has a pool of workers for each destination (service). It keeps a session with one of the registries,
+// the processes of the control plane, and receives from it the configuration, the lists of workers and members, and
+// its share of the quotas. One event loop owns nearly all state; functions that have to run on it say so. The session
+// and other calls run on goroutines of their own and pass what they receive to the loop.
 package switchback
 
 import (
@@ -26,156 +30,182 @@
 	"foxwood/policy"
 )
 
+// Intervals, time limits and reserves of the proxy.
 const (
-	sweepEvery   = 250 * time.Millisecond
-	figuresEvery = 10 * time.Second
-	signWait     = 500.0
-	drawEvery    = 500 * time.Millisecond
-	drawSoon     = 120 * time.Millisecond
-	callMost     = 1100 * time.Millisecond
-	leaseMargin  = 300.0                   // milliseconds before its end at which a key's lease counts as over
-	drainOpen    = 2200 * time.Millisecond // clients hold what the directory said for two seconds
-	drainSpare   = 700 * time.Millisecond
-	drainLook    = 50 * time.Millisecond
-	clockStart   = 1e9
-	floorFor     = policy.Micros(9 * 60e6) // the allotter keeps floors for ten minutes
-	handlesKept  = 200                     // of the descriptors, for files outside the disk folder
-	awayFor      = 3 * time.Second
-	failWait     = 30 * time.Millisecond
-	staleWait    = 70 * time.Millisecond
-	unreadWait   = 400 * time.Millisecond
-	signWaitMost = 400 * time.Millisecond // between two signs where no registry is any good
-
-	signsAtOnce   = 5 // signs that were no good, one behind the other, before the waits grow
-	signDoublings = 4
+	sweepInterval         = 250 * time.Millisecond  // between two checks for idle and overdue connections
+	countersLogInterval   = 10 * time.Second        // between two log lines with the counters
+	heartbeatWaitMs       = 500.0                   // milliseconds that a registry may hold a heartbeat back until it has news
+	allocationInterval    = 500 * time.Millisecond  // between two requests for quota slices
+	bucketCheckInterval   = 120 * time.Millisecond  // between two checks whether a bucket has run low
+	heartbeatTimeout      = 1100 * time.Millisecond // for a heartbeat, including the time that the registry holds it back
+	keyLeaseMarginMs      = 300.0                   // milliseconds before its end at which the lease on keys counts as expired
+	drainAcceptTime       = 2200 * time.Millisecond // clients use an answer of the directory for two seconds
+	drainReserve          = 700 * time.Millisecond  // of the grace period, for what remains to be done after the drain
+	drainPollInterval     = 50 * time.Millisecond   // between two looks at what is still open
+	clockStartMs          = 1e9                     // milliseconds at which the clock of a new process starts
+	minimumValidity       = policy.Micros(9 * 60e6) // the allocator reserves minimums for ten minutes
+	reservedDescriptors   = 200                     // file descriptors, for files outside the disk folder
+	registryPause         = 3 * time.Second         // during which a registry that failed is avoided
+	failedRetryDelay      = 30 * time.Millisecond   // after a heartbeat that failed
+	staleRetryDelay       = 70 * time.Millisecond   // after a heartbeat that was answered by a registry out of touch with the tail of the chain
+	unreadableConfigDelay = 400 * time.Millisecond  // after a configuration that can't be read, since it comes again with each answer
+	maxRetryDelay         = 400 * time.Millisecond  // between two heartbeats while no registry gives good answers
+
+	promptRetries     = 5 // consecutive bad heartbeats before the delays grow
+	maxDelayDoublings = 4 // of the delay after a bad heartbeat, at most
 )
 
-// worker is a listed one.
+// worker is a worker that is listed for a destination.
 type worker struct {
 	waymark.Worker
-	coldUntil policy.Micros
-	wrong     bool // another process has its address
+	coldUntil   policy.Micros
+	misdirected bool // its address belongs to another process now
 }
 
-// Proxy is one gatekeeper that carries traffic.
+// Proxy is a gatekeeper: one proxy process.
 type Proxy struct {
-	set   *bootconfig.Settings
-	log   zerolog.Logger
-	seed  uint64
-	life  uint64
-	clock *gatekeeper.Clock
-	loop  *link.Loop
-	front *front
-	relay *relay
-
-	// The loop's.
-	clients   *link.Clients
-	doors     *link.Clients
-	limits    *http1.Limits
-	pools     map[string]*pool
-	order     []*pool
-	wakeAt    float64
-	table     *timetable.Timetable
-	evac      uint64
-	evacuated map[string]bool
-	takenBack map[string]float64 // when a zone's evacuation was last taken back
-	slowStart slowstart.Lease    // our part of what cold workers bear
-	touched   float64            // as of when the tail's word was last heard
-	roster    uint64
-	workers   map[string]*worker
-	turns     map[string]uint64 // of the destinations' workers that are in force
-	crowd     waymark.Crowd
-	quotas    quota.Bounds
-	thins     map[string]*thinTenant
-	owned     owned
-	homed     map[string]float64 // thin tenants for which this gatekeeper last asked as their home, and since when it does
-	formerly  map[string]float64 // thin tenants whose home it was, and since when it is not
-	stoodIn   map[string]bool    // thin tenants that it served in the place of their home
-	askers    map[string]*asker
-	patience  time.Duration // with a home that is asked for tokens
-	connect   float64       // milliseconds for a connection to a worker to come up
-	coresMark uint64
-	place     int
-	members   int
-	regions   map[string]int
-	tenants   *policy.Tenants
-	stays     []policy.Patience // of the clients of each course
-	turn      uint64
-	control   *rpc.Peer // the session's control gatekeeper
-	tries     *policy.Tries
-	keysTo    float64 // until when keys may be honoured, where revocations are final
-	signed    bool    // a session has stood
-	settled   bool    // the members were once known whole
-	drawn     bool    // slices were once allotted
-	kicked    bool    // the first tokens of this life were taken
-	again     bool    // the last life's may count still
-	draining  bool
-	counts    counts
-	callers   *callers
-	shed      *shedder // nil where nothing is shed by a level
-	shadow    *shadows // nil where nothing is copied
-	herald    *herald  // nil where beliefs are not shared
-
-	isReady atomic.Bool
-	cores   []waymark.Core // beside the loop: the session's
-	named   []string       // of them, by the settings
-	away    map[string]time.Time
-	peers   map[string]*rpc.Peer
-	seeds   chan []string
-	drawer  *rpc.Peer     // the drawing's
-	drawNow chan struct{} // calls for an asking before its time
-	drawMs  float64       // how long the last answer to a drawing took
-
-	badSigns int // of the session, one behind the other
+	settings    *bootconfig.Settings
+	log         zerolog.Logger
+	seed        uint64 // of the random choices of the pools
+	incarnation uint64 // random identity of this process; a restarted gatekeeper has another one
+	clock       *gatekeeper.Clock
+	loop        *link.Loop
+	handler     *handler
+	fanout      *fanout
+
+	// Owned by the loop.
+	clients             *link.Clients
+	readinessClients    *link.Clients // connections to the readiness address
+	limits              *http1.Limits
+	pools               map[string]*pool
+	poolList            []*pool              // of pools, by creation
+	wakeAt              float64              // when the loop's alarm is due, 0 if none is set
+	config              *timetable.Timetable // the configuration in force
+	evacuationVersion   uint64               // version of the list of evacuated zones in force
+	evacuated           map[string]bool
+	evacuationRevokedAt map[string]float64 // when the evacuation of a zone was last revoked
+	slowStart           slowstart.Lease    // this gatekeeper's share of the budget of cold workers
+	tailStateAt         float64            // time of the newest state of the chain's tail that was received
+	rosterVersion       uint64             // version of all worker lists together that was announced last
+	workers             map[string]*worker
+	workerListVersions  map[string]uint64 // versions of the worker lists in force, by destination
+	membership          waymark.Crowd
+	quotaBounds         quota.Bounds
+	smallQuotas         map[string]*smallQuota // by name of the tenant
+	owned               ownedQuotas
+	ownedSince          map[string]float64      // small quotas that this gatekeeper last requested as their owner, and since when
+	formerlyOwned       map[string]float64      // small quotas that it owned earlier, and since when it no longer does
+	servedAsBackup      map[string]bool         // small quotas that it served in place of their owner
+	tokenClients        map[string]*tokenClient // by address of an owner
+	tokenTimeout        time.Duration           // for an answer from the owner of a small quota
+	connectTimeoutMs    float64                 // milliseconds for a connection to a worker to be established
+	registriesMark      uint64                  // of the list of registries that was received last
+	memberIndex         int                     // index of this gatekeeper among all members
+	memberCount         int                     // number of gatekeepers that are members
+	regionBits          map[string]int          // bit of each region in a mask
+	tenants             *policy.Tenants
+	clientPatience      []policy.Patience // by route: how long its clients go on retrying
+	sequence            uint64            // sequence number of the messages to registries
+	registry            *rpc.Peer         // the registry that the session is with
+	retryBudget         *policy.Tries
+	keysValidUntil      float64 // until when keys may be accepted, if revocations are final
+	hasSession          bool    // a registry that was in touch with the tail has answered
+	membersKnown        bool    // the members were completely known at some time
+	hasSlices           bool    // an allocator has granted slices at some time
+	startBurstTaken     bool    // this incarnation has taken its start burst
+	earlierBurstCounts  bool    // the start burst of the previous incarnation may still count
+	draining            bool
+	counts              counts
+	requestStats        *requestStats
+	shedder             *loadShedder     // nil if load shedding is off
+	mirror              *mirror          // nil if traffic mirroring is off
+	outliers            *outlierReporter // nil if outlier reports are not shared
+
+	isReady atomic.Bool // the readiness that was last logged and reported
+
+	// Owned by the session's goroutine.
+	registries       []waymark.Core       // all known registries
+	seedAddrs        []string             // addresses of registries in the settings
+	registryFailedAt map[string]time.Time // when a registry last failed
+	registryPeers    map[string]*rpc.Peer
+	newSeeds         chan []string // addresses from a reloaded settings file
+	badHeartbeats    int           // consecutive heartbeats of the session that failed or got a stale answer
+
+	// Of the goroutine that requests quota slices.
+	allocatorPeer    *rpc.Peer
+	allocateNow      chan struct{} // has the next request for slices sent at once
+	lastAllocationMs float64       // how long the last answered request for slices took, in milliseconds
 }
 
-// counts is what has happened since the start.
+// counts are the numbers of events since the start. The log shows them under the names in the tags.
 type counts struct {
-	Requests, Refused, Failed, OverQuota, NoQuotaLease, BucketEmpty, HomeEmpty, HomeUnreached, NoHome, NoRoute, NoKey, NoLease, Bad, Foreign, NotDelivered, Misdirected uint64
-	Signs, SignsFailed, Moves, Draws, DrawsFailed, Asked, AskedInVain                                                                                                   uint64
+	Requests       uint64
+	Refused        uint64
+	Failed         uint64
+	OverQuota      uint64
+	NoQuotaLease   uint64
+	BucketEmpty    uint64
+	OwnerEmpty     uint64 `json:"HomeEmpty"`
+	OwnerUnreached uint64 `json:"HomeUnreached"`
+	NoCommonRegion uint64 `json:"NoHome"`
+	NoRoute        uint64
+	NoKey          uint64
+	NoKeyLease     uint64 `json:"NoLease"`
+	Malformed      uint64 `json:"Bad"`
+	ForeignAnswers uint64 `json:"Foreign"` // answers to another attempt than the one that was sent
+	NotDelivered   uint64
+	Misdirected    uint64
+
+	Heartbeats        uint64 `json:"Signs"`
+	HeartbeatsFailed  uint64 `json:"SignsFailed"`
+	Moves             uint64 // of the session to another registry
+	Allocations       uint64 `json:"Draws"`
+	AllocationsFailed uint64 `json:"DrawsFailed"`
+	TokensAsked       uint64 `json:"Asked"`
+	TokensUnanswered  uint64 `json:"AskedInVain"`
 }
 
-// New makes a proxy.
-func New(set *bootconfig.Settings, log zerolog.Logger) (*Proxy, error) {
-	p := &Proxy{set: set, log: log, seed: rand.Uint64(), life: rand.Uint64(), clock: gatekeeper.NewSteadyClock(clockStart),
-		pools: map[string]*pool{}, evacuated: map[string]bool{}, takenBack: map[string]float64{}, workers: map[string]*worker{}, regions: map[string]int{},
-		tenants: policy.NewTenants(), callers: newCallers(), thins: map[string]*thinTenant{}, homed: map[string]float64{}, formerly: map[string]float64{}, stoodIn: map[string]bool{}, drawNow: make(chan struct{}, 1), askers: map[string]*asker{}, away: map[string]time.Time{}, peers: map[string]*rpc.Peer{},
-		seeds: make(chan []string, 1), limits: &http1.Limits{}, patience: tokenMost, connect: connectMax}
-	b := set.Bounds
-	p.quotas = quota.BoundsOf(&b)
-	p.tries = policy.NewTries(p.micros(), policy.TriesRule{Window: policy.Micros(b.RetryWindowS * 1e6), Ratio: b.RetryRatio, Slack: b.RetrySlack})
-	p.tenants.FloorFor = floorFor
-	p.front = &front{p: p}
-	p.relay, p.turns = newRelay(), map[string]uint64{}
-	p.named = set.Seeds(0)
-	p.learn(seedCores(p.named))
-	tune(set.SizeLimits.MemoryMB)
-	budget := link.NewBudget(set.SizeLimits.Handles-handlesKept, 32)
+// New returns a proxy that does not serve yet. The options Shed, Bulletin and Shadow are to be called before Serve.
+func New(settings *bootconfig.Settings, log zerolog.Logger) (*Proxy, error) {
+	p := &Proxy{settings: settings, log: log, seed: rand.Uint64(), incarnation: rand.Uint64(), clock: gatekeeper.NewSteadyClock(clockStartMs),
+		pools: map[string]*pool{}, evacuated: map[string]bool{}, evacuationRevokedAt: map[string]float64{}, workers: map[string]*worker{}, regionBits: map[string]int{},
+		tenants: policy.NewTenants(), requestStats: newRequestStats(), smallQuotas: map[string]*smallQuota{}, ownedSince: map[string]float64{}, formerlyOwned: map[string]float64{}, servedAsBackup: map[string]bool{}, allocateNow: make(chan struct{}, 1), tokenClients: map[string]*tokenClient{}, registryFailedAt: map[string]time.Time{}, registryPeers: map[string]*rpc.Peer{},
+		newSeeds: make(chan []string, 1), limits: &http1.Limits{}, tokenTimeout: maxTokenWait, connectTimeoutMs: connectTimeoutMs}
+	bounds := settings.Bounds
+	p.quotaBounds = quota.BoundsOf(&bounds)
+	p.retryBudget = policy.NewTries(p.micros(), policy.TriesRule{Window: policy.Micros(bounds.RetryWindowS * 1e6), Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack})
+	p.tenants.FloorFor = minimumValidity
+	p.handler = &handler{p: p}
+	p.fanout, p.workerListVersions = newFanout(), map[string]uint64{}
+	p.seedAddrs = settings.Seeds(0)
+	p.addRegistries(seedRegistries(p.seedAddrs))
+	tune(settings.SizeLimits.MemoryMB)
+	budget := link.NewBudget(settings.SizeLimits.Handles-reservedDescriptors, 32)
 	loop, err := link.NewLoop(budget)
 	if err != nil {
 		return nil, err
 	}
 	p.loop = loop
-	loop.Flowing = set.SizeLimits.MemoryMB << 20 / 8
+	loop.Flowing = settings.SizeLimits.MemoryMB << 20 / 8
 	loop.OnAlarm(p.advance)
-	p.on(func() {
-		p.clients = link.NewClients(loop, p.clock, nil, p.front)
+	p.runOnLoop(func() {
+		p.clients = link.NewClients(loop, p.clock, nil, p.handler)
 		p.clients.Limits = &link.ClientLimits{HTTP: p.limits}
-		p.clients.Verdict = p.front
-		p.doors = link.NewClients(loop, p.clock, nil, door{p})
-		loop.Every(sweepEvery, func() {
+		p.clients.Verdict = p.handler
+		p.readinessClients = link.NewClients(loop, p.clock, nil, readinessHandler{p})
+		loop.Every(sweepInterval, func() {
 			p.clients.Sweep()
-			p.doors.Sweep()
-			for _, s := range p.order {
-				s.fleet.Sweep()
+			p.readinessClients.Sweep()
+			for _, pool := range p.poolList {
+				pool.fleet.Sweep()
 			}
 		})
-		loop.Every(figuresEvery, p.figures)
+		loop.Every(countersLogInterval, p.logCounters)
 	})
 	return p, nil
 }
 
-// tune sets the runtime for one core and little memory.
+// tune limits the processors and the memory that the Go runtime uses.
 func tune(memoryMB int) {
 	runtime.GOMAXPROCS(2)
 	if memoryMB > 0 {
@@ -183,19 +213,20 @@
 	}
 }
 
-// on runs do on the loop and waits for it.
-func (p *Proxy) on(do func()) {
+// runOnLoop runs f on the loop and waits until it has returned.
+func (p *Proxy) runOnLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.Post(func() {
-		do()
+		f()
 		close(done)
 	})
 	<-done
 }
 
+// micros returns the time of the proxy's clock.
 func (p *Proxy) micros() policy.Micros { return policy.Micros(p.clock.Now() * 1000) }
 
-// wake asks for the earliest of what the pools ask for.
+// wake sets the alarm of the loop to the earliest time that any pool has asked for.
 func (p *Proxy) wake(at float64) {
 	if p.wakeAt == 0 || at < p.wakeAt {
 		p.wakeAt = at
@@ -203,267 +234,277 @@
 	}
 }
 
+// advance is called when the alarm goes off.
 func (p *Proxy) advance() {
 	p.wakeAt = 0
-	for _, s := range p.order {
-		s.core.Advance()
+	for _, pool := range p.poolList {
+		pool.core.Advance()
 	}
 }
 
-// Serve answers clients until the context ends, and then until what was taken is answered.
+// Serve answers clients until the context ends, and then drains: it returns once all accepted requests are answered
+// or the grace period is over.
 func (p *Proxy) Serve(ctx context.Context) error {
-	ln, err := link.Listen(p.set.Gates.Counter)
+	listener, err := link.Listen(p.settings.Gates.Counter)
 	if err != nil {
 		return err
 	}
-	go ln.Accept(p.loop, func() *link.Client { return p.clients.Make() })
-	if a := p.set.Gates.Readiness; a != "" && a != p.set.Gates.Counter {
-		ready, err := link.Listen(a)
+	go listener.Accept(p.loop, func() *link.Client { return p.clients.Make() })
+	if readinessAddr := p.settings.Gates.Readiness; readinessAddr != "" && readinessAddr != p.settings.Gates.Counter {
+		readinessListener, err := link.Listen(readinessAddr)
 		if err != nil {
 			return err
 		}
-		go ready.Accept(p.loop, func() *link.Client { return p.doors.Make() })
+		go readinessListener.Accept(p.loop, func() *link.Client { return p.readinessClients.Make() })
 	}
-	inner, err := rpc.Listen(p.set.Inner(0))
+	rpcListener, err := rpc.Listen(p.settings.Inner(0))
 	if err != nil {
 		return err
 	}
-	s := rpc.NewServer()
-	rpc.Handle(s, p.status)
-	rpc.Handle(s, p.granting)
-	rpc.Handle(s, p.subscribed)
-	rpc.Handle(s, p.lent)
-	rpc.Handle(s, p.gathered)
-	rpc.Handle(s, p.copies)
-	rpc.Handle(s, p.saw)
-	rpc.Handle(s, p.posted)
-	go func() { _ = s.Serve(inner) }()
-	session, end := context.WithCancel(context.Background())
-	gone := make(chan struct{})
+	server := rpc.NewServer()
+	rpc.Handle(server, p.status)
+	rpc.Handle(server, p.grantTokens)
+	rpc.Handle(server, p.handleSubscribe)
+	rpc.Handle(server, p.handleOffer)
+	rpc.Handle(server, p.handleCollect)
+	rpc.Handle(server, p.mirrorStatus)
+	rpc.Handle(server, p.handleReport)
+	rpc.Handle(server, p.handleVerdicts)
+	go func() { _ = server.Serve(rpcListener) }()
+	sessionCtx, endSession := context.WithCancel(context.Background())
+	sessionEnded := make(chan struct{})
 	go func() {
-		p.session(session)
-		close(gone)
+		p.runSession(sessionCtx)
+		close(sessionEnded)
 	}()
-	go p.draws(session)
-	go p.sheds(session)
-	go p.shadowing(session)
-	go p.lends(session)
-	p.log.Info().Str("counter", p.set.Gates.Counter).Msg("serving")
+	go p.runAllocations(sessionCtx)
+	go p.runReports(sessionCtx)
+	go p.runMirror(sessionCtx)
+	go p.runOffers(sessionCtx)
+	p.log.Info().Str("counter", p.settings.Gates.Counter).Msg("serving")
 	<-ctx.Done()
-	until := time.Now().Add(time.Duration(p.set.Bounds.GraceS*float64(time.Second)) - drainSpare/2)
-	p.drain(ln)
-	p.shadow.hand(min(handMost, time.Until(until)))
-	end()
-	<-gone
+	deadline := time.Now().Add(time.Duration(p.settings.Bounds.GraceS*float64(time.Second)) - drainReserve/2)
+	p.drain(listener)
+	p.mirror.handOver(min(maxHandOverTime, time.Until(deadline)))
+	endSession()
+	<-sessionEnded
 	return p.loop.Stop()
 }
 
-// drain answers what was taken and what still comes, while the directory and the platform
-// learn that clients are to go elsewhere. It closes the door before it looks for the last time:
-// a request that comes between the last look and the end would be lost.
-func (p *Proxy) drain(ln *link.Listener) {
+// drain answers the requests that were accepted and those that still arrive while the directory and the platform
+// learn to send clients elsewhere. The listener is closed before the last check for open requests: a request that
+// arrived between the check and the end of the process would be lost.
+func (p *Proxy) drain(listener *link.Listener) {
 	began := time.Now()
 	p.log.Info().Msg("draining")
-	p.on(func() {
+	p.runOnLoop(func() {
 		p.draining = true
 		p.isReady.Store(false)
 		p.clients.Drain()
 	})
-	select { // the next homes need what is held here
-	case p.drawNow <- struct{}{}:
+	select { // the next owners of small quotas need the tokens held here
+	case p.allocateNow <- struct{}{}:
 	default:
 	}
 	go p.announce()
-	most := time.Duration(p.set.Bounds.GraceS*float64(time.Second)) - drainSpare
-	open := true
+	limit := time.Duration(p.settings.Bounds.GraceS*float64(time.Second)) - drainReserve
+	listening := true
 	for {
-		time.Sleep(drainLook)
-		gone := time.Since(began)
-		shut, idle := drainAt(gone, most)
-		if open && shut {
-			open = false
-			_ = ln.Close()
+		time.Sleep(drainPollInterval)
+		elapsed := time.Since(began)
+		closeListener, closeIdle := drainState(elapsed, limit)
+		if listening && closeListener {
+			listening = false
+			_ = listener.Close()
 		}
-		left := 0
-		p.on(func() {
-			if idle {
+		openCount := 0
+		p.runOnLoop(func() {
+			if closeIdle {
 				p.clients.CloseIdle()
 			}
-			for _, s := range p.order {
-				left += s.core.Open()
+			for _, pool := range p.poolList {
+				openCount += pool.core.Open()
 			}
-			left += p.clients.Len()
+			openCount += p.clients.Len()
 		})
-		if !open && left == 0 || gone > most {
-			p.log.Info().Int("left", left).Dur("took", gone).Msg("drained")
+		if !listening && openCount == 0 || elapsed > limit {
+			p.log.Info().Int("left", openCount).Dur("took", elapsed).Msg("drained")
 			return
 		}
 	}
 }
 
-// drainAt tells what a drain has come to that may last so long at most: whether the door is shut, and
-// whether connections without a request end.
-func drainAt(gone, most time.Duration) (shut, idle bool) {
-	return gone > min(drainOpen, most/2), gone > drainOpen/2
+// drainState tells for a drain that began elapsed ago and may take limit whether to close the listener and whether to
+// close idle connections.
+func drainState(elapsed, limit time.Duration) (closeListener, closeIdle bool) {
+	return elapsed > min(drainAcceptTime, limit/2), elapsed > drainAcceptTime/2
 }
 
-// ready tells whether clients may come: who has just started holds nothing of what was
-// acknowledged before it has heard from the tail.
+// ready tells whether clients may be sent here. A gatekeeper that has just started knows no revocations or other
+// changes before it has received the state of the chain's tail.
 func (p *Proxy) ready() bool {
-	return !p.draining && (p.signed || !p.set.Bounds.RevocationFinal) && p.table != nil && len(p.workers) > 0
+	return !p.draining && (p.hasSession || !p.settings.Bounds.RevocationFinal) && p.config != nil && len(p.workers) > 0
 }
 
-// keysHold tells whether keys may be honoured: where revocations are final, only under a
-// lease that began when the tail was asked. A gatekeeper that wakes from a freeze is out of it.
-func (p *Proxy) keysHold() bool {
-	return !p.set.Bounds.RevocationFinal || p.clock.Now() < p.keysTo
+// keysValid tells whether keys may be accepted. If revocations are final, this needs a lease that counts from the
+// time of the request to the registry. So a gatekeeper that was frozen for long accepts none.
+func (p *Proxy) keysValid() bool {
+	return !p.settings.Bounds.RevocationFinal || p.clock.Now() < p.keysValidUntil
 }
 
-// giveBack returns what a request drew that never ran.
-func (p *Proxy) giveBack(l *link.Client) {
-	k, ok := l.Value.(*try)
+// giveBack returns the token of a request that never ran.
+func (p *Proxy) giveBack(client *link.Client) {
+	attempt, ok := client.Value.(*clientAttempt)
 	if !ok {
 		return
 	}
-	if k.drawn {
-		k.drawn = false
-		p.tenants.GiveBack(p.micros(), k.tenant)
+	if attempt.tokenTaken {
+		attempt.tokenTaken = false
+		p.tenants.GiveBack(p.micros(), attempt.tenant)
 	}
-	if t := p.thins[k.tenant]; k.home && t != nil {
-		k.home = false
-		t.spare = min(t.spare+1, spareMost)
+	if small := p.smallQuotas[attempt.tenant]; attempt.ownerTokenTaken && small != nil {
+		attempt.ownerTokenTaken = false
+		small.spare = min(small.spare+1, maxSpareTokens)
 	}
 }
 
-// destination is the pool that a request of a course goes to; a split goes by chance.
-func (p *Proxy) destination(c *timetable.Course) *pool {
+// destination returns the pool for a request of a route. If the route is split over several services, one is drawn at
+// random by weight.
+func (p *Proxy) destination(route *timetable.Course) *pool {
 	i := 0
-	if len(c.Split) > 1 {
+	if len(route.Split) > 1 {
 		sum := 0.0
-		for _, s := range c.Split {
+		for _, s := range route.Split {
 			sum += s.Weight
 		}
-		at := rand.Float64() * sum
-		for i = 0; i < len(c.Split)-1 && (at >= c.Split[i].Weight || c.Split[i].Weight == 0); i++ {
-			at -= c.Split[i].Weight
+		point := rand.Float64() * sum
+		for i = 0; i < len(route.Split)-1 && (point >= route.Split[i].Weight || route.Split[i].Weight == 0); i++ {
+			point -= route.Split[i].Weight
 		}
 	}
-	return p.pools[c.Split[i].Destination]
+	return p.pools[route.Split[i].Destination]
 }
 
-// homes is the regions that may serve a request, as bits; 0 is any.
-func (p *Proxy) homes(c *timetable.Course, s *timetable.Sender) uint64 {
-	mask := p.bits(c.Homes)
-	if s == nil || len(s.Homes) == 0 {
+// allowedRegions returns a mask of the regions that may serve a request, or 0 for any region.
+func (p *Proxy) allowedRegions(route *timetable.Course, sender *timetable.Sender) uint64 {
+	mask := p.regionMask(route.Homes)
+	if sender == nil || len(sender.Homes) == 0 {
 		return mask
 	}
-	if own := p.bits(s.Homes); mask == 0 {
-		return own
-	} else if mask&own != 0 {
-		return mask & own
+	if ownMask := p.regionMask(sender.Homes); mask == 0 {
+		return ownMask
+	} else if mask&ownMask != 0 {
+		return mask & ownMask
 	}
-	return nowhere
+	return noRegion
 }
 
-// nowhere is the bit of a region that there is not.
-const nowhere = 1 << 63
+// noRegion is a bit that no region has.
+const noRegion = 1 << 63
 
-func (p *Proxy) bits(regions []string) (mask uint64) {
+// regionMask returns the regions as bits.
+func (p *Proxy) regionMask(regions []string) (mask uint64) {
 	for _, r := range regions {
 		mask |= 1 << p.region(r)
 	}
 	return mask
 }
 
+// region returns the bit of a region. Regions beyond the 63rd share the last bit.
 func (p *Proxy) region(name string) int {
-	i, ok := p.regions[name]
+	i, ok := p.regionBits[name]
 	if !ok {
-		i = min(len(p.regions), 62)
-		p.regions[name] = i
+		i = min(len(p.regionBits), 62)
+		p.regionBits[name] = i
 	}
 	return i
 }
 
-func (p *Proxy) regionOf(zone string) int { return p.region(p.set.RegionOf(zone)) }
+// regionOf returns the bit of a zone's region.
+func (p *Proxy) regionOf(zone string) int { return p.region(p.settings.RegionOf(zone)) }
 
-// What a worker's place costs, against one in our zone.
+// Costs of a worker in another zone of the region and in another region, relative to one in the gatekeeper's own
+// zone.
 const (
-	dearZone   = 1.4
-	dearRegion = 40.0
+	otherZoneCost   = 1.4
+	otherRegionCost = 40.0
 )
 
-func (p *Proxy) dear(zone string) float64 {
+// zoneCost returns the relative cost of a worker in a zone.
+func (p *Proxy) zoneCost(zone string) float64 {
 	switch {
-	case zone == p.set.Zone:
+	case zone == p.settings.Zone:
 		return 1
-	case p.set.RegionOf(zone) == p.set.Region:
-		return dearZone
+	case p.settings.RegionOf(zone) == p.settings.Region:
+		return otherZoneCost
 	}
-	return dearRegion
+	return otherRegionCost
 }
 
-// misdirected learns from a 421 that a worker has gone and its address has been given away.
-func (p *Proxy) misdirected(x *gatekeeper.Execution) {
+// misdirected handles an answer 421: the worker is gone and its address belongs to another process now.
+func (p *Proxy) misdirected(execution *gatekeeper.Execution) {
 	p.counts.Misdirected++
 	for _, w := range p.workers {
-		if policy.Server(hash(w.ID)) == x.Worker && !w.wrong {
-			w.wrong = true
-			name := w.Destination
+		if policy.Server(hash64(w.ID)) == execution.Worker && !w.misdirected {
+			w.misdirected = true
+			destination := w.Destination
 			p.loop.Post(func() {
-				if s := p.pools[name]; s != nil {
-					s.place()
+				if pool := p.pools[destination]; pool != nil {
+					pool.updateWorkers()
 				}
 			})
 		}
 	}
 }
 
-func (p *Proxy) figures() {
+// logCounters writes the counters to the log.
+func (p *Proxy) logCounters() {
 	open := 0
-	for _, s := range p.order {
-		open += s.core.Open()
+	for _, pool := range p.poolList {
+		open += pool.core.Open()
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	p.log.Info().Interface("counts", p.counts).Interface("sent", rpc.Sent()).Int("open", open).Int("members", p.members).Int("workers", len(p.workers)).
-		Uint64("heapKB", m.HeapAlloc>>10).Uint64("sysKB", m.Sys>>10).Msg("figures")
+	p.log.Info().Interface("counts", p.counts).Interface("sent", rpc.Sent()).Int("open", open).Int("members", p.memberCount).Int("workers", len(p.workers)).
+		Uint64("heapKB", m.HeapAlloc>>10).Uint64("sysKB", m.Sys>>10).Msg("counters since start")
 }
 
+// status answers with the lines that the operator's status command prints.
 func (p *Proxy) status(context.Context, waymark.AskStatus) (waymark.Status, error) {
-	var s waymark.Status
-	p.on(func() {
-		say := func(format string, a ...any) { s.Lines = append(s.Lines, fmt.Sprintf(format, a...)) }
-		say("station %s zone %s ready %t draining %t", p.set.Station, p.set.Zone, p.ready(), p.draining)
-		if p.table != nil {
-			say("edition %s routes %d tenants %d", timetable.FormatEdition(p.table.Edition), len(p.table.Courses), len(p.table.Senders))
+	var status waymark.Status
+	p.runOnLoop(func() {
+		add := func(format string, a ...any) { status.Lines = append(status.Lines, fmt.Sprintf(format, a...)) }
+		add("station %s zone %s ready %t draining %t", p.settings.Station, p.settings.Zone, p.ready(), p.draining)
+		if p.config != nil {
+			add("edition %s routes %d tenants %d", timetable.FormatEdition(p.config.Edition), len(p.config.Courses), len(p.config.Senders))
 		}
-		say("place %d of %d members, roster version %d", p.place, p.members, p.roster)
-		for _, x := range p.order {
+		add("place %d of %d members, roster version %d", p.memberIndex, p.memberCount, p.rosterVersion)
+		for _, x := range p.poolList {
 			ready, listed := x.core.Size()
-			say("destination %s open %d workers %d of %d", x.name, x.core.Open(), ready, listed)
+			add("destination %s open %d workers %d of %d", x.name, x.core.Open(), ready, listed)
 		}
-		held, left := p.tenants.Holding(p.micros())
-		if p.shed != nil {
-			s.Lines = append(s.Lines, p.shed.lines()...)
+		slices, leaseLeft := p.tenants.Holding(p.micros())
+		if p.shedder != nil {
+			status.Lines = append(status.Lines, p.shedder.statusLines()...)
 		}
-		if p.herald != nil {
-			s.Lines = append(s.Lines, p.herald.lines()...)
+		if p.outliers != nil {
+			status.Lines = append(status.Lines, p.outliers.statusLines()...)
 		}
-		say("slices' lease %d ms", left/1000)
-		for name, x := range held {
-			say("slice %s rate %.2f burst %.2f floor %.2f", name, x.Rate, x.Burst, x.Floor)
+		add("slices' lease %d ms", leaseLeft/1000)
+		for name, x := range slices {
+			add("slice %s rate %.2f burst %.2f floor %.2f", name, x.Rate, x.Burst, x.Floor)
 		}
 	})
-	if p.shadow != nil {
-		s.Lines = append(s.Lines, p.shadow.lines()...)
+	if p.mirror != nil {
+		status.Lines = append(status.Lines, p.mirror.statusLines()...)
 	}
-	return s, nil
+	return status, nil
 }
 
-// Reload takes a settings file that has changed.
-func (p *Proxy) Reload(set *bootconfig.Settings) {
+// Reload takes the registries' addresses from changed settings. Everything else takes effect at the next start.
+func (p *Proxy) Reload(settings *bootconfig.Settings) {
 	select {
-	case p.seeds <- set.Seeds(0):
+	case p.newSeeds <- settings.Seeds(0):
 	default:
 	}
 }
--- a/internal/switchback/session.go
+++ b/internal/switchback/session.go
@@ -15,92 +15,94 @@
 	"foxwood/policy"
 )
 
-// session keeps a session with a control gatekeeper: near ones first, and another one where a
-// call fails or who answers has lost sight of the tail.
-func (p *Proxy) session(ctx context.Context) {
+// runSession keeps a session with a registry until the context ends. Registries in the same zone are preferred. The
+// session moves to another registry if a call fails or if the registry is out of touch with the tail of the chain.
+func (p *Proxy) runSession(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.sign(ctx)
+		p.heartbeat(ctx)
 	}
-	p.farewell()
+	p.endSession()
 }
 
-func (p *Proxy) sign(ctx context.Context) {
+// heartbeat sends one heartbeat and handles the answer.
+func (p *Proxy) heartbeat(ctx context.Context) {
 	select {
-	case seeds := <-p.seeds:
-		p.named = seeds
-		p.learn(seedCores(seeds))
+	case seeds := <-p.newSeeds:
+		p.seedAddrs = seeds
+		p.addRegistries(seedRegistries(seeds))
 	default:
 	}
-	to := p.choose()
-	peer := p.peers[to]
+	addr := p.chooseRegistry()
+	peer := p.registryPeers[addr]
 	if peer == nil {
-		peer = rpc.NewPeer(to)
-		p.peers[to] = peer
+		peer = rpc.NewPeer(addr)
+		p.registryPeers[addr] = peer
 	}
-	var q waymark.Sign
-	var asked float64
-	p.on(func() {
-		q = p.question()
-		asked = p.clock.Now()
-		p.control = peer
+	var request waymark.Sign
+	var askedAt float64
+	p.runOnLoop(func() {
+		request = p.heartbeatRequest()
+		askedAt = p.clock.Now()
+		p.registry = peer
 	})
-	began := p.relay.now()
-	call, cancel := context.WithTimeout(ctx, callMost)
-	a, err := rpc.Call[waymark.Sign, waymark.Signed](call, peer, q)
+	began := p.fanout.now()
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	answer, err := rpc.Call[waymark.Sign, waymark.Signed](callCtx, peer, request)
 	cancel()
-	p.relay.signed(began, err == nil && !a.Stale)
-	p.on(func() {
-		p.counts.Signs++
+	p.fanout.noteHeartbeat(began, err == nil && !answer.Stale)
+	p.runOnLoop(func() {
+		p.counts.Heartbeats++
 		if err != nil {
-			p.counts.SignsFailed++
+			p.counts.HeartbeatsFailed++
 		}
 	})
 	if err != nil {
-		p.leaveCore(to, err.Error())
-		pause(ctx, p.signWait(failWait))
+		p.leaveRegistry(addr, err.Error())
+		pause(ctx, p.retryDelay(failedRetryDelay))
 		return
 	}
-	if len(a.Cores) > 0 && !a.Stale {
-		p.forget(a.Cores)
+	if len(answer.Cores) > 0 && !answer.Stale {
+		p.dropReplaced(answer.Cores)
 	}
-	p.learn(a.Cores)
-	if !p.heard(ctx, &a, asked) {
-		defer pause(ctx, unreadWait) // it comes with each answer
+	p.addRegistries(answer.Cores)
+	if !p.received(ctx, &answer, askedAt) {
+		defer pause(ctx, unreadableConfigDelay) // it comes with each answer
 	}
-	if !a.Stale {
-		p.badSigns = 0
+	if !answer.Stale {
+		p.badHeartbeats = 0
 		return
 	}
-	p.leaveCore(to, "has lost sight of the tail")
-	pause(ctx, p.signWait(staleWait))
+	p.leaveRegistry(addr, "out of touch with the tail of the chain")
+	pause(ctx, p.retryDelay(staleRetryDelay))
 }
 
-// signWait is how long to wait behind a sign that was no good. The first few go to other registries at once, as one of them
-// is likely to be in touch. Where none is, the wait doubles: the haste of a whole fleet would keep a core that
-// is about to come back from it.
-func (p *Proxy) signWait(first time.Duration) time.Duration {
-	wait := first << max(p.badSigns-signsAtOnce, 0)
-	p.badSigns = min(p.badSigns+1, signsAtOnce+signDoublings)
-	if wait = min(wait, signWaitMost); wait <= first {
+// retryDelay returns the delay after a bad heartbeat. The first few retries go to other registries promptly, as one
+// of them is likely to be in touch with the tail. If none is, the delay doubles each time: frequent retries of a
+// whole fleet could keep the registries from recovering.
+func (p *Proxy) retryDelay(first time.Duration) time.Duration {
+	wait := first << max(p.badHeartbeats-promptRetries, 0)
+	p.badHeartbeats = min(p.badHeartbeats+1, promptRetries+maxDelayDoublings)
+	if wait = min(wait, maxRetryDelay); wait <= first {
 		return wait
 	}
 	return wait/2 + rand.N(wait/2)
 }
 
-// heard takes a bothy's news, and has the zone's homes give what is lacking of them. It tells
-// whether the configuration could be read, if one came.
-func (p *Proxy) heard(ctx context.Context, a *waymark.Signed, asked float64) (read bool) {
-	p.relay.hear(a)
-	read = p.hold(a.Body)
-	p.on(func() { p.apply(a, asked) })
-	if p.subscribe(ctx) {
-		p.on(func() {
-			p.apply(&waymark.Signed{AsOf: a.AsOf, Stale: a.Stale, Edition: a.Edition, Again: a.Again}, asked)
+// received handles the answer to a heartbeat, and fetches the parts that were only announced from the zone homes. It
+// tells whether the configuration in it, if any, could be read.
+func (p *Proxy) received(ctx context.Context, answer *waymark.Signed, askedAt float64) (read bool) {
+	p.fanout.receive(answer)
+	read = p.storeConfig(answer.Body)
+	p.runOnLoop(func() { p.apply(answer, askedAt) })
+	if p.fetchFromHomes(ctx) {
+		p.runOnLoop(func() {
+			p.apply(&waymark.Signed{AsOf: answer.AsOf, Stale: answer.Stale, Edition: answer.Edition, Again: answer.Again}, askedAt)
 		})
 	}
 	return read
 }
 
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -108,221 +110,227 @@
 	}
 }
 
-// leaveCore has the next calls go to others for a while.
-func (p *Proxy) leaveCore(addr, why string) {
-	if time.Since(p.away[addr]) > awayFor {
-		p.log.Info().Str("from", addr).Str("reason", why).Msg("signs elsewhere")
+// leaveRegistry has the session avoid a registry for a while.
+func (p *Proxy) leaveRegistry(addr, reason string) {
+	if time.Since(p.registryFailedAt[addr]) > registryPause {
+		p.log.Info().Str("from", addr).Str("reason", reason).Msg("switching to another registry")
 	}
-	p.away[addr] = time.Now()
-	p.on(func() { p.counts.Moves++ })
+	p.registryFailedAt[addr] = time.Now()
+	p.runOnLoop(func() { p.counts.Moves++ })
 }
 
-func seedCores(seeds []string) (cores []waymark.Core) {
+// seedRegistries returns registries of which only the address is known.
+func seedRegistries(seeds []string) (registries []waymark.Core) {
 	for _, s := range seeds {
-		cores = append(cores, waymark.Core{Addr: s})
+		registries = append(registries, waymark.Core{Addr: s})
 	}
-	return cores
+	return registries
 }
 
-// forget drops core machines that neither who has the tail's word nor the settings name: they have been
-// replaced.
-func (p *Proxy) forget(told []waymark.Core) {
-	p.cores = slices.DeleteFunc(p.cores, func(c waymark.Core) bool {
-		if slices.Contains(p.named, c.Addr) || slices.ContainsFunc(told, func(k waymark.Core) bool { return k.Addr == c.Addr }) {
+// dropReplaced drops registries that appear neither in the settings nor in the list of a registry that is in touch
+// with the tail: they have been replaced.
+func (p *Proxy) dropReplaced(current []waymark.Core) {
+	p.registries = slices.DeleteFunc(p.registries, func(c waymark.Core) bool {
+		if slices.Contains(p.seedAddrs, c.Addr) || slices.ContainsFunc(current, func(k waymark.Core) bool { return k.Addr == c.Addr }) {
 			return false
 		}
-		if peer := p.peers[c.Addr]; peer != nil {
+		if peer := p.registryPeers[c.Addr]; peer != nil {
 			peer.Close()
 		}
-		delete(p.peers, c.Addr)
-		delete(p.away, c.Addr)
+		delete(p.registryPeers, c.Addr)
+		delete(p.registryFailedAt, c.Addr)
 		return true
 	})
 }
 
-// learn takes core machines that it is told of. One that is down may be the only one that is up later.
-func (p *Proxy) learn(cores []waymark.Core) {
-	for _, c := range cores {
-		i := slices.IndexFunc(p.cores, func(k waymark.Core) bool { return k.Addr == c.Addr })
+// addRegistries adds registries to the known ones. One that is down now may be the only one that is up later, so none
+// is removed here.
+func (p *Proxy) addRegistries(registries []waymark.Core) {
+	for _, c := range registries {
+		i := slices.IndexFunc(p.registries, func(k waymark.Core) bool { return k.Addr == c.Addr })
 		switch {
 		case i < 0:
-			p.cores = append(p.cores, c)
+			p.registries = append(p.registries, c)
 		case c.Zone != "":
-			p.cores[i] = c
+			p.registries[i] = c
 		}
 	}
 }
 
-// choose is the core machine to sign with: one that has not failed a moment ago, near ones
-// first, and of the same distance by a hash, so that gatekeepers spread.
-func (p *Proxy) choose() string {
+// chooseRegistry returns the address of the registry for the next heartbeat: one that has not failed recently, then
+// the nearest, then by a hash that spreads the gatekeepers.
+func (p *Proxy) chooseRegistry() string {
 	type rank struct {
 		away bool
 		far  int
 		at   uint64
 	}
-	of := func(c waymark.Core) rank {
-		r := rank{away: time.Since(p.away[c.Addr]) < awayFor, at: hash(c.Addr + p.set.Station)}
+	rankOf := func(c waymark.Core) rank {
+		r := rank{away: time.Since(p.registryFailedAt[c.Addr]) < registryPause, at: hash64(c.Addr + p.settings.Station)}
 		switch {
-		case c.Zone == p.set.Zone:
-		case c.Zone == "" || p.set.RegionOf(c.Zone) == p.set.Region:
+		case c.Zone == p.settings.Zone:
+		case c.Zone == "" || p.settings.RegionOf(c.Zone) == p.settings.Region:
 			r.far = 1
 		default:
 			r.far = 2
 		}
 		return r
 	}
-	best := slices.MinFunc(p.cores, func(a, b waymark.Core) int {
-		x, y := of(a), of(b)
+	best := slices.MinFunc(p.registries, func(a, b waymark.Core) int {
+		x, y := rankOf(a), rankOf(b)
 		switch {
 		case x.away != y.away && y.away:
 			return -1
 		case x.away != y.away:
 			return 1
-		case x.away: // all have failed: the one that failed longest ago
-			return p.away[a.Addr].Compare(p.away[b.Addr])
+		case x.away: // all have failed recently: take the one that failed longest ago
+			return p.registryFailedAt[a.Addr].Compare(p.registryFailedAt[b.Addr])
 		}
 		return cmp.Or(cmp.Compare(x.far, y.far), cmp.Compare(x.at, y.at))
 	})
 	return best.Addr
 }
 
-// question is what a sign says. On the loop.
-func (p *Proxy) question() waymark.Sign {
-	q := waymark.Sign{Member: p.guest(), Crowd: p.crowd.Mark, Cores: p.coresMark, Wait: signWait}
-	p.relay.do(func(float64) { p.relay.configcache.Question(&q) })
-	if p.shadow != nil {
-		q.Copies, q.Seats = q.Shadow > 0, p.shadow.seatMark
+// heartbeatRequest returns the request for the next heartbeat. It runs on the loop.
+func (p *Proxy) heartbeatRequest() waymark.Sign {
+	request := waymark.Sign{Member: p.self(), Crowd: p.membership.Mark, Cores: p.registriesMark, Wait: heartbeatWaitMs}
+	p.fanout.withLock(func(float64) { p.fanout.cache.Question(&request) })
+	if p.mirror != nil {
+		request.Copies, request.Seats = request.Shadow > 0, p.mirror.membersMark
 	}
-	return q
+	return request
 }
 
-func (p *Proxy) guest() membership.Member {
-	p.turn++
-	return membership.Member{Station: p.set.Station, Zone: p.set.Zone, Region: p.set.Region, Life: p.life, Turn: p.turn,
-		Counter: p.set.Gates.Counter, Inner: p.set.Inner(0), Ready: p.ready(), Leaving: p.draining, Alone: p.shedsAlone()}
+// self describes this gatekeeper as a member.
+func (p *Proxy) self() membership.Member {
+	p.sequence++
+	return membership.Member{Station: p.settings.Station, Zone: p.settings.Zone, Region: p.settings.Region, Life: p.incarnation, Turn: p.sequence,
+		Counter: p.settings.Gates.Counter, Inner: p.settings.Inner(0), Ready: p.ready(), Leaving: p.draining, Alone: p.shedsAlone()}
 }
 
-// apply puts the news in force. On the loop. Nothing ever goes back: editions, evacuations and
-// rosters only rise, whoever tells them.
-func (p *Proxy) apply(a *waymark.Signed, asked float64) {
-	replace := p.stocked()
-	p.settled = p.settled || a.Settled
-	p.again = a.Again
-	if a.CoresNow != 0 {
-		p.coresMark = a.CoresNow
+// apply puts what was received into force. It runs on the loop. Configurations, lists of evacuated zones and worker
+// lists are never replaced by older ones, whichever registry sends them.
+func (p *Proxy) apply(answer *waymark.Signed, askedAt float64) {
+	changed := p.applyCached()
+	p.membersKnown = p.membersKnown || answer.Settled
+	p.earlierBurstCounts = answer.Again
+	if answer.CoresNow != 0 {
+		p.registriesMark = answer.CoresNow
 	}
-	if a.Crowd != nil {
-		p.crowd = *a.Crowd
-		if place, n := p.crowd.Place, p.crowd.Count; n > 0 && place >= 0 {
-			replace = p.among(place, n) || replace
-			p.stand()
+	if answer.Crowd != nil {
+		p.membership = *answer.Crowd
+		if index, count := p.membership.Place, p.membership.Count; count > 0 && index >= 0 {
+			changed = p.setMemberIndex(index, count) || changed
+			p.updateRing()
 		}
 	}
-	if !a.Stale {
-		p.touched = max(p.touched, asked+a.AsOf)
+	if !answer.Stale {
+		p.tailStateAt = max(p.tailStateAt, askedAt+answer.AsOf)
 	}
-	if !a.Stale && (p.table != nil && p.table.Edition >= a.Edition) {
-		p.signed = true
-		p.keysTo = max(p.keysTo, asked+a.AsOf+p.set.Bounds.RevokeS*1000-leaseMargin)
+	if !answer.Stale && (p.config != nil && p.config.Edition >= answer.Edition) {
+		p.hasSession = true
+		p.keysValidUntil = max(p.keysValidUntil, askedAt+answer.AsOf+p.settings.Bounds.RevokeS*1000-keyLeaseMarginMs)
 	}
-	if p.shadow != nil {
-		p.shadow.learn(a, asked, replace)
+	if p.mirror != nil {
+		p.mirror.receive(answer, askedAt, changed)
 	}
-	p.placed(replace)
+	p.updatePools(changed)
 }
 
-// among takes our place among all members, and tells whether it is another one.
-func (p *Proxy) among(place, n int) bool {
-	changed := place != p.place || n != p.members
-	p.place, p.members = place, n
-	p.tries.Members(p.micros(), n, place)
-	for _, s := range p.order {
-		s.core.Among(place, n)
+// setMemberIndex sets the index of this gatekeeper among all members, and tells whether the index or the number of
+// members has changed.
+func (p *Proxy) setMemberIndex(index, count int) bool {
+	changed := index != p.memberIndex || count != p.memberCount
+	p.memberIndex, p.memberCount = index, count
+	p.retryBudget.Members(p.micros(), count, index)
+	for _, pool := range p.poolList {
+		pool.core.Among(index, count)
 	}
 	return changed
 }
 
-// ring is where this gatekeeper stands among those of its zone: nowhere while it does not know its
-// place among all members. Else all that start would use the same few workers until they know.
+// ring returns the rank of this gatekeeper among those of its zone. It is empty while the gatekeeper does not know
+// its index among all members: otherwise all gatekeepers that start would use the same few workers until they know
+// it.
 func (p *Proxy) ring() policy.Ring {
-	if p.crowd.Count == 0 || p.crowd.Place < 0 {
+	if p.membership.Count == 0 || p.membership.Place < 0 {
 		return policy.Ring{}
 	}
-	r := policy.Ring{Zone: hash(p.set.Zone), Of: len(p.crowd.Near) + 1}
-	for _, at := range p.crowd.Near {
-		if at < p.crowd.Place {
+	r := policy.Ring{Zone: hash64(p.settings.Zone), Of: len(p.membership.Near) + 1}
+	for _, index := range p.membership.Near {
+		if index < p.membership.Place {
 			r.Rank++
 		}
 	}
 	return r
 }
 
-func (p *Proxy) stand() {
+// updateRing passes the rank of this gatekeeper to all pools.
+func (p *Proxy) updateRing() {
 	r := p.ring()
-	for _, s := range p.order {
-		s.core.Stand(r)
+	for _, pool := range p.poolList {
+		pool.core.Stand(r)
 	}
 }
 
-// placed places workers anew where they have changed, and tells of a change of readiness.
-func (p *Proxy) placed(replace bool) {
-	if replace {
-		for _, s := range p.order {
-			s.place()
+// updatePools passes the workers to all pools if they have changed, and logs a change of readiness.
+func (p *Proxy) updatePools(workersChanged bool) {
+	if workersChanged {
+		for _, pool := range p.poolList {
+			pool.updateWorkers()
 		}
 	}
-	if r := p.ready(); r != p.isReady.Load() {
-		p.isReady.Store(r)
-		p.log.Info().Bool("ready", r).Msg("readiness")
+	if ready := p.ready(); ready != p.isReady.Load() {
+		p.isReady.Store(ready)
+		p.log.Info().Bool("ready", ready).Msg("readiness changed")
 	}
 }
 
-// enforce puts a configuration in force, whole.
-func (p *Proxy) enforce(t *timetable.Timetable) {
-	p.table, p.stays = t, make([]policy.Patience, len(t.Courses))
+// enforce puts a whole configuration into force.
+func (p *Proxy) enforce(config *timetable.Timetable) {
+	p.config, p.clientPatience = config, make([]policy.Patience, len(config.Courses))
 	var limited []string
-	for name := range quota.Limited(t) {
+	for name := range quota.Limited(config) {
 		limited = append(limited, name)
 	}
 	p.tenants.Limits(p.micros(), limited)
-	p.tries.Keep(func(service string) bool { return t.Destinations[service] != nil })
-	p.limits.Head, p.limits.Body, p.limits.Large = t.Limits.EnvelopeBytes, 0, t.Limits.BodyBytes
-	p.clients.Limits.ReadMost, p.clients.Limits.RestMost = t.Limits.EnvelopeS*1000, t.Limits.IdleS*1000
-	for name, d := range t.Destinations {
-		s := p.pool(name)
-		if s.dest = *d; d.BerthCap > 0 {
-			s.fleet.PerWorker = max(d.BerthCap/(2*max(p.members, 1)), 2)
+	p.retryBudget.Keep(func(service string) bool { return config.Destinations[service] != nil })
+	p.limits.Head, p.limits.Body, p.limits.Large = config.Limits.EnvelopeBytes, 0, config.Limits.BodyBytes
+	p.clients.Limits.ReadMost, p.clients.Limits.RestMost = config.Limits.EnvelopeS*1000, config.Limits.IdleS*1000
+	for name, destination := range config.Destinations {
+		pool := p.pool(name)
+		if pool.config = *destination; destination.BerthCap > 0 {
+			pool.fleet.PerWorker = max(destination.BerthCap/(2*max(p.memberCount, 1)), 2)
 		}
 	}
-	p.log.Info().Str("edition", timetable.FormatEdition(t.Edition)).Int("routes", len(t.Courses)).Msg("configuration")
+	p.log.Info().Str("edition", timetable.FormatEdition(config.Edition)).Int("routes", len(config.Courses)).Msg("configuration in force")
 }
 
-// announce tells at once that this gatekeeper is leaving: the session's own call may wait for half
-// a second yet, and the directory would go on naming it.
+// announce tells the registry at once that this gatekeeper is leaving. The heartbeat of the session may be held back
+// for another half second, during which the directory would go on naming this gatekeeper.
 func (p *Proxy) announce() {
-	var q waymark.Sign
-	var to *rpc.Peer
-	p.on(func() { q, to = p.question(), p.control })
-	if to == nil {
+	var request waymark.Sign
+	var registry *rpc.Peer
+	p.runOnLoop(func() { request, registry = p.heartbeatRequest(), p.registry })
+	if registry == nil {
 		return
 	}
-	q.Wait = 0
-	peer := rpc.NewPeer(to.Addr())
+	request.Wait = 0
+	peer := rpc.NewPeer(registry.Addr())
 	defer peer.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), callMost)
+	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, q)
+	_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, request)
 }
 
-// farewell tells the control gatekeeper that the session is over.
-func (p *Proxy) farewell() {
-	var q waymark.Sign
-	p.on(func() { q = p.question() })
-	q.Leaving, q.Wait = true, 0
+// endSession tells the registry that the session is over.
+func (p *Proxy) endSession() {
+	var request waymark.Sign
+	p.runOnLoop(func() { request = p.heartbeatRequest() })
+	request.Leaving, request.Wait = true, 0
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if peer := p.peers[p.choose()]; peer != nil {
-		_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, q)
+	if peer := p.registryPeers[p.chooseRegistry()]; peer != nil {
+		_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, request)
 	}
 }
