--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -105,7 +105,7 @@
 	expiresAt float64
 }
 
-// Take replaces the grant by one that was requested at the time asked and is valid for leaseMs from then on.
+// Take replaces the grant by one that was requested at askedAt and is valid for leaseMs from then on.
 func (l *Lease) Take(grant Grant, askedAt, leaseMs float64) {
 	l.grant, l.expiresAt = grant, askedAt+leaseMs
 }
--- a/internal/switchback/admission_test.go
+++ b/internal/switchback/admission_test.go
@@ -72,12 +72,12 @@
 func TestExcludedWorkersGetNoRequests(t *testing.T) {
 	t.Parallel()
 	proxy := newTestProxy(t)
-	one, two := startWorker(t, "w-a1", "a", replyWorkerID, nil), inZone("b1", startWorker(t, "w-b1", "a", replyWorkerID, nil))
-	nearer, closing := one, two // otherwise the near one would be preferred anyway
-	nearer.Closing, closing.Closing = true, true
-	gone := two
-	gone.Gone = true
-	all := func(want ...string) {
+	near, far := startWorker(t, "w-a1", "a", replyWorkerID, nil), inZone("b1", startWorker(t, "w-b1", "a", replyWorkerID, nil))
+	closingNear, closingFar := near, far // otherwise the near one would be preferred anyway
+	closingNear.Closing, closingFar.Closing = true, true
+	removedFar := far
+	removedFar.Gone = true
+	checkWorkers := func(want ...string) {
 		t.Helper()
 		for range 12 {
 			res, body := proxy.do("GET", "/", "", "")
@@ -89,25 +89,25 @@
 			assert.Assert(t, strings.Contains(strings.Join(want, " "), body), body)
 		}
 	}
-	proxy.receive(fullList(1, one, two), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", target: 1}}))
+	proxy.receive(fullList(1, near, far), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", target: 1}}))
 	proxy.receive(waymark.Signed{HasEvac: true, Evac: 5, Evacuated: []string{"a1"}}, nil)
-	all("w-b1")
+	checkWorkers("w-b1")
 	proxy.receive(waymark.Signed{HasEvac: true, Evac: 6, Evacuated: []string{"a1", "b1"}}, nil)
-	all()
+	checkWorkers()
 	proxy.receive(waymark.Signed{HasEvac: true, Evac: 5, Evacuated: []string{"a1"}}, nil) // an older list, from another registry
-	all()
+	checkWorkers()
 	proxy.receive(waymark.Signed{HasEvac: true, Evac: 7}, nil)
-	all("w-a1", "w-b1")
-	proxy.receive(listChanges(2, nearer), nil)
-	all("w-b1")
-	proxy.receive(fullList(1, one, two), nil) // an older list of workers
-	all("w-b1")
-	proxy.receive(listChanges(3, one, closing), nil)
-	all("w-a1")
-	proxy.receive(listChanges(4, gone), nil)
-	all("w-a1")
-	proxy.receive(fullList(5, two), nil)
-	all("w-b1")
+	checkWorkers("w-a1", "w-b1")
+	proxy.receive(listChanges(2, closingNear), nil)
+	checkWorkers("w-b1")
+	proxy.receive(fullList(1, near, far), nil) // an older list of workers
+	checkWorkers("w-b1")
+	proxy.receive(listChanges(3, near, closingFar), nil)
+	checkWorkers("w-a1")
+	proxy.receive(listChanges(4, removedFar), nil)
+	checkWorkers("w-a1")
+	proxy.receive(fullList(5, far), nil)
+	checkWorkers("w-b1")
 }
 
 // TestOlderConfigurationIsIgnored checks that an older configuration is not put into force, whichever registry sends
@@ -129,19 +129,19 @@
 // TestKeyLease: if revocations are final, keys are accepted only under a lease, which counts from when the tail was
 // asked. Without a lease the answer is 503, as 401 would tell the client not to retry.
 func TestKeyLease(t *testing.T) {
-	const most = 60000 - keyLeaseMarginMs // milliseconds, from revokeS in the settings
+	const maxLeaseMs = 60000 - keyLeaseMarginMs // milliseconds, from revokeS in the settings
 	for _, test := range []struct {
-		name  string
-		final bool
-		ago   float64 // milliseconds since the request to the registry
-		a     waymark.Signed
-		keys  float64 // end of the lease, in milliseconds from the request; 0 for no lease
+		name     string
+		final    bool
+		askedAgo float64 // milliseconds since the request to the registry
+		answer   waymark.Signed
+		leaseMs  float64 // end of the lease, in milliseconds from the request; 0 for no lease
 	}{
-		{"fresh", true, 0, waymark.Signed{}, most},
-		{"the tail was asked before the request", true, 0, waymark.Signed{AsOf: -20000}, most - 20000},
-		{"the tail was asked after the request", true, 10000, waymark.Signed{AsOf: 400}, most + 400},
-		{"asked long ago", true, 61000, waymark.Signed{}, most},
-		{"the tail was asked long ago", true, 0, waymark.Signed{AsOf: -61000}, most - 61000},
+		{"fresh", true, 0, waymark.Signed{}, maxLeaseMs},
+		{"the tail was asked before the request", true, 0, waymark.Signed{AsOf: -20000}, maxLeaseMs - 20000},
+		{"the tail was asked after the request", true, 10000, waymark.Signed{AsOf: 400}, maxLeaseMs + 400},
+		{"asked long ago", true, 61000, waymark.Signed{}, maxLeaseMs},
+		{"the tail was asked long ago", true, 0, waymark.Signed{AsOf: -61000}, maxLeaseMs - 61000},
 		{"stale", true, 0, waymark.Signed{Stale: true}, 0},
 		{"a configuration that is not here", true, 0, waymark.Signed{Edition: 2}, 0},
 		{"not final", false, 0, waymark.Signed{Stale: true}, 0},
@@ -149,21 +149,21 @@
 		proxy := newTestProxy(t, map[bool]string{true: "revocationFinal=true", false: "revocationFinal=false"}[test.final])
 		proxy.receive(stale(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil))),
 			newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/open/", destination: "a", withoutKey: true}}, tenantSpec{name: "ana"}))
-		if test.a.Edition == 0 {
-			test.a.Edition = 1
+		if test.answer.Edition == 0 {
+			test.answer.Edition = 1
 		}
 		proxy.runOnLoop(func() {
-			asked := proxy.clock.Now() - test.ago
-			proxy.apply(&test.a, asked)
-			if test.keys == 0 {
+			askedAt := proxy.clock.Now() - test.askedAgo
+			proxy.apply(&test.answer, askedAt)
+			if test.leaseMs == 0 {
 				assert.Check(t, proxy.keysValidUntil == 0, test.name)
 			} else {
-				assert.Check(t, proxy.keysValidUntil == asked+test.keys, test.name)
+				assert.Check(t, proxy.keysValidUntil == askedAt+test.leaseMs, test.name)
 			}
 		})
-		holds := !test.final || test.keys-test.ago > 0
+		accepted := !test.final || test.leaseMs-test.askedAgo > 0
 		res, _ := proxy.do("GET", "/", "Authorization: Bearer k-ana\r\n", "")
-		if holds {
+		if accepted {
 			assert.Equal(t, res.StatusCode, 200, test.name)
 		} else {
 			assert.Equal(t, res.StatusCode, 503, test.name)
@@ -228,12 +228,12 @@
 // and failed has used its token; otherwise a tenant could exceed its quota.
 func TestTokenReturnedOnlyIfNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
-		do   workerScript
-		back float64
+		do       workerScript
+		returned float64
 	}{
-		"turned away": {reply(503, notDeliveredLine, ""), 1},
-		"ran":         {reply(500, postmarkLine, ""), 0},
-		"broke off":   {closeConn, 0},
+		"refused": {reply(503, notDeliveredLine, ""), 1},
+		"ran":     {reply(500, postmarkLine, ""), 0},
+		"closed":  {closeConn, 0},
 	} {
 		proxy := newTestProxy(t)
 		proxy.receive(fullList(1, startWorker(t, "w", "a", test.do, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", target: 1, attempts: 1}}, tenantSpec{name: "ana", rate: 50}))
@@ -243,7 +243,7 @@
 		proxy.runOnLoop(func() {
 			held, _ := proxy.tenants.Holding(proxy.micros())
 			left := held["ana"].Tokens
-			assert.Check(t, left >= test.back && left < test.back+1, "%s: %v tokens left", name, left)
+			assert.Check(t, left >= test.returned && left < test.returned+1, "%s: %v tokens left", name, left)
 		})
 	}
 }
@@ -252,9 +252,9 @@
 // returned, whichever bucket it came from.
 func TestDuplicateAttemptReturnsToken(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		here, spare float64 // tokens in the local bucket, and spare tokens of the owner
-		home        int     // tokens that the owner grants
+		name         string
+		local, spare float64 // tokens in the local bucket, and spare tokens of the owner
+		granted      int     // tokens that the owner grants
 	}{
 		{"the local bucket", 2, 0, 0},
 		{"the owner", 0, 0, 2},
@@ -268,7 +268,7 @@
 			return replyWorkerID(count, r)
 		}
 		tokensLeft := make(chan int, 1)
-		tokensLeft <- test.home
+		tokensLeft <- test.granted
 		owner := newTestProxy(t).serveTokens(func(_ context.Context, q waymark.Tokens) (waymark.Granted, error) {
 			count := <-tokensLeft
 			granted := min(count, q.Wanted["ana"])
@@ -276,13 +276,13 @@
 			return waymark.Granted{Granted: map[string]int{"ana": granted}, Wait: map[string]float64{"ana": 1}}, nil
 		})
 		proxy.receive(fullList(1, startWorker(t, "w", "a", slow, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 2}))
-		if test.here == 0 {
+		if test.local == 0 {
 			proxy.runOnLoop(func() {
 				proxy.membership.Mark, proxy.memberCount = 1, 3
 				proxy.smallQuotas["ana"] = &smallQuota{mark: 1, owners: [2]string{owner, owner}, spare: int(test.spare)}
 			})
 		}
-		proxy.setTokens("ana", test.here)
+		proxy.setTokens("ana", test.local)
 		const key = "Authorization: Bearer k-ana\r\n"
 		text := newRequest("GET", "/", key, "")
 		first := proxy.dial().send(text)
@@ -444,27 +444,27 @@
 		return slice
 	}
 	failed := rpc.Errorf(rpc.Unavailable, "nobody has the duty")
-	draw := func(a error) {
+	allocate := func(a error) {
 		answers <- a
 		proxy.allocate(context.Background())
 	}
 	proxy.receive(waymark.Signed{}, config)
 	proxy.allocate(context.Background()) // there is no registry to ask
 	proxy.runOnLoop(func() { proxy.registry = rpc.NewPeer(listener.Addr().String()) })
-	draw(failed)
+	allocate(failed)
 	assert.Equal(t, held().Floor, 0.0, "minimum while the members are not known")
 	proxy.receive(waymark.Signed{Crowd: &waymark.Crowd{Mark: 1, Place: 1, Count: 3}}, nil)
-	draw(failed)
+	allocate(failed)
 	assert.Equal(t, held().Floor, 0.0, "minimum while the members are not known")
 	proxy.runOnLoop(func() { assert.Check(t, !proxy.startBurstTaken) })
 	proxy.receive(waymark.Signed{Settled: true}, nil)
-	draw(failed)
+	allocate(failed)
 	floor := held().Floor
 	assert.Assert(t, floor > 0 && floor <= 50.0/3+1, "%v", floor)
 	proxy.runOnLoop(func() { assert.Check(t, proxy.startBurstTaken) })
-	draw(nil)
+	allocate(nil)
 	assert.Assert(t, held().Rate == 1 && proxy.hasSlices)
-	draw(failed)
+	allocate(failed)
 	assert.Equal(t, held().Rate, 1.0, "an allotted slice is not replaced by a minimum")
 }
 
@@ -490,9 +490,9 @@
 		proxy.registry = rpc.NewPeer(listener.Addr().String())
 		assert.Check(t, proxy.earlierBurstCounts)
 	})
-	// spent requests an allocation and returns how many tokens can be spent beyond those that the minimum has
+	// spendable requests an allocation and returns how many tokens can be spent beyond those that the minimum has
 	// accrued.
-	spent := func() (n int) {
+	spendable := func() (n int) {
 		proxy.runOnLoop(func() { proxy.clock.Set(proxy.clock.Now()) })
 		proxy.allocate(context.Background())
 		proxy.runOnLoop(func() {
@@ -504,15 +504,15 @@
 		})
 		return n
 	}
-	assert.Equal(t, spent(), 0, "tokens while the start burst of the previous incarnation may count")
+	assert.Equal(t, spendable(), 0, "tokens while the start burst of the previous incarnation may count")
 	proxy.runOnLoop(func() { proxy.earlierBurstCounts, proxy.startBurstTaken = false, false })
-	assert.Assert(t, spent() > 0)
-	assert.Equal(t, spent(), 0)
+	assert.Assert(t, spendable() > 0)
+	assert.Equal(t, spendable(), 0)
 	slices = map[string]quota.Slice{"ana": {Kick: 4}}
-	assert.Equal(t, spent(), 0, "tokens after the start burst of the minimums was taken")
+	assert.Equal(t, spendable(), 0, "tokens after the start burst of the minimums was taken")
 	proxy.runOnLoop(func() { proxy.startBurstTaken = false })
-	assert.Equal(t, spent(), 4)
-	assert.Equal(t, spent(), 0)
+	assert.Equal(t, spendable(), 4)
+	assert.Equal(t, spendable(), 0)
 }
 
 // TestSplitFollowsWeights checks that requests are split by weight, and that a weight of 0 gets none.
--- a/internal/switchback/connection_faults_test.go
+++ b/internal/switchback/connection_faults_test.go
@@ -75,6 +75,7 @@
 	interim      bool
 }
 
+// answerShapes are the forms that are tested.
 var answerShapes = []answerShape{
 	{name: "by length", method: "POST", size: 8},
 	{name: "in chunks", method: "POST", size: 8, chunked: true},
@@ -121,6 +122,7 @@
 // faultKind is what happens to a connection at an offset.
 type faultKind string
 
+// The kinds of faults.
 const (
 	faultCut    faultKind = "cut"     // closed in one direction, the other one stays open
 	faultReset  faultKind = "reset"   // reset
@@ -148,9 +150,9 @@
 func (o *connScript) takeFault() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was := o.faultTaken
+	before := o.faultTaken
 	o.faultTaken = true
-	return !was
+	return !before
 }
 
 // noteReached records that a request arrived on the connection with the fault.
@@ -174,8 +176,8 @@
 	o.log.mu.Lock()
 	o.log.conns = append(o.log.conns, c)
 	o.log.mu.Unlock()
-	reader, faulty, spoilt := bufio.NewReader(c), false, false
-	for number, done := 0, 0; ; number++ {
+	reader, faulty, afterFault := bufio.NewReader(c), false, false
+	for number, writtenBytes := 0, 0; ; number++ {
 		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -188,7 +190,7 @@
 		if !strings.HasPrefix(r.Header.Get(headerExpectWorker), o.prefix) {
 			return // a request of another process for an earlier user of this address
 		}
-		if spoilt {
+		if afterFault {
 			o.log.violation("%s was sent on a connection after its fault", id)
 		}
 		if want := "body of " + id; r.Method == http.MethodPost && string(body) != want {
@@ -206,13 +208,13 @@
 		}
 		o.noteReached(number)
 		answer := o.answers[number]
-		faultHere := o.offset >= done && o.offset <= done+len(answer)
-		split := min(max(o.offset-done, 0), len(answer))
-		done += len(answer)
+		faultHere := o.offset >= writtenBytes && o.offset <= writtenBytes+len(answer)
+		split := min(max(o.offset-writtenBytes, 0), len(answer))
+		writtenBytes += len(answer)
 		switch {
 		case o.fault == faultRepeat && number == 0:
 			_, _ = io.WriteString(c, answer+answer[:o.offset])
-			spoilt = true
+			afterFault = true
 		case o.fault == faultNone:
 			_, _ = io.WriteString(c, answer[:split])
 			_, _ = io.WriteString(c, answer[split:])
@@ -223,12 +225,12 @@
 			switch o.fault {
 			case faultCut:
 				_ = c.(*net.TCPConn).CloseWrite()
-				spoilt = true
+				afterFault = true
 			case faultReset:
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
 			case faultStall:
-				spoilt = split < len(answer) // a stall after the last byte has no effect
+				afterFault = split < len(answer) // a stall after the last byte has no effect
 			}
 		}
 		close(o.written[number])
@@ -336,14 +338,14 @@
 }
 
 // runCases runs clients and workers through cases, each with a destination of its own.
-func runCases(t *testing.T, trials []faultCase) (served int) {
+func runCases(t *testing.T, cases []faultCase) (served int) {
 	t.Helper()
 	log := newExchangeLog()
-	t.Run("played", func(t *testing.T) {
+	t.Run("exchanges", func(t *testing.T) {
 		proxy := newTestProxy(t)
-		routes, scripts := make([]routeSpec, len(trials)), make([]*connScript, len(trials))
+		routes, scripts := make([]routeSpec, len(cases)), make([]*connScript, len(cases))
 		var workers []waymark.Worker
-		for number, oneCase := range trials {
+		for number, oneCase := range cases {
 			destination := fmt.Sprint("d", number)
 			routes[number] = routeSpec{prefix: fmt.Sprintf("/%d/", number), destination: destination, unsafe: !oneCase.safe, target: 0.3}
 			scripts[number] = &connScript{prefix: oneCase.prefix, log: log, shape: oneCase.shape, answers: oneCase.answers(number), fault: oneCase.fault, offset: oneCase.offset, written: []chan bool{make(chan bool), make(chan bool)}}
@@ -355,7 +357,7 @@
 		proxy.receive(fullList(1, workers...), newConfig(t, 1, routes))
 		proxy.reuseAtOnce()
 		var clients sync.WaitGroup
-		for number, oneCase := range trials {
+		for number, oneCase := range cases {
 			clientSlots <- true
 			clients.Go(func() {
 				defer func() { <-clientSlots }()
@@ -496,7 +498,7 @@
 				t.Parallel()
 				log := newExchangeLog()
 				defer log.check(t)
-				t.Run("played", func(t *testing.T) {
+				t.Run("exchanges", func(t *testing.T) {
 					proxy := newTestProxy(t)
 					prefix := newPrefix()
 					script := &connScript{prefix: prefix, log: log, shape: answerShapes[0]}
--- a/internal/switchback/disconnect_test.go
+++ b/internal/switchback/disconnect_test.go
@@ -57,17 +57,17 @@
 
 // awaitOpen waits until n requests are queued or running.
 func (s *testProxy) awaitOpen(n int) {
-	for until := time.Now().Add(testTimeout); ; {
-		under := 0
+	for deadline := time.Now().Add(testTimeout); ; {
+		open := 0
 		s.runOnLoop(func() {
-			for _, p := range s.poolList {
-				under += p.core.Load().Queued + p.core.Load().InFlight
+			for _, pool := range s.poolList {
+				open += pool.core.Load().Queued + pool.core.Load().InFlight
 			}
 		})
-		if under == n {
+		if open == n {
 			return
 		}
-		assert.Assert(s.t, time.Now().Before(until), "%d requests are queued or running", under)
+		assert.Assert(s.t, time.Now().Before(deadline), "%d requests are queued or running", open)
 	}
 }
 
--- a/internal/switchback/drain_test.go
+++ b/internal/switchback/drain_test.go
@@ -66,8 +66,8 @@
 func TestListenerStaysOpenDuringDrain(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
-		gone, most time.Duration
-		shut, idle bool
+		elapsed, limit           time.Duration
+		closeListener, closeIdle bool
 	}{
 		{0, 20000 * ms, false, false},
 		{drainPollInterval, 20000 * ms, false, false},
@@ -78,8 +78,8 @@
 		{900 * ms, 2000 * ms, false, false},
 		{1050 * ms, 2000 * ms, true, false},
 	} {
-		closeListener, closeIdle := drainState(test.gone, test.most)
-		assert.Check(t, closeListener == test.shut && closeIdle == test.idle, "%v of %v: close listener %v, close idle %v", test.gone, test.most, closeListener, closeIdle)
+		closeListener, closeIdle := drainState(test.elapsed, test.limit)
+		assert.Check(t, closeListener == test.closeListener && closeIdle == test.closeIdle, "%v of %v: close listener %v, close idle %v", test.elapsed, test.limit, closeListener, closeIdle)
 	}
 }
 
--- a/internal/switchback/fanout_test.go
+++ b/internal/switchback/fanout_test.go
@@ -30,6 +30,7 @@
 	registry *rpc.Server
 }
 
+// registryHost is the address of the registry.
 const registryHost = "127.0.0.9"
 
 // configBody returns a compressed configuration.
@@ -118,7 +119,7 @@
 
 // startTwo starts two gatekeepers that hold configuration 1 and one worker, and know each other. It returns the zone
 // home of the workers first.
-func (v *testZone) startTwo(final bool) (home, other *Proxy, homeInner *rpc.Server) {
+func (v *testZone) startTwo(final bool) (home, other *Proxy, homeServer *rpc.Server) {
 	first, firstServer := v.start(0, final)
 	second, secondServer := v.start(1, final)
 	marks, parts := workerList(1, 0, "w1")
@@ -151,9 +152,9 @@
 // TestRegistryReplacesFailedZoneHome: the registry sends what the zone home does not have, because the home is dead,
 // out of touch or behind.
 func TestRegistryReplacesFailedZoneHome(t *testing.T) {
-	for name, spoil := range map[string]func(*Proxy, *rpc.Server){
+	for name, disable := range map[string]func(*Proxy, *rpc.Server){
 		"dead": func(_ *Proxy, s *rpc.Server) { s.Close() },
-		"cut from the core": func(p *Proxy, _ *rpc.Server) {
+		"out of touch with the registries": func(p *Proxy, _ *rpc.Server) {
 			p.fanout.start = p.fanout.start.Add(-time.Second)
 			p.fanout.noteHeartbeat(1, false)
 		},
@@ -161,8 +162,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			zone := newTestZone(t)
-			home, other, inner := zone.startTwo(false)
-			spoil(home, inner)
+			home, other, homeServer := zone.startTwo(false)
+			disable(home, homeServer)
 			marks, parts := workerList(2, 1, "w2")
 			zone.heartbeat(other, waymark.Signed{Edition: 1, Marks: marks})
 			request := zone.heartbeat(other, waymark.Signed{Edition: 1, Parts: parts})
@@ -178,13 +179,13 @@
 func TestSubscribeWaitsForUpdate(t *testing.T) {
 	zone := newTestZone(t)
 	home, _, _ := zone.startTwo(false)
-	got := make(chan waymark.Subscribed)
+	answers := make(chan waymark.Subscribed)
 	go func() {
-		a, _ := home.handleSubscribe(t.Context(), waymark.Subscribe{Edition: 2, Wait: maxSubscribeWaitMs})
-		got <- a
+		answer, _ := home.handleSubscribe(t.Context(), waymark.Subscribe{Edition: 2, Wait: maxSubscribeWaitMs})
+		answers <- answer
 	}()
 	home.storeConfig(configBody(2))
-	assert.DeepEqual(t, (<-got).Body, configBody(2))
+	assert.DeepEqual(t, (<-answers).Body, configBody(2))
 }
 
 // TestRestartDuringRegistryLoss: a gatekeeper that starts while all registries are down serves with what a zone peer
@@ -193,9 +194,9 @@
 	for _, final := range []bool{false, true} {
 		t.Run(fmt.Sprint("final ", final), func(t *testing.T) {
 			zone := newTestZone(t)
-			home, other, inner := zone.startTwo(final)
+			home, other, homeServer := zone.startTwo(final)
 			zone.registry.Close()
-			inner.Close() // the process of the home ends, and another one starts without any state
+			homeServer.Close() // the process of the home ends, and another one starts without any state
 			number := 0
 			if home.settings.Station == "g1" {
 				number = 1
@@ -211,8 +212,8 @@
 
 			other.fanout.start = other.fanout.start.Add(-offerAfterMs * time.Millisecond)
 			other.offerAll(t.Context())
-			edition, workers, ready, keys, members := stateOf(restarted)
-			assert.Equal(t, edition, uint64(1))
+			version, workers, ready, keys, members := stateOf(restarted)
+			assert.Equal(t, version, uint64(1))
 			assert.DeepEqual(t, workers, []string{"d/w1"})
 			assert.Equal(t, ready, !final)
 			assert.Equal(t, keys, !final)
--- a/internal/switchback/late_refusal_test.go
+++ b/internal/switchback/late_refusal_test.go
@@ -55,8 +55,8 @@
 // reuseAtOnce has connections to workers reused without a delay.
 func (s *testProxy) reuseAtOnce() {
 	s.runOnLoop(func() {
-		for _, k := range s.poolList {
-			k.fleet.Settle = 0
+		for _, pool := range s.poolList {
+			pool.fleet.Settle = 0
 		}
 	})
 }
--- a/internal/switchback/load_shedding.go
+++ b/internal/switchback/load_shedding.go
@@ -286,14 +286,14 @@
 }
 
 // smooth updates the smoothed values of a destination.
-func (x *destinationLoad) smooth(span float64, turns uint64) {
+func (x *destinationLoad) smooth(span float64, hashTurns uint64) {
 	weight := 1 - math.Exp(-span/loadSpanMs)
 	for bin := range x.newLoad {
 		x.newLoad[bin] *= 1000 / span
 	}
 	x.smoothedLoad.Blend(x.newLoad, weight)
 	clear(x.newLoad)
-	x.smoothedLoad.Turn(turns)
+	x.smoothedLoad.Turn(hashTurns)
 	x.servedRate += weight * (x.served*1000/span - x.servedRate)
 	x.served = 0
 }
--- a/internal/switchback/mirroring.go
+++ b/internal/switchback/mirroring.go
@@ -167,9 +167,9 @@
 		s.updateLive()
 	}
 	if !answer.Stale && answer.Settled && answer.SeatsNow != 0 && answer.SeatsNow == s.membersMark {
-		at, seats := s.now(), s.members
+		at, members := s.now(), s.members
 		asOf := at - (s.p.clock.Now() - askedAt) + answer.SeatsAt
-		s.tell(func(engine *spur.Spur) { engine.Members(at, asOf, seats) })
+		s.tell(func(engine *spur.Spur) { engine.Members(at, asOf, members) })
 	}
 }
 
--- a/internal/switchback/mirroring_test.go
+++ b/internal/switchback/mirroring_test.go
@@ -95,11 +95,11 @@
 // statuses of the answers and without the headers that must not leave.
 func TestFlowIsMirrored(t *testing.T) {
 	proxy := newTestMirror(t)
-	got := make(chan *http.Request, 9)
+	copies := make(chan *http.Request, 9)
 	bodies := make(chan string, 9)
 	target := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		got <- r
+		copies <- r
 		bodies <- string(b)
 		_, _ = io.WriteString(w, strings.Repeat("thrown away", 1000))
 	})
@@ -116,10 +116,10 @@
 		assert.Check(t, proxy.tested.openRequests == 0 && len(proxy.tested.notes) == 0, "the request was noted before it was forwarded")
 	})
 	live, release := make(chan *workerRequest, 9), make(chan bool)
-	proxy.receive(fullList(1, startWorker(t, "w", "a", func(counts int, s *workerRequest) bool {
+	proxy.receive(fullList(1, startWorker(t, "w", "a", func(n int, s *workerRequest) bool {
 		live <- s
 		<-release
-		return replyWorkerID(counts, s)
+		return replyWorkerID(n, s)
 	}, nil)), nil)
 	liveRequest := await(t, live)
 	assert.Equal(t, liveRequest.Header.Get("X-Foxwood-Shadow"), "")
@@ -140,8 +140,8 @@
 	})
 	proxy.advance(20)
 	for i, want := range []struct{ path, body string }{{"/one", "uno"}, {"/two", "dos"}} {
-		proxy.turnsUntil(func() bool { return len(got) > 0 })
-		r := await(t, got)
+		proxy.turnsUntil(func() bool { return len(copies) > 0 })
+		r := await(t, copies)
 		assert.Equal(t, r.URL.Path, want.path)
 		assert.Equal(t, await(t, bodies), want.body)
 		assert.Equal(t, r.Host, "x.example")
@@ -158,7 +158,7 @@
 	assert.Equal(t, counts.Whole, uint64(1))
 	assert.Equal(t, counts.Copies, uint64(2))
 	assert.Equal(t, proxy.tested.queuedBytes.Load(), int64(0))
-	assert.Equal(t, len(got), 0, "requests that were mirrored twice, or on a route that the rule does not name")
+	assert.Equal(t, len(copies), 0, "requests that were mirrored twice, or on a route that the rule does not name")
 }
 
 // TestIncompleteFlowCauses checks what makes a flow incomplete: no room, overload, a client that gets no whole
@@ -176,15 +176,15 @@
 		{name: "no room", cause: spur.Queue, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.maxQueuedBytes = 10 })
 		}, do: replyWorkerID, status: 200},
-		{name: "pressed", cause: spur.Pressed, prepare: func(proxy *testMirror) {
+		{name: "overload", cause: spur.Pressed, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.overloaded, proxy.tested.lastHighPressure = true, proxy.tested.now() })
 		}, do: replyWorkerID, status: 200},
 		{name: "a body over the limit", cause: spur.TooLarge, do: replyWorkerID, body: repeatedText(5000), status: 200},
-		{name: "a body that flows", cause: spur.TooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
-		{name: "an answer that flows", cause: spur.TooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
-		{name: "no whole answer", cause: spur.GivenUp, do: closeConn, status: 502},
+		{name: "a streamed body", cause: spur.TooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
+		{name: "a streamed answer", cause: spur.TooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
+		{name: "no complete answer", cause: spur.GivenUp, do: closeConn, status: 502},
 		{name: "it never ran", cause: spur.Fine, do: reply(503, notDeliveredLine, ""), status: 503},
-		{name: "an answer that is none", cause: spur.Fine, do: reply(500, "", "no"), status: 500},
+		{name: "a failure of the worker", cause: spur.Fine, do: reply(500, "", "no"), status: 500},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			proxy := newTestMirror(t)
@@ -368,13 +368,13 @@
 	assert.Equal(t, res.StatusCode, 200)
 	proxy.runOnLoop(func() {
 		assert.Check(t, proxy.clients.Ended == nil && proxy.pools["a"].fleet.Sent == nil)
-		q := proxy.heartbeatRequest()
-		assert.Check(t, !q.Copies && q.Shadow == 3, "the rule has to be held for zone peers")
+		request := proxy.heartbeatRequest()
+		assert.Check(t, !request.Copies && request.Shadow == 3, "the rule has to be held for zone peers")
 	})
 	_, err := proxy.handleCollect(context.Background(), waymark.Gather{})
 	assert.ErrorContains(t, err, "copies nothing")
-	a, err := proxy.mirrorStatus(context.Background(), waymark.AskCopies{})
-	assert.Assert(t, err == nil && a.Off)
+	answer, err := proxy.mirrorStatus(context.Background(), waymark.AskCopies{})
+	assert.Assert(t, err == nil && answer.Off)
 }
 
 // TestNotesAreProcessedInOrder: while several goroutines use the engine, no request's end is processed before its
--- a/internal/switchback/quota_owners.go
+++ b/internal/switchback/quota_owners.go
@@ -9,10 +9,10 @@
 
 // ownedQuotas are the small quotas that this gatekeeper owns, with what they were computed from.
 type ownedQuotas struct {
-	table   *timetable.Timetable
-	members int
-	mark    uint64 // of ownersMark
-	names   []string
+	config      *timetable.Timetable
+	memberCount int
+	mark        uint64 // of ownersMark
+	names       []string
 }
 
 // ownersMark changes with everything that determines the owners. The mark of a membership is odd, so the sum is never
@@ -28,8 +28,8 @@
 // or the members have changed.
 func (p *Proxy) ownedNames() []string {
 	owned := &p.owned
-	if mark := p.ownersMark(); owned.table != p.config || owned.members != p.memberCount || owned.mark != mark {
-		*owned = ownedQuotas{table: p.config, members: p.memberCount, mark: mark}
+	if mark := p.ownersMark(); owned.config != p.config || owned.memberCount != p.memberCount || owned.mark != mark {
+		*owned = ownedQuotas{config: p.config, memberCount: p.memberCount, mark: mark}
 		for name, terms := range quota.Limited(p.config) {
 			if p.isSmallQuota(terms) && p.smallQuotaOf(name).owners[0] == p.settings.Inner(0) {
 				owned.names = append(owned.names, name)
--- a/internal/switchback/session.go
+++ b/internal/switchback/session.go
@@ -161,32 +161,32 @@
 // the nearest, then by a hash that spreads the gatekeepers.
 func (p *Proxy) chooseRegistry() string {
 	type rank struct {
-		away bool
-		far  int
-		at   uint64
+		failed   bool // recently
+		distance int  // 0 in this zone, 1 in this region, 2 elsewhere
+		hash     uint64
 	}
 	rankOf := func(c waymark.Core) rank {
-		r := rank{away: time.Since(p.registryFailedAt[c.Addr]) < registryPause, at: hash64(c.Addr + p.settings.Station)}
+		r := rank{failed: time.Since(p.registryFailedAt[c.Addr]) < registryPause, hash: hash64(c.Addr + p.settings.Station)}
 		switch {
 		case c.Zone == p.settings.Zone:
 		case c.Zone == "" || p.settings.RegionOf(c.Zone) == p.settings.Region:
-			r.far = 1
+			r.distance = 1
 		default:
-			r.far = 2
+			r.distance = 2
 		}
 		return r
 	}
 	best := slices.MinFunc(p.registries, func(a, b waymark.Core) int {
 		x, y := rankOf(a), rankOf(b)
 		switch {
-		case x.away != y.away && y.away:
+		case x.failed != y.failed && y.failed:
 			return -1
-		case x.away != y.away:
+		case x.failed != y.failed:
 			return 1
-		case x.away: // all have failed recently: take the one that failed longest ago
+		case x.failed: // all have failed recently: take the one that failed longest ago
 			return p.registryFailedAt[a.Addr].Compare(p.registryFailedAt[b.Addr])
 		}
-		return cmp.Or(cmp.Compare(x.far, y.far), cmp.Compare(x.at, y.at))
+		return cmp.Or(cmp.Compare(x.distance, y.distance), cmp.Compare(x.hash, y.hash))
 	})
 	return best.Addr
 }
--- a/internal/switchback/small_quotas_test.go
+++ b/internal/switchback/small_quotas_test.go
@@ -26,7 +26,7 @@
 	proxy.runOnLoop(func() {
 		proxy.membership = *membership
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m"} {
-			if homes := proxy.ownersOf(name); homes[0] != ownAddr && homes[1] != ownAddr {
+			if found := proxy.ownersOf(name); found[0] != ownAddr && found[1] != ownAddr {
 				tenant = name
 			}
 		}
--- a/internal/switchback/streaming_test.go
+++ b/internal/switchback/streaming_test.go
@@ -106,20 +106,20 @@
 
 // trackHeld samples the bytes held by the loop, and returns a function for the maximum so far.
 func (s *testProxy) trackHeld() func() int {
-	top := 0
-	s.runOnLoop(func() { s.loop.Every(time.Millisecond, func() { top = max(top, s.loop.Holding()) }) })
-	return func() (most int) {
-		s.runOnLoop(func() { most = top })
-		return most
+	highest := 0
+	s.runOnLoop(func() { s.loop.Every(time.Millisecond, func() { highest = max(highest, s.loop.Holding()) }) })
+	return func() (peak int) {
+		s.runOnLoop(func() { peak = highest })
+		return peak
 	}
 }
 
 // awaitHeld waits until a condition on the bytes held by the loop is true.
-func (s *testProxy) awaitHeld(right func(held int) bool) {
+func (s *testProxy) awaitHeld(condition func(held int) bool) {
 	held := make(chan bool)
 	go func() {
 		for ok := false; !ok; {
-			s.runOnLoop(func() { ok = right(s.loop.Holding()) })
+			s.runOnLoop(func() { ok = condition(s.loop.Holding()) })
 		}
 		close(held)
 	}()
@@ -148,15 +148,15 @@
 	want := bodySum(hugeBody)
 	for _, chunked := range []bool{false, true} {
 		proxy := newTestProxy(t)
-		came := make(chan uint32, 1)
+		received := make(chan uint32, 1)
 		proxy.receive(fullList(1, startStreamWorker(t, "w", func(r *http.Request, c net.Conn) {
 			h := crc32.NewIEEE()
 			_, _ = io.Copy(h, r.Body)
-			came <- h.Sum32()
+			received <- h.Sum32()
 			_, _ = io.WriteString(c, answerHeader(r, hugeBody, chunked))
 			_ = writeBody(c, hugeBody, chunked)
 		})), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
-		most := proxy.trackHeld()
+		heldPeak := proxy.trackHeld()
 		c := proxy.dialLong().send(newRequest("POST", "/", bodyHeader(hugeBody, chunked), ""))
 		go func() { _ = writeBody(c.conn, hugeBody, chunked) }()
 		res, err := http.ReadResponse(c.reader, nil)
@@ -166,9 +166,9 @@
 		assert.NilError(t, err)
 		assert.Equal(t, n, int64(hugeBody))
 		assert.Equal(t, h.Sum32(), want)
-		assert.Equal(t, await(t, came), want)
-		t.Logf("chunked %t: %d bytes held", chunked, most())
-		assert.Assert(t, most() > 0 && most() < maxHeld, "%d bytes held by the loop", most())
+		assert.Equal(t, await(t, received), want)
+		t.Logf("chunked %t: %d bytes held", chunked, heldPeak())
+		assert.Assert(t, heldPeak() > 0 && heldPeak() < maxHeld, "%d bytes held by the loop", heldPeak())
 	}
 }
 
@@ -184,7 +184,7 @@
 			_ = writeBody(c, hugeBody, chunked)
 			poured <- true
 		})), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
-		most := proxy.trackHeld()
+		heldPeak := proxy.trackHeld()
 		c := proxy.dialLong().send(newRequest("GET", "/", "", ""))
 		proxy.awaitHeld(func(held int) bool { return held >= 64<<10 && proxy.loop.Waiting() >= 64<<10 })
 		proxy.checkHeld()
@@ -196,7 +196,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, n, int64(hugeBody))
 		assert.Equal(t, h.Sum32(), bodySum(hugeBody))
-		assert.Assert(t, most() < maxHeld, "%d bytes held by the loop", most())
+		assert.Assert(t, heldPeak() < maxHeld, "%d bytes held by the loop", heldPeak())
 	}
 }
 
@@ -221,7 +221,7 @@
 				}))
 			}
 			proxy.receive(fullList(1, workers...), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
-			most := proxy.trackHeld()
+			heldPeak := proxy.trackHeld()
 			c := proxy.dialLong().send(newRequest("POST", "/", bodyHeader(hugeBody, chunked), ""))
 			go func() { _ = writeBody(c.conn, hugeBody, chunked) }()
 			res, err := http.ReadResponse(c.reader, nil)
@@ -233,7 +233,7 @@
 			assert.Equal(t, n, int64(size))
 			assert.Equal(t, h.Sum32(), bodySum(size))
 			proxy.awaitHeld(func(held int) bool { return held == 0 })
-			assert.Assert(t, most() < maxHeld, "%d bytes held by the loop", most())
+			assert.Assert(t, heldPeak() < maxHeld, "%d bytes held by the loop", heldPeak())
 			assert.Equal(t, len(asked), 1)
 		}
 	}
@@ -284,15 +284,15 @@
 func TestSlowWorkerHoldsClientBack(t *testing.T) {
 	t.Parallel()
 	proxy := newTestProxy(t)
-	read, came := make(chan bool), make(chan uint32, 1)
+	resume, received := make(chan bool), make(chan uint32, 1)
 	proxy.receive(fullList(1, startStreamWorker(t, "w", func(r *http.Request, c net.Conn) {
-		<-read
+		<-resume
 		h := crc32.NewIEEE()
 		_, _ = io.Copy(h, r.Body)
-		came <- h.Sum32()
+		received <- h.Sum32()
 		_, _ = io.WriteString(c, answerHeader(r, 0, false))
 	})), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
-	most := proxy.trackHeld()
+	heldPeak := proxy.trackHeld()
 	c := proxy.dialLong().send(newRequest("POST", "/", bodyHeader(hugeBody, false), ""))
 	poured := make(chan bool, 1)
 	go func() {
@@ -302,9 +302,9 @@
 	proxy.awaitHeld(func(int) bool { return proxy.loop.Waiting() >= 64<<10 })
 	proxy.checkHeld()
 	assert.Equal(t, len(poured), 0, "the client could send the whole body")
-	close(read)
+	close(resume)
 	res, _ := c.readResponse()
 	assert.Equal(t, res.StatusCode, 200)
-	assert.Equal(t, await(t, came), bodySum(hugeBody))
-	assert.Assert(t, most() < maxHeld, "%d bytes held by the loop", most())
+	assert.Equal(t, await(t, received), bodySum(hugeBody))
+	assert.Assert(t, heldPeak() < maxHeld, "%d bytes held by the loop", heldPeak())
 }
--- a/internal/switchback/testproxy_test.go
+++ b/internal/switchback/testproxy_test.go
@@ -33,6 +33,7 @@
 	addr     string
 }
 
+// testSettings are the settings of a test proxy, with a place for its bounds.
 const testSettings = `
 station = "counter-a-1"
 ip = "127.0.0.1"
@@ -92,7 +93,7 @@
 }
 
 // newConfig returns a configuration. Without tenants no key is needed.
-func newConfig(t *testing.T, edition uint64, courses []routeSpec, senders ...tenantSpec) *timetable.Timetable {
+func newConfig(t *testing.T, version uint64, routes []routeSpec, tenants ...tenantSpec) *timetable.Timetable {
 	t.Helper()
 	orDefault := func(v, other float64) float64 {
 		if v == 0 {
@@ -102,39 +103,39 @@
 	}
 	var routeRows, destinationRows, tenantRows [][]any
 	named := map[string]bool{}
-	for i, route := range courses {
-		kind, domain, homes := "safe", route.domain, route.regions
+	for i, route := range routes {
+		kind, domain, regions := "safe", route.domain, route.regions
 		if route.unsafe {
 			kind = "unsafe"
 		}
 		if domain == "" {
 			domain = "x.example"
 		}
-		if homes == nil {
-			homes = []string{}
+		if regions == nil {
+			regions = []string{}
 		}
 		routeRows = append(routeRows, []any{fmt.Sprint("r", i), domain, route.prefix, kind, orDefault(route.deadline, 60), orDefault(route.target, 60), 0,
-			int(orDefault(float64(route.attempts), 3)), route.withoutKey, homes, route.destination})
+			int(orDefault(float64(route.attempts), 3)), route.withoutKey, regions, route.destination})
 		if !named[route.destination] {
 			named[route.destination] = true
 			destinationRows = append(destinationRows, []any{route.destination, "/health", 100, "h1", false})
 		}
 	}
-	list := func(columns string, routeRows [][]any) map[string]any {
-		return map[string]any{"columns": strings.Fields(columns), "rows": routeRows}
+	list := func(columns string, rows [][]any) map[string]any {
+		return map[string]any{"columns": strings.Fields(columns), "rows": rows}
 	}
-	document := map[string]any{"edition": timetable.FormatEdition(edition),
+	document := map[string]any{"edition": timetable.FormatEdition(version),
 		"courses":      list("name domain streetPrefix kind deadlineS targetS priority tries unsealed homeRegions destination", routeRows),
 		"destinations": list("name healthPath berthCap protocol tls", destinationRows),
 		"sizeLimits":   map[string]any{"envelopeBytes": 4096, "bodyBytes": 64 << 20, "envelopeS": 300, "idleS": 300}}
-	for _, tenant := range senders {
-		homes := tenant.regions
-		if homes == nil {
-			homes = []string{}
+	for _, tenant := range tenants {
+		regions := tenant.regions
+		if regions == nil {
+			regions = []string{}
 		}
-		tenantRows = append(tenantRows, []any{tenant.name, []string{"k-" + tenant.name}, 1, tenant.rate, 1, homes})
+		tenantRows = append(tenantRows, []any{tenant.name, []string{"k-" + tenant.name}, 1, tenant.rate, 1, regions})
 	}
-	if len(senders) > 0 {
+	if len(tenants) > 0 {
 		document["senders"] = list("name passes priority ratePerS surge homeRegions", tenantRows)
 	}
 	raw, err := json.Marshal(document)
@@ -154,8 +155,8 @@
 	s.runOnLoop(func() { now = s.clock.Now() })
 	assert.Assert(s.t, s.received(s.t.Context(), &answer, now), "configuration can't be parsed")
 	s.runOnLoop(func() {
-		for _, k := range s.poolList {
-			k.fleet.PartMost = 6e4 // a stalled test machine must not look like a stalled worker
+		for _, pool := range s.poolList {
+			pool.fleet.PartMost = 6e4 // a stalled test machine must not look like a stalled worker
 		}
 	})
 }
@@ -202,6 +203,7 @@
 // workerScript is what a worker does with its n-th request. If it returns false, the connection is closed.
 type workerScript func(n int, s *workerRequest) bool
 
+// Headers in the answers of workers.
 const (
 	postmarkLine     = "X-Foxwood-Postmark: 3e1b.07\r\n"
 	notDeliveredLine = "X-Foxwood-Not-Delivered: 1\r\n"
@@ -241,7 +243,7 @@
 	return false
 }
 
-// startWorker starts a worker with a script. Its requests are also sent to got, unless that is nil.
+// startWorker starts a worker with a script. Its requests are also sent to received, unless that is nil.
 func startWorker(t *testing.T, id, destination string, script workerScript, received chan<- *workerRequest) waymark.Worker {
 	t.Helper()
 	count := make(chan int, 1)
@@ -262,7 +264,7 @@
 	return waymark.Worker{ID: id, Destination: destination, Addr: addr, Zone: "a1", Berths: 8}
 }
 
-// listenWorker opens the address of a worker. A connection ends when do returns false.
+// listenWorker opens the address of a worker. A connection ends when serve returns false.
 func listenWorker(t *testing.T, serve func(r *http.Request, c net.Conn) bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -318,6 +320,7 @@
 	return &testClient{s.t, c, bufio.NewReader(c)}
 }
 
+// requestNumbers holds the number of the next request of any test.
 var requestNumbers = func() chan int { c := make(chan int, 1); c <- 0; return c }()
 
 // newRequest returns a request with a unique attempt id.
--- a/internal/switchback/worker_answers_test.go
+++ b/internal/switchback/worker_answers_test.go
@@ -188,8 +188,8 @@
 	received := make(chan *workerRequest, 99)
 	fails := reply(500, postmarkLine, "")
 	proxy.receive(fullList(1, startWorker(t, "w-1", "a", fails, received), startWorker(t, "w-2", "a", fails, received)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
-	const asked = 8
-	for range asked {
+	const requests = 8
+	for range requests {
 		proxy.do("GET", "/", "", "")
 	}
 	retries, ids := 0, map[string]bool{}
