--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -252,8 +252,8 @@
 	return ids
 }
 
-// withHolders returns the assignment for other holders. Gatekeepers that already have a slot keep it. A new one gets the
-// slot of an earlier incarnation of its node, else a vacant slot, else an additional slot.
+// withHolders returns the assignment for other holders. Gatekeepers that already have a slot keep it. A new one gets
+// the slot of an earlier incarnation of its node, else a vacant slot, else an additional slot.
 func (d assignment) withHolders(holders assignment) assignment {
 	byNode := make(map[string]string, len(holders)) // id by node
 	for _, id := range holders {
