--- a/cmd/cairn/main.go
+++ b/cmd/cairn/main.go
@@ -1,4 +1,4 @@
-// Command cairn is the store of configuration of the whole system.
+// Command cairn runs one machine of the configuration store.
 package main
 
 import (
--- a/internal/cairn/chain.go
+++ b/internal/cairn/chain.go
@@ -7,506 +7,539 @@
 	"slices"
 )
 
-// chain passes entries from the head to the tail and their commitment back.
-type chain struct {
-	below   Stamp // what the next member said it holds; zero before it has said
-	sent    Stamp // the newest that it was sent
-	sentAt  float64
-	fillAt  float64            // when it was last sent the whole state
-	waiting map[Stamp][]caller // at the head
-	submits []*submitted
-	asking  []*asked
-}
-
+// chainState is the state of replication: entries go from the head to the tail, and commits go back up.
+type chainState struct {
+	successorLast  Stamp // newest entry that the successor reported to hold; zero before its first report
+	sentLast       Stamp // newest entry sent to the successor
+	sentAt         float64
+	snapshotSentAt float64            // when the successor was last sent a snapshot
+	waitingCallers map[Stamp][]caller // at the head: callers to answer once an entry is committed
+	pendingChanges []*pendingChange
+	pendingReads   []*pendingRead
+}
+
+// caller is a request forwarded to the head that waits for an entry to be committed.
 type caller struct {
-	from Ident
-	id   uint64
-	life uint64
+	from        Ident
+	id          uint64
+	incarnation uint64
 }
 
-type submitted struct {
+// pendingChange is a change requested by a local caller that is not answered yet.
+type pendingChange struct {
 	Submit
-	until float64
-	at    float64
-	view  uint64
-	after Stamp
-	sent  bool
+	deadline   float64
+	sentAt     float64
+	sentInView uint64
+	knownStamp Stamp
+	everSent   bool
 }
 
-type asked struct {
+// pendingRead is a read requested by a local caller that is not answered yet.
+type pendingRead struct {
 	Ask
-	until float64
-	at    float64
-	view  uint64
-	need  *Stamp // what the tail had committed
+	deadline   float64
+	sentAt     float64
+	sentInView uint64
+	required   *Stamp // what the tail had committed when asked; nil before it answers
 }
 
-// clearChain forgets what belongs to a view. What callers of this machine wait for is kept and
-// goes to the new head.
-func (m *Machine) clearChain() {
-	m.below, m.sent, m.sentAt, m.fillAt, m.waiting = Stamp{}, Stamp{}, -1e18, -1e18, map[Stamp][]caller{}
+// resetChain resets the replication state of a view. Requests of local callers are kept; they are
+// sent to the new head or tail.
+func (m *Machine) resetChain() {
+	m.successorLast, m.sentLast, m.sentAt, m.snapshotSentAt, m.waitingCallers = Stamp{}, Stamp{}, -1e18, -1e18, map[Stamp][]caller{}
 }
 
-func (m *Machine) place() int { return slices.Index(m.view.Chain, m.self) }
+// chainIndex returns this machine's position in the chain, or -1 outside it.
+func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
 
+// isTail reports whether this machine is the last one of the chain.
 func (m *Machine) isTail() bool {
 	n := len(m.view.Chain)
 	return n > 0 && m.view.Chain[n-1] == m.self
 }
 
-// last is the newest entry held, committed or not.
-func (m *Machine) last() Stamp {
-	if n := len(m.tail); n > 0 {
-		return m.tail[n-1].Stamp
+// lastStamp returns the stamp of the newest entry held, committed or not.
+func (m *Machine) lastStamp() Stamp {
+	if n := len(m.uncommitted); n > 0 {
+		return m.uncommitted[n-1].Stamp
 	}
-	return m.base.Last
+	return m.committed.Last
 }
 
-func (m *Machine) log() Whole { return Whole{State: m.base, Tail: slices.Clone(m.tail)} }
+// logSnapshot returns a snapshot of the log.
+func (m *Machine) logSnapshot() Whole {
+	return Whole{State: m.committed, Tail: slices.Clone(m.uncommitted)}
+}
 
-// holds finds a stamp in the log: 0 for the end of what is committed, i for the i-th entry behind it.
-func (m *Machine) holds(s Stamp) (int, bool) {
-	if s == m.base.Last {
+// findEntry looks up a stamp in the log. It returns 0 for the last committed entry and i for the i-th
+// uncommitted entry after it.
+func (m *Machine) findEntry(stamp Stamp) (int, bool) {
+	if stamp == m.committed.Last {
 		return 0, true
 	}
-	for i, e := range m.tail {
-		if e.Stamp == s {
+	for i, e := range m.uncommitted {
+		if e.Stamp == stamp {
 			return i + 1, true
 		}
 	}
 	return 0, false
 }
 
-// openView gives a view its own first entry: with it the new tail holds all that the head held.
+// openView writes the opening entry of a view at the head. Once the tail has that entry, it holds
+// everything the head held. At the tail it commits what a restart left uncommitted.
 func (m *Machine) openView() {
-	if m.place() == 0 && m.last().View != m.view.No && m.isWhole() {
-		m.write(Change{Kind: OpenView})
+	if m.chainIndex() == 0 && m.lastStamp().View != m.view.No && m.isComplete() {
+		m.appendAtHead(Change{Kind: OpenView})
 	}
-	if len(m.tail) > 0 && m.isTail() && m.last().View == m.view.No {
-		m.commitAt(m.last()) // after a start: all members above hold what this one holds
+	if len(m.uncommitted) > 0 && m.isTail() && m.lastStamp().View == m.view.No {
+		m.commitThrough(m.lastStamp()) // after a restart: all members above this one hold what it holds
 	}
 }
 
-// write adds an entry at the head.
-func (m *Machine) write(c Change) Stamp {
-	prev := m.last()
-	e := Entry{Stamp: Stamp{Seq: prev.Seq + 1, View: m.view.No}, Prev: prev, Change: c}
-	m.take(e)
-	m.passed()
-	return e.Stamp
+// appendAtHead appends a change at the head as a new entry and propagates it.
+func (m *Machine) appendAtHead(change Change) Stamp {
+	prev := m.lastStamp()
+	entry := Entry{Stamp: Stamp{Seq: prev.Seq + 1, View: m.view.No}, Prev: prev, Change: change}
+	m.appendEntry(entry)
+	m.propagate()
+	return entry.Stamp
 }
 
-func (m *Machine) take(e Entry) {
-	m.tail = append(m.tail, e)
-	m.sync(Record{Entry: &e})
+// appendEntry appends an entry to the log and to the records to be synced.
+func (m *Machine) appendEntry(entry Entry) {
+	m.uncommitted = append(m.uncommitted, entry)
+	m.persist(Record{Entry: &entry})
 }
 
-// passed goes on after entries were taken: down the chain, or, at the tail, back up as committed.
-func (m *Machine) passed() {
+// propagate propagates newly appended entries: down the chain, or, at the tail, by committing them.
+func (m *Machine) propagate() {
 	if m.isTail() {
-		if m.last().View == m.view.No {
-			m.commitAt(m.last())
+		if m.lastStamp().View == m.view.No {
+			m.commitThrough(m.lastStamp())
 		}
 		return
 	}
-	m.push()
+	m.sendToSuccessor()
 }
 
-// push sends the next member what it is not known to have been sent.
-func (m *Machine) push() {
-	at := m.place()
-	if at < 0 || at+1 >= len(m.view.Chain) || m.last().View != m.view.No || m.sent == m.last() {
+// sendToSuccessor sends the successor the entries that it has not been sent yet.
+func (m *Machine) sendToSuccessor() {
+	index := m.chainIndex()
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastStamp().View != m.view.No || m.sentLast == m.lastStamp() {
 		return
 	}
-	from := len(m.tail) - 1
-	if i, ok := m.holds(m.sent); ok && m.sent != (Stamp{}) {
-		from = i
+	first := len(m.uncommitted) - 1
+	if i, ok := m.findEntry(m.sentLast); ok && m.sentLast != (Stamp{}) {
+		first = i
 	}
-	m.pushFrom(from)
+	m.sendEntriesFrom(first)
 }
 
-// pushFrom sends the next member the entries from one on.
-func (m *Machine) pushFrom(from int) {
-	at := m.place()
-	if at < 0 || at+1 >= len(m.view.Chain) || m.last().View != m.view.No {
+// sendEntriesFrom sends the successor the uncommitted entries from an index on. An index outside
+// the range sends an empty Append.
+func (m *Machine) sendEntriesFrom(first int) {
+	index := m.chainIndex()
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastStamp().View != m.view.No {
 		return
 	}
-	if from < 0 || from >= len(m.tail) {
-		m.sent, m.sentAt = m.last(), m.now
-		m.send(m.view.Chain[at+1], Message{Append: &Append{View: m.view.No}})
+	if first < 0 || first >= len(m.uncommitted) {
+		m.sentLast, m.sentAt = m.lastStamp(), m.now
+		m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No}})
 		return
 	}
-	m.sent, m.sentAt = m.last(), m.now
-	m.send(m.view.Chain[at+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.tail[from:])}})
+	m.sentLast, m.sentAt = m.lastStamp(), m.now
+	m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted[first:])}})
 }
 
-// belowHolds is told by the next member what it has, and sends what it lacks: the entries behind
-// that, or everything where its log is not a beginning of this one. A gap is one that it has seen
-// itself; otherwise what it lacks may still be on its way.
-func (m *Machine) belowHolds(s Stamp, gap bool) {
-	if m.last().View != m.view.No || m.place() < 0 || s.View == m.view.No && s.Seq < m.base.Last.Seq {
-		return // in the last case the word is old: what is committed is held by all
+// handleSuccessorPosition processes the successor's report of its newest entry and sends what it
+// lacks: the entries after that one, or a snapshot if its log is not a prefix of this one. If gap
+// is set, the successor has detected missing entries itself; otherwise the missing entries may
+// still be on their way.
+func (m *Machine) handleSuccessorPosition(position Stamp, gap bool) {
+	if m.lastStamp().View != m.view.No || m.chainIndex() < 0 || position.View == m.view.No && position.Seq < m.committed.Last.Seq {
+		return // a report below the committed entries is outdated: all members hold those
 	}
-	first := m.below == Stamp{}
-	m.below = s
-	i, known := m.holds(s)
+	firstReport := m.successorLast == Stamp{}
+	m.successorLast = position
+	index, known := m.findEntry(position)
 	switch {
-	case known && s == m.last():
-	case known && s == (Stamp{}):
-		// It holds nothing, and nothing was ever committed: push would take that for not having heard.
-		if gap || m.now-m.sentAt >= m.c.Again {
-			m.sent, m.sentAt = m.last(), m.now
-			m.send(m.view.Chain[m.place()+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.tail)}})
+	case known && position == m.lastStamp():
+	case known && position == (Stamp{}):
+		// The successor holds nothing and nothing was ever committed. sendToSuccessor cannot tell
+		// this from a successor that has not reported yet, so all entries are sent here.
+		if gap || m.now-m.sentAt >= m.config.Again {
+			m.sentLast, m.sentAt = m.lastStamp(), m.now
+			m.send(m.view.Chain[m.chainIndex()+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted)}})
 		}
 	case known:
-		// Who holds nothing at all gets everything too: with the newest entry alone it would say again
-		// that there is a gap, at once and for ever.
-		if first || gap || m.now-m.sentAt >= m.c.Again {
-			m.pushFrom(i)
+		// A successor that holds nothing is sent everything too: given the newest entry alone, it would
+		// report a gap again at once, without end.
+		if firstReport || gap || m.now-m.sentAt >= m.config.Again {
+			m.sendEntriesFrom(index)
 		}
-	case m.now-m.fillAt >= m.c.Again:
-		m.sent, m.sentAt, m.fillAt = m.last(), m.now, m.now
-		m.send(m.view.Chain[m.place()+1], Message{Fill: &Fill{View: m.view.No, Whole: m.log()}})
+	case m.now-m.snapshotSentAt >= m.config.Again:
+		m.sentLast, m.sentAt, m.snapshotSentAt = m.lastStamp(), m.now, m.now
+		m.send(m.view.Chain[m.chainIndex()+1], Message{Fill: &Fill{View: m.view.No, Whole: m.logSnapshot()}})
 	}
 }
 
-func (m *Machine) appendFrom(from Ident, a Append) {
-	at := m.place()
-	if !m.faults.noFence && a.View != m.view.No {
-		if a.View < m.view.No {
-			m.news(from)
+// handleAppend appends the entries received from the predecessor and acknowledges them.
+func (m *Machine) handleAppend(from Ident, msg Append) {
+	index := m.chainIndex()
+	if !m.faults.acceptOldViews && msg.View != m.view.No {
+		if msg.View < m.view.No {
+			m.sendView(from)
 		}
 		return
 	}
-	if at <= 0 || m.view.Chain[at-1] != from {
+	if index <= 0 || m.view.Chain[index-1] != from {
 		return
 	}
-	took, gap := false, false
-	for _, e := range a.Entries {
-		if e.Seq <= m.base.Last.Seq {
+	appended, gap := false, false
+	for _, entry := range msg.Entries {
+		if entry.Seq <= m.committed.Last.Seq {
 			continue
 		}
-		if _, ok := m.holds(e.Stamp); ok {
+		if _, ok := m.findEntry(entry.Stamp); ok {
 			continue
 		}
-		if e.Prev != m.last() && !(m.faults.noPrev && e.Seq > m.last().Seq) {
+		if entry.Prev != m.lastStamp() && !(m.faults.skipPrevCheck && entry.Seq > m.lastStamp().Seq) {
 			gap = true
 			break
 		}
-		m.take(e)
-		took = true
+		m.appendEntry(entry)
+		appended = true
 	}
-	if took {
-		m.passed()
+	if appended {
+		m.propagate()
 	}
-	m.tell(gap)
+	m.acknowledgeOrReportGap(gap)
 }
 
-func (m *Machine) tellAbove() { m.tell(false) }
+// acknowledge reports this machine's log position to its predecessor.
+func (m *Machine) acknowledge() { m.acknowledgeOrReportGap(false) }
 
-func (m *Machine) tell(gap bool) {
-	if at := m.place(); at > 0 {
-		m.send(m.view.Chain[at-1], Message{Appended: &Appended{View: m.view.No, Last: m.last(), Committed: m.base.Last, Gap: gap}})
+// acknowledgeOrReportGap reports this machine's log position to its predecessor. If gap is set,
+// entries were missing.
+func (m *Machine) acknowledgeOrReportGap(gap bool) {
+	if index := m.chainIndex(); index > 0 {
+		m.send(m.view.Chain[index-1], Message{Appended: &Appended{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last, Gap: gap}})
 	}
 }
 
-func (m *Machine) appendedBy(from Ident, a Appended) {
-	at := m.place()
-	if a.View != m.view.No || at < 0 || at+1 >= len(m.view.Chain) || m.view.Chain[at+1] != from {
+// handleAppended processes the successor's acknowledgement.
+func (m *Machine) handleAppended(from Ident, msg Appended) {
+	index := m.chainIndex()
+	if msg.View != m.view.No || index < 0 || index+1 >= len(m.view.Chain) || m.view.Chain[index+1] != from {
 		return
 	}
-	m.commitAt(a.Committed)
-	m.belowHolds(a.Last, a.Gap)
+	m.commitThrough(msg.Committed)
+	m.handleSuccessorPosition(msg.Last, msg.Gap)
 }
 
-// fill takes the whole state from the member above, or, outside the chain, from the member that
-// fills joiners. One that comes late must not take away entries that were already told upwards.
-func (m *Machine) fill(from Ident, f Fill) {
-	if f.View != m.view.No || !slices.Contains(m.view.Chain, from) {
+// handleSnapshot installs a snapshot from the predecessor, or, outside the chain, from the member
+// that sends snapshots to joining machines. A delayed snapshot must not remove entries that were
+// already acknowledged to the predecessor.
+func (m *Machine) handleSnapshot(from Ident, msg Fill) {
+	if msg.View != m.view.No || !slices.Contains(m.view.Chain, from) {
 		return
 	}
-	at := m.place()
-	if at == 0 || at > 0 && m.view.Chain[at-1] != from {
+	index := m.chainIndex()
+	if index == 0 || index > 0 && m.view.Chain[index-1] != from {
 		return
 	}
-	last := f.Whole.State.Last
-	if n := len(f.Whole.Tail); n > 0 {
-		last = f.Whole.Tail[n-1].Stamp
+	last := msg.Whole.State.Last
+	if length := len(msg.Whole.Tail); length > 0 {
+		last = msg.Whole.Tail[length-1].Stamp
 	}
-	fresh := at > 0 && m.last().View != m.view.No || at < 0 && !m.filled
-	if !fresh && last.Seq <= m.last().Seq && !m.faults.trustFill || last.Seq < m.base.Last.Seq {
-		m.filled = true
-		if at > 0 {
-			m.tellAbove()
+	needed := index > 0 && m.lastStamp().View != m.view.No || index < 0 && !m.hasSnapshot
+	if !needed && last.Seq <= m.lastStamp().Seq && !m.faults.acceptLateSnapshot || last.Seq < m.committed.Last.Seq {
+		m.hasSnapshot = true
+		if index > 0 {
+			m.acknowledge()
 		}
 		return
 	}
-	base, tail := f.Whole.State, slices.Clone(f.Whole.Tail)
-	if base.Last.Seq < m.base.Last.Seq { // it knows less of what is committed than this machine
-		i := slices.IndexFunc(tail, func(e Entry) bool { return e.Stamp == m.base.Last })
-		if i < 0 {
+	committed, uncommitted := msg.Whole.State, slices.Clone(msg.Whole.Tail)
+	if committed.Last.Seq < m.committed.Last.Seq { // the sender knows of fewer commits than this machine
+		index := slices.IndexFunc(uncommitted, func(e Entry) bool { return e.Stamp == m.committed.Last })
+		if index < 0 {
 			return
 		}
-		base, tail = m.base, tail[i+1:]
+		committed, uncommitted = m.committed, uncommitted[index+1:]
 	}
-	changed := base.Last != m.base.Last
-	m.base, m.tail, m.filled = base, tail, true
-	m.marked = base.Last.Seq
-	m.sync(Record{Whole: &Whole{State: base, Tail: slices.Clone(tail)}})
+	changed := committed.Last != m.committed.Last
+	m.committed, m.uncommitted, m.hasSnapshot = committed, uncommitted, true
+	m.recordedCommit = committed.Last.Seq
+	m.persist(Record{Whole: &Whole{State: committed, Tail: slices.Clone(uncommitted)}})
 	if changed {
-		m.out.Changed = true
-		m.settle()
+		m.output.Changed = true
+		m.answerCommitted()
 	}
-	if at > 0 {
-		m.passed()
-		m.tellAbove()
+	if index > 0 {
+		m.propagate()
+		m.acknowledge()
 	}
 }
 
-// commitAt takes the word of a member that all up to an entry is committed, if this log has that entry.
-func (m *Machine) commitAt(s Stamp) {
-	if i, ok := m.holds(s); !ok || i == 0 {
+// commitThrough commits all entries up to a stamp that another member reports as committed, provided
+// this log holds that entry.
+func (m *Machine) commitThrough(stamp Stamp) {
+	if index, ok := m.findEntry(stamp); !ok || index == 0 {
 		return
 	}
-	m.applyUpTo(s.Seq)
-	m.out.Changed = true
-	m.tellAbove()
-	m.settle()
+	m.applyThrough(stamp.Seq)
+	m.output.Changed = true
+	m.acknowledge()
+	m.answerCommitted()
 }
 
-func (m *Machine) applyUpTo(seq uint64) {
-	n := 0
-	for n < len(m.tail) && m.tail[n].Seq <= seq {
-		m.base = m.base.with(m.tail[n])
-		n++
+// applyThrough applies the uncommitted entries up to a sequence number to the committed state.
+func (m *Machine) applyThrough(seq uint64) {
+	count := 0
+	for count < len(m.uncommitted) && m.uncommitted[count].Seq <= seq {
+		m.committed = m.committed.apply(m.uncommitted[count])
+		count++
 	}
-	m.tail = slices.Clone(m.tail[n:])
+	m.uncommitted = slices.Clone(m.uncommitted[count:])
 }
 
-// with is the state after an entry; the state before it stays as it is.
-func (s State) with(e Entry) State {
-	s.Last = e.Stamp
-	c := e.Change
-	switch c.Kind {
+// apply returns the state after an entry. The receiver is not modified.
+func (s State) apply(entry Entry) State {
+	s.Last = entry.Stamp
+	change := entry.Change
+	switch change.Kind {
 	case PutConfiguration:
-		s.Past = remember(s.past(), c)
-		if c.Edition > s.Edition {
-			s.Edition, s.Body = c.Edition, c.Body
+		s.Past = addIdentity(s.identities(), change)
+		if change.Edition > s.Edition {
+			s.Edition, s.Body = change.Edition, change.Body
 		}
 	case Evacuate:
-		s.Touched = cloned(s.Touched)
-		s.Touched[c.Zone] = e.Stamp
-		if _, ok := s.Evacuated[c.Zone]; !ok {
-			s.Evacuated = cloned(s.Evacuated)
-			s.Evacuated[c.Zone] = e.Seq
+		s.Touched = cloneMap(s.Touched)
+		s.Touched[change.Zone] = entry.Stamp
+		if _, ok := s.Evacuated[change.Zone]; !ok {
+			s.Evacuated = cloneMap(s.Evacuated)
+			s.Evacuated[change.Zone] = entry.Seq
 		}
 	case TakeBack:
-		s.Touched = cloned(s.Touched)
-		s.Touched[c.Zone] = e.Stamp
-		if _, ok := s.Evacuated[c.Zone]; ok {
-			s.Evacuated = cloned(s.Evacuated)
-			delete(s.Evacuated, c.Zone)
+		s.Touched = cloneMap(s.Touched)
+		s.Touched[change.Zone] = entry.Stamp
+		if _, ok := s.Evacuated[change.Zone]; ok {
+			s.Evacuated = cloneMap(s.Evacuated)
+			delete(s.Evacuated, change.Zone)
 		}
 	case SetOrder:
-		if o, ok := s.Orders[c.Name]; !ok || c.No > o.No {
-			s.Orders = cloned(s.Orders)
-			s.Orders[c.Name] = Order{No: c.No, Body: c.Body, Past: remember(o.past(), c)}
+		if o, ok := s.Orders[change.Name]; !ok || change.No > o.No {
+			s.Orders = cloneMap(s.Orders)
+			s.Orders[change.Name] = Order{No: change.No, Body: change.Body, Past: addIdentity(o.identities(), change)}
 		}
 	}
 	return s
 }
 
-func cloned[V any](in map[string]V) map[string]V {
+// cloneMap returns a copy of a map, or an empty map for nil.
+func cloneMap[V any](in map[string]V) map[string]V {
 	if in == nil {
 		return map[string]V{}
 	}
 	return maps.Clone(in)
 }
 
-// settle answers those who waited for what is now committed.
-func (m *Machine) settle() {
-	order := func(a, b Stamp) int { return cmp.Compare(a.Seq, b.Seq) } // one seed, one run
-	for _, s := range slices.SortedFunc(maps.Keys(m.waiting), order) {
-		if s.Seq <= m.base.Last.Seq {
-			for _, c := range m.waiting[s] {
-				m.send(c.from, Message{Entered: &Entered{ID: c.id, Life: c.life}})
+// answerCommitted answers the requests that waited for what is now committed.
+func (m *Machine) answerCommitted() {
+	bySequence := func(a, b Stamp) int { return cmp.Compare(a.Seq, b.Seq) } // a fixed order keeps runs with the same seed identical
+	for _, stamp := range slices.SortedFunc(maps.Keys(m.waitingCallers), bySequence) {
+		if stamp.Seq <= m.committed.Last.Seq {
+			for _, waiter := range m.waitingCallers[stamp] {
+				m.send(waiter.from, Message{Entered: &Entered{ID: waiter.id, Life: waiter.incarnation}})
 			}
-			delete(m.waiting, s)
+			delete(m.waitingCallers, stamp)
 		}
 	}
-	m.asking = slices.DeleteFunc(m.asking, func(a *asked) bool {
-		if a.need == nil || a.need.Seq > m.base.Last.Seq {
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
+		if read.required == nil || read.required.Seq > m.committed.Last.Seq {
 			return false
 		}
-		m.out.Done = append(m.out.Done, Result{ID: a.ID, Outcome: OK, State: m.State()})
+		m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: m.State()})
 		return true
 	})
 }
 
-func (m *Machine) submit(s Submit) {
-	m.submits = append(m.submits, &submitted{Submit: s, until: m.now + m.c.Answer, at: -1e18, after: s.After})
+// queueChange queues a change; resend sends it to the head.
+func (m *Machine) queueChange(request Submit) {
+	m.pendingChanges = append(m.pendingChanges, &pendingChange{Submit: request, deadline: m.now + m.config.Answer, sentAt: -1e18, knownStamp: request.After})
 }
 
-func (m *Machine) ask(a Ask) {
-	m.asking = append(m.asking, &asked{Ask: a, until: m.now + m.c.Answer, at: -1e18})
+// queueRead queues a read; resend sends it to the tail.
+func (m *Machine) queueRead(request Ask) {
+	m.pendingReads = append(m.pendingReads, &pendingRead{Ask: request, deadline: m.now + m.config.Answer, sentAt: -1e18})
 }
 
-// resend gives up what took too long and sends again what was not answered, to the head or tail of now.
+// resend fails requests past their deadline and sends unanswered ones again, to the current head or
+// tail. It also sends the successor again what it has not acknowledged.
 func (m *Machine) resend() {
-	m.submits = slices.DeleteFunc(m.submits, func(s *submitted) bool {
-		if m.now >= s.until {
-			o := Unavailable
-			if s.sent {
-				o = Unknown
+	m.pendingChanges = slices.DeleteFunc(m.pendingChanges, func(change *pendingChange) bool {
+		if m.now >= change.deadline {
+			outcome := Unavailable
+			if change.everSent {
+				outcome = Unknown
 			}
-			m.out.Done = append(m.out.Done, Result{ID: s.ID, Outcome: o})
+			m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: outcome})
 			return true
 		}
-		if s.After == (Stamp{}) && s.after.less(m.base.Last) {
-			s.after = m.base.Last
+		if change.After == (Stamp{}) && change.knownStamp.less(m.committed.Last) {
+			change.knownStamp = m.committed.Last
 		}
-		if n := len(m.view.Chain); n > 0 && (m.now-s.at >= m.c.Again || s.view != m.view.No) {
-			s.at, s.view, s.sent = m.now, m.view.No, true
-			m.send(m.view.Chain[0], Message{Enter: &Enter{ID: s.ID, Life: m.life, After: s.after, Change: s.Change}})
+		if length := len(m.view.Chain); length > 0 && (m.now-change.sentAt >= m.config.Again || change.sentInView != m.view.No) {
+			change.sentAt, change.sentInView, change.everSent = m.now, m.view.No, true
+			m.send(m.view.Chain[0], Message{Enter: &Enter{ID: change.ID, Life: m.incarnation, After: change.knownStamp, Change: change.Change}})
 		}
 		return false
 	})
-	m.asking = slices.DeleteFunc(m.asking, func(a *asked) bool {
-		if m.now >= a.until {
-			m.out.Done = append(m.out.Done, Result{ID: a.ID, Outcome: Unavailable})
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
+		if m.now >= read.deadline {
+			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: Unavailable})
 			return true
 		}
-		if n := len(m.view.Chain); n > 0 && a.need == nil && (m.now-a.at >= m.c.Again/2 || a.view != m.view.No) {
-			a.at, a.view = m.now, m.view.No
-			m.send(m.view.Chain[n-1], Message{Confirm: &Confirm{ID: a.ID, Life: m.life}})
+		if length := len(m.view.Chain); length > 0 && read.required == nil && (m.now-read.sentAt >= m.config.Again/2 || read.sentInView != m.view.No) {
+			read.sentAt, read.sentInView = m.now, m.view.No
+			m.send(m.view.Chain[length-1], Message{Confirm: &Confirm{ID: read.ID, Life: m.incarnation}})
 		}
 		return false
 	})
-	if at := m.place(); at >= 0 && !m.isTail() && m.last().View == m.view.No && m.below != m.last() && m.now-m.sentAt >= m.c.Again {
-		if m.below == (Stamp{}) {
-			m.sent = Stamp{}
-			m.push()
+	if index := m.chainIndex(); index >= 0 && !m.isTail() && m.lastStamp().View == m.view.No && m.successorLast != m.lastStamp() && m.now-m.sentAt >= m.config.Again {
+		if m.successorLast == (Stamp{}) {
+			m.sentLast = Stamp{}
+			m.sendToSuccessor()
 		} else {
-			m.belowHolds(m.below, true)
+			m.handleSuccessorPosition(m.successorLast, true)
 		}
 	}
 }
 
-// enter takes a change at the head. One that is under way already gets another caller, not another
-// entry: callers send again, and bodies are large. An order whose number is committed is judged by the identity
-// that is committed under it: the same is confirmed through the chain once more, another is refused. While the
-// number is under way only, another order waits: which of them will be committed is not known yet.
-func (m *Machine) enter(from Ident, e Enter) {
-	if m.place() != 0 || m.last().View != m.view.No || e.Change.Kind == OpenView || e.Change.Kind == Repeat {
+// handleForwardedChange processes a forwarded change at the head. A change that is already
+// uncommitted in the log gets another waiting caller instead of another entry, because callers
+// retry and bodies are large. An order whose number is committed is compared with the identity that
+// was committed under it: the same order is confirmed through the chain once more, a different one
+// is refused. While the number is used by an uncommitted entry, a different order waits, since it
+// is not yet known which of them will be committed.
+func (m *Machine) handleForwardedChange(from Ident, msg Enter) {
+	if m.chainIndex() != 0 || m.lastStamp().View != m.view.No || msg.Change.Kind == OpenView || msg.Change.Kind == Repeat {
 		return
 	}
-	c := caller{from, e.ID, e.Life}
-	switch m.base.judge(e.Change) {
-	case another:
-		m.send(from, Message{Entered: &Entered{ID: e.ID, Life: e.Life, Refused: true}})
+	waiter := caller{from, msg.ID, msg.Life}
+	switch m.committed.classify(msg.Change) {
+	case orderConflicting:
+		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Refused: true}})
 		return
-	case repeated:
-		e.Change = Change{Kind: Repeat, Edition: e.Change.Edition, Name: e.Change.Name, No: e.Change.No}
+	case orderRepeated:
+		msg.Change = Change{Kind: Repeat, Edition: msg.Change.Edition, Name: msg.Change.Name, No: msg.Change.No}
 	}
-	touched := m.base.Touched[e.Change.Zone]
-	for _, t := range m.tail {
-		if e.Change.zoned() && t.Change.zoned() && t.Change.Zone == e.Change.Zone {
-			touched = t.Stamp
+	lastZoneChange := m.committed.Touched[msg.Change.Zone]
+	for _, entry := range m.uncommitted {
+		if msg.Change.changesZone() && entry.Change.changesZone() && entry.Change.Zone == msg.Change.Zone {
+			lastZoneChange = entry.Stamp
 		}
-		w := m.waiting[t.Stamp]
-		if slices.Contains(w, c) {
+		waiters := m.waitingCallers[entry.Stamp]
+		if slices.Contains(waiters, waiter) {
 			return
 		}
-		// Another caller's order for a zone gets its own entry: between the two, the zone may have
-		// been asked to change back by one who gave up.
-		if !e.Change.zoned() && t.Change.equal(e.Change) {
-			m.waiting[t.Stamp] = append(w, c)
+		// Another caller's change of a zone gets its own entry: between the two, a third caller
+		// that has given up may have asked to change the zone back.
+		if !msg.Change.changesZone() && entry.Change.equal(msg.Change) {
+			m.waitingCallers[entry.Stamp] = append(waiters, waiter)
 			return
 		}
-		if t.Change.inTheWayOf(e.Change) {
+		if entry.Change.blocks(msg.Change) {
 			return
 		}
 	}
-	if e.Change.zoned() && e.After.less(touched) && !m.faults.lateOrders {
-		m.send(from, Message{Entered: &Entered{ID: e.ID, Life: e.Life, Stale: m.last()}})
+	if msg.Change.changesZone() && msg.After.less(lastZoneChange) && !m.faults.acceptLateChanges {
+		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Stale: m.lastStamp()}})
 		return
 	}
-	if len(m.tail) >= m.c.Window {
+	if len(m.uncommitted) >= m.config.Window {
 		return
 	}
-	s := Stamp{Seq: m.last().Seq + 1, View: m.view.No}
-	m.waiting[s] = append(m.waiting[s], c) // before the write: a chain of one commits within it
-	m.write(e.Change)
+	stamp := Stamp{Seq: m.lastStamp().Seq + 1, View: m.view.No}
+	m.waitingCallers[stamp] = append(m.waitingCallers[stamp], waiter) // before the write, because a chain of one commits within it
+	m.appendAtHead(msg.Change)
 	if m.faults.ackEarly {
-		m.send(from, Message{Entered: &Entered{ID: e.ID, Life: e.Life}})
+		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life}})
 	}
 }
 
-func (m *Machine) entered(e Entered) {
-	if e.Life != m.life {
+// handleChangeOutcome processes the head's answer to a forwarded change.
+func (m *Machine) handleChangeOutcome(msg Entered) {
+	if msg.Life != m.incarnation {
 		return
 	}
-	m.submits = slices.DeleteFunc(m.submits, func(s *submitted) bool {
-		if s.ID != e.ID {
+	m.pendingChanges = slices.DeleteFunc(m.pendingChanges, func(change *pendingChange) bool {
+		if change.ID != msg.ID {
 			return false
 		}
-		if e.Stale != (Stamp{}) && s.After != (Stamp{}) {
-			m.out.Done = append(m.out.Done, Result{ID: s.ID, Outcome: Overtaken})
+		if msg.Stale != (Stamp{}) && change.After != (Stamp{}) {
+			m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: Overtaken})
 			return true
 		}
-		if e.Stale != (Stamp{}) {
-			if s.after.less(e.Stale) {
-				s.after, s.at = e.Stale, -1e18
+		if msg.Stale != (Stamp{}) {
+			if change.knownStamp.less(msg.Stale) {
+				change.knownStamp, change.sentAt = msg.Stale, -1e18
 			}
 			return false
 		}
-		o := OK
-		if e.Refused {
-			o = Refused
+		outcome := OK
+		if msg.Refused {
+			outcome = Refused
 		}
-		m.out.Done = append(m.out.Done, Result{ID: s.ID, Outcome: o})
+		m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: outcome})
 		return true
 	})
 }
 
-// confirm answers at the tail, once it holds the view's opening entry and while its leases last.
-func (m *Machine) confirm(from Ident, c Confirm) {
-	if !m.isTail() || m.base.Last.View != m.view.No || m.leasedUntil() <= m.now && !m.faults.ignoreLeases {
+// handleRead answers a read at the tail. It answers only after the view's opening entry is committed
+// and while its leases hold.
+func (m *Machine) handleRead(from Ident, msg Confirm) {
+	if !m.isTail() || m.committed.Last.View != m.view.No || m.leasedUntil() <= m.now && !m.faults.ignoreLeases {
 		return
 	}
-	a := &ConfirmAnswer{ID: c.ID, Life: c.Life, At: m.base.Last}
+	answer := &ConfirmAnswer{ID: msg.ID, Life: msg.Life, At: m.committed.Last}
 	if !slices.Contains(m.view.Chain, from) {
-		a.State = m.State()
-		a.State.Past = nil // the head judges by them, nobody else
+		answer.State = m.State()
+		answer.State.Past = nil // only the head needs the identities, to compare orders
 	}
-	m.send(from, Message{ConfirmAnswer: a})
+	m.send(from, Message{ConfirmAnswer: answer})
 }
 
-func (m *Machine) confirmed(a ConfirmAnswer) {
-	if a.Life != m.life {
+// handleReadAnswer processes the tail's answer to a read.
+func (m *Machine) handleReadAnswer(msg ConfirmAnswer) {
+	if msg.Life != m.incarnation {
 		return
 	}
-	m.asking = slices.DeleteFunc(m.asking, func(q *asked) bool {
-		if q.ID != a.ID {
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
+		if read.ID != msg.ID {
 			return false
 		}
 		switch {
-		case a.At.Seq <= m.base.Last.Seq:
-			m.out.Done = append(m.out.Done, Result{ID: q.ID, Outcome: OK, State: m.State()})
+		case msg.At.Seq <= m.committed.Last.Seq:
+			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: m.State()})
 			return true
-		case a.State != nil:
-			m.out.Done = append(m.out.Done, Result{ID: q.ID, Outcome: OK, State: a.State})
+		case msg.State != nil:
+			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: msg.State})
 			return true
 		}
-		q.need = &a.At
+		read.required = &msg.At
 		return false
 	})
 }
 
-// zoned says whether a change only holds in its order with others of the same zone.
-func (c Change) zoned() bool { return c.Kind == Evacuate || c.Kind == TakeBack }
+// changesZone reports whether a change is valid only in its order relative to other changes of the same
+// zone.
+func (c Change) changesZone() bool { return c.Kind == Evacuate || c.Kind == TakeBack }
 
-func (c Change) equal(o Change) bool {
-	return c.Kind == o.Kind && c.Edition == o.Edition && c.Zone == o.Zone && c.Name == o.Name && c.No == o.No &&
-		bytes.Equal(c.Body, o.Body)
+// equal reports whether two changes are the same.
+func (c Change) equal(other Change) bool {
+	return c.Kind == other.Kind && c.Edition == other.Edition && c.Zone == other.Zone && c.Name == other.Name && c.No == other.No &&
+		bytes.Equal(c.Body, other.Body)
 }
--- a/internal/cairn/encoding_test.go
+++ b/internal/cairn/encoding_test.go
@@ -11,7 +11,8 @@
 	"foxwood/internal/testing/encoding"
 )
 
-// What the machines of the chain send each other and what they store is read by the release before and the one after.
+// TestMessagesAndRecordsKeepTheirEncoding compares the encoding of messages and records with golden
+// files, because the previous and the next release must be able to read them.
 func TestMessagesAndRecordsKeepTheirEncoding(t *testing.T) {
 	assert.Equal(t, rpc.NameOf[cairn.Message](), "cairn.Message")
 	encoding.Check[cairn.Message](t, "cairn.Message", cbor.Marshal, cbor.Unmarshal)
--- a/internal/cairn/lease.go
+++ b/internal/cairn/lease.go
@@ -5,127 +5,135 @@
 	"slices"
 )
 
-// leases keeps the old tail from answering once a later view may have changed the state. A granter
-// holds back its vote for the next view until its grant is over. It is the vote that counts: a view
-// can be decided by votes without a promise from each voter, so holding back promises would leave a gap.
-type leases struct {
-	asks     map[uint64]float64 // when the tail asked
-	asked    uint64
-	until    map[Ident]float64 // what the tail was granted
-	grants   map[Ident]grant   // what this machine granted
-	hold     float64           // no vote before this: an earlier life may have granted
-	quiet    float64           // no grants before this: a ballot is under way
-	heldFrom Ident
-	held     *Accept
+// leaseState is the state of the tail's leases. They keep an old tail from answering reads once a later
+// view may have changed the state: a granter delays its vote for the next view until its grant has
+// run out. The vote is what must wait, not the promise, because a view can be decided by votes of
+// members that never promised. Times are in milliseconds of the local clock.
+type leaseState struct {
+	requestSentAt map[uint64]float64 // at the tail: when each lease request was sent
+	lastRequest   uint64             // at the tail: number of the last request
+	grantedUntil  map[Ident]float64  // at the tail: until when each member's lease holds
+	grants        map[Ident]grant    // leases granted by this machine
+	noVoteBefore  float64            // no vote before this time, because an earlier incarnation may have granted leases
+	noGrantBefore float64            // no grants before this time, because a ballot is in progress
+	heldFrom      Ident
+	heldVote      *Accept // a vote request that waits for granted leases to run out
 }
 
+// grant is a lease granted by this machine.
 type grant struct {
-	ask, life uint64
-	until     float64
+	request, incarnation uint64
+	expiresAt            float64
 }
 
-func (m *Machine) clearLeases() {
-	m.asks, m.until, m.grants = map[uint64]float64{}, map[Ident]float64{}, map[Ident]grant{}
-	m.held, m.quiet = nil, 0
+// resetLeases resets the lease state of a view.
+func (m *Machine) resetLeases() {
+	m.requestSentAt, m.grantedUntil, m.grants = map[uint64]float64{}, map[Ident]float64{}, map[Ident]grant{}
+	m.heldVote, m.noGrantBefore = nil, 0
 }
 
-// askLease numbers a round of asking, so that a grant counts from when it was asked for.
-func (m *Machine) askLease() uint64 {
-	if !m.isTail() || m.accepted != nil || m.now < m.quiet {
+// nextLeaseRequest returns the number of a new lease request, or 0 if this machine must not request
+// one. The number ties a grant to its request, so that the lease counts from the time of the
+// request.
+func (m *Machine) nextLeaseRequest() uint64 {
+	if !m.isTail() || m.accepted != nil || m.now < m.noGrantBefore {
 		return 0
 	}
-	m.asked++
-	m.asks[m.asked] = m.now
-	for n, t := range m.asks {
-		if t+m.c.Lease < m.now {
-			delete(m.asks, n)
+	m.lastRequest++
+	m.requestSentAt[m.lastRequest] = m.now
+	for number, sentAt := range m.requestSentAt {
+		if sentAt+m.config.Lease < m.now {
+			delete(m.requestSentAt, number)
 		}
 	}
-	return m.asked
+	return m.lastRequest
 }
 
-// grantTo gives the tail a lease, unless this machine has voted for a later view or is about to.
-func (m *Machine) grantTo(from Ident, b Beat) {
-	if b.Ask == 0 || b.View != m.view.No || m.accepted != nil || m.now < m.quiet || !m.votes() ||
+// grantLease grants the tail a lease unless this machine has voted for a later view or is about to.
+func (m *Machine) grantLease(from Ident, heartbeat Beat) {
+	if heartbeat.Ask == 0 || heartbeat.View != m.view.No || m.accepted != nil || m.now < m.noGrantBefore || !m.inCore() ||
 		len(m.view.Chain) == 0 || from != m.view.Chain[len(m.view.Chain)-1] {
 		return
 	}
-	m.grants[from] = grant{ask: b.Ask, life: b.Life, until: m.now + m.c.Lease + m.c.Slack}
-	m.send(from, Message{Grant: &Grant{View: b.View, Ask: b.Ask, Life: b.Life}})
+	m.grants[from] = grant{request: heartbeat.Ask, incarnation: heartbeat.Life, expiresAt: m.now + m.config.Lease + m.config.Slack}
+	m.send(from, Message{Grant: &Grant{View: heartbeat.View, Ask: heartbeat.Ask, Life: heartbeat.Life}})
 }
 
-func (m *Machine) granted(from Ident, g Grant) {
-	t, ok := m.asks[g.Ask]
-	if !ok || g.Life != m.life || g.View != m.view.No {
+// handleGrant records a lease that this machine, as the tail, was granted.
+func (m *Machine) handleGrant(from Ident, msg Grant) {
+	requestedAt, ok := m.requestSentAt[msg.Ask]
+	if !ok || msg.Life != m.incarnation || msg.View != m.view.No {
 		return
 	}
-	m.until[from] = max(m.until[from], t+m.c.Lease)
+	m.grantedUntil[from] = max(m.grantedUntil[from], requestedAt+m.config.Lease)
 }
 
-// giveBack ends the tail's own leases, so that a change of view need not wait for them. Asks that
-// are still under way are forgotten with them.
-func (m *Machine) giveBack() {
-	if !m.isTail() || m.asked == 0 || len(m.asks) == 0 && len(m.until) == 0 {
+// releaseLeases ends the tail's own leases, so that a view change need not wait for them to run out.
+// Requests that are still unanswered are dropped with them.
+func (m *Machine) releaseLeases() {
+	if !m.isTail() || m.lastRequest == 0 || len(m.requestSentAt) == 0 && len(m.grantedUntil) == 0 {
 		return
 	}
-	m.asks, m.until = map[uint64]float64{}, map[Ident]float64{}
-	for _, x := range m.view.Core {
-		if x != m.self {
-			m.send(x, Message{Release: &Grant{View: m.view.No, Ask: m.asked, Life: m.life}})
+	m.requestSentAt, m.grantedUntil = map[uint64]float64{}, map[Ident]float64{}
+	for _, member := range m.view.Core {
+		if member != m.self {
+			m.send(member, Message{Release: &Grant{View: m.view.No, Ask: m.lastRequest, Life: m.incarnation}})
 		}
 	}
 }
 
-// released drops a grant that its holder no longer uses. The number keeps a late release from
-// ending a newer grant.
-func (m *Machine) released(from Ident, g Grant) {
-	if h, ok := m.grants[from]; ok && g.View == m.view.No && h.life == g.Life && h.ask <= g.Ask {
+// handleRelease ends a grant that its holder no longer uses. The request number keeps a delayed release
+// from ending a newer grant.
+func (m *Machine) handleRelease(from Ident, msg Grant) {
+	if held, ok := m.grants[from]; ok && msg.View == m.view.No && held.incarnation == msg.Life && held.request <= msg.Ask {
 		delete(m.grants, from)
-		m.releaseHeld()
+		m.castHeldVote()
 	}
 }
 
-// mayVote says whether all that this machine may have granted is over.
+// mayVote reports whether all leases that this machine may have granted have ended.
 func (m *Machine) mayVote() bool {
-	if m.faults.noHold {
+	if m.faults.voteDespiteLeases {
 		return true
 	}
-	if m.now < m.hold {
+	if m.now < m.noVoteBefore {
 		return false
 	}
 	for _, g := range m.grants {
-		if m.now < g.until {
+		if m.now < g.expiresAt {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Machine) releaseHeld() {
-	if m.held != nil && m.mayVote() {
-		a, from := *m.held, m.heldFrom
-		m.held = nil
-		m.accept(from, a)
+// castHeldVote casts a held-back vote once it is allowed.
+func (m *Machine) castHeldVote() {
+	if m.heldVote != nil && m.mayVote() {
+		vote, from := *m.heldVote, m.heldFrom
+		m.heldVote = nil
+		m.handleAccept(from, vote)
 	}
 }
 
-// leasedUntil is until when a majority of the core, the tail itself included, has granted leases.
+// leasedUntil returns the time until which a majority of the core, including the tail itself, has
+// granted leases.
 func (m *Machine) leasedUntil() float64 {
-	if !m.isTail() || !m.votes() || m.accepted != nil {
+	if !m.isTail() || !m.inCore() || m.accepted != nil {
 		return math.Inf(-1)
 	}
-	var ts []float64
-	for _, x := range m.view.Core {
-		if x == m.self {
-			ts = append(ts, m.now+m.c.Lease) // its own vote ends its own answers at once
-		} else if t, ok := m.until[x]; ok {
-			ts = append(ts, t)
+	var expiries []float64
+	for _, member := range m.view.Core {
+		if member == m.self {
+			expiries = append(expiries, m.now+m.config.Lease) // the tail stops answering as soon as it votes itself
+		} else if expiry, ok := m.grantedUntil[member]; ok {
+			expiries = append(expiries, expiry)
 		}
 	}
-	need := len(m.view.Core)/2 + 1
-	if len(ts) < need {
+	quorum := len(m.view.Core)/2 + 1
+	if len(expiries) < quorum {
 		return math.Inf(-1)
 	}
-	slices.Sort(ts)
-	return ts[len(ts)-need]
+	slices.Sort(expiries)
+	return expiries[len(expiries)-quorum]
 }
--- a/internal/cairn/leave.go
+++ b/internal/cairn/leave.go
@@ -2,29 +2,32 @@
 
 import "slices"
 
-// A process that is asked to end says so with its beats. Whoever leads proposes a view whose chain does without
-// it, if one can be formed, and it stays until it knows that this view has opened: the others then hold all
-// that it held. A restart looks the same, and the machine comes back as any member that was away.
+// A process that is asked to end announces it in its heartbeats. The leader of the next ballot
+// proposes a view whose chain does without it, if one can be formed. The process stays until it
+// knows that this view has been opened, since the others then hold everything it held. A restart
+// looks the same to the others, and the machine returns like any member that was away.
 
-func (m *Machine) leave() {
-	m.leaving, m.nextBeat = true, m.now
+// startLeaving announces that the process is about to end.
+func (m *Machine) startLeaving() {
+	m.leaving, m.nextHeartbeat = true, m.now
 }
 
-// Left says whether the process may end without taking anything with it that others lack.
+// Left reports whether the process may end without taking data with it that the others lack.
 func (m *Machine) Left() bool {
-	if m.faults.hasty && m.leaving {
+	if m.faults.leaveAtOnce && m.leaving {
 		return true
 	}
-	if !m.leaving || m.place() >= 0 {
+	if !m.leaving || m.chainIndex() >= 0 {
 		return false
 	}
-	opened := func(x Ident) bool {
-		p := m.peers[x]
-		return p != nil && p.beat.View == m.view.No && p.beat.Committed.View == m.view.No
+	opened := func(id Ident) bool {
+		p := m.peers[id]
+		return p != nil && p.heartbeat.View == m.view.No && p.heartbeat.Committed.View == m.view.No
 	}
-	// Who waits for a seat is to have this one first: until then one more loss might leave no majority.
-	ready := m.votes() && slices.ContainsFunc(m.known(), func(x Ident) bool {
-		return !slices.Contains(m.view.Core, x) && m.hearsAt(x) && !m.peers[x].beat.Leaving
+	// A machine that waits for a seat must get this one first: until then, one more loss could leave
+	// the core without a majority.
+	othersWait := m.inCore() && slices.ContainsFunc(m.knownPeers(), func(id Ident) bool {
+		return !slices.Contains(m.view.Core, id) && m.hears(id) && !m.peers[id].heartbeat.Leaving
 	})
-	return m.view.No == 0 || !ready && slices.ContainsFunc(m.view.Chain, opened)
+	return m.view.No == 0 || !othersWait && slices.ContainsFunc(m.view.Chain, opened)
 }
--- a/internal/cairn/machine.go
+++ b/internal/cairn/machine.go
@@ -6,342 +6,343 @@
 	"slices"
 )
 
-// faults are deliberate ones, by which the tests show that their checks bite.
+// faults switches on deliberate faults and special modes. Tests use it to show that their checks
+// detect each fault.
 type faults struct {
-	ackEarly     bool // the head acknowledges once it has the entry itself
-	forgetVotes  bool // promises and votes are not kept over a start
-	ignoreLeases bool // the tail answers without leases
-	noHold       bool // votes do not wait for granted leases
-	noPrev       bool // entries are taken without looking at the one before
-	anyHead      bool // members that are not whole count as old members of the chain
-	noFence      bool // entries of an older view are taken
-	trustFill    bool // a late fill may take entries away again
-	lateOrders   bool // a change of a zone may come after newer ones
-	whims        bool // no fault: operators have machines forgotten at any time
-	turnover     bool // no fault: machines are replaced, and restarted in order
-	ghosts       bool // a newcomer takes nobody's seat, and none is given up
-	hasty        bool // a process that is asked to end does not wait for the others to hold what it held
-	halfDecides  bool // half of the core counts as a majority
-	grabs        bool // a newcomer may have the seat of a member that others hear, at once
+	ackEarly           bool // the head acknowledges a change as soon as it has appended the entry itself
+	forgetVotes        bool // promises and votes are lost at a restart
+	ignoreLeases       bool // the tail answers without holding leases
+	voteDespiteLeases  bool // votes do not wait for granted leases
+	skipPrevCheck      bool // entries are appended without a check of their predecessor
+	allowAnyHead       bool // incomplete members count as complete members of the old chain
+	acceptOldViews     bool // entries of an older view are accepted
+	acceptLateSnapshot bool // a delayed snapshot may remove entries
+	acceptLateChanges  bool // a zone change may be applied after newer ones
+	removeAtRandom     bool // not a fault: operators remove machines at arbitrary times
+	replaceMachines    bool // not a fault: machines are replaced and restarted gracefully
+	alwaysAddSeats     bool // a joining machine adds a seat instead of taking over a vacant one
+	leaveAtOnce        bool // a leaving process does not wait until the others hold what it held
+	halfIsMajority     bool // half of the core counts as a majority
+	takeHeardSeats     bool // a joining machine may at once take the seat of a member that others still hear
 }
 
-// peer is what is known of another machine from its beats.
+// peer is what this machine knows of another one. Times are in milliseconds of the local clock.
 type peer struct {
-	heard  float64
-	beat   Beat
-	filled float64 // when it was last sent a fill
-	news   float64 // when it was last sent the view
+	heardAt        float64
+	heartbeat      Beat
+	snapshotSentAt float64 // when a snapshot was last sent to it
+	viewSentAt     float64 // when the view was last sent to it
 }
 
-// Machine is one core machine.
+// Machine is the replication state machine of one core machine. It is not safe for concurrent use.
 type Machine struct {
-	c      Config
-	self   Ident
-	life   uint64
-	rng    *rand.Rand
-	now    float64
-	start  float64
-	out    Out
-	local  []Message
-	bytes  int
-	first  []Record // written at the first step
-	faults faults
+	config        Config
+	self          Ident
+	incarnation   uint64
+	rng           *rand.Rand
+	now           float64
+	startedAt     float64
+	output        Out
+	localMessages []Message
+	recordBytes   int
+	startRecords  []Record // records of an empty disk, written at the first step
+	faults        faults
 
-	view      View
-	viewSince float64
-	whole     bool // as the view began
-	filled    bool
+	view        View
+	viewSince   float64
+	complete    bool // held everything acknowledged in earlier views when this view began
+	hasSnapshot bool
 
-	base   State // committed
-	tail   []Entry
-	marked uint64 // the commit that the disk knows of
+	committed      State // the committed state
+	uncommitted    []Entry
+	recordedCommit uint64 // highest sequence number that is recorded on disk as committed
 
-	peers    map[Ident]*peer
-	nextBeat float64
-	leaving  bool
-	extra    bool            // one of the machines of the very first start, that never had a seat
-	awaited  map[string]bool // addresses of others that were there at the very first start, until they have had a seat
-	alone    float64         // since when no majority of the core has been heard; 0 if one is
-	regained float64         // when a majority was last heard again, after none had been
+	peers              map[Ident]*peer
+	nextHeartbeat      float64
+	leaving            bool
+	seatPending        bool            // takes part in the cluster's first start and has never had a core seat
+	pendingSeats       map[string]bool // addresses of other machines that took part in the first start, until they have had a core seat
+	majorityLostAt     float64         // since when no majority of the core has been heard; 0 while one is heard
+	majorityRegainedAt float64         // when a majority was last heard again after a loss
 
-	ballots
-	leases
-	chain
-	oblivion
+	ballotState
+	leaseState
+	chainState
+	removalState
 }
 
-// New makes a machine from what its disk holds, in the order in which it was written.
-func New(c Config, stored []Record, now float64) *Machine {
-	c.defaults()
-	m := &Machine{c: c, self: Ident{Addr: c.Self.Addr}, now: now, start: now, viewSince: now,
-		peers: map[Ident]*peer{}, awaited: map[string]bool{}, rng: rand.New(rand.NewPCG(c.Seed, 0x9e3779b97f4a7c15)), regained: now - 1e9}
-	m.life = m.rng.Uint64() | 1
-	for _, r := range stored {
-		m.restore(r)
+// New creates a machine from the records on its disk, in the order in which they were written.
+func New(config Config, stored []Record, now float64) *Machine {
+	config.setDefaults()
+	m := &Machine{config: config, self: Ident{Addr: config.Self.Addr}, now: now, startedAt: now, viewSince: now,
+		peers: map[Ident]*peer{}, pendingSeats: map[string]bool{}, rng: rand.New(rand.NewPCG(config.Seed, 0x9e3779b97f4a7c15)), majorityRegainedAt: now - 1e9}
+	m.incarnation = m.rng.Uint64() | 1
+	for _, record := range stored {
+		m.restoreRecord(record)
 	}
-	m.hold = now
+	m.noVoteBefore = now
 	if len(stored) > 0 {
-		m.hold = now + c.Lease + c.Slack // leases granted by an earlier life may still be held
+		m.noVoteBefore = now + config.Lease + config.Slack // an earlier incarnation may have granted leases that are still held
 	}
 	if m.self.Disk == "" {
-		var r Record
-		if c.FirstRun && slices.Contains(c.Seeds, m.self.Addr) {
+		var record Record
+		if config.FirstRun && slices.Contains(config.Seeds, m.self.Addr) {
 			m.self.Disk = "first"
-			seeds := slices.Clone(c.Seeds)
+			seeds := slices.Clone(config.Seeds)
 			slices.Sort(seeds)
-			v := View{No: 1, Epoch: 1}
-			for _, a := range slices.Compact(seeds) {
-				v.Core = append(v.Core, Ident{a, "first"})
+			view := View{No: 1, Epoch: 1}
+			for _, addr := range slices.Compact(seeds) {
+				view.Core = append(view.Core, Ident{addr, "first"})
 			}
-			v.Chain, v.Seats = slices.Clone(v.Core), len(v.Core)
-			m.view, m.whole = v, true
-			// One record holds both, so that no start finds a name without the view it stands for.
-			r.View = &ViewRecord{View: v, Whole: true}
+			view.Chain, view.Seats = slices.Clone(view.Core), len(view.Core)
+			m.view, m.complete = view, true
+			// One record holds both, so that a restart never finds the disk's name without its view.
+			record.View = &ViewRecord{View: view, Whole: true}
 		} else {
 			m.self.Disk = fmt.Sprintf("%016x", m.rng.Uint64())
-			m.extra, r.First = c.FirstRun, c.FirstRun
+			m.seatPending, record.First = config.FirstRun, config.FirstRun
 		}
-		r.Disk = m.self.Disk
-		m.first = []Record{r}
+		record.Disk = m.self.Disk
+		m.startRecords = []Record{record}
 	}
-	m.clearVolatile()
+	m.resetViewState()
 	return m
 }
 
-// restore takes one record from the disk.
-func (m *Machine) restore(r Record) {
-	if r.Disk != "" {
-		m.self.Disk, m.extra = r.Disk, r.First
+// restoreRecord applies one record from the disk.
+func (m *Machine) restoreRecord(record Record) {
+	if record.Disk != "" {
+		m.self.Disk, m.seatPending = record.Disk, record.First
 	}
-	if r.View != nil && r.View.View.No > m.view.No {
-		m.view, m.whole = r.View.View, r.View.Whole
-		m.extra = m.extra && !m.votes()
+	if record.View != nil && record.View.View.No > m.view.No {
+		m.view, m.complete = record.View.View, record.View.Whole
+		m.seatPending = m.seatPending && !m.inCore()
 		m.promised, m.accepted = Ballot{}, nil
 	}
 	if !m.faults.forgetVotes {
-		if p := r.Promise; p != nil && p.For == m.view.No+1 && m.promised.less(p.Ballot) {
-			m.promised = p.Ballot
+		if promise := record.Promise; promise != nil && promise.For == m.view.No+1 && m.promised.less(promise.Ballot) {
+			m.promised = promise.Ballot
 		}
-		if a := r.Accept; a != nil && a.For == m.view.No+1 {
-			m.accepted = a
-			if m.promised.less(a.Ballot) {
-				m.promised = a.Ballot
+		if vote := record.Accept; vote != nil && vote.For == m.view.No+1 {
+			m.accepted = vote
+			if m.promised.less(vote.Ballot) {
+				m.promised = vote.Ballot
 			}
 		}
 	}
-	if w := r.Whole; w != nil {
-		m.base, m.tail = w.State, slices.Clone(w.Tail)
+	if snapshot := record.Whole; snapshot != nil {
+		m.committed, m.uncommitted = snapshot.State, slices.Clone(snapshot.Tail)
 	}
-	if e := r.Entry; e != nil && e.Prev == m.last() {
-		m.tail = append(m.tail, *e)
+	if entry := record.Entry; entry != nil && entry.Prev == m.lastStamp() {
+		m.uncommitted = append(m.uncommitted, *entry)
 	}
-	if r.Committed > 0 {
-		m.applyUpTo(r.Committed)
+	if record.Committed > 0 {
+		m.applyThrough(record.Committed)
 	}
-	m.marked = m.base.Last.Seq
+	m.recordedCommit = m.committed.Last.Seq
 }
 
-// clearVolatile forgets what belongs to one view only.
-func (m *Machine) clearVolatile() {
-	m.clearBallots()
-	m.clearLeases()
-	m.clearChain()
+// resetViewState resets everything that belongs to a single view.
+func (m *Machine) resetViewState() {
+	m.resetBallots()
+	m.resetLeases()
+	m.resetChain()
 }
 
-// Step takes one event at a time of the steady clock.
-func (m *Machine) Step(now float64, e Event) Out {
+// Step processes one event at a time of the monotonic clock, in milliseconds.
+func (m *Machine) Step(now float64, event Event) Out {
 	m.now = max(m.now, now)
-	m.out = Out{Sync: m.first}
-	m.first = nil
+	m.output = Out{Sync: m.startRecords}
+	m.startRecords = nil
 	switch {
-	case e.Message != nil:
-		if to := e.Message.To; to.Addr == m.self.Addr && (to.Disk == "" || to.Disk == m.self.Disk) && e.Message.From != m.self {
-			m.receive(*e.Message)
+	case event.Message != nil:
+		if to := event.Message.To; to.Addr == m.self.Addr && (to.Disk == "" || to.Disk == m.self.Disk) && event.Message.From != m.self {
+			m.receive(*event.Message)
 		}
-	case e.Submit != nil:
-		m.submit(*e.Submit)
-	case e.Ask != nil:
-		m.ask(*e.Ask)
-	case e.Drop != nil:
-		m.drops = append(m.drops, &dropped{Drop: *e.Drop, until: m.now + dropMost, at: -1e18})
+	case event.Submit != nil:
+		m.queueChange(*event.Submit)
+	case event.Ask != nil:
+		m.queueRead(*event.Ask)
+	case event.Drop != nil:
+		m.pendingRemovals = append(m.pendingRemovals, &pendingRemoval{Drop: *event.Drop, deadline: m.now + removalTimeout, sentAt: -1e18})
 	}
-	if e.Leave {
-		m.leave()
+	if event.Leave {
+		m.startLeaving()
 	}
-	if e.Rebuild != nil {
-		m.rebuild(*e.Rebuild)
+	if event.Rebuild != nil {
+		m.rebuildCore(*event.Rebuild)
 	}
 	m.openView()
-	m.timers()
-	for len(m.local) > 0 {
-		l := m.local[0]
-		m.local = m.local[1:]
-		m.receive(l)
+	m.runTimers()
+	for len(m.localMessages) > 0 {
+		msg := m.localMessages[0]
+		m.localMessages = m.localMessages[1:]
+		m.receive(msg)
 		m.openView()
 	}
-	for i := range m.out.Sync {
-		m.bytes += m.out.Sync[i].size()
+	for i := range m.output.Sync {
+		m.recordBytes += m.output.Sync[i].size()
 	}
-	m.out.Compact = m.bytes > m.c.Bytes
-	return m.out
+	m.output.Compact = m.recordBytes > m.config.Bytes
+	return m.output
 }
 
-func (m *Machine) timers() {
-	if m.now >= m.nextBeat {
-		m.nextBeat = m.now + m.c.Beat
-		m.beat()
+func (m *Machine) runTimers() {
+	if m.now >= m.nextHeartbeat {
+		m.nextHeartbeat = m.now + m.config.Beat
+		m.sendHeartbeats()
 	}
-	m.counted()
-	m.releaseHeld()
+	m.trackMajority()
+	m.castHeldVote()
 	m.resend()
-	m.redrop()
-	m.consider()
-	if m.marked < m.base.Last.Seq && len(m.out.Send) == 0 {
-		// What was in force before a start is in force right after it, without waiting for the chain.
-		m.mark()
+	m.resendRemovals()
+	m.considerBallot()
+	if m.recordedCommit < m.committed.Last.Seq && len(m.output.Send) == 0 {
+		// Record the commit so that it is known right after a restart, before the chain answers.
+		m.recordCommit()
 	}
 }
 
-func (m *Machine) mark() {
-	m.marked = m.base.Last.Seq
-	m.sync(Record{Committed: m.marked})
+func (m *Machine) recordCommit() {
+	m.recordedCommit = m.committed.Last.Seq
+	m.persist(Record{Committed: m.recordedCommit})
 }
 
-func (m *Machine) sync(r Record) { m.out.Sync = append(m.out.Sync, r) }
+func (m *Machine) persist(record Record) { m.output.Sync = append(m.output.Sync, record) }
 
 func (m *Machine) send(to Ident, msg Message) {
 	msg.From, msg.To = m.self, to
 	if to == m.self {
-		m.local = append(m.local, msg)
+		m.localMessages = append(m.localMessages, msg)
 		return
 	}
-	m.out.Send = append(m.out.Send, msg)
+	m.output.Send = append(m.output.Send, msg)
 }
 
-func (m *Machine) receive(g Message) {
-	if g.From != m.self {
-		p := m.peers[g.From]
-		if p == nil {
-			p = &peer{filled: -1e18, news: -1e18}
-			m.peers[g.From] = p
+func (m *Machine) receive(msg Message) {
+	if msg.From != m.self {
+		sender := m.peers[msg.From]
+		if sender == nil {
+			sender = &peer{snapshotSentAt: -1e18, viewSentAt: -1e18}
+			m.peers[msg.From] = sender
 		}
-		if g.Beat != nil {
-			m.heard(g.From, p, *g.Beat)
+		if msg.Beat != nil {
+			m.handleHeartbeat(msg.From, sender, *msg.Beat)
 		}
 	}
 	switch {
-	case g.Grant != nil:
-		m.granted(g.From, *g.Grant)
-	case g.Release != nil:
-		m.released(g.From, *g.Release)
-	case g.Prepare != nil:
-		m.prepare(g.From, *g.Prepare)
-	case g.Promise != nil:
-		m.promise(g.From, *g.Promise)
-	case g.Accept != nil:
-		m.accept(g.From, *g.Accept)
-	case g.Accepted != nil:
-		m.acceptedBy(g.From, *g.Accepted)
-	case g.News != nil:
-		m.adopt(*g.News)
-	case g.Append != nil:
-		m.appendFrom(g.From, *g.Append)
-	case g.Appended != nil:
-		m.appendedBy(g.From, *g.Appended)
-	case g.Fill != nil:
-		m.fill(g.From, *g.Fill)
-	case g.Enter != nil:
-		m.enter(g.From, *g.Enter)
-	case g.Entered != nil:
-		m.entered(*g.Entered)
-	case g.Confirm != nil:
-		m.confirm(g.From, *g.Confirm)
-	case g.ConfirmAnswer != nil:
-		m.confirmed(*g.ConfirmAnswer)
-	case g.Forget != nil:
-		m.forget(*g.Forget)
+	case msg.Grant != nil:
+		m.handleGrant(msg.From, *msg.Grant)
+	case msg.Release != nil:
+		m.handleRelease(msg.From, *msg.Release)
+	case msg.Prepare != nil:
+		m.handlePrepare(msg.From, *msg.Prepare)
+	case msg.Promise != nil:
+		m.handlePromise(msg.From, *msg.Promise)
+	case msg.Accept != nil:
+		m.handleAccept(msg.From, *msg.Accept)
+	case msg.Accepted != nil:
+		m.handleAccepted(msg.From, *msg.Accepted)
+	case msg.News != nil:
+		m.adoptView(*msg.News)
+	case msg.Append != nil:
+		m.handleAppend(msg.From, *msg.Append)
+	case msg.Appended != nil:
+		m.handleAppended(msg.From, *msg.Appended)
+	case msg.Fill != nil:
+		m.handleSnapshot(msg.From, *msg.Fill)
+	case msg.Enter != nil:
+		m.handleForwardedChange(msg.From, *msg.Enter)
+	case msg.Entered != nil:
+		m.handleChangeOutcome(*msg.Entered)
+	case msg.Confirm != nil:
+		m.handleRead(msg.From, *msg.Confirm)
+	case msg.ConfirmAnswer != nil:
+		m.handleReadAnswer(*msg.ConfirmAnswer)
+	case msg.Forget != nil:
+		m.handleRemoval(*msg.Forget)
 	}
 }
 
-// Self is who this machine is.
+// Self returns the identity of this machine.
 func (m *Machine) Self() Ident { return m.self }
 
-// View is the newest view that this machine knows to be decided; number 0 is none.
+// View returns the newest view that this machine knows to be decided. Number 0 means none.
 func (m *Machine) View() View { return m.view }
 
-// State is what is committed as far as this machine knows. It must not be changed.
+// State returns the state that this machine knows to be committed. It must not be modified.
 func (m *Machine) State() *State {
-	s := m.base
+	s := m.committed
 	return &s
 }
 
-// Snapshot is the fewest records that restore the machine as of the last step. The caller has
-// synced that step; the records may then take the place of all earlier ones.
+// Snapshot returns the smallest set of records that restores the machine as of the last step. The
+// caller must have synced that step; the records may then replace all earlier ones.
 func (m *Machine) Snapshot() []Record {
-	rs := []Record{{Disk: m.self.Disk, First: m.extra}}
+	records := []Record{{Disk: m.self.Disk, First: m.seatPending}}
 	if m.view.No > 0 {
-		rs[0].View = &ViewRecord{View: m.view, Whole: m.whole}
+		records[0].View = &ViewRecord{View: m.view, Whole: m.complete}
 	}
 	if m.promised != (Ballot{}) {
-		rs = append(rs, Record{Promise: &Promised{For: m.view.No + 1, Ballot: m.promised}})
+		records = append(records, Record{Promise: &Promised{For: m.view.No + 1, Ballot: m.promised}})
 	}
 	if m.accepted != nil {
-		rs = append(rs, Record{Accept: m.accepted})
+		records = append(records, Record{Accept: m.accepted})
 	}
-	rs = append(rs, Record{Whole: &Whole{State: m.base, Tail: slices.Clone(m.tail)}})
-	m.bytes = 0
-	return rs
+	records = append(records, Record{Whole: &Whole{State: m.committed, Tail: slices.Clone(m.uncommitted)}})
+	m.recordBytes = 0
+	return records
 }
 
 func (r Record) size() int {
-	n := 64
+	total := 64
 	if r.Entry != nil {
-		n += len(r.Entry.Change.Body)
+		total += len(r.Entry.Change.Body)
 	}
 	if r.Whole != nil {
-		n += len(r.Whole.State.Body)
-		for _, e := range r.Whole.Tail {
-			n += len(e.Change.Body)
+		total += len(r.Whole.State.Body)
+		for _, entry := range r.Whole.Tail {
+			total += len(entry.Change.Body)
 		}
 	}
-	return n
+	return total
 }
 
-// Status is what an operator wants to know.
+// Status is a report for operators.
 type Status struct {
 	Self      Ident
 	View      View
-	Role      string // head, tail, member, sole, core, joining
+	Role      string // one of head, tail, member, sole, core, joining
 	Last      Stamp
 	Committed Stamp
 	Lag       int     // entries that are held but not known to be committed
-	Leased    float64 // how long the tail's leases still hold, in milliseconds
-	Hears     []Ident // whom it has a path with
+	Leased    float64 // remaining time of the tail's leases, in milliseconds
+	Hears     []Ident // core members with a connection in both directions
 	Whole     bool
-	Lost      float64 // how long no majority of the core has been heard, in milliseconds; 0 if one is
+	Lost      float64 // how long no majority of the core has been heard, in milliseconds; 0 while one is heard
 }
 
-// Status tells how things stand.
+// Status returns a report on the machine's current condition.
 func (m *Machine) Status() Status {
-	s := Status{Self: m.self, View: m.view, Last: m.last(), Committed: m.base.Last, Lag: len(m.tail),
-		Leased: max(0, m.leasedUntil()-m.now), Whole: m.isWhole(), Lost: m.lostFor(), Role: "joining"}
-	for _, x := range m.view.Core {
-		if x != m.self && m.live(x) {
-			s.Hears = append(s.Hears, x)
+	status := Status{Self: m.self, View: m.view, Last: m.lastStamp(), Committed: m.committed.Last, Lag: len(m.uncommitted),
+		Leased: max(0, m.leasedUntil()-m.now), Whole: m.isComplete(), Lost: m.majorityLostFor(), Role: "joining"}
+	for _, member := range m.view.Core {
+		if member != m.self && m.isReachable(member) {
+			status.Hears = append(status.Hears, member)
 		}
 	}
-	at, n := m.place(), len(m.view.Chain)
+	index, length := m.chainIndex(), len(m.view.Chain)
 	switch {
-	case at == 0 && n == 1:
-		s.Role = "sole"
-	case at == 0:
-		s.Role = "head"
-	case at == n-1 && at > 0:
-		s.Role = "tail"
-	case at > 0:
-		s.Role = "member"
+	case index == 0 && length == 1:
+		status.Role = "sole"
+	case index == 0:
+		status.Role = "head"
+	case index == length-1 && index > 0:
+		status.Role = "tail"
+	case index > 0:
+		status.Role = "member"
 	case slices.Contains(m.view.Core, m.self):
-		s.Role = "core"
+		status.Role = "core"
 	}
-	return s
+	return status
 }
--- a/internal/cairn/scan_test.go
+++ b/internal/cairn/random_seeds_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// TestScan plays many more runs when it is asked to: CAIRN_RUNS of each size, from the seed
-// CAIRN_FROM on; of one size only with
-// CAIRN_MACHINES, with operators who have machines forgotten with CAIRN_WHIMS, with machines
-// that are replaced with CAIRN_TURNOVER.
+// TestScan runs many more simulations on request: CAIRN_RUNS of each size, starting with seed
+// CAIRN_FROM. CAIRN_MACHINES selects one size, CAIRN_WHIMS adds random removals by operators, and
+// CAIRN_TURNOVER adds replacements and restarts.
 func TestScan(t *testing.T) {
 	runs, _ := strconv.Atoi(os.Getenv("CAIRN_RUNS"))
 	if runs == 0 {
@@ -28,7 +27,7 @@
 		wg.Go(func() {
 			bad := 0
 			for i := range runs {
-				if _, err := sound(uint64(from+i), c[0], c[1], faults{whims: os.Getenv("CAIRN_WHIMS") != "", turnover: os.Getenv("CAIRN_TURNOVER") != ""}); err != nil {
+				if _, err := simulate(uint64(from+i), c[0], c[1], faults{removeAtRandom: os.Getenv("CAIRN_WHIMS") != "", replaceMachines: os.Getenv("CAIRN_TURNOVER") != ""}); err != nil {
 					t.Errorf("%v seed %d: %.220s", c, from+i, err)
 					if bad++; bad > 6 {
 						return
--- a/internal/cairn/rebuild.go
+++ b/internal/cairn/rebuild.go
@@ -1,45 +1,52 @@
 package cairn
 
-// Where so many machines are gone for good that no majority of the core can come back, an operator may have a
-// new core begun from one whole copy. Nothing agrees on that: it is for the operator to know that the others
-// never start again with their disks, and that no newer copy is left. The new view's number is far above any
-// that the old core can have reached, so that whoever of it comes back after all follows, and joins.
+// If so many machines are gone for good that no majority of the core can return, an operator may have a
+// new core started from one complete copy. This step is not agreed on by a quorum: the operator must
+// know that the others never start again with their disks and that no newer copy is left. The number
+// of the new view is far above any that the old core can have reached, so that an old member that
+// returns anyway adopts the new view and joins.
 
-// rebuildStep is how far the view number goes up: more than the old core could count meanwhile.
-const rebuildStep = 1 << 20
+// rebuildViewStep is added to the view number by a rebuild. It exceeds the number of views that the old
+// core could have decided meanwhile.
+const rebuildViewStep = 1 << 20
 
-// counted notes since when no majority of the core has been heard, and when one was heard again.
-func (m *Machine) counted() {
+// trackMajority records since when no majority of the core has been heard, and when one was heard
+// again.
+func (m *Machine) trackMajority() {
 	if m.view.No == 0 || m.hearsMajority() {
-		if m.alone > 0 {
-			m.regained = m.now
+		if m.majorityLostAt > 0 {
+			m.majorityRegainedAt = m.now
 		}
-		m.alone = 0
-	} else if m.alone == 0 {
-		m.alone = m.now
+		m.majorityLostAt = 0
+	} else if m.majorityLostAt == 0 {
+		m.majorityLostAt = m.now
 	}
 }
 
-// lostFor is how long no majority of the core has been heard.
-func (m *Machine) lostFor() float64 {
-	if m.alone == 0 {
+// majorityLostFor returns for how many milliseconds no majority of the core has been heard; 0 while
+// one is.
+func (m *Machine) majorityLostFor() float64 {
+	if m.majorityLostAt == 0 {
 		return 0
 	}
-	return m.now - m.alone
+	return m.now - m.majorityLostAt
 }
 
-func (m *Machine) rebuild(r Rebuild) {
-	newer := false
-	for _, x := range m.known() {
-		p := m.peers[x]
-		newer = newer || m.hearsAt(x) && (p.beat.View > m.view.No || p.beat.Whole && m.last().less(p.beat.Last))
+// rebuildCore starts a new core of this machine alone. It is refused while a majority was heard
+// recently, while this copy is incomplete or not the one named in the order, and while a newer copy
+// is known.
+func (m *Machine) rebuildCore(request Rebuild) {
+	newerCopyKnown := false
+	for _, id := range m.knownPeers() {
+		sender := m.peers[id]
+		newerCopyKnown = newerCopyKnown || m.hears(id) && (sender.heartbeat.View > m.view.No || sender.heartbeat.Whole && m.lastStamp().less(sender.heartbeat.Last))
 	}
-	if m.lostFor() < m.c.Lost || !m.isWhole() || m.last() != r.Last || newer {
-		m.out.Done = append(m.out.Done, Result{ID: r.ID, Outcome: Unavailable})
+	if m.majorityLostFor() < m.config.Lost || !m.isComplete() || m.lastStamp() != request.Last || newerCopyKnown {
+		m.output.Done = append(m.output.Done, Result{ID: request.ID, Outcome: Unavailable})
 		return
 	}
-	only := []Ident{m.self}
-	m.enterView(View{No: m.view.No + rebuildStep, Chain: only, Core: only, Removed: m.view.Removed + 1, Epoch: m.view.Epoch + rebuildStep,
+	self := []Ident{m.self}
+	m.enterView(View{No: m.view.No + rebuildViewStep, Chain: self, Core: self, Removed: m.view.Removed + 1, Epoch: m.view.Epoch + rebuildViewStep,
 		Seats: max(m.view.Seats, len(m.view.Core))}, true)
-	m.out.Done = append(m.out.Done, Result{ID: r.ID, Outcome: OK})
+	m.output.Done = append(m.output.Done, Result{ID: request.ID, Outcome: OK})
 }
--- a/internal/cairn/scale_bench_test.go
+++ b/internal/cairn/scale_bench_test.go
@@ -8,39 +8,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkScale is a calm core whose chain is all of it: messages and bytes of one machine, and how
-// long a change takes from its submission to its acknowledgement, in simulated time, at so many milliseconds a
-// message and 5 a sync.
+// BenchmarkScale measures an idle core whose chain contains all members: messages and bytes per
+// machine, and the simulated time from the submission of a change to its acknowledgement, with the
+// given delay in milliseconds per message and 5 ms per sync.
 func BenchmarkScale(b *testing.B) {
 	for _, hop := range []float64{0.5, 40} {
 		for _, n := range []int{3, 5, 9, 15, 23, 44} {
 			b.Run(fmt.Sprintf("%d/%vms", n, hop), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
-					w := newTally(n, hop)
-					for w.now < 120e3 && len(w.all[0].m.View().Chain) < n {
-						w.run(200)
+					network := newCountingNetwork(n, hop)
+					for network.now < 120e3 && len(network.machines[0].machine.View().Chain) < n {
+						network.run(200)
 					}
-					joined := w.now
-					w.run(3e3)
-					w.sent, w.bytes = 0, 0
+					joined := network.now
+					network.run(3e3)
+					network.sent, network.bytes = 0, 0
 					b.StartTimer()
-					w.run(5e3)
+					network.run(5e3)
 					b.StopTimer()
-					b.ReportMetric(float64(w.sent)/5/float64(n), "msg/s/core")
-					b.ReportMetric(float64(w.bytes)/5/float64(n), "B/s/core")
+					b.ReportMetric(float64(network.sent)/5/float64(n), "msg/s/core")
+					b.ReportMetric(float64(network.bytes)/5/float64(n), "B/s/core")
 					b.ReportMetric(joined, "ms-to-join")
-					b.ReportMetric(float64(len(w.all[0].m.View().Chain)), "chain")
+					b.ReportMetric(float64(len(network.machines[0].machine.View().Chain)), "chain")
 					sum, ok := 0.0, 0
 					for i := range 10 {
-						at := w.now
-						w.done = nil
-						w.step(w.all[1], Event{Submit: &Submit{ID: uint64(i + 1), Change: Change{Kind: PutConfiguration, Edition: uint64(i + 1), Body: []byte("body")}}})
-						for len(w.done) == 0 && w.now < at+5e3 {
-							w.run(1)
+						at := network.now
+						network.results = nil
+						network.step(network.machines[1], Event{Submit: &Submit{ID: uint64(i + 1), Change: Change{Kind: PutConfiguration, Edition: uint64(i + 1), Body: []byte("body")}}})
+						for len(network.results) == 0 && network.now < at+5e3 {
+							network.run(1)
 						}
-						if len(w.done) > 0 && w.done[0].Outcome == OK {
-							sum, ok = sum+w.now-at, ok+1
+						if len(network.results) > 0 && network.results[0].Outcome == OK {
+							sum, ok = sum+network.now-at, ok+1
 						}
 					}
 					b.ReportMetric(float64(ok), "acknowledged-of-10")
@@ -54,73 +54,74 @@
 	}
 }
 
-// tally is core machines whose messages all take as long, and are counted.
-type tally struct {
-	now, hop    float64
-	order       uint64
-	all         []*tallied
-	by          map[string]*tallied
+// countingNetwork simulates core machines with a fixed message delay and counts their messages.
+type countingNetwork struct {
+	now, delay  float64
+	scheduled   uint64
+	machines    []*countedMachine
+	byAddr      map[string]*countedMachine
 	queue       queue
 	sent, bytes int
-	done        []Result
+	results     []Result
 }
 
-type tallied struct {
-	m    *Machine
-	busy float64 // its disk, until then
+// countedMachine is a machine of a tally.
+type countedMachine struct {
+	machine       *Machine
+	diskBusyUntil float64 // time until which its disk is busy
 }
 
-func newTally(n int, hop float64) *tally {
-	w := &tally{hop: hop, by: map[string]*tallied{}}
+func newCountingNetwork(n int, hop float64) *countingNetwork {
+	w := &countingNetwork{delay: hop, byAddr: map[string]*countedMachine{}}
 	var seeds []string
 	for i := range min(n, 3) {
 		seeds = append(seeds, fmt.Sprintf("10.9.0.%d:7462", i+1))
 	}
 	for i := range n {
 		addr := fmt.Sprintf("10.9.0.%d:7462", i+1)
-		x := &tallied{m: New(Config{Self: Ident{Addr: addr}, Seeds: seeds, FirstRun: true, Seed: uint64(i + 1)}, nil, 0)}
-		w.all, w.by[addr] = append(w.all, x), x
-		w.tick(x, float64(i))
+		node := &countedMachine{machine: New(Config{Self: Ident{Addr: addr}, Seeds: seeds, FirstRun: true, Seed: uint64(i + 1)}, nil, 0)}
+		w.machines, w.byAddr[addr] = append(w.machines, node), node
+		w.tick(node, float64(i))
 	}
 	return w
 }
 
-func (w *tally) after(ms float64, do func()) {
-	w.order++
-	heap.Push(&w.queue, item{w.now + ms, w.order, do})
+func (w *countingNetwork) schedule(ms float64, do func()) {
+	w.scheduled++
+	heap.Push(&w.queue, item{w.now + ms, w.scheduled, do})
 }
 
-func (w *tally) tick(x *tallied, ms float64) {
-	w.after(ms, func() {
-		w.step(x, Event{})
-		w.tick(x, 50)
+func (w *countingNetwork) tick(node *countedMachine, ms float64) {
+	w.schedule(ms, func() {
+		w.step(node, Event{})
+		w.tick(node, 50)
 	})
 }
 
-func (w *tally) run(ms float64) {
+func (w *countingNetwork) run(ms float64) {
 	until := w.now + ms
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		i := heap.Pop(&w.queue).(item)
-		w.now = i.at
-		i.do()
+		next := heap.Pop(&w.queue).(item)
+		w.now = next.at
+		next.action()
 	}
 	w.now = until
 }
 
-func (w *tally) step(x *tallied, e Event) {
-	out := x.m.Step(w.now, e)
+func (w *countingNetwork) step(node *countedMachine, event Event) {
+	out := node.machine.Step(w.now, event)
 	if len(out.Sync) > 0 {
-		x.busy = max(x.busy, w.now) + 5
+		node.diskBusyUntil = max(node.diskBusyUntil, w.now) + 5
 	}
-	late := max(x.busy-w.now, 0)
-	for _, g := range out.Send {
-		raw, _ := cbor.Marshal(g)
+	late := max(node.diskBusyUntil-w.now, 0)
+	for _, msg := range out.Send {
+		raw, _ := cbor.Marshal(msg)
 		w.sent, w.bytes = w.sent+1, w.bytes+len(raw)
-		if to := w.by[g.To.Addr]; to != nil {
-			w.after(late+w.hop, func() { w.step(to, Event{Message: &g}) })
+		if to := w.byAddr[msg.To.Addr]; to != nil {
+			w.schedule(late+w.delay, func() { w.step(to, Event{Message: &msg}) })
 		}
 	}
-	for _, r := range out.Done {
-		w.after(late, func() { w.done = append(w.done, r) })
+	for _, result := range out.Done {
+		w.schedule(late, func() { w.results = append(w.results, result) })
 	}
 }
--- a/internal/cairn/seeds.go
+++ b/internal/cairn/seeds.go
@@ -2,6 +2,7 @@
 
 import "slices"
 
-// Seeds takes other addresses of core machines to begin with; they count only while no view is
-// known.
-func (m *Machine) Seeds(seeds []string) { m.c.Seeds = slices.Clone(seeds) }
+// Seeds replaces the addresses of core machines that are contacted at first. They are used while no
+// view is known, while this machine is outside the core, and while it hears no majority of the
+// core.
+func (m *Machine) Seeds(addrs []string) { m.config.Seeds = slices.Clone(addrs) }
--- a/internal/cairn/types.go
+++ b/internal/cairn/types.go
@@ -1,75 +1,88 @@
-// Package cairn is one core machine's part in the chain and the view, as a state machine. Events
-// with the time of a steady clock go in; records to sync, messages to send and answers come out.
-// It reads no clock, knows no socket and no file, and draws only from the seed it is given.
+// Package cairn implements chain replication with view changes for one machine of the core, as a
+// pure state machine. Events stamped with a monotonic clock go in; records to persist, messages to
+// send and results come out.
+//
+// The head of a chain numbers the changes and passes them down as log entries. An entry is
+// committed once the tail holds it, and the commit travels back up. Reads are answered by the tail,
+// which holds leases from a majority of the core. The core agrees on each next view by
+// single-decree Paxos.
+//
+// The package reads no clock, opens no sockets or files, and takes all randomness from a seed in
+// its configuration, so that a run can be repeated.
 package cairn
 
-// Ident names a machine together with its disk, so that a machine that has forgotten is another one.
+// Ident identifies a machine together with its disk. A machine that has lost its disk gets a new
+// Disk and counts as a different machine.
 type Ident struct {
 	Addr string `cbor:"1,keyasint,omitempty"`
 	Disk string `cbor:"2,keyasint,omitempty"`
 }
 
-// View says who keeps the state, head first, and who votes on the next view.
+// View is one configuration of the cluster: the chain that replicates the state, head first, and
+// the core, whose members vote on the next view.
 type View struct {
 	No    uint64  `cbor:"1,keyasint,omitempty"`
 	Chain []Ident `cbor:"2,keyasint,omitempty"`
 	Core  []Ident `cbor:"3,keyasint,omitempty"`
-	// Removed is how many seats of the core were given up or to another address so far: while it is the
-	// same, addresses were only added.
+	// Removed counts the core members that were removed or replaced by one at another address.
+	// While it stays the same, addresses were only added.
 	Removed uint64 `cbor:"4,keyasint,omitempty"`
-	// Epoch is how often the addresses of the core have changed so far: who votes on anything else under one
-	// epoch is the same.
+	// Epoch counts the changes of the core's addresses. All votes on other matters under one epoch
+	// are taken among the same members.
 	Epoch uint64 `cbor:"5,keyasint,omitempty"`
-	// Seats is how many members the core is to have.
+	// Seats is the number of members that the core should have.
 	Seats int `cbor:"6,keyasint,omitempty"`
 }
 
-// Stamp names an entry: only one head gives numbers in a view, so no two entries share one.
+// Stamp identifies a log entry. A view has a single head that assigns sequence numbers, so no two
+// entries share a stamp.
 type Stamp struct {
 	Seq  uint64 `cbor:"1,keyasint,omitempty"`
 	View uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Order is an operator's order that is kept by name; the highest number holds. Past is the identities of
-// those that held, this one among them.
+// Order is an operator's order that is stored under a name. The order with the highest number is in
+// force. Past lists the identities of all orders that have been in force, including this one.
 type Order struct {
-	No   uint64
+	No   uint64 `cbor:"No"`
 	Body []byte
-	Past []Identity `cbor:",omitempty"`
+	Past []Identity `cbor:"Past,omitempty"`
 }
 
-// State is all that the chain keeps. It is never changed in place once it has been handed out.
+// State is the replicated state. It is never modified after it has been handed out.
 type State struct {
 	Last      Stamp
 	Edition   uint64
 	Body      []byte
-	Evacuated map[string]uint64 // zone to the number of the change that emptied it
-	Touched   map[string]Stamp  // zone to the last change that emptied it or took it back
+	Evacuated map[string]uint64 // zone to the sequence number of the change that evacuated it
+	Touched   map[string]Stamp  `cbor:"Touched"` // zone to the last change that evacuated it or ended its evacuation
 	Orders    map[string]Order
-	// Past is the identities of configurations that were committed, by their editions upwards, in force or not.
-	Past []Identity `cbor:",omitempty"`
+	// Past lists the identities of committed configurations by ascending edition, whether or not they
+	// ever came into force.
+	Past []Identity `cbor:"Past,omitempty"`
 }
 
-// ChangeKind is what a change does.
+// ChangeKind is the kind of a change.
 type ChangeKind uint8
 
 const (
-	// OpenView begins a view; it is made by the head alone.
+	// OpenView opens a view. Only the head writes it.
 	OpenView ChangeKind = iota
-	// PutConfiguration holds if its edition is above the one in force; otherwise it does nothing.
+	// PutConfiguration sets the configuration if its edition is above the one in force; otherwise
+	// it changes nothing.
 	PutConfiguration
-	// Evacuate empties a zone.
+	// Evacuate evacuates a zone.
 	Evacuate
-	// TakeBack ends a zone's evacuation.
+	// TakeBack ends the evacuation of a zone.
 	TakeBack
-	// SetOrder keeps an order by name if its number is above the one kept.
+	// SetOrder stores an order under its name if its number is above the stored one.
 	SetOrder
-	// Repeat stands for an order that is committed already and has come again. It does nothing: the head
-	// alone makes it, and that it is committed shows that the head still leads.
+	// Repeat stands for an order that was submitted again after it had been committed. It changes
+	// nothing. Only the head writes it, and its commit proves that the head is still the head.
 	Repeat
 )
 
-// Change is what somebody wants done to the state.
+// Change is a requested modification of the state.
 type Change struct {
 	Kind    ChangeKind `cbor:"1,keyasint,omitempty"`
 	Edition uint64     `cbor:"2,keyasint,omitempty"`
@@ -79,8 +92,8 @@
 	No      uint64     `cbor:"6,keyasint,omitempty"`
 }
 
-// Entry is a change with its place. Prev ties it to the entry before it, so that two logs that
-// share an entry share everything before it.
+// Entry is a log entry. Prev is the stamp of the entry before it, so two logs that share an entry
+// are identical up to that entry.
 type Entry struct {
 	Stamp  `cbor:"1,keyasint,omitempty"`
 	Prev   Stamp  `cbor:"2,keyasint,omitempty"`
@@ -93,45 +106,48 @@
 	By    Ident  `cbor:"2,keyasint,omitempty"`
 }
 
-// Record is what must be on disk before what goes with it is sent. Each part may be absent.
+// Record is a unit of durable storage. It must be on disk before the output it belongs to is
+// released. Any of its parts may be absent.
 type Record struct {
 	Disk      string      `cbor:",omitempty"`
-	First     bool        `cbor:",omitempty"` // the disk was begun at the very first start, for a seat of its own
+	First     bool        `cbor:"First,omitempty"` // the disk was created at the cluster's first start, and a core seat of its own is pending
 	View      *ViewRecord `cbor:",omitempty"`
 	Promise   *Promised   `cbor:",omitempty"`
 	Accept    *Acceptance `cbor:",omitempty"`
 	Entry     *Entry      `cbor:",omitempty"`
-	Whole     *Whole      `cbor:",omitempty"`
-	Committed uint64      `cbor:",omitempty"` // all entries up to this number are known to be committed
+	Whole     *Whole      `cbor:"Whole,omitempty"`
+	Committed uint64      `cbor:",omitempty"` // all entries up to this sequence number are known to be committed
 }
 
-// ViewRecord is a decided view; Whole says that this machine held all that was acknowledged before it.
+// ViewRecord stores a decided view. Whole tells whether this machine held everything that was
+// acknowledged before that view.
 type ViewRecord struct {
 	View  View
-	Whole bool
+	Whole bool `cbor:"Whole"`
 }
 
-// Promised says that ballots under this one get no vote for the view.
+// Promised stores a promise not to vote for a lower ballot on the view numbered For.
 type Promised struct {
-	For    uint64
+	For    uint64 `cbor:"For"`
 	Ballot Ballot
 }
 
-// Acceptance is a vote.
+// Acceptance stores a vote for a value, cast on the view numbered For.
 type Acceptance struct {
-	For    uint64
+	For    uint64 `cbor:"For"`
 	Ballot Ballot
 	Value  View
 }
 
-// Whole is a log in full: what is committed, and the entries behind it that may not be.
+// Whole is a snapshot of a log: the committed state and the entries after it that may be
+// uncommitted.
 type Whole struct {
 	State State
-	Tail  []Entry
+	Tail  []Entry `cbor:"Tail"`
 }
 
-// Message goes from one core machine to another; one of the parts is there. A To without a disk is
-// meant for whoever has the address.
+// Message is sent from one core machine to another. Exactly one of its parts is set. A To without a
+// disk addresses whichever machine has the address.
 type Message struct {
 	From          Ident          `cbor:"1,keyasint,omitempty"`
 	To            Ident          `cbor:"2,keyasint,omitempty"`
@@ -153,35 +169,37 @@
 	Forget        *Forget        `cbor:"18,keyasint,omitempty"`
 }
 
-// Beat tells that a machine is there and what it holds. One from a machine outside the core asks to join.
+// Beat is a heartbeat. It says that a machine is running and what it holds. A heartbeat from a
+// machine outside the core is a request to join.
 type Beat struct {
 	View      uint64 `cbor:"1,keyasint,omitempty"`
 	Last      Stamp  `cbor:"2,keyasint,omitempty"`
 	Committed Stamp  `cbor:"3,keyasint,omitempty"`
-	Whole     bool   `cbor:"4,keyasint,omitempty"`  // holds all that was acknowledged before this view
-	Filled    bool   `cbor:"5,keyasint,omitempty"`  // was given the whole state in this view
-	Hears     uint64 `cbor:"6,keyasint,omitempty"`  // bits by place in the core: whom it has heard lately
-	Round     uint64 `cbor:"7,keyasint,omitempty"`  // the highest round of a ballot it has seen for the next view, so that the next is higher at once
-	Ask       uint64 `cbor:"8,keyasint,omitempty"`  // the number of a lease that the tail asks for; 0 for none
-	Life      uint64 `cbor:"9,keyasint,omitempty"`  // the life of the process that asks
-	Leaving   bool   `cbor:"10,keyasint,omitempty"` // its process is about to end
-	First     bool   `cbor:"11,keyasint,omitempty"` // it is one of the machines of the very first start, and never had a seat
-}
-
-// Grant gives (or, as a release, gives back) the lease that was asked for under a number.
+	Whole     bool   `cbor:"4,keyasint,omitempty"`  // the sender holds everything that was acknowledged before this view
+	Filled    bool   `cbor:"5,keyasint,omitempty"`  // the sender has received a snapshot in this view
+	Hears     uint64 `cbor:"6,keyasint,omitempty"`  // bit set by position in the core: the members that the sender has heard recently
+	Round     uint64 `cbor:"7,keyasint,omitempty"`  // the highest ballot round the sender has seen for the next view, so that the next attempt is higher at once
+	Ask       uint64 `cbor:"8,keyasint,omitempty"`  // number of the lease request by the tail; 0 for none
+	Life      uint64 `cbor:"9,keyasint,omitempty"`  // incarnation of the requesting process
+	Leaving   bool   `cbor:"10,keyasint,omitempty"` // the sender's process is about to end
+	First     bool   `cbor:"11,keyasint,omitempty"` // the sender takes part in the cluster's first start and has never had a core seat
+}
+
+// Grant gives the lease that was requested under a number. As Message.Release it gives that lease
+// back.
 type Grant struct {
 	View uint64 `cbor:"1,keyasint,omitempty"`
 	Ask  uint64 `cbor:"2,keyasint,omitempty"`
 	Life uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Prepare asks for a promise; Base is the decided view whose core votes.
+// Prepare asks for a promise. Base is the decided view whose core votes.
 type Prepare struct {
 	Ballot Ballot `cbor:"1,keyasint,omitempty"`
 	Base   View   `cbor:"2,keyasint,omitempty"`
 }
 
-// Promise answers Prepare. When not OK, Seen is the ballot that stands in the way.
+// Promise answers a Prepare. If OK is false, Seen is the higher ballot that was promised before.
 type Promise struct {
 	For      uint64      `cbor:"1,keyasint,omitempty"`
 	Ballot   Ballot      `cbor:"2,keyasint,omitempty"`
@@ -197,7 +215,7 @@
 	Value  View   `cbor:"3,keyasint,omitempty"`
 }
 
-// Accepted answers Accept.
+// Accepted answers an Accept. If OK is false, Seen is the higher ballot that was promised before.
 type Accepted struct {
 	For    uint64 `cbor:"1,keyasint,omitempty"`
 	Ballot Ballot `cbor:"2,keyasint,omitempty"`
@@ -205,29 +223,31 @@
 	Seen   Ballot `cbor:"4,keyasint,omitempty"`
 }
 
-// Append passes entries down the chain.
+// Append passes log entries down the chain.
 type Append struct {
 	View    uint64  `cbor:"1,keyasint,omitempty"`
 	Entries []Entry `cbor:"2,keyasint,omitempty"`
 }
 
-// Appended tells the member above what is held and what is committed below.
+// Appended tells the predecessor in the chain what the sender holds and what it knows to be
+// committed.
 type Appended struct {
 	View      uint64 `cbor:"1,keyasint,omitempty"`
 	Last      Stamp  `cbor:"2,keyasint,omitempty"`
 	Committed Stamp  `cbor:"3,keyasint,omitempty"`
-	Gap       bool   `cbor:"4,keyasint,omitempty"` // entries came that do not follow on Last
+	Gap       bool   `cbor:"4,keyasint,omitempty"` // the received entries did not follow on Last
 }
 
-// Fill gives the whole state.
+// Fill transfers a snapshot of the log.
 type Fill struct {
 	View  uint64 `cbor:"1,keyasint,omitempty"`
 	Whole Whole  `cbor:"2,keyasint,omitempty"`
 }
 
-// Enter brings a change to the head. After is the newest entry that its sender knew of: a change
-// of a zone that comes late, when its caller has long given up, must not undo what was done since.
-// Stamps are compared by view first: a head that was left out may have numbered far ahead in vain.
+// Enter forwards a change to the head. After is the newest entry that the sender knew of. A zone
+// change that arrives late, long after its caller gave up, must not undo what was done since.
+// Stamps are compared by view first, because a head that was excluded from the chain may have
+// assigned many sequence numbers that were never committed.
 type Enter struct {
 	ID     uint64 `cbor:"1,keyasint,omitempty"`
 	Life   uint64 `cbor:"2,keyasint,omitempty"`
@@ -235,9 +255,9 @@
 	Change Change `cbor:"4,keyasint,omitempty"`
 }
 
-// Entered tells that the change is committed; or, where Stale is set, that the zone was changed
-// meanwhile, and after what the change must come; or, where Refused is set, that another order is committed
-// under its number, so that it never will be.
+// Entered answers an Enter: the change is committed; or, if Stale is set, the zone has changed
+// meanwhile and the change must be sent again with an After of at least Stale; or, if Refused is
+// set, another order is committed under the same number and this one never will be.
 type Entered struct {
 	ID      uint64 `cbor:"1,keyasint,omitempty"`
 	Life    uint64 `cbor:"2,keyasint,omitempty"`
@@ -251,8 +271,8 @@
 	Life uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ConfirmAnswer says what was committed when the tail was asked. The state comes along for those
-// outside the chain, who would not get it otherwise.
+// ConfirmAnswer says what was committed when the tail was asked. The state is included for machines
+// outside the chain, which have no other way to get it.
 type ConfirmAnswer struct {
 	ID    uint64 `cbor:"1,keyasint,omitempty"`
 	Life  uint64 `cbor:"2,keyasint,omitempty"`
@@ -260,117 +280,124 @@
 	State *State `cbor:"4,keyasint,omitempty"`
 }
 
-// Forget tells a member of the chain that an operator wants a machine out of the core of this view.
+// Forget tells a member of the chain that an operator wants a machine removed from the core of this
+// view.
 type Forget struct {
 	View uint64 `cbor:"1,keyasint,omitempty"`
 	Who  Ident  `cbor:"2,keyasint,omitempty"`
 }
 
-// Event is one thing that happens; an empty one is a tick.
+// Event is one input of the state machine. An empty event is a clock tick.
 type Event struct {
 	Message *Message
 	Submit  *Submit
 	Ask     *Ask
 	Drop    *Drop
 	Rebuild *Rebuild
-	Leave   bool // the process is about to end: hand over
+	Leave   bool // the process is about to end and should hand over
 }
 
-// Drop is an operator's order that the core forgets the machine at an address, which is gone for good.
+// Drop is an operator's order to remove the machine at an address, which is gone for good, from the
+// core.
 type Drop struct {
 	ID   uint64
 	Addr string
 }
 
-// Rebuild is an operator's order to begin a core of this machine alone, from the copy that it holds, as
-// the others are gone for good. Last names the copy: it is what the operator found to be the newest.
+// Rebuild is an operator's order to start a new core of this machine alone from its copy of the
+// log, because the other members are gone for good. Last identifies the copy that the operator
+// found to be the newest.
 type Rebuild struct {
 	ID   uint64
 	Last Stamp
 }
 
-// Submit is a change wanted by a caller on this machine. IDs must not repeat within a life. After, where it is
-// set, is the newest entry that the caller knew of, by the tail's word: a change of a zone that lay somewhere since,
-// while others have changed the zone, is not entered.
+// Submit is a change requested by a local caller. IDs must not repeat within an incarnation. After,
+// if set, is the newest entry that the caller knew of, as reported by the tail: a zone change that
+// was delayed while others changed the zone is then rejected.
 type Submit struct {
 	ID     uint64
 	Change Change
 	After  Stamp
 }
 
-// Ask wants the state as it is now, so new that nothing acknowledged before is missing.
+// Ask requests the current state, including everything acknowledged before the request.
 type Ask struct {
 	ID uint64
 }
 
-// Outcome says how a Submit or an Ask ended.
+// Outcome says how a Submit, an Ask, a Drop or a Rebuild ended.
 type Outcome uint8
 
 const (
-	// OK : the change is committed, or the state is as new as the question.
+	// OK means that the change is committed, or that the returned state is current as of the
+	// request.
 	OK Outcome = iota
-	// Unavailable : nothing was done and nothing will be.
+	// Unavailable means that nothing was done and nothing will be.
 	Unavailable
-	// Unknown : the change may be in force, now or later, or never.
+	// Unknown means that the change may take effect now, later or never.
 	Unknown
-	// Overtaken : the zone was changed after what the caller knew of, perhaps by this very change.
+	// Overtaken means that the zone was changed after the state the caller knew of, possibly by
+	// this same change.
 	Overtaken
-	// Refused : another order is committed under the number. The change is not in force and never will be.
+	// Refused means that another order is committed under this number. The change is not in force and
+	// never will be.
 	Refused
 )
 
-// Result answers a Submit or an Ask by its ID.
+// Result answers the request with the same ID.
 type Result struct {
 	ID      uint64
 	Outcome Outcome
-	State   *State // for an Ask that is OK
+	State   *State // set for an Ask that is OK
 }
 
-// Out is what one step wants done. Sync must be on disk before Send and Done are let out, and
-// before State is read.
+// Out is what one step requires. Sync must be on disk before Send and Done are released, and before
+// State is read.
 type Out struct {
 	Sync    []Record
 	Send    []Message
 	Done    []Result
-	Changed bool // what is committed has changed
+	Changed bool // the committed state has changed
 	Compact bool // the records on disk may be replaced by Snapshot
 }
 
-// Config is what a machine is told. The durations are in milliseconds; 0 takes the default.
+// Config configures a machine. Durations are in milliseconds. Zero selects the default, which is
+// given behind each field.
 type Config struct {
-	Self     Ident // the disk's name is taken from the disk
+	Self     Ident // the Disk part is taken from the disk
 	Seeds    []string
 	FirstRun bool
-	Seed     uint64 // must differ from life to life: it names the life and, once, the disk
-
-	Beat    float64 // between beats: 150
-	Suspect float64 // silence after which a machine is left out: 900
-	Lease   float64 // how long a lease holds for the tail: 600
-	Slack   float64 // how much longer the granter keeps to it: 50
-	Answer  float64 // until a Submit or an Ask is given up: 900
-	Again   float64 // until something unanswered is sent again: 250
-	Ballot  float64 // until a ballot is tried again; over Lease and Slack: 900
-	Vacant  float64 // silence after which a newcomer may have a member's seat: 2000
-	Lost    float64 // without a majority, after which an operator may have the core rebuilt: 10000
-	Window  int     // entries that may be under way: 8
-	Bytes   int     // of records after which to compact: 4 MiB
-}
-
-func (c *Config) defaults() {
-	set := func(p *float64, v float64) {
-		if *p == 0 {
-			*p = v
+	Seed     uint64 // must differ between incarnations: the incarnation and, on an empty disk, the disk's name derive from it
+
+	Beat    float64 // interval between heartbeats: 150
+	Suspect float64 // silence after which a machine is left out of the chain: 900
+	Lease   float64 // duration of a lease as the tail counts it: 600
+	Slack   float64 // time by which the granter extends a lease: 50
+	Answer  float64 // time after which a Submit or an Ask fails: 900
+	Again   float64 // delay before an unanswered message is sent again: 250
+	Ballot  float64 // delay before a ballot is retried, which must exceed Lease plus Slack: 900
+	Vacant  float64 // silence after which a joining machine may take a member's seat: 2000
+	Lost    float64 // time without a majority after which an operator may rebuild the core: 10000
+	Window  int     // maximum number of uncommitted entries: 8
+	Bytes   int     // size of the records after which they may be compacted: 4 MiB
+}
+
+func (c *Config) setDefaults() {
+	setDefault := func(field *float64, value float64) {
+		if *field == 0 {
+			*field = value
 		}
 	}
-	set(&c.Beat, 150)
-	set(&c.Suspect, 900)
-	set(&c.Lease, 600)
-	set(&c.Slack, 50)
-	set(&c.Answer, 900)
-	set(&c.Again, 250)
-	set(&c.Ballot, 900)
-	set(&c.Vacant, 2000)
-	set(&c.Lost, 10000)
+	setDefault(&c.Beat, 150)
+	setDefault(&c.Suspect, 900)
+	setDefault(&c.Lease, 600)
+	setDefault(&c.Slack, 50)
+	setDefault(&c.Answer, 900)
+	setDefault(&c.Again, 250)
+	setDefault(&c.Ballot, 900)
+	setDefault(&c.Vacant, 2000)
+	setDefault(&c.Lost, 10000)
 	if c.Window == 0 {
 		c.Window = 8
 	}
@@ -379,16 +406,16 @@
 	}
 }
 
-func (s Stamp) less(o Stamp) bool {
-	return s.View < o.View || s.View == o.View && s.Seq < o.Seq
+func (s Stamp) less(other Stamp) bool {
+	return s.View < other.View || s.View == other.View && s.Seq < other.Seq
 }
 
-func (b Ballot) less(o Ballot) bool {
-	if b.Round != o.Round {
-		return b.Round < o.Round
+func (b Ballot) less(other Ballot) bool {
+	if b.Round != other.Round {
+		return b.Round < other.Round
 	}
-	if b.By.Addr != o.By.Addr {
-		return b.By.Addr < o.By.Addr
+	if b.By.Addr != other.By.Addr {
+		return b.By.Addr < other.By.Addr
 	}
-	return b.By.Disk < o.By.Disk
+	return b.By.Disk < other.By.Disk
 }
--- a/internal/cairn/view.go
+++ b/internal/cairn/view.go
@@ -6,461 +6,483 @@
 	"slices"
 )
 
-// ballots agrees on the next view: single-decree Paxos among the core of the view before.
-type ballots struct {
+// ballotState is the state of the agreement on the next view: single-decree Paxos among the core of the
+// current view. Times are in milliseconds of the local clock.
+type ballotState struct {
 	promised Ballot
 	accepted *Acceptance
 
-	round     uint64 // the highest seen
-	mine      *attempt
-	wantSince float64 // since when a new view has been wanted; 0 for not
-	rank      int     // this machine's among those that may lead a ballot, for which its turn was set
-	turn      float64 // when its turn comes
-	tries     int
-	looked    float64 // when it was last asked whether a new view is wanted
-	nextTry   float64
-	votedAt   float64 // when this machine last voted without hearing what came of it
+	highestRound    uint64   // highest ballot round seen
+	ownAttempt      *attempt // the ballot led by this machine, if any
+	viewWantedSince float64  // since when a new view has been wanted; 0 if none is
+	turnRank        int      // this machine's rank among the candidate leaders when turnAt was computed
+	turnAt          float64  // earliest time at which this machine leads a ballot
+	attempts        int      // number of ballots led for the next view; the delay between ballots grows with it
+	lastCheckedAt   float64  // when the need for a new view was last checked
+	nextAttemptAt   float64  // earliest time of the next ballot
+	votedAt         float64  // when this machine last voted without learning the outcome
 }
 
-// regainedBeats is how many beats a machine that hears a majority again waits for the others, before it would leave out
-// those that it does not hear yet.
-const regainedBeats = 1.5
+// regainGraceIntervals is the number of heartbeat intervals for which a machine that hears a majority
+// again waits for the other members before it proposes a view without them.
+const regainGraceIntervals = 1.5
 
-// hangs is the rank of one that wants no view, but an end of its own vote.
-const hangs = -2
+// undecidedVoteRank is the rank of a machine that wants no new view but only to finish the vote it
+// has cast.
+const undecidedVoteRank = -2
 
 // attempt is a ballot that this machine leads.
 type attempt struct {
-	ballot   Ballot
-	value    View
-	best     *Acceptance
-	promises map[Ident]bool
-	votes    map[Ident]bool
-	voting   bool
-	at       float64
+	ballot          Ballot
+	value           View
+	highestAccepted *Acceptance // the highest vote reported in promises; its value must be proposed again
+	promises        map[Ident]bool
+	votes           map[Ident]bool
+	voting          bool    // a majority has promised
+	startedAt       float64 // when the attempt began
 }
 
-func (m *Machine) clearBallots() {
-	m.round, m.mine, m.wantSince, m.tries, m.nextTry = 0, nil, 0, 0, 0
-	m.votedAt, m.looked = m.now, m.now-1e9
+// resetBallots resets the ballot state of a view.
+func (m *Machine) resetBallots() {
+	m.highestRound, m.ownAttempt, m.viewWantedSince, m.attempts, m.nextAttemptAt = 0, nil, 0, 0, 0
+	m.votedAt, m.lastCheckedAt = m.now, m.now-1e9
 }
 
-// votes says whether this machine is in the core, under the name of the disk it has now.
-func (m *Machine) votes() bool { return slices.Contains(m.view.Core, m.self) }
+// inCore reports whether this machine, with its current disk, is a member of the core.
+func (m *Machine) inCore() bool { return slices.Contains(m.view.Core, m.self) }
 
-// majority says whether so many are more than half of the core.
-func (m *Machine) majority(n int) bool { return m.moreThanHalf(n, len(m.view.Core)) }
+// isMajority reports whether n members are more than half of the core.
+func (m *Machine) isMajority(n int) bool { return m.moreThanHalf(n, len(m.view.Core)) }
 
+// moreThanHalf reports whether n is more than half of a total.
 func (m *Machine) moreThanHalf(n, of int) bool {
-	return 2*n > of || m.faults.halfDecides && 2*n == of
+	return 2*n > of || m.faults.halfIsMajority && 2*n == of
 }
 
-// hearsMajority says whether there is a path both ways with a majority of the core.
+// hearsMajority reports whether a majority of the core is reachable in both directions.
 func (m *Machine) hearsMajority() bool {
-	n := 0
-	for _, x := range m.view.Core {
-		if m.live(x) {
-			n++
+	count := 0
+	for _, member := range m.view.Core {
+		if m.isReachable(member) {
+			count++
 		}
 	}
-	return m.majority(n)
+	return m.isMajority(count)
 }
 
-// isWhole says whether this machine holds all that was acknowledged in earlier views (and, as a
-// member of the chain, in this one). Only such members may lead a later chain: a joiner in a chain
-// that has never opened may lack what came after it was filled.
-func (m *Machine) isWhole() bool {
-	return m.whole || m.place() >= 0 && m.last().View == m.view.No
+// isComplete reports whether this machine holds everything that was acknowledged in earlier views and,
+// as a member of the chain, in this one. Only such members may lead a later chain: a machine that
+// joined a chain which was never opened may lack what was acknowledged after it got its snapshot.
+func (m *Machine) isComplete() bool {
+	return m.complete || m.chainIndex() >= 0 && m.lastStamp().View == m.view.No
 }
 
-// beat tells the others about this machine.
-func (m *Machine) beat() {
-	b := Beat{View: m.view.No, Last: m.last(), Committed: m.base.Last, Whole: m.isWhole(), Filled: m.filled,
-		Round: max(m.round, m.promised.Round), Ask: m.askLease(), Life: m.life, Leaving: m.leaving, First: m.extra}
-	for i, x := range m.view.Core {
-		if i < 64 && m.hearsAt(x) {
-			b.Hears |= 1 << i
+// sendHeartbeats sends a heartbeat to the other machines and drops peers that have been silent for
+// long.
+func (m *Machine) sendHeartbeats() {
+	heartbeat := Beat{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last, Whole: m.isComplete(), Filled: m.hasSnapshot,
+		Round: max(m.highestRound, m.promised.Round), Ask: m.nextLeaseRequest(), Life: m.incarnation, Leaving: m.leaving, First: m.seatPending}
+	for index, id := range m.view.Core {
+		if index < 64 && m.hears(id) {
+			heartbeat.Hears |= 1 << index
 		}
 	}
 	addrs := map[string]bool{m.self.Addr: true}
-	for _, x := range m.view.Core {
-		if x != m.self {
-			addrs[x.Addr] = true
-			to := x
-			if x.Addr == m.self.Addr {
+	for _, id := range m.view.Core {
+		if id != m.self {
+			addrs[id.Addr] = true
+			to := id
+			if id.Addr == m.self.Addr {
 				continue
 			}
-			if !m.hearsAt(x) {
-				to.Disk = "" // whoever has the address now is told where the core is
+			if !m.hears(id) {
+				to.Disk = "" // whichever machine has the address now learns where the core is
 			}
-			m.send(to, Message{Beat: &b})
+			m.send(to, Message{Beat: &heartbeat})
 		}
 	}
-	if !m.votes() || m.alone > 0 { // the core may have moved on to machines that the seeds name
-		for _, a := range m.c.Seeds {
-			if !addrs[a] {
-				addrs[a] = true
-				m.send(Ident{Addr: a}, Message{Beat: &b})
+	if !m.inCore() || m.majorityLostAt > 0 { // the core may have moved to machines that the seeds name
+		for _, addr := range m.config.Seeds {
+			if !addrs[addr] {
+				addrs[addr] = true
+				m.send(Ident{Addr: addr}, Message{Beat: &heartbeat})
 			}
 		}
 	}
-	for _, x := range m.known() {
-		p := m.peers[x]
-		if m.now-p.heard > 20*m.c.Suspect {
-			delete(m.peers, x)
-		} else if m.votes() && !slices.Contains(m.view.Core, x) && m.now-p.heard < m.c.Suspect {
-			m.send(x, Message{Beat: &b}) // one that joins must learn who hears it
+	for _, id := range m.knownPeers() {
+		p := m.peers[id]
+		if m.now-p.heardAt > 20*m.config.Suspect {
+			delete(m.peers, id)
+		} else if m.inCore() && !slices.Contains(m.view.Core, id) && m.now-p.heardAt < m.config.Suspect {
+			m.send(id, Message{Beat: &heartbeat}) // a joining machine must learn which members hear it
 		}
 	}
 }
 
-// known is all machines heard of, in a fixed order, so that a run can be repeated.
-func (m *Machine) known() []Ident {
+// knownPeers returns all machines heard of, in a fixed order, so that runs with the same seed are
+// identical.
+func (m *Machine) knownPeers() []Ident {
 	return slices.SortedFunc(maps.Keys(m.peers), func(a, b Ident) int {
-		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(m.peers[b].heard, m.peers[a].heard), cmp.Compare(a.Disk, b.Disk))
+		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(m.peers[b].heardAt, m.peers[a].heardAt), cmp.Compare(a.Disk, b.Disk))
 	})
 }
 
-// hearsAt says whether a machine was heard lately. After a start everyone is given the time to speak.
-func (m *Machine) hearsAt(x Ident) bool {
-	return x == m.self || m.silence(x) < m.c.Suspect
+// hears reports whether a machine was heard recently. After a start, every machine counts as
+// heard until it has had the time to send a heartbeat.
+func (m *Machine) hears(id Ident) bool {
+	return id == m.self || m.silentFor(id) < m.config.Suspect
 }
 
-// live says whether there is a path both ways: a machine that is heard but hears nobody would
-// hold up the chain for ever.
-func (m *Machine) live(x Ident) bool {
-	if !m.hearsAt(x) {
+// isReachable reports whether a machine is reachable in both directions. One that is heard but hears
+// nobody would block the chain.
+func (m *Machine) isReachable(id Ident) bool {
+	if !m.hears(id) {
 		return false
 	}
-	i := slices.Index(m.view.Core, m.self)
-	if p := m.peers[x]; x != m.self && p != nil && p.beat.View == m.view.No && i >= 0 && i < 64 {
-		return p.beat.Hears>>i&1 == 1
+	index := slices.Index(m.view.Core, m.self)
+	if sender := m.peers[id]; id != m.self && sender != nil && sender.heartbeat.View == m.view.No && index >= 0 && index < 64 {
+		return sender.heartbeat.Hears>>index&1 == 1
 	}
 	return true
 }
 
-func (m *Machine) heard(from Ident, p *peer, b Beat) {
-	if m.silence(from) >= m.c.Suspect {
-		m.nextBeat = m.now // it is to learn at once that there is a path again
+// handleHeartbeat processes a heartbeat.
+func (m *Machine) handleHeartbeat(from Ident, sender *peer, heartbeat Beat) {
+	if m.silentFor(from) >= m.config.Suspect {
+		m.nextHeartbeat = m.now // tells the sender at once that the connection is back
 	}
-	p.heard, p.beat = m.now, b
-	m.noteFirst(from, b)
-	if b.View < m.view.No && m.now-p.news > 40 {
-		p.news = m.now
-		m.news(from)
+	sender.heardAt, sender.heartbeat = m.now, heartbeat
+	m.notePendingSeat(from, heartbeat)
+	// Views are exchanged with a machine at most every 40 ms.
+	if heartbeat.View < m.view.No && m.now-sender.viewSentAt > 40 {
+		sender.viewSentAt = m.now
+		m.sendView(from)
 	}
-	if b.View > m.view.No && m.now-p.news > 40 {
-		p.news = m.now
-		m.send(from, Message{Beat: &Beat{View: m.view.No, Last: m.last(), Committed: m.base.Last}}) // it will answer with the view
+	if heartbeat.View > m.view.No && m.now-sender.viewSentAt > 40 {
+		sender.viewSentAt = m.now
+		m.send(from, Message{Beat: &Beat{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last}}) // the sender will answer with its view
 	}
-	if b.View != m.view.No {
+	if heartbeat.View != m.view.No {
 		return
 	}
-	m.round = max(m.round, b.Round)
-	m.grantTo(from, b)
-	at := m.place()
+	m.highestRound = max(m.highestRound, heartbeat.Round)
+	m.grantLease(from, heartbeat)
+	index := m.chainIndex()
 	if slices.Contains(m.view.Chain, from) {
-		if at >= 0 && at+1 < len(m.view.Chain) && m.view.Chain[at+1] == from {
-			m.belowHolds(b.Last, false)
+		if index >= 0 && index+1 < len(m.view.Chain) && m.view.Chain[index+1] == from {
+			m.handleSuccessorPosition(heartbeat.Last, false)
 		}
-		m.commitAt(b.Committed)
+		m.commitThrough(heartbeat.Committed)
 		return
 	}
-	if at >= 0 && !b.Leaving && m.stale(from, b) && m.isWhole() && m.now-p.filled > 2*m.c.Again && m.live(from) && m.leading() == 0 {
-		p.filled = m.now
-		m.send(from, Message{Fill: &Fill{View: m.view.No, Whole: m.log()}})
+	if index >= 0 && !heartbeat.Leaving && m.needsSnapshot(from, heartbeat) && m.isComplete() && m.now-sender.snapshotSentAt > 2*m.config.Again && m.isReachable(from) && m.reachableRank() == 0 {
+		sender.snapshotSentAt = m.now
+		m.send(from, Message{Fill: &Fill{View: m.view.No, Whole: m.logSnapshot()}})
 	}
 }
 
-// leading is this machine's place among the live members of the chain, as it sees them; -1 outside.
-func (m *Machine) leading() int {
-	if m.place() < 0 {
+// reachableRank returns this machine's position among the reachable members of the chain, or -1 outside
+// the chain.
+func (m *Machine) reachableRank() int {
+	if m.chainIndex() < 0 {
 		return -1
 	}
-	n := 0
-	for _, x := range m.view.Chain[:m.place()] {
-		if m.live(x) {
-			n++
+	rank := 0
+	for _, member := range m.view.Chain[:m.chainIndex()] {
+		if m.isReachable(member) {
+			rank++
 		}
 	}
-	return n
+	return rank
 }
 
-// wanted is the view that ought to come next, if there is one and it may be formed. Members that are about to
-// leave are let go where a chain can do without them.
-func (m *Machine) wanted() (View, bool) {
+// wantedView returns the view that should come next, if there is one and it can be formed. Leaving
+// members are left out if the remaining ones can form a chain.
+func (m *Machine) wantedView() (View, bool) {
 	if !m.hearsMajority() {
 		return View{}, false
 	}
-	if slices.ContainsFunc(m.view.Chain, m.leaves) {
-		if v, ok := m.next(true); ok {
-			return v, true
+	if slices.ContainsFunc(m.view.Chain, m.isLeaving) {
+		if next, ok := m.proposeView(true); ok {
+			return next, true
 		}
 	}
-	return m.next(false)
+	return m.proposeView(false)
 }
 
-// report is what a machine last said, and whether that is of this view.
-func (m *Machine) report(x Ident) (Beat, bool) {
-	if x == m.self {
-		return Beat{View: m.view.No, Whole: m.isWhole(), Leaving: m.leaving}, true
+// lastReport returns the last heartbeat of a machine and whether it belongs to this view.
+func (m *Machine) lastReport(id Ident) (Beat, bool) {
+	if id == m.self {
+		return Beat{View: m.view.No, Whole: m.isComplete(), Leaving: m.leaving}, true
 	}
-	p := m.peers[x]
-	if p == nil || p.heard == 0 && p.beat.View == 0 {
+	sender := m.peers[id]
+	if sender == nil || sender.heardAt == 0 && sender.heartbeat.View == 0 {
 		return Beat{}, false
 	}
-	return p.beat, p.beat.View == m.view.No
+	return sender.heartbeat, sender.heartbeat.View == m.view.No
 }
 
-// next is the view that would follow, with or without those that are about to leave.
-func (m *Machine) next(letGo bool) (View, bool) {
-	var old, rest, back []Ident
-	lost := false
-	for _, x := range m.view.Chain {
-		if !m.live(x) && m.now-m.regained < regainedBeats*m.c.Beat {
-			return View{}, false // it was cut off with this machine or from it, and may be heard in a moment
+// proposeView returns the view that should follow. letGo leaves out members that are leaving.
+func (m *Machine) proposeView(letGo bool) (View, bool) {
+	var complete, incomplete, returning []Ident
+	shrinks := false
+	for _, id := range m.view.Chain {
+		if !m.isReachable(id) && m.now-m.majorityRegainedAt < regainGraceIntervals*m.config.Beat {
+			return View{}, false // it was partitioned together with this machine or from it, and may be heard soon
 		}
-		if !m.live(x) || letGo && m.leaves(x) {
-			lost = true
+		if !m.isReachable(id) || letGo && m.isLeaving(id) {
+			shrinks = true
 			continue
 		}
-		b, ok := m.report(x)
-		if !ok && m.now-m.viewSince < m.c.Suspect {
-			return View{}, false // it is about to learn of this view
+		report, ok := m.lastReport(id)
+		if !ok && m.now-m.viewSince < m.config.Suspect {
+			return View{}, false // it will learn of this view soon
 		}
-		if ok && (b.Whole || m.faults.anyHead) {
-			old = append(old, x)
+		if ok && (report.Whole || m.faults.allowAnyHead) {
+			complete = append(complete, id)
 		} else {
-			rest = append(rest, x)
+			incomplete = append(incomplete, id)
 		}
 	}
-	if len(old) == 0 {
+	if len(complete) == 0 {
 		return View{}, false
 	}
-	for _, x := range m.view.Core {
-		if b, ok := m.report(x); ok && b.Filled && !slices.Contains(m.view.Chain, x) && m.live(x) && m.heardByAll(x) {
-			back = append(back, x)
+	for _, id := range m.view.Core {
+		if report, ok := m.lastReport(id); ok && report.Filled && !slices.Contains(m.view.Chain, id) && m.isReachable(id) && m.heardByChain(id) {
+			returning = append(returning, id)
 		}
 	}
-	next := slices.Concat(old, rest, back)
-	v := m.seated(next)
-	if !lost && len(back) == 0 && v.Epoch == m.view.Epoch && slices.Equal(v.Core, m.view.Core) {
+	chain := slices.Concat(complete, incomplete, returning)
+	proposed := m.assignSeats(chain)
+	if !shrinks && len(returning) == 0 && proposed.Epoch == m.view.Epoch && slices.Equal(proposed.Core, m.view.Core) {
 		return View{}, false
 	}
-	if !m.moreThanHalf(len(v.Chain), len(v.Core)) || !slices.Contains(old, v.Chain[0]) {
+	if !m.moreThanHalf(len(proposed.Chain), len(proposed.Core)) || !slices.Contains(complete, proposed.Chain[0]) {
 		return View{}, false
 	}
-	return v, true
+	return proposed, true
 }
 
-// heardByAll says whether all live members of the chain hear a machine of the core; one that only
-// some hear would be taken in and left out in turn.
-func (m *Machine) heardByAll(x Ident) bool {
-	i := slices.Index(m.view.Core, x)
-	for _, y := range m.view.Chain {
-		if p := m.peers[y]; y != m.self && i < 64 && m.live(y) && p != nil && p.beat.View == m.view.No && p.beat.Hears>>i&1 == 0 {
+// heardByChain reports whether all reachable members of the chain hear a core member. One that only
+// some of them hear would be added and left out in turns.
+func (m *Machine) heardByChain(id Ident) bool {
+	index := slices.Index(m.view.Core, id)
+	for _, member := range m.view.Chain {
+		if p := m.peers[member]; member != m.self && index < 64 && m.isReachable(member) && p != nil && p.heartbeat.View == m.view.No && p.heartbeat.Hears>>index&1 == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// consider leads a ballot when a new view is wanted and it is this machine's turn, or when its own
-// vote has been left hanging, since a vote keeps it from granting leases.
-func (m *Machine) consider() {
-	if !m.votes() || m.now < m.looked+m.c.Beat/4 {
+// considerBallot starts a ballot when a new view is wanted and it is this machine's turn, or when
+// its own vote has stayed undecided, because a cast vote keeps it from granting leases.
+func (m *Machine) considerBallot() {
+	if !m.inCore() || m.now < m.lastCheckedAt+m.config.Beat/4 {
 		return
 	}
-	m.looked = m.now
-	hanging := m.accepted != nil && m.now-m.votedAt > m.c.Ballot
-	next, ok := m.wanted()
-	if m.place() < 0 {
-		ok = false
+	m.lastCheckedAt = m.now
+	undecided := m.accepted != nil && m.now-m.votedAt > m.config.Ballot
+	next, wanted := m.wantedView()
+	if m.chainIndex() < 0 {
+		wanted = false
 	}
-	if !ok && !hanging {
-		m.wantSince = 0
-		if m.mine != nil && !m.mine.voting {
-			m.mine = nil
+	if !wanted && !undecided {
+		m.viewWantedSince = 0
+		if m.ownAttempt != nil && !m.ownAttempt.voting {
+			m.ownAttempt = nil
 		}
 		return
 	}
-	rank := m.leading()
-	if !ok {
-		rank = hangs
+	rank := m.reachableRank()
+	if !wanted {
+		rank = undecidedVoteRank
 	}
-	if fresh := m.wantSince == 0; fresh || rank != m.rank {
-		if fresh {
-			m.wantSince = m.now
+	if newlyWanted := m.viewWantedSince == 0; newlyWanted || rank != m.turnRank {
+		if newlyWanted {
+			m.viewWantedSince = m.now
 		}
-		// The turn is this wish's and this rank's: a long one must not outlast those that went first.
-		m.rank, m.turn = rank, m.wantSince
+		// The delay depends on the rank and is computed again when the rank changes: a long delay must
+		// not remain after the machines of lower rank have failed.
+		m.turnRank, m.turnAt = rank, m.viewWantedSince
 		switch {
-		case !ok:
-			m.turn += m.rng.Float64() * m.c.Suspect / 2
+		case !wanted:
+			m.turnAt += m.rng.Float64() * m.config.Suspect / 2
 		case rank > 0:
-			m.turn += float64(rank) * (m.c.Ballot + m.c.Lease) * (1 + m.rng.Float64()/2)
+			m.turnAt += float64(rank) * (m.config.Ballot + m.config.Lease) * (1 + m.rng.Float64()/2)
 		}
 	}
-	if m.now < max(m.nextTry, m.turn) {
+	if m.now < max(m.nextAttemptAt, m.turnAt) {
 		return
 	}
-	m.tries++
-	back := 1 + m.rng.Float64()*float64(min(m.tries-1, 4))
-	m.nextTry = m.now + m.c.Ballot*back
-	m.round = max(m.round, m.promised.Round) + 1
-	m.mine = &attempt{ballot: Ballot{m.round, m.self}, promises: map[Ident]bool{}, votes: map[Ident]bool{}, at: m.now}
-	if ok {
-		m.mine.value = next
+	m.attempts++
+	backoff := 1 + m.rng.Float64()*float64(min(m.attempts-1, 4))
+	m.nextAttemptAt = m.now + m.config.Ballot*backoff
+	m.highestRound = max(m.highestRound, m.promised.Round) + 1
+	m.ownAttempt = &attempt{ballot: Ballot{m.highestRound, m.self}, promises: map[Ident]bool{}, votes: map[Ident]bool{}, startedAt: m.now}
+	if wanted {
+		m.ownAttempt.value = next
 	}
-	for _, x := range m.view.Core {
-		m.send(x, Message{Prepare: &Prepare{Ballot: m.mine.ballot, Base: m.view}})
+	for _, member := range m.view.Core {
+		m.send(member, Message{Prepare: &Prepare{Ballot: m.ownAttempt.ballot, Base: m.view}})
 	}
 }
 
-// current brings both sides of a ballot to the same view; ballots of older ones are answered with news.
-func (m *Machine) current(from Ident, base View) bool {
-	m.adopt(base)
+// syncView brings both sides of a ballot to the same view and reports whether this machine may take
+// part. Ballots on an older view are answered with the newer one.
+func (m *Machine) syncView(from Ident, base View) bool {
+	m.adoptView(base)
 	if base.No < m.view.No {
 		if from != m.self {
-			m.news(from)
+			m.sendView(from)
 		}
 		return false
 	}
-	return m.votes()
+	return m.inCore()
 }
 
-func (m *Machine) prepare(from Ident, p Prepare) {
-	if !m.current(from, p.Base) {
+// handlePrepare processes a Prepare: it promises unless a higher ballot was promised before.
+func (m *Machine) handlePrepare(from Ident, msg Prepare) {
+	if !m.syncView(from, msg.Base) {
 		return
 	}
-	m.round = max(m.round, p.Ballot.Round)
-	a := &Promise{For: m.view.No + 1, Ballot: p.Ballot, Seen: m.promised}
-	if !p.Ballot.less(m.promised) {
-		if m.promised != p.Ballot {
-			m.promised = p.Ballot
-			m.sync(Record{Promise: &Promised{For: a.For, Ballot: p.Ballot}})
+	m.highestRound = max(m.highestRound, msg.Ballot.Round)
+	answer := &Promise{For: m.view.No + 1, Ballot: msg.Ballot, Seen: m.promised}
+	if !msg.Ballot.less(m.promised) {
+		if m.promised != msg.Ballot {
+			m.promised = msg.Ballot
+			m.persist(Record{Promise: &Promised{For: answer.For, Ballot: msg.Ballot}})
 		}
-		a.OK, a.Accepted = true, m.accepted
-		m.quiet = m.now + m.c.Ballot
-		m.giveBack()
+		answer.OK, answer.Accepted = true, m.accepted
+		m.noGrantBefore = m.now + m.config.Ballot
+		m.releaseLeases()
 	}
-	m.send(from, Message{Promise: a})
+	m.send(from, Message{Promise: answer})
 }
 
-func (m *Machine) promise(from Ident, p Promise) {
-	t := m.mine
-	if t == nil || p.For != m.view.No+1 || p.Ballot != t.ballot || t.voting || !slices.Contains(m.view.Core, from) {
+// handlePromise processes a Promise and asks for votes once a majority has promised.
+func (m *Machine) handlePromise(from Ident, msg Promise) {
+	own := m.ownAttempt
+	if own == nil || msg.For != m.view.No+1 || msg.Ballot != own.ballot || own.voting || !slices.Contains(m.view.Core, from) {
 		return
 	}
-	if !p.OK {
-		m.outbid(p.Seen)
+	if !msg.OK {
+		m.backOff(msg.Seen)
 		return
 	}
-	if t.best == nil && p.Accepted == nil && t.value.No > 0 && !slices.Contains(t.value.Core, from) && !m.leaves(from) && !m.faults.grabs {
-		m.mine = nil // it is there after all: it keeps its seat, and gives no voice to losing it
+	if own.highestAccepted == nil && msg.Accepted == nil && own.value.No > 0 && !slices.Contains(own.value.Core, from) && !m.isLeaving(from) && !m.faults.takeHeardSeats {
+		m.ownAttempt = nil // the member that was to lose its seat has answered: it keeps the seat, and its promise must not count towards losing it
 		return
 	}
-	t.promises[from] = true
-	if a := p.Accepted; a != nil && (t.best == nil || t.best.Ballot.less(a.Ballot)) {
-		t.best = a
+	own.promises[from] = true
+	if vote := msg.Accepted; vote != nil && (own.highestAccepted == nil || own.highestAccepted.Ballot.less(vote.Ballot)) {
+		own.highestAccepted = vote
 	}
-	if !m.majority(len(t.promises)) {
+	if !m.isMajority(len(own.promises)) {
 		return
 	}
-	if t.best != nil {
-		t.value = t.best.Value
+	if own.highestAccepted != nil {
+		own.value = own.highestAccepted.Value
 	}
-	if t.value.No == 0 {
-		m.mine = nil
+	if own.value.No == 0 {
+		m.ownAttempt = nil
 		return
 	}
-	t.voting = true
-	for _, x := range m.view.Core {
-		m.send(x, Message{Accept: &Accept{Ballot: t.ballot, Base: m.view, Value: t.value}})
+	own.voting = true
+	for _, member := range m.view.Core {
+		m.send(member, Message{Accept: &Accept{Ballot: own.ballot, Base: m.view, Value: own.value}})
 	}
 }
 
-func (m *Machine) outbid(seen Ballot) {
-	m.round = max(m.round, seen.Round)
-	m.mine = nil
-	m.nextTry = max(m.nextTry, m.now+m.c.Ballot*(0.15+m.rng.Float64()*0.2*float64(min(m.tries, 5))))
+// backOff abandons this machine's ballot because a higher one exists, and delays the next attempt.
+func (m *Machine) backOff(seen Ballot) {
+	m.highestRound = max(m.highestRound, seen.Round)
+	m.ownAttempt = nil
+	m.nextAttemptAt = max(m.nextAttemptAt, m.now+m.config.Ballot*(0.15+m.rng.Float64()*0.2*float64(min(m.attempts, 5))))
 }
 
-func (m *Machine) accept(from Ident, a Accept) {
-	if !m.current(from, a.Base) {
+// handleAccept processes an Accept. A vote for which granted leases must run out first is held back.
+func (m *Machine) handleAccept(from Ident, msg Accept) {
+	if !m.syncView(from, msg.Base) {
 		return
 	}
-	m.round = max(m.round, a.Ballot.Round)
-	r := &Accepted{For: m.view.No + 1, Ballot: a.Ballot, Seen: m.promised}
-	if !a.Ballot.less(m.promised) {
+	m.highestRound = max(m.highestRound, msg.Ballot.Round)
+	answer := &Accepted{For: m.view.No + 1, Ballot: msg.Ballot, Seen: m.promised}
+	if !msg.Ballot.less(m.promised) {
 		if !m.mayVote() {
-			m.quiet = max(m.quiet, m.now+m.c.Ballot)
-			m.held, m.heldFrom = &a, from
+			m.noGrantBefore = max(m.noGrantBefore, m.now+m.config.Ballot)
+			m.heldVote, m.heldFrom = &msg, from
 			return
 		}
-		m.promised = a.Ballot
-		m.accepted = &Acceptance{For: r.For, Ballot: a.Ballot, Value: a.Value}
+		m.promised = msg.Ballot
+		m.accepted = &Acceptance{For: answer.For, Ballot: msg.Ballot, Value: msg.Value}
 		m.votedAt = m.now
-		m.sync(Record{Accept: m.accepted})
-		r.OK = true
+		m.persist(Record{Accept: m.accepted})
+		answer.OK = true
 	}
-	m.send(from, Message{Accepted: r})
+	m.send(from, Message{Accepted: answer})
 }
 
-func (m *Machine) acceptedBy(from Ident, a Accepted) {
-	t := m.mine
-	if t == nil || a.For != m.view.No+1 || a.Ballot != t.ballot || !t.voting || !slices.Contains(m.view.Core, from) {
+// handleAccepted counts a vote. With a majority the view is decided, and the members of the old and the
+// new core are told.
+func (m *Machine) handleAccepted(from Ident, msg Accepted) {
+	own := m.ownAttempt
+	if own == nil || msg.For != m.view.No+1 || msg.Ballot != own.ballot || !own.voting || !slices.Contains(m.view.Core, from) {
 		return
 	}
-	if !a.OK {
-		m.outbid(a.Seen)
+	if !msg.OK {
+		m.backOff(msg.Seen)
 		return
 	}
-	t.votes[from] = true
-	if !m.majority(len(t.votes)) {
+	own.votes[from] = true
+	if !m.isMajority(len(own.votes)) {
 		return
 	}
-	old, v := m.view, t.value
-	m.adopt(v)
-	for _, x := range union(old.Core, v.Core) {
-		if x != m.self {
-			m.send(x, Message{News: &v})
+	previous, decided := m.view, own.value
+	m.adoptView(decided)
+	for _, member := range union(previous.Core, decided.Core) {
+		if member != m.self {
+			m.send(member, Message{News: &decided})
 		}
 	}
 }
 
-func (m *Machine) news(to Ident) {
-	v := m.view
-	m.send(to, Message{News: &v})
+// sendView sends a machine the current view.
+func (m *Machine) sendView(to Ident) {
+	view := m.view
+	m.send(to, Message{News: &view})
 }
 
+// union returns the members of a followed by those of b that are not in a.
 func union(a, b []Ident) []Ident {
-	u := slices.Clone(a)
-	for _, x := range b {
-		if !slices.Contains(u, x) {
-			u = append(u, x)
+	all := slices.Clone(a)
+	for _, id := range b {
+		if !slices.Contains(all, id) {
+			all = append(all, id)
 		}
 	}
-	return u
+	return all
 }
 
-// adopt takes up a decided view. From then on entries of older views are refused. Whoever skips a
-// view may have missed changes in it and is not whole until the new one's opening entry reaches it.
-func (m *Machine) adopt(v View) {
-	if v.No <= m.view.No {
+// adoptView enters a decided view if it is newer. From then on entries of older views are refused. A
+// machine that skips a view may have missed changes in it and is incomplete until it has received
+// the opening entry of the new view.
+func (m *Machine) adoptView(view View) {
+	if view.No <= m.view.No {
 		return
 	}
-	m.enterView(v, v.No == m.view.No+1 && m.place() >= 0 && m.isWhole())
+	m.enterView(view, view.No == m.view.No+1 && m.chainIndex() >= 0 && m.isComplete())
 }
 
-func (m *Machine) enterView(v View, whole bool) {
-	m.view, m.whole, m.filled, m.viewSince = v, whole, false, m.now
-	m.extra = m.extra && !m.votes()
-	for _, x := range v.Core {
-		delete(m.awaited, x.Addr)
+// enterView makes a view the current one and resets the state that belonged to the previous view.
+func (m *Machine) enterView(view View, complete bool) {
+	m.view, m.complete, m.hasSnapshot, m.viewSince = view, complete, false, m.now
+	m.seatPending = m.seatPending && !m.inCore()
+	for _, member := range view.Core {
+		delete(m.pendingSeats, member.Addr)
 	}
 	m.promised, m.accepted = Ballot{}, nil
-	m.clearVolatile()
-	m.sync(Record{View: &ViewRecord{View: v, Whole: whole}})
-	m.nextBeat = m.now
+	m.resetViewState()
+	m.persist(Record{View: &ViewRecord{View: view, Whole: complete}})
+	m.nextHeartbeat = m.now
 }
--- a/internal/recordlog/earlier_test.go
+++ b/internal/recordlog/earlier_release_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The folder in testdata was written by an earlier release with Append and Replace, and stays as it is.
-func TestReadsAFolderOfAnEarlierRelease(t *testing.T) {
+// TestReadsJournalOfEarlierRelease opens a journal that an earlier release wrote with Append and
+// Replace. The directory in testdata must not change.
+func TestReadsJournalOfEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("testdata/earlier")))
 	j, records, err := Open(dir)
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -1,25 +1,28 @@
-// Package recordlog keeps records on disk for a store that must not lose what it has synced. The
-// log is github.com/tidwall/wal; what that library leaves open is done here.
+// Package recordlog implements a durable, append-only log of records on disk, for a store that must
+// not lose what it has synced. The log files are written by github.com/tidwall/wal; this package
+// adds the guarantees that the library does not give.
 //
-// A generation is a folder with a log of its own. A call of Append is one entry, one write and
-// one sync, so at most the last entry of a log can be torn, and a torn call leaves nothing.
-// Replace writes the next generation under a passing name, has the library sync its files,
-// syncs the folder, renames it, syncs the folder around it, and then removes the one before. So
-// a folder with a generation's name is whole as far as its first entry tells, and the one with
-// the highest number holds.
+// A journal is a directory with generations. A generation is a subdirectory with a log of its own.
+// Each call of Append is one entry, one write and one sync, so at most the last entry of a log can
+// be torn, and a torn call leaves nothing. Replace writes the next generation under a temporary
+// name, has the library sync its files, syncs the directory, renames it, syncs the parent
+// directory, and then removes the previous generation. A directory with a generation's name is
+// therefore complete as far as its first entry states, and the generation with the highest number
+// is the current one.
 //
-// The library has no hashes, and takes a tail of zeros for empty entries. So each entry holds a
-// frame: length, index, and xxh3 hashes seeded with the hash of the first entry, in which the
-// generation and a number drawn by chance stand. Bytes that a tear or a cut leaves behind, or
-// that stand in a record, never pass for a frame. Before the library opens a log, look has seen
-// every entry of it, cut a torn tail, and refused damage; the library would answer both with
-// "log corrupt", read zeros as entries, and not see a damaged body at all.
+// The library has no checksums, and it takes a tail of zeros for empty entries. Each entry
+// therefore holds a frame: length, index, and xxh3 hashes seeded with the hash of the first entry,
+// which contains the generation and a random number. Bytes that a torn write or a truncation leaves
+// behind, or that are part of a record, never pass for a frame. Before the library opens a log,
+// scanSegment has checked every entry of it, cut a torn tail, and refused damage; the library would
+// answer both with "log corrupt", read zeros as entries, and not detect a damaged body at all.
 //
-// Of the library's other ways: it creates a segment without syncing the folder (Append does, when
-// one was begun); its truncations remove and rename without syncing (they are not used); it holds
-// the last segment in memory, and the one before until its cache is cleared (segments are short, and
-// it is cleared); it takes no file layer (tests put devices that refuse in place of segments, and note
-// the steps on folders).
+// Other properties of the library, and how they are handled here: it creates a segment without
+// syncing the directory (Append does so when a segment was started); its truncations remove and
+// rename without syncing (they are not used); it keeps the last segment in memory, and the previous
+// one until its cache is cleared (segments are short, and the cache is cleared); it has no file
+// system interface (tests put failing devices in place of segments and record the operations on
+// directories).
 package recordlog
 
 import (
@@ -41,93 +44,99 @@
 )
 
 const (
-	magic    = "cellar\x00\x02" // on disk, by the former name of the package
-	headBody = 32               // magic, generation, entries that were synced before the name was given, chance
-	frameLen = 28               // body's length, index, body's hash, hash of these three
-	named    = "generation-"
-	former   = "journal-" // a file of the format before the library
-	passing  = ".new"
-
-	segmentLen = 256 << 10 // bytes at which a segment ends
-	writeLen   = 256 << 10 // bytes in a write of Replace: each waits for the disk
-	keepLen    = 64 << 10  // bytes of buffers that are kept between calls of Append
+	magic            = "cellar\x00\x02" // on disk; contains a former name of the package
+	headSize         = 32               // bytes: magic, generation, number of entries synced before the rename, random number
+	frameHeadSize    = 28               // bytes: body length, index, hash of the body, hash of these three
+	generationPrefix = "generation-"    // prefix of a generation's directory
+	earlierPrefix    = "journal-"       // prefix of a file in the earlier format, which did not use the library
+	tempSuffix       = ".new"           // suffix of a generation that is not complete yet
+
+	defaultSegmentSize = 256 << 10 // bytes after which a segment ends
+	replaceWriteSize   = 256 << 10 // bytes per write in Replace; each write waits for the disk
+	maxKeptBuffer      = 64 << 10  // bytes of buffer that are kept between calls of Append
 )
 
-// ErrStopped answers every call after one has failed: what is on disk is not known then, and
-// a second sync can succeed without having written what the first could not.
-var ErrStopped = errors.New("recordlog: the journal has stopped")
+// ErrStopped is returned by every call after one has failed: it is then unknown what is on disk,
+// and a second sync can succeed without having written what the first one could not.
+var ErrStopped = errors.New("recordlog: the journal is stopped and must be reopened")
 
-// ErrKept says that Replace has failed before the new generation had its name: the one before it
-// holds, and the journal goes on.
-var ErrKept = errors.New("recordlog: the records before are kept")
+// ErrKept is returned if Replace failed before the new generation got its name: the previous
+// generation is still the current one, and the journal can be used.
+var ErrKept = errors.New("recordlog: replacement failed; the previous records are kept")
 
-// ErrDamaged says that bytes which had been synced are not what was written. Nothing is cut:
-// whole entries behind them would be lost.
+// ErrDamaged reports that bytes which had been synced are not what was written. Nothing is
+// truncated, because complete entries after the damage would be lost.
 type ErrDamaged struct {
 	File string
-	At   int64 // where the entry begins
+	At   int64 // offset in bytes at which the entry begins
 }
 
+// Error describes the damage and its location.
 func (e *ErrDamaged) Error() string {
-	return fmt.Sprintf("recordlog: %s is damaged at byte %d", e.File, e.At)
+	return fmt.Sprintf("recordlog: %s is damaged: no valid entry at byte %d", e.File, e.At)
 }
 
-// ErrFormer says that a folder holds a journal of the format before this one, which is not read.
+// ErrFormer reports that a directory holds a journal in the earlier format, which is not read.
 type ErrFormer struct{ File string }
 
+// Error names the file in the earlier format.
 func (e *ErrFormer) Error() string {
-	return fmt.Sprintf("recordlog: %s is a journal of an earlier format, which this version does not read", e.File)
+	return fmt.Sprintf("recordlog: %s is a journal in an earlier format, which this version cannot read", e.File)
 }
 
-// Journal is an open journal. It belongs to one goroutine, and its folder to one journal.
+// Journal is an open journal. It must be used by one goroutine at a time, and a directory must have
+// at most one open journal.
 type Journal struct {
-	folders folders
-	dir     string
-	segment int // bytes at which a segment ends
-
-	log   *wal.Log
-	gen   uint64
-	seed  uint64
-	index uint64 // of the next entry; the library's own index
-	size  int64  // of the generation
-	tail  int64  // of the last segment, as the library counts it
-	buf   []byte
-	batch *wal.Batch
-	err   error // why it has stopped
+	fsys        fileSystem
+	dir         string
+	segmentSize int // bytes after which a segment ends
+
+	log             *wal.Log
+	generation      uint64
+	seed            uint64
+	nextIndex       uint64 // index of the next entry, as the library counts
+	size            int64  // bytes of the current generation
+	lastSegmentSize int64  // bytes of the last segment, as the library counts
+	buf             []byte
+	batch           *wal.Batch
+	err             error // why the journal has stopped; nil while it works
 }
 
-// Open opens the journal in a folder and returns all records in order. What it returns is
-// synced, also where the writer was killed before it could do that. A torn tail is cut off.
-// The folder must be there, and may hold other files.
-func Open(dir string) (*Journal, [][]byte, error) { return openOn(osFolders{}, dir, segmentLen) }
+// Open opens the journal in a directory and returns all records in order. What it returns is
+// synced, even if the writer was killed before it could sync. A torn tail is cut off. The directory
+// must exist and may hold other files.
+func Open(dir string) (*Journal, [][]byte, error) {
+	return openOn(osFileSystem{}, dir, defaultSegmentSize)
+}
 
-func openOn(folders folders, dir string, segment int) (*Journal, [][]byte, error) {
-	names, err := folders.List(dir)
+// openOn is Open with a given file system and segment length.
+func openOn(fsys fileSystem, dir string, segmentSize int) (*Journal, [][]byte, error) {
+	names, err := fsys.List(dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	j := &Journal{folders: folders, dir: dir, segment: segment, batch: &wal.Batch{}}
-	var mine []string
+	j := &Journal{fsys: fsys, dir: dir, segmentSize: segmentSize, batch: &wal.Batch{}}
+	var generations []string
 	for _, name := range names {
-		if _, _, ok := parse(name, former); ok {
+		if _, _, ok := parseGeneration(name, earlierPrefix); ok {
 			return nil, nil, &ErrFormer{filepath.Join(dir, name)}
 		}
-		gen, whole, ok := parse(name, named)
+		generation, complete, ok := parseGeneration(name, generationPrefix)
 		if !ok {
 			continue
 		}
-		mine = append(mine, name)
-		if whole {
-			j.gen = max(j.gen, gen)
+		generations = append(generations, name)
+		if complete {
+			j.generation = max(j.generation, generation)
 		}
 	}
 	var records [][]byte
-	if j.gen == 0 {
-		if err = j.tidy(mine); err == nil {
-			_, err = j.begin(nil)
+	if j.generation == 0 {
+		if err = j.removeLeftovers(generations); err == nil {
+			_, err = j.startGeneration(nil)
 		}
 	} else if records, err = j.load(); err == nil {
-		err = j.tidy(mine)
+		err = j.removeLeftovers(generations)
 	}
 	if err != nil {
 		if j.log != nil {
@@ -138,35 +147,36 @@
 	return j, records, nil
 }
 
-// tidy removes what interrupted calls left behind. The generation in force, if any, lasts by then.
-func (j *Journal) tidy(names []string) error {
+// removeLeftovers removes what interrupted calls left behind. The current generation, if any, is
+// durable by then.
+func (j *Journal) removeLeftovers(names []string) error {
 	for _, name := range names {
-		if name == base(j.gen) {
+		if name == generationName(j.generation) {
 			continue
 		}
-		if err := j.remove(filepath.Join(j.dir, name)); err != nil {
+		if err := j.removeGeneration(filepath.Join(j.dir, name)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// remove takes away a generation. The next Open does it again where that does not last.
-func (j *Journal) remove(path string) error {
-	names, err := j.folders.List(path)
+// removeGeneration deletes a generation. If the deletion is not durable, the next Open repeats it.
+func (j *Journal) removeGeneration(dir string) error {
+	names, err := j.fsys.List(dir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if err := j.folders.Remove(filepath.Join(path, name)); err != nil {
+		if err := j.fsys.Remove(filepath.Join(dir, name)); err != nil {
 			return err
 		}
 	}
-	return j.folders.Remove(path)
+	return j.fsys.Remove(dir)
 }
 
-// Append adds records: after it has returned they last, all of them; if it is interrupted,
-// all or none are there.
+// Append adds records. When it returns without an error, all of them are durable; if it is
+// interrupted, either all or none of them are.
 func (j *Journal) Append(records [][]byte) error {
 	if j.err != nil {
 		return j.err
@@ -174,70 +184,71 @@
 	if len(records) == 0 {
 		return nil
 	}
-	buf, err := appendFrame(j.buf[:0], j.seed, j.index, records)
+	frame, err := appendFrame(j.buf[:0], j.seed, j.nextIndex, records)
 	if err != nil {
 		return err
 	}
 	// The library's own Write would keep a copy as long as the longest entry.
-	j.batch.Write(j.index, buf)
+	j.batch.Write(j.nextIndex, frame)
 	if err := j.log.WriteBatch(j.batch); err != nil {
-		return j.stop(err)
-	}
-	j.index++
-	if j.grow(len(buf)) {
-		// What comes next is in a file whose name must last, and the one before needn't be in memory.
-		if err := errors.Join(j.folders.Sync(j.path()), j.log.ClearCache()); err != nil {
-			return j.stop(err)
+		return j.fail(err)
+	}
+	j.nextIndex++
+	if j.countEntry(len(frame)) {
+		// The next entry goes to a new file whose name must be durable, and the previous segment is no
+		// longer needed in memory.
+		if err := errors.Join(j.fsys.Sync(j.path()), j.log.ClearCache()); err != nil {
+			return j.fail(err)
 		}
 	}
-	if j.buf = buf; cap(buf) > keepLen {
+	if j.buf = frame; cap(frame) > maxKeptBuffer {
 		j.buf, j.batch = nil, &wal.Batch{}
 	}
 	return nil
 }
 
-// grow counts an entry as the library does, and tells whether it has begun a segment: before
-// an entry where the last one is too long, and behind one that fills it.
-func (j *Journal) grow(frame int) (begun bool) {
-	n := entryLen(int64(frame))
-	j.size += n
-	if j.tail > int64(j.segment) {
-		j.tail, begun = 0, true
+// countEntry counts an entry as the library does and reports whether the library has started a new
+// segment: before an entry if the last segment is too long, and after an entry that fills it.
+func (j *Journal) countEntry(frameSize int) (started bool) {
+	size := entrySize(int64(frameSize))
+	j.size += size
+	if j.lastSegmentSize > int64(j.segmentSize) {
+		j.lastSegmentSize, started = 0, true
 	}
-	if j.tail += n; j.tail >= int64(j.segment) {
-		j.tail, begun = 0, true
+	if j.lastSegmentSize += size; j.lastSegmentSize >= int64(j.segmentSize) {
+		j.lastSegmentSize, started = 0, true
 	}
-	return begun
+	return started
 }
 
-// Replace makes the journal hold exactly these records. If it is interrupted, either these
-// or those before are there. Until it is over, the disk holds both; where there is no room for
-// that, the error is ErrKept, and what was written for it is taken away again.
+// Replace makes the journal hold exactly the given records. If it is interrupted, either these or
+// the previous records are there. Until it returns, the disk holds both; if there is no room for
+// that, the error is ErrKept, and what was written of the new generation is removed.
 func (j *Journal) Replace(records [][]byte) error {
 	if j.err != nil {
 		return j.err
 	}
-	for _, r := range records {
-		if tooLong(uint64(len(r))) {
-			return errTooLong
+	for _, record := range records {
+		if exceedsFrame(uint64(len(record))) {
+			return errRecordsTooLong
 		}
 	}
-	old, oldPath := j.log, j.path()
-	if named, err := j.begin(records); err != nil && !named {
+	previous, previousDir := j.log, j.path()
+	if renamed, err := j.startGeneration(records); err != nil && !renamed {
 		return fmt.Errorf("%w: %w", ErrKept, err)
 	} else if err != nil {
-		return j.stop(err)
+		return j.fail(err)
 	}
-	if err := errors.Join(old.Close(), j.remove(oldPath)); err != nil {
-		return j.stop(err)
+	if err := errors.Join(previous.Close(), j.removeGeneration(previousDir)); err != nil {
+		return j.fail(err)
 	}
 	return nil
 }
 
-// Size is how many bytes the generation in force has.
+// Size returns the size of the current generation in bytes.
 func (j *Journal) Size() int64 { return j.size }
 
-// Close closes the log. There is nothing to sync.
+// Close closes the log. Everything is synced already.
 func (j *Journal) Close() error {
 	if j.log == nil {
 		return nil
@@ -245,38 +256,41 @@
 	err := j.log.Close()
 	j.log = nil
 	if j.err != nil {
-		return nil // it has been told, and the library may tell it again
+		return nil // the error was returned before, and the library may return it again
 	}
 	j.err = fmt.Errorf("%w: closed", ErrStopped)
 	return err
 }
 
-func (j *Journal) stop(err error) error {
+// fail makes all later calls fail.
+func (j *Journal) fail(err error) error {
 	j.err = fmt.Errorf("%w: %w", ErrStopped, err)
 	return j.err
 }
 
-func (j *Journal) path() string { return filepath.Join(j.dir, base(j.gen)) }
+// path returns the directory of the current generation.
+func (j *Journal) path() string { return filepath.Join(j.dir, generationName(j.generation)) }
 
+// options returns the library's options. noSync leaves out the sync after each write.
 func (j *Journal) options(noSync bool) *wal.Options {
-	return &wal.Options{NoSync: noSync, SegmentSize: j.segment, SegmentCacheSize: 1, NoCopy: true, AllowEmpty: true,
+	return &wal.Options{NoSync: noSync, SegmentSize: j.segmentSize, SegmentCacheSize: 1, NoCopy: true, AllowEmpty: true,
 		DirPerms: 0o700, FilePerms: 0o600}
 }
 
-// begin writes the generation after the present one and makes it last. Where it fails before the
-// new one may have its name, nothing is left of that.
-func (j *Journal) begin(records [][]byte) (named bool, err error) {
-	gen := j.gen + 1
-	path := filepath.Join(j.dir, base(gen))
-	next := Journal{folders: j.folders, dir: j.dir, segment: j.segment, gen: gen, index: 1, batch: &wal.Batch{}}
-	if err := next.write(path+passing, records); err != nil {
-		_ = j.remove(path + passing) // otherwise the next one, or the next Open, takes it away
+// startGeneration writes the next generation and makes it durable. If it fails before the new
+// generation may have its name, nothing of it is left, and renamed is false.
+func (j *Journal) startGeneration(records [][]byte) (renamed bool, err error) {
+	generation := j.generation + 1
+	path := filepath.Join(j.dir, generationName(generation))
+	next := Journal{fsys: j.fsys, dir: j.dir, segmentSize: j.segmentSize, generation: generation, nextIndex: 1, batch: &wal.Batch{}}
+	if err := next.writeGeneration(path+tempSuffix, records); err != nil {
+		_ = j.removeGeneration(path + tempSuffix) // if this fails, the next call or the next Open removes it
 		return false, err
 	}
-	if err := j.folders.Rename(path+passing, path); err != nil {
+	if err := j.fsys.Rename(path+tempSuffix, path); err != nil {
 		return true, err
 	}
-	if err := j.folders.Sync(j.dir); err != nil {
+	if err := j.fsys.Sync(j.dir); err != nil {
 		return true, err
 	}
 	if next.log, err = wal.Open(path, j.options(false)); err != nil {
@@ -287,36 +301,36 @@
 	return true, nil
 }
 
-// write writes a generation that has no name yet, and makes its files last.
-func (j *Journal) write(path string, records [][]byte) error {
-	if err := j.remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) { // of one that could not be taken away
+// writeGeneration writes a generation under a temporary name and makes its files durable.
+func (j *Journal) writeGeneration(path string, records [][]byte) error {
+	if err := j.removeGeneration(path); err != nil && !errors.Is(err, fs.ErrNotExist) { // of an earlier call whose cleanup failed
 		return err
 	}
-	if err := j.folders.Make(path); err != nil {
+	if err := j.fsys.Make(path); err != nil {
 		return err
 	}
-	// One sync at the end is enough: until the folder has its name nobody reads it.
+	// One sync at the end is enough, because nobody reads the directory before it has its name.
 	log, err := wal.Open(path, j.options(true))
 	if err != nil {
 		return err
 	}
 	pending := 0
 	add := func(seed uint64, records ...[]byte) error {
-		buf, err := appendFrame(j.buf[:0], seed, j.index, records)
+		frame, err := appendFrame(j.buf[:0], seed, j.nextIndex, records)
 		if err != nil {
 			return err
 		}
-		j.batch.Write(j.index, buf)
-		j.index++
-		j.grow(len(buf))
-		j.buf = buf
-		if pending += len(buf); pending < writeLen {
+		j.batch.Write(j.nextIndex, frame)
+		j.nextIndex++
+		j.countEntry(len(frame))
+		j.buf = frame
+		if pending += len(frame); pending < replaceWriteSize {
 			return nil
 		}
 		pending = 0
 		return errors.Join(log.WriteBatch(j.batch), log.ClearCache())
 	}
-	head, seed := makeHead(j.gen, uint64(len(records))+1)
+	head, seed := makeHead(j.generation, uint64(len(records))+1)
 	j.seed = seed
 	err = add(0, head)
 	for i := 0; i < len(records) && err == nil; i++ {
@@ -328,214 +342,224 @@
 	if err = errors.Join(err, log.Close()); err != nil {
 		return err
 	}
-	return j.folders.Sync(path)
+	return j.fsys.Sync(path)
 }
 
-// load reads the generation in force, cuts its torn tail and makes the rest last.
+// load reads the current generation, cuts its torn tail and makes the rest durable.
 func (j *Journal) load() ([][]byte, error) {
-	names, err := j.folders.List(j.path())
+	names, err := j.fsys.List(j.path())
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(names)
 	var records [][]byte
 	var synced uint64
-	j.index = 1
+	j.nextIndex = 1
 	for i, name := range names {
 		path := filepath.Join(j.path(), name)
-		if name != segmentName(j.index) {
+		if name != segmentName(j.nextIndex) {
 			return nil, &ErrDamaged{path, 0}
 		}
-		if records, err = j.look(path, i == len(names)-1, &synced, records); err != nil {
+		if records, err = j.scanSegment(path, i == len(names)-1, &synced, records); err != nil {
 			return nil, err
 		}
 	}
-	if synced == 0 || j.index <= synced {
+	if synced == 0 || j.nextIndex <= synced {
 		return nil, &ErrDamaged{j.path(), j.size}
 	}
-	// A writer that was killed may have left new names unsynced.
-	if err := errors.Join(j.folders.Sync(j.path()), j.folders.Sync(j.dir)); err != nil {
+	// A writer that was killed may have left new directory entries unsynced.
+	if err := errors.Join(j.fsys.Sync(j.path()), j.fsys.Sync(j.dir)); err != nil {
 		return nil, err
 	}
 	j.log, err = wal.Open(j.path(), j.options(false))
 	return records, err
 }
 
-// look adds the records of a segment, and sees that each of its entries is whole. Only the last
-// entry of a log is ever unsynced. So one that was synced before the generation had its name, or
-// with anything behind it, is not torn but damaged.
-func (j *Journal) look(path string, last bool, synced *uint64, records [][]byte) (_ [][]byte, err error) {
-	f, err := os.OpenFile(path, os.O_RDWR, 0)
+// scanSegment appends the records of a segment and checks that each of its entries is complete.
+// Only the last entry of a log can be unsynced. A broken entry that was synced before the
+// generation got its name, or that is followed by anything, is therefore not torn but damaged.
+func (j *Journal) scanSegment(path string, isLast bool, synced *uint64, records [][]byte) (_ [][]byte, err error) {
+	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, f.Close()) }()
-	info, err := f.Stat()
+	defer func() { err = errors.Join(err, file.Close()) }()
+	info, err := file.Stat()
 	if err != nil {
 		return nil, err
 	}
 	data := make([]byte, info.Size())
-	if _, err := io.ReadFull(f, data); err != nil {
+	if _, err := io.ReadFull(file, data); err != nil {
 		return nil, err
 	}
-	j.tail = 0
-	for at := 0; at < len(data); at = int(j.tail) {
-		body, n, ok := readEntry(data[at:], j.seed, j.index)
+	j.lastSegmentSize = 0
+	for offset := 0; offset < len(data); offset = int(j.lastSegmentSize) {
+		body, size, ok := readEntry(data[offset:], j.seed, j.nextIndex)
 		if ok {
-			if j.index == 1 {
-				*synced, j.seed, ok = readHead(body, j.gen)
+			if j.nextIndex == 1 {
+				*synced, j.seed, ok = readHead(body, j.generation)
 			} else {
-				records, ok = split(records, body)
+				records, ok = splitRecords(records, body)
 			}
 			if !ok {
-				return nil, &ErrDamaged{path, j.tail}
+				return nil, &ErrDamaged{path, j.lastSegmentSize}
 			}
-			j.index++
-			j.size += n
-			j.tail += n
+			j.nextIndex++
+			j.size += size
+			j.lastSegmentSize += size
 			continue
 		}
-		if !last || j.index <= max(*synced, 1) || j.follows(data[at:]) {
-			return nil, &ErrDamaged{path, j.tail}
+		if !isLast || j.nextIndex <= max(*synced, 1) || j.isFollowed(data[offset:]) {
+			return nil, &ErrDamaged{path, j.lastSegmentSize}
 		}
-		if err := f.Truncate(j.tail); err != nil {
+		if err := file.Truncate(j.lastSegmentSize); err != nil {
 			return nil, err
 		}
 		break
 	}
-	if !last {
+	if !isLast {
 		return records, nil
 	}
-	return records, f.Sync()
+	return records, file.Sync()
 }
 
-// follows tells whether anything was written behind the broken entry at the start: another
-// entry's frame, or anything past the end of the broken one's own. A frame's head is enough, as
-// it was written only after the entry before it had been synced.
-func (j *Journal) follows(b []byte) bool {
-	for ; len(b) >= frameLen; b = b[1:] {
-		n, index, _, ok := readFrameHead(b, j.seed)
-		if ok && (index != j.index || frameLen+n < int64(len(b))) {
+// isFollowed reports whether anything was written after the broken entry at the start of data: the
+// frame of another entry, or anything past the end of the broken entry's own frame. The head of a
+// frame is enough evidence, because it is written only after the previous entry has been synced.
+func (j *Journal) isFollowed(data []byte) bool {
+	for ; len(data) >= frameHeadSize; data = data[1:] {
+		bodySize, index, _, ok := readFrameHead(data, j.seed)
+		if ok && (index != j.nextIndex || frameHeadSize+bodySize < int64(len(data))) {
 			return true
 		}
 	}
 	return false
 }
 
-// segmentName is the library's name for the file that begins with an entry.
+// segmentName returns the library's name for the file that begins with an entry.
 func segmentName(index uint64) string { return fmt.Sprintf("%020d", index) }
 
-func base(gen uint64) string { return fmt.Sprintf("%s%016x", named, gen) }
+// generationName returns the name of a generation's directory.
+func generationName(generation uint64) string {
+	return fmt.Sprintf("%s%016x", generationPrefix, generation)
+}
 
-// parse tells a generation by its name, and whether it was written whole.
-func parse(name, kind string) (gen uint64, whole, ok bool) {
-	stem, unfinished := strings.CutSuffix(name, passing)
-	digits, found := strings.CutPrefix(stem, kind)
-	gen, err := strconv.ParseUint(digits, 16, 64)
-	if !found || err != nil || gen == 0 || fmt.Sprintf("%s%016x", kind, gen) != stem {
+// parseGeneration extracts the generation from a name and reports whether the generation was written
+// completely.
+func parseGeneration(name, prefix string) (generation uint64, complete, ok bool) {
+	stem, incomplete := strings.CutSuffix(name, tempSuffix)
+	digits, found := strings.CutPrefix(stem, prefix)
+	generation, err := strconv.ParseUint(digits, 16, 64)
+	if !found || err != nil || generation == 0 || fmt.Sprintf("%s%016x", prefix, generation) != stem {
 		return 0, false, false
 	}
-	return gen, !unfinished, true
+	return generation, !incomplete, true
 }
 
-// makeHead is the first entry's only record: what the generation is, and the seed of the others.
-func makeHead(gen, synced uint64) (head []byte, seed uint64) {
-	head = append(make([]byte, 0, headBody), magic...)
-	head = binary.LittleEndian.AppendUint64(head, gen)
+// makeHead returns the only record of a generation's first entry and the hash seed for the other
+// entries.
+func makeHead(generation, synced uint64) (head []byte, seed uint64) {
+	head = append(make([]byte, 0, headSize), magic...)
+	head = binary.LittleEndian.AppendUint64(head, generation)
 	head = binary.LittleEndian.AppendUint64(head, synced)
-	var chance [8]byte
-	_, _ = rand.Read(chance[:]) // it never fails
-	head = append(head, chance[:]...)
+	var random [8]byte
+	_, _ = rand.Read(random[:]) // it never returns an error
+	head = append(head, random[:]...)
 	return head, xxh3.Hash(head)
 }
 
-func readHead(body []byte, gen uint64) (synced, seed uint64, ok bool) {
-	records, ok := split(nil, body)
+// readHead parses a generation's first entry.
+func readHead(body []byte, generation uint64) (synced, seed uint64, ok bool) {
+	records, ok := splitRecords(nil, body)
 	if !ok || len(records) != 1 {
 		return 0, 0, false
 	}
 	head := records[0]
-	if len(head) != headBody || string(head[:8]) != magic || binary.LittleEndian.Uint64(head[8:]) != gen {
+	if len(head) != headSize || string(head[:8]) != magic || binary.LittleEndian.Uint64(head[8:]) != generation {
 		return 0, 0, false
 	}
 	return binary.LittleEndian.Uint64(head[16:]), xxh3.Hash(head), true
 }
 
-// entryLen is what the library makes of a frame: its length stands before it.
-func entryLen(frame int64) int64 {
-	var b [binary.MaxVarintLen64]byte
-	return int64(binary.PutUvarint(b[:], uint64(frame))) + frame
+// entrySize returns the length of an entry in the file: the library puts the frame's length before
+// it.
+func entrySize(frameSize int64) int64 {
+	var prefix [binary.MaxVarintLen64]byte
+	return int64(binary.PutUvarint(prefix[:], uint64(frameSize))) + frameSize
 }
 
-var errTooLong = errors.New("recordlog: records are too long for a frame")
+var errRecordsTooLong = errors.New("recordlog: records exceed the frame limit of 4294967295 bytes")
 
-// tooLong leaves room for a record's own length.
-func tooLong(n uint64) bool { return n > math.MaxUint32-binary.MaxVarintLen64 }
+// exceedsFrame reports whether a record of that size, with its own length prefix, exceeds a frame.
+func exceedsFrame(size uint64) bool { return size > math.MaxUint32-binary.MaxVarintLen64 }
 
-func bodyLen(n int) int64 {
-	var b [binary.MaxVarintLen64]byte
-	return int64(binary.PutUvarint(b[:], uint64(n)) + n)
+// recordSize returns the encoded length of a record of that size.
+func recordSize(size int) int64 {
+	var prefix [binary.MaxVarintLen64]byte
+	return int64(binary.PutUvarint(prefix[:], uint64(size)) + size)
 }
 
-// appendFrame adds one frame with some records.
+// appendFrame appends a frame with some records to b.
 func appendFrame(b []byte, seed, index uint64, records [][]byte) ([]byte, error) {
-	var n int64
-	for _, r := range records {
-		n += bodyLen(len(r))
+	var bodySize int64
+	for _, record := range records {
+		bodySize += recordSize(len(record))
 	}
-	if n > math.MaxUint32 {
-		return nil, errTooLong
+	if bodySize > math.MaxUint32 {
+		return nil, errRecordsTooLong
 	}
-	if need := len(b) + frameLen + int(n); cap(b) < need {
-		b = append(make([]byte, 0, need), b...)
+	if required := len(b) + frameHeadSize + int(bodySize); cap(b) < required {
+		b = append(make([]byte, 0, required), b...)
 	}
 	start := len(b)
-	b = append(b, make([]byte, frameLen)...)
-	for _, r := range records {
-		b = binary.AppendUvarint(b, uint64(len(r)))
-		b = append(b, r...)
+	b = append(b, make([]byte, frameHeadSize)...)
+	for _, record := range records {
+		b = binary.AppendUvarint(b, uint64(len(record)))
+		b = append(b, record...)
 	}
 	head := b[start:]
-	binary.LittleEndian.PutUint32(head, uint32(n))
+	binary.LittleEndian.PutUint32(head, uint32(bodySize))
 	binary.LittleEndian.PutUint64(head[4:], index)
-	binary.LittleEndian.PutUint64(head[12:], xxh3.HashSeed(head[frameLen:], seed+index))
+	binary.LittleEndian.PutUint64(head[12:], xxh3.HashSeed(head[frameHeadSize:], seed+index))
 	binary.LittleEndian.PutUint64(head[20:], xxh3.HashSeed(head[:20], seed))
 	return b, nil
 }
 
-func readFrameHead(b []byte, seed uint64) (n int64, index, sum uint64, ok bool) {
-	if xxh3.HashSeed(b[:20], seed) != binary.LittleEndian.Uint64(b[20:]) {
+// readFrameHead parses the head of a frame and checks its hash.
+func readFrameHead(head []byte, seed uint64) (bodySize int64, index, sum uint64, ok bool) {
+	if xxh3.HashSeed(head[:20], seed) != binary.LittleEndian.Uint64(head[20:]) {
 		return 0, 0, 0, false
 	}
-	return int64(binary.LittleEndian.Uint32(b)), binary.LittleEndian.Uint64(b[4:]),
-		binary.LittleEndian.Uint64(b[12:]), true
+	return int64(binary.LittleEndian.Uint32(head)), binary.LittleEndian.Uint64(head[4:]),
+		binary.LittleEndian.Uint64(head[12:]), true
 }
 
-// readEntry reads the entry at the start of some bytes, with the length that the library put there.
-func readEntry(b []byte, seed, index uint64) (body []byte, n int64, ok bool) {
-	length, k := binary.Uvarint(b)
-	if k <= 0 || length < frameLen || length > uint64(len(b)-k) {
+// readEntry parses the entry at the start of data, including the length prefix that the library
+// writes.
+func readEntry(data []byte, seed, index uint64) (body []byte, size int64, ok bool) {
+	length, prefixLen := binary.Uvarint(data)
+	if prefixLen <= 0 || length < frameHeadSize || length > uint64(len(data)-prefixLen) {
 		return nil, 0, false
 	}
-	n = int64(k) + int64(length)
-	frame := b[k:n]
-	bodyLen, at, sum, ok := readFrameHead(frame, seed)
-	body = frame[frameLen:]
-	if !ok || at != index || bodyLen != int64(len(body)) || n != entryLen(int64(length)) || xxh3.HashSeed(body, seed+index) != sum {
+	size = int64(prefixLen) + int64(length)
+	frame := data[prefixLen:size]
+	bodySize, entryIndex, sum, ok := readFrameHead(frame, seed)
+	body = frame[frameHeadSize:]
+	if !ok || entryIndex != index || bodySize != int64(len(body)) || size != entrySize(int64(length)) || xxh3.HashSeed(body, seed+index) != sum {
 		return nil, 0, false
 	}
-	return body, n, true
+	return body, size, true
 }
 
-// split adds the records of a body. They share its memory.
-func split(records [][]byte, body []byte) ([][]byte, bool) {
+// splitRecords appends the records of a frame's body. They share the body's memory.
+func splitRecords(records [][]byte, body []byte) ([][]byte, bool) {
 	for len(body) > 0 {
-		n, k := binary.Uvarint(body)
-		if k <= 0 || n > uint64(len(body)-k) {
+		size, prefixLen := binary.Uvarint(body)
+		if prefixLen <= 0 || size > uint64(len(body)-prefixLen) {
 			return nil, false
 		}
-		end := k + int(n)
-		records = append(records, body[k:end:end])
+		end := prefixLen + int(size)
+		records = append(records, body[prefixLen:end:end])
 		body = body[end:]
 	}
 	return records, true
