--- a/internal/recordlog/recordlog_test.go
+++ b/internal/recordlog/recordlog_test.go
@@ -17,7 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMain has the folders in memory: syncs are then quick, and losses are played by copying.
+// TestMain keeps the directories in memory: syncs are fast there, and power losses are simulated by
+// copies.
 func TestMain(m *testing.M) {
 	const memory = "/dev/shm"
 	if dir, err := os.MkdirTemp(memory, "recordlog"); err == nil {
@@ -29,46 +30,46 @@
 	os.Exit(m.Run())
 }
 
-// call is one of a script's: an Append, or a Replace.
-type call struct {
+// operation is a step of a script: an Append or a Replace.
+type operation struct {
 	replace bool
 	records [][]byte
 }
 
-func rec(s string, n int) []byte { return []byte(strings.Repeat(s, n)) }
+func record(s string, n int) []byte { return []byte(strings.Repeat(s, n)) }
 
-// short is a segment's length in tests.
-const short = 256
+// shortSegment is the segment length in most tests, in bytes.
+const shortSegment = 256
 
-// script has records that end a segment, and a generation of two segments.
-var script = []call{
-	{records: [][]byte{rec("a", 9)}},
-	{records: [][]byte{rec("b", 40), {}, rec("c", 3)}},
-	{replace: true, records: [][]byte{rec("d", 30), rec("e", 5), {}}},
-	{records: [][]byte{rec("f", short)}},
-	{records: [][]byte{rec("g", 70)}},
+// script contains records that end a segment and a generation of two segments.
+var script = []operation{
+	{records: [][]byte{record("a", 9)}},
+	{records: [][]byte{record("b", 40), {}, record("c", 3)}},
+	{replace: true, records: [][]byte{record("d", 30), record("e", 5), {}}},
+	{records: [][]byte{record("f", shortSegment)}},
+	{records: [][]byte{record("g", 70)}},
 	{replace: true, records: nil},
-	{records: [][]byte{rec("h", 20)}},
-	{replace: true, records: [][]byte{rec("i", short), rec("j", 12)}},
-	{records: [][]byte{rec("k", 2), rec("l", 2)}},
+	{records: [][]byte{record("h", 20)}},
+	{replace: true, records: [][]byte{record("i", shortSegment), record("j", 12)}},
+	{records: [][]byte{record("k", 2), record("l", 2)}},
 }
 
-// after is what a journal holds that held old.
-func (c call) after(old [][]byte) [][]byte {
+// resultOn returns what a journal that held old holds after the call.
+func (c operation) resultOn(old [][]byte) [][]byte {
 	if c.replace {
 		return c.records
 	}
 	return append(append([][]byte(nil), old...), c.records...)
 }
 
-func (c call) do(j *Journal) error {
+func (c operation) run(j *Journal) error {
 	if c.replace {
 		return j.Replace(c.records)
 	}
 	return j.Append(c.records)
 }
 
-func same(a, b [][]byte) bool {
+func equalRecords(a, b [][]byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -80,103 +81,106 @@
 	return true
 }
 
-// opensOn tells what is wrong with what a folder gives, and has it go on.
-func opensOn(dir string, segment int, must, may [][]byte) error {
-	j, got, err := openOn(osFolders{}, dir, segment)
+// checkOpenWith checks that a directory opens with one of two contents and that the journal can then be
+// used.
+func checkOpenWith(dir string, segment int, required, allowed [][]byte) error {
+	j, got, err := openOn(osFileSystem{}, dir, segment)
 	if err != nil {
 		return err
 	}
-	if !same(got, must) && !same(got, may) {
-		return fmt.Errorf("%d records, not %d or %d", len(got), len(must), len(may))
+	if !equalRecords(got, required) && !equalRecords(got, allowed) {
+		return fmt.Errorf("expected %d or %d records, got %d", len(required), len(allowed), len(got))
 	}
-	more := call{records: [][]byte{rec("more", 5)}}
-	if err := errors.Join(more.do(j), j.Close()); err != nil {
+	extra := operation{records: [][]byte{record("more", 5)}}
+	if err := errors.Join(extra.run(j), j.Close()); err != nil {
 		return err
 	}
-	got = more.after(got)
-	j, again, err := openOn(osFolders{}, dir, segment)
+	got = extra.resultOn(got)
+	j, reopened, err := openOn(osFileSystem{}, dir, segment)
 	if err != nil {
 		return err
 	}
-	if !same(again, got) {
-		return fmt.Errorf("going on: %d records, not %d", len(again), len(got))
+	if !equalRecords(reopened, got) {
+		return fmt.Errorf("after another append: expected %d records, got %d", len(got), len(reopened))
 	}
 	return j.Close()
 }
 
-func opens(dir string, must, may [][]byte) error { return opensOn(dir, segmentLen, must, may) }
+func checkOpen(dir string, required, allowed [][]byte) error {
+	return checkOpenWith(dir, defaultSegmentSize, required, allowed)
+}
 
-// play plays the script, and opens each state that a loss of power can leave at each step on
-// folders and around each call. It returns how many there were, and what was wrong.
-func play(t *testing.T, p *power) (images int, wrong error) {
+// runScript runs the script and opens each state that a power loss can leave at each directory
+// operation and around each call. It returns the number of states and the first error.
+func runScript(t *testing.T, p *crashFileSystem) (images int, failure error) {
 	t.Helper()
-	var must, may [][]byte
+	var durable, possible [][]byte
 	seen := map[string]bool{}
-	p.at = func() {
-		p.images(func(im image) {
-			id := fmt.Sprintf("%x %x %s", must, may, im.id())
-			if seen[id] || wrong != nil {
+	p.beforeStep = func() {
+		p.eachImage(func(img image) {
+			id := fmt.Sprintf("%x %x %s", durable, possible, img.key())
+			if seen[id] || failure != nil {
 				return
 			}
 			seen[id] = true
 			images++
-			if err := opensOn(im.write(t), short, must, may); err != nil {
-				wrong = fmt.Errorf("after %s: %w", p.did, err)
+			if err := checkOpenWith(img.write(t), shortSegment, durable, possible); err != nil {
+				failure = fmt.Errorf("after %s: %w", p.steps, err)
 			}
 		})
 	}
-	j, _, err := openOn(p, p.root, short)
+	j, _, err := openOn(p, p.root, shortSegment)
 	assert.NilError(t, err)
-	for _, c := range script {
-		may = c.after(must)
-		assert.NilError(t, c.do(j))
-		if !c.replace {
-			p.at() // as if within the write or the sync
+	for _, op := range script {
+		possible = op.resultOn(durable)
+		assert.NilError(t, op.run(j))
+		if !op.replace {
+			p.beforeStep() // as if during the write or the sync
 		}
-		p.settle()
-		must = may
-		p.at()
+		p.persistFiles()
+		durable = possible
+		p.beforeStep()
 	}
 	assert.NilError(t, j.Close())
-	return images, wrong
+	return images, failure
 }
 
-func TestPowerIsLost(t *testing.T) {
-	images, wrong := play(t, newPower(t.TempDir()))
-	assert.NilError(t, wrong)
+func TestPowerLoss(t *testing.T) {
+	images, failure := runScript(t, newCrashFileSystem(t.TempDir()))
+	assert.NilError(t, failure)
 	t.Log(images, "images")
 }
 
-// TestEachSyncIsNeeded leaves out one sync of a folder after another: each is missed.
-func TestEachSyncIsNeeded(t *testing.T) {
-	p := newPower(t.TempDir())
-	_, wrong := play(t, p)
-	assert.NilError(t, wrong)
-	assert.Equal(t, p.syncs, 4*2+1) // of generations, and of a segment that was begun
-	for k := range p.syncs {
-		p := newPower(t.TempDir())
-		p.forgets = k
-		_, wrong := play(t, p)
-		assert.Assert(t, wrong != nil, "sync %d", k)
+// TestEveryDirectorySyncIsNeeded skips one sync of a directory after another: each must be missed.
+func TestEveryDirectorySyncIsNeeded(t *testing.T) {
+	p := newCrashFileSystem(t.TempDir())
+	_, failure := runScript(t, p)
+	assert.NilError(t, failure)
+	assert.Equal(t, p.syncs, 4*2+1) // two for each generation, and one for a segment that was started
+	for skipped := range p.syncs {
+		p := newCrashFileSystem(t.TempDir())
+		p.skippedSync = skipped
+		_, failure := runScript(t, p)
+		assert.Assert(t, failure != nil, "sync %d", skipped)
 	}
 }
 
-// TestWhatOpenGivesLasts: the writer is killed before each step, the next one opens what is there,
-// and then power is lost.
-func TestWhatOpenGivesLasts(t *testing.T) {
-	for k := 0; ; k++ {
-		p := newPower(t.TempDir())
-		p.left = k
-		j, must, err := openOn(p, p.root, short)
-		var may [][]byte
+// TestOpenedRecordsAreDurable kills the writer before each operation, opens the journal again, and then
+// loses power.
+func TestOpenedRecordsAreDurable(t *testing.T) {
+	for crashStep := 0; ; crashStep++ {
+		p := newCrashFileSystem(t.TempDir())
+		p.stepsLeft = crashStep
+		j, durable, err := openOn(p, p.root, shortSegment)
+		var possible [][]byte
 		for i := 0; i < len(script) && err == nil; i++ {
-			may = script[i].after(must)
-			if err = script[i].do(j); err == nil {
-				must = may
+			possible = script[i].resultOn(durable)
+			if err = script[i].run(j); err == nil {
+				durable = possible
 				continue
 			}
 			assert.ErrorIs(t, err, errCrash)
-			if p.unnamed() {
+			if p.failedBeforeRename() {
 				assert.ErrorIs(t, err, ErrKept)
 				continue
 			}
@@ -189,54 +193,60 @@
 		if err == nil {
 			return
 		}
-		p.left = -1
-		j, got, err := openOn(p, p.root, short)
+		p.stepsLeft = -1
+		j, got, err := openOn(p, p.root, shortSegment)
 		assert.NilError(t, err)
-		assert.Assert(t, same(got, must) || same(got, may), "step %d", k)
-		p.settle()
-		p.images(func(im image) { assert.NilError(t, opensOn(im.write(t), short, got, got), "step %d", k) })
+		assert.Assert(t, equalRecords(got, durable) || equalRecords(got, possible), "step %d", crashStep)
+		p.persistFiles()
+		p.eachImage(func(img image) {
+			assert.NilError(t, checkOpenWith(img.write(t), shortSegment, got, got), "step %d", crashStep)
+		})
 		assert.NilError(t, j.Close())
 	}
 }
 
-// unnamed says that the step which was refused stands before the name of a new generation.
-func (p *power) unnamed() bool {
-	return strings.HasPrefix(p.refused, "make ") || strings.HasPrefix(p.refused, "sync ") && strings.HasSuffix(p.refused, passing)
+// failedBeforeRename reports whether the operation that failed came before a new generation had its
+// name.
+func (p *crashFileSystem) failedBeforeRename() bool {
+	return strings.HasPrefix(p.failedStep, "make ") || strings.HasPrefix(p.failedStep, "sync ") && strings.HasSuffix(p.failedStep, tempSuffix)
 }
 
-// TestGoesOnAfterARefusal refuses one step after another, and no more than that one. A Replace that
-// is refused before it has given a name leaves the journal as it was; after any other refusal the
-// next Open has all that was synced. What then comes lasts, at any loss of power.
-func TestGoesOnAfterARefusal(t *testing.T) {
+// TestContinuesAfterFailedOperation makes one operation after another fail, one per run. A Replace
+// that fails before the new generation has its name leaves the journal as it was; after any other
+// failure the next Open returns everything that was synced. Later records are durable at any power
+// loss.
+func TestContinuesAfterFailedOperation(t *testing.T) {
 	kept, stopped := 0, 0
-	for k := 0; ; k++ {
-		p := newPower(t.TempDir())
-		p.left, p.once = k, true
-		j, must, err := openOn(p, p.root, short)
-		for err != nil { // the first generation was refused
+	for failingStep := 0; ; failingStep++ {
+		p := newCrashFileSystem(t.TempDir())
+		p.stepsLeft, p.failOnce = failingStep, true
+		j, durable, err := openOn(p, p.root, shortSegment)
+		for err != nil { // the first generation could not be written
 			assert.ErrorIs(t, err, errCrash)
-			j, must, err = openOn(p, p.root, short)
+			j, durable, err = openOn(p, p.root, shortSegment)
 		}
-		assert.Equal(t, len(must), 0)
-		for _, c := range script {
-			had := p.refused
-			may := c.after(must)
-			err := c.do(j)
+		assert.Equal(t, len(durable), 0)
+		for _, op := range script {
+			earlierFailure := p.failedStep
+			possible := op.resultOn(durable)
+			err := op.run(j)
 			if err == nil {
-				p.settle()
-				must = may
+				p.persistFiles()
+				durable = possible
 				continue
 			}
 			assert.ErrorIs(t, err, errCrash)
-			assert.Assert(t, had == "", "one refusal, one fault")
-			if p.unnamed() {
+			assert.Assert(t, earlierFailure == "", "more than one call failed after one failed operation")
+			if p.failedBeforeRename() {
 				kept++
-				assert.Assert(t, c.replace)
+				assert.Assert(t, op.replace)
 				assert.ErrorIs(t, err, ErrKept)
-				names, err := osFolders{}.List(p.root)
+				names, err := osFileSystem{}.List(p.root)
 				assert.NilError(t, err)
-				assert.DeepEqual(t, names, []string{base(j.gen)}) // the room for it is given back
-				p.images(func(im image) { assert.NilError(t, opensOn(im.write(t), short, must, must), "step %d", k) })
+				assert.DeepEqual(t, names, []string{generationName(j.generation)}) // its space is freed
+				p.eachImage(func(img image) {
+					assert.NilError(t, checkOpenWith(img.write(t), shortSegment, durable, durable), "step %d", failingStep)
+				})
 				continue
 			}
 			stopped++
@@ -245,127 +255,131 @@
 			assert.ErrorIs(t, j.Replace(nil), ErrStopped)
 			_ = j.Close()
 			var got [][]byte
-			j, got, err = openOn(p, p.root, short)
+			j, got, err = openOn(p, p.root, shortSegment)
 			assert.NilError(t, err)
-			assert.Assert(t, same(got, must) || same(got, may), "step %d", k)
-			must = got
+			assert.Assert(t, equalRecords(got, durable) || equalRecords(got, possible), "step %d", failingStep)
+			durable = got
 		}
-		p.settle()
-		p.images(func(im image) { assert.NilError(t, opensOn(im.write(t), short, must, must), "step %d", k) })
+		p.persistFiles()
+		p.eachImage(func(img image) {
+			assert.NilError(t, checkOpenWith(img.write(t), shortSegment, durable, durable), "step %d", failingStep)
+		})
 		assert.NilError(t, j.Close())
-		if p.refused == "" {
+		if p.failedStep == "" {
 			break
 		}
 	}
-	assert.Equal(t, kept, 2*3) // a folder that is made and its sync, for each Replace
+	assert.Equal(t, kept, 2*3) // creation and sync of a directory, for each Replace
 	assert.Assert(t, stopped > kept)
 }
 
-// written gives a folder with a generation of one segment: two records synced with it, two after.
-func written(t *testing.T) (dir, file string, whole [][]byte) {
+// writeSample returns a directory with a generation of one segment: two records written by Replace, two
+// appended.
+func writeSample(t *testing.T) (dir, file string, records [][]byte) {
 	t.Helper()
 	dir = t.TempDir()
 	j, _, err := Open(dir)
 	assert.NilError(t, err)
-	for _, c := range []call{{true, [][]byte{rec("a", 30), {}}}, {false, [][]byte{rec("b", 5)}}, {false, [][]byte{rec("c", 70)}}} {
-		assert.NilError(t, c.do(j))
-		whole = c.after(whole)
+	for _, op := range []operation{{true, [][]byte{record("a", 30), {}}}, {false, [][]byte{record("b", 5)}}, {false, [][]byte{record("c", 70)}}} {
+		assert.NilError(t, op.run(j))
+		records = op.resultOn(records)
 	}
 	assert.NilError(t, j.Close())
-	return dir, filepath.Join(dir, base(2), segmentName(1)), whole
+	return dir, filepath.Join(dir, generationName(2), segmentName(1)), records
 }
 
-// lastLen is the length of the last entry that written leaves.
-const lastLen = 1 + frameLen + 71
+// lastEntrySize is the length in bytes of the last entry that writeSample leaves.
+const lastEntrySize = 1 + frameHeadSize + 71
 
-// TestTornTail tears the last entry at every byte, in every way.
+// TestTornTail tears the last entry at every byte in several ways.
 func TestTornTail(t *testing.T) {
-	dir, file, whole := written(t)
+	dir, file, records := writeSample(t)
 	data, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	at := len(data) - lastLen
-	try := func(tail []byte, must [][]byte, where string, n int) {
-		assert.NilError(t, os.WriteFile(file, append(bytes.Clone(data[:at]), tail...), 0o600))
-		assert.NilError(t, opens(dir, must, must), "%s %d", where, n)
+	lastOffset := len(data) - lastEntrySize
+	check := func(tail []byte, required [][]byte, where string, n int) {
+		assert.NilError(t, os.WriteFile(file, append(bytes.Clone(data[:lastOffset]), tail...), 0o600))
+		assert.NilError(t, checkOpen(dir, required, required), "%s %d", where, n)
 	}
-	last := data[at:]
-	less := whole[:len(whole)-1]
-	for n := range lastLen {
-		try(last[:n], less, "cut at", n)
-		try(append(bytes.Clone(last[:n]), make([]byte, lastLen-n)...), less, "zeros from", n)
-		try(append(make([]byte, n+1), last[n+1:]...), less, "zeros to", n)
-		try(append(bytes.Clone(last[:n]), bytes.Repeat([]byte{0xa5}, lastLen-n)...), less, "garbage from", n)
-		try(append(bytes.Clone(last[:n]), bytes.Repeat([]byte{0xff}, lastLen-n)...), less, "a length without end from", n)
-		try(append(bytes.Clone(last), make([]byte, n)...), whole, "zeros behind", n)
+	last := data[lastOffset:]
+	withoutLast := records[:len(records)-1]
+	for n := range lastEntrySize {
+		check(last[:n], withoutLast, "cut at", n)
+		check(append(bytes.Clone(last[:n]), make([]byte, lastEntrySize-n)...), withoutLast, "zeros from", n)
+		check(append(make([]byte, n+1), last[n+1:]...), withoutLast, "zeros to", n)
+		check(append(bytes.Clone(last[:n]), bytes.Repeat([]byte{0xa5}, lastEntrySize-n)...), withoutLast, "garbage from", n)
+		check(append(bytes.Clone(last[:n]), bytes.Repeat([]byte{0xff}, lastEntrySize-n)...), withoutLast, "a length without end from", n)
+		check(append(bytes.Clone(last), make([]byte, n)...), records, "zeros behind", n)
 	}
 }
 
-// damaged says that a folder is refused for its damage near a place, and left as it is.
-func damaged(t *testing.T, dir, file string, at int, where string) {
+// checkDamaged checks that opening a directory reports damage near a position and changes nothing.
+func checkDamaged(t *testing.T, dir, file string, offset int, where string) {
 	t.Helper()
 	before, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	_, _, err = Open(dir)
 	var fault *ErrDamaged
 	assert.Assert(t, errors.As(err, &fault), "%s: %v", where, err)
-	if at >= 0 {
+	if offset >= 0 {
 		assert.Equal(t, fault.File, file)
-		assert.Assert(t, fault.At <= int64(at) && int64(at)-fault.At < 100, "%s: %d", where, fault.At)
+		assert.Assert(t, fault.At <= int64(offset) && int64(offset)-fault.At < 100, "%s: %d", where, fault.At)
 	}
 	after, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(before, after), "%s: nothing is cut", where)
+	assert.Assert(t, bytes.Equal(before, after), "%s: the damaged file was changed", where)
 }
 
-// TestDamage flips each bit of a log. A flip in the last entry is a torn tail, any other is
-// damage, and neither gives a record that was not written.
-func TestDamage(t *testing.T) {
-	dir, file, whole := written(t)
+// TestDamageIsDetected flips each bit of a log. A flip in the last entry is a torn tail, any other
+// is damage, and neither yields a record that was not written.
+func TestDamageIsDetected(t *testing.T) {
+	dir, file, records := writeSample(t)
 	data, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	for bit := range len(data) * 8 {
-		bad := bytes.Clone(data)
-		bad[bit/8] ^= 1 << (bit % 8)
-		assert.NilError(t, os.WriteFile(file, bad, 0o600))
-		if bit/8 < len(data)-lastLen {
-			damaged(t, dir, file, bit/8, fmt.Sprint("bit ", bit))
+		corrupted := bytes.Clone(data)
+		corrupted[bit/8] ^= 1 << (bit % 8)
+		assert.NilError(t, os.WriteFile(file, corrupted, 0o600))
+		if bit/8 < len(data)-lastEntrySize {
+			checkDamaged(t, dir, file, bit/8, fmt.Sprint("bit ", bit))
 			continue
 		}
-		assert.NilError(t, opens(dir, whole[:len(whole)-1], nil), "bit %d", bit)
+		assert.NilError(t, checkOpen(dir, records[:len(records)-1], nil), "bit %d", bit)
 	}
-	// Cut short: damage as far as Replace had written it, a torn tail behind that.
-	synced := len(data) - lastLen - (1 + frameLen + 6)
-	for n := range data {
-		assert.NilError(t, os.WriteFile(file, data[:n], 0o600))
-		if n < synced {
-			damaged(t, dir, file, -1, fmt.Sprint("length ", n))
+	// Truncation is damage within what Replace wrote, and a torn tail after that.
+	synced := len(data) - lastEntrySize - (1 + frameHeadSize + 6)
+	for length := range data {
+		assert.NilError(t, os.WriteFile(file, data[:length], 0o600))
+		if length < synced {
+			checkDamaged(t, dir, file, -1, fmt.Sprint("length ", length))
 			continue
 		}
-		assert.NilError(t, opens(dir, whole[:2], whole[:3]), "length %d", n)
+		assert.NilError(t, checkOpen(dir, records[:2], records[:3]), "length %d", length)
 	}
 }
 
-// TestDamagedSegments: only the last one can be torn, and none may be missing before it.
+// TestDamagedSegments checks that only the last segment can be torn and none before it may be
+// missing.
 func TestDamagedSegments(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openOn(osFolders{}, dir, short)
+	j, _, err := openOn(osFileSystem{}, dir, shortSegment)
 	assert.NilError(t, err)
 	for range 3 {
-		assert.NilError(t, j.Append([][]byte{rec("x", short)}))
+		assert.NilError(t, j.Append([][]byte{record("x", shortSegment)}))
 	}
 	assert.NilError(t, j.Append([][]byte{{1}}))
 	assert.NilError(t, j.Close())
-	folder := filepath.Join(dir, base(1))
-	names, err := osFolders{}.List(folder)
+	folder := filepath.Join(dir, generationName(1))
+	names, err := osFileSystem{}.List(folder)
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 4)
 	for _, name := range names[:3] {
 		name = filepath.Join(folder, name)
 		data, err := os.ReadFile(name)
 		assert.NilError(t, err)
-		for _, bad := range [][]byte{data[:len(data)-1], data[:len(data)/2], {}, append(bytes.Clone(data), 0)} {
-			assert.NilError(t, os.WriteFile(name, bad, 0o600))
-			damaged(t, dir, name, -1, name)
+		for _, corrupted := range [][]byte{data[:len(data)-1], data[:len(data)/2], {}, append(bytes.Clone(data), 0)} {
+			assert.NilError(t, os.WriteFile(name, corrupted, 0o600))
+			checkDamaged(t, dir, name, -1, name)
 		}
 		assert.NilError(t, os.Remove(name))
 		_, _, err = Open(dir)
@@ -373,154 +387,156 @@
 		assert.Assert(t, errors.As(err, &fault), "%s: %v", name, err)
 		assert.NilError(t, os.WriteFile(name, data, 0o600))
 	}
-	// A file that the library would act on, and we never make.
+	// A file that the library would act on and that this package never creates.
 	name := filepath.Join(folder, segmentName(3)+".START")
 	assert.NilError(t, os.WriteFile(name, nil, 0o600))
-	damaged(t, dir, name, -1, name)
+	checkDamaged(t, dir, name, -1, name)
 }
 
-// TestForeignFrames puts a journal's own entries into a record that is then torn at its head.
-func TestForeignFrames(t *testing.T) {
-	_, other, _ := written(t)
+// TestFrameInsideRecordIsIgnored writes the journal's own entries as a record whose frame head is
+// then torn.
+func TestFrameInsideRecordIsIgnored(t *testing.T) {
+	_, other, _ := writeSample(t)
 	foreign, err := os.ReadFile(other)
 	assert.NilError(t, err)
 	dir := t.TempDir()
 	j, _, err := Open(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, j.Append([][]byte{rec("a", 9)}))
-	at := j.Size()
+	assert.NilError(t, j.Append([][]byte{record("a", 9)}))
+	offset := j.Size()
 	assert.NilError(t, j.Append([][]byte{foreign}))
 	assert.NilError(t, j.Close())
-	file := filepath.Join(dir, base(1), segmentName(1))
+	file := filepath.Join(dir, generationName(1), segmentName(1))
 	data, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	clear(data[at : at+frameLen+2])
+	clear(data[offset : offset+frameHeadSize+2])
 	assert.NilError(t, os.WriteFile(file, data, 0o600))
-	assert.NilError(t, opens(dir, [][]byte{rec("a", 9)}, nil))
+	assert.NilError(t, checkOpen(dir, [][]byte{record("a", 9)}, nil))
 }
 
-// device takes every write and can't be synced.
-const device = "/dev/null"
+// failingDevice accepts every write and fails every sync.
+const failingDevice = "/dev/null"
 
-// TestStopsWhereASyncFails has a device in place of a segment: it is the sync that an Append
-// waits for, in a segment that was begun too, and a Replace before it gives a name.
-func TestStopsWhereASyncFails(t *testing.T) {
-	stopped := func(j *Journal, err error) {
+// TestStopsWhenSyncFails puts a device in place of a segment. It checks that Append waits for the
+// sync, also in a new segment, and Replace too before it names the new generation.
+func TestStopsWhenSyncFails(t *testing.T) {
+	checkStopped := func(j *Journal, err error) {
 		t.Helper()
 		assert.ErrorIs(t, err, ErrStopped)
 		assert.ErrorIs(t, err, unix.EINVAL)
-		assert.ErrorIs(t, j.Append([][]byte{rec("z", 1)}), ErrStopped)
+		assert.ErrorIs(t, j.Append([][]byte{record("z", 1)}), ErrStopped)
 		assert.ErrorIs(t, j.Replace(nil), ErrStopped)
 		_ = j.Close()
 	}
 	dir, other := t.TempDir(), t.TempDir()
-	j, _, err := openOn(osFolders{}, dir, short)
+	j, _, err := openOn(osFileSystem{}, dir, shortSegment)
 	assert.NilError(t, err)
-	assert.NilError(t, os.Symlink(device, filepath.Join(other, segmentName(1))))
+	assert.NilError(t, os.Symlink(failingDevice, filepath.Join(other, segmentName(1))))
 	assert.NilError(t, j.log.Close())
 	j.log, err = wal.Open(other, j.options(false))
 	assert.NilError(t, err)
-	j.index = 1
-	stopped(j, j.Append([][]byte{rec("a", 1)}))
+	j.nextIndex = 1
+	checkStopped(j, j.Append([][]byte{record("a", 1)}))
 
-	for _, dir := range []string{dir, t.TempDir()} { // after a start, and as it was begun
-		j, _, err = openOn(osFolders{}, dir, short)
+	for _, dir := range []string{dir, t.TempDir()} { // of an existing and of a new journal
+		j, _, err = openOn(osFileSystem{}, dir, shortSegment)
 		assert.NilError(t, err)
-		assert.NilError(t, os.Symlink(device, filepath.Join(dir, base(1), segmentName(3))))
-		stopped(j, j.Append([][]byte{rec("b", short)}))
+		assert.NilError(t, os.Symlink(failingDevice, filepath.Join(dir, generationName(1), segmentName(3))))
+		checkStopped(j, j.Append([][]byte{record("b", shortSegment)}))
 	}
 
-	p := newPower(t.TempDir())
-	j, _, err = openOn(p, p.root, short)
+	p := newCrashFileSystem(t.TempDir())
+	j, _, err = openOn(p, p.root, shortSegment)
 	assert.NilError(t, err)
-	assert.NilError(t, j.Append([][]byte{rec("a", 1)}))
-	p.made = func(dir string) { assert.NilError(t, os.Symlink(device, filepath.Join(dir, segmentName(1)))) }
-	p.did = nil
-	err = j.Replace([][]byte{rec("b", 1)})
+	assert.NilError(t, j.Append([][]byte{record("a", 1)}))
+	p.afterMake = func(dir string) { assert.NilError(t, os.Symlink(failingDevice, filepath.Join(dir, segmentName(1)))) }
+	p.steps = nil
+	err = j.Replace([][]byte{record("b", 1)})
 	assert.ErrorIs(t, err, ErrKept)
 	assert.ErrorIs(t, err, unix.EINVAL)
-	assert.DeepEqual(t, p.did, []string{"make " + base(2) + passing, "remove " + segmentName(1), "remove " + base(2) + passing})
-	assert.NilError(t, j.Append([][]byte{rec("c", 1)})) // its own segment takes a sync
+	assert.DeepEqual(t, p.steps, []string{"make " + generationName(2) + tempSuffix, "remove " + segmentName(1), "remove " + generationName(2) + tempSuffix})
+	assert.NilError(t, j.Append([][]byte{record("c", 1)})) // its own segment can be synced
 	assert.NilError(t, j.Close())
-	assert.NilError(t, opens(p.root, [][]byte{rec("a", 1), rec("c", 1)}, nil))
+	assert.NilError(t, checkOpen(p.root, [][]byte{record("a", 1), record("c", 1)}, nil))
 }
 
-// TestFullDisk has a file refuse to grow in the middle of an entry: of a record, of one that begins a
-// segment, and of a generation. A Replace leaves the journal as it was, and what it wrote is taken
-// away. An Append stops it, and its torn end is cut at the next Open.
+// TestFullDisk makes a file refuse to grow in the middle of an entry: of a record and of a
+// generation. A Replace leaves the journal as it was and removes what it wrote. An Append stops the
+// journal, and the torn end is cut at the next Open.
 //
-// It plays in a process of its own, as the limit holds for all that the test's process writes.
+// It runs in a process of its own, because the limit applies to everything the process writes.
 func TestFullDisk(t *testing.T) {
-	const alone = "CELLAR_ALONE"
-	if os.Getenv(alone) == "" {
+	const childEnv = "CELLAR_ALONE"
+	if os.Getenv(childEnv) == "" {
 		c := exec.Command(os.Args[0], "-test.run=^TestFullDisk$")
-		c.Env = append(os.Environ(), alone+"=1")
+		c.Env = append(os.Environ(), childEnv+"=1")
 		out, err := c.CombinedOutput()
 		assert.NilError(t, err, "%s", out)
 		return
 	}
 	signal.Ignore(unix.SIGXFSZ)
 	defer signal.Reset(unix.SIGXFSZ)
-	var had unix.Rlimit
-	assert.NilError(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &had))
+	var limit unix.Rlimit
+	assert.NilError(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &limit))
 	first := t.TempDir()
-	assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 10, Max: had.Max}))
+	assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 10, Max: limit.Max}))
 	_, _, err := Open(first)
-	assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &had))
+	assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &limit))
 	assert.ErrorIs(t, err, unix.EFBIG)
-	names, err := osFolders{}.List(first)
+	names, err := osFileSystem{}.List(first)
 	assert.NilError(t, err)
-	assert.Equal(t, len(names), 0, "what is begun takes room")
-	assert.NilError(t, opens(first, nil, nil))
+	assert.Equal(t, len(names), 0, "a partly written generation was left behind")
+	assert.NilError(t, checkOpen(first, nil, nil))
 	for _, c := range []struct {
 		name string
-		full call
+		full operation
 		kept bool
 	}{
-		{"append", call{false, [][]byte{rec("b", 5000)}}, false},
-		{"generation", call{true, [][]byte{rec("c", 100), rec("d", 5000)}}, true},
+		{"append", operation{false, [][]byte{record("b", 5000)}}, false},
+		{"generation", operation{true, [][]byte{record("c", 100), record("d", 5000)}}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			j, _, err := Open(dir)
 			assert.NilError(t, err)
-			assert.NilError(t, j.Append([][]byte{rec("a", 9)}))
+			assert.NilError(t, j.Append([][]byte{record("a", 9)}))
 			size := j.Size()
-			assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: had.Max}))
-			err = c.full.do(j)
-			again := j.Append([][]byte{rec("e", 1)})
-			assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &had))
+			assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: limit.Max}))
+			err = c.full.run(j)
+			nextErr := j.Append([][]byte{record("e", 1)})
+			assert.NilError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &limit))
 			assert.ErrorIs(t, err, unix.EFBIG)
-			names, lerr := osFolders{}.List(dir)
-			assert.NilError(t, lerr)
-			assert.DeepEqual(t, names, []string{base(1)})
-			want := [][]byte{rec("a", 9)}
+			names, listErr := osFileSystem{}.List(dir)
+			assert.NilError(t, listErr)
+			assert.DeepEqual(t, names, []string{generationName(1)})
+			want := [][]byte{record("a", 9)}
 			if c.kept {
 				assert.ErrorIs(t, err, ErrKept)
-				assert.NilError(t, again)
-				want = append(want, rec("e", 1))
+				assert.NilError(t, nextErr)
+				want = append(want, record("e", 1))
 			} else {
 				assert.ErrorIs(t, err, ErrStopped)
-				assert.ErrorIs(t, again, ErrStopped)
-				info, err := os.Stat(filepath.Join(dir, base(1), segmentName(1)))
+				assert.ErrorIs(t, nextErr, ErrStopped)
+				info, err := os.Stat(filepath.Join(dir, generationName(1), segmentName(1)))
 				assert.NilError(t, err)
-				assert.Assert(t, info.Size() > size, "a part of it was written")
+				assert.Assert(t, info.Size() > size, "no part of the entry was written")
 			}
 			assert.NilError(t, j.Close())
-			assert.NilError(t, opens(dir, want, nil))
+			assert.NilError(t, checkOpen(dir, want, nil))
 		})
 	}
 }
 
-// TestNoRoomForASegment refuses the next segment its name. What filled the one before had been
-// synced by then, so the next Open may have it, though it was never said to last.
-func TestNoRoomForASegment(t *testing.T) {
+// TestSegmentCannotBeCreated makes the creation of the next segment fail. The record that filled the
+// previous one was synced by then, so the next Open may return it although Append did not report
+// success.
+func TestSegmentCannotBeCreated(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openOn(osFolders{}, dir, short)
+	j, _, err := openOn(osFileSystem{}, dir, shortSegment)
 	assert.NilError(t, err)
-	a, b := [][]byte{rec("a", 9)}, [][]byte{rec("b", short)}
+	a, b := [][]byte{record("a", 9)}, [][]byte{record("b", shortSegment)}
 	assert.NilError(t, j.Append(a))
-	next := filepath.Join(dir, base(1), segmentName(4)) // behind the head, a and b
+	next := filepath.Join(dir, generationName(1), segmentName(4)) // after the head, a and b
 	assert.NilError(t, os.Mkdir(next, 0o700))
 	err = j.Append(b)
 	assert.ErrorIs(t, err, ErrStopped)
@@ -529,26 +545,27 @@
 	assert.NilError(t, j.Close())
 	assert.NilError(t, os.Remove(next))
 	both := append(slices.Clone(a), b...)
-	assert.NilError(t, opensOn(dir, short, both, both))
+	assert.NilError(t, checkOpenWith(dir, shortSegment, both, both))
 }
 
-// TestStaysSmall: what a long record needed is not kept, and the sizes are what is on disk.
-func TestStaysSmall(t *testing.T) {
+// TestBuffersStaySmall checks that the buffer of a long record is released and that Size is the size on
+// disk.
+func TestBuffersStaySmall(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "other"), nil, 0o600))
-	assert.NilError(t, os.Mkdir(filepath.Join(dir, base(7)+passing), 0o700))
-	assert.NilError(t, os.WriteFile(filepath.Join(dir, base(7)+passing, segmentName(1)), []byte("x"), 0o600))
+	assert.NilError(t, os.Mkdir(filepath.Join(dir, generationName(7)+tempSuffix), 0o700))
+	assert.NilError(t, os.WriteFile(filepath.Join(dir, generationName(7)+tempSuffix, segmentName(1)), []byte("x"), 0o600))
 	var want [][]byte
-	for _, c := range append(script, call{records: [][]byte{rec("big", 1<<20)}}, call{records: [][]byte{rec("s", 1)}},
-		call{replace: true, records: [][]byte{rec("big", 1<<20), rec("s", 1)}}) {
+	for _, op := range append(script, operation{records: [][]byte{record("big", 1<<20)}}, operation{records: [][]byte{record("s", 1)}},
+		operation{replace: true, records: [][]byte{record("big", 1<<20), record("s", 1)}}) {
 		j, got, err := Open(dir)
 		assert.NilError(t, err)
-		assert.Assert(t, same(got, want))
-		assert.NilError(t, c.do(j))
-		assert.Assert(t, cap(j.buf) <= keepLen)
-		want = c.after(want)
+		assert.Assert(t, equalRecords(got, want))
+		assert.NilError(t, op.run(j))
+		assert.Assert(t, cap(j.buf) <= maxKeptBuffer)
+		want = op.resultOn(want)
 		var size int64
-		for _, data := range files(j.path()) {
+		for _, data := range readFiles(j.path()) {
 			size += int64(len(data))
 		}
 		assert.Equal(t, size, j.Size())
@@ -558,16 +575,16 @@
 	}
 	_, got, err := Open(dir)
 	assert.NilError(t, err)
-	assert.Assert(t, same(got, want))
-	names, err := osFolders{}.List(dir)
+	assert.Assert(t, equalRecords(got, want))
+	names, err := osFileSystem{}.List(dir)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, names, []string{base(5), "other"})
+	assert.DeepEqual(t, names, []string{generationName(5), "other"})
 	_, _, err = Open(filepath.Join(dir, "none"))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestFormerFormat is named, not passed over.
-func TestFormerFormat(t *testing.T) {
+// TestEarlierFormatIsRefused checks that a journal in the earlier format is reported and not ignored.
+func TestEarlierFormatIsRefused(t *testing.T) {
 	for _, name := range []string{"journal-0000000000000003", "journal-0000000000000003.new"} {
 		dir := t.TempDir()
 		assert.NilError(t, os.WriteFile(filepath.Join(dir, name), []byte("x"), 0o600))
@@ -576,7 +593,7 @@
 		assert.Assert(t, errors.As(err, &fault))
 		assert.Equal(t, fault.File, filepath.Join(dir, name))
 		assert.ErrorContains(t, err, "earlier format")
-		names, err := osFolders{}.List(dir)
+		names, err := osFileSystem{}.List(dir)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, names, []string{name})
 	}
--- a/internal/store/bulk.go
+++ b/internal/store/bulk.go
@@ -11,474 +11,485 @@
 	"foxwood/internal/waymark"
 )
 
-// Messages with large bodies (entries, fills, what comes back from the tail) go as parcels, beside
-// the beats. courier and desk are the two ends, as state machines: calls and answers with the time go
-// in, and what is to be called or delivered comes out.
+// Messages with large bodies (log entries, snapshots, answers of the tail) are transferred in
+// chunks, on connections other than those of the heartbeats. sender and receiver are the sending
+// and the receiving side, both state machines without a clock: calls and answers go in with the
+// time in milliseconds, and the next call or the received message comes out.
 
 const (
-	bulkLeast = 16 << 10 // bytes of a body that make a message bulky
-	chunkLess = 16 << 10
-	chunkMost = 256 << 10
-	// A chunk that took chunkSoon at most, beyond what a call takes that carries nothing, is followed by
-	// a longer one, and one that took over chunkLate by a shorter: beats share the line.
-	chunkSoon   = 80.0
-	chunkLate   = 160.0
-	parcelMost  = 10000.0 // without any progress, until a message is lost
-	parcelAgain = 200.0   // after a call that failed
-	parcelsMost = 16      // that wait for a machine
-	partsMost   = 32 << 20
-	blobsMost   = 96 << 20
-	blobLasts   = 10000.0 // that a body is held for parcels to come
+	minBulkBody = 16 << 10  // bytes of a body from which a message is transferred in chunks
+	minChunk    = 16 << 10  // minimum chunk size in bytes
+	maxChunk    = 256 << 10 // maximum chunk size in bytes
+	// The time in milliseconds that a chunk takes, beyond that of a call without data, sets the
+	// size of the next one: up to growChunkMillis it grows, over shrinkChunkMillis it shrinks,
+	// because heartbeats share the network link.
+	growChunkMillis    = 80.0
+	shrinkChunkMillis  = 160.0
+	transferTimeout    = 10000.0  // milliseconds without progress after which a message is dropped
+	retryDelay         = 200.0    // milliseconds until the next call after a failed one
+	maxQueuedTransfers = 16       // maximum number of messages queued for a machine
+	maxPartialBytes    = 32 << 20 // maximum bytes of incomplete bodies held by a receiver
+	maxBlobBytes       = 96 << 20 // maximum bytes of a message's bodies, and of complete bodies held by a receiver
+	blobLifetime       = 10000.0  // milliseconds for which a complete body is held for later messages
 )
 
-// bodiesOf is where a message's bodies stand, in one order.
-func bodiesOf(m *cairn.Message) (at []*[]byte) {
+// bodyPointers returns pointers to a message's bodies in a fixed order.
+func bodyPointers(message *cairn.Message) (pointers []*[]byte) {
 	state := func(s *cairn.State) {
-		at = append(at, &s.Body)
+		pointers = append(pointers, &s.Body)
 		for _, name := range slices.Sorted(maps.Keys(s.Orders)) {
-			o := s.Orders[name]
-			at = append(at, &o.Body) // not changed in place: see bare and whole
+			order := s.Orders[name]
+			pointers = append(pointers, &order.Body) // points to a copy of the order: the body must not be replaced through it (see withBodies)
 		}
 	}
-	entries := func(es []cairn.Entry) {
-		for i := range es {
-			at = append(at, &es[i].Change.Body)
+	entries := func(entries []cairn.Entry) {
+		for i := range entries {
+			pointers = append(pointers, &entries[i].Change.Body)
 		}
 	}
 	switch {
-	case m.Append != nil:
-		entries(m.Append.Entries)
-	case m.Fill != nil:
-		state(&m.Fill.Whole.State)
-		entries(m.Fill.Whole.Tail)
-	case m.Enter != nil:
-		at = append(at, &m.Enter.Change.Body)
-	case m.ConfirmAnswer != nil && m.ConfirmAnswer.State != nil:
-		state(m.ConfirmAnswer.State)
-	}
-	return at
+	case message.Append != nil:
+		entries(message.Append.Entries)
+	case message.Fill != nil:
+		state(&message.Fill.Whole.State)
+		entries(message.Fill.Whole.Tail)
+	case message.Enter != nil:
+		pointers = append(pointers, &message.Enter.Change.Body)
+	case message.ConfirmAnswer != nil && message.ConfirmAnswer.State != nil:
+		state(message.ConfirmAnswer.State)
+	}
+	return pointers
 }
 
-// bulky says whether a message goes as a parcel.
-func bulky(m *cairn.Message) bool {
-	for _, b := range bodiesOf(m) {
-		if len(*b) >= bulkLeast {
+// isBulky reports whether a message is transferred in chunks.
+func isBulky(message *cairn.Message) bool {
+	for _, body := range bodyPointers(message) {
+		if len(*body) >= minBulkBody {
 			return true
 		}
 	}
 	return false
 }
 
-// with is a copy of a message with other bodies in place of those that have one; the message itself
-// shares its parts with the machine.
-func with(m cairn.Message, bodies map[int][]byte) cairn.Message {
-	n := 0
-	next := func(b []byte) []byte {
-		if other, ok := bodies[n]; ok {
-			b = other
+// withBodies returns a copy of a message with the given bodies, by index, in place of its own. The
+// message itself is not modified, because it shares its parts with the state machine.
+func withBodies(message cairn.Message, bodies map[int][]byte) cairn.Message {
+	index := 0
+	next := func(body []byte) []byte {
+		if other, ok := bodies[index]; ok {
+			body = other
 		}
-		n++
-		return b
+		index++
+		return body
 	}
 	state := func(s cairn.State) cairn.State {
 		s.Body = next(s.Body)
 		if s.Orders = maps.Clone(s.Orders); s.Orders != nil {
 			for _, name := range slices.Sorted(maps.Keys(s.Orders)) {
-				o := s.Orders[name]
-				o.Body = next(o.Body)
-				s.Orders[name] = o
+				order := s.Orders[name]
+				order.Body = next(order.Body)
+				s.Orders[name] = order
 			}
 		}
 		return s
 	}
-	entries := func(es []cairn.Entry) []cairn.Entry {
-		es = slices.Clone(es)
-		for i := range es {
-			es[i].Change.Body = next(es[i].Change.Body)
+	entries := func(list []cairn.Entry) []cairn.Entry {
+		list = slices.Clone(list)
+		for i := range list {
+			list[i].Change.Body = next(list[i].Change.Body)
 		}
-		return es
+		return list
 	}
 	switch {
-	case m.Append != nil:
-		a := *m.Append
-		a.Entries = entries(a.Entries)
-		m.Append = &a
-	case m.Fill != nil:
-		f := *m.Fill
-		f.Whole.State = state(f.Whole.State)
-		f.Whole.Tail = entries(f.Whole.Tail)
-		m.Fill = &f
-	case m.Enter != nil:
-		e := *m.Enter
-		e.Change.Body = next(e.Change.Body)
-		m.Enter = &e
-	case m.ConfirmAnswer != nil && m.ConfirmAnswer.State != nil:
-		c := *m.ConfirmAnswer
-		s := state(*c.State)
-		c.State = &s
-		m.ConfirmAnswer = &c
-	}
-	return m
+	case message.Append != nil:
+		appended := *message.Append
+		appended.Entries = entries(appended.Entries)
+		message.Append = &appended
+	case message.Fill != nil:
+		snapshot := *message.Fill
+		snapshot.Whole.State = state(snapshot.Whole.State)
+		snapshot.Whole.Tail = entries(snapshot.Whole.Tail)
+		message.Fill = &snapshot
+	case message.Enter != nil:
+		forwarded := *message.Enter
+		forwarded.Change.Body = next(forwarded.Change.Body)
+		message.Enter = &forwarded
+	case message.ConfirmAnswer != nil && message.ConfirmAnswer.State != nil:
+		answer := *message.ConfirmAnswer
+		s := state(*answer.State)
+		answer.State = &s
+		message.ConfirmAnswer = &answer
+	}
+	return message
 }
 
-// parcelKey tells messages apart of which a newer one takes an older one's place.
-type parcelKey struct {
-	kind     byte
-	stamp    cairn.Stamp
-	life, id uint64
+// messageKey identifies messages of which a newer one replaces an older one in the queue.
+type messageKey struct {
+	kind            byte
+	stamp           cairn.Stamp
+	incarnation, id uint64
 }
 
-func keyOf(m *cairn.Message) (k parcelKey, view uint64) {
+// keyOf returns a message's key and the view it belongs to; 0 for messages of no view.
+func keyOf(message *cairn.Message) (key messageKey, view uint64) {
 	switch {
-	case m.Append != nil:
-		k.kind, view = 'a', m.Append.View
-		if n := len(m.Append.Entries); n > 0 {
-			k.stamp = m.Append.Entries[n-1].Stamp
+	case message.Append != nil:
+		key.kind, view = 'a', message.Append.View
+		if n := len(message.Append.Entries); n > 0 {
+			key.stamp = message.Append.Entries[n-1].Stamp
 		}
-	case m.Fill != nil:
-		k.kind, view = 'f', m.Fill.View
-	case m.Enter != nil:
-		k.kind, k.life, k.id = 'e', m.Enter.Life, m.Enter.ID
-	case m.ConfirmAnswer != nil:
-		k.kind, k.life, k.id = 'c', m.ConfirmAnswer.Life, m.ConfirmAnswer.ID
-	}
-	return k, view
+	case message.Fill != nil:
+		key.kind, view = 'f', message.Fill.View
+	case message.Enter != nil:
+		key.kind, key.incarnation, key.id = 'e', message.Enter.Life, message.Enter.ID
+	case message.ConfirmAnswer != nil:
+		key.kind, key.incarnation, key.id = 'c', message.ConfirmAnswer.Life, message.ConfirmAnswer.ID
+	}
+	return key, view
 }
 
-// blob is a body, named and packed.
-type blob struct {
+// packedBlob is a compressed body with its hash.
+type packedBlob struct {
 	waymark.Blob
 	packed []byte
 }
 
-// packs keeps the bodies that were packed last; a body is known by where it stands in memory.
-type packs struct{ of []packedBody }
+// packCache caches the bodies that were compressed last. A body is identified by its address in memory.
+type packCache struct{ bodies []cachedBody }
 
-type packedBody struct {
+// cachedBody is an entry of the cache.
+type cachedBody struct {
 	raw []byte
-	blob
+	packedBlob
 }
 
-const packsMost = 2*8 + 2 // bodies of a whole window
+const maxCachedBodies = 2*8 + 2 // maximum number of cached bodies, enough for a full window of entries
 
-func (p *packs) pack(raw []byte) blob {
-	for i, b := range p.of {
-		if len(b.raw) == len(raw) && &b.raw[0] == &raw[0] {
-			p.of = append(slices.Delete(p.of, i, i+1), b)
-			return b.blob
+// pack returns a compressed body, from the cache if it is there.
+func (p *packCache) pack(raw []byte) packedBlob {
+	for i, body := range p.bodies {
+		if len(body.raw) == len(raw) && &body.raw[0] == &raw[0] {
+			p.bodies = append(slices.Delete(p.bodies, i, i+1), body)
+			return body.packedBlob
 		}
 	}
-	sum := sha256.Sum256(raw)
+	digest := sha256.Sum256(raw)
 	packed := waymark.Deflate(raw)
-	b := blob{waymark.Blob{Sum: sum[:], Len: len(raw), Packed: len(packed)}, packed}
-	if p.of = append(p.of, packedBody{raw, b}); len(p.of) > packsMost {
-		p.of = slices.Delete(p.of, 0, 1)
+	body := packedBlob{waymark.Blob{Sum: digest[:], Len: len(raw), Packed: len(packed)}, packed}
+	if p.bodies = append(p.bodies, cachedBody{raw, body}); len(p.bodies) > maxCachedBodies {
+		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
-	return b
+	return body
 }
 
-// parcel is a message on its way.
-type parcel struct {
-	key   parcelKey
-	view  uint64
-	m     cairn.Message
-	no    uint64          // of the message: a newer one has another
-	made  *waymark.Parcel // nil until it is its turn
-	blobs []blob
-	moved float64 // when anything of it was last taken
+// transfer is a message being transferred.
+type transfer struct {
+	key        messageKey
+	view       uint64
+	message    cairn.Message
+	number     uint64          // number of the message; a replacement gets another
+	parcel     *waymark.Parcel // nil until its bodies are compressed
+	blobs      []packedBlob
+	progressAt float64 // when the receiver last accepted a part of it
 }
 
-// courier brings parcels to one machine, one after the other.
-type courier struct {
-	queue []*parcel
-	no    uint64
-	chunk int
-	want  *waymark.Wanted // what is lacking of a body, as far as is known
-	asked float64
-	bare  float64 // what a call takes that carries nothing
-	again float64 // no call before this
+// sender transfers messages to one machine, one after the other.
+type sender struct {
+	queue           []*transfer
+	lastNumber      uint64
+	chunkSize       int
+	wanted          *waymark.Wanted // the body that the receiver asked for and how much of it the receiver holds; nil if unknown
+	calledAt        float64         // when the current call was made
+	emptyCallMillis float64         // milliseconds that a call without data takes
+	noCallBefore    float64         // no call before this time
 }
 
-// put has a message sent, and says whether there is room for it.
-func (c *courier) put(now float64, m cairn.Message) bool {
-	key, view := keyOf(&m)
-	if view > 0 { // what belongs to an older view is refused there
-		c.queue = slices.DeleteFunc(c.queue, func(p *parcel) bool { return p.view > 0 && p.view < view })
+// enqueue queues a message and reports whether there was room for it.
+func (c *sender) enqueue(now float64, message cairn.Message) bool {
+	key, view := keyOf(&message)
+	if view > 0 { // messages of older views would be refused by the receiver
+		c.queue = slices.DeleteFunc(c.queue, func(queued *transfer) bool { return queued.view > 0 && queued.view < view })
 	}
-	for _, p := range c.queue {
-		if p.key == key {
-			c.no++
-			p.m, p.no, p.made, p.blobs = m, c.no, nil, nil
+	for _, queued := range c.queue {
+		if queued.key == key {
+			c.lastNumber++
+			queued.message, queued.number, queued.parcel, queued.blobs = message, c.lastNumber, nil, nil
 			return true
 		}
 	}
-	if len(c.queue) >= parcelsMost {
+	if len(c.queue) >= maxQueuedTransfers {
 		return false
 	}
-	c.no++
-	c.queue = append(c.queue, &parcel{key: key, view: view, m: m, no: c.no, moved: now})
+	c.lastNumber++
+	c.queue = append(c.queue, &transfer{key: key, view: view, message: message, number: c.lastNumber, progressAt: now})
 	return true
 }
 
-// unmade is the message whose bodies are to be packed before anything can be called.
-func (c *courier) unmade() (m cairn.Message, no uint64) {
-	if len(c.queue) == 0 || c.queue[0].made != nil {
-		return m, 0
+// needsPacking returns the first message if its bodies must be compressed before the next call, and its
+// number; otherwise the number is 0.
+func (c *sender) needsPacking() (message cairn.Message, number uint64) {
+	if len(c.queue) == 0 || c.queue[0].parcel != nil {
+		return message, 0
 	}
-	return c.queue[0].m, c.queue[0].no
+	return c.queue[0].message, c.queue[0].number
 }
 
-// parcel makes a message's parcel. It takes its time: no lock is held.
-func (p *packs) parcel(m cairn.Message) (*waymark.Parcel, []blob) {
-	bare, made, blobs := map[int][]byte{}, &waymark.Parcel{}, []blob(nil)
-	for i, b := range bodiesOf(&m) {
-		if len(*b) >= bulkLeast {
-			bare[i] = nil
-			x := p.pack(*b)
-			x.At = i
-			blobs = append(blobs, x)
-			made.Blobs = append(made.Blobs, x.Blob)
+// makeParcel compresses a message's bodies. It can take long, so it must be called without a lock.
+func (p *packCache) makeParcel(message cairn.Message) (*waymark.Parcel, []packedBlob) {
+	emptied, parcel, blobs := map[int][]byte{}, &waymark.Parcel{}, []packedBlob(nil)
+	for i, body := range bodyPointers(&message) {
+		if len(*body) >= minBulkBody {
+			emptied[i] = nil
+			packed := p.pack(*body)
+			packed.At = i
+			blobs = append(blobs, packed)
+			parcel.Blobs = append(parcel.Blobs, packed.Blob)
 		}
 	}
-	made.Message = with(m, bare)
-	return made, blobs
+	parcel.Message = withBodies(message, emptied)
+	return parcel, blobs
 }
 
-// packed takes the parcel of a message that was unmade.
-func (c *courier) packed(no uint64, made *waymark.Parcel, blobs []blob) {
-	if len(c.queue) > 0 && c.queue[0].no == no {
-		c.queue[0].made, c.queue[0].blobs = made, blobs
+// setPacked accepts the compressed form of the message with the given number.
+func (c *sender) setPacked(number uint64, parcel *waymark.Parcel, blobs []packedBlob) {
+	if len(c.queue) > 0 && c.queue[0].number == number {
+		c.queue[0].parcel, c.queue[0].blobs = parcel, blobs
 	}
 }
 
-// next is the call to make now: a *waymark.Parcel or a *waymark.Chunk; or nil and when to ask next,
-// which is at once where the first message is not packed, and below nothing where nothing waits.
-func (c *courier) next(now float64) (call any, wait float64) {
-	if len(c.queue) > 0 && now-c.queue[0].moved > parcelMost {
-		c.queue, c.want = c.queue[1:], nil
+// nextCall returns the call to make now, a *waymark.Parcel or a *waymark.Chunk; or nil and the
+// milliseconds to wait, which are 0 if the first message must be compressed first and negative if
+// the queue is empty.
+func (c *sender) nextCall(now float64) (call any, wait float64) {
+	if len(c.queue) > 0 && now-c.queue[0].progressAt > transferTimeout {
+		c.queue, c.wanted = c.queue[1:], nil
 		if len(c.queue) > 0 {
-			c.queue[0].moved = now
+			c.queue[0].progressAt = now
 		}
 	}
 	switch {
 	case len(c.queue) == 0:
 		return nil, -1
-	case now < c.again:
-		return nil, c.again - now
+	case now < c.noCallBefore:
+		return nil, c.noCallBefore - now
 	}
-	c.asked = now
-	p := c.queue[0]
-	if p.made == nil {
+	c.calledAt = now
+	first := c.queue[0]
+	if first.parcel == nil {
 		return nil, 0
 	}
-	if c.want == nil {
-		return p.made, 0
+	if c.wanted == nil {
+		return first.parcel, 0
 	}
-	for _, b := range p.blobs {
-		if !bytes.Equal(b.Sum, c.want.Sum) || c.want.Have >= len(b.packed) {
+	for _, body := range first.blobs {
+		if !bytes.Equal(body.Sum, c.wanted.Sum) || c.wanted.Have >= len(body.packed) {
 			continue
 		}
-		c.chunk = min(max(c.chunk, chunkLess), chunkMost)
-		to := min(c.want.Have+c.chunk, len(b.packed))
-		return &waymark.Chunk{Blob: b.Blob, From: c.want.Have, Bytes: b.packed[c.want.Have:to]}, 0
+		c.chunkSize = min(max(c.chunkSize, minChunk), maxChunk)
+		end := min(c.wanted.Have+c.chunkSize, len(body.packed))
+		return &waymark.Chunk{Blob: body.Blob, From: c.wanted.Have, Bytes: body.packed[c.wanted.Have:end]}, 0
 	}
-	c.want = nil
-	return p.made, 0
+	c.wanted = nil
+	return first.parcel, 0
 }
 
-// wanted takes the answer to a parcel.
-func (c *courier) wanted(now float64, made *waymark.Parcel, w waymark.Wanted) {
-	c.bare = now - c.asked
+// handleWanted processes the answer to a parcel.
+func (c *sender) handleWanted(now float64, parcel *waymark.Parcel, answer waymark.Wanted) {
+	c.emptyCallMillis = now - c.calledAt
 	if len(c.queue) == 0 {
 		return
 	}
-	c.queue[0].moved = now
+	c.queue[0].progressAt = now
 	switch {
-	case len(w.Sum) > 0: // also by another that has taken its place: next looks whether it has that body
-		c.want = &w
-	case c.queue[0].made == made:
-		c.done(now)
+	case len(answer.Sum) > 0: // the message may have been replaced meanwhile: nextCall checks whether it has that body
+		c.wanted = &answer
+	case c.queue[0].parcel == parcel:
+		c.advance(now)
 	}
 }
 
-// drop gives up a parcel that will never be taken.
-func (c *courier) drop(now float64, made *waymark.Parcel) {
-	if len(c.queue) > 0 && c.queue[0].made == made {
-		c.done(now)
+// abandon gives up a parcel that the receiver will never accept.
+func (c *sender) abandon(now float64, parcel *waymark.Parcel) {
+	if len(c.queue) > 0 && c.queue[0].parcel == parcel {
+		c.advance(now)
 	}
 }
 
-// done goes on to the next parcel.
-func (c *courier) done(now float64) {
-	c.queue, c.want = c.queue[1:], nil
+// advance moves on to the next message.
+func (c *sender) advance(now float64) {
+	c.queue, c.wanted = c.queue[1:], nil
 	if len(c.queue) > 0 {
-		c.queue[0].moved = now
+		c.queue[0].progressAt = now
 	}
 }
 
-// taken takes the answer to a chunk.
-func (c *courier) taken(now float64, sent *waymark.Chunk, t waymark.Taken) {
-	switch took := now - c.asked - c.bare; {
-	case took <= chunkSoon:
-		c.chunk *= 2
-	case took > chunkLate:
-		c.chunk /= 2
+// handleTaken processes the answer to a chunk.
+func (c *sender) handleTaken(now float64, sent *waymark.Chunk, answer waymark.Taken) {
+	switch elapsed := now - c.calledAt - c.emptyCallMillis; {
+	case elapsed <= growChunkMillis:
+		c.chunkSize *= 2
+	case elapsed > shrinkChunkMillis:
+		c.chunkSize /= 2
 	}
 	if len(c.queue) == 0 {
 		return
 	}
-	if t.Have > sent.From {
-		c.queue[0].moved = now
+	if answer.Have > sent.From {
+		c.queue[0].progressAt = now
 	}
-	if c.want == nil || !bytes.Equal(c.want.Sum, sent.Blob.Sum) {
+	if c.wanted == nil || !bytes.Equal(c.wanted.Sum, sent.Blob.Sum) {
 		return
 	}
-	if c.want.Have = t.Have; t.Have >= sent.Blob.Packed || t.Have != sent.From+len(sent.Bytes) {
-		c.want = nil // it is whole, or what is there is not what was thought: ask
+	if c.wanted.Have = answer.Have; answer.Have >= sent.Blob.Packed || answer.Have != sent.From+len(sent.Bytes) {
+		c.wanted = nil // the body is complete, or the receiver holds another part than assumed: ask it
 	}
 }
 
-// failed takes a call without an answer: what is there must be asked again.
-func (c *courier) failed(now float64) {
-	c.want, c.chunk = nil, chunkLess
-	c.again = now + parcelAgain
+// handleFailure processes a call without an answer: the receiver must be asked again what it holds.
+func (c *sender) handleFailure(now float64) {
+	c.wanted, c.chunkSize = nil, minChunk
+	c.noCallBefore = now + retryDelay
 }
 
-// desk takes parcels.
-type desk struct {
-	parts []*part
-	blobs []*held
-	state *cairn.State // its bodies need not be sent
-	sums  packs        // no bytes in it, only the names of those
+// receiver receives messages that are transferred in chunks.
+type receiver struct {
+	partial  []*partialBody
+	complete []*completeBody
+	state    *cairn.State // the committed state; its bodies need not be transferred
+	hashes   packCache    // cache of the hashes of those bodies, without compressed data
 }
 
-// part is a body of which not all is there.
-type part struct {
+// partialBody is a body of which not all chunks have arrived.
+type partialBody struct {
 	waymark.Blob
-	have []byte
+	data []byte
 }
 
-// held is a body that is whole.
-type held struct {
-	sum []byte
-	raw []byte
-	at  float64
+// completeBody is a complete body.
+type completeBody struct {
+	sum    []byte
+	data   []byte
+	usedAt float64 // when it arrived or was last used
 }
 
-// parcel takes a message: it is whole, or a body is wanted.
-func (d *desk) parcel(now float64, p waymark.Parcel) (m cairn.Message, w waymark.Wanted, err error) {
+// receiveParcel processes a message whose large bodies were left out: it returns the complete
+// message, or the first body that is still needed.
+func (d *receiver) receiveParcel(now float64, parcel waymark.Parcel) (message cairn.Message, wanted waymark.Wanted, err error) {
 	bodies := map[int][]byte{}
 	total := 0
-	for _, b := range p.Blobs {
-		if total += b.Len; b.Len <= 0 || b.Packed <= 0 || len(b.Sum) != sha256.Size || total > blobsMost {
-			return m, w, rpc.Errorf(rpc.Invalid, "a body of %d bytes, %d together", b.Len, total)
+	for _, body := range parcel.Blobs {
+		if total += body.Len; body.Len <= 0 || body.Packed <= 0 || len(body.Sum) != sha256.Size || total > maxBlobBytes {
+			return message, wanted, rpc.Errorf(rpc.Invalid, "a body of %d bytes, %d together", body.Len, total)
 		}
 	}
-	for _, b := range p.Blobs {
-		raw := d.find(now, b)
+	for _, body := range parcel.Blobs {
+		raw := d.findBody(now, body)
 		if raw == nil {
-			have := 0
-			if x := d.part(b); x != nil {
-				have = len(x.have)
+			received := 0
+			if partial := d.findPartial(body); partial != nil {
+				received = len(partial.data)
 			}
-			return m, waymark.Wanted{Sum: b.Sum, Have: have}, nil
+			return message, waymark.Wanted{Sum: body.Sum, Have: received}, nil
 		}
-		bodies[b.At] = raw
+		bodies[body.At] = raw
 	}
-	return with(p.Message, bodies), w, nil
+	return withBodies(parcel.Message, bodies), wanted, nil
 }
 
-func (d *desk) part(b waymark.Blob) *part {
-	for _, x := range d.parts {
-		if bytes.Equal(x.Sum, b.Sum) && x.Packed == b.Packed && x.Len == b.Len {
-			return x
+// findPartial returns the incomplete body with the given hash and lengths, or nil.
+func (d *receiver) findPartial(body waymark.Blob) *partialBody {
+	for _, candidate := range d.partial {
+		if bytes.Equal(candidate.Sum, body.Sum) && candidate.Packed == body.Packed && candidate.Len == body.Len {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// find is a body that is here: in a parcel before this one, or in the state.
-func (d *desk) find(now float64, b waymark.Blob) []byte {
-	d.blobs = slices.DeleteFunc(d.blobs, func(h *held) bool { return now-h.at > blobLasts })
-	for _, h := range d.blobs {
-		if bytes.Equal(h.sum, b.Sum) {
-			h.at = now
-			return h.raw
+// findBody returns a complete body that is held already, from an earlier message or from the state, or
+// nil.
+func (d *receiver) findBody(now float64, body waymark.Blob) []byte {
+	d.complete = slices.DeleteFunc(d.complete, func(held *completeBody) bool { return now-held.usedAt > blobLifetime })
+	for _, held := range d.complete {
+		if bytes.Equal(held.sum, body.Sum) {
+			held.usedAt = now
+			return held.data
 		}
 	}
 	if d.state == nil {
 		return nil
 	}
-	m := cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{State: d.state}}
-	for _, raw := range bodiesOf(&m) {
-		if len(*raw) == b.Len && bytes.Equal(d.sums.sum(*raw), b.Sum) {
+	answer := cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{State: d.state}}
+	for _, raw := range bodyPointers(&answer) {
+		if len(*raw) == body.Len && bytes.Equal(d.hashes.hash(*raw), body.Sum) {
 			return *raw
 		}
 	}
 	return nil
 }
 
-// sum is a body's name alone.
-func (p *packs) sum(raw []byte) []byte {
-	for _, b := range p.of {
-		if len(b.raw) == len(raw) && &b.raw[0] == &raw[0] {
-			return b.Sum
+// hash returns the hash of a body, from the cache if it is there.
+func (p *packCache) hash(raw []byte) []byte {
+	for _, cached := range p.bodies {
+		if len(cached.raw) == len(raw) && &cached.raw[0] == &raw[0] {
+			return cached.Sum
 		}
 	}
-	sum := sha256.Sum256(raw)
-	if p.of = append(p.of, packedBody{raw, blob{Blob: waymark.Blob{Sum: sum[:]}}}); len(p.of) > 2 {
-		p.of = slices.Delete(p.of, 0, 1)
+	digest := sha256.Sum256(raw)
+	if p.bodies = append(p.bodies, cachedBody{raw, packedBlob{Blob: waymark.Blob{Sum: digest[:]}}}); len(p.bodies) > 2 {
+		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
-	return sum[:]
+	return digest[:]
 }
 
-// chunk takes a part of a body. What was there of others gives way where there is too much.
-func (d *desk) chunk(now float64, c waymark.Chunk) (waymark.Taken, error) {
-	b := c.Blob
-	if b.Packed <= 0 || b.Packed > partsMost || b.Len <= 0 || b.Len > blobsMost || len(b.Sum) != sha256.Size || len(c.Bytes) > chunkMost {
-		return waymark.Taken{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", b.Packed)
+// receiveChunk processes a part of a body. If too much is held, the bodies that were used least
+// recently are dropped.
+func (d *receiver) receiveChunk(now float64, chunk waymark.Chunk) (waymark.Taken, error) {
+	body := chunk.Blob
+	if body.Packed <= 0 || body.Packed > maxPartialBytes || body.Len <= 0 || body.Len > maxBlobBytes || len(body.Sum) != sha256.Size || len(chunk.Bytes) > maxChunk {
+		return waymark.Taken{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", body.Packed)
 	}
-	if d.find(now, b) != nil {
-		return waymark.Taken{Have: b.Packed}, nil
+	if d.findBody(now, body) != nil {
+		return waymark.Taken{Have: body.Packed}, nil
 	}
-	x := d.part(b)
-	if x == nil {
-		x = &part{Blob: b}
+	partial := d.findPartial(body)
+	if partial == nil {
+		partial = &partialBody{Blob: body}
 	}
-	d.parts = append(slices.DeleteFunc(d.parts, func(o *part) bool { return o == x }), x) // the newest is the last
-	if c.From != len(x.have) || c.From+len(c.Bytes) > b.Packed {
-		return waymark.Taken{Have: len(x.have)}, nil
+	d.partial = append(slices.DeleteFunc(d.partial, func(other *partialBody) bool { return other == partial }), partial) // the most recently used is last
+	if chunk.From != len(partial.data) || chunk.From+len(chunk.Bytes) > body.Packed {
+		return waymark.Taken{Have: len(partial.data)}, nil
 	}
-	x.have = append(x.have, c.Bytes...)
-	for n := 0; len(d.parts) > 1; n = 0 {
-		for _, o := range d.parts {
-			n += cap(o.have)
+	partial.data = append(partial.data, chunk.Bytes...)
+	for total := 0; len(d.partial) > 1; total = 0 {
+		for _, other := range d.partial {
+			total += cap(other.data)
 		}
-		if n <= partsMost {
+		if total <= maxPartialBytes {
 			break
 		}
-		d.parts = slices.Delete(d.parts, 0, 1)
+		d.partial = slices.Delete(d.partial, 0, 1)
 	}
-	if len(x.have) < b.Packed {
-		return waymark.Taken{Have: len(x.have)}, nil
+	if len(partial.data) < body.Packed {
+		return waymark.Taken{Have: len(partial.data)}, nil
 	}
-	d.parts = d.parts[:len(d.parts)-1]
-	raw, err := waymark.Inflate(x.have)
-	if err != nil || len(raw) != b.Len {
-		return waymark.Taken{}, nil // it is begun anew
+	d.partial = d.partial[:len(d.partial)-1]
+	raw, err := waymark.Inflate(partial.data)
+	if err != nil || len(raw) != body.Len {
+		return waymark.Taken{}, nil // the transfer of this body starts over
 	}
-	if sum := sha256.Sum256(raw); !bytes.Equal(sum[:], b.Sum) {
+	if sum := sha256.Sum256(raw); !bytes.Equal(sum[:], body.Sum) {
 		return waymark.Taken{}, nil
 	}
-	d.blobs = append(d.blobs, &held{b.Sum, raw, now})
-	for n := 0; len(d.blobs) > 1; n = 0 {
-		for _, h := range d.blobs {
-			n += len(h.raw)
+	d.complete = append(d.complete, &completeBody{body.Sum, raw, now})
+	for total := 0; len(d.complete) > 1; total = 0 {
+		for _, held := range d.complete {
+			total += len(held.data)
 		}
-		if n <= blobsMost {
+		if total <= maxBlobBytes {
 			break
 		}
-		d.blobs = slices.Delete(d.blobs, 0, 1)
+		d.complete = slices.Delete(d.complete, 0, 1)
 	}
-	return waymark.Taken{Have: b.Packed}, nil
+	return waymark.Taken{Have: body.Packed}, nil
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -15,22 +15,22 @@
 	"foxwood/internal/recordlog"
 )
 
-// A disk that can't be written (no room, a fault) is lost: the machine that stepped ahead of it is
-// given up, with all that only memory held. Until the disk takes a whole copy of itself again the
-// process says nothing to the others, which leave it out of the chain, and refuses at once what it
-// can't do; what it knew to be committed and synced it still tells who asks for that. Then a new
-// life begins from what the disk really holds, as after a kill and a start.
+// A disk that cannot be written (no space, a fault) counts as lost. The state machine that has stepped
+// ahead of it is discarded, with everything that was only in memory. Until the disk accepts a complete
+// copy of its records again, the process sends nothing to the other machines, which leave it out of the
+// chain, and refuses at once what it cannot do; it still reports what it knew to be committed and
+// synced. Then a new state machine starts from what the disk really holds, as after a restart.
 //
-// One that hangs stalls the loop's machine: past a while callers are refused at once too, and what
-// others say meanwhile is lost, as on a network. Should the sync come to an end well, its step is
-// carried out as that of a machine that was slow.
+// A disk that hangs blocks the state machine. After a time limit callers are refused at once, and
+// messages of other machines are dropped, as they could be on a network. If the sync succeeds after
+// all, its step is carried out as if the machine had been slow.
 
 const (
-	stallMost = 400 * time.Millisecond // well under the silence after which a machine is left out
-	mendEvery = 500 * time.Millisecond
+	defaultStallTimeout    = 400 * time.Millisecond // limit for a disk call, well below the silence after which a machine is left out of the chain
+	defaultRecoverInterval = 500 * time.Millisecond // interval between attempts to use a lost disk again
 )
 
-// journal is the disk: a recordlog's, or in tests one that fails.
+// journal is the disk: a recordlog.Journal, or in tests one that fails.
 type journal interface {
 	Append(records [][]byte) error
 	Replace(records [][]byte) error
@@ -38,277 +38,285 @@
 	Close() error
 }
 
-// opener opens the journal in a folder.
+// opener opens the journal in a directory and returns its records.
 type opener func(dir string) (journal, [][]byte, error)
 
-// diskState is what the loop knows of its disk. While something is under way on it, the journal
-// belongs to that.
+// diskState is what the loop knows of its disk. While a disk call is in progress, the journal
+// belongs to that call.
 type diskState struct {
-	open      opener
-	journal   journal // none once it is closed
-	size      int64   // of the journal, as of the last call that was over
-	held      bool    // records were ever read or written: what has forgotten is not at its first start
-	known     known
-	lost      *loss
-	stalled   time.Time // since when the call under way has hung; zero for not
-	unkept    bool      // the last compaction found no room
-	stall     time.Duration
-	mendEvery time.Duration
+	open             opener
+	journal          journal // nil after it was closed
+	size             int64   // bytes of the journal after the last completed call
+	hadRecords       bool    // records were ever read or written: a disk that has lost them is not at its first start
+	known            committedSnapshot
+	lost             *diskLoss // nil while the disk works
+	stalledSince     time.Time // since when the current call has hung; zero if it has not
+	compactionFailed bool      // the last compaction found no space
+	stallTimeout     time.Duration
+	recoverInterval  time.Duration
 }
 
-// known is what was committed and synced last.
-type known struct {
+// committedSnapshot is what was committed and synced last.
+type committedSnapshot struct {
 	view  cairn.View
 	state *cairn.State
 }
 
-// loss is a disk that takes nothing.
-type loss struct {
-	err          error
-	since, tried time.Time
-	tries        int
+// diskLoss describes a disk that cannot be written.
+type diskLoss struct {
+	err            error
+	since, lastTry time.Time
+	tries          int
 }
 
-// passes says whether a fault of the disk may pass. Any other (a record that is damaged, a path that
-// is none) needs a person, and is named as the process ends.
-func passes(err error) bool {
-	for _, e := range []error{unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS} {
-		if errors.Is(err, e) {
+// isTransient reports whether a disk fault may disappear by itself. Any other fault (a damaged
+// record, a path that is not a directory) needs an operator, and the process ends with its error.
+func isTransient(err error) bool {
+	for _, transient := range []error{unix.ENOSPC, unix.EDQUOT, unix.EFBIG, unix.EIO, unix.EROFS} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// damaged says whether what was read is not what was written.
-func damaged(err error) bool {
-	var bytes *recordlog.ErrDamaged
+// isDamaged reports whether an error means that the data read differs from the data written.
+func isDamaged(err error) bool {
+	var damage *recordlog.ErrDamaged
 	var format *recordlog.ErrFormer
-	var record *errRecord
-	return errors.As(err, &bytes) || errors.As(err, &format) || errors.As(err, &record)
+	var record *errUndecodable
+	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &record)
 }
 
-// errRecord is a record that is whole and can't be read.
-type errRecord struct {
-	at  int
-	err error
+// errUndecodable reports a record that is complete but cannot be decoded.
+type errUndecodable struct {
+	index int
+	err   error
 }
 
-func (e *errRecord) Error() string { return fmt.Sprintf("record %d: %v", e.at, e.err) }
+func (e *errUndecodable) Error() string {
+	return fmt.Sprintf("record %d cannot be decoded: %v", e.index, e.err)
+}
 
-// read opens the journal and reads all records; anew has it written once more, whole. It does not
-// touch the loop's own.
-func (s *Store) read(anew bool) (journal, []cairn.Record, error) {
-	if err := os.MkdirAll(s.set.ArchiveDir, 0o755); err != nil {
+// readJournal opens the journal and reads all records. If rewrite is set, it also writes them once
+// more in full. It does not modify the fields that belong to the loop.
+func (s *Store) readJournal(rewrite bool) (journal, []cairn.Record, error) {
+	if err := os.MkdirAll(s.settings.ArchiveDir, 0o755); err != nil {
 		return nil, nil, err
 	}
-	j, stored, err := s.open(s.set.ArchiveDir)
+	log, stored, err := s.open(s.settings.ArchiveDir)
 	if err != nil {
 		return nil, nil, err
 	}
 	records := make([]cairn.Record, len(stored))
-	for i, b := range stored {
-		if err := cbor.Unmarshal(b, &records[i]); err != nil {
-			return nil, nil, errors.Join(&errRecord{i, err}, j.Close())
+	for i, encoded := range stored {
+		if err := cbor.Unmarshal(encoded, &records[i]); err != nil {
+			return nil, nil, errors.Join(&errUndecodable{i, err}, log.Close())
 		}
 	}
-	if anew {
-		// After a sync that has failed, what is read may stand in the kernel's memory only, and a second
-		// sync would say that all is well. And a disk with room for this has room to go on.
-		if err := j.Replace(stored); err != nil {
-			return nil, nil, errors.Join(err, j.Close())
+	if rewrite {
+		// After a failed sync, the data read may exist only in the kernel's page cache, and a
+		// second sync would report success. Also, a disk with space for a full copy has space to go
+		// on.
+		if err := log.Replace(stored); err != nil {
+			return nil, nil, errors.Join(err, log.Close())
 		}
 	}
-	return j, records, nil
+	return log, records, nil
 }
 
+// encode encodes records for the journal.
 func encode(records []cairn.Record) ([][]byte, error) {
 	batch := make([][]byte, len(records))
 	for i := range records {
-		b, err := cbor.Marshal(records[i])
+		encoded, err := cbor.Marshal(records[i])
 		if err != nil {
 			return nil, err
 		}
-		batch[i] = b
+		batch[i] = encoded
 	}
 	return batch, nil
 }
 
-// live begins a life from what the disk holds.
-func (s *Store) live(stored []cairn.Record) {
-	first := s.set.FirstRun && !s.held
-	s.machine = cairn.New(cairn.Config{Self: cairn.Ident{Addr: s.set.Inner(dock)}, Seeds: s.from, FirstRun: first, Seed: rand.Uint64()}, stored, s.now())
-	s.held = s.held || len(stored) > 0
+// startMachine starts a new state machine from what the disk holds.
+func (s *Store) startMachine(stored []cairn.Record) {
+	firstStart := s.settings.FirstRun && !s.hadRecords
+	s.machine = cairn.New(cairn.Config{Self: cairn.Ident{Addr: s.settings.Inner(innerDockIndex)}, Seeds: s.seedAddrs, FirstRun: firstStart, Seed: rand.Uint64()}, stored, s.now())
+	s.hadRecords = s.hadRecords || len(stored) > 0
 	s.lost, s.size = nil, s.journal.Size()
-	s.known = known{s.machine.View(), s.machine.State()}
-	s.holds.Store(s.known.state)
-	s.log.Info().Int("records", len(stored)).Uint64("view", s.machine.View().No).Bool("first", first).Msg("disk read")
+	s.known = committedSnapshot{s.machine.View(), s.machine.State()}
+	s.committedState.Store(s.known.state)
+	s.log.Info().Int("records", len(stored)).Uint64("view", s.machine.View().No).Bool("first", firstStart).Msg("journal read from disk")
 }
 
-// synced notes what may be told from now on.
-func (s *Store) synced() {
+// noteSynced records the state that may be reported from now on.
+func (s *Store) noteSynced() {
 	s.size = s.journal.Size()
-	s.known = known{s.machine.View(), s.machine.State()}
-	s.holds.Store(s.known.state)
+	s.known = committedSnapshot{s.machine.View(), s.machine.State()}
+	s.committedState.Store(s.known.state)
 }
 
-// down says whether nothing can be done now.
-func (s *Store) down() bool { return s.lost != nil || !s.stalled.IsZero() }
+// diskDown reports whether the disk is lost or hangs.
+func (s *Store) diskDown() bool { return s.lost != nil || !s.stalledSince.IsZero() }
 
-// downFor says why, and for how long.
-func (s *Store) downFor() string {
-	if l := s.lost; l != nil {
-		return fmt.Sprintf("disk lost for %.1f s: %v; committed as far as known %d", time.Since(l.since).Seconds(), l.err, s.knownSeq())
+// describeDisk describes what is wrong with the disk, and for how long it has been.
+func (s *Store) describeDisk() string {
+	if lost := s.lost; lost != nil {
+		return fmt.Sprintf("disk lost for %.1f s: %v; committed as far as known %d", time.Since(lost.since).Seconds(), lost.err, s.committedSeq())
 	}
-	return fmt.Sprintf("disk hangs for %.1f s; committed as far as known %d", time.Since(s.stalled).Seconds(), s.knownSeq())
+	return fmt.Sprintf("disk hangs for %.1f s; committed as far as known %d", time.Since(s.stalledSince).Seconds(), s.committedSeq())
 }
 
-func (s *Store) knownSeq() uint64 {
+// committedSeq returns the sequence number of the last change known to be committed.
+func (s *Store) committedSeq() uint64 {
 	if s.known.state == nil {
 		return 0
 	}
 	return s.known.state.Last.Seq
 }
 
-// onDisk has something done on the disk and waits for it. Where that takes long, who waits and who
-// comes meanwhile is answered.
-func (s *Store) onDisk(ctx context.Context, do func() error) error {
-	over := make(chan error, 1)
-	go func() { over <- do() }()
-	late := time.NewTimer(s.stall)
-	defer late.Stop()
+// runOnDisk runs a disk call and waits for it. If it takes long, pending and new requests are answered
+// meanwhile.
+func (s *Store) runOnDisk(ctx context.Context, call func() error) error {
+	finished := make(chan error, 1)
+	go func() { finished <- call() }()
+	timer := time.NewTimer(s.stallTimeout)
+	defer timer.Stop()
 	var events <-chan event
-	var ended <-chan struct{}
+	var shutdown <-chan struct{}
 	if s.lost != nil {
-		events, ended = s.events, ctx.Done()
+		events, shutdown = s.events, ctx.Done()
 	}
 	for {
 		select {
-		case err := <-over:
-			if !s.stalled.IsZero() {
+		case err := <-finished:
+			if !s.stalledSince.IsZero() {
 				if s.lost == nil {
-					s.log.Info().Float64("ms", float64(time.Since(s.stalled))/1e6).AnErr("fault", err).Msg("disk answers again")
+					s.log.Info().Float64("ms", float64(time.Since(s.stalledSince))/1e6).AnErr("fault", err).Msg("disk answers again")
 				}
-				s.stalled = time.Time{}
+				s.stalledSince = time.Time{}
 			}
 			return err
-		case <-late.C:
-			s.stalled = time.Now()
+		case <-timer.C:
+			s.stalledSince = time.Now()
 			s.counts.Stalls++
 			if s.lost == nil {
-				s.log.Error().Msg("disk hangs")
+				s.log.Error().Msg("disk hangs: requests are refused until it answers")
 			}
-			s.abandon()
-			events, ended = s.events, ctx.Done()
+			s.answerPending()
+			events, shutdown = s.events, ctx.Done()
 		case e := <-events:
 			s.refuse(e)
-		case <-ended:
-			return ctx.Err() // what hangs can't even be closed
+		case <-shutdown:
+			return ctx.Err() // a call that hangs cannot be cancelled, nor its file closed
 		}
 	}
 }
 
-// abandon answers all who wait. A change may be on the disk, or on its way to the head.
-func (s *Store) abandon() {
-	for id, e := range s.waiting {
-		delete(s.waiting, id)
-		o := cairn.Unknown
-		if e.Ask != nil {
-			o = cairn.Unavailable
+// answerPending answers all pending requests. A pending change may be on the disk or on its way to the
+// head, so its outcome is unknown.
+func (s *Store) answerPending() {
+	for id, waiter := range s.pending {
+		delete(s.pending, id)
+		outcome := cairn.Unknown
+		if waiter.Ask != nil {
+			outcome = cairn.Unavailable
 		}
-		s.answer(e, o)
+		s.answer(waiter, outcome)
 	}
-	for _, look := range s.looks {
-		look()
+	for _, inspect := range s.inspections {
+		inspect()
 	}
-	s.looks = s.looks[:0]
+	s.inspections = s.inspections[:0]
 }
 
-// refuse answers one who comes while nothing can be done.
+// refuse answers an event that arrives while the disk is lost or hangs.
 func (s *Store) refuse(e event) {
 	switch {
-	case e.look != nil:
-		e.look()
+	case e.inspect != nil:
+		e.inspect()
 	case e.done != nil:
 		s.answer(e, cairn.Unavailable)
 	}
 }
 
-func (s *Store) answer(e event, o cairn.Outcome) {
-	if o == cairn.Unknown {
+// answer answers a request and counts the outcome.
+func (s *Store) answer(e event, outcome cairn.Outcome) {
+	if outcome == cairn.Unknown {
 		s.counts.Unknown++
 	} else {
 		s.counts.Unavailable++
 	}
-	e.done <- result{Result: cairn.Result{ID: e.id, Outcome: o}}
+	e.done <- result{Result: cairn.Result{ID: e.id, Outcome: outcome}}
 }
 
-// lose gives up a machine that has stepped ahead of its disk.
-func (s *Store) lose(err error) {
+// loseDisk discards a state machine that has stepped ahead of its disk.
+func (s *Store) loseDisk(err error) {
 	now := time.Now()
-	s.lost = &loss{err: err, since: now, tried: now}
+	s.lost = &diskLoss{err: err, since: now, lastTry: now}
 	s.counts.Lost++
 	s.machine = nil
-	s.hush()
-	s.log.Error().Err(err).Msg("disk lost: nothing is taken until it can be written")
-	s.abandon()
+	s.dropBulk()
+	s.log.Error().Err(err).Msg("disk lost: requests are refused until it can be written")
+	s.answerPending()
 }
 
-// mend begins a new life once the disk can be written. Only what needs a person is given back.
-func (s *Store) mend(ctx context.Context) error {
-	l := s.lost
-	if time.Since(l.tried) < s.mendEvery {
+// recoverDisk starts a new state machine once the disk can be written. It returns only errors that
+// need an operator.
+func (s *Store) recoverDisk(ctx context.Context) error {
+	lost := s.lost
+	if time.Since(lost.lastTry) < s.recoverInterval {
 		return nil
 	}
-	l.tries++
-	var j journal
+	lost.tries++
+	var log journal
 	var stored []cairn.Record
-	err := s.onDisk(ctx, func() (err error) {
+	err := s.runOnDisk(ctx, func() (err error) {
 		if s.journal != nil {
-			_ = s.journal.Close() // it has told its fault
+			_ = s.journal.Close() // its error was reported before
 			s.journal = nil
 		}
-		j, stored, err = s.read(true)
+		log, stored, err = s.readJournal(true)
 		return err
 	})
-	l.tried = time.Now()
+	lost.lastTry = time.Now()
 	switch {
 	case err == nil:
-		s.journal = j
-		s.live(stored)
-		s.log.Info().Int("tries", l.tries).Float64("ms", float64(time.Since(l.since))/1e6).Msg("disk is back: a new life")
+		s.journal = log
+		s.startMachine(stored)
+		s.log.Info().Int("tries", lost.tries).Float64("ms", float64(time.Since(lost.since))/1e6).Msg("disk is back: state machine restarted from its journal")
 		return nil
-	case damaged(err):
+	case isDamaged(err):
 		return fmt.Errorf("disk: %w", err)
 	}
-	l.err = fmt.Errorf("disk: %w", err)
+	lost.err = fmt.Errorf("disk: %w", err)
 	return nil
 }
 
-// compact makes the journal short again. Where there is no room for that, it goes on as it is, and
-// is tried after as many more records.
+// compact shortens the journal. If there is no space for that, the journal is used as it is, and
+// compaction is tried again after as many more records.
 func (s *Store) compact(ctx context.Context) error {
 	batch, err := encode(s.machine.Snapshot())
 	if err == nil {
-		err = s.onDisk(ctx, func() error { return s.journal.Replace(batch) })
+		err = s.runOnDisk(ctx, func() error { return s.journal.Replace(batch) })
 	}
 	switch {
 	case err == nil:
 		s.counts.Compacted++
-		s.unkept, s.size = false, s.journal.Size()
+		s.compactionFailed, s.size = false, s.journal.Size()
 		return nil
 	case !errors.Is(err, recordlog.ErrKept):
 		return fmt.Errorf("disk: %w", err)
 	}
 	s.counts.Uncompacted++
-	if !s.unkept {
-		s.unkept = true
-		s.log.Warn().Err(err).Int64("diskBytes", s.size).Msg("disk has no room to be compacted: it goes on as it is")
+	if !s.compactionFailed {
+		s.compactionFailed = true
+		s.log.Warn().Err(err).Int64("diskBytes", s.size).Msg("disk has no room to be compacted: the journal keeps growing")
 	}
 	return nil
 }
 
-// close ends the journal, if there is one.
+// close closes the journal if it is open.
 func (s *Store) close() error {
 	if s.lost != nil || s.journal == nil {
 		return nil
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -24,7 +24,7 @@
 	"foxwood/internal/waymark"
 )
 
-// TestMain has the folders in memory: a sync there waits for no disk that others keep busy.
+// TestMain keeps the directories in memory, where a sync does not wait for a busy disk.
 func TestMain(m *testing.M) {
 	if dir, err := os.MkdirTemp("/dev/shm", "store"); err == nil {
 		_ = os.Setenv("TMPDIR", dir)
@@ -35,53 +35,54 @@
 	os.Exit(m.Run())
 }
 
-// faulty is a machine's own disk, whose calls fail as long as it is told so.
-type faulty struct {
+// faultyJournal is a journal whose calls fail as long as a fault is set.
+type faultyJournal struct {
 	*recordlog.Journal
-	how  *fault
-	dir  string
-	dead error
+	fault  *fault
+	dir    string
+	failed error
 }
 
-// fault is what goes wrong: the error that a step gives, before it has done anything, with a part of
-// it done, or with all of it.
+// fault selects the failing calls: the error is returned before the call has done anything, with a
+// part of it done, or with all of it.
 type fault struct {
-	open, add, whole atomic.Pointer[trouble]
-	hang             chan chan struct{} // takes what an Append is to wait for, or nothing
+	openFailure, appendFailure, replaceFailure atomic.Pointer[failure]
+	hang                                       chan chan struct{} // each channel received makes an Append wait for it
 }
 
-type trouble struct {
+// failure is a failure: torn leaves a part of the write on the disk, after all of it.
+type failure struct {
 	err         error
 	torn, after bool
 }
 
 func (f *fault) opener(dir string) (journal, [][]byte, error) {
-	if t := f.open.Load(); t != nil {
+	if t := f.openFailure.Load(); t != nil {
 		return nil, nil, t.err
 	}
 	j, records, err := recordlog.Open(dir)
-	return &faulty{Journal: j, how: f, dir: dir}, records, err
+	return &faultyJournal{Journal: j, fault: f, dir: dir}, records, err
 }
 
-func (d *faulty) Append(records [][]byte) error {
+func (d *faultyJournal) Append(records [][]byte) error {
 	select {
-	case wait := <-d.how.hang:
+	case wait := <-d.fault.hang:
 		<-wait
 	default:
 	}
-	if d.dead != nil {
-		return d.dead
+	if d.failed != nil {
+		return d.failed
 	}
-	t := d.how.add.Load()
-	if t == nil {
+	failure := d.fault.appendFailure.Load()
+	if failure == nil {
 		return d.Journal.Append(records)
 	}
-	d.dead = fmt.Errorf("%w: %w", recordlog.ErrStopped, t.err)
-	if !t.torn && !t.after {
-		return d.dead
+	d.failed = fmt.Errorf("%w: %w", recordlog.ErrStopped, failure.err)
+	if !failure.torn && !failure.after {
+		return d.failed
 	}
 	err := d.Journal.Append(records)
-	if err == nil && t.torn {
+	if err == nil && failure.torn {
 		var names []string
 		names, err = filepath.Glob(filepath.Join(d.dir, "generation-*", "*"))
 		if err != nil {
@@ -96,127 +97,127 @@
 	if err != nil {
 		return err
 	}
-	return d.dead
+	return d.failed
 }
 
-func (d *faulty) Replace(records [][]byte) error {
-	if d.dead != nil {
-		return d.dead
+func (d *faultyJournal) Replace(records [][]byte) error {
+	if d.failed != nil {
+		return d.failed
 	}
-	t := d.how.whole.Load()
+	failure := d.fault.replaceFailure.Load()
 	switch {
-	case t == nil:
+	case failure == nil:
 		return d.Journal.Replace(records)
-	case errors.Is(t.err, recordlog.ErrKept):
-		return t.err
-	case t.after:
+	case errors.Is(failure.err, recordlog.ErrKept):
+		return failure.err
+	case failure.after:
 		if err := d.Journal.Replace(records); err != nil {
 			return err
 		}
 	}
-	d.dead = fmt.Errorf("%w: %w", recordlog.ErrStopped, t.err)
-	return d.dead
+	d.failed = fmt.Errorf("%w: %w", recordlog.ErrStopped, failure.err)
+	return d.failed
 }
 
-// logged is a log that can be read while it is written.
-type logged struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *logged) lines(with string) int {
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.buf.String(), with)
+	return strings.Count(l.buf.String(), text)
 }
 
-// with makes a store whose disk is faulty, and which looks again at once.
-func (f *fault) with(t *testing.T, set *bootconfig.Settings) (*Store, *logged) {
+// newStore creates a store on a faulty disk that tries a lost disk again at once.
+func (f *fault) newStore(t *testing.T, settings *bootconfig.Settings) (*Store, *logBuffer) {
 	t.Helper()
-	log := &logged{}
-	s, err := newOn(f.opener, set, zerolog.New(log))
+	log := &logBuffer{}
+	s, err := newOn(f.opener, settings, zerolog.New(log))
 	assert.NilError(t, err)
-	s.mendEvery = 0
+	s.recoverInterval = 0
 	return s, log
 }
 
-func standing(t *testing.T, s *Store) string {
+func statusText(t *testing.T, s *Store) string {
 	t.Helper()
-	st, err := s.status(t.Context(), waymark.AskStatus{})
+	status, err := s.handleStatus(t.Context(), waymark.AskStatus{})
 	assert.NilError(t, err)
-	return strings.Join(st.Lines, "\n")
+	return strings.Join(status.Lines, "\n")
 }
 
-// untilSaid waits until status says something.
-func untilSaid(t *testing.T, s *Store, words string) {
+// waitForStatus waits until the status contains some words.
+func waitForStatus(t *testing.T, s *Store, words string) {
 	t.Helper()
-	for until := time.Now().Add(patience); !strings.Contains(standing(t, s), words); {
-		assert.Assert(t, time.Now().Before(until), "%s", standing(t, s))
+	for until := time.Now().Add(waitLimit); !strings.Contains(statusText(t, s), words); {
+		assert.Assert(t, time.Now().Before(until), "%s", statusText(t, s))
 	}
 }
 
-// refusedAtOnce says that all who want what is not there are told so, and that the rest is served.
-func refusedAtOnce(t *testing.T, s *Store, edition uint64) {
+// checkRefused checks that callers that need the disk are refused at once and others are served.
+func checkRefused(t *testing.T, s *Store, edition uint64) {
 	t.Helper()
 	began := time.Now()
-	_, err := s.enter(t.Context(), configuration(99))
+	_, err := s.handleEnter(t.Context(), configuration(99))
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.confirm(t.Context(), waymark.Confirm{})
+	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.forget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
+	_, err = s.handleForget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	known, err := s.confirm(t.Context(), waymark.Confirm{Recall: true})
+	known, err := s.handleConfirm(t.Context(), waymark.Confirm{Recall: true})
 	assert.NilError(t, err)
-	assert.Assert(t, known.Recalled, "no word of a tail")
+	assert.Assert(t, known.Recalled, "expected local knowledge, got an answer of the tail")
 	if edition > 0 {
 		assert.Equal(t, known.State.Edition, edition)
 	}
-	assert.Assert(t, time.Since(began) < answerMost, "nobody waits for what won't come")
+	assert.Assert(t, time.Since(began) < answerTimeout, "requests were not refused at once")
 }
 
-// TestALostDisk: where the disk takes nothing the process stays, says so, refuses at once what it
-// can't do, tells nothing of the step that was not synced, and begins a new life once the disk is
-// back, from what that really holds.
-func TestALostDisk(t *testing.T) {
+// TestLostDisk checks a disk that rejects writes: the process keeps running, reports the loss,
+// refuses at once what it cannot do, releases nothing of the step that was not synced, and once the
+// disk is back restarts its state machine from what the disk really holds.
+func TestLostDisk(t *testing.T) {
 	t.Parallel()
 	full, broken := unix.ENOSPC, unix.EIO
 	for _, c := range []struct {
-		name string
-		is   trouble
-		kept bool // what was not acknowledged is on the disk nevertheless
+		name    string
+		failure failure
+		kept    bool // the change that was not acknowledged is on the disk nevertheless
 	}{
-		{name: "no room", is: trouble{err: full}},
-		{name: "a short write", is: trouble{err: full, torn: true}},
-		{name: "a sync that fails", is: trouble{err: broken, after: true}, kept: true},
-		{name: "a sync that fails, torn", is: trouble{err: broken, torn: true}},
-		{name: "no name for it", is: trouble{err: errors.New("no such thing")}},
+		{name: "no room", failure: failure{err: full}},
+		{name: "a short write", failure: failure{err: full, torn: true}},
+		{name: "a sync that fails", failure: failure{err: broken, after: true}, kept: true},
+		{name: "a sync that fails, torn", failure: failure{err: broken, torn: true}},
+		{name: "an unknown error", failure: failure{err: errors.New("no such thing")}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f, set := &fault{}, settings(t)
-			s, log := f.with(t, set)
+			s, log := f.newStore(t, set)
 			end := run(t, s)
 			enter(t, s, configuration(1))
 			confirm(t, s, waymark.Confirm{})
-			f.add.Store(&c.is)
-			f.whole.Store(&trouble{err: fmt.Errorf("%w: %w", recordlog.ErrKept, c.is.err)})
-			_, err := s.enter(t.Context(), configuration(2))
-			assert.Equal(t, rpc.KindOf(err), rpc.Unknown, "it may be on the disk")
-			untilSaid(t, s, "disk lost")
-			assert.Assert(t, strings.Contains(standing(t, s), c.is.err.Error()))
-			refusedAtOnce(t, s, 1) // not 2: a chain of one had committed it in the step that failed
-			for range 20 {         // while it is tried again and again
-				refusedAtOnce(t, s, 1)
+			f.appendFailure.Store(&c.failure)
+			f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrKept, c.failure.err)})
+			_, err := s.handleEnter(t.Context(), configuration(2))
+			assert.Equal(t, rpc.KindOf(err), rpc.Unknown, "the change may be on the disk")
+			waitForStatus(t, s, "disk lost")
+			assert.Assert(t, strings.Contains(statusText(t, s), c.failure.err.Error()))
+			checkRefused(t, s, 1) // not edition 2, which a chain of one had committed in the step that failed
+			for range 20 {        // during repeated attempts to use the disk
+				checkRefused(t, s, 1)
 			}
-			f.add.Store(nil)
-			f.whole.Store(nil)
-			untilSaid(t, s, "sole")
+			f.appendFailure.Store(nil)
+			f.replaceFailure.Store(nil)
+			waitForStatus(t, s, "sole")
 			back := confirm(t, s, waymark.Confirm{})
 			want := uint64(1)
 			if c.kept {
@@ -224,98 +225,100 @@
 			}
 			assert.Equal(t, back.State.Edition, want)
 			enter(t, s, configuration(3))
-			assert.Equal(t, log.lines("disk lost"), 1)
-			assert.Equal(t, log.lines("disk is back"), 1)
+			assert.Equal(t, log.count("disk lost"), 1)
+			assert.Equal(t, log.count("disk is back"), 1)
 			assert.NilError(t, end())
 			assert.Equal(t, s.counts.Lost, uint64(1))
 
 			set.FirstRun = false
-			s = open(t, set, fine)
+			s = open(t, set, noFault)
 			run(t, s)
 			assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
 		})
 	}
 }
 
-// TestALostDiskIsSilent: no message of the failed step, nor any later one, leaves the machine, and
-// what others say is not taken.
-func TestALostDiskIsSilent(t *testing.T) {
+// TestLostDiskSendsNothing checks that no message of the failed step or later leaves the machine and
+// that messages of other machines are ignored.
+func TestLostDiskSendsNothing(t *testing.T) {
 	f := &fault{}
-	s, _ := f.with(t, settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"))
-	f.add.Store(&trouble{err: unix.ENOSPC})
-	f.whole.Store(&trouble{err: unix.ENOSPC})
+	s, _ := f.newStore(t, settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"))
+	f.appendFailure.Store(&failure{err: unix.ENOSPC})
+	f.replaceFailure.Store(&failure{err: unix.ENOSPC})
 	var out cairn.Out
 	s.step(event{}, &out)
 	assert.Assert(t, len(out.Sync) > 0 && len(out.Send) > 0)
-	err := s.carryOut(t.Context(), &out)
+	err := s.releaseOutput(t.Context(), &out)
 	assert.ErrorIs(t, err, unix.ENOSPC)
-	s.lose(err)
+	s.loseDisk(err)
 	for range 9 {
 		s.refuse(event{Event: cairn.Event{Message: &cairn.Message{}}})
-		assert.NilError(t, s.mend(t.Context()))
+		assert.NilError(t, s.recoverDisk(t.Context()))
 	}
 	assert.Assert(t, s.lost != nil && s.lost.tries == 9 && s.machine == nil)
 	assert.Equal(t, s.counts.Sent, uint64(0))
 	assert.Equal(t, len(s.peers), 0)
 }
 
-// TestANewLifeAfterALoss has a name of its own: what an earlier one asked for or was granted means
-// nothing to it, and leases that the earlier one granted are waited out.
-func TestANewLifeAfterALoss(t *testing.T) {
+// TestRestartAfterLostDisk checks that a disk loss starts a new incarnation: what an earlier one
+// requested or was granted means nothing to it, and it waits for leases that the earlier one
+// granted to run out.
+func TestRestartAfterLostDisk(t *testing.T) {
 	f := &fault{}
-	s, _ := f.with(t, settings(t))
+	s, _ := f.newStore(t, settings(t))
 	var out cairn.Out
 	s.step(event{}, &out)
-	assert.NilError(t, s.carryOut(t.Context(), &out))
+	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	before := s.machine
-	s.lose(unix.ENOSPC)
-	assert.NilError(t, s.mend(t.Context()))
+	s.loseDisk(unix.ENOSPC)
+	assert.NilError(t, s.recoverDisk(t.Context()))
 	assert.Assert(t, s.machine != nil && s.machine != before)
 	assert.DeepEqual(t, s.machine.Self(), before.Self())
 	assert.DeepEqual(t, s.machine.View(), before.View())
-	s.lose(unix.ENOSPC)
+	s.loseDisk(unix.ENOSPC)
 
-	// A disk that was changed for an empty one meanwhile has forgotten: it is not at its first start,
-	// whatever the settings of this process say.
-	names, err := filepath.Glob(filepath.Join(s.set.ArchiveDir, "*"))
+	// A disk that was replaced by an empty one meanwhile has lost its records: it is not at its first
+	// start, whatever the settings of this process say.
+	names, err := filepath.Glob(filepath.Join(s.settings.ArchiveDir, "*"))
 	assert.NilError(t, err)
 	for _, name := range names {
 		assert.NilError(t, os.RemoveAll(name))
 	}
-	assert.NilError(t, s.mend(t.Context()))
+	assert.NilError(t, s.recoverDisk(t.Context()))
 	assert.Assert(t, s.machine.Self().Disk != before.Self().Disk)
 	assert.Equal(t, s.machine.View().No, uint64(0))
 }
 
-// TestAFullDiskAtTheStart: the process is there, and takes part once the disk is.
-func TestAFullDiskAtTheStart(t *testing.T) {
+// TestFullDiskAtStart checks that the process starts and takes part once the disk works.
+func TestFullDiskAtStart(t *testing.T) {
 	t.Parallel()
 	for _, e := range []error{unix.ENOSPC, unix.EIO, unix.EROFS} {
 		f := &fault{}
-		f.open.Store(&trouble{err: e})
-		s, log := f.with(t, settings(t))
+		f.openFailure.Store(&failure{err: e})
+		s, log := f.newStore(t, settings(t))
 		run(t, s)
-		refusedAtOnce(t, s, 0)
-		assert.Assert(t, strings.Contains(standing(t, s), "disk lost"))
-		f.open.Store(nil)
+		checkRefused(t, s, 0)
+		assert.Assert(t, strings.Contains(statusText(t, s), "disk lost"))
+		f.openFailure.Store(nil)
 		enter(t, s, configuration(1))
 		assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(1))
-		assert.Equal(t, log.lines("disk lost"), 1)
+		assert.Equal(t, log.count("disk lost"), 1)
 	}
 }
 
-// TestADamagedRecordIsNamed, and ends the process also where the disk was only lost for a while.
-func TestADamagedRecordIsNamed(t *testing.T) {
+// TestDamagedRecordIsReported checks that a damaged record ends the process with an error, even if
+// the disk was only lost for a while.
+func TestDamagedRecordIsReported(t *testing.T) {
 	f := &fault{}
 	set := settings(t)
-	s, _ := f.with(t, set)
+	s, _ := f.newStore(t, set)
 	var out cairn.Out
 	s.step(event{}, &out)
-	assert.NilError(t, s.carryOut(t.Context(), &out))
+	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	assert.NilError(t, s.journal.Append([][]byte{{0xff}}))
-	s.lose(unix.EIO)
-	var record *errRecord
-	err := s.mend(t.Context())
+	s.loseDisk(unix.EIO)
+	var record *errUndecodable
+	err := s.recoverDisk(t.Context())
 	assert.Assert(t, errors.As(err, &record), "%v", err)
 	assert.ErrorContains(t, err, "disk: record ")
 	_, err = New(set, zerolog.Nop())
@@ -328,20 +331,20 @@
 	bad[5] ^= 1
 	assert.NilError(t, os.WriteFile(names[0], bad, 0o600))
 	var bytes *recordlog.ErrDamaged
-	err = s.mend(t.Context())
+	err = s.recoverDisk(t.Context())
 	assert.Assert(t, errors.As(err, &bytes), "%v", err)
 	_, err = New(set, zerolog.Nop())
 	assert.Assert(t, errors.As(err, &bytes), "%v", err)
 }
 
-// TestNoRoomToCompact neither ends nor mutes a process whose appends still work; it is told once, and
-// tried again.
+// TestNoRoomToCompact checks that failed compactions do not end or block a process whose appends
+// work; the failure is logged once, and compaction is tried again.
 func TestNoRoomToCompact(t *testing.T) {
 	t.Parallel()
 	f := &fault{}
-	s, log := f.with(t, settings(t))
+	s, log := f.newStore(t, settings(t))
 	end := run(t, s)
-	f.whole.Store(&trouble{err: fmt.Errorf("%w: %w", recordlog.ErrKept, unix.ENOSPC)})
+	f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrKept, unix.ENOSPC)})
 	big := func(edition uint64) waymark.Enter {
 		q := configuration(edition)
 		q.Change.Body = make([]byte, 5<<20)
@@ -351,84 +354,84 @@
 		enter(t, s, big(edition+1))
 	}
 	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
-	f.whole.Store(nil)
+	f.replaceFailure.Store(nil)
 	enter(t, s, big(4))
 	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(4))
 	assert.NilError(t, end())
 	assert.Equal(t, s.counts.Lost, uint64(0))
 	assert.Assert(t, s.counts.Uncompacted >= 3 && s.counts.Compacted >= 1)
-	assert.Equal(t, log.lines("no room to be compacted"), 1)
+	assert.Equal(t, log.count("no room to be compacted"), 1)
 
-	// One that fails where the new generation may have its name is a lost disk.
+	// A compaction that fails when the new generation may have its name means a lost disk.
 	f = &fault{}
-	s, _ = f.with(t, settings(t))
+	s, _ = f.newStore(t, settings(t))
 	run(t, s)
-	f.whole.Store(&trouble{err: unix.EIO, after: true})
-	_, _ = s.enter(t.Context(), big(1))
-	untilSaid(t, s, "disk lost")
-	f.whole.Store(nil)
+	f.replaceFailure.Store(&failure{err: unix.EIO, after: true})
+	_, _ = s.handleEnter(t.Context(), big(1))
+	waitForStatus(t, s, "disk lost")
+	f.replaceFailure.Store(nil)
 	enter(t, s, configuration(2))
 	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(2))
 }
 
-// TestADiskThatHangs: who waits and who comes is told so, and nothing is sent; once it answers, the
-// machine goes on.
-func TestADiskThatHangs(t *testing.T) {
+// TestHangingDisk checks that pending and new requests are refused and nothing is sent; once the
+// disk answers, the machine goes on.
+func TestHangingDisk(t *testing.T) {
 	t.Parallel()
 	f := &fault{hang: make(chan chan struct{})}
-	s, log := f.with(t, settings(t))
-	s.stall = time.Millisecond
+	s, log := f.newStore(t, settings(t))
+	s.stallTimeout = time.Millisecond
 	end := run(t, s)
 	enter(t, s, configuration(1))
-	wait := make(chan struct{})
-	waits := map[uint64]chan result{}
+	resume := make(chan struct{})
+	answers := map[uint64]chan result{}
 	for i, e := range []cairn.Event{{Submit: &cairn.Submit{Change: configuration(2).Change}}, {Ask: &cairn.Ask{}}} {
 		id := uint64(1e9) + uint64(i)
-		waits[id] = make(chan result, 1)
+		answers[id] = make(chan result, 1)
 		if e.Submit != nil {
 			e.Submit.ID = id
 		} else {
 			e.Ask.ID = id
 		}
-		s.events <- event{Event: e, id: id, done: waits[id]}
+		s.events <- event{Event: e, id: id, done: answers[id]}
 		if i == 0 {
-			f.hang <- wait // it is on its way to the disk, or the step before it is
+			f.hang <- resume // this step or the one before it is being written
 		}
 	}
-	for id, got := range waits { // without the time limit that a call has
-		if o := next(t, got).Outcome; id == 1e9 {
-			assert.Assert(t, o != cairn.OK, "it may get onto the disk, or was not taken")
+	for id, got := range answers { // not subject to the time limit of a call
+		if o := receive(t, got).Outcome; id == 1e9 {
+			assert.Assert(t, o != cairn.OK, "the change was acknowledged although the disk hangs")
 		} else {
 			assert.Equal(t, o, cairn.Unavailable)
 		}
 	}
-	assert.Assert(t, strings.Contains(standing(t, s), "disk hangs"))
+	assert.Assert(t, strings.Contains(statusText(t, s), "disk hangs"))
 	sent := s.counts.Sent
 	for range 3 {
-		refusedAtOnce(t, s, 1)
-		_, err := s.message(t.Context(), cairn.Message{})
+		checkRefused(t, s, 1)
+		_, err := s.handleMessage(t.Context(), cairn.Message{})
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, s.counts.Sent, sent)
-	close(wait)
-	untilSaid(t, s, "sole")
+	close(resume)
+	waitForStatus(t, s, "sole")
 	enter(t, s, configuration(3))
 	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
-	assert.Assert(t, log.lines("disk hangs") >= 1)
-	assert.Assert(t, log.lines("disk answers again") >= 1)
+	assert.Assert(t, log.count("disk hangs") >= 1)
+	assert.Assert(t, log.count("disk answers again") >= 1)
 	assert.NilError(t, end())
 	assert.Equal(t, s.counts.Lost, uint64(0))
 }
 
-// TestAHangingDiskDoesNotKeepTheProcess from its end.
-func TestAHangingDiskDoesNotKeepTheProcess(t *testing.T) {
+// TestShutdownWithHangingDisk checks that the process can end while its disk hangs.
+func TestShutdownWithHangingDisk(t *testing.T) {
 	f := &fault{hang: make(chan chan struct{})}
-	s, _ := f.with(t, settings(t))
-	s.stall = time.Millisecond
+	s, _ := f.newStore(t, settings(t))
+	s.stallTimeout = time.Millisecond
 	end := run(t, s)
-	wait := make(chan struct{})
-	defer close(wait)
-	f.hang <- wait // the first record of all
-	untilSaid(t, s, "disk hangs")
+	resume := make(chan struct{})
+	defer close(resume)
+	f.hang <- resume // the very first record
+	waitForStatus(t, s, "disk hangs")
 	assert.NilError(t, end())
 }
--- a/internal/store/lane.go
+++ b/internal/store/lane.go
@@ -10,132 +10,134 @@
 	"foxwood/internal/waymark"
 )
 
-// laneMost is until a call of a courier counts as failed: a chunk on a thin line, behind others.
-const laneMost = 3 * time.Second
+// laneCallTimeout is the time limit of a call, which may wait behind other data on a slow link.
+const laneCallTimeout = 3 * time.Second
 
-// lane carries out what a courier wants, on a connection that no beat waits behind.
+// lane makes the calls of one sender, on a connection that heartbeats do not share.
 type lane struct {
 	peer *rpc.Peer
 	wake chan struct{}
 
 	mu      sync.Mutex
 	running bool
-	courier
+	sender
 }
 
-// bulk has a message go to a machine in parts.
-func (s *Store) bulk(m *cairn.Message) bool {
+// sendBulk queues a message to be transferred in chunks and reports whether there was room for it.
+func (s *Store) sendBulk(m *cairn.Message) bool {
 	s.mu.Lock()
-	l := s.lanes[m.To.Addr]
-	if l == nil {
-		l = &lane{peer: rpc.NewPeer(m.To.Addr), wake: make(chan struct{}, 1)}
-		s.lanes[m.To.Addr] = l
+	sendLane := s.lanes[m.To.Addr]
+	if sendLane == nil {
+		sendLane = &lane{peer: rpc.NewPeer(m.To.Addr), wake: make(chan struct{}, 1)}
+		s.lanes[m.To.Addr] = sendLane
 	}
 	s.mu.Unlock()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ok := l.put(s.now(), *m)
-	if !l.running {
-		l.running = true
-		go s.bring(l)
+	sendLane.mu.Lock()
+	defer sendLane.mu.Unlock()
+	queued := sendLane.enqueue(s.now(), *m)
+	if !sendLane.running {
+		sendLane.running = true
+		go s.runLane(sendLane)
 	}
 	select {
-	case l.wake <- struct{}{}:
+	case sendLane.wake <- struct{}{}:
 	default:
 	}
-	return ok
+	return queued
 }
 
-// hush forgets what has not been brought yet.
-func (s *Store) hush() {
+// dropBulk drops all messages that are not transferred yet.
+func (s *Store) dropBulk() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.lanes {
-		l.mu.Lock()
-		l.queue, l.want = nil, nil
-		l.mu.Unlock()
+	for _, lane := range s.lanes {
+		lane.mu.Lock()
+		lane.queue, lane.wanted = nil, nil
+		lane.mu.Unlock()
 	}
 }
 
-// bring makes a courier's calls until nothing waits.
-func (s *Store) bring(l *lane) {
-	var packs packs
+// runLane makes a sender's calls until its queue is empty.
+func (s *Store) runLane(lane *lane) {
+	var cache packCache
 	for {
-		l.mu.Lock()
-		m, no := l.unmade()
-		l.mu.Unlock()
-		if no > 0 {
-			made, blobs := packs.parcel(m)
-			l.mu.Lock()
-			l.packed(no, made, blobs)
-			l.mu.Unlock()
+		lane.mu.Lock()
+		message, number := lane.needsPacking()
+		lane.mu.Unlock()
+		if number > 0 {
+			parcel, blobs := cache.makeParcel(message)
+			lane.mu.Lock()
+			lane.setPacked(number, parcel, blobs)
+			lane.mu.Unlock()
 		}
-		l.mu.Lock()
-		call, wait := l.next(s.now())
+		lane.mu.Lock()
+		call, wait := lane.nextCall(s.now())
 		if call == nil && wait < 0 {
-			l.running = false
-			l.mu.Unlock()
+			lane.running = false
+			lane.mu.Unlock()
 			return
 		}
-		l.mu.Unlock()
+		lane.mu.Unlock()
 		switch call := call.(type) {
 		case nil:
 			select {
-			case <-l.wake:
+			case <-lane.wake:
 			case <-time.After(time.Duration(wait * 1e6)):
 			}
 		case *waymark.Parcel:
-			w, err := ask[waymark.Parcel, waymark.Wanted](l, call)
-			l.mu.Lock()
-			switch k := rpc.KindOf(err); {
+			answer, err := callLane[waymark.Parcel, waymark.Wanted](lane, call)
+			lane.mu.Lock()
+			switch kind := rpc.KindOf(err); {
 			case err == nil:
-				l.wanted(s.now(), call, w)
-			case k == rpc.NotFound: // of an earlier version
-				if len(l.queue) > 0 && l.queue[0].made == call {
-					_ = rpc.Tell(l.peer, l.queue[0].m)
+				lane.handleWanted(s.now(), call, answer)
+			case kind == rpc.NotFound: // the receiver is an earlier release without chunked transfer
+				if len(lane.queue) > 0 && lane.queue[0].parcel == call {
+					_ = rpc.Tell(lane.peer, lane.queue[0].message)
 				}
-				l.drop(s.now(), call)
-			case k == rpc.Invalid:
-				l.drop(s.now(), call)
+				lane.abandon(s.now(), call)
+			case kind == rpc.Invalid:
+				lane.abandon(s.now(), call)
 			default:
-				l.failed(s.now())
+				lane.handleFailure(s.now())
 			}
-			l.mu.Unlock()
+			lane.mu.Unlock()
 		case *waymark.Chunk:
-			t, err := ask[waymark.Chunk, waymark.Taken](l, call)
-			l.mu.Lock()
+			answer, err := callLane[waymark.Chunk, waymark.Taken](lane, call)
+			lane.mu.Lock()
 			if err == nil {
-				l.taken(s.now(), call, t)
+				lane.handleTaken(s.now(), call, answer)
 			} else {
-				l.failed(s.now())
+				lane.handleFailure(s.now())
 			}
-			l.mu.Unlock()
+			lane.mu.Unlock()
 		}
 	}
 }
 
-func ask[Q, A any](l *lane, q *Q) (A, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), laneMost)
+// callLane makes a call with a time limit.
+func callLane[Q, A any](lane *lane, request *Q) (A, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), laneCallTimeout)
 	defer cancel()
-	return rpc.Call[Q, A](ctx, l.peer, *q)
+	return rpc.Call[Q, A](ctx, lane.peer, *request)
 }
 
-// parcel and chunk are calls of another machine's courier.
-func (s *Store) parcel(ctx context.Context, p waymark.Parcel) (waymark.Wanted, error) {
-	s.deskMu.Lock()
-	s.desk.state = s.holds.Load()
-	m, w, err := s.desk.parcel(s.now(), p)
-	s.deskMu.Unlock()
-	if err != nil || len(w.Sum) > 0 {
-		return w, err
+// handleParcel handles a call of another machine's sender that starts or completes a message.
+func (s *Store) handleParcel(ctx context.Context, parcel waymark.Parcel) (waymark.Wanted, error) {
+	s.receiverMu.Lock()
+	s.receiver.state = s.committedState.Load()
+	message, wanted, err := s.receiver.receiveParcel(s.now(), parcel)
+	s.receiverMu.Unlock()
+	if err != nil || len(wanted.Sum) > 0 {
+		return wanted, err
 	}
-	_, err = s.message(ctx, m)
-	return w, err
+	_, err = s.handleMessage(ctx, message)
+	return wanted, err
 }
 
-func (s *Store) chunk(_ context.Context, c waymark.Chunk) (waymark.Taken, error) {
-	s.deskMu.Lock()
-	defer s.deskMu.Unlock()
-	s.desk.state = s.holds.Load()
-	return s.desk.chunk(s.now(), c)
+// handleChunk handles a call of another machine's sender that carries a part of a body.
+func (s *Store) handleChunk(_ context.Context, chunk waymark.Chunk) (waymark.Taken, error) {
+	s.receiverMu.Lock()
+	defer s.receiverMu.Unlock()
+	s.receiver.state = s.committedState.Load()
+	return s.receiver.receiveChunk(s.now(), chunk)
 }
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -7,11 +7,11 @@
 	"foxwood/internal/metrics"
 )
 
-// Figures implements metrics.Source.
+// Figures returns the store's metrics. It implements metrics.Source.
 func (s *Store) Figures(ctx context.Context) []metrics.Figure {
 	figures := make(chan []metrics.Figure, 1)
 	select {
-	case s.events <- event{look: func() { figures <- s.measured() }}:
+	case s.events <- event{inspect: func() { figures <- s.collectMetrics() }}:
 	case <-ctx.Done():
 		return nil
 	}
@@ -23,10 +23,10 @@
 	}
 }
 
-// measured is the figures, on the loop.
-func (s *Store) measured() []metrics.Figure {
+// collectMetrics returns the metrics. It must be called on the loop.
+func (s *Store) collectMetrics() []metrics.Figure {
 	figures := []metrics.Figure{
-		metrics.Flag("disk_down", "Whether the disk is lost or hangs.", s.down()),
+		metrics.Flag("disk_down", "Whether the disk is lost or hangs.", s.diskDown()),
 		metrics.Gauge("disk_bytes", "Size of what is on the disk.", float64(s.size)),
 		metrics.Gauge("view", "Number of the core's view.", float64(s.known.view.No)),
 		metrics.Gauge("chain_members", "Machines of the chain in that view.", float64(len(s.known.view.Chain))),
@@ -50,12 +50,13 @@
 	return append(figures, machineFigures(s.machine.Status())...)
 }
 
-func machineFigures(st cairn.Status) []metrics.Figure {
+// machineFigures returns the metrics of the state machine.
+func machineFigures(status cairn.Status) []metrics.Figure {
 	return []metrics.Figure{
-		metrics.Flag("whole", "Whether this machine holds all that was acknowledged.", st.Whole),
-		metrics.Flag("chain_role", "The machine's part in the chain.", true, metrics.Label{Name: "role", Value: st.Role}),
-		metrics.Gauge("uncommitted_entries", "Entries held that are not known to be committed.", float64(st.Lag)),
-		metrics.Gauge("tail_lease_seconds", "What is left of the tail's leases; 0 at others.", st.Leased/1000),
-		metrics.Gauge("majority_lost_seconds", "Time since a majority of the core was last heard; 0 while one is.", st.Lost/1000),
+		metrics.Flag("whole", "Whether this machine holds all that was acknowledged.", status.Whole),
+		metrics.Flag("chain_role", "The machine's part in the chain.", true, metrics.Label{Name: "role", Value: status.Role}),
+		metrics.Gauge("uncommitted_entries", "Entries held that are not known to be committed.", float64(status.Lag)),
+		metrics.Gauge("tail_lease_seconds", "What is left of the tail's leases; 0 at others.", status.Leased/1000),
+		metrics.Gauge("majority_lost_seconds", "Time since a majority of the core was last heard; 0 while one is.", status.Lost/1000),
 	}
 }
--- a/internal/store/metrics_test.go
+++ b/internal/store/metrics_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFigures(t *testing.T) {
-	s := open(t, settings(t), fine)
+// TestMetrics checks the metrics of a machine that forms a chain by itself.
+func TestMetrics(t *testing.T) {
+	s := open(t, settings(t), noFault)
 	end := run(t, s)
 	enter(t, s, configuration(3))
 	values := map[string]float64{}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,8 @@
-// Package store is the store of configuration: the chain's state machine with its disk and its
-// calls. One loop owns the machine. What a step wants synced is on disk before anything of that
-// step is sent or answered; steps that come together share one sync. Where the disk fails or hangs
-// (disk.go), the process stays, silent for the others and with an answer for every caller.
+// Package store runs one machine of the configuration store: it connects the replication state
+// machine of package cairn with the disk and the network. A single loop owns the state machine.
+// What a step must persist is synced before any message or answer of that step is released; steps
+// that arrive together share one sync. If the disk fails or hangs (see disk.go), the process keeps
+// running: it sends nothing to other machines and answers every caller.
 package store
 
 import (
@@ -21,150 +22,156 @@
 )
 
 const (
-	dock         = 1 // among a core machine's inner docks
-	tickEvery    = 40 * time.Millisecond
-	batchMost    = 64
-	queueMost    = 1024
-	answerMost   = time.Second // the machine answers before that
-	forgetMost   = 5 * time.Second
-	leavePart    = 0.35 // of graceS, that a process stays for others to take over
-	figuresEvery = 10 * time.Second
-	lostAfter    = 3000.0   // milliseconds without a majority of the core after which that is told
-	mostChange   = 24 << 20 // bytes of a change
-	recallAfter  = 60 * time.Millisecond
+	innerDockIndex        = 1                     // index of the store's port in the settings' list of inner ports
+	tickInterval          = 40 * time.Millisecond // interval between clock ticks of the state machine
+	maxBatch              = 64                    // maximum number of events in a batch that shares a sync
+	maxQueue              = 1024                  // maximum number of queued events
+	answerTimeout         = time.Second           // longer than the state machine takes to answer or to give up
+	removalTimeout        = 5 * time.Second       // time limit of an order to remove a machine
+	leaveShareOfGrace     = 0.35                  // share of the setting graceS for which an ending process waits for others to take over
+	statisticsInterval    = 10 * time.Second      // interval between log lines with statistics
+	majorityLostLogMillis = 3000.0                // milliseconds without a majority of the core after which this is logged
+	maxChangeBytes        = 24 << 20              // maximum size of a change in bytes
+	recallDelay           = 60 * time.Millisecond // wait for the tail before a recall is answered from local knowledge
 )
 
-// Store is one core machine's part of the store.
+// Store is one machine of the configuration store.
 type Store struct {
-	set     *bootconfig.Settings
-	log     zerolog.Logger
-	start   time.Time
-	machine *cairn.Machine // none while the disk is lost
-	events  chan event
-	lastID  atomic.Uint64
-	seeds   chan []string
+	settings  *bootconfig.Settings
+	log       zerolog.Logger
+	startedAt time.Time
+	machine   *cairn.Machine // nil while the disk is lost
+	events    chan event
+	lastID    atomic.Uint64
+	seeds     chan []string
 
 	mu    sync.Mutex
 	peers map[string]*rpc.Peer
 	lanes map[string]*lane
 
-	deskMu sync.Mutex // not for the loop: a body takes its time to be unpacked
-	desk   desk
-	holds  atomic.Pointer[cairn.State] // what need not be sent
-
-	// The loop's.
-	waiting map[uint64]event
-	looks   []func()
-	view    uint64
-	alone   bool     // no majority of the core is heard, and that was told
-	from    []string // seeds
-	counts  counts
+	receiverMu     sync.Mutex // not taken by the loop, because unpacking a body takes long
+	receiver       receiver
+	committedState atomic.Pointer[cairn.State] // the committed state; other machines need not send its bodies
+
+	// Fields owned by the loop.
+	pending            map[uint64]event
+	inspections        []func()
+	loggedView         uint64
+	majorityLostLogged bool     // it was logged that no majority of the core is heard
+	seedAddrs          []string // addresses of the other core machines
+	counts             counts
 	diskState
 }
 
-// counts is what has happened since the start.
+// counts are numbers of events since the start of the process.
 type counts struct {
 	Steps, Syncs, Records, Sent, Unsent, Submits, Asks, Unavailable, Unknown, Compacted, Uncompacted, Lost, Stalls uint64
 }
 
+// event is an input of the loop: an event of the state machine or a function to call.
 type event struct {
 	cairn.Event
-	id   uint64
-	done chan<- result
-	look func() // at the machine, in place of an event
+	id      uint64
+	done    chan<- result
+	inspect func() // called on the loop in place of an event
 }
 
+// result is the state machine's answer together with the view at that time.
 type result struct {
 	cairn.Result
 	view cairn.View
 }
 
-// New opens the disk and goes on from what is on it.
-func New(set *bootconfig.Settings, log zerolog.Logger) (*Store, error) {
-	return newOn(func(dir string) (journal, [][]byte, error) { return recordlog.Open(dir) }, set, log)
+// New opens the disk and continues from what it holds. If the disk has a fault that may pass, the
+// store starts without it and tries again.
+func New(settings *bootconfig.Settings, log zerolog.Logger) (*Store, error) {
+	return newOn(func(dir string) (journal, [][]byte, error) { return recordlog.Open(dir) }, settings, log)
 }
 
-func newOn(open opener, set *bootconfig.Settings, log zerolog.Logger) (*Store, error) {
-	if set.ArchiveDir == "" {
-		return nil, fmt.Errorf("archiveDir: is missing, and a store needs a disk")
+// newOn is New with a given way to open the journal.
+func newOn(open opener, settings *bootconfig.Settings, log zerolog.Logger) (*Store, error) {
+	if settings.ArchiveDir == "" {
+		return nil, fmt.Errorf("archiveDir: expected the path of a directory for the store's journal, got none")
 	}
-	s := &Store{set: set, log: log, start: time.Now(), events: make(chan event, queueMost), seeds: make(chan []string, 1),
-		peers: map[string]*rpc.Peer{}, lanes: map[string]*lane{}, waiting: map[uint64]event{}, from: set.Seeds(dock),
-		diskState: diskState{open: open, stall: stallMost, mendEvery: mendEvery}}
+	s := &Store{settings: settings, log: log, startedAt: time.Now(), events: make(chan event, maxQueue), seeds: make(chan []string, 1),
+		peers: map[string]*rpc.Peer{}, lanes: map[string]*lane{}, pending: map[uint64]event{}, seedAddrs: settings.Seeds(innerDockIndex),
+		diskState: diskState{open: open, stallTimeout: defaultStallTimeout, recoverInterval: defaultRecoverInterval}}
 	var stored []cairn.Record
 	var err error
-	if s.journal, stored, err = s.read(false); err == nil {
-		s.live(stored)
+	if s.journal, stored, err = s.readJournal(false); err == nil {
+		s.startMachine(stored)
 		return s, nil
 	}
-	if err = fmt.Errorf("disk: %w", err); !passes(err) {
+	if err = fmt.Errorf("disk: %w", err); !isTransient(err) {
 		return nil, err
 	}
-	s.lose(err)
+	s.loseDisk(err)
 	return s, nil
 }
 
-func (s *Store) now() float64 { return float64(time.Since(s.start)) / 1e6 }
+// now returns the milliseconds since the start on a monotonic clock.
+func (s *Store) now() float64 { return float64(time.Since(s.startedAt)) / 1e6 }
 
-// Reload takes a settings file that has changed.
-func (s *Store) Reload(set *bootconfig.Settings) {
+// Reload applies a settings file that has changed. Only the addresses of other machines are used.
+func (s *Store) Reload(settings *bootconfig.Settings) {
 	select {
-	case s.seeds <- set.Seeds(dock):
+	case s.seeds <- settings.Seeds(innerDockIndex):
 	default:
 	}
 }
 
-// Serve takes part until the context ends.
+// Serve takes part in the store until the context ends. It returns an error for a fault that needs
+// an operator.
 func (s *Store) Serve(ctx context.Context) error {
-	ln, err := rpc.Listen(s.set.Inner(dock))
+	listener, err := rpc.Listen(s.settings.Inner(innerDockIndex))
 	if err != nil {
 		return err
 	}
 	server := rpc.NewServer()
-	rpc.Handle(server, s.message)
-	rpc.Handle(server, s.parcel)
-	rpc.Handle(server, s.chunk)
-	rpc.Handle(server, s.enter)
-	rpc.Handle(server, s.confirm)
-	rpc.Handle(server, s.status)
-	rpc.Handle(server, s.forget)
-	rpc.Handle(server, s.rebuild)
-	go func() { _ = server.Serve(ln) }()
+	rpc.Handle(server, s.handleMessage)
+	rpc.Handle(server, s.handleParcel)
+	rpc.Handle(server, s.handleChunk)
+	rpc.Handle(server, s.handleEnter)
+	rpc.Handle(server, s.handleConfirm)
+	rpc.Handle(server, s.handleStatus)
+	rpc.Handle(server, s.handleForget)
+	rpc.Handle(server, s.handleRebuild)
+	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 	return s.run(ctx)
 }
 
-// run is the loop that owns the machine.
+// run is the loop that owns the state machine.
 func (s *Store) run(ctx context.Context) error {
-	tick, figures := time.NewTicker(tickEvery), time.NewTicker(figuresEvery)
+	tick, statistics := time.NewTicker(tickInterval), time.NewTicker(statisticsInterval)
 	defer tick.Stop()
-	defer figures.Stop()
-	ending := ctx.Done()
-	var over <-chan time.Time
+	defer statistics.Stop()
+	shutdown := ctx.Done()
+	var graceEnded <-chan time.Time
 	for {
 		var out cairn.Out
 		select {
-		case <-ending:
+		case <-shutdown:
 			if s.lost != nil {
-				return s.close() // it is in no chain any more
+				return s.close() // without a disk the machine is not in the chain, so it need not hand over
 			}
-			ending, over = nil, time.After(time.Duration(s.set.Bounds.GraceS*leavePart*float64(time.Second)))
+			shutdown, graceEnded = nil, time.After(time.Duration(s.settings.Bounds.GraceS*leaveShareOfGrace*float64(time.Second)))
 			s.step(event{Event: cairn.Event{Leave: true}}, &out)
-		case <-over:
-			s.log.Warn().Msg("ends though the chain can't do without it")
+		case <-graceEnded:
+			s.log.Warn().Msg("shutting down before the other machines could take over")
 			return s.close()
-		case <-figures.C:
-			s.log.Info().Interface("counts", s.counts).Interface("sent", rpc.Sent()).Int64("diskBytes", s.size).Str("status", s.standing()).
+		case <-statistics.C:
+			s.log.Info().Interface("counts", s.counts).Interface("sent", rpc.Sent()).Int64("diskBytes", s.size).Str("status", s.describe()).
 				Msg("figures")
 			continue
-		case s.from = <-s.seeds:
+		case s.seedAddrs = <-s.seeds:
 			if s.machine != nil {
-				s.machine.Seeds(s.from)
+				s.machine.Seeds(s.seedAddrs)
 			}
 			continue
 		case <-tick.C:
 			if s.lost != nil {
-				if err := s.mend(ctx); err != nil {
+				if err := s.recoverDisk(ctx); err != nil {
 					return err
 				}
 				continue
@@ -176,25 +183,25 @@
 				continue
 			}
 			s.step(e, &out)
-			for n := 1; n < batchMost && len(s.events) > 0; n++ {
+			for n := 1; n < maxBatch && len(s.events) > 0; n++ {
 				s.step(<-s.events, &out)
 			}
 		}
-		if err := s.carryOut(ctx, &out); err != nil && ctx.Err() == nil {
-			s.lose(err)
+		if err := s.releaseOutput(ctx, &out); err != nil && ctx.Err() == nil {
+			s.loseDisk(err)
 		} else if err != nil {
-			return nil // what is under way on the disk may hang for ever
+			return nil // the pending disk call may hang forever, so it is not waited for
 		}
-		if over != nil && s.machine != nil && s.machine.Left() {
+		if graceEnded != nil && s.machine != nil && s.machine.Left() {
 			return s.close()
 		}
 	}
 }
 
-// step has the machine take one event, and gathers what it wants.
+// step passes an event to the state machine and collects its output.
 func (s *Store) step(e event, all *cairn.Out) {
-	if e.look != nil { // at what is synced
-		s.looks = append(s.looks, e.look)
+	if e.inspect != nil { // called after the sync, so that it sees only synced state
+		s.inspections = append(s.inspections, e.inspect)
 		return
 	}
 	s.counts.Steps++
@@ -205,7 +212,7 @@
 		s.counts.Asks++
 	}
 	if e.done != nil {
-		s.waiting[e.id] = e
+		s.pending[e.id] = e
 	}
 	out := s.machine.Step(s.now(), e.Event)
 	all.Sync = append(all.Sync, out.Sync...)
@@ -214,52 +221,53 @@
 	all.Compact = all.Compact || out.Compact
 }
 
-// carryOut syncs, and then sends and answers. Where the disk fails, nothing of the step is said.
-func (s *Store) carryOut(ctx context.Context, out *cairn.Out) error {
+// releaseOutput syncs the output's records and then sends its messages and answers. If the disk fails,
+// nothing of the output is released.
+func (s *Store) releaseOutput(ctx context.Context, out *cairn.Out) error {
 	if len(out.Sync) > 0 {
 		batch, err := encode(out.Sync)
 		if err == nil {
-			err = s.onDisk(ctx, func() error { return s.journal.Append(batch) })
+			err = s.runOnDisk(ctx, func() error { return s.journal.Append(batch) })
 		}
 		if err != nil {
 			return fmt.Errorf("disk: %w", err)
 		}
-		s.held = true
+		s.hadRecords = true
 		s.counts.Syncs++
 		s.counts.Records += uint64(len(batch))
 	}
-	s.synced()
-	for _, look := range s.looks {
-		look()
+	s.noteSynced()
+	for _, inspect := range s.inspections {
+		inspect()
 	}
-	s.looks = s.looks[:0]
+	s.inspections = s.inspections[:0]
 	for i := range out.Send {
 		s.send(&out.Send[i])
 	}
 	view := s.machine.View()
-	for _, r := range out.Done {
-		switch r.Outcome {
+	for _, answer := range out.Done {
+		switch answer.Outcome {
 		case cairn.Unavailable:
 			s.counts.Unavailable++
 		case cairn.Unknown:
 			s.counts.Unknown++
 		}
-		if e, ok := s.waiting[r.ID]; ok {
-			delete(s.waiting, r.ID)
-			e.done <- result{r, view}
+		if waiter, ok := s.pending[answer.ID]; ok {
+			delete(s.pending, answer.ID)
+			waiter.done <- result{answer, view}
 		}
 	}
-	if view.No != s.view {
-		s.view = view.No
-		s.log.Info().Uint64("view", view.No).Strs("chain", addrs(view.Chain)).Strs("core", addrs(view.Core)).Msg("view")
+	if view.No != s.loggedView {
+		s.loggedView = view.No
+		s.log.Info().Uint64("view", view.No).Strs("chain", addrs(view.Chain)).Strs("core", addrs(view.Core)).Msg("view changed")
 	}
-	if lost := s.machine.Status().Lost; lost > lostAfter && !s.alone {
-		s.alone = true
+	if lost := s.machine.Status().Lost; lost > majorityLostLogMillis && !s.majorityLostLogged {
+		s.majorityLostLogged = true
 		s.log.Error().Strs("core", addrs(view.Core)).Strs("hears", addrs(s.machine.Status().Hears)).
-			Msg("no majority of the core is heard: orders are refused until one is, or the core is rebuilt")
-	} else if lost == 0 && s.alone {
-		s.alone = false
-		s.log.Info().Msg("a majority of the core is heard again")
+			Msg("no majority of the core is reachable; orders are refused until one is, or until the core is rebuilt")
+	} else if lost == 0 && s.majorityLostLogged {
+		s.majorityLostLogged = false
+		s.log.Info().Msg("a majority of the core is reachable again")
 	}
 	if out.Compact {
 		return s.compact(ctx)
@@ -267,6 +275,7 @@
 	return nil
 }
 
+// addrs returns the addresses of machines.
 func addrs(ids []cairn.Ident) (out []string) {
 	for _, id := range ids {
 		out = append(out, id.Addr)
@@ -274,41 +283,43 @@
 	return out
 }
 
-func (s *Store) send(m *cairn.Message) {
-	if s.counts.Sent++; bulky(m) {
-		if !s.bulk(m) {
+// send sends a message to another machine without waiting for it.
+func (s *Store) send(message *cairn.Message) {
+	if s.counts.Sent++; isBulky(message) {
+		if !s.sendBulk(message) {
 			s.counts.Unsent++
 		}
 		return
 	}
 	s.mu.Lock()
-	p := s.peers[m.To.Addr]
-	if p == nil {
-		p = rpc.NewPeer(m.To.Addr)
-		s.peers[m.To.Addr] = p
+	peer := s.peers[message.To.Addr]
+	if peer == nil {
+		peer = rpc.NewPeer(message.To.Addr)
+		s.peers[message.To.Addr] = peer
 	}
 	s.mu.Unlock()
-	if rpc.Tell(p, *m) != nil {
+	if rpc.Tell(peer, *message) != nil {
 		s.counts.Unsent++
 	}
 }
 
-// message takes what another machine says. One that finds the loop behind is lost, as on a
-// network.
-func (s *Store) message(_ context.Context, m cairn.Message) (waymark.AskStatus, error) {
+// handleMessage receives a message of another machine. If the loop's queue is full, the message is
+// lost, as it could be on the network.
+func (s *Store) handleMessage(_ context.Context, message cairn.Message) (waymark.AskStatus, error) {
 	select {
-	case s.events <- event{Event: cairn.Event{Message: &m}}:
+	case s.events <- event{Event: cairn.Event{Message: &message}}:
 	default:
 	}
 	return waymark.AskStatus{}, nil
 }
 
-// put has the loop take an event that is answered.
-func (s *Store) put(ctx context.Context, e event) (result, error) {
-	return s.putFor(ctx, e, answerMost)
+// request passes an event to the loop and waits for its answer.
+func (s *Store) request(ctx context.Context, e event) (result, error) {
+	return s.requestWithin(ctx, e, answerTimeout)
 }
 
-func (s *Store) putFor(ctx context.Context, e event, most time.Duration) (result, error) {
+// requestWithin is request with a time limit.
+func (s *Store) requestWithin(ctx context.Context, e event, limit time.Duration) (result, error) {
 	done := make(chan result, 1)
 	e.done = done
 	select {
@@ -316,155 +327,159 @@
 	default:
 		return result{}, rpc.Errorf(rpc.Busy, "the store has too much to do")
 	}
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
 	select {
-	case r := <-done:
-		switch r.Outcome {
+	case answer := <-done:
+		switch answer.Outcome {
 		case cairn.OK:
-			return r, nil
+			return answer, nil
 		case cairn.Unavailable:
-			return r, rpc.Errorf(rpc.Unavailable, "the chain takes nothing now")
+			return answer, rpc.Errorf(rpc.Unavailable, "the chain takes nothing now")
 		case cairn.Overtaken:
-			return r, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
+			return answer, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
 		case cairn.Refused:
-			return r, rpc.Errorf(rpc.Conflict, "another order is committed under this number")
+			return answer, rpc.Errorf(rpc.Conflict, "another order is committed under this number")
 		}
-		return r, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
-	case <-late.C:
+		return answer, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return result{}, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
 }
 
-func (s *Store) enter(ctx context.Context, q waymark.Enter) (waymark.Entered, error) {
-	if len(q.Change.Body) > mostChange {
-		return waymark.Entered{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(q.Change.Body))
+// handleEnter handles a call to submit a change.
+func (s *Store) handleEnter(ctx context.Context, request waymark.Enter) (waymark.Entered, error) {
+	if len(request.Change.Body) > maxChangeBytes {
+		return waymark.Entered{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(request.Change.Body))
 	}
 	id := s.lastID.Add(1)
-	_, err := s.put(ctx, event{Event: cairn.Event{Submit: &cairn.Submit{ID: id, Change: q.Change, After: q.After}}, id: id})
+	_, err := s.request(ctx, event{Event: cairn.Event{Submit: &cairn.Submit{ID: id, Change: request.Change, After: request.After}}, id: id})
 	return waymark.Entered{}, err
 }
 
-func (s *Store) confirm(ctx context.Context, q waymark.Confirm) (waymark.Confirmed, error) {
+// handleConfirm handles a call to read the current state.
+func (s *Store) handleConfirm(ctx context.Context, request waymark.Confirm) (waymark.Confirmed, error) {
 	id := s.lastID.Add(1)
-	if q.Recall {
-		return s.recall(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
+	if request.Recall {
+		return s.recallCommitted(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
 	}
-	r, err := s.put(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
+	answer, err := s.request(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
 	if err != nil {
 		return waymark.Confirmed{}, err
 	}
-	c := waymark.Confirmed{View: newerView(r.view, q.View)}
-	if r.State != nil {
-		c.Last = r.State.Last
-		if r.State.Last.Seq > q.Have.Seq {
-			c.State = told(r.State)
+	confirmed := waymark.Confirmed{View: newerView(answer.view, request.View)}
+	if answer.State != nil {
+		confirmed.Last = answer.State.Last
+		if answer.State.Last.Seq > request.Have.Seq {
+			confirmed.State = withoutIdentities(answer.State)
 		}
 	}
-	return c, nil
+	return confirmed, nil
 }
 
-// told is a state for who asks: the identities of configurations are the head's to judge by.
-func told(s *cairn.State) *cairn.State {
-	if s == nil {
+// withoutIdentities returns a state as it is sent to callers: without the identities of
+// configurations, which only the head needs.
+func withoutIdentities(state *cairn.State) *cairn.State {
+	if state == nil {
 		return nil
 	}
-	out := *s
+	out := *state
 	out.Past = nil
 	return &out
 }
 
-// forget has the core forget a machine that is gone for good.
-func (s *Store) forget(ctx context.Context, q waymark.Forget) (waymark.Forgotten, error) {
+// handleForget handles an operator's order to remove a machine that is gone for good from the core.
+func (s *Store) handleForget(ctx context.Context, request waymark.Forget) (waymark.Forgotten, error) {
 	id := s.lastID.Add(1)
-	r, err := s.putFor(ctx, event{Event: cairn.Event{Drop: &cairn.Drop{ID: id, Addr: q.Addr}}, id: id}, forgetMost)
+	answer, err := s.requestWithin(ctx, event{Event: cairn.Event{Drop: &cairn.Drop{ID: id, Addr: request.Addr}}, id: id}, removalTimeout)
 	if err != nil {
 		return waymark.Forgotten{}, err
 	}
-	s.log.Info().Str("address", q.Addr).Msg("forgotten by an order")
-	return waymark.Forgotten{Core: addrs(r.view.Core)}, nil
+	s.log.Info().Str("address", request.Addr).Msg("machine removed from the core by an operator's order")
+	return waymark.Forgotten{Core: addrs(answer.view.Core)}, nil
 }
 
-// rebuild has this machine begin a core of its own, from its copy.
-func (s *Store) rebuild(ctx context.Context, q waymark.Rebuild) (waymark.Rebuilt, error) {
+// handleRebuild handles an operator's order to start a new core from this machine's copy.
+func (s *Store) handleRebuild(ctx context.Context, request waymark.Rebuild) (waymark.Rebuilt, error) {
 	id := s.lastID.Add(1)
-	r, err := s.put(ctx, event{Event: cairn.Event{Rebuild: &cairn.Rebuild{ID: id, Last: q.Last}}, id: id})
+	answer, err := s.request(ctx, event{Event: cairn.Event{Rebuild: &cairn.Rebuild{ID: id, Last: request.Last}}, id: id})
 	if err != nil {
 		return waymark.Rebuilt{}, err
 	}
-	s.log.Warn().Uint64("view", r.view.No).Msg("the core is rebuilt from this copy by an order")
-	return waymark.Rebuilt{View: r.view.No}, nil
+	s.log.Warn().Uint64("view", answer.view.No).Msg("core rebuilt from this machine's copy by an operator's order")
+	return waymark.Rebuilt{View: answer.view.No}, nil
 }
 
-// standing is how the machine stands, in words. On the loop.
-func (s *Store) standing() string {
-	if s.down() {
-		return s.downFor()
+// describe describes the machine's condition in words. It must be called on the loop.
+func (s *Store) describe() string {
+	if s.diskDown() {
+		return s.describeDisk()
 	}
-	st := s.machine.Status()
-	copy, majority := "", ""
-	if st.Whole {
-		copy = ", whole"
+	status := s.machine.Status()
+	completeness, majority := "", ""
+	if status.Whole {
+		completeness = ", whole"
 	}
-	if st.Lost > 0 {
-		majority = fmt.Sprintf(", no majority of the core for %.0f ms", st.Lost)
+	if status.Lost > 0 {
+		majority = fmt.Sprintf(", no majority of the core for %.0f ms", status.Lost)
 	}
-	return fmt.Sprintf("%s, holds %d.%d%s, committed %d, leases %.0f ms, hears %v%s", st.Role, st.Last.View, st.Last.Seq, copy, st.Committed.Seq,
-		st.Leased, addrs(st.Hears), majority)
+	return fmt.Sprintf("%s, holds %d.%d%s, committed %d, leases %.0f ms, hears %v%s", status.Role, status.Last.View, status.Last.Seq, completeness, status.Committed.Seq,
+		status.Leased, addrs(status.Hears), majority)
 }
 
-// newerView is a view, if it is newer than the one held.
-func newerView(v cairn.View, held uint64) *cairn.View {
-	if v.No <= held {
+// newerView returns a view if it is newer than the caller's.
+func newerView(view cairn.View, knownNumber uint64) *cairn.View {
+	if view.No <= knownNumber {
 		return nil
 	}
-	return &v
+	return &view
 }
 
-// recall asks the tail, and where that does not answer soon says what this machine knows to be
-// committed. After a loss of all power gatekeepers that have just started need not wait for the
-// chain to mend: they held nothing, so nothing goes back.
-func (s *Store) recall(ctx context.Context, e event) (waymark.Confirmed, error) {
-	soon, cancel := context.WithTimeout(ctx, recallAfter)
-	r, err := s.put(soon, e)
+// recallCommitted asks the tail, and if there is no quick answer returns what this machine knows to be
+// committed. After a power loss of the whole site, gatekeepers that have just started need not wait
+// for the chain to recover: they held nothing before, so an older state does not take them back.
+func (s *Store) recallCommitted(ctx context.Context, e event) (waymark.Confirmed, error) {
+	tailCtx, cancel := context.WithTimeout(ctx, recallDelay)
+	answer, err := s.request(tailCtx, e)
 	cancel()
 	if err == nil {
-		return waymark.Confirmed{View: newerView(r.view, 0), Last: r.State.Last, State: told(r.State)}, nil
+		return waymark.Confirmed{View: newerView(answer.view, 0), Last: answer.State.Last, State: withoutIdentities(answer.State)}, nil
 	}
-	got := make(chan waymark.Confirmed, 1)
-	look := event{look: func() {
-		got <- waymark.Confirmed{View: newerView(s.known.view, 0), State: told(s.known.state), Recalled: true}
+	answers := make(chan waymark.Confirmed, 1)
+	inspection := event{inspect: func() {
+		answers <- waymark.Confirmed{View: newerView(s.known.view, 0), State: withoutIdentities(s.known.state), Recalled: true}
 	}}
 	select {
-	case s.events <- look:
+	case s.events <- inspection:
 	case <-ctx.Done():
 	}
 	select {
-	case c := <-got:
-		return c, nil
+	case confirmed := <-answers:
+		return confirmed, nil
 	case <-ctx.Done():
 		return waymark.Confirmed{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
 }
 
-func (s *Store) status(ctx context.Context, _ waymark.AskStatus) (waymark.Status, error) {
-	got := make(chan waymark.Status, 1)
+// handleStatus handles a call for a description of the machine's condition.
+func (s *Store) handleStatus(ctx context.Context, _ waymark.AskStatus) (waymark.Status, error) {
+	answers := make(chan waymark.Status, 1)
 	select {
-	case s.events <- event{look: func() {
-		v := s.known.view
-		got <- waymark.Status{Lines: []string{
-			"station " + s.set.Station,
-			fmt.Sprintf("view %d chain %v core %v", v.No, addrs(v.Chain), addrs(v.Core)),
-			s.standing(),
+	case s.events <- event{inspect: func() {
+		view := s.known.view
+		answers <- waymark.Status{Lines: []string{
+			"station " + s.settings.Station,
+			fmt.Sprintf("view %d chain %v core %v", view.No, addrs(view.Chain), addrs(view.Core)),
+			s.describe(),
 			fmt.Sprintf("disk %d bytes", s.size),
 		}}
 	}}:
 	case <-ctx.Done():
 	}
 	select {
-	case st := <-got:
-		return st, nil
+	case status := <-answers:
+		return status, nil
 	case <-ctx.Done():
 		return waymark.Status{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,58 +18,59 @@
 	"foxwood/internal/waymark"
 )
 
-// patience is how long anything is waited for: only what never comes takes that long.
-const patience = 60 * time.Second
+// waitLimit is the time limit for anything the tests wait for. Only a failure takes that long.
+const waitLimit = 60 * time.Second
 
-// disk is the machine's own, with a hook before each sync: no call of a recordlog's returns before
-// its sync, which its own tests show.
-type disk struct {
+// hookedJournal is a real journal with a hook before each write. That no call of a
+// recordlog.Journal returns before its sync is covered by that package's tests.
+type hookedJournal struct {
 	*recordlog.Journal
-	sync func() error
+	beforeWrite func() error
 }
 
-func (d *disk) Append(records [][]byte) error {
-	if err := d.sync(); err != nil {
+func (d *hookedJournal) Append(records [][]byte) error {
+	if err := d.beforeWrite(); err != nil {
 		return err
 	}
 	return d.Journal.Append(records)
 }
 
-func (d *disk) Replace(records [][]byte) error {
-	if err := d.sync(); err != nil {
+func (d *hookedJournal) Replace(records [][]byte) error {
+	if err := d.beforeWrite(); err != nil {
 		return err
 	}
 	return d.Journal.Replace(records)
 }
 
-// settings are those of a machine whose first start has the seeds' machines; none but itself else.
+// settings returns the settings of a machine at its first start, with only itself as a seed by
+// default.
 func settings(t *testing.T, seeds ...string) *bootconfig.Settings {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free
 	assert.NilError(t, err)
-	port := ln.Addr().(*net.TCPAddr).Port
-	assert.NilError(t, ln.Close())
+	port := listener.Addr().(*net.TCPAddr).Port
+	assert.NilError(t, listener.Close())
 	if seeds == nil {
 		seeds = []string{"127.0.0.1:1"}
 	}
-	return &bootconfig.Settings{Station: "s", IP: "127.0.0.1", InnerDocks: []int{port - dock, port}, FirstStations: seeds, FirstRun: true,
+	return &bootconfig.Settings{Station: "s", IP: "127.0.0.1", InnerDocks: []int{port - innerDockIndex, port}, FirstStations: seeds, FirstRun: true,
 		ArchiveDir: t.TempDir()}
 }
 
-// open makes a store on a disk with a hook.
-func open(t *testing.T, set *bootconfig.Settings, sync func() error) *Store {
+// open creates a store on a disk with a hook.
+func open(t *testing.T, settings *bootconfig.Settings, sync func() error) *Store {
 	t.Helper()
 	s, err := newOn(func(dir string) (journal, [][]byte, error) {
 		j, records, err := recordlog.Open(dir)
-		return &disk{j, sync}, records, err
-	}, set, zerolog.Nop())
+		return &hookedJournal{j, sync}, records, err
+	}, settings, zerolog.Nop())
 	assert.NilError(t, err)
 	return s
 }
 
-func fine() error { return nil }
+func noFault() error { return nil }
 
-// run has the loop run until the test's end, or until end is called.
+// run runs the loop until the end of the test or until end is called.
 func run(t *testing.T, s *Store) (end func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,29 +79,29 @@
 	t.Cleanup(cancel)
 	return func() error {
 		cancel()
-		return next(t, over)
+		return receive(t, over)
 	}
 }
 
-func next[T any](t *testing.T, from <-chan T) (v T) {
+func receive[T any](t *testing.T, channel <-chan T) (value T) {
 	t.Helper()
 	select {
-	case v = <-from:
-	case <-time.After(patience):
-		t.Fatal("what was waited for did not come")
+	case value = <-channel:
+	case <-time.After(waitLimit):
+		t.Fatal("nothing received within 60 s")
 	}
-	return v
+	return value
 }
 
 func configuration(edition uint64) waymark.Enter {
 	return waymark.Enter{Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
 }
 
-// enter brings a change in; a chain that is coming up, or a busy machine, may take some askings.
+// enter submits a change. It retries while the chain is starting or the machine is busy.
 func enter(t *testing.T, s *Store, q waymark.Enter) {
 	t.Helper()
-	for until := time.Now().Add(patience); ; {
-		_, err := s.enter(t.Context(), q)
+	for until := time.Now().Add(waitLimit); ; {
+		_, err := s.handleEnter(t.Context(), q)
 		if err == nil {
 			return
 		}
@@ -112,8 +113,8 @@
 
 func confirm(t *testing.T, s *Store, q waymark.Confirm) waymark.Confirmed {
 	t.Helper()
-	for until := time.Now().Add(patience); ; {
-		c, err := s.confirm(t.Context(), q)
+	for until := time.Now().Add(waitLimit); ; {
+		c, err := s.handleConfirm(t.Context(), q)
 		if err == nil {
 			return c
 		}
@@ -123,10 +124,10 @@
 	}
 }
 
-// TestAnAcknowledgedChangeOutlastsTheProcess, on a real disk.
-func TestAnAcknowledgedChangeOutlastsTheProcess(t *testing.T) {
+// TestAcknowledgedChangeSurvivesRestart restarts a store on a real disk.
+func TestAcknowledgedChangeSurvivesRestart(t *testing.T) {
 	set := settings(t)
-	s := open(t, set, fine)
+	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
 	enter(t, s, waymark.Enter{Change: cairn.Change{Kind: cairn.Evacuate, Zone: "a1"}})
@@ -135,7 +136,7 @@
 	assert.NilError(t, end())
 
 	set.FirstRun = false
-	s = open(t, set, fine)
+	s = open(t, set, noFault)
 	end = run(t, s)
 	again := confirm(t, s, waymark.Confirm{})
 	assert.Equal(t, string(again.State.Body), "edition 7")
@@ -148,9 +149,9 @@
 	assert.NilError(t, end())
 }
 
-// TestWhatIsKnownIsNotToldAgain: the state comes only to who lacks it.
-func TestWhatIsKnownIsNotToldAgain(t *testing.T) {
-	s := open(t, settings(t), fine)
+// TestKnownStateIsNotSentAgain checks that the state is returned only to callers that lack it.
+func TestKnownStateIsNotSentAgain(t *testing.T) {
+	s := open(t, settings(t), noFault)
 	run(t, s)
 	enter(t, s, configuration(1))
 	c := confirm(t, s, waymark.Confirm{})
@@ -161,13 +162,13 @@
 	again := confirm(t, s, waymark.Confirm{Have: c.Last})
 	assert.Assert(t, again.State == nil)
 	assert.Equal(t, again.Last, c.Last)
-	_, err := s.enter(t.Context(), waymark.Enter{Change: cairn.Change{Body: make([]byte, mostChange+1)}})
+	_, err := s.handleEnter(t.Context(), waymark.Enter{Change: cairn.Change{Body: make([]byte, maxChangeBytes+1)}})
 	assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 }
 
-// TestNothingIsSaidBeforeTheSync: at the moment of a sync nothing of its step has gone out or
-// been answered, and where the sync fails nothing ever is.
-func TestNothingIsSaidBeforeTheSync(t *testing.T) {
+// TestNothingIsSentBeforeSync checks that at the time of a sync nothing of its step has been
+// sent or answered, and that if the sync fails nothing ever is.
+func TestNothingIsSentBeforeSync(t *testing.T) {
 	heard := make(chan cairn.Message, 9)
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -191,15 +192,15 @@
 			return nil
 		})
 		done, looked, syncs := make(chan result, 1), 0, 0
-		s.waiting[1] = event{done: done}
-		s.looks = append(s.looks, func() { looked++ })
+		s.pending[1] = event{done: done}
+		s.inspections = append(s.inspections, func() { looked++ })
 		during = func() {
 			syncs++
 			assert.Check(t, len(done) == 0 && looked == 0 && s.counts.Sent == 0 && len(s.peers) == 0)
 		}
 		out := cairn.Out{Sync: []cairn.Record{{Committed: 1}}, Done: []cairn.Result{{ID: 1}},
 			Send: []cairn.Message{{To: cairn.Ident{Addr: ln.Addr().String()}, Beat: &cairn.Beat{View: 3}}}}
-		err := s.carryOut(t.Context(), &out)
+		err := s.releaseOutput(t.Context(), &out)
 		assert.Assert(t, syncs > 0)
 		if fails {
 			assert.ErrorIs(t, err, broken)
@@ -209,24 +210,24 @@
 		}
 		assert.NilError(t, err)
 		assert.Assert(t, len(done) == 1 && looked == 1)
-		assert.Equal(t, next(t, heard).Beat.View, uint64(3))
+		assert.Equal(t, receive(t, heard).Beat.View, uint64(3))
 	}
 }
 
-// TestRecall: where the tail is silent, who holds nothing yet is told what this disk knows; who
-// does not ask for that is told nothing.
+// TestRecall checks that if the tail does not answer, a caller that holds nothing yet gets what
+// this disk knows, but only if it asks for that.
 func TestRecall(t *testing.T) {
 	t.Parallel()
 	set := settings(t)
-	s := open(t, set, fine)
+	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
-	asked := confirm(t, s, waymark.Confirm{})
-	enter(t, s, configuration(7)) // the disk knows of the one before that it is committed
+	confirmed := confirm(t, s, waymark.Confirm{})
+	enter(t, s, configuration(7)) // its record tells that the previous change is committed
 	assert.NilError(t, end())
-	self := asked.View.Core[0]
+	self := confirmed.View.Core[0]
 	three := []cairn.Ident{self, {Addr: "127.0.0.2:1", Disk: "two"}, {Addr: "127.0.0.3:1", Disk: "three"}}
-	batch, err := encode([]cairn.Record{{View: &cairn.ViewRecord{View: cairn.View{No: asked.View.No + 1, Chain: three, Core: three}, Whole: true}}})
+	batch, err := encode([]cairn.Record{{View: &cairn.ViewRecord{View: cairn.View{No: confirmed.View.No + 1, Chain: three, Core: three}, Whole: true}}})
 	assert.NilError(t, err)
 	journal, _, err := recordlog.Open(set.ArchiveDir)
 	assert.NilError(t, err)
@@ -234,50 +235,51 @@
 	assert.NilError(t, journal.Close())
 
 	set.FirstRun = false
-	s = open(t, set, fine)
+	s = open(t, set, noFault)
 	run(t, s)
 	known := confirm(t, s, waymark.Confirm{Recall: true})
 	assert.Assert(t, known.Recalled)
 	assert.Equal(t, known.State.Edition, uint64(7))
 	assert.Equal(t, string(known.State.Body), "edition 7")
-	_, err = s.confirm(t.Context(), waymark.Confirm{})
-	assert.Assert(t, err != nil, "what the disk knows is no word of a tail")
+	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
+	assert.Assert(t, err != nil, "local knowledge was returned as the tail's answer")
 
-	// A first start whose two others never come up.
+	// A first start at which the two other machines never start.
 	set = settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1")
-	lone := open(t, set, fine)
+	lone := open(t, set, noFault)
 	run(t, lone)
 	c := confirm(t, lone, waymark.Confirm{Recall: true})
 	assert.Assert(t, c.Recalled)
 	assert.Assert(t, c.State == nil || len(c.State.Body) == 0)
-	_, err = lone.confirm(t.Context(), waymark.Confirm{})
-	assert.Assert(t, err != nil, "without the others there is no word of a tail")
-	_, err = lone.enter(t.Context(), configuration(1))
-	k := rpc.KindOf(err)
-	assert.Assert(t, err != nil && (k == rpc.Unavailable || k == rpc.Unknown), "%v", err)
+	_, err = lone.handleConfirm(t.Context(), waymark.Confirm{})
+	assert.Assert(t, err != nil, "a read succeeded without the other machines")
+	_, err = lone.handleEnter(t.Context(), configuration(1))
+	kind := rpc.KindOf(err)
+	assert.Assert(t, err != nil && (kind == rpc.Unavailable || kind == rpc.Unknown), "%v", err)
 }
 
-// TestAFullQueueIsBusy at once: a caller can go to another machine.
-func TestAFullQueueIsBusy(t *testing.T) {
-	s := open(t, settings(t), fine) // nobody runs its loop
-	for range queueMost {
-		_, err := s.message(t.Context(), cairn.Message{})
+// TestFullQueueIsBusy checks that a caller is refused at once if the queue is full, so that it can
+// ask another machine.
+func TestFullQueueIsBusy(t *testing.T) {
+	s := open(t, settings(t), noFault) // its loop is not running
+	for range maxQueue {
+		_, err := s.handleMessage(t.Context(), cairn.Message{})
 		assert.NilError(t, err)
 	}
-	_, err := s.message(t.Context(), cairn.Message{}) // is lost, and holds nobody up
+	_, err := s.handleMessage(t.Context(), cairn.Message{}) // dropped without blocking the sender
 	assert.NilError(t, err)
-	_, err = s.enter(t.Context(), configuration(1))
+	_, err = s.handleEnter(t.Context(), configuration(1))
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
-	_, err = s.confirm(t.Context(), waymark.Confirm{})
+	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = s.confirm(ctx, waymark.Confirm{Recall: true})
+	_, err = s.handleConfirm(ctx, waymark.Confirm{Recall: true})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unknown)
 }
 
-// TestADiskIsNeeded, and one that can't be read is named.
-func TestADiskIsNeeded(t *testing.T) {
+// TestDiskIsRequired checks the errors for a missing directory and for one that cannot be read.
+func TestDiskIsRequired(t *testing.T) {
 	set := settings(t)
 	set.ArchiveDir = ""
 	_, err := New(set, zerolog.Nop())
@@ -287,18 +289,18 @@
 	assert.ErrorContains(t, err, "disk: ")
 }
 
-// TestForget: an order about an address that the core has not, or has and hears; and what was
-// asked is counted.
-func TestForget(t *testing.T) {
+// TestForgetMachine checks orders to remove a machine that is not in the core and one that is
+// running, and that requests are counted.
+func TestForgetMachine(t *testing.T) {
 	set := settings(t)
-	s := open(t, set, fine)
+	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(1))
 	confirm(t, s, waymark.Confirm{})
-	f, err := s.forget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
+	f, err := s.handleForget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, f.Core, []string{set.Inner(dock)})
-	_, err = s.forget(t.Context(), waymark.Forget{Addr: set.Inner(dock)})
+	assert.DeepEqual(t, f.Core, []string{set.Inner(innerDockIndex)})
+	_, err = s.handleForget(t.Context(), waymark.Forget{Addr: set.Inner(innerDockIndex)})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 	assert.NilError(t, end())
 	assert.Assert(t, s.counts.Submits >= 1 && s.counts.Asks >= 1)
