--- a/internal/cairn/catchup_test.go
+++ b/internal/cairn/catchup_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestSnapshotAcceptance checks which snapshots are accepted: the view number and the stamp of the
+// TestSnapshotAcceptance checks which snapshots are accepted: the view number and the position of the
 // last entry decide.
 func TestSnapshotAcceptance(t *testing.T) {
 	d2 := Ident{"d:1", "two"}
@@ -247,7 +247,7 @@
 				m.Step(1010+float64(i), received(a1, c.self, Message{Fill: &f}))
 			}
 			o := m.Step(1100, received(c.from, c.self, Message{Fill: &c.fill}))
-			assert.Equal(t, m.lastStamp().Seq, c.last)
+			assert.Equal(t, m.lastPosition().Seq, c.last)
 			assert.Equal(t, m.committed.Last.Seq, c.base)
 			if c.self == d2 {
 				assert.Assert(t, !m.isComplete(), "a machine outside the chain must not count as complete")
@@ -257,7 +257,7 @@
 			for _, r := range o.Sync {
 				if r.Whole != nil {
 					again := New(Config{Self: Ident{Addr: c.self.Addr}, Seed: 8}, append(disk, o.Sync...), 0)
-					assert.Equal(t, again.lastStamp(), m.lastStamp())
+					assert.Equal(t, again.lastPosition(), m.lastPosition())
 				}
 			}
 		})
--- a/internal/cairn/chain.go
+++ b/internal/cairn/chain.go
@@ -28,11 +28,11 @@
 // pendingChange is a change requested by a local caller that is not answered yet.
 type pendingChange struct {
 	Submit
-	deadline   float64
-	sentAt     float64
-	sentInView uint64
-	knownStamp Stamp
-	everSent   bool
+	deadline      float64
+	sentAt        float64
+	sentInView    uint64
+	knownPosition Stamp
+	everSent      bool
 }
 
 // pendingRead is a read requested by a local caller that is not answered yet.
@@ -59,8 +59,8 @@
 	return n > 0 && m.view.Chain[n-1] == m.self
 }
 
-// lastStamp returns the stamp of the newest entry held, committed or not.
-func (m *Machine) lastStamp() Stamp {
+// lastPosition returns the position of the newest entry held, committed or not.
+func (m *Machine) lastPosition() Stamp {
 	if n := len(m.uncommitted); n > 0 {
 		return m.uncommitted[n-1].Stamp
 	}
@@ -72,14 +72,14 @@
 	return Whole{State: m.committed, Tail: slices.Clone(m.uncommitted)}
 }
 
-// findEntry looks up a stamp in the log. It returns 0 for the last committed entry and i for the i-th
-// uncommitted entry after it.
-func (m *Machine) findEntry(stamp Stamp) (int, bool) {
-	if stamp == m.committed.Last {
+// findEntry looks up a position in the log. It returns 0 for the last committed entry and i for the
+// i-th uncommitted entry after it.
+func (m *Machine) findEntry(position Stamp) (int, bool) {
+	if position == m.committed.Last {
 		return 0, true
 	}
 	for i, e := range m.uncommitted {
-		if e.Stamp == stamp {
+		if e.Stamp == position {
 			return i + 1, true
 		}
 	}
@@ -89,17 +89,17 @@
 // openView writes the opening entry of a view at the head. Once the tail has that entry, it holds
 // everything the head held. At the tail it commits what a restart left uncommitted.
 func (m *Machine) openView() {
-	if m.chainIndex() == 0 && m.lastStamp().View != m.view.No && m.isComplete() {
+	if m.chainIndex() == 0 && m.lastPosition().View != m.view.No && m.isComplete() {
 		m.appendAtHead(Change{Kind: OpenView})
 	}
-	if len(m.uncommitted) > 0 && m.isTail() && m.lastStamp().View == m.view.No {
-		m.commitThrough(m.lastStamp()) // after a restart: all members above this one hold what it holds
+	if len(m.uncommitted) > 0 && m.isTail() && m.lastPosition().View == m.view.No {
+		m.commitThrough(m.lastPosition()) // after a restart: all members above this one hold what it holds
 	}
 }
 
 // appendAtHead appends a change at the head as a new entry and propagates it.
 func (m *Machine) appendAtHead(change Change) Stamp {
-	prev := m.lastStamp()
+	prev := m.lastPosition()
 	entry := Entry{Stamp: Stamp{Seq: prev.Seq + 1, View: m.view.No}, Prev: prev, Change: change}
 	m.appendEntry(entry)
 	m.propagate()
@@ -115,8 +115,8 @@
 // propagate propagates newly appended entries: down the chain, or, at the tail, by committing them.
 func (m *Machine) propagate() {
 	if m.isTail() {
-		if m.lastStamp().View == m.view.No {
-			m.commitThrough(m.lastStamp())
+		if m.lastPosition().View == m.view.No {
+			m.commitThrough(m.lastPosition())
 		}
 		return
 	}
@@ -126,7 +126,7 @@
 // sendToSuccessor sends the successor the entries that it has not been sent yet.
 func (m *Machine) sendToSuccessor() {
 	index := m.chainIndex()
-	if index < 0 || index+1 >= len(m.view.Chain) || m.lastStamp().View != m.view.No || m.sentLast == m.lastStamp() {
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.No || m.sentLast == m.lastPosition() {
 		return
 	}
 	first := len(m.uncommitted) - 1
@@ -140,15 +140,15 @@
 // the range sends an empty Append.
 func (m *Machine) sendEntriesFrom(first int) {
 	index := m.chainIndex()
-	if index < 0 || index+1 >= len(m.view.Chain) || m.lastStamp().View != m.view.No {
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.No {
 		return
 	}
 	if first < 0 || first >= len(m.uncommitted) {
-		m.sentLast, m.sentAt = m.lastStamp(), m.now
+		m.sentLast, m.sentAt = m.lastPosition(), m.now
 		m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No}})
 		return
 	}
-	m.sentLast, m.sentAt = m.lastStamp(), m.now
+	m.sentLast, m.sentAt = m.lastPosition(), m.now
 	m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted[first:])}})
 }
 
@@ -157,19 +157,19 @@
 // is set, the successor has detected missing entries itself; otherwise the missing entries may
 // still be on their way.
 func (m *Machine) handleSuccessorPosition(position Stamp, gap bool) {
-	if m.lastStamp().View != m.view.No || m.chainIndex() < 0 || position.View == m.view.No && position.Seq < m.committed.Last.Seq {
+	if m.lastPosition().View != m.view.No || m.chainIndex() < 0 || position.View == m.view.No && position.Seq < m.committed.Last.Seq {
 		return // a report below the committed entries is outdated: all members hold those
 	}
 	firstReport := m.successorLast == Stamp{}
 	m.successorLast = position
 	index, known := m.findEntry(position)
 	switch {
-	case known && position == m.lastStamp():
+	case known && position == m.lastPosition():
 	case known && position == (Stamp{}):
 		// The successor holds nothing and nothing was ever committed. sendToSuccessor cannot tell
 		// this from a successor that has not reported yet, so all entries are sent here.
 		if gap || m.now-m.sentAt >= m.config.Again {
-			m.sentLast, m.sentAt = m.lastStamp(), m.now
+			m.sentLast, m.sentAt = m.lastPosition(), m.now
 			m.send(m.view.Chain[m.chainIndex()+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted)}})
 		}
 	case known:
@@ -179,7 +179,7 @@
 			m.sendEntriesFrom(index)
 		}
 	case m.now-m.snapshotSentAt >= m.config.Again:
-		m.sentLast, m.sentAt, m.snapshotSentAt = m.lastStamp(), m.now, m.now
+		m.sentLast, m.sentAt, m.snapshotSentAt = m.lastPosition(), m.now, m.now
 		m.send(m.view.Chain[m.chainIndex()+1], Message{Fill: &Fill{View: m.view.No, Whole: m.logSnapshot()}})
 	}
 }
@@ -204,7 +204,7 @@
 		if _, ok := m.findEntry(entry.Stamp); ok {
 			continue
 		}
-		if entry.Prev != m.lastStamp() && !(m.faults.skipPrevCheck && entry.Seq > m.lastStamp().Seq) {
+		if entry.Prev != m.lastPosition() && !(m.faults.skipPrevCheck && entry.Seq > m.lastPosition().Seq) {
 			gap = true
 			break
 		}
@@ -224,7 +224,7 @@
 // entries were missing.
 func (m *Machine) acknowledgeOrReportGap(gap bool) {
 	if index := m.chainIndex(); index > 0 {
-		m.send(m.view.Chain[index-1], Message{Appended: &Appended{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last, Gap: gap}})
+		m.send(m.view.Chain[index-1], Message{Appended: &Appended{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last, Gap: gap}})
 	}
 }
 
@@ -253,8 +253,8 @@
 	if length := len(msg.Whole.Tail); length > 0 {
 		last = msg.Whole.Tail[length-1].Stamp
 	}
-	needed := index > 0 && m.lastStamp().View != m.view.No || index < 0 && !m.hasSnapshot
-	if !needed && last.Seq <= m.lastStamp().Seq && !m.faults.acceptLateSnapshot || last.Seq < m.committed.Last.Seq {
+	needed := index > 0 && m.lastPosition().View != m.view.No || index < 0 && !m.hasSnapshot
+	if !needed && last.Seq <= m.lastPosition().Seq && !m.faults.acceptLateSnapshot || last.Seq < m.committed.Last.Seq {
 		m.hasSnapshot = true
 		if index > 0 {
 			m.acknowledge()
@@ -283,13 +283,13 @@
 	}
 }
 
-// commitThrough commits all entries up to a stamp that another member reports as committed, provided
+// commitThrough commits all entries up to a position that another member reports as committed, provided
 // this log holds that entry.
-func (m *Machine) commitThrough(stamp Stamp) {
-	if index, ok := m.findEntry(stamp); !ok || index == 0 {
+func (m *Machine) commitThrough(position Stamp) {
+	if index, ok := m.findEntry(position); !ok || index == 0 {
 		return
 	}
-	m.applyThrough(stamp.Seq)
+	m.applyThrough(position.Seq)
 	m.output.Changed = true
 	m.acknowledge()
 	m.answerCommitted()
@@ -349,12 +349,12 @@
 // answerCommitted answers the requests that waited for what is now committed.
 func (m *Machine) answerCommitted() {
 	bySequence := func(a, b Stamp) int { return cmp.Compare(a.Seq, b.Seq) } // a fixed order keeps runs with the same seed identical
-	for _, stamp := range slices.SortedFunc(maps.Keys(m.waitingCallers), bySequence) {
-		if stamp.Seq <= m.committed.Last.Seq {
-			for _, waiter := range m.waitingCallers[stamp] {
+	for _, position := range slices.SortedFunc(maps.Keys(m.waitingCallers), bySequence) {
+		if position.Seq <= m.committed.Last.Seq {
+			for _, waiter := range m.waitingCallers[position] {
 				m.send(waiter.from, Message{Entered: &Entered{ID: waiter.id, Life: waiter.incarnation}})
 			}
-			delete(m.waitingCallers, stamp)
+			delete(m.waitingCallers, position)
 		}
 	}
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
@@ -368,7 +368,7 @@
 
 // queueChange queues a change; resend sends it to the head.
 func (m *Machine) queueChange(request Submit) {
-	m.pendingChanges = append(m.pendingChanges, &pendingChange{Submit: request, deadline: m.now + m.config.Answer, sentAt: -1e18, knownStamp: request.After})
+	m.pendingChanges = append(m.pendingChanges, &pendingChange{Submit: request, deadline: m.now + m.config.Answer, sentAt: -1e18, knownPosition: request.After})
 }
 
 // queueRead queues a read; resend sends it to the tail.
@@ -388,12 +388,12 @@
 			m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: outcome})
 			return true
 		}
-		if change.After == (Stamp{}) && change.knownStamp.less(m.committed.Last) {
-			change.knownStamp = m.committed.Last
+		if change.After == (Stamp{}) && change.knownPosition.less(m.committed.Last) {
+			change.knownPosition = m.committed.Last
 		}
 		if length := len(m.view.Chain); length > 0 && (m.now-change.sentAt >= m.config.Again || change.sentInView != m.view.No) {
 			change.sentAt, change.sentInView, change.everSent = m.now, m.view.No, true
-			m.send(m.view.Chain[0], Message{Enter: &Enter{ID: change.ID, Life: m.incarnation, After: change.knownStamp, Change: change.Change}})
+			m.send(m.view.Chain[0], Message{Enter: &Enter{ID: change.ID, Life: m.incarnation, After: change.knownPosition, Change: change.Change}})
 		}
 		return false
 	})
@@ -408,7 +408,7 @@
 		}
 		return false
 	})
-	if index := m.chainIndex(); index >= 0 && !m.isTail() && m.lastStamp().View == m.view.No && m.successorLast != m.lastStamp() && m.now-m.sentAt >= m.config.Again {
+	if index := m.chainIndex(); index >= 0 && !m.isTail() && m.lastPosition().View == m.view.No && m.successorLast != m.lastPosition() && m.now-m.sentAt >= m.config.Again {
 		if m.successorLast == (Stamp{}) {
 			m.sentLast = Stamp{}
 			m.sendToSuccessor()
@@ -425,7 +425,7 @@
 // is refused. While the number is used by an uncommitted entry, a different order waits, since it
 // is not yet known which of them will be committed.
 func (m *Machine) handleForwardedChange(from Ident, msg Enter) {
-	if m.chainIndex() != 0 || m.lastStamp().View != m.view.No || msg.Change.Kind == OpenView || msg.Change.Kind == Repeat {
+	if m.chainIndex() != 0 || m.lastPosition().View != m.view.No || msg.Change.Kind == OpenView || msg.Change.Kind == Repeat {
 		return
 	}
 	waiter := caller{from, msg.ID, msg.Life}
@@ -456,14 +456,14 @@
 		}
 	}
 	if msg.Change.changesZone() && msg.After.less(lastZoneChange) && !m.faults.acceptLateChanges {
-		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Stale: m.lastStamp()}})
+		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Stale: m.lastPosition()}})
 		return
 	}
 	if len(m.uncommitted) >= m.config.Window {
 		return
 	}
-	stamp := Stamp{Seq: m.lastStamp().Seq + 1, View: m.view.No}
-	m.waitingCallers[stamp] = append(m.waitingCallers[stamp], waiter) // before the write, because a chain of one commits within it
+	position := Stamp{Seq: m.lastPosition().Seq + 1, View: m.view.No}
+	m.waitingCallers[position] = append(m.waitingCallers[position], waiter) // before the write, because a chain of one commits within it
 	m.appendAtHead(msg.Change)
 	if m.faults.ackEarly {
 		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life}})
@@ -484,8 +484,8 @@
 			return true
 		}
 		if msg.Stale != (Stamp{}) {
-			if change.knownStamp.less(msg.Stale) {
-				change.knownStamp, change.sentAt = msg.Stale, -1e18
+			if change.knownPosition.less(msg.Stale) {
+				change.knownPosition, change.sentAt = msg.Stale, -1e18
 			}
 			return false
 		}
--- a/internal/cairn/machine.go
+++ b/internal/cairn/machine.go
@@ -133,7 +133,7 @@
 	if snapshot := record.Whole; snapshot != nil {
 		m.committed, m.uncommitted = snapshot.State, slices.Clone(snapshot.Tail)
 	}
-	if entry := record.Entry; entry != nil && entry.Prev == m.lastStamp() {
+	if entry := record.Entry; entry != nil && entry.Prev == m.lastPosition() {
 		m.uncommitted = append(m.uncommitted, *entry)
 	}
 	if record.Committed > 0 {
@@ -324,7 +324,7 @@
 
 // Status returns a report on the machine's current condition.
 func (m *Machine) Status() Status {
-	status := Status{Self: m.self, View: m.view, Last: m.lastStamp(), Committed: m.committed.Last, Lag: len(m.uncommitted),
+	status := Status{Self: m.self, View: m.view, Last: m.lastPosition(), Committed: m.committed.Last, Lag: len(m.uncommitted),
 		Leased: max(0, m.leasedUntil()-m.now), Whole: m.isComplete(), Lost: m.majorityLostFor(), Role: "joining"}
 	for _, member := range m.view.Core {
 		if member != m.self && m.isReachable(member) {
--- a/internal/cairn/machine_test.go
+++ b/internal/cairn/machine_test.go
@@ -144,7 +144,7 @@
 		assert.Equal(t, m.State().Last, Stamp{1, 1})
 		m.Step(1020, received(b1, c1, Message{News: &View{No: 2, Chain: []Ident{b1, c1}, Core: m.View().Core}}))
 		o := m.Step(1030, received(b1, c1, Message{Append: &Append{View: 1, Entries: []Entry{{Stamp: Stamp{2, 1}, Prev: e.Stamp, Change: putChange(1)}}}}))
-		assert.Equal(t, m.lastStamp() == Stamp{1, 1}, !f.acceptOldViews)
+		assert.Equal(t, m.lastPosition() == Stamp{1, 1}, !f.acceptOldViews)
 		assert.Equal(t, len(sentParts(o, func(g Message) *View { return g.News })) == 1, !f.acceptOldViews)
 	}
 }
@@ -158,9 +158,9 @@
 		late := Message{Fill: &Fill{View: 1, Whole: Whole{Tail: []Entry{e}}}}
 		m.Step(1010, received(a1, b1, late))
 		m.Step(1020, received(a1, b1, Message{Append: &Append{View: 1, Entries: []Entry{{Stamp: Stamp{2, 1}, Prev: e.Stamp, Change: putChange(1)}}}}))
-		assert.Equal(t, m.lastStamp(), Stamp{2, 1})
+		assert.Equal(t, m.lastPosition(), Stamp{2, 1})
 		m.Step(1030, received(a1, b1, late))
-		assert.Equal(t, m.lastStamp() == Stamp{2, 1}, !f.acceptLateSnapshot)
+		assert.Equal(t, m.lastPosition() == Stamp{2, 1}, !f.acceptLateSnapshot)
 	}
 }
 
@@ -215,7 +215,7 @@
 func TestEmptySuccessorIsSentAllEntries(t *testing.T) {
 	m, _ := newMachine(t, a1, faults{})
 	m.Step(1010, received(c1, a1, Message{Enter: &Enter{ID: 1, Life: 1, Change: putChange(3)}}))
-	assert.Equal(t, m.lastStamp().Seq, uint64(2))
+	assert.Equal(t, m.lastPosition().Seq, uint64(2))
 	o := m.Step(1020, received(b1, a1, Message{Appended: &Appended{View: 1, Gap: true}}))
 	got := sentParts(o, func(g Message) *Append { return g.Append })
 	assert.Equal(t, len(got), 1)
--- a/internal/cairn/order_identity_test.go
+++ b/internal/cairn/order_identity_test.go
@@ -94,9 +94,9 @@
 			return sentParts(m.Step(1020, received(c1, a1, Message{Enter: &Enter{ID: id, Life: 5, Change: c}})), func(g Message) *Entered { return g.Entered })
 		}
 		assert.Equal(t, len(forward(1, newChange(4, "one"))), 0)
-		held := m.lastStamp()
+		held := m.lastPosition()
 		assert.Equal(t, len(forward(2, newChange(4, "two"))), 0)
-		assert.Equal(t, m.lastStamp(), held, "the conflicting order was written")
+		assert.Equal(t, m.lastPosition(), held, "the conflicting order was written")
 		assert.Equal(t, len(forward(3, newChange(4, "one"))), 0)
 		o := m.Step(1030, received(b1, a1, Message{Appended: &Appended{View: 1, Last: held, Committed: held}}))
 		got := sentParts(o, func(g Message) *Entered { return g.Entered })
@@ -108,10 +108,10 @@
 		assert.Equal(t, repeated.Change.Kind, Repeat)
 		assert.Equal(t, len(repeated.Change.Body), 0)
 		assert.Equal(t, len(forward(5, newChange(4, "one"))), 0, "it must wait for the uncommitted entry")
-		assert.Equal(t, m.lastStamp(), repeated.Stamp)
+		assert.Equal(t, m.lastPosition(), repeated.Stamp)
 		// A machine cannot forward a Repeat change itself.
 		forward(6, Change{Kind: Repeat, Edition: 99})
-		assert.Equal(t, m.lastStamp(), repeated.Stamp)
+		assert.Equal(t, m.lastPosition(), repeated.Stamp)
 	}
 }
 
--- a/internal/cairn/partition_test.go
+++ b/internal/cairn/partition_test.go
@@ -119,7 +119,7 @@
 // evacuates the zone and ends the evacuation. A delayed change that carries the state its caller
 // knew of is no longer applied; without that it is applied as if it were new.
 func TestDelayedZoneChangeIsSuperseded(t *testing.T) {
-	for _, withKnownStamp := range []bool{true, false} {
+	for _, withKnownPosition := range []bool{true, false} {
 		w := newWorld(4, 3, 3, faults{})
 		w.noDelays = true
 		w.run(1500)
@@ -132,7 +132,7 @@
 		first := frozen.machine.State().Last
 		w.freeze(frozen, 20_000)
 		var late *call
-		if withKnownStamp {
+		if withKnownPosition {
 			late = submitChange(frozen, Evacuate, first)
 		} else {
 			late = submitChange(frozen, Evacuate, Stamp{})
@@ -145,8 +145,8 @@
 		}
 		w.run(w.now + 20_000)
 		_, emptied := w.nodes[0].machine.State().Evacuated["z"]
-		assert.Equal(t, emptied, !withKnownStamp)
-		if withKnownStamp {
+		assert.Equal(t, emptied, !withKnownPosition)
+		if withKnownPosition {
 			assert.Equal(t, *late.outcome, Overtaken)
 		}
 		// A change that knows of the newer ones is accepted.
@@ -157,23 +157,23 @@
 	}
 }
 
-// TestKnownStampOfChangeStays checks that the known stamp given by a caller does not advance while
-// the change waits and its machine learns more, because the caller knew no more.
-func TestKnownStampOfChangeStays(t *testing.T) {
+// TestKnownPositionOfChangeStays checks that the known position given by a caller does not advance
+// while the change waits and its machine learns more, because the caller knew no more.
+func TestKnownPositionOfChangeStays(t *testing.T) {
 	for _, known := range []Stamp{{}, {Seq: 1, View: 1}} {
 		m, _ := newMachine(t, b1, faults{})
-		forwardedStamp := func(o Out) Stamp {
+		forwardedPosition := func(o Out) Stamp {
 			got := sentParts(o, func(g Message) *Enter { return g.Enter })
 			assert.Equal(t, len(got), 1)
 			return got[0].After
 		}
 		entry := Entry{Stamp: Stamp{1, 1}}
 		m.Step(1005, received(a1, b1, Message{Fill: &Fill{View: 1, Whole: Whole{State: State{Last: entry.Stamp}}}}))
-		first := forwardedStamp(m.Step(1010, Event{Submit: &Submit{ID: 1, Change: Change{Kind: Evacuate, Zone: "z"}, After: known}}))
+		first := forwardedPosition(m.Step(1010, Event{Submit: &Submit{ID: 1, Change: Change{Kind: Evacuate, Zone: "z"}, After: known}}))
 		assert.Equal(t, first, Stamp{1, 1})
 		m.Step(1020, received(a1, b1, Message{Fill: &Fill{View: 1, Whole: Whole{State: State{Last: Stamp{4, 1}}}}}))
 		assert.Equal(t, m.State().Last, Stamp{4, 1})
-		again := forwardedStamp(m.Step(1300, Event{}))
+		again := forwardedPosition(m.Step(1300, Event{}))
 		assert.Equal(t, again == first, known != Stamp{}, "%v", again)
 	}
 }
--- a/internal/cairn/rebuild.go
+++ b/internal/cairn/rebuild.go
@@ -39,9 +39,9 @@
 	newerCopyKnown := false
 	for _, id := range m.knownPeers() {
 		sender := m.peers[id]
-		newerCopyKnown = newerCopyKnown || m.hears(id) && (sender.heartbeat.View > m.view.No || sender.heartbeat.Whole && m.lastStamp().less(sender.heartbeat.Last))
+		newerCopyKnown = newerCopyKnown || m.hears(id) && (sender.heartbeat.View > m.view.No || sender.heartbeat.Whole && m.lastPosition().less(sender.heartbeat.Last))
 	}
-	if m.majorityLostFor() < m.config.Lost || !m.isComplete() || m.lastStamp() != request.Last || newerCopyKnown {
+	if m.majorityLostFor() < m.config.Lost || !m.isComplete() || m.lastPosition() != request.Last || newerCopyKnown {
 		m.output.Done = append(m.output.Done, Result{ID: request.ID, Outcome: Unavailable})
 		return
 	}
--- a/internal/cairn/scale_bench_test.go
+++ b/internal/cairn/scale_bench_test.go
@@ -71,6 +71,7 @@
 	diskBusyUntil float64 // time until which its disk is busy
 }
 
+// newCountingNetwork creates n machines at their first start. The first three are the seeds.
 func newCountingNetwork(n int, hop float64) *countingNetwork {
 	w := &countingNetwork{delay: hop, byAddr: map[string]*countedMachine{}}
 	var seeds []string
@@ -86,11 +87,13 @@
 	return w
 }
 
+// schedule schedules an action.
 func (w *countingNetwork) schedule(ms float64, do func()) {
 	w.scheduled++
 	heap.Push(&w.queue, item{w.now + ms, w.scheduled, do})
 }
 
+// tick gives a machine its clock ticks.
 func (w *countingNetwork) tick(node *countedMachine, ms float64) {
 	w.schedule(ms, func() {
 		w.step(node, Event{})
@@ -98,6 +101,7 @@
 	})
 }
 
+// run advances the simulation by some milliseconds.
 func (w *countingNetwork) run(ms float64) {
 	until := w.now + ms
 	for len(w.queue) > 0 && w.queue[0].at <= until {
@@ -108,6 +112,7 @@
 	w.now = until
 }
 
+// step processes an event at a machine and sends the messages of its output.
 func (w *countingNetwork) step(node *countedMachine, event Event) {
 	out := node.machine.Step(w.now, event)
 	if len(out.Sync) > 0 {
--- a/internal/cairn/seat_replacement_test.go
+++ b/internal/cairn/seat_replacement_test.go
@@ -332,7 +332,7 @@
 		assert.Assert(t, request.outcome != nil)
 		return *request.outcome
 	}
-	assert.Equal(t, rebuild(survivor.machine.lastStamp()), Unavailable, "rebuilt although all members are running")
+	assert.Equal(t, rebuild(survivor.machine.lastPosition()), Unavailable, "rebuilt although all members are running")
 	lost := w.nodes[0]
 	w.kill(lost)
 	w.tolerance = 2 // allows one more loss than tolerated
@@ -340,9 +340,9 @@
 	w.tolerance = 1
 	w.run(w.now + 6000)
 	assert.Assert(t, survivor.machine.Status().Lost > 0)
-	assert.Equal(t, rebuild(survivor.machine.lastStamp()), Unavailable, "rebuilt although a majority was heard recently")
+	assert.Equal(t, rebuild(survivor.machine.lastPosition()), Unavailable, "rebuilt although a majority was heard recently")
 	w.run(w.now + 6000)
-	last := survivor.machine.lastStamp()
+	last := survivor.machine.lastPosition()
 	assert.Equal(t, rebuild(Stamp{Seq: last.Seq + 1, View: last.View}), Unavailable, "rebuilt from a copy that was not named")
 	before := survivor.machine.View()
 	assert.Equal(t, rebuild(last), OK)
--- a/internal/cairn/types.go
+++ b/internal/cairn/types.go
@@ -34,8 +34,8 @@
 	Seats int `cbor:"6,keyasint,omitempty"`
 }
 
-// Stamp identifies a log entry. A view has a single head that assigns sequence numbers, so no two
-// entries share a stamp.
+// Stamp identifies a log entry by its position. A view has a single head that assigns sequence
+// numbers, so no two entries share a position.
 type Stamp struct {
 	Seq  uint64 `cbor:"1,keyasint,omitempty"`
 	View uint64 `cbor:"2,keyasint,omitempty"`
@@ -92,7 +92,7 @@
 	No      uint64     `cbor:"6,keyasint,omitempty"`
 }
 
-// Entry is a log entry. Prev is the stamp of the entry before it, so two logs that share an entry
+// Entry is a log entry. Prev is the position of the entry before it, so two logs that share an entry
 // are identical up to that entry.
 type Entry struct {
 	Stamp  `cbor:"1,keyasint,omitempty"`
@@ -246,7 +246,7 @@
 
 // Enter forwards a change to the head. After is the newest entry that the sender knew of. A zone
 // change that arrives late, long after its caller gave up, must not undo what was done since.
-// Stamps are compared by view first, because a head that was excluded from the chain may have
+// Positions are compared by view first, because a head that was excluded from the chain may have
 // assigned many sequence numbers that were never committed.
 type Enter struct {
 	ID     uint64 `cbor:"1,keyasint,omitempty"`
--- a/internal/cairn/view.go
+++ b/internal/cairn/view.go
@@ -74,13 +74,13 @@
 // as a member of the chain, in this one. Only such members may lead a later chain: a machine that
 // joined a chain which was never opened may lack what was acknowledged after it got its snapshot.
 func (m *Machine) isComplete() bool {
-	return m.complete || m.chainIndex() >= 0 && m.lastStamp().View == m.view.No
+	return m.complete || m.chainIndex() >= 0 && m.lastPosition().View == m.view.No
 }
 
 // sendHeartbeats sends a heartbeat to the other machines and drops peers that have been silent for
 // long.
 func (m *Machine) sendHeartbeats() {
-	heartbeat := Beat{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last, Whole: m.isComplete(), Filled: m.hasSnapshot,
+	heartbeat := Beat{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last, Whole: m.isComplete(), Filled: m.hasSnapshot,
 		Round: max(m.highestRound, m.promised.Round), Ask: m.nextLeaseRequest(), Life: m.incarnation, Leaving: m.leaving, First: m.seatPending}
 	for index, id := range m.view.Core {
 		if index < 64 && m.hears(id) {
@@ -160,7 +160,7 @@
 	}
 	if heartbeat.View > m.view.No && m.now-sender.viewSentAt > 40 {
 		sender.viewSentAt = m.now
-		m.send(from, Message{Beat: &Beat{View: m.view.No, Last: m.lastStamp(), Committed: m.committed.Last}}) // the sender will answer with its view
+		m.send(from, Message{Beat: &Beat{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last}}) // the sender will answer with its view
 	}
 	if heartbeat.View != m.view.No {
 		return
--- a/internal/recordlog/crash_filesystem_test.go
+++ b/internal/recordlog/crash_filesystem_test.go
@@ -47,10 +47,12 @@
 	dir      *directory
 }
 
+// newCrashFileSystem returns a file system that never crashes by itself.
 func newCrashFileSystem(root string) *crashFileSystem {
 	return &crashFileSystem{root: root, current: map[string]*directory{}, durable: map[string]*directory{}, stepsLeft: -1, skippedSync: -1}
 }
 
+// step counts an operation and fails it if the crash has come.
 func (p *crashFileSystem) step(what, path string) error {
 	if p.beforeStep != nil {
 		p.beforeStep()
@@ -153,6 +155,7 @@
 // image is what a power loss left: directories with their files.
 type image map[string]map[string][]byte
 
+// write creates the directories of the image.
 func (i image) write(t *testing.T) string {
 	dir := t.TempDir()
 	for name, files := range i {
@@ -236,6 +239,7 @@
 	}
 }
 
+// key identifies an image by its contents.
 func (i image) key() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(i)) {
--- a/internal/recordlog/recordlog_test.go
+++ b/internal/recordlog/recordlog_test.go
@@ -36,6 +36,7 @@
 	records [][]byte
 }
 
+// record returns a record of n times s.
 func record(s string, n int) []byte { return []byte(strings.Repeat(s, n)) }
 
 // shortSegment is the segment length in most tests, in bytes.
@@ -62,6 +63,7 @@
 	return append(append([][]byte(nil), old...), c.records...)
 }
 
+// run performs the operation.
 func (c operation) run(j *Journal) error {
 	if c.replace {
 		return j.Replace(c.records)
@@ -69,6 +71,7 @@
 	return j.Append(c.records)
 }
 
+// equalRecords reports whether two lists of records are equal.
 func equalRecords(a, b [][]byte) bool {
 	if len(a) != len(b) {
 		return false
@@ -106,6 +109,7 @@
 	return j.Close()
 }
 
+// checkOpen is checkOpenWith with the default segment length.
 func checkOpen(dir string, required, allowed [][]byte) error {
 	return checkOpenWith(dir, defaultSegmentSize, required, allowed)
 }
--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -131,7 +131,7 @@
 	{corner: "replacement", name: "a core is rebuilt while its majority is heard", file: cairns + "rebuild.go",
 		old: "	if m.majorityLostFor() < m.config.Lost ||", wrong: "	if", tests: "TestRebuildCore"},
 	{corner: "replacement", name: "a core is rebuilt from another copy than the one named", file: cairns + "rebuild.go",
-		old: "m.lastStamp() != request.Last ||", wrong: "", tests: "TestRebuildCore"},
+		old: "m.lastPosition() != request.Last ||", wrong: "", tests: "TestRebuildCore"},
 	{corner: "replacement", name: "a copy that a busy operator has made old is never taken", file: cairns + "core_seats.go",
 		old: " && m.now-m.peers[id].snapshotSentAt > m.config.Vacant &&", wrong: " &&", tests: "TestJoinUnderSteadyChanges"},
 
@@ -374,7 +374,7 @@
 	{corner: "cut off", name: "a term that is only announced brings back what was taken away", file: "internal/configcache/configcache.go",
 		old: "			if k, ok := s.workers[id]; ok {\n				return x.Void(s.have, k.changed)", wrong: "			if k, ok := s.workers[id]; ok {\n				return x.Void(l.heard, k.changed)", tests: "TestWhatIsTakenAwayWithoutTheDuty"},
 	{corner: "cut off", name: "a zone's order that lay somewhere is entered as new", file: cairns + "chain.go",
-		old: "		if change.After == (Stamp{}) && change.knownStamp.less(m.committed.Last) {", wrong: "		if change.knownStamp.less(m.committed.Last) {", tests: "TestKnownStampOfChangeStays"},
+		old: "		if change.After == (Stamp{}) && change.knownPosition.less(m.committed.Last) {", wrong: "		if change.knownPosition.less(m.committed.Last) {", tests: "TestKnownPositionOfChangeStays"},
 	{corner: "cut off", name: "an order is entered though its caller has left", file: "internal/bothy/outside.go",
 		old: "	bounded, cancel := context.WithTimeout(ctx, b.patience)\n", wrong: "	ctx = context.WithoutCancel(ctx)\n	bounded, cancel := context.WithTimeout(ctx, b.patience)\n", tests: "TestAnOrderWhoseCallerHasLeft|TestTheEndOfAConnectionIsSeen"},
 	{corner: "cut off", name: "a zone's order is not bound to the tail's word", file: "internal/bothy/outside.go",
--- a/internal/store/bulk.go
+++ b/internal/store/bulk.go
@@ -126,7 +126,7 @@
 // messageKey identifies messages of which a newer one replaces an older one in the queue.
 type messageKey struct {
 	kind            byte
-	stamp           cairn.Stamp
+	position        cairn.Stamp
 	incarnation, id uint64
 }
 
@@ -136,7 +136,7 @@
 	case message.Append != nil:
 		key.kind, view = 'a', message.Append.View
 		if n := len(message.Append.Entries); n > 0 {
-			key.stamp = message.Append.Entries[n-1].Stamp
+			key.position = message.Append.Entries[n-1].Stamp
 		}
 	case message.Fill != nil:
 		key.kind, view = 'f', message.Fill.View
--- a/internal/store/bulk_test.go
+++ b/internal/store/bulk_test.go
@@ -33,23 +33,25 @@
 // repeatedBody returns a body that is fast to create and to compress.
 func repeatedBody(n int, with byte) []byte { return bytes.Repeat([]byte{with}, n) }
 
+// entry returns an entry of view 3 that sets a configuration.
 func entry(seq uint64, body []byte) cairn.Entry {
 	return cairn.Entry{Stamp: cairn.Stamp{Seq: seq, View: 3}, Prev: cairn.Stamp{Seq: seq - 1, View: 3},
 		Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: seq, Body: body}}
 }
 
+// snapshotMessage returns a message with a snapshot.
 func snapshotMessage(view, seq uint64, body []byte, tail ...cairn.Entry) cairn.Message {
 	return cairn.Message{Fill: &cairn.Fill{View: view, Whole: cairn.Whole{Tail: tail,
 		State: cairn.State{Last: cairn.Stamp{Seq: seq, View: view}, Edition: seq, Body: body}}}}
 }
 
-// exchange makes a sender's next call to a receiver, encoded as on the network; takes gives the
-// duration of the call by its size. It returns a completed message and the number of bytes sent.
-func exchange(t testing.TB, c *sender, p *packCache, d *receiver, now float64, takes func(sent int) float64, passes bool) (got *cairn.Message, sent int, idle bool) {
+// exchange makes a sender's next call to a receiver, encoded as on the network; duration gives the
+// time of the call by its size. It returns a completed message and the number of bytes sent.
+func exchange(t testing.TB, c *sender, p *packCache, d *receiver, now float64, duration func(sent int) float64, connected bool) (got *cairn.Message, sent int, idle bool) {
 	t.Helper()
-	if m, no := c.needsPacking(); no > 0 {
-		made, blobs := p.makeParcel(m)
-		c.setPacked(no, made, blobs)
+	if message, number := c.needsPacking(); number > 0 {
+		parcel, blobs := p.makeParcel(message)
+		c.setPacked(number, parcel, blobs)
 	}
 	call, wait := c.nextCall(now)
 	switch call := call.(type) {
@@ -57,29 +59,30 @@
 		return nil, 0, wait < 0
 	case *waymark.Parcel:
 		sent = rpc.Size(*call, true)
-		if !passes {
+		if !connected {
 			c.handleFailure(now)
 			break
 		}
-		m, w, err := d.receiveParcel(now, onWire(t, *call))
+		message, wanted, err := d.receiveParcel(now, onWire(t, *call))
 		assert.NilError(t, err)
-		if len(w.Sum) == 0 {
-			got = &m
+		if len(wanted.Sum) == 0 {
+			got = &message
 		}
-		c.handleWanted(now+takes(sent), call, onWire(t, w))
+		c.handleWanted(now+duration(sent), call, onWire(t, wanted))
 	case *waymark.Chunk:
 		sent = rpc.Size(*call, true)
-		if !passes {
+		if !connected {
 			c.handleFailure(now)
 			break
 		}
-		a, err := d.receiveChunk(now, onWire(t, *call))
+		taken, err := d.receiveChunk(now, onWire(t, *call))
 		assert.NilError(t, err)
-		c.handleTaken(now+takes(sent), call, a)
+		c.handleTaken(now+duration(sent), call, taken)
 	}
 	return got, sent, false
 }
 
+// onWire encodes and decodes a value.
 func onWire[T any](t testing.TB, v T) (out T) {
 	t.Helper()
 	b, err := cbor.Marshal(v)
@@ -88,6 +91,7 @@
 	return out
 }
 
+// constantTime is the duration of a call on a link where size does not matter.
 func constantTime(int) float64 { return 1 }
 
 // exchangeAll makes calls until the queue is empty and returns the received messages.
@@ -96,9 +100,9 @@
 	var p packCache
 	for calls := 0; ; calls++ {
 		assert.Assert(t, calls < 2000, "the message did not arrive within 2000 calls")
-		m, n, idle := exchange(t, c, &p, d, now, constantTime, true)
-		if sent += n; m != nil {
-			got = append(got, *m)
+		message, size, idle := exchange(t, c, &p, d, now, constantTime, true)
+		if sent += size; message != nil {
+			got = append(got, *message)
 		}
 		if idle {
 			return got, sent
@@ -130,9 +134,9 @@
 			c.m.From, c.m.To = cairn.Ident{Addr: "a:1", Disk: "x"}, cairn.Ident{Addr: "b:1", Disk: "y"}
 			assert.Equal(t, isBulky(&c.m), c.bulky)
 			before := onWire(t, c.m)
-			var co sender
-			assert.Assert(t, co.enqueue(0, c.m))
-			got, sent := exchangeAll(t, &co, &receiver{}, 0)
+			var queue sender
+			assert.Assert(t, queue.enqueue(0, c.m))
+			got, sent := exchangeAll(t, &queue, &receiver{}, 0)
 			assert.Equal(t, len(got), 1)
 			assert.Assert(t, reflect.DeepEqual(got[0], before), "the message arrived changed")
 			assert.Assert(t, reflect.DeepEqual(onWire(t, c.m), before), "the sender's copy was modified")
@@ -144,20 +148,21 @@
 // slowLink is a network link to a joining machine over which a snapshot of many routes is sent; the
 // sender queues it again every half second until it has arrived.
 type slowLink struct {
-	bytesPerMilli, delay float64
-	cutEvery             float64 // the link is down for a fifth of this period; 0 for never
-	restart              float64 // when the receiver restarts; 0 for never
-	newView              float64 // when the view and with it the sender changes; 0 for never
+	bytesPerMilli, delayMillis float64
+	interruptionPeriod         float64 // the link is down for a fifth of this period; 0 for never
+	restartAt                  float64 // when the receiver restarts; 0 for never
+	newViewAt                  float64 // when the view and with it the sender changes; 0 for never
 }
 
 // cost is what a transfer took.
-type cost struct {
-	ms, longestWait float64 // duration, and the longest time for which a heartbeat waits behind a call
-	bytes, peak     int
-	cuts            int
+type transferCost struct {
+	millis, longestWait float64 // duration, and the longest time for which a heartbeat waits behind a call
+	bytes, peak         int
+	interruptions       int
 }
 
-func (l slowLink) transfer(t testing.TB, body []byte) (result cost) {
+// transfer sends a snapshot with a body over the link.
+func (l slowLink) transfer(t testing.TB, body []byte) (result transferCost) {
 	t.Helper()
 	source, target, cache := &sender{}, &receiver{}, &packCache{}
 	now, nextRepeat, view := 0.0, 0.0, uint64(3)
@@ -165,27 +170,27 @@
 		for ; nextRepeat <= now; nextRepeat += 500 {
 			assert.Assert(t, source.enqueue(now, snapshotMessage(view, 40, body)))
 		}
-		if l.restart > 0 && now >= l.restart {
-			l.restart, target = 0, &receiver{}
+		if l.restartAt > 0 && now >= l.restartAt {
+			l.restartAt, target = 0, &receiver{}
 		}
-		if l.newView > 0 && now >= l.newView {
-			l.newView, view, source, cache, nextRepeat = 0, view+1, &sender{}, &packCache{}, now
+		if l.newViewAt > 0 && now >= l.newViewAt {
+			l.newViewAt, view, source, cache, nextRepeat = 0, view+1, &sender{}, &packCache{}, now
 			continue
 		}
-		passes := l.cutEvery == 0 || int(now/(l.cutEvery/5))%5 != 4
-		takes := func(sent int) float64 { return float64(sent)/l.bytesPerMilli + l.delay }
-		got, sent, idle := exchange(t, source, cache, target, now, takes, passes)
+		connected := l.interruptionPeriod == 0 || int(now/(l.interruptionPeriod/5))%5 != 4
+		duration := func(sent int) float64 { return float64(sent)/l.bytesPerMilli + l.delayMillis }
+		got, sent, idle := exchange(t, source, cache, target, now, duration, connected)
 		result.bytes += sent
-		took := takes(sent)
+		elapsed := duration(sent)
 		result.longestWait = max(result.longestWait, float64(sent)/l.bytesPerMilli)
 		switch {
 		case sent == 0 || idle:
-			took = 10
-		case !passes:
-			result.cuts++
-			took = 500 // until the call times out
+			elapsed = 10
+		case !connected:
+			result.interruptions++
+			elapsed = 500 // until the call times out
 		}
-		now += took
+		now += elapsed
 		held := 0
 		for _, body := range target.partial {
 			held += cap(body.data)
@@ -197,7 +202,7 @@
 		if got != nil {
 			assert.Equal(t, got.Fill.View, view)
 			assert.Assert(t, bytes.Equal(got.Fill.Whole.State.Body, body))
-			result.ms = now
+			result.millis = now
 			return result
 		}
 	}
@@ -209,21 +214,21 @@
 // body, so that an interruption comes at the same share of the transfer for bodies of any size.
 func slowLinks(ms float64) []struct {
 	name  string
-	line  slowLink
+	link  slowLink
 	twice bool // the body may be transferred twice
 } {
 	return []struct {
 		name  string
-		line  slowLink
+		link  slowLink
 		twice bool
 	}{
-		{name: "2 Mbit/s", line: slowLink{bytesPerMilli: 250, delay: 2}},
-		{name: "2 Mbit/s, long delay", line: slowLink{bytesPerMilli: 250, delay: 110}},
-		{name: "120 Mbit/s", line: slowLink{bytesPerMilli: 15000, delay: 2}},
-		{name: "120 Mbit/s, long delay", line: slowLink{bytesPerMilli: 15000, delay: 110}},
-		{name: "2 Mbit/s, interrupted", line: slowLink{bytesPerMilli: 250, delay: 2, cutEvery: 2 * ms / 3}},
-		{name: "2 Mbit/s, the sender dies", line: slowLink{bytesPerMilli: 250, delay: 2, newView: ms}},
-		{name: "2 Mbit/s, the receiver dies", line: slowLink{bytesPerMilli: 250, delay: 2, restart: ms}, twice: true},
+		{name: "2 Mbit/s", link: slowLink{bytesPerMilli: 250, delayMillis: 2}},
+		{name: "2 Mbit/s, long delay", link: slowLink{bytesPerMilli: 250, delayMillis: 110}},
+		{name: "120 Mbit/s", link: slowLink{bytesPerMilli: 15000, delayMillis: 2}},
+		{name: "120 Mbit/s, long delay", link: slowLink{bytesPerMilli: 15000, delayMillis: 110}},
+		{name: "2 Mbit/s, interrupted", link: slowLink{bytesPerMilli: 250, delayMillis: 2, interruptionPeriod: 2 * ms / 3}},
+		{name: "2 Mbit/s, the sender dies", link: slowLink{bytesPerMilli: 250, delayMillis: 2, newViewAt: ms}},
+		{name: "2 Mbit/s, the receiver dies", link: slowLink{bytesPerMilli: 250, delayMillis: 2, restartAt: ms}, twice: true},
 	}
 }
 
@@ -235,21 +240,21 @@
 	packed := len(waymark.Deflate(body))
 	for _, c := range slowLinks(120) {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.line.transfer(t, body)
-			t.Logf("%d bytes, deflated %d: %.0f ms, %d bytes, the longest %.0f ms, %d bytes held", len(body), packed, got.ms, got.bytes, got.longestWait, got.peak)
-			most := packed + packed/20
+			got := c.link.transfer(t, body)
+			t.Logf("%d bytes, deflated %d: %.0f ms, %d bytes, the longest %.0f ms, %d bytes held", len(body), packed, got.millis, got.bytes, got.longestWait, got.peak)
+			limit := packed + packed/20
 			if c.twice {
-				most += packed
+				limit += packed
 			}
-			if c.line.cutEvery > 0 {
-				most += packed // what was lost in interruptions
+			if c.link.interruptionPeriod > 0 {
+				limit += packed // what was lost in interruptions
 			}
-			assert.Equal(t, got.cuts > 0, c.line.cutEvery > 0)
-			assert.Assert(t, got.bytes < most, "%d bytes for %d", got.bytes, packed)
+			assert.Equal(t, got.interruptions > 0, c.link.interruptionPeriod > 0)
+			assert.Assert(t, got.bytes < limit, "%d bytes for %d", got.bytes, packed)
 			assert.Assert(t, got.longestWait < 200, "a heartbeat waits %.0f ms, expected less than 200", got.longestWait)
 			assert.Assert(t, got.peak < len(body)+3*packed, "%d bytes are held", got.peak)
-			if c.line.cutEvery == 0 && !c.twice {
-				assert.Assert(t, got.ms < 1.1*float64(packed)/c.line.bytesPerMilli+30*c.line.delay, "%.0f ms", got.ms)
+			if c.link.interruptionPeriod == 0 && !c.twice {
+				assert.Assert(t, got.millis < 1.1*float64(packed)/c.link.bytesPerMilli+30*c.link.delayMillis, "%.0f ms", got.millis)
 			}
 		})
 	}
@@ -263,10 +268,10 @@
 	for _, c := range slowLinks(2000) {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				got := c.line.transfer(b, body)
-				b.ReportMetric(got.ms, "line-ms")
+				got := c.link.transfer(b, body)
+				b.ReportMetric(got.millis, "line-ms")
 				b.ReportMetric(float64(got.bytes), "line-bytes")
-				b.ReportMetric(float64(got.cuts), "cuts")
+				b.ReportMetric(float64(got.interruptions), "cuts")
 				b.ReportMetric(got.longestWait, "beat-waits-ms")
 				b.ReportMetric(float64(got.peak), "held-bytes")
 				b.ReportMetric(float64(len(body)), "body-bytes")
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -56,6 +56,7 @@
 	torn, after bool
 }
 
+// opener opens a journal that fails as the fault says.
 func (f *fault) opener(dir string) (journal, [][]byte, error) {
 	if t := f.openFailure.Load(); t != nil {
 		return nil, nil, t.err
@@ -131,6 +132,7 @@
 	return l.buf.Write(b)
 }
 
+// count returns how often a text was logged.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,6 +149,7 @@
 	return s, log
 }
 
+// statusText returns the lines of a store's status.
 func statusText(t *testing.T, s *Store) string {
 	t.Helper()
 	status, err := s.handleStatus(t.Context(), waymark.AskStatus{})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -68,6 +68,7 @@
 	return s
 }
 
+// noFault is the hook of a disk without faults.
 func noFault() error { return nil }
 
 // run runs the loop until the end of the test or until end is called.
@@ -83,6 +84,7 @@
 	}
 }
 
+// receive returns the next value from a channel.
 func receive[T any](t *testing.T, channel <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -93,6 +95,7 @@
 	return value
 }
 
+// configuration returns a call that submits a configuration.
 func configuration(edition uint64) waymark.Enter {
 	return waymark.Enter{Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
 }
@@ -111,6 +114,7 @@
 	}
 }
 
+// confirm reads the state. It retries while the chain is starting or the machine is busy.
 func confirm(t *testing.T, s *Store, q waymark.Confirm) waymark.Confirmed {
 	t.Helper()
 	for until := time.Now().Add(waitLimit); ; {
