--- a/internal/cairn/core_seats.go
+++ b/internal/cairn/core_seats.go
@@ -12,7 +12,7 @@
 //     by one, a core of thirty took longer to grow than clients wait for the first start.
 //   - A machine with an empty disk gets the seat of its own address.
 //   - Any other joining machine gets a snapshot and waits. It takes a free seat; or else the seat of the
-//     member that nobody has heard for the longest time, and for at least Config.Vacant; or else the
+//     member that nobody has heard for the longest time, and for at least the configured time; or else the
 //     seat of a member that is leaving.
 //
 // A seat is never vacated without a successor: a member that is away counts until another machine
@@ -97,8 +97,8 @@
 
 // needsSnapshot reports whether a machine outside the chain needs a snapshot: it has received none
 // in this view; or it waits for a seat that it may soon get, and lacks committed entries, and its
-// last snapshot is older than Config.Vacant. The age limit matters because frequent changes make
-// any copy outdated.
+// last snapshot is older than the silence that makes a seat vacant. The age limit matters because
+// frequent changes make any copy outdated.
 func (m *Machine) needsSnapshot(id Ident, heartbeat Beat) bool {
 	if !heartbeat.Filled {
 		return true
--- a/internal/cairn/order_identity_test.go
+++ b/internal/cairn/order_identity_test.go
@@ -109,7 +109,7 @@
 		assert.Equal(t, len(repeated.Change.Body), 0)
 		assert.Equal(t, len(forward(5, newChange(4, "one"))), 0, "it must wait for the uncommitted entry")
 		assert.Equal(t, m.lastPosition(), repeated.Stamp)
-		// A machine cannot forward a Repeat change itself.
+		// A machine cannot forward a change of that kind itself.
 		forward(6, Change{Kind: Repeat, Edition: 99})
 		assert.Equal(t, m.lastPosition(), repeated.Stamp)
 	}
--- a/internal/cairn/types.go
+++ b/internal/cairn/types.go
@@ -42,7 +42,8 @@
 }
 
 // Order is an operator's order that is stored under a name. The order with the highest number is in
-// force. Past lists the identities of all orders that have been in force, including this one.
+// force. The identities of all orders that have been in force, including this one, are kept with
+// it.
 type Order struct {
 	No   uint64 `cbor:"No"`
 	Body []byte
@@ -119,20 +120,20 @@
 	Committed uint64      `cbor:",omitempty"` // all entries up to this sequence number are known to be committed
 }
 
-// ViewRecord stores a decided view. Whole tells whether this machine held everything that was
-// acknowledged before that view.
+// ViewRecord stores a decided view and whether this machine held everything that was acknowledged
+// before that view.
 type ViewRecord struct {
 	View  View
 	Whole bool `cbor:"Whole"`
 }
 
-// Promised stores a promise not to vote for a lower ballot on the view numbered For.
+// Promised stores a promise not to vote for a lower ballot on the view with the given number.
 type Promised struct {
 	For    uint64 `cbor:"For"`
 	Ballot Ballot
 }
 
-// Acceptance stores a vote for a value, cast on the view numbered For.
+// Acceptance stores a vote for a value, cast on the view with the given number.
 type Acceptance struct {
 	For    uint64 `cbor:"For"`
 	Ballot Ballot
@@ -199,7 +200,7 @@
 	Base   View   `cbor:"2,keyasint,omitempty"`
 }
 
-// Promise answers a Prepare. If OK is false, Seen is the higher ballot that was promised before.
+// Promise answers a Prepare. If OK is false, it names the higher ballot that was promised before.
 type Promise struct {
 	For      uint64      `cbor:"1,keyasint,omitempty"`
 	Ballot   Ballot      `cbor:"2,keyasint,omitempty"`
@@ -215,7 +216,7 @@
 	Value  View   `cbor:"3,keyasint,omitempty"`
 }
 
-// Accepted answers an Accept. If OK is false, Seen is the higher ballot that was promised before.
+// Accepted answers an Accept. If OK is false, it names the higher ballot that was promised before.
 type Accepted struct {
 	For    uint64 `cbor:"1,keyasint,omitempty"`
 	Ballot Ballot `cbor:"2,keyasint,omitempty"`
@@ -244,10 +245,10 @@
 	Whole Whole  `cbor:"2,keyasint,omitempty"`
 }
 
-// Enter forwards a change to the head. After is the newest entry that the sender knew of. A zone
-// change that arrives late, long after its caller gave up, must not undo what was done since.
-// Positions are compared by view first, because a head that was excluded from the chain may have
-// assigned many sequence numbers that were never committed.
+// Enter forwards a change to the head, with the newest entry that the sender knew of. A zone change
+// that arrives late, long after its caller gave up, must not undo what was done since. Positions
+// are compared by view first, because a head that was excluded from the chain may have assigned
+// many sequence numbers that were never committed.
 type Enter struct {
 	ID     uint64 `cbor:"1,keyasint,omitempty"`
 	Life   uint64 `cbor:"2,keyasint,omitempty"`
@@ -255,9 +256,9 @@
 	Change Change `cbor:"4,keyasint,omitempty"`
 }
 
-// Entered answers an Enter: the change is committed; or, if Stale is set, the zone has changed
-// meanwhile and the change must be sent again with an After of at least Stale; or, if Refused is
-// set, another order is committed under the same number and this one never will be.
+// Entered answers a forwarded change: it is committed; or, if Stale is set, the zone has changed
+// meanwhile and the change must be sent again with a known position of at least Stale; or, if
+// Refused is set, another order is committed under the same number and this one never will be.
 type Entered struct {
 	ID      uint64 `cbor:"1,keyasint,omitempty"`
 	Life    uint64 `cbor:"2,keyasint,omitempty"`
@@ -312,9 +313,9 @@
 	Last Stamp
 }
 
-// Submit is a change requested by a local caller. IDs must not repeat within an incarnation. After,
-// if set, is the newest entry that the caller knew of, as reported by the tail: a zone change that
-// was delayed while others changed the zone is then rejected.
+// Submit is a change requested by a local caller. IDs must not repeat within an incarnation. If the
+// caller gives the newest entry that it knew of, as reported by the tail, a zone change that was
+// delayed while others changed the zone is rejected.
 type Submit struct {
 	ID     uint64
 	Change Change
@@ -326,7 +327,7 @@
 	ID uint64
 }
 
-// Outcome says how a Submit, an Ask, a Drop or a Rebuild ended.
+// Outcome says how a request of a local caller ended.
 type Outcome uint8
 
 const (
@@ -349,11 +350,11 @@
 type Result struct {
 	ID      uint64
 	Outcome Outcome
-	State   *State // set for an Ask that is OK
+	State   *State // set for a read that is OK
 }
 
-// Out is what one step requires. Sync must be on disk before Send and Done are released, and before
-// State is read.
+// Out is what one step requires. The records must be on disk before the messages and results are
+// released, and before the state is read.
 type Out struct {
 	Sync    []Record
 	Send    []Message
@@ -374,9 +375,9 @@
 	Suspect float64 // silence after which a machine is left out of the chain: 900
 	Lease   float64 // duration of a lease as the tail counts it: 600
 	Slack   float64 // time by which the granter extends a lease: 50
-	Answer  float64 // time after which a Submit or an Ask fails: 900
+	Answer  float64 // time after which a change or a read fails: 900
 	Again   float64 // delay before an unanswered message is sent again: 250
-	Ballot  float64 // delay before a ballot is retried, which must exceed Lease plus Slack: 900
+	Ballot  float64 // delay before a ballot is retried, which must exceed the lease and its slack: 900
 	Vacant  float64 // silence after which a joining machine may take a member's seat: 2000
 	Lost    float64 // time without a majority after which an operator may rebuild the core: 10000
 	Window  int     // maximum number of uncommitted entries: 8
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -223,7 +223,8 @@
 
 // Replace makes the journal hold exactly the given records. If it is interrupted, either these or
 // the previous records are there. Until it returns, the disk holds both; if there is no room for
-// that, the error is ErrKept, and what was written of the new generation is removed.
+// that, the error says that the previous records are kept, and what was written of the new
+// generation is removed.
 func (j *Journal) Replace(records [][]byte) error {
 	if j.err != nil {
 		return j.err
--- a/internal/store/bulk_test.go
+++ b/internal/store/bulk_test.go
@@ -154,7 +154,7 @@
 	newViewAt                  float64 // when the view and with it the sender changes; 0 for never
 }
 
-// cost is what a transfer took.
+// transferCost is what a transfer took.
 type transferCost struct {
 	millis, longestWait float64 // duration, and the longest time for which a heartbeat waits behind a call
 	bytes, peak         int
