--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -404,7 +404,7 @@
 	{corner: "answers and callers", name: "a broken connection proves that nothing ran", file: "internal/link/serial.go", in: "internal/switchback",
 		old: "	left := l.writing || !l.whole() // its last byte never left\n", wrong: "	left := true\n", tests: "TestFaultAtEachByteOfAnswer"},
 	{corner: "answers and callers", name: "a time that is over proves that nothing ran", file: "gatekeeper/gatekeeper.go", in: "internal/switchback",
-		old: "		status = policy.Timeout\n", wrong: "		status = policy.ConnectFailed\n", tests: "TestAFaultAtEachByteOfAnAnswer|TestSilence"},
+		old: "		status = policy.Timeout\n", wrong: "		status = policy.ConnectFailed\n", tests: "TestFaultAtEachByteOfAnswer|TestUnsafeRequestTimesOut"},
 	{corner: "answers and callers", name: "an answer is whole where its connection ends", file: "internal/http1/http1.go", in: "internal/switchback",
 		old: "	if p.state != inRest {", wrong: "	if p.state == inHead {", tests: "TestFaultAtEachByteOfAnswer"},
 	{corner: "answers and callers", name: "an answer that is cut on its way gets its last chunk", file: "internal/link/large.go", in: "internal/switchback",
