--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -1,9 +1,11 @@
-// Package configcache is what a gatekeeper holds and hands on: the configuration, the evacuations and
-// the workers by destination. It says what is lacking of what was announced, whom to ask for it,
-// and what a neighbour can be given. Nothing in it ever goes back: editions and versions only
-// rise, whoever tells them.
+// Package configcache is a gatekeeper's cache of control data: the configuration, the evacuated
+// zones, the traffic-mirroring order and the workers of each destination. It tracks what has been
+// announced but not yet received, decides which zone peer to request it from, and answers the
+// requests of zone peers. Versions only rise: older data is ignored, whoever sends it.
 //
-// Times are milliseconds of the caller's steady clock.
+// Within a zone, each destination and the configuration have one owner, the zone home: the registry
+// sends it the data, and the other gatekeepers of the zone request the data from it. Times are
+// milliseconds of the caller's monotonic clock.
 package configcache
 
 import (
@@ -14,442 +16,449 @@
 	"foxwood/internal/waymark"
 )
 
-// Timetable is the name of the configuration among the services that have a home.
+// Timetable is the key that selects the zone home of the configuration, in the same key space as
+// the destinations' names.
 const Timetable = "timetable"
 
-// awayMs is how long a home is left alone that failed, was late or had less than was announced:
-// without it a dead one would delay each piece of news anew.
-const awayMs = 1000
+// ownerRetryDelayMs is how long no request goes to a zone home that failed, was late or held less
+// than was announced. Without it, an owner that is down would delay every update.
+const ownerRetryDelayMs = 1000
 
-// Cache is what one gatekeeper holds. It isn't safe for use by several goroutines.
+// Cache is the control data that one gatekeeper holds. It is not safe for concurrent use.
 type Cache struct {
-	edition uint64
-	body    []byte
-	told    uint64 // the highest edition that was announced
-	bulk    int    // bytes of its body, 0 if not known
-	tried   uint64 // the edition that a home was last asked for
+	edition          uint64
+	body             []byte
+	announcedEdition uint64 // highest edition announced by a registry
+	announcedBytes   int    // size of the announced configuration, 0 if unknown
+	requestedEdition uint64 // edition last requested from a zone home
 
-	evac      uint64
-	evacuated []string
-	takenBack []string // zones whose evacuations were, not asked for yet
+	evacuationVersion uint64
+	evacuatedZones    []string
+	endedEvacuations  []string // zones whose evacuation ended, until Cache.TakenBack returns them
 
-	shadow uint64 // number of the order for copies
-	order  []byte
+	mirrorOrderNumber uint64 // number of the traffic-mirroring order held
+	mirrorOrder       []byte
 
-	struck     map[string]uint64 // workers to send nothing more to, with the version known then
-	struckMark uint64            // of those heard of last
+	withdrawn     map[string]uint64 // workers withdrawn without the duty holder, with the endpoint version known to the registry that withdrew them
+	withdrawnHash uint64            // hash of the list of withdrawn workers last received
 
-	heard    uint64 // version up to which all marks are known
-	services map[string]*service
-	away     map[string]float64 // homes that are left alone, until when
+	announcedVersion uint64 // endpoint version up to which all changes have been announced
+	destinations     map[string]*destination
+	avoidUntil       map[string]float64 // zone homes that get no request, and until when
 }
 
-// service is the workers of one destination.
-type service struct {
-	have, want uint64 // the version held, and the lowest that will do
-	tried      uint64 // the version that a home was last asked for
-	turn       uint64 // rises when the workers change
-	since      uint64 // from this version on all changes are known
-	workers    map[string]kept
-	gone       map[string]gone
+// destination is the workers of one destination.
+type destination struct {
+	version, wantedVersion uint64 // version held, and lowest version that is sufficient
+	requestedVersion       uint64 // version last requested from a zone home
+	revision               uint64 // rises whenever the workers change
+	changesSince           uint64 // all changes after this version are known
+	workers                map[string]cachedWorker
+	removed                map[string]removedWorker
 }
 
-type kept struct {
+type cachedWorker struct {
 	waymark.Worker
-	until   float64 // cold
-	changed uint64
+	coldUntil      float64 // end of the cold period
+	changedVersion uint64
 }
 
-// gone is a worker that is listed no more.
-type gone struct {
-	at      float64
-	changed uint64
+// removedWorker is a worker that is no longer listed.
+type removedWorker struct {
+	removedAt      float64
+	changedVersion uint64
 }
 
-// goneMs is how long a worker that has gone is told of. Who asks for changes from before is given
-// all there is.
-const goneMs = 30_000
+// removedRetentionMs is how long the removal of a worker is remembered. A peer that asks for
+// changes since an earlier version gets the full list.
+const removedRetentionMs = 30_000
 
-// New makes an empty one.
-func New() *Cache { return &Cache{services: map[string]*service{}, away: map[string]float64{}} }
+// New returns an empty cache.
+func New() *Cache {
+	return &Cache{destinations: map[string]*destination{}, avoidUntil: map[string]float64{}}
+}
 
-func (l *Cache) service(name string) *service {
-	s := l.services[name]
-	if s == nil {
-		s = &service{workers: map[string]kept{}, gone: map[string]gone{}}
-		l.services[name] = s
+func (l *Cache) destination(name string) *destination {
+	d := l.destinations[name]
+	if d == nil {
+		d = &destination{workers: map[string]cachedWorker{}, removed: map[string]removedWorker{}}
+		l.destinations[name] = d
 	}
-	return s
+	return d
 }
 
-// Question fills in what a sign says of what is held. What is lacking is wanted from the bothy:
-// the homes have been asked by then.
-func (l *Cache) Question(q *waymark.Sign) {
-	q.Edition, q.Evac, q.Roster, q.Body, q.Want, q.Shadow = l.edition, l.evac, l.heard, l.told > l.edition, nil, l.shadow
-	q.Struck = l.struckMark
-	for name, s := range l.services {
-		if s.have < s.want {
-			if q.Want == nil {
-				q.Want = map[string]uint64{}
+// Question fills the heartbeat's fields that state what is held. Data still missing is requested
+// from the registry: by then the zone homes have been asked.
+func (l *Cache) Question(heartbeat *waymark.Sign) {
+	heartbeat.Edition, heartbeat.Evac, heartbeat.Roster, heartbeat.Body, heartbeat.Want, heartbeat.Shadow = l.edition, l.evacuationVersion, l.announcedVersion, l.announcedEdition > l.edition, nil, l.mirrorOrderNumber
+	heartbeat.Struck = l.withdrawnHash
+	for name, d := range l.destinations {
+		if d.version < d.wantedVersion {
+			if heartbeat.Want == nil {
+				heartbeat.Want = map[string]uint64{}
 			}
-			q.Want[name] = s.have
+			heartbeat.Want[name] = d.version
 		}
 	}
 }
 
-// Hear takes a bothy's news, but for the configuration's body.
-func (l *Cache) Hear(now float64, a *waymark.Signed) {
-	if a.Edition > l.told {
-		l.told, l.bulk = a.Edition, a.Bulk
+// Hear applies a registry's answer, except for the configuration's body.
+func (l *Cache) Hear(now float64, answer *waymark.Signed) {
+	if answer.Edition > l.announcedEdition {
+		l.announcedEdition, l.announcedBytes = answer.Edition, answer.Bulk
 	}
-	if a.HasEvac {
-		if a.Evac > l.evac {
-			l.takenBack = append(l.takenBack, a.TakenBack...)
+	if answer.HasEvac {
+		if answer.Evac > l.evacuationVersion {
+			l.endedEvacuations = append(l.endedEvacuations, answer.TakenBack...)
 		}
-		l.Evacuate(a.Evac, a.Evacuated)
-	}
-	l.Shadow(a.Shadow, a.Order)
-	defer l.strike(a)
-	m := a.Marks
-	if m != nil {
-		for name, behind := range m.Behind {
-			s := l.service(name)
-			s.want = max(s.want, m.Version-behind)
+		l.Evacuate(answer.Evac, answer.Evacuated)
+	}
+	l.Shadow(answer.Shadow, answer.Order)
+	defer l.withdraw(answer)
+	marks := answer.Marks
+	if marks != nil {
+		for name, behind := range marks.Behind {
+			d := l.destination(name)
+			d.wantedVersion = max(d.wantedVersion, marks.Version-behind)
 		}
-		for name, s := range l.services {
-			if _, named := m.Behind[name]; m.Whole && !named && s.have < m.Version {
-				s.put(m.Version, nil, true, now)
+		for name, d := range l.destinations {
+			if _, named := marks.Behind[name]; marks.Whole && !named && d.version < marks.Version {
+				d.apply(marks.Version, nil, true, now)
 			}
 		}
-		l.heard = max(l.heard, m.Version)
+		l.announcedVersion = max(l.announcedVersion, marks.Version)
 	}
-	l.Stock(now, a.Parts)
-	if m != nil { // what has not changed stands for the new version too
-		for _, s := range l.services {
-			if s.have >= s.want {
-				s.have = max(s.have, m.Version)
+	l.Stock(now, answer.Parts)
+	if marks != nil { // unchanged destinations are valid for the new version too
+		for _, d := range l.destinations {
+			if d.version >= d.wantedVersion {
+				d.version = max(d.version, marks.Version)
 			}
 		}
 	}
 }
 
-// Stock takes parts. Changes since a version that is not held are left: something would lack.
+// Stock adds workers of destinations. Changes relative to a version that is not held are ignored,
+// as they would leave a gap.
 func (l *Cache) Stock(now float64, parts []waymark.Part) {
-	for _, p := range parts {
-		if s := l.service(p.Destination); p.Version > s.have && (p.Since == 0 || p.Since <= s.have) {
-			s.put(p.Version, p.Workers, p.Since == 0, now)
+	for _, part := range parts {
+		if d := l.destination(part.Destination); part.Version > d.version && (part.Since == 0 || part.Since <= d.version) {
+			d.apply(part.Version, part.Workers, part.Since == 0, now)
 		}
 	}
 }
 
-func (s *service) put(version uint64, workers []waymark.Worker, whole bool, now float64) {
-	if whole { // what changed on the way to it, and changed back, is not known
-		clear(s.workers)
-		clear(s.gone)
-		s.since = version
+func (d *destination) apply(version uint64, workers []waymark.Worker, whole bool, now float64) {
+	if whole { // changes between the old version and this one are unknown
+		clear(d.workers)
+		clear(d.removed)
+		d.changesSince = version
 	}
-	for id, x := range s.gone {
-		if now-x.at > goneMs {
-			s.since = max(s.since, x.changed)
-			delete(s.gone, id)
+	for id, removed := range d.removed {
+		if now-removed.removedAt > removedRetentionMs {
+			d.changesSince = max(d.changesSince, removed.changedVersion)
+			delete(d.removed, id)
 		}
 	}
-	for _, w := range workers {
-		if w.Gone {
-			delete(s.workers, w.ID)
-			s.gone[w.ID] = gone{now, version}
+	for _, worker := range workers {
+		if worker.Gone {
+			delete(d.workers, worker.ID)
+			d.removed[worker.ID] = removedWorker{now, version}
 			continue
 		}
-		delete(s.gone, w.ID)
-		k := kept{Worker: w, changed: version}
-		if w.Cold > 0 {
-			k.until = now + w.Cold
+		delete(d.removed, worker.ID)
+		cached := cachedWorker{Worker: worker, changedVersion: version}
+		if worker.Cold > 0 {
+			cached.coldUntil = now + worker.Cold
 		}
-		k.Destination, k.Cold = "", 0
-		s.workers[w.ID] = k
+		cached.Destination, cached.Cold = "", 0
+		d.workers[worker.ID] = cached
 	}
-	s.have, s.want = version, max(s.want, version)
-	s.turn++
+	d.version, d.wantedVersion = version, max(d.wantedVersion, version)
+	d.revision++
 }
 
-// Body takes a configuration that was read, and tells whether it is newer.
+// Body stores a configuration that was read, and reports whether it is newer than the one held.
 func (l *Cache) Body(edition uint64, body []byte) bool {
 	if edition <= l.edition {
 		return false
 	}
 	l.edition, l.body = edition, body
-	l.told = max(l.told, edition)
+	l.announcedEdition = max(l.announcedEdition, edition)
 	return true
 }
 
-// Evacuate takes a newer list of evacuated zones.
-func (l *Cache) Evacuate(evac uint64, zones []string) {
-	if evac > l.evac {
-		l.evac, l.evacuated = evac, zones
+// Evacuate stores a newer list of evacuated zones.
+func (l *Cache) Evacuate(version uint64, zones []string) {
+	if version > l.evacuationVersion {
+		l.evacuationVersion, l.evacuatedZones = version, zones
 	}
 }
 
-// Shadow takes a newer order for copies.
-func (l *Cache) Shadow(number uint64, order []byte) {
-	if number > l.shadow && len(order) > 0 {
-		l.shadow, l.order = number, order
+// Shadow stores a newer traffic-mirroring order.
+func (l *Cache) Shadow(number uint64, body []byte) {
+	if number > l.mirrorOrderNumber && len(body) > 0 {
+		l.mirrorOrderNumber, l.mirrorOrder = number, body
 	}
 }
 
-// Order is the order for copies and its number, 0 where there never was one.
-func (l *Cache) Order() (uint64, []byte) { return l.shadow, l.order }
+// Order returns the traffic-mirroring order and its number, 0 if there never was one.
+func (l *Cache) Order() (uint64, []byte) { return l.mirrorOrderNumber, l.mirrorOrder }
 
-// Edition is the configuration's that is held.
+// Edition returns the edition of the configuration held.
 func (l *Cache) Edition() uint64 { return l.edition }
 
-// Heard is the version of the workers that was last announced.
-func (l *Cache) Heard() uint64 { return l.heard }
+// Heard returns the endpoint version last announced.
+func (l *Cache) Heard() uint64 { return l.announcedVersion }
 
-// Evacuated is the evacuated zones and their number.
-func (l *Cache) Evacuated() (uint64, []string) { return l.evac, l.evacuated }
+// Evacuated returns the evacuated zones and the version of that list.
+func (l *Cache) Evacuated() (uint64, []string) { return l.evacuationVersion, l.evacuatedZones }
 
-// TakenBack is the zones whose evacuations were taken back since it was last asked.
+// TakenBack returns the zones whose evacuation has ended since the last call.
 func (l *Cache) TakenBack() (zones []string) {
-	zones, l.takenBack = l.takenBack, nil
+	zones, l.endedEvacuations = l.endedEvacuations, nil
 	return zones
 }
 
-// Turns is how often each destination's workers have changed.
+// Turns returns, for each destination, a number that rises whenever its workers change.
 func (l *Cache) Turns() map[string]uint64 {
-	turns := make(map[string]uint64, len(l.services))
-	for name, s := range l.services {
-		turns[name] = s.turn
+	revisions := make(map[string]uint64, len(l.destinations))
+	for name, d := range l.destinations {
+		revisions[name] = d.revision
 	}
-	return turns
+	return revisions
 }
 
-// strike takes workers away that bothies have noted without the duty to. A later holder's word goes before them;
-// until it has come here, what is held stays without them.
-func (l *Cache) strike(a *waymark.Signed) {
-	if a.StruckNow != 0 {
-		l.struckMark = a.StruckNow
-	}
-	if l.struck == nil {
-		l.struck = map[string]uint64{}
-	}
-	for _, x := range a.Struck {
-		at, known := l.struck[x.ID]
-		l.struck[x.ID] = max(at, x.At)
-		for _, s := range l.services {
-			if _, ok := s.workers[x.ID]; ok && !known {
-				s.turn++
+// withdraw removes from use the workers that registries withdrew while nobody held the duty of the
+// endpoint list. Later data of a duty holder takes precedence; until it has been received here, the
+// workers stay withdrawn.
+func (l *Cache) withdraw(answer *waymark.Signed) {
+	if answer.StruckNow != 0 {
+		l.withdrawnHash = answer.StruckNow
+	}
+	if l.withdrawn == nil {
+		l.withdrawn = map[string]uint64{}
+	}
+	for _, withdrawal := range answer.Struck {
+		knownVersion, known := l.withdrawn[withdrawal.ID]
+		l.withdrawn[withdrawal.ID] = max(knownVersion, withdrawal.At)
+		for _, d := range l.destinations {
+			if _, ok := d.workers[withdrawal.ID]; ok && !known {
+				d.revision++
 			}
 		}
 	}
-	maps.DeleteFunc(l.struck, func(id string, at uint64) bool {
-		x := waymark.Struck{At: at}
-		for _, s := range l.services {
-			if k, ok := s.workers[id]; ok {
-				return x.Void(s.have, k.changed)
+	maps.DeleteFunc(l.withdrawn, func(id string, knownVersion uint64) bool {
+		withdrawal := waymark.Struck{At: knownVersion}
+		for _, d := range l.destinations {
+			if worker, ok := d.workers[id]; ok {
+				return withdrawal.Void(d.version, worker.changedVersion)
 			}
 		}
-		return x.Void(l.heard, 0) // its destination may not have come yet
+		return withdrawal.Void(l.announcedVersion, 0) // the worker's destination may not have been received yet
 	})
 }
 
-// Workers is a destination's workers as they are to be used: one that was taken away without the duty is closing.
+// Workers returns a destination's workers as they are to be used: one that was withdrawn is marked
+// as closing.
 func (l *Cache) Workers(now float64, name string) []waymark.Worker {
-	list := l.listed(now, name)
+	list := l.listedWorkers(now, name)
 	for i := range list {
-		if at, ok := l.struck[list[i].ID]; ok {
-			s := l.services[name]
-			list[i].Closing = list[i].Closing || !(waymark.Struck{At: at}).Void(s.have, s.workers[list[i].ID].changed)
+		if knownVersion, ok := l.withdrawn[list[i].ID]; ok {
+			d := l.destinations[name]
+			list[i].Closing = list[i].Closing || !(waymark.Struck{At: knownVersion}).Void(d.version, d.workers[list[i].ID].changedVersion)
 		}
 	}
 	return list
 }
 
-// listed is a destination's workers, with what is left of their cold times: the time they lay
-// here is taken off, so that nobody holds a worker for cold longer than its time.
-func (l *Cache) listed(now float64, name string) []waymark.Worker {
-	s := l.services[name]
-	if s == nil {
+// listedWorkers returns a destination's workers with the rest of their cold periods. The time spent
+// in this cache is subtracted, so that passing a worker on never prolongs its cold period.
+func (l *Cache) listedWorkers(now float64, name string) []waymark.Worker {
+	d := l.destinations[name]
+	if d == nil {
 		return nil
 	}
-	list := make([]waymark.Worker, 0, len(s.workers))
-	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
-		k := s.workers[id]
-		k.Cold = max(k.until-now, 0)
-		list = append(list, k.Worker)
+	list := make([]waymark.Worker, 0, len(d.workers))
+	for _, id := range slices.Sorted(maps.Keys(d.workers)) {
+		cached := d.workers[id]
+		cached.Cold = max(cached.coldUntil-now, 0)
+		list = append(list, cached.Worker)
 	}
 	return list
 }
 
-func (l *Cache) part(now float64, name string) waymark.Part {
-	return waymark.Part{Destination: name, Version: l.services[name].have, Workers: l.listed(now, name)}
+func (l *Cache) wholePart(now float64, name string) waymark.Part {
+	return waymark.Part{Destination: name, Version: l.destinations[name].version, Workers: l.listedWorkers(now, name)}
 }
 
-// changes is a destination's workers for who holds those of a version: what has changed since,
-// where that is known.
-func (l *Cache) changes(now float64, name string, have uint64) waymark.Part {
-	s := l.services[name]
-	if have == 0 || have < s.since {
-		return l.part(now, name)
-	}
-	p := waymark.Part{Destination: name, Version: s.have, Since: have}
-	for _, w := range l.listed(now, name) {
-		if s.workers[w.ID].changed > have {
-			p.Workers = append(p.Workers, w)
+// changesSince returns a destination's workers for a peer that holds heldVersion: only the changes
+// since then if all of them are known, or else the full list.
+func (l *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.Part {
+	d := l.destinations[name]
+	if heldVersion == 0 || heldVersion < d.changesSince {
+		return l.wholePart(now, name)
+	}
+	part := waymark.Part{Destination: name, Version: d.version, Since: heldVersion}
+	for _, w := range l.listedWorkers(now, name) {
+		if d.workers[w.ID].changedVersion > heldVersion {
+			part.Workers = append(part.Workers, w)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.gone)) {
-		if s.gone[id].changed > have {
-			p.Workers = append(p.Workers, waymark.Worker{ID: id, Gone: true})
+	for _, id := range slices.Sorted(maps.Keys(d.removed)) {
+		if d.removed[id].changedVersion > heldVersion {
+			part.Workers = append(part.Workers, waymark.Worker{ID: id, Gone: true})
 		}
 	}
-	return p
+	return part
 }
 
-// Zone is a gatekeeper's place among those that may be homes.
+// Zone describes the gatekeepers of a zone that may be zone homes.
 type Zone struct {
 	Name  string
 	Self  string
-	Ready bool     // we may be a home ourselves
-	Near  []string // the zone's other ready members
+	Ready bool     // whether this gatekeeper may be a zone home
+	Near  []string // the other ready gatekeepers of the zone
 }
 
-// Plan is which home to ask for what, and how large a body may come with it. Each piece of news is
-// asked of one home once. What is still lacking after that the bothy is to give: where we are the
-// home ourselves, where nobody is, where the home has just failed.
-func (l *Cache) Plan(now float64, z Zone) (asks map[string]waymark.Subscribe, bulk int) {
-	ready := z.Near
-	if z.Ready {
-		ready = append(slices.Clone(ready), z.Self)
-	}
-	asks = map[string]waymark.Subscribe{}
-	home := func(service string) string {
-		at := membership.HomeAmong(ready, z.Name, service)
-		if at == z.Self || now < l.away[at] {
+// Plan returns what to request from which zone home, and the size of a configuration that may come
+// with the answer. Each version is requested from a zone home once. The registry has to supply what
+// is missing after that, and what has no other owner to ask: if this gatekeeper is the owner
+// itself, if there is none, or if the owner has just failed.
+func (l *Cache) Plan(now float64, zone Zone) (requests map[string]waymark.Subscribe, bodyBytes int) {
+	ready := zone.Near
+	if zone.Ready {
+		ready = append(slices.Clone(ready), zone.Self)
+	}
+	requests = map[string]waymark.Subscribe{}
+	owner := func(service string) string {
+		addr := membership.HomeAmong(ready, zone.Name, service)
+		if addr == zone.Self || now < l.avoidUntil[addr] {
 			return ""
 		}
-		return at
+		return addr
 	}
-	if l.told > max(l.edition, l.tried) && l.edition > 0 {
-		l.tried = l.told
-		if at := home(Timetable); at != "" {
-			asks[at] = waymark.Subscribe{Edition: l.told}
-			bulk = l.bulk
+	if l.announcedEdition > max(l.edition, l.requestedEdition) && l.edition > 0 {
+		l.requestedEdition = l.announcedEdition
+		if addr := owner(Timetable); addr != "" {
+			requests[addr] = waymark.Subscribe{Edition: l.announcedEdition}
+			bodyBytes = l.announcedBytes
 		}
 	}
-	for name, s := range l.services {
-		if s.have >= s.want || s.tried >= s.want {
+	for name, d := range l.destinations {
+		if d.version >= d.wantedVersion || d.requestedVersion >= d.wantedVersion {
 			continue
 		}
-		s.tried = s.want
-		if at := home(name); at != "" {
-			q := asks[at]
-			if q.Parts == nil {
-				q.Parts, q.Have = map[string]uint64{}, map[string]uint64{}
+		d.requestedVersion = d.wantedVersion
+		if addr := owner(name); addr != "" {
+			request := requests[addr]
+			if request.Parts == nil {
+				request.Parts, request.Have = map[string]uint64{}, map[string]uint64{}
 			}
-			q.Parts[name], q.Have[name] = s.want, s.have
-			asks[at] = q
+			request.Parts[name], request.Have[name] = d.wantedVersion, d.version
+			requests[addr] = request
 		}
 	}
-	return asks, bulk
+	return requests, bodyBytes
 }
 
-// Asked notes how a home has answered: err where it has not.
-func (l *Cache) Asked(now float64, home string, q *waymark.Subscribe, err error) {
-	maps.DeleteFunc(l.away, func(_ string, until float64) bool { return until <= now })
-	if err != nil || !l.Has(q) {
-		l.away[home] = now + awayMs
+// Asked records how a zone home answered a request; err is not nil if it did not.
+func (l *Cache) Asked(now float64, owner string, request *waymark.Subscribe, err error) {
+	maps.DeleteFunc(l.avoidUntil, func(_ string, until float64) bool { return until <= now })
+	if err != nil || !l.Has(request) {
+		l.avoidUntil[owner] = now + ownerRetryDelayMs
 	}
 }
 
-// Has tells whether all that a neighbour asks for is here.
-func (l *Cache) Has(q *waymark.Subscribe) bool {
-	for name, version := range q.Parts {
-		if s := l.services[name]; s == nil || s.have < version {
+// Has reports whether everything that a peer requests is held.
+func (l *Cache) Has(request *waymark.Subscribe) bool {
+	for name, version := range request.Parts {
+		if d := l.destinations[name]; d == nil || d.version < version {
 			return false
 		}
 	}
-	return l.edition >= q.Edition
+	return l.edition >= request.Edition
 }
 
-// Give is what is here of what a neighbour asks for. What is older than that is left out.
-func (l *Cache) Give(now float64, q *waymark.Subscribe) (a waymark.Subscribed) {
-	if q.Edition > 0 && l.edition >= q.Edition {
-		a.Body = l.body
+// Give returns what is held of a peer's request. Data older than requested is left out.
+func (l *Cache) Give(now float64, request *waymark.Subscribe) (answer waymark.Subscribed) {
+	if request.Edition > 0 && l.edition >= request.Edition {
+		answer.Body = l.body
 	}
-	for _, name := range slices.Sorted(maps.Keys(q.Parts)) {
-		if s := l.services[name]; s != nil && s.have >= q.Parts[name] {
-			a.Parts = append(a.Parts, l.changes(now, name, q.Have[name]))
+	for _, name := range slices.Sorted(maps.Keys(request.Parts)) {
+		if d := l.destinations[name]; d != nil && d.version >= request.Parts[name] {
+			answer.Parts = append(answer.Parts, l.changesSince(now, name, request.Have[name]))
 		}
 	}
-	return a
+	return answer
 }
 
-// Held is what is held, for a neighbour that offers more.
+// Held returns the versions held, as the answer to a peer's offer.
 func (l *Cache) Held() waymark.Lent {
-	h := waymark.Lent{Edition: l.edition, Evac: l.evac, Held: map[string]uint64{}, Shadow: l.shadow}
-	for name, s := range l.services {
-		h.Held[name] = s.have
+	held := waymark.Lent{Edition: l.edition, Evac: l.evacuationVersion, Held: map[string]uint64{}, Shadow: l.mirrorOrderNumber}
+	for name, d := range l.destinations {
+		held.Held[name] = d.version
 	}
-	return h
+	return held
 }
 
-// Offer tells what could be lent.
+// Offer returns the versions that could be handed over.
 func (l *Cache) Offer() waymark.Lend {
-	h := l.Held()
-	o := waymark.Lend{Edition: h.Edition, Evac: h.Evac, Held: h.Held, Heard: l.heard, Shadow: h.Shadow}
-	for _, s := range l.services {
-		if s.have < l.heard { // then the parts don't stand for it
-			o.Heard = 0
+	held := l.Held()
+	offer := waymark.Lend{Edition: held.Edition, Evac: held.Evac, Held: held.Held, Heard: l.announcedVersion, Shadow: held.Shadow}
+	for _, d := range l.destinations {
+		if d.version < l.announcedVersion { // the destinations held are then not complete for that version
+			offer.Heard = 0
 		}
 	}
-	return o
+	return offer
 }
 
-// Exceeds tells whether an offer has what is lacking here.
-func (l *Cache) Exceeds(o *waymark.Lend) bool {
-	for name, version := range o.Held {
-		if s := l.services[name]; s == nil || s.have < version {
+// Exceeds reports whether an offer contains data that is missing here.
+func (l *Cache) Exceeds(offer *waymark.Lend) bool {
+	for name, version := range offer.Held {
+		if d := l.destinations[name]; d == nil || d.version < version {
 			return true
 		}
 	}
-	return o.Edition > l.edition || o.Evac > l.evac || o.Shadow > l.shadow
+	return offer.Edition > l.edition || offer.Evac > l.evacuationVersion || offer.Shadow > l.mirrorOrderNumber
 }
 
-// Lend is what a neighbour lacks of what is here, and whether that is anything.
-func (l *Cache) Lend(now float64, h *waymark.Lent) (o waymark.Lend, some bool) {
-	o = l.Offer()
-	o.Given = true
-	if o.Edition > h.Edition {
-		o.Body, some = l.body, true
+// Lend returns the data that a peer lacks, and whether there is any.
+func (l *Cache) Lend(now float64, held *waymark.Lent) (handover waymark.Lend, nonEmpty bool) {
+	handover = l.Offer()
+	handover.Given = true
+	if handover.Edition > held.Edition {
+		handover.Body, nonEmpty = l.body, true
 	}
-	if o.Evac > h.Evac {
-		o.Evacuated, some = l.evacuated, true
+	if handover.Evac > held.Evac {
+		handover.Evacuated, nonEmpty = l.evacuatedZones, true
 	}
-	if o.Shadow > h.Shadow {
-		o.Order, some = l.order, true
+	if handover.Shadow > held.Shadow {
+		handover.Order, nonEmpty = l.mirrorOrder, true
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.services)) {
-		if v, ok := h.Held[name]; !ok || l.services[name].have > v {
-			o.Parts, some = append(o.Parts, l.part(now, name)), true
+	for _, name := range slices.Sorted(maps.Keys(l.destinations)) {
+		if v, ok := held.Held[name]; !ok || l.destinations[name].version > v {
+			handover.Parts, nonEmpty = append(handover.Parts, l.wholePart(now, name)), true
 		}
 	}
-	return o, some
+	return handover, nonEmpty
 }
 
-// Borrow takes what a neighbour lends, but for the body. Who had heard nothing yet also takes
-// over up to where the lender has heard: bothies then tell only what is newer, and learn from it
-// which terms there were.
-func (l *Cache) Borrow(now float64, o *waymark.Lend) {
-	l.Evacuate(o.Evac, o.Evacuated)
-	l.Shadow(o.Shadow, o.Order)
-	l.Stock(now, o.Parts)
-	if l.heard > 0 {
+// Borrow applies data that a peer hands over, except for the configuration's body. A cache to which
+// nothing has been announced yet also adopts the sender's announced version: registries then send
+// only newer data, and learn from that version which terms there have been.
+func (l *Cache) Borrow(now float64, handover *waymark.Lend) {
+	l.Evacuate(handover.Evac, handover.Evacuated)
+	l.Shadow(handover.Shadow, handover.Order)
+	l.Stock(now, handover.Parts)
+	if l.announcedVersion > 0 {
 		return
 	}
-	for name, version := range o.Held {
-		if s := l.services[name]; s == nil || s.have < version || version < o.Heard {
+	for name, version := range handover.Held {
+		if d := l.destinations[name]; d == nil || d.version < version || version < handover.Heard {
 			return
 		}
 	}
-	l.heard = o.Heard
+	l.announcedVersion = handover.Heard
 }
