--- a/cmd/bothy/main.go
+++ b/cmd/bothy/main.go
@@ -1,4 +1,5 @@
-// Command bothy is the registry of the whole system.
+// Command bothy runs a registry: the server that keeps the gatekeepers' sessions, reads the
+// platform's worker list, allocates quotas and serves the HTTP control API and the directory.
 package main
 
 import (
@@ -16,29 +17,29 @@
 )
 
 func main() {
-	var shed snowline.Options
-	var probes float64
+	var shedding snowline.Options
+	var probesPerSecond float64
 	os.Exit(cli.Main(cli.Program{Name: "bothy", Summary: "Keep sessions, workers and duties, and answer outside callers",
-		Flags: func(f *flag.FlagSet) {
-			shed.Bothies(f)
-			f.Float64Var(&probes, "probes", 0, "workers that are new or cold to probe each second, where this bothy polls the list; at most 20")
+		Flags: func(flags *flag.FlagSet) {
+			shedding.Bothies(flags)
+			flags.Float64Var(&probesPerSecond, "probes", 0, "workers that are new or cold to probe each second, where this bothy polls the list; at most 20")
 		},
 		Check: func() error {
-			if probes < 0 || probes > 20 {
-				return errors.Join(shed.Check(), fmt.Errorf("-probes: %g is not from 0 to 20", probes))
+			if probesPerSecond < 0 || probesPerSecond > 20 {
+				return errors.Join(shedding.Check(), fmt.Errorf("-probes: %g is not from 0 to 20", probesPerSecond))
 			}
-			return shed.Check()
+			return shedding.Check()
 		},
-		Make: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
+		Make: func(settings *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			var duties []string
-			if shed.On {
+			if shedding.On {
 				duties = append(duties, bothy.DutyLevel)
 			}
-			b := bothy.New(set, log, duties...)
-			if shed.On {
-				b.Shed(shed)
+			registry := bothy.New(settings, log, duties...)
+			if shedding.On {
+				registry.Shed(shedding)
 			}
-			b.Probe(probes)
-			return b, nil
+			registry.Probe(probesPerSecond)
+			return registry, nil
 		}}))
 }
--- a/internal/bothy/coldstart_test.go
+++ b/internal/bothy/coldstartsim_test.go
@@ -141,11 +141,11 @@
 			Bounds: bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
 		b := New(set, zerolog.Nop())
 		b.clock = func() float64 { return w.now }
-		b.book = membership.New(addrs[i], uint64(i+1), w.now, lapse)
-		b.election = election.New(addrs[i], uint64(i+1), w.now, dutyLease, true, dutyRoster, dutySlices)
+		b.sessions = membership.New(addrs[i], uint64(i+1), w.now, sessionTimeoutMs)
+		b.election = election.New(addrs[i], uint64(i+1), w.now, dutyLeaseMs, true, dutyEndpoints, dutyQuota)
 		b.view = cairn.View{No: 1, Chain: core, Core: core, Epoch: 1, Seats: 4}
-		b.parsed = table
-		b.electorate()
+		b.configuration = table
+		b.updateRegistries()
 		w.registries = append(w.registries, &simRegistry{Bothy: b, addr: addrs[i]})
 	}
 	for i := range 8 {
@@ -188,7 +188,7 @@
 }
 
 // Zone is where the registry stands.
-func (r *simRegistry) Zone() string { return r.set.Zone }
+func (r *simRegistry) Zone() string { return r.settings.Zone }
 
 // restart begins a new life with nothing known.
 func (g *simGatekeeper) restart() {
@@ -255,12 +255,12 @@
 	q := waymark.Sign{Member: membership.Member{Station: g.station, Zone: g.zone, Region: "r0", Life: g.life, Turn: g.turn, Inner: g.station + ":1", Ready: true},
 		Crowd: g.crowd.Mark}
 	g.configcache.Question(&q)
-	a, err := near[0].sign(g.w.t.Context(), q)
+	a, err := near[0].handleHeartbeat(g.w.t.Context(), q)
 	assert.NilError(g.w.t, err)
 	if a.Stale && len(near) > 1 {
 		g.turn++
 		q.Member.Turn = g.turn
-		_, _ = near[1].sign(g.w.t.Context(), q) // it signs elsewhere from now on, and comes back here later
+		_, _ = near[1].handleHeartbeat(g.w.t.Context(), q) // it signs elsewhere from now on, and comes back here later
 	}
 	g.configcache.Hear(g.w.now, &a)
 	g.configcache.Stock(g.w.now, a.Parts)
@@ -276,13 +276,13 @@
 	if len(near) == 0 {
 		return
 	}
-	holder := near[0].election.Holder(g.w.now, dutySlices)
+	holder := near[0].election.Holder(g.w.now, dutyQuota)
 	i := slices.IndexFunc(g.w.registries, func(r *simRegistry) bool { return r.addr == holder })
 	if i < 0 || g.w.registries[i] != near[0] && !g.w.linked(near[0], g.w.registries[i]) {
 		return
 	}
 	g.turns++
-	a, err := g.w.registries[i].drawn(waymark.Draw{Station: g.station, Life: g.life, Turn: g.turns})
+	a, err := g.w.registries[i].allocate(waymark.Draw{Station: g.station, Life: g.life, Turn: g.turns})
 	if err == nil {
 		g.lease.Take(a.SlowStart, g.w.now, a.Lease)
 	}
@@ -340,7 +340,7 @@
 // ballots steps a registry's elections, and brings what they send.
 func (w *coldWorld) ballots(r *simRegistry, e election.Event) {
 	out := r.election.Step(w.now, e)
-	r.duties(out)
+	r.applyDutyChanges(out)
 	for _, m := range out.Send {
 		if to := w.find(m.To); w.linked(r, to) {
 			w.ballots(to, election.Event{Kind: election.Heard, Message: m})
@@ -363,7 +363,7 @@
 			}
 		}
 		if heard > 2 {
-			r.asked = w.now // the tail has answered
+			r.tailConfirmedAt = w.now // the tail has answered
 			r.election.Electorate(w.now, w.now, r.core, 1, 0)
 		}
 		if every(w.now, 50, phase) {
@@ -374,15 +374,15 @@
 				if !w.linked(r, to) {
 					continue
 				}
-				to.hear(r.addr, r.set.Zone, r.book.Tell(w.now))
-				if x := to.roster.since(w.now, r.roster.version); x != nil && to.roster.version > r.roster.version {
-					r.roster.hear(w.now, x)
+				to.receiveReport(r.addr, r.settings.Zone, r.sessions.Tell(w.now))
+				if x := to.endpoints.since(w.now, r.endpoints.version); x != nil && to.endpoints.version > r.endpoints.version {
+					r.endpoints.merge(w.now, x)
 				}
 			}
-			r.rolled()
+			r.updateMembers()
 		}
-		if term, ok := r.election.Holds(w.now, dutyRoster); ok && every(w.now, simPoll, phase) {
-			r.roster.poll(w.now, term, w.list())
+		if term, ok := r.election.Holds(w.now, dutyEndpoints); ok && every(w.now, simPoll, phase) {
+			r.endpoints.applyPlatformList(w.now, term, w.list())
 		}
 	}
 }
--- a/internal/bothy/cost_test.go
+++ b/internal/bothy/controlcost_test.go
@@ -79,18 +79,18 @@
 		}
 		b := New(set, zerolog.Nop())
 		b.clock = func() float64 { return c.now }
-		b.book = membership.New(set.Inner(bothyDock), uint64(i+1), 0, lapse)
+		b.sessions = membership.New(set.Inner(registryPort), uint64(i+1), 0, sessionTimeoutMs)
 		b.election.Remember(nil, 0)
 		c.bothies = append(c.bothies, b)
 	}
 	for _, b := range c.bothies {
 		for _, o := range c.bothies {
 			if o != b {
-				b.peers[o.set.Inner(bothyDock)] = rpc.NewPeer(o.set.Inner(bothyDock))
-				b.zones[o.set.Inner(bothyDock)] = o.set.Zone
+				b.peers[o.settings.Inner(registryPort)] = rpc.NewPeer(o.settings.Inner(registryPort))
+				b.peerZones[o.settings.Inner(registryPort)] = o.settings.Zone
 			}
 		}
-		b.count()
+		b.updateCoreMachines()
 	}
 	c.in, c.out, c.spent = make([]int, costBothies), make([]int, costBothies), make([]time.Duration, costBothies)
 	for i := range gatekeepers {
@@ -130,10 +130,10 @@
 	}
 	doc += `]}}`
 	for _, b := range c.bothies {
-		b.take(cairn.State{Edition: edition, Body: []byte(doc), Last: cairn.Stamp{Seq: edition}})
+		b.applyState(cairn.State{Edition: edition, Body: []byte(doc), Last: cairn.Stamp{Seq: edition}})
 	}
-	for name, t := range quota.Limited(c.bothies[0].parsed) {
-		c.thin[name] = quota.Thin(t, quota.BoundsOf(&c.bothies[0].set.Bounds), gatekeepers)
+	for name, t := range quota.Limited(c.bothies[0].configuration) {
+		c.thin[name] = quota.Thin(t, quota.BoundsOf(&c.bothies[0].settings.Bounds), gatekeepers)
 	}
 }
 
@@ -151,14 +151,14 @@
 		list = append(list, w)
 	}
 	first := c.bothies[0]
-	if !first.roster.poll(c.now, 1, list) {
+	if !first.endpoints.applyPlatformList(c.now, 1, list) {
 		return
 	}
 	for i, b := range c.bothies[1:] {
-		q := waymark.AskRoster{Have: b.roster.version}
-		r, _ := first.askedRoster(context.Background(), q)
+		q := waymark.AskRoster{Have: b.endpoints.version}
+		r, _ := first.handleEndpointsRequest(context.Background(), q)
 		c.core(i+1, 0, q, r)
-		b.roster.hear(c.now, &r)
+		b.endpoints.merge(c.now, &r)
 	}
 	for _, g := range c.gates { // their signs wait, and are answered at the news
 		g.signAt = c.now
@@ -202,11 +202,11 @@
 	var a waymark.Signed
 	c.timed(&g.spent, func() { g.configcache.Question(&q) })
 	c.timed(&c.spent[g.at], func() {
-		b.book.Sign(c.now, q.Member)
-		b.rolled()
-		b.asked = c.now
-		a, _ = b.signed(q, c.now)
-		a, _ = b.signed(q, c.now) // as it is when the wait is over
+		b.sessions.Sign(c.now, q.Member)
+		b.updateMembers()
+		b.tailConfirmedAt = c.now
+		a, _ = b.heartbeatAnswer(q, c.now)
+		a, _ = b.heartbeatAnswer(q, c.now) // as it is when the wait is over
 	})
 	c.call(g, q, a, "sign")
 	c.timed(&g.spent, func() { c.heard(g, &a) })
@@ -265,8 +265,8 @@
 		for name, d := range q.Demand {
 			demand[name] = float64(d)
 		}
-		got := holder.allot.Ask(c.now, memberID(q.Station, q.Life), q.Turn, demand, waymark.Unpack(q.Holding), q.LeaseLeft)
-		a = waymark.Drawn{Slices: waymark.Pack(got), Lease: sliceLease}
+		got := holder.allocator.Ask(c.now, memberID(q.Station, q.Life), q.Turn, demand, waymark.Unpack(q.Holding), q.LeaseLeft)
+		a = waymark.Drawn{Slices: waymark.Pack(got), Lease: allocationLeaseMs}
 	})
 	c.call(g, q, a, "draw")
 	if g.at != 0 {
@@ -278,7 +278,7 @@
 			g.held[name] = s
 		}
 	}
-	g.heldTo, g.drawAt = c.now+sliceLease, c.now+500
+	g.heldTo, g.drawAt = c.now+allocationLeaseMs, c.now+500
 }
 
 func (c *costRun) gossip() {
@@ -286,22 +286,22 @@
 		var brief, whole membership.Page
 		var mark uint64
 		c.timed(&c.spent[i], func() {
-			mark = b.book.Mark(c.now)
-			brief, whole = b.book.Brief(c.now), b.book.Tell(c.now)
+			mark = b.sessions.Mark(c.now)
+			brief, whole = b.sessions.Brief(c.now), b.sessions.Tell(c.now)
 		})
 		for j, o := range c.bothies {
 			if i == j {
 				continue
 			}
-			g := waymark.Gossip{From: b.set.Inner(bothyDock), Zone: b.set.Zone, Page: whole, Roster: b.roster.version}
-			key := o.set.Inner(bothyDock)
-			if t := b.told[key]; t.mark == mark && c.now-t.at < wholeEvery {
+			g := waymark.Gossip{From: b.settings.Inner(registryPort), Zone: b.settings.Zone, Page: whole, Roster: b.endpoints.version}
+			key := o.settings.Inner(registryPort)
+			if t := b.reported[key]; t.contentHash == mark && c.now-t.sentAt < fullReportIntervalMs {
 				g.Page = brief
 			} else {
-				b.told[key] = toldWhole{mark: mark, at: c.now}
+				b.reported[key] = fullReport{contentHash: mark, sentAt: c.now}
 			}
-			c.timed(&c.spent[j], func() { o.hear(g.From, g.Zone, g.Page) })
-			c.core(i, j, g, waymark.Heard{Roster: o.roster.version, Life: o.life})
+			c.timed(&c.spent[j], func() { o.receiveReport(g.From, g.Zone, g.Page) })
+			c.core(i, j, g, waymark.Heard{Roster: o.endpoints.version, Life: o.incarnation})
 		}
 	}
 }
@@ -369,7 +369,7 @@
 // started is a fleet that has found itself.
 func started(gatekeepers int) *costRun {
 	c := newCostRun(gatekeepers, gatekeepers*7/2)
-	c.bothies[0].allot.Begin(0, 1e6)
+	c.bothies[0].allocator.Begin(0, 1e6)
 	c.run(8000, false)
 	return c
 }
--- a/internal/bothy/keep_test.go
+++ b/internal/bothy/electorate_test.go
@@ -31,21 +31,21 @@
 		{"another kind", "electorate 3 epoch 4\na:1\nend\n", nil, 0},
 	} {
 		dir := t.TempDir()
-		assert.NilError(t, os.WriteFile(filepath.Join(dir, keepName), []byte(c.raw), 0o600))
-		ids, epoch, none := recall(dir)
+		assert.NilError(t, os.WriteFile(filepath.Join(dir, electorateFile), []byte(c.raw), 0o600))
+		ids, epoch, none := readElectorate(dir)
 		assert.DeepEqual(t, ids, c.ids)
 		assert.Equal(t, epoch, c.epoch, c.name)
 		assert.Assert(t, !none, c.name)
 	}
 	dir := filepath.Join(t.TempDir(), "new")
-	_, _, none := recall(dir)
+	_, _, none := readElectorate(dir)
 	assert.Assert(t, none)
-	assert.NilError(t, keep(dir, []string{"a:1", "b:1"}, 7))
-	ids, epoch, none := recall(dir)
+	assert.NilError(t, writeElectorate(dir, []string{"a:1", "b:1"}, 7))
+	ids, epoch, none := readElectorate(dir)
 	assert.DeepEqual(t, ids, []string{"a:1", "b:1"})
 	assert.Equal(t, epoch, uint64(7))
 	assert.Assert(t, !none)
-	_, _, none = recall("")
+	_, _, none = readElectorate("")
 	assert.Assert(t, none)
 }
 
@@ -54,7 +54,7 @@
 	dir := filepath.Join(t.TempDir(), "disk")
 	for life := range 2 {
 		b := New(&bootconfig.Settings{IP: "127.0.0.1", InnerDocks: []int{7001, 7002}, FirstRun: true, ArchiveDir: dir}, zerolog.Nop())
-		voice := b.election.Step(b.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Ballot, From: "x", Duty: dutySlices, Term: 1, Life: 1}})
+		voice := b.election.Step(b.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Ballot, From: "x", Duty: dutyQuota, Term: 1, Life: 1}})
 		assert.Equal(t, voice.Send[0].Yes, life == 0)
 	}
 }
@@ -67,13 +67,13 @@
 	b := New(&bootconfig.Settings{IP: "127.0.0.1", InnerDocks: []int{7000, 7002}, FirstRun: true, ArchiveDir: t.TempDir()}, zerolog.New(&log))
 	now := 0.0
 	b.clock = func() float64 { return now }
-	b.election = election.New(self, 1, now, dutyLease, true, dutySlices)
+	b.election = election.New(self, 1, now, dutyLeaseMs, true, dutyQuota)
 	type write struct {
 		ids  []string
 		ends chan error
 	}
 	writes := make(chan write)
-	b.keeping.write = func(_ string, ids []string, _ uint64) error {
+	b.electorateWrites.write = func(_ string, ids []string, _ uint64) error {
 		w := write{ids, make(chan error)}
 		writes <- w
 		return <-w.ends
@@ -83,14 +83,14 @@
 			b.mu.Lock()
 			b.election.Electorate(now, now, []string{self}, 1, 0)
 			b.mu.Unlock()
-			b.ward(t.Context())
+			b.stepElection(t.Context())
 		}
 	}
 	over := func(w write, err error) {
 		w.ends <- err
 		for busy := true; busy; {
 			b.mu.Lock()
-			busy = b.keeping.busy
+			busy = b.electorateWrites.busy
 			b.mu.Unlock()
 		}
 	}
@@ -104,22 +104,22 @@
 	at(now + 5000) // one hangs, and no other is begun
 	w := <-writes
 	assert.DeepEqual(t, w.ids, []string{self})
-	assert.Equal(t, b.election.Holder(now, dutySlices), self)
+	assert.Equal(t, b.election.Holder(now, dutyQuota), self)
 	over(w, unix.ENOSPC)
 	for range 3 {
 		failed := now
-		at(failed + keepAgain)
-		assert.Assert(t, !b.keeping.busy, "a pause after a fault")
-		at(failed + keepAgain + 300)
+		at(failed + electorateRetryMs)
+		assert.Assert(t, !b.electorateWrites.busy, "a pause after a fault")
+		at(failed + electorateRetryMs + 300)
 		over(<-writes, unix.ENOSPC)
 	}
-	assert.Equal(t, len(b.kept), 0)
-	at(now + 2*keepAgain)
+	assert.Equal(t, len(b.storedElectorate), 0)
+	at(now + 2*electorateRetryMs)
 	over(<-writes, nil)
-	assert.DeepEqual(t, b.kept, []string{self})
-	assert.Equal(t, b.keptEpoch, uint64(1))
+	assert.DeepEqual(t, b.storedElectorate, []string{self})
+	assert.Equal(t, b.storedEpoch, uint64(1))
 	at(now + 5000)
-	assert.Assert(t, !b.keeping.busy, "it is kept")
-	assert.Equal(t, strings.Count(log.String(), "can't be kept"), 1)
-	assert.Equal(t, strings.Count(log.String(), "kept again"), 1)
+	assert.Assert(t, !b.electorateWrites.busy, "it is kept")
+	assert.Equal(t, strings.Count(log.String(), "cannot store the electorate"), 1)
+	assert.Equal(t, strings.Count(log.String(), "electorate is stored again"), 1)
 }
--- a/internal/bothy/encoding_test.go
+++ b/internal/bothy/encoding_test.go
@@ -12,8 +12,8 @@
 
 func TestFilesKeepTheirEncoding(t *testing.T) {
 	dir := t.TempDir()
-	assert.NilError(t, keep(dir, []string{"10.0.0.1:7462 a", "10.0.0.2:7462 b"}, 7))
-	assert.NilError(t, writeLives(dir, []string{"node-1 3", "node-2 4"}))
+	assert.NilError(t, writeElectorate(dir, []string{"10.0.0.1:7462 a", "10.0.0.2:7462 b"}, 7))
+	assert.NilError(t, writeStartLog(dir, []string{"node-1 3", "node-2 4"}))
 	for _, name := range []string{"electorate", "lives"} {
 		raw, err := os.ReadFile(filepath.Join(dir, name))
 		assert.NilError(t, err)
--- a/internal/bothy/outside_test.go
+++ b/internal/bothy/httpapi_test.go
@@ -27,7 +27,7 @@
 const patience = 60 * time.Second
 
 func TestMain(m *testing.M) {
-	carrier = &http.Client{Timeout: patience}
+	platformClient = &http.Client{Timeout: patience}
 	os.Exit(m.Run())
 }
 
@@ -60,18 +60,18 @@
 		Gates:  bootconfig.Gates{ControlDesk: "control", DirectoryDesk: "directory"},
 		Bounds: bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
 	s := &stand{Bothy: New(set, zerolog.Nop()), t: t, entered: make(chan cairn.Change, 99)}
-	s.cairn = rpc.NewPeer(serve(t, func(server *rpc.Server) {
+	s.store = rpc.NewPeer(serve(t, func(server *rpc.Server) {
 		rpc.Handle(server, func(_ context.Context, q waymark.Enter) (waymark.Entered, error) {
 			s.entered <- q.Change
 			return waymark.Entered{}, s.refuses
 		})
 		rpc.Handle(server, func(_ context.Context, q waymark.Confirm) (waymark.Confirmed, error) { return s.confirmed(q) })
 	}))
-	t.Cleanup(s.cairn.Close)
-	s.patience = patience
+	t.Cleanup(s.store.Close)
+	s.storeTimeout = patience
 	s.confirmed = func(waymark.Confirm) (waymark.Confirmed, error) { return waymark.Confirmed{}, nil }
 	for err := error(io.EOF); err != nil; { // the connection is up before a test begins, also on a busy machine
-		_, err = rpc.Call[waymark.Confirm, waymark.Confirmed](t.Context(), s.cairn, waymark.Confirm{})
+		_, err = rpc.Call[waymark.Confirm, waymark.Confirmed](t.Context(), s.store, waymark.Confirm{})
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 // ask is an outside call at a door.
 func (s *stand) ask(door, method, path string, body io.Reader) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	s.doors()[door].ServeHTTP(w, httptest.NewRequestWithContext(s.t.Context(), method, path, body))
+	s.handlers()[door].ServeHTTP(w, httptest.NewRequestWithContext(s.t.Context(), method, path, body))
 	return w
 }
 
@@ -116,8 +116,8 @@
 			assert.Assert(t, strings.Contains(said["error"], "so it is"))
 		}
 	}
-	assert.Equal(t, len(answers), 8)
-	for kind := range answers {
+	assert.Equal(t, len(errorResponses), 8)
+	for kind := range errorResponses {
 		assert.Assert(t, kind == rpc.Internal || kind.String() != rpc.Internal.String(), "%d", kind)
 	}
 }
@@ -164,7 +164,7 @@
 		"no JSON":               strings.NewReader("edition"),
 		"cut short":             strings.NewReader(configuration[:len(configuration)-1]),
 		"a body that breaks":    broken{strings.NewReader(configuration)},
-		"too long":              io.MultiReader(strings.NewReader(configuration), strings.NewReader(strings.Repeat(" ", timetableMost))),
+		"too long":              io.MultiReader(strings.NewReader(configuration), strings.NewReader(strings.Repeat(" ", maxConfigurationBytes))),
 		"an unknown kind":       strings.NewReader(strings.Replace(configuration, "safe", "sane", 1)),
 		"an unknown service":    strings.NewReader(strings.Replace(configuration, `,"a"]`, `,"b"]`, 1)),
 		"a deadline of nothing": strings.NewReader(strings.Replace(configuration, `"safe",1`, `"safe",0`, 1)),
@@ -207,9 +207,9 @@
 	w := s.ask("directory", "GET", path, nil)
 	assert.Equal(t, w.Code, 503)
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
-	s.book.Sign(s.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
-	for _, c := range []struct{ most, valid float64 }{{5, validS}, {1.5, 1.5}} {
-		s.set.Bounds.TTLMaxS = c.most
+	s.sessions.Sign(s.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
+	for _, c := range []struct{ most, valid float64 }{{5, resolveValidS}, {1.5, 1.5}} {
+		s.settings.Bounds.TTLMaxS = c.most
 		w = s.ask("directory", "GET", path, nil)
 		assert.Equal(t, w.Code, 200)
 		var got struct {
@@ -220,7 +220,7 @@
 		assert.DeepEqual(t, got.Addresses, []string{"10.0.0.1:80"})
 		assert.Equal(t, got.ValidS, c.valid)
 	}
-	s.set.Gates.DirectoryDesk = "control" // one door for both
+	s.settings.Gates.DirectoryDesk = "control" // one door for both
 	assert.Equal(t, s.ask("control", "GET", path, nil).Code, 200)
 	assert.Equal(t, s.ask("control", "POST", "/evacuate/a1", nil).Code, 200)
 }
@@ -249,7 +249,7 @@
 		_, _ = io.WriteString(w, text)
 	}))
 	s.t.Cleanup(server.Close)
-	s.set.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
+	s.settings.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
 	return func() int {
 		n := <-count
 		count <- n
@@ -305,7 +305,7 @@
 	} {
 		s := open(t)
 		asked := s.platform(c.pages)
-		got, _, err := s.list(t.Context())
+		got, _, err := s.readPlatformList(t.Context())
 		if c.fault != "" {
 			assert.ErrorContains(t, err, c.fault, c.name)
 			assert.Assert(t, got == nil, c.name)
@@ -326,18 +326,18 @@
 	s := open(t)
 	pages := map[string]string{"": "429"}
 	asked := s.platform(pages)
-	s.pass(pollAlone + 1)
-	s.poll(t.Context())
+	s.pass(startupPollDelayMs + 1)
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked(), 1)
-	assert.Equal(t, s.roster.version, uint64(0))
-	assert.Equal(t, s.counts.PollsFailed, uint64(1))
+	assert.Equal(t, s.endpoints.version, uint64(0))
+	assert.Equal(t, s.counters.PollsFailed, uint64(1))
 	pages[""] = `{"roster":{"columns":["id","destination","address","state"],"rows":[["i-1","d","10.0.0.1:80","open_counter"]]}}`
-	s.poll(t.Context())
-	assert.DeepEqual(t, ids(s.roster.since(0, 0)), []string{"i-1"})
-	version := s.roster.version
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
+	assert.DeepEqual(t, ids(s.endpoints.since(0, 0)), []string{"i-1"})
+	version := s.endpoints.version
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked(), 2)
-	assert.Equal(t, s.roster.version, version)
+	assert.Equal(t, s.endpoints.version, version)
 }
 
 // freePort is an address at which nobody answers.
@@ -352,7 +352,7 @@
 // TestNoCairn: without its machine's store a bothy takes nothing, and says so.
 func TestNoCairn(t *testing.T) {
 	s := open(t)
-	s.cairn = rpc.NewPeer(freePort(t))
+	s.store = rpc.NewPeer(freePort(t))
 	for _, c := range []struct{ method, path, body string }{{"PUT", "/timetable", configuration}, {"GET", "/timetable", ""}, {"POST", "/evacuate/a1", ""}} {
 		w := s.ask("control", c.method, c.path, strings.NewReader(c.body))
 		assert.Equal(t, w.Code, 503)
--- a/internal/bothy/shadow_test.go
+++ b/internal/bothy/mirroring_test.go
@@ -22,8 +22,8 @@
 
 // chained has the scripted cairn keep orders as the chain does.
 func (s *stand) chained(held cairn.Order) *cairn.Order {
-	s.cairn.Close()
-	s.cairn = rpc.NewPeer(serve(s.t, func(server *rpc.Server) {
+	s.store.Close()
+	s.store = rpc.NewPeer(serve(s.t, func(server *rpc.Server) {
 		rpc.Handle(server, func(_ context.Context, q waymark.Enter) (waymark.Entered, error) {
 			if s.refuses == nil && q.Change.No > held.No {
 				held = cairn.Order{No: q.Change.No, Body: q.Change.Body}
@@ -35,15 +35,15 @@
 			return waymark.Confirmed{State: &cairn.State{Orders: map[string]cairn.Order{OrderShadow: held}}}, nil
 		})
 	}))
-	s.t.Cleanup(s.cairn.Close)
+	s.t.Cleanup(s.store.Close)
 	return &held
 }
 
 // TestAnOrderForCopies: acknowledged only where the chain holds it, and refused with its fault.
 func TestAnOrderForCopies(t *testing.T) {
 	s := open(t)
-	s.roster.poll(0, 1, []waymark.Worker{{ID: "w", Destination: "a", Addr: "10.0.0.1:80"}})
-	s.book.Sign(s.now(), membership.Member{Station: "p", Life: 1, Turn: 1, Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
+	s.endpoints.applyPlatformList(0, 1, []waymark.Worker{{ID: "w", Destination: "a", Addr: "10.0.0.1:80"}})
+	s.sessions.Sign(s.now(), membership.Member{Station: "p", Life: 1, Turn: 1, Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
 	held := s.chained(cairn.Order{})
 	put := func(body string) (int, string) {
 		w := s.ask("control", "PUT", "/shadow", strings.NewReader(body))
@@ -59,7 +59,7 @@
 		{copies(3, "10.0.0.1:80"), "live_worker"},
 		{copies(3, "10.0.0.2:80"), "live_worker"},   // a gate
 		{copies(3, "10.0.0.2:7460"), "live_worker"}, // an inner door
-		{copies(3, s.set.Inner(cairnDock)), "live_worker"},
+		{copies(3, s.settings.Inner(storePort)), "live_worker"},
 	} {
 		code, said := put(c.body)
 		assert.Equal(t, code, 400, c.body)
@@ -117,7 +117,7 @@
 	}
 	all.Copies = true
 	assert.Assert(t, s.answer(all).SeatsNow == 0, "a member without a counter takes no requests")
-	s.book.Sign(s.now(), membership.Member{Station: "q", Life: 5, Turn: 1, Region: "b", Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
+	s.sessions.Sign(s.now(), membership.Member{Station: "q", Life: 5, Turn: 1, Region: "b", Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
 	a = s.answer(all)
 	assert.Assert(t, a.Settled, "the test's bothy has heard all that there are")
 	assert.Equal(t, len(a.Seats), 1)
--- a/internal/bothy/cut_test.go
+++ b/internal/bothy/partition_test.go
@@ -45,7 +45,7 @@
 		_, _ = io.WriteString(w, text[9:])
 	}))
 	s.t.Cleanup(server.Close)
-	s.set.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
+	s.settings.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
 	return asked
 }
 
@@ -59,7 +59,7 @@
 func (s *stand) wards(now *atomic.Int64, ms int64) {
 	for end := now.Load() + ms; now.Load() < end; {
 		now.Add(min(50, end-now.Load()))
-		s.ward(s.t.Context())
+		s.stepElection(s.t.Context())
 	}
 }
 
@@ -83,25 +83,25 @@
 	const other = "127.0.0.2:7460"
 	s := open(t, "127.0.0.2:80", "127.0.0.3:80")
 	now := timed(s)
-	s.set.CarrierAPI.RatePerS = 3
+	s.settings.CarrierAPI.RatePerS = 3
 	rows := open1 + "," + open2
 	asked := s.listing(nil, &rows)
-	s.roster.poll(s.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
-	version := s.roster.version
+	s.endpoints.applyPlatformList(s.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	version := s.endpoints.version
 	held := waymark.Sign{Roster: version}
 
 	for range 100 { // another has it
-		s.hail(other, election.Tenure{Duty: dutyRoster, Term: 1})
+		s.hail(other, election.Tenure{Duty: dutyEndpoints, Term: 1})
 		s.wards(now, 100)
-		s.poll(t.Context())
+		s.pollPlatform(t.Context())
 	}
 	assert.Equal(t, asked.Load(), int64(0))
 	rows = closing1 + "," + open3
-	s.wards(now, dutyLease+orphanAfter-100)
-	s.poll(t.Context())
+	s.wards(now, dutyLeaseMs+vacantAfterMs-100)
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked.Load(), int64(0), "it may be won yet")
 	s.wards(now, 200)
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked.Load(), int64(1))
 	a := s.answer(held)
 	assert.DeepEqual(t, a.Struck, []waymark.Struck{{ID: "i-1", At: version}})
@@ -112,25 +112,25 @@
 	const span = 10_000
 	for from := now.Load(); now.Load() < from+span; {
 		s.wards(now, 400)
-		s.poll(t.Context())
+		s.pollPlatform(t.Context())
 	}
 	// One page for each of three bothies out of half of the rate: every two seconds.
 	assert.Assert(t, asked.Load() >= 4 && asked.Load() <= 6, "%d", asked.Load())
 	a = s.answer(held)
 	assert.DeepEqual(t, struckIDs(a), []string{"i-1", "i-2"}) // what was missing twice has gone
-	assert.Equal(t, s.roster.version, version)
+	assert.Equal(t, s.endpoints.version, version)
 
 	// Another bothy's are taken over, and of a worker that is not known here too.
-	h, err := s.gossiped(t.Context(), waymark.Gossip{From: other, Struck: []waymark.Struck{{ID: "i-9", At: version}, {ID: "i-1", At: version - 1}}})
+	h, err := s.handleGossip(t.Context(), waymark.Gossip{From: other, Struck: []waymark.Struck{{ID: "i-9", At: version}, {ID: "i-1", At: version - 1}}})
 	assert.NilError(t, err)
 	assert.Equal(t, h.Roster, version)
 	held.Struck = a.StruckNow
 	assert.DeepEqual(t, struckIDs(s.answer(held)), []string{"i-1", "i-2", "i-9"})
 
 	// A newer word of the same term takes back what it speaks of; the next term all.
-	next := newRoster()
-	next.hear(0, s.roster.since(s.now(), 0))
-	next.poll(s.now(), 1, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	next := newEndpointList()
+	next.merge(0, s.endpoints.since(s.now(), 0))
+	next.applyPlatformList(s.now(), 1, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	p := rpc.NewPeer(serve(t, func(server *rpc.Server) {
 		rpc.Handle(server, func(_ context.Context, q waymark.AskRoster) (waymark.Roster, error) {
 			return *next.since(0, q.Have), nil
@@ -138,36 +138,36 @@
 	}))
 	t.Cleanup(p.Close)
 	fetched := func() {
-		for s.roster.version < next.version {
-			s.fetch(t.Context(), p, next.version)
+		for s.endpoints.version < next.version {
+			s.fetchEndpoints(t.Context(), p, next.version)
 		}
 	}
 	fetched()
 	assert.DeepEqual(t, struckIDs(s.answer(waymark.Sign{})), []string{"i-2", "i-9"})
-	next.poll(s.now(), 2, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	next.applyPlatformList(s.now(), 2, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	fetched()
 	assert.Assert(t, s.answer(waymark.Sign{}).Struck == nil)
-	assert.Assert(t, !s.strikes.hear(s.roster, []waymark.Struck{{ID: "i-2", At: version}}), "one of the last term that comes late")
+	assert.Assert(t, !s.withdrawals.merge(s.endpoints, []waymark.Struck{{ID: "i-2", At: version}}), "one of the last term that comes late")
 }
 
 // TestAMissingWorkerCountsAtTheSecondTime: one page of a list may miss one as another goes.
 func TestAMissingWorkerCountsAtTheSecondTime(t *testing.T) {
-	r := newRoster()
-	r.poll(0, 1, []waymark.Worker{worker("i-1"), worker("i-2")})
-	var s strikes
-	assert.Assert(t, !s.read(r, []waymark.Worker{worker("i-1")}))
-	assert.Assert(t, !s.read(r, []waymark.Worker{worker("i-1"), worker("i-2")}))
-	assert.Assert(t, !s.read(r, []waymark.Worker{worker("i-1")}))
-	s.watch(10, "somebody")
-	assert.Assert(t, !s.read(r, []waymark.Worker{worker("i-1")}), "he has seen it meanwhile")
-	assert.Assert(t, s.read(r, []waymark.Worker{worker("i-1")}))
-	all, mark := s.list()
+	r := newEndpointList()
+	r.applyPlatformList(0, 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	var s withdrawals
+	assert.Assert(t, !s.applyPlatformList(r, []waymark.Worker{worker("i-1")}))
+	assert.Assert(t, !s.applyPlatformList(r, []waymark.Worker{worker("i-1"), worker("i-2")}))
+	assert.Assert(t, !s.applyPlatformList(r, []waymark.Worker{worker("i-1")}))
+	s.observeHolder(10, "somebody")
+	assert.Assert(t, !s.applyPlatformList(r, []waymark.Worker{worker("i-1")}), "he has seen it meanwhile")
+	assert.Assert(t, s.applyPlatformList(r, []waymark.Worker{worker("i-1")}))
+	all, mark := s.snapshot()
 	assert.DeepEqual(t, all, []waymark.Struck{{ID: "i-2", At: r.version}})
 	assert.Assert(t, mark != 0)
 	// Versions that gatekeepers had heard of, and this bothy not, are passed over too.
-	s = strikes{newest: r.version + 3}
-	s.read(r, []waymark.Worker{worker("i-1", closing), worker("i-2")})
-	all, _ = s.list()
+	s = withdrawals{newestVersion: r.version + 3}
+	s.applyPlatformList(r, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	all, _ = s.snapshot()
 	assert.DeepEqual(t, all, []waymark.Struck{{ID: "i-1", At: r.version + 3}})
 }
 
@@ -178,32 +178,32 @@
 	rows := closing1 + "," + open2
 	frozen := int64(0)
 	asked := s.listing(func() { now.Add(frozen) }, &rows)
-	s.roster.poll(s.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	s.endpoints.applyPlatformList(s.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
 	s.wards(now, 2000)
 	frozen = 20_000
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked.Load(), int64(1))
 	assert.Assert(t, s.answer(waymark.Sign{}).Struck == nil)
 	s.wards(now, 1000)
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked.Load(), int64(1), "somebody may have won the duty meanwhile, and his word lies unread")
 	frozen = 0
 	s.wards(now, 600)
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
 	assert.DeepEqual(t, struckIDs(s.answer(waymark.Sign{})), []string{"i-1"})
 }
 
 // alone has a stand be its own electorate, and steps until it has the duty in a term above another.
 func (s *stand) alone(now *atomic.Int64, above uint64) (term uint64) {
-	self := s.set.Inner(bothyDock)
+	self := s.settings.Inner(registryPort)
 	for end := now.Load() + 20_000; now.Load() < end; {
 		s.mu.Lock()
 		s.election.Electorate(s.now(), s.now(), []string{self}, 1, 0)
 		s.mu.Unlock()
 		now.Add(20)
-		s.ward(s.t.Context())
+		s.stepElection(s.t.Context())
 		s.mu.Lock()
-		term, ok := s.election.Holds(s.now(), dutyRoster)
+		term, ok := s.election.Holds(s.now(), dutyEndpoints)
 		s.mu.Unlock()
 		if ok && term > above {
 			return term
@@ -226,28 +226,28 @@
 		}
 	}, &rows)
 	first := s.alone(now, 0)
-	s.poll(t.Context())
-	version := s.roster.version
+	s.pollPlatform(t.Context())
+	version := s.endpoints.version
 	assert.Equal(t, version>>termShift, first)
 	rows = closing1
 	during = func() {
 		now.Add(20_000)
 		assert.Check(t, s.alone(now, first) > first)
 	}
-	s.poll(t.Context())
+	s.pollPlatform(t.Context())
 	assert.Equal(t, asked.Load(), int64(2))
-	assert.Equal(t, s.roster.version, version, "read in one term, and taken for another's")
+	assert.Equal(t, s.endpoints.version, version, "read in one term, and taken for another's")
 	during = nil
 	s.alone(now, first)
-	s.poll(t.Context())
-	assert.Assert(t, s.roster.version>>termShift > first)
-	assert.Assert(t, s.roster.listed["i-1"].Closing)
+	s.pollPlatform(t.Context())
+	assert.Assert(t, s.endpoints.version>>termShift > first)
+	assert.Assert(t, s.endpoints.workers["i-1"].Closing)
 
 	during = func() { now.Add(20_000) } // and where it isn't won again
 	rows = open1
-	version = s.roster.version
-	s.poll(t.Context())
-	assert.Equal(t, s.roster.version, version)
+	version = s.endpoints.version
+	s.pollPlatform(t.Context())
+	assert.Equal(t, s.endpoints.version, version)
 }
 
 // TestWhatACutOffBothySays: without the tail it says 503 and when to come again, to each call at its doors
@@ -263,12 +263,12 @@
 		s := open(t)
 		hang := name == "nothing comes"
 		if hang {
-			s.patience = time.Millisecond
+			s.storeTimeout = time.Millisecond
 		}
-		s.cairn.Close()
+		s.store.Close()
 		ended := make(chan struct{})
 		t.Cleanup(func() { close(ended) })
-		s.cairn = rpc.NewPeer(serve(t, func(server *rpc.Server) {
+		s.store = rpc.NewPeer(serve(t, func(server *rpc.Server) {
 			rpc.Handle(server, func(context.Context, waymark.Enter) (waymark.Entered, error) {
 				if hang {
 					<-ended
@@ -287,7 +287,7 @@
 				return waymark.Confirmed{Recalled: true, State: old}, fail
 			})
 		}))
-		t.Cleanup(s.cairn.Close)
+		t.Cleanup(s.store.Close)
 		for _, c := range []struct{ method, path, body string }{
 			{"PUT", "/timetable", configuration}, {"GET", "/timetable", ""}, {"POST", "/evacuate/a1", ""}, {"DELETE", "/evacuate/a1", ""},
 			{"PUT", "/shadow", copies(3, "10.0.0.9:80")}, {"PUT", "/shadow", copies(4, "10.0.0.9:80")}, {"GET", "/shadow", ""}, {"DELETE", "/shadow", ""},
@@ -306,23 +306,26 @@
 	s.Shed(snowline.Options{})
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: state(1, 12)}, nil)
 	s.alone(now, 0)
-	s.book.Sign(s.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
+	s.sessions.Sign(s.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
 	const path = "/resolve?name=x.example&region=a&zone=a1"
 	assert.Equal(t, s.ask("directory", "GET", path, nil).Code, 200)
 	assert.Assert(t, s.answer(waymark.Sign{}).AsOf > -20_000)
 	s.mu.Lock()
-	s.book.Leave(s.now(), "p", 1)
+	s.sessions.Leave(s.now(), "p", 1)
 	s.mu.Unlock()
-	s.book.Sign(s.now(), membership.Member{Station: "q", Zone: "a1", Region: "a", Life: 2, Turn: 1, Counter: "10.0.0.2:80", Ready: true})
+	s.sessions.Sign(s.now(), membership.Member{Station: "q", Zone: "a1", Region: "a", Life: 2, Turn: 1, Counter: "10.0.0.2:80", Ready: true})
 	now.Add(20_000)
 	w := s.ask("directory", "GET", path, nil)
 	assert.Equal(t, w.Code, 503, w.Body)
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 	for name, call := range map[string]func() error{
-		"draw":  func() error { _, err := s.draw(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 1}); return err },
-		"level": func() error { _, err := s.fixLevel(t.Context(), waymark.FixLevel{Cut: 1, ForMs: 5}); return err },
+		"draw": func() error {
+			_, err := s.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 1})
+			return err
+		},
+		"level": func() error { _, err := s.handleFixLevel(t.Context(), waymark.FixLevel{Cut: 1, ForMs: 5}); return err },
 		"strain": func() error {
-			_, err := s.strain(t.Context(), waymark.Strain{})
+			_, err := s.handleLoadReport(t.Context(), waymark.Strain{})
 			return err
 		},
 	} {
@@ -349,7 +352,7 @@
 				return waymark.Confirmed{Last: cairn.Stamp{Seq: 9, View: 3}, State: &cairn.State{Orders: map[string]cairn.Order{OrderShadow: held}}}, nil
 			}
 			w := httptest.NewRecorder()
-			s.doors()["control"].ServeHTTP(w, httptest.NewRequestWithContext(ctx, c.method, c.path, nil))
+			s.handlers()["control"].ServeHTTP(w, httptest.NewRequestWithContext(ctx, c.method, c.path, nil))
 			assert.Equal(t, len(s.entered) > 0, !left, "%s %s", c.method, c.path)
 			if left {
 				assert.Equal(t, w.Code, 503, "%s %s", c.method, c.path)
@@ -362,8 +365,8 @@
 func TestAZoneThatWasChangedMeanwhile(t *testing.T) {
 	s := open(t)
 	var afters []cairn.Stamp
-	s.cairn.Close()
-	s.cairn = rpc.NewPeer(serve(t, func(server *rpc.Server) {
+	s.store.Close()
+	s.store = rpc.NewPeer(serve(t, func(server *rpc.Server) {
 		rpc.Handle(server, func(_ context.Context, q waymark.Enter) (waymark.Entered, error) {
 			if afters = append(afters, q.After); len(afters) == 1 {
 				return waymark.Entered{}, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
@@ -374,7 +377,7 @@
 			return waymark.Confirmed{Last: cairn.Stamp{Seq: 5 + uint64(len(afters)), View: 1}}, nil
 		})
 	}))
-	t.Cleanup(s.cairn.Close)
+	t.Cleanup(s.store.Close)
 	assert.Equal(t, s.ask("control", "POST", "/evacuate/a1", nil).Code, 200)
 	assert.DeepEqual(t, afters, []cairn.Stamp{{Seq: 5, View: 1}, {Seq: 6, View: 1}})
 }
@@ -384,7 +387,7 @@
 func TestTheEndOfAConnectionIsSeen(t *testing.T) {
 	s := open(t)
 	began := make(chan context.Context, 1)
-	control := s.doors()["control"]
+	control := s.handlers()["control"]
 	done := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(done)
@@ -409,7 +412,7 @@
 func TestAZoneThatIsNewInTheSettings(t *testing.T) {
 	s := open(t)
 	assert.Equal(t, s.ask("control", "POST", "/evacuate/c1", nil).Code, 404)
-	set := *s.set
+	set := *s.settings
 	set.Zones = map[string]string{"a1": "a", "c1": "c"}
 	s.Reload(&set)
 	assert.Equal(t, s.ask("control", "POST", "/evacuate/c1", nil).Code, 200)
@@ -423,16 +426,16 @@
 	s.Shed(snowline.Options{})
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: state(1, 12)}, nil)
 	s.mu.Lock()
-	s.election = election.New(s.set.Inner(bothyDock), 1, s.now(), dutyLease, true, dutyRoster, DutyLevel)
+	s.election = election.New(s.settings.Inner(registryPort), 1, s.now(), dutyLeaseMs, true, dutyEndpoints, DutyLevel)
 	s.mu.Unlock()
 	fix := func(ctx context.Context) error {
 		s.alone(now, 0)
 		for held := false; !held; {
 			now.Add(20)
-			s.ward(t.Context())
+			s.stepElection(t.Context())
 			_, held = s.election.Holds(s.now(), DutyLevel)
 		}
-		_, err := s.fixLevel(ctx, waymark.FixLevel{Cut: 5, ForMs: 1000})
+		_, err := s.handleFixLevel(ctx, waymark.FixLevel{Cut: 5, ForMs: 1000})
 		return err
 	}
 	assert.NilError(t, fix(t.Context()))
--- a/internal/bothy/probe.go
+++ b/internal/bothy/probe.go
@@ -10,103 +10,108 @@
 	"time"
 )
 
-// Health probes are few, and part of the duty that has the workers' list: of those that have just
-// come and of those that are cold, to know sooner than by the list, which is late, how long they
-// stay cold. A probe takes a worker's slot, and is paid for: they are off unless asked for.
+// Health probes are rare and belong to the duty of reading the platform's list. They go to workers
+// that are new or cold, to learn how long they stay cold sooner than from the list, which is
+// delayed. A probe occupies a slot of its worker and is charged for, so probes are off by default.
 
 const (
-	probeEvery = 250 * time.Millisecond
-	probeMost  = 400 * time.Millisecond // for an answer
-	probeAgain = 2000.0                 // milliseconds between two probes of one worker
-	probeFresh = 5000.0                 // that a worker counts as one that has just come
-	probeHolds = 2000.0                 // that a probe's word stands against the list's, which is older
-	probesMost = 20.0                   // a second
-	headWorker = "X-Foxwood-Worker-Id"
-	headCold   = "X-Foxwood-Cold-Ms"
+	probeInterval      = 250 * time.Millisecond
+	probeTimeout       = 400 * time.Millisecond // for an answer
+	probeRepeatMs      = 2000.0                 // milliseconds between two probes of one worker
+	newWorkerMs        = 5000.0                 // milliseconds that a worker counts as new
+	probeValidMs       = 2000.0                 // milliseconds that a probe's answer overrides the list, which is older
+	maxProbesPerSecond = 20.0                   // limit of the rate
+	workerIDHeader     = "X-Foxwood-Worker-Id"
+	coldHeader         = "X-Foxwood-Cold-Ms"
 )
 
-// Probe has this bothy probe so many workers a second, where it has the duty. Before it serves.
-func (b *Bothy) Probe(perS float64) { b.probes = min(max(perS, 0), probesMost) }
+// Probe sets how many workers this registry probes per second while it holds the duty. It must be
+// called before Serve.
+func (b *Bothy) Probe(perSecond float64) { b.probeRate = min(max(perSecond, 0), maxProbesPerSecond) }
 
-// due is the workers to probe, those that were probed longest ago first. They count as probed.
-func (r *roster) due(now float64, most int) (ids []string) {
-	var found []*listed
-	for _, l := range r.listed {
-		cold, fresh := l.until > now, l.came > 0 && now-l.came < probeFresh
-		if !l.Gone && !l.Closing && (cold || fresh) && (l.probed == 0 || now-l.probed >= probeAgain) {
-			found = append(found, l)
+// takeDueProbes returns the workers to probe, those first whose last probe is the oldest, and
+// records them as probed.
+func (l *endpointList) takeDueProbes(now float64, limit int) (ids []string) {
+	var due []*listedWorker
+	for _, worker := range l.workers {
+		cold, isNew := worker.coldUntil > now, worker.listedAt > 0 && now-worker.listedAt < newWorkerMs
+		if !worker.Gone && !worker.Closing && (cold || isNew) && (worker.probedAt == 0 || now-worker.probedAt >= probeRepeatMs) {
+			due = append(due, worker)
 		}
 	}
-	slices.SortFunc(found, func(x, y *listed) int { return cmp.Or(cmp.Compare(x.probed, y.probed), cmp.Compare(x.ID, y.ID)) })
-	for _, l := range found[:min(len(found), max(most, 0))] {
-		l.probed = now
-		ids = append(ids, l.ID)
+	slices.SortFunc(due, func(a, b *listedWorker) int {
+		return cmp.Or(cmp.Compare(a.probedAt, b.probedAt), cmp.Compare(a.ID, b.ID))
+	})
+	for _, worker := range due[:min(len(due), max(limit, 0))] {
+		worker.probedAt = now
+		ids = append(ids, worker.ID)
 	}
 	return ids
 }
 
-// told takes a worker's own word that it stays cold for so long, and tells whether that is news.
-func (r *roster) told(now float64, term uint64, id string, cold float64) bool {
-	l := r.listed[id]
-	until := now + max(cold, 0)
-	if l == nil || l.Gone || max(until-l.until, l.until-until) <= coldSlack || until <= now && l.until <= now {
+// applyProbe records a worker's own statement of how long it stays cold, and reports whether that
+// changes anything.
+func (l *endpointList) applyProbe(now float64, term uint64, id string, coldMs float64) bool {
+	worker := l.workers[id]
+	coldUntil := now + max(coldMs, 0)
+	if worker == nil || worker.Gone || max(coldUntil-worker.coldUntil, worker.coldUntil-coldUntil) <= coldToleranceMs || coldUntil <= now && worker.coldUntil <= now {
 		return false
 	}
-	version := r.next(term)
-	l.until, l.changed, l.word = until, version, now
-	r.marks[l.Destination], r.version = version, version
+	version := l.nextVersion(term)
+	worker.coldUntil, worker.changedVersion, worker.coldReportedAt = coldUntil, version, now
+	l.destinationVersions[worker.Destination], l.version = version, version
 	return true
 }
 
-// probe probes what is due, where this bothy has the workers' list.
-func (b *Bothy) probe(ctx context.Context) {
+// probeWorkers probes the workers that are due, if this registry holds the duty.
+func (b *Bothy) probeWorkers(ctx context.Context) {
 	b.mu.Lock()
-	term, ok := b.election.Holds(b.now(), dutyRoster)
-	b.probeRoom = min(b.probeRoom+b.probes*probeEvery.Seconds(), max(b.probes, 1))
-	var at []string
+	term, ok := b.election.Holds(b.now(), dutyEndpoints)
+	b.probeBudget = min(b.probeBudget+b.probeRate*probeInterval.Seconds(), max(b.probeRate, 1))
+	var addresses []string
 	var ids []string
-	if ok && b.parsed != nil {
-		for _, id := range b.roster.due(b.now(), int(b.probeRoom)) {
-			l := b.roster.listed[id]
-			if d := b.parsed.Destinations[l.Destination]; d != nil && d.HealthPath != "" {
-				ids, at = append(ids, id), append(at, "http://"+l.Addr+d.HealthPath)
+	if ok && b.configuration != nil {
+		for _, id := range b.endpoints.takeDueProbes(b.now(), int(b.probeBudget)) {
+			worker := b.endpoints.workers[id]
+			if destination := b.configuration.Destinations[worker.Destination]; destination != nil && destination.HealthPath != "" {
+				ids, addresses = append(ids, id), append(addresses, "http://"+worker.Addr+destination.HealthPath)
 			}
 		}
 	}
-	b.probeRoom -= float64(len(ids))
+	b.probeBudget -= float64(len(ids))
 	b.mu.Unlock()
 	for i := range ids {
-		cold, ok := ask(ctx, at[i], ids[i])
+		coldMs, ok := probeWorker(ctx, addresses[i], ids[i])
 		b.mu.Lock()
-		b.counts.Probes++
-		if now, still := b.election.Holds(b.now(), dutyRoster); ok && still && now == term && b.roster.told(b.now(), term, ids[i], cold) {
-			b.changed()
+		b.counters.Probes++
+		if currentTerm, held := b.election.Holds(b.now(), dutyEndpoints); ok && held && currentTerm == term && b.endpoints.applyProbe(b.now(), term, ids[i], coldMs) {
+			b.notifyWaiters()
 		}
 		b.mu.Unlock()
 	}
 }
 
-// ask asks a worker how long it stays cold. An answer of another worker, at an address that was
-// given away, says nothing of it.
-func ask(ctx context.Context, at, id string) (cold float64, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, probeMost)
+// probeWorker asks a worker how long it stays cold. The answer of another worker that now uses the
+// address is ignored.
+func probeWorker(ctx context.Context, address, id string) (coldMs float64, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return 0, false
 	}
-	res, err := carrier.Do(req)
+	response, err := platformClient.Do(request)
 	if err != nil {
 		return 0, false
 	}
-	defer res.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 4<<10))
-	if res.Header.Get(headWorker) != id || res.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 4<<10))
+	if response.Header.Get(workerIDHeader) != id || response.StatusCode != http.StatusOK {
 		return 0, false
 	}
-	cold, err = strconv.ParseFloat(res.Header.Get(headCold), 64)
-	if res.Header.Get(headCold) == "" {
+	coldMs, err = strconv.ParseFloat(response.Header.Get(coldHeader), 64)
+	if response.Header.Get(coldHeader) == "" {
 		return 0, true
 	}
-	return cold, err == nil && cold >= 0 && cold < 600e3
+	return coldMs, err == nil && coldMs >= 0 && coldMs < 600e3
 }
--- a/internal/bothy/probe_test.go
+++ b/internal/bothy/probe_test.go
@@ -11,29 +11,29 @@
 )
 
 func TestWhoIsProbed(t *testing.T) {
-	r := newRoster()
-	r.poll(100, 1, []waymark.Worker{worker("old"), worker("cold", cold(3000)), worker("away", cold(3000), closing)})
-	r.poll(500, 1, []waymark.Worker{worker("old"), worker("cold", cold(2600)), worker("away", cold(2600), closing), worker("new")})
-	assert.DeepEqual(t, r.due(600, 1), []string{"cold"})
-	assert.DeepEqual(t, r.due(600, 9), []string{"new"}) // each once in two seconds
-	assert.Equal(t, len(r.due(1000, 9)), 0)
-	assert.DeepEqual(t, r.due(2700, 9), []string{"cold", "new"})
-	assert.Equal(t, len(r.due(9000, 9)), 0, "neither new nor cold any more")
+	r := newEndpointList()
+	r.applyPlatformList(100, 1, []waymark.Worker{worker("old"), worker("cold", cold(3000)), worker("away", cold(3000), closing)})
+	r.applyPlatformList(500, 1, []waymark.Worker{worker("old"), worker("cold", cold(2600)), worker("away", cold(2600), closing), worker("new")})
+	assert.DeepEqual(t, r.takeDueProbes(600, 1), []string{"cold"})
+	assert.DeepEqual(t, r.takeDueProbes(600, 9), []string{"new"}) // each once in two seconds
+	assert.Equal(t, len(r.takeDueProbes(1000, 9)), 0)
+	assert.DeepEqual(t, r.takeDueProbes(2700, 9), []string{"cold", "new"})
+	assert.Equal(t, len(r.takeDueProbes(9000, 9)), 0, "neither new nor cold any more")
 }
 
 // TestAWorkersOwnWord stands against the list, which is older, for a while: a worker that has just
 // turned cold would else be told of as warm again by the next poll.
 func TestAWorkersOwnWord(t *testing.T) {
-	r := newRoster()
-	r.poll(100, 1, []waymark.Worker{worker("a")})
+	r := newEndpointList()
+	r.applyPlatformList(100, 1, []waymark.Worker{worker("a")})
 	before := r.version
-	assert.Assert(t, !r.told(200, 1, "a", 0), "as the list said")
-	assert.Assert(t, r.told(200, 1, "a", 4000))
+	assert.Assert(t, !r.applyProbe(200, 1, "a", 0), "as the list said")
+	assert.Assert(t, r.applyProbe(200, 1, "a", 4000))
 	assert.Assert(t, r.version > before)
 	assert.Equal(t, r.since(300, before).Workers[0].Cold, 3900.0)
-	assert.Assert(t, !r.poll(600, 1, []waymark.Worker{worker("a")}), "the list does not know yet")
-	assert.Assert(t, r.poll(2600, 1, []waymark.Worker{worker("a")}), "it must by now")
-	assert.Assert(t, !r.told(2700, 1, "b", 4000), "nobody of that name")
+	assert.Assert(t, !r.applyPlatformList(600, 1, []waymark.Worker{worker("a")}), "the list does not know yet")
+	assert.Assert(t, r.applyPlatformList(2600, 1, []waymark.Worker{worker("a")}), "it must by now")
+	assert.Assert(t, !r.applyProbe(2700, 1, "b", 4000), "nobody of that name")
 }
 
 func TestWhatAProbeHears(t *testing.T) {
@@ -53,13 +53,13 @@
 		{"below nothing", 200, "w", "-5", -5, false},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(headWorker, c.id)
+			w.Header().Set(workerIDHeader, c.id)
 			if c.cold != "" {
-				w.Header().Set(headCold, c.cold)
+				w.Header().Set(coldHeader, c.cold)
 			}
 			w.WriteHeader(c.status)
 		}))
-		got, ok := ask(t.Context(), s.URL+"/health", "w")
+		got, ok := probeWorker(t.Context(), s.URL+"/health", "w")
 		s.Close()
 		assert.Equal(t, ok, c.ok, c.name)
 		if ok {
--- a/internal/bothy/scale_bench_test.go
+++ b/internal/bothy/scale_bench_test.go
@@ -47,7 +47,7 @@
 			roll := book.Members(0)
 			var c *waymark.Crowd
 			for b.Loop() {
-				c = crowdOf(roll, &roll.Members[n/2])
+				c = newPeerList(roll, &roll.Members[n/2])
 			}
 			b.ReportMetric(float64(rpc.Size(waymark.Signed{Crowd: c}, false)), "B/crowd")
 			b.ReportMetric(float64(len(c.Peers)), "peers")
@@ -68,14 +68,14 @@
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		base := m.HeapAlloc
-		r := newRoster()
-		r.poll(0, 1, list)
+		r := newEndpointList()
+		r.applyPlatformList(0, 1, list)
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		held := float64(m.HeapAlloc-base) / float64(n)
 		b.Run(fmt.Sprintf("poll/%d", n), func(b *testing.B) {
 			for now := 0.0; b.Loop(); now += 400 {
-				r.poll(now, 1, list)
+				r.applyPlatformList(now, 1, list)
 			}
 			b.ReportMetric(held, "B/worker")
 			b.ReportMetric(float64(rpc.Size(*r.since(0, 0), false)), "B/whole")
@@ -84,9 +84,9 @@
 			for now := 0.0; b.Loop(); now += 400 {
 				have := r.version
 				list[0].Closing = !list[0].Closing
-				r.poll(now, 1, list)
+				r.applyPlatformList(now, 1, list)
 				r.since(now, have)
-				r.part(now, list[0].Destination, have)
+				r.partSince(now, list[0].Destination, have)
 			}
 		})
 	}
@@ -99,18 +99,18 @@
 		c := newCostRun(30, 3)
 		x := c.bothies[0]
 		for i := range d {
-			x.roster.put(0, waymark.Worker{ID: fmt.Sprint("s", i), Destination: fmt.Sprint("service-", i), Addr: "10.1.1.1:1"}, 1<<termShift|2)
+			x.endpoints.apply(0, waymark.Worker{ID: fmt.Sprint("s", i), Destination: fmt.Sprint("service-", i), Addr: "10.1.1.1:1"}, 1<<termShift|2)
 		}
-		x.roster.version = 1<<termShift | 3
-		x.roster.marks["service-1"] = x.roster.version
+		x.endpoints.version = 1<<termShift | 3
+		x.endpoints.destinationVersions["service-1"] = x.endpoints.version
 		for _, g := range c.gates {
-			x.book.Sign(0, g.guest)
+			x.sessions.Sign(0, g.guest)
 		}
 		q := waymark.Sign{Member: c.gates[0].guest, Roster: 1<<termShift | 2, Edition: 1}
 		b.Run(fmt.Sprint(d), func(b *testing.B) {
 			for b.Loop() {
 				var a waymark.Signed
-				x.relay(0, x.book.Members(0), &q, &a)
+				x.addConfigurationAndEndpoints(0, x.sessions.Members(0), &q, &a)
 			}
 		})
 	}
@@ -125,11 +125,11 @@
 	raw := []byte(`{"roster":{"columns":["id","destination","address","zone","edition","berths","state","coldS_time"],"rows":[` + strings.Join(rows, ",") + `]},"nextToken":null}`)
 	b.SetBytes(int64(len(raw)))
 	for b.Loop() {
-		var p page
+		var p platformPage
 		if err := json.Unmarshal(raw, &p); err != nil {
 			b.Fatal(err)
 		}
-		if list, err := p.workers(); err != nil || len(list) != 1000 {
+		if list, err := p.parseWorkers(); err != nil || len(list) != 1000 {
 			b.Fatal(err, len(list))
 		}
 	}
--- a/internal/bothy/sessions.go
+++ b/internal/bothy/sessions.go
@@ -18,82 +18,84 @@
 	"foxwood/internal/waymark"
 )
 
-// sign keeps a gatekeeper's session and answers with the news, at once where there is some.
-func (b *Bothy) sign(ctx context.Context, q waymark.Sign) (waymark.Signed, error) {
+// handleHeartbeat renews a gatekeeper's session and answers with updates: at once if there are any,
+// or else when the first one comes or the wait is over.
+func (b *Bothy) handleHeartbeat(ctx context.Context, heartbeat waymark.Sign) (waymark.Signed, error) {
 	b.mu.Lock()
-	b.counts.Signs++
-	came := b.now()
-	if q.Leaving {
-		b.book.Leave(came, q.Member.Station, q.Member.Life)
+	b.counters.Signs++
+	receivedAt := b.now()
+	if heartbeat.Leaving {
+		b.sessions.Leave(receivedAt, heartbeat.Member.Station, heartbeat.Member.Life)
 	} else {
-		b.book.Sign(came, q.Member)
+		b.sessions.Sign(receivedAt, heartbeat.Member)
 	}
-	b.election.Learn(dutyRoster, q.Roster>>termShift)
-	b.strikes.newest = max(b.strikes.newest, q.Roster)
-	b.rolled()
-	kept := q.Leaving || b.lifeKept(q.Member.Station)
+	b.election.Learn(dutyEndpoints, heartbeat.Roster>>termShift)
+	b.withdrawals.newestVersion = max(b.withdrawals.newestVersion, heartbeat.Roster)
+	b.updateMembers()
+	stored := heartbeat.Leaving || b.isStartStored(heartbeat.Member.Station)
 	b.mu.Unlock()
-	if !kept {
-		b.awaitLife(ctx, q.Member.Station)
+	if !stored {
+		b.awaitStartStored(ctx, heartbeat.Member.Station)
 	}
-	wait := time.NewTimer(time.Duration(min(max(q.Wait, 0), waitMost) * float64(time.Millisecond)))
-	defer wait.Stop()
+	timer := time.NewTimer(time.Duration(min(max(heartbeat.Wait, 0), maxWaitMs) * float64(time.Millisecond)))
+	defer timer.Stop()
 	for {
 		b.mu.Lock()
-		a, some := b.signed(q, came)
-		news := b.news
+		answer, updated := b.heartbeatAnswer(heartbeat, receivedAt)
+		signal := b.updateSignal
 		b.mu.Unlock()
-		if some || q.Wait <= 0 {
-			return a, nil
+		if updated || heartbeat.Wait <= 0 {
+			return answer, nil
 		}
 		select {
-		case <-news:
-		case <-wait.C:
-			q.Wait = 0
+		case <-signal:
+		case <-timer.C:
+			heartbeat.Wait = 0
 		case <-ctx.Done():
-			return a, rpc.Errorf(rpc.Unavailable, "the caller has left")
+			return answer, rpc.Errorf(rpc.Unavailable, "the caller has left")
 		}
 	}
 }
 
-// signed is the answer as things stand, and whether it holds news. The lock is held.
-func (b *Bothy) signed(q waymark.Sign, came float64) (a waymark.Signed, some bool) {
+// heartbeatAnswer returns the answer to a heartbeat in the current state, and whether it contains
+// updates. The lock is held.
+func (b *Bothy) heartbeatAnswer(heartbeat waymark.Sign, receivedAt float64) (answer waymark.Signed, updated bool) {
 	now := b.now()
-	a.AsOf = b.asked - came
-	a.Stale = b.asked == 0 || now-b.asked > staleAfter || b.waits()
-	a.Settled = b.settled(now)
-	a.Again = b.book.Again(now, q.Member.Station, b.firstTokensWindow()) || !b.lifeKept(q.Member.Station)
-	roll := b.book.Members(now)
-	some = b.relay(now, roll, &q, &a)
-	a.Evac = b.evac
-	if b.evac > q.Evac {
-		a.HasEvac, a.Evacuated = true, b.evacs
-		a.TakenBack = b.takenBack(q.Evac)
-		some = true
+	answer.AsOf = b.tailConfirmedAt - receivedAt
+	answer.Stale = b.tailConfirmedAt == 0 || now-b.tailConfirmedAt > staleAfterMs || b.outsideCore()
+	answer.Settled = b.membersComplete(now)
+	answer.Again = b.sessions.Again(now, heartbeat.Member.Station, b.startBurstWindowMs()) || !b.isStartStored(heartbeat.Member.Station)
+	members := b.sessions.Members(now)
+	updated = b.addConfigurationAndEndpoints(now, members, &heartbeat, &answer)
+	answer.Evac = b.evacuationVersion
+	if b.evacuationVersion > heartbeat.Evac {
+		answer.HasEvac, answer.Evacuated = true, b.evacuatedZones
+		answer.TakenBack = b.endedEvacuations(heartbeat.Evac)
+		updated = true
 	}
-	some = b.shadowNews(now, came, roll, &q, &a) || some
-	if struck, mark := b.strikes.list(); mark != 0 && mark != q.Struck {
-		a.Struck, a.StruckNow, some = struck, mark, true
+	updated = b.addMirrorUpdates(now, receivedAt, members, &heartbeat, &answer) || updated
+	if withdrawn, hash := b.withdrawals.snapshot(); hash != 0 && hash != heartbeat.Struck {
+		answer.Struck, answer.StruckNow, updated = withdrawn, hash, true
 	}
-	// Who has just started does not know all members yet: by too few of them gatekeepers would
-	// divide what cold workers bear and what quotas leave them.
-	if c := b.crowd(roll, &q.Member); a.Settled && now >= crowdAfter && c.Mark != q.Crowd {
-		a.Crowd, some = c, some || q.Crowd == 0 // who has one hears of changes with its next answer
+	// A registry that has just started may not know all members. With too few of them, gatekeepers
+	// would claim too large shares of a cold worker's capacity and of quotas.
+	if peers := b.peerList(members, &heartbeat.Member); answer.Settled && now >= memberListDelayMs && peers.Mark != heartbeat.Crowd {
+		answer.Crowd, updated = peers, updated || heartbeat.Crowd == 0 // a gatekeeper that holds a list receives changes with its next answer
 	}
-	if b.coresMark != q.Cores {
-		a.Cores, a.CoresNow = b.cores, b.coresMark
+	if b.coreMachinesHash != heartbeat.Cores {
+		answer.Cores, answer.CoresNow = b.coreMachines, b.coreMachinesHash
 	}
-	return a, some || a.Stale
+	return answer, updated || answer.Stale
 }
 
-// takenBack is the zones whose evacuation was taken back since a change. Who has just started is told of none. The
-// lock is held.
-func (b *Bothy) takenBack(since uint64) (zones []string) {
+// endedEvacuations returns the zones whose evacuation has ended since a change; none for a
+// gatekeeper that has just started. The lock is held.
+func (b *Bothy) endedEvacuations(since uint64) (zones []string) {
 	if since == 0 {
 		return nil
 	}
-	for zone, last := range b.state.Touched {
-		if _, evacuated := b.state.Evacuated[zone]; !evacuated && last.Seq > since {
+	for zone, lastChange := range b.committed.Touched {
+		if _, evacuated := b.committed.Evacuated[zone]; !evacuated && lastChange.Seq > since {
 			zones = append(zones, zone)
 		}
 	}
@@ -101,227 +103,235 @@
 	return zones
 }
 
-// settled tells whether the members are whole here. The lock is held.
-func (b *Bothy) settled(now float64) bool {
+// membersComplete reports whether all members are known here. The lock is held.
+func (b *Bothy) membersComplete(now float64) bool {
 	if len(b.core) > 0 {
-		return b.book.Settled(now, b.core)
+		return b.sessions.Settled(now, b.core)
 	}
-	return b.book.Settled(now, b.known) // what the seeds name: the core is not known yet
+	return b.sessions.Settled(now, b.otherRegistries) // the registries named by the seeds: the core is not known yet
 }
 
-// viewer is who is told of the others: what they are told goes by it and the roll alone.
-type viewer struct{ station, zone, region string }
+// peerListKey identifies a receiver of the peer list, whose content depends only on it and the
+// member list.
+type peerListKey struct{ node, zone, region string }
 
-// crowd is what a gatekeeper is told of the others. It is found once for each roll.
-func (b *Bothy) crowd(roll membership.Roll, g *membership.Member) *waymark.Crowd {
-	if b.crowdsOf != roll.Version {
-		b.crowds, b.crowdsOf = map[viewer]*waymark.Crowd{}, roll.Version
+// peerList returns the other members as seen by a gatekeeper. It is computed once for each version
+// of the member list.
+func (b *Bothy) peerList(members membership.Roll, gatekeeper *membership.Member) *waymark.Crowd {
+	if b.peerListsVersion != members.Version {
+		b.peerLists, b.peerListsVersion = map[peerListKey]*waymark.Crowd{}, members.Version
 	}
-	as := viewer{g.Station, g.Zone, g.Region}
-	c := b.crowds[as]
-	if c == nil {
-		c = crowdOf(roll, g)
-		b.crowds[as] = c
+	key := peerListKey{gatekeeper.Station, gatekeeper.Zone, gatekeeper.Region}
+	list := b.peerLists[key]
+	if list == nil {
+		list = newPeerList(members, gatekeeper)
+		b.peerLists[key] = list
 	}
-	return c
+	return list
 }
 
-func crowdOf(roll membership.Roll, g *membership.Member) *waymark.Crowd {
-	c := &waymark.Crowd{}
-	c.Place, c.Count = roll.Place(g.Station)
-	h := xxh3.New()
-	_, _ = fmt.Fprint(h, c.Place, c.Count)
-	var far []string
-	for i := range roll.Members {
-		o := &roll.Members[i]
+// newPeerList returns the ready members of the gatekeeper's region, those of its own zone first.
+func newPeerList(members membership.Roll, gatekeeper *membership.Member) *waymark.Crowd {
+	list := &waymark.Crowd{}
+	list.Place, list.Count = members.Place(gatekeeper.Station)
+	hash := xxh3.New()
+	_, _ = fmt.Fprint(hash, list.Place, list.Count)
+	var otherZones []string
+	for i := range members.Members {
+		member := &members.Members[i]
 		switch {
-		case o.Region != g.Region || o.Station == g.Station || !o.Ready || o.Leaving:
-		case o.Zone == g.Zone:
-			c.Peers, c.Near = append(c.Peers, o.Inner), append(c.Near, i)
+		case member.Region != gatekeeper.Region || member.Station == gatekeeper.Station || !member.Ready || member.Leaving:
+		case member.Zone == gatekeeper.Zone:
+			list.Peers, list.Near = append(list.Peers, member.Inner), append(list.Near, i)
 		default:
-			far = append(far, o.Inner)
+			otherZones = append(otherZones, member.Inner)
 		}
 	}
-	c.Peers = append(c.Peers, far...)
-	_, _ = fmt.Fprint(h, c.Near, c.Peers)
-	c.Mark = h.Sum64() | 1
-	return c
+	list.Peers = append(list.Peers, otherZones...)
+	_, _ = fmt.Fprint(hash, list.Near, list.Peers)
+	list.Mark = hash.Sum64() | 1
+	return list
 }
 
-// waits tells whether this machine has no seat in the core: it hears of no duty's holder, so gatekeepers are
-// better off elsewhere. The lock is held.
-func (b *Bothy) waits() bool {
-	return b.view.No > 0 && !slices.Contains(b.core, b.set.Inner(bothyDock))
+// outsideCore reports whether this machine has no seat in the core. Such a registry does not learn
+// who holds a duty, so gatekeepers should use another. The lock is held.
+func (b *Bothy) outsideCore() bool {
+	return b.view.No > 0 && !slices.Contains(b.core, b.settings.Inner(registryPort))
 }
 
-// count notes the core machines that are known, with a mark that changes with them. The lock is held.
-func (b *Bothy) count() {
-	var cores []waymark.Core
-	if !b.waits() {
-		cores = append(cores, waymark.Core{Addr: b.set.Inner(bothyDock), Zone: b.set.Zone})
+// updateCoreMachines updates the list of known core machines and its hash. The lock is held.
+func (b *Bothy) updateCoreMachines() {
+	var machines []waymark.Core
+	if !b.outsideCore() {
+		machines = append(machines, waymark.Core{Addr: b.settings.Inner(registryPort), Zone: b.settings.Zone})
 	}
-	for _, addr := range b.known {
-		cores = append(cores, waymark.Core{Addr: addr, Zone: b.zones[addr]})
+	for _, addr := range b.otherRegistries {
+		machines = append(machines, waymark.Core{Addr: addr, Zone: b.peerZones[addr]})
 	}
-	slices.SortFunc(cores, func(x, y waymark.Core) int { return strings.Compare(x.Addr, y.Addr) })
-	b.cores, b.coresMark = cores, xxh3.HashString(fmt.Sprint(cores))|1
+	slices.SortFunc(machines, func(a, b waymark.Core) int { return strings.Compare(a.Addr, b.Addr) })
+	b.coreMachines, b.coreMachinesHash = machines, xxh3.HashString(fmt.Sprint(machines))|1
 }
 
-// draw answers a gatekeeper's asking for its slices, here or at the bothy that has the duty.
-func (b *Bothy) draw(ctx context.Context, q waymark.Draw) (waymark.Drawn, error) {
+// handleQuotaRequest answers a gatekeeper's allocation request here or forwards it to the holder of
+// the duty.
+func (b *Bothy) handleQuotaRequest(ctx context.Context, request waymark.Draw) (waymark.Drawn, error) {
 	b.mu.Lock()
-	holder := b.election.Holder(b.now(), dutySlices)
-	if holder == b.set.Inner(bothyDock) {
+	holder := b.election.Holder(b.now(), dutyQuota)
+	if holder == b.settings.Inner(registryPort) {
 		defer b.mu.Unlock()
-		return b.drawn(q)
+		return b.allocate(request)
 	}
-	p := b.peers[holder]
+	peer := b.peers[holder]
 	b.mu.Unlock()
-	if p == nil || q.Passed {
+	if peer == nil || request.Passed {
 		return waymark.Drawn{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 	}
-	q.Passed = true
-	ctx, cancel := context.WithTimeout(ctx, callMost/2)
+	request.Passed = true
+	ctx, cancel := context.WithTimeout(ctx, callTimeout/2)
 	defer cancel()
-	return rpc.Call[waymark.Draw, waymark.Drawn](ctx, p, q)
+	return rpc.Call[waymark.Draw, waymark.Drawn](ctx, peer, request)
 }
 
-// drawn allots as the holder of the duty. The lock is held.
-func (b *Bothy) drawn(q waymark.Draw) (waymark.Drawn, error) {
-	b.counts.Draws++
+// allocate answers an allocation request as the holder of the duty. The lock is held.
+func (b *Bothy) allocate(request waymark.Draw) (waymark.Drawn, error) {
+	b.counters.Draws++
 	now := b.now()
-	if _, ok := b.election.Holds(now, dutySlices); !ok || b.parsed == nil {
+	if _, ok := b.election.Holds(now, dutyQuota); !ok || b.configuration == nil {
 		return waymark.Drawn{}, rpc.Errorf(rpc.Unavailable, "the duty is lost")
 	}
-	demand := make(quota.Demand, len(q.Demand))
-	for name, d := range q.Demand {
-		demand[name] = float64(d)
+	demand := make(quota.Demand, len(request.Demand))
+	for name, waiting := range request.Demand {
+		demand[name] = float64(waiting)
 	}
-	id := memberID(q.Station, q.Life)
-	b.rolled() // the allotter allots nothing before it knows of members
-	began := time.Now()
-	got := b.allot.Ask(now, id, q.Turn, demand, q.Held(), q.LeaseLeft)
-	b.counts.AllotNanos += uint64(time.Since(began))
-	if got == nil {
+	id := memberID(request.Station, request.Life)
+	b.updateMembers() // the allocator allocates nothing before it knows the members
+	startedAt := time.Now()
+	allocations := b.allocator.Ask(now, id, request.Turn, demand, request.Held(), request.LeaseLeft)
+	b.counters.AllotNanos += uint64(time.Since(startedAt))
+	if allocations == nil {
 		return waymark.Drawn{}, rpc.Errorf(rpc.Stale, "an asking that was overtaken")
 	}
-	if b.book.Again(now, q.Station, b.firstTokensWindow()) { // an allotter before this one may have given them
-		for name, s := range got {
-			s.Kick = 0
-			got[name] = s
+	if b.sessions.Again(now, request.Station, b.startBurstWindowMs()) { // an earlier holder of the duty may have granted the start burst already
+		for name, allocation := range allocations {
+			allocation.Kick = 0
+			allocations[name] = allocation
 		}
 	}
-	return waymark.Drawn{Slices: waymark.Pack(got), Lease: sliceLease, SlowStart: b.slowStart.Ask(now, id)}, nil
+	return waymark.Drawn{Slices: waymark.Pack(allocations), Lease: allocationLeaseMs, SlowStart: b.slowStart.Ask(now, id)}, nil
 }
 
-// terms brings the allotter the tenants' quotas. The lock is held.
-func (b *Bothy) terms() {
-	if b.parsed == nil {
+// updateQuotaLimits passes the tenants' quotas to the allocator. The lock is held.
+func (b *Bothy) updateQuotaLimits() {
+	if b.configuration == nil {
 		return
 	}
-	b.allot.Terms(b.now(), maps.Collect(quota.Limited(b.parsed)), b.parsed.Edition)
+	b.allocator.Terms(b.now(), maps.Collect(quota.Limited(b.configuration)), b.configuration.Edition)
 }
 
-func memberID(station string, life uint64) string { return fmt.Sprintf("%s/%x", station, life) }
+// memberID returns the allocator's name for one incarnation of a gatekeeper.
+func memberID(node string, incarnation uint64) string { return fmt.Sprintf("%s/%x", node, incarnation) }
 
-// ward steps the ballots on.
-func (b *Bothy) ward(context.Context) {
+// stepElection advances the election and the periodic checks that depend on it.
+func (b *Bothy) stepElection(context.Context) {
 	b.mu.Lock()
 	if b.stopped {
 		b.mu.Unlock()
 		return
 	}
-	out := b.election.Step(b.now(), election.Event{Kind: election.Tick})
-	b.duties(out)
-	b.strikes.watch(b.now(), b.election.Holder(b.now(), dutyRoster))
-	b.watchLives()
-	settled, epoch := b.election.Settled(b.now())
-	again := b.set.ArchiveDir != "" && settled != nil && (epoch != b.keptEpoch || !slices.Equal(settled, b.kept)) && b.keeping.begin(b.now())
+	output := b.election.Step(b.now(), election.Event{Kind: election.Tick})
+	b.applyDutyChanges(output)
+	b.withdrawals.observeHolder(b.now(), b.election.Holder(b.now(), dutyEndpoints))
+	b.checkStarts()
+	electorate, epoch := b.election.Settled(b.now())
+	mustStore := b.settings.ArchiveDir != "" && electorate != nil && (epoch != b.storedEpoch || !slices.Equal(electorate, b.storedElectorate)) && b.electorateWrites.tryBegin(b.now())
 	b.mu.Unlock()
-	b.send(out)
-	if again {
-		go b.keepNow(settled, epoch) // a disk that hangs must not hold up the ballots
+	b.sendElectionMessages(output)
+	if mustStore {
+		go b.storeElectorate(electorate, epoch) // in the background, so that a disk that hangs does not delay votes
 	}
 }
 
-// duties takes duties up and lays them down. The lock is held.
-func (b *Bothy) duties(out election.Out) {
-	for _, d := range out.Won {
-		b.log.Info().Str("duty", d.Duty).Uint64("term", d.Term).Float64("vacantMs", d.VacantMs).Msg("won")
-		b.counts.DutiesWon++
-		b.levelDuty(d.Duty, d.Term, true)
-		if d.Duty == dutySlices {
-			b.allot.Begin(b.now(), d.VacantMs)
-			b.slowStart.Begin(b.now(), d.VacantMs)
+// applyDutyChanges starts the duties that were won and stops those that were lost. The lock is
+// held.
+func (b *Bothy) applyDutyChanges(output election.Out) {
+	for _, duty := range output.Won {
+		b.log.Info().Str("duty", duty.Duty).Uint64("term", duty.Term).Float64("vacantMs", duty.VacantMs).Msg("duty won")
+		b.counters.DutiesWon++
+		b.applySheddingDuty(duty.Duty, duty.Term, true)
+		if duty.Duty == dutyQuota {
+			b.allocator.Begin(b.now(), duty.VacantMs)
+			b.slowStart.Begin(b.now(), duty.VacantMs)
 		}
 	}
-	for _, d := range out.Vacant {
-		if d.Duty == dutySlices {
-			b.allot.Vacant(d.VacantMs)
-			b.slowStart.Vacant(d.VacantMs)
+	for _, duty := range output.Vacant {
+		if duty.Duty == dutyQuota {
+			b.allocator.Vacant(duty.VacantMs)
+			b.slowStart.Vacant(duty.VacantMs)
 		}
 	}
-	for _, d := range out.Lost {
-		b.counts.DutiesLost++
-		b.levelDuty(d.Duty, d.Term, false)
-		b.log.Info().Str("duty", d.Duty).Uint64("term", d.Term).Msg("lost")
+	for _, duty := range output.Lost {
+		b.counters.DutiesLost++
+		b.applySheddingDuty(duty.Duty, duty.Term, false)
+		b.log.Info().Str("duty", duty.Duty).Uint64("term", duty.Term).Msg("duty lost")
 	}
 }
 
-func (b *Bothy) send(out election.Out) {
-	for _, m := range out.Send {
+// sendElectionMessages sends the messages of an election step. The lock is not held.
+func (b *Bothy) sendElectionMessages(output election.Out) {
+	for _, message := range output.Send {
 		b.mu.Lock()
-		p := b.peers[m.To]
+		peer := b.peers[message.To]
 		b.mu.Unlock()
-		if p != nil {
-			_ = rpc.Tell(p, m)
+		if peer != nil {
+			_ = rpc.Tell(peer, message)
 		}
 	}
 }
 
-// balloted takes a message of another bothy's election.
-func (b *Bothy) balloted(_ context.Context, m election.Message) (waymark.AskStatus, error) {
+// handleElectionMessage handles an election message of another registry.
+func (b *Bothy) handleElectionMessage(_ context.Context, message election.Message) (waymark.AskStatus, error) {
 	b.mu.Lock()
 	if b.stopped {
 		b.mu.Unlock()
 		return waymark.AskStatus{}, nil
 	}
-	out := b.election.Step(b.now(), election.Event{Kind: election.Heard, Message: m})
-	b.duties(out)
+	output := b.election.Step(b.now(), election.Event{Kind: election.Heard, Message: message})
+	b.applyDutyChanges(output)
 	b.mu.Unlock()
-	b.send(out)
+	b.sendElectionMessages(output)
 	return waymark.AskStatus{}, nil
 }
 
-func (b *Bothy) status(context.Context, waymark.AskStatus) (waymark.Status, error) {
+// handleStatus returns the lines that the command status prints.
+func (b *Bothy) handleStatus(context.Context, waymark.AskStatus) (waymark.Status, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	var s waymark.Status
-	say := func(format string, a ...any) { s.Lines = append(s.Lines, fmt.Sprintf(format, a...)) }
-	say("station %s", b.set.Station)
-	say("view %d chain %v core %v", b.view.No, b.view.Chain, b.view.Core)
-	say("edition %s change %d", timetable.FormatEdition(b.state.Edition), b.state.Last.Seq)
-	say("tail asked %.0f ms ago", now-b.asked)
-	say("evacuated %v", b.evacs)
-	for _, d := range []string{dutyRoster, dutySlices} {
-		say("duty %s held by %s", d, b.election.Holder(now, d))
+	var status waymark.Status
+	addLine := func(format string, args ...any) { status.Lines = append(status.Lines, fmt.Sprintf(format, args...)) }
+	addLine("station %s", b.settings.Station)
+	addLine("view %d chain %v core %v", b.view.No, b.view.Chain, b.view.Core)
+	addLine("edition %s change %d", timetable.FormatEdition(b.committed.Edition), b.committed.Last.Seq)
+	addLine("tail asked %.0f ms ago", now-b.tailConfirmedAt)
+	addLine("evacuated %v", b.evacuatedZones)
+	for _, duty := range []string{dutyEndpoints, dutyQuota} {
+		addLine("duty %s held by %s", duty, b.election.Holder(now, duty))
 	}
-	s.Lines = append(s.Lines, b.levelLines()...)
-	say("roster version %d, %d workers, polled %.0f ms ago, %d taken away without the duty", b.roster.version, len(b.roster.listed), now-b.polled,
-		len(b.strikes.at))
-	roll := b.book.Members(now)
-	for i := range roll.Members {
-		g := &roll.Members[i]
-		say("member %s zone %s at %s ready %t leaving %t", g.Station, g.Zone, g.Counter, g.Ready, g.Leaving)
+	status.Lines = append(status.Lines, b.sheddingStatusLines()...)
+	addLine("roster version %d, %d workers, polled %.0f ms ago, %d taken away without the duty", b.endpoints.version, len(b.endpoints.workers), now-b.polledAt,
+		len(b.withdrawals.versions))
+	members := b.sessions.Members(now)
+	for i := range members.Members {
+		member := &members.Members[i]
+		addLine("member %s zone %s at %s ready %t leaving %t", member.Station, member.Zone, member.Counter, member.Ready, member.Leaving)
 	}
-	return s, nil
+	return status, nil
 }
 
-// resolve is the addresses for clients of a zone.
+// resolve returns the gatekeepers' addresses for clients of a zone.
 func (b *Bothy) resolve(region, zone string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.counts.Resolves++
-	return membership.Resolve(b.now(), b.book.Members(b.now()), region, zone, resolveMost)
+	b.counters.Resolves++
+	return membership.Resolve(b.now(), b.sessions.Members(b.now()), region, zone, maxResolvedAddresses)
 }
--- a/internal/bothy/sessions_test.go
+++ b/internal/bothy/sessions_test.go
@@ -18,7 +18,7 @@
 // says has the cairn confirm a state.
 func (s *stand) says(c waymark.Confirmed, err error) {
 	s.confirmed = func(waymark.Confirm) (waymark.Confirmed, error) { return c, err }
-	s.confirm(s.t.Context())
+	s.confirmWithTail(s.t.Context())
 }
 
 func state(seq, edition uint64, zones ...string) *cairn.State {
@@ -33,7 +33,7 @@
 func (s *stand) answer(q waymark.Sign) waymark.Signed {
 	s.t.Helper()
 	q.Member = membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: uint64(s.now() * 1e3), Inner: "10.0.0.1:7460", Ready: true}
-	a, err := s.sign(s.t.Context(), q)
+	a, err := s.handleHeartbeat(s.t.Context(), q)
 	assert.NilError(s.t, err)
 	return a
 }
@@ -50,7 +50,7 @@
 		s.pass(slow)
 		return waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: state(1, 12)}, nil
 	}
-	s.confirm(t.Context())
+	s.confirmWithTail(t.Context())
 	a = s.answer(waymark.Sign{})
 	assert.Assert(t, a.AsOf <= -slow, "%v: it counts from the asking", a.AsOf)
 	assert.Assert(t, a.Stale, "an answer that old")
@@ -63,7 +63,7 @@
 	s.says(waymark.Confirmed{}, rpc.Errorf(rpc.Unavailable, "no tail"))
 	a = s.answer(waymark.Sign{})
 	assert.Assert(t, a.Stale && a.AsOf <= -slow, "%v: a failed asking makes nothing newer", a.AsOf)
-	assert.Equal(t, s.counts.ConfirmsFailed, uint64(1))
+	assert.Equal(t, s.counters.ConfirmsFailed, uint64(1))
 
 	// An answer that tells of something newer, without it, is no word that this bothy can pass on.
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 2}}, nil)
@@ -71,8 +71,8 @@
 
 	// The tail was asked after the sign came in: the sum is above nothing.
 	s.mu.Lock()
-	s.asked = s.now()
-	a, _ = s.signed(waymark.Sign{}, s.asked-300)
+	s.tailConfirmedAt = s.now()
+	a, _ = s.heartbeatAnswer(waymark.Sign{}, s.tailConfirmedAt-300)
 	s.mu.Unlock()
 	assert.Assert(t, a.AsOf > 299.9 && a.AsOf < 300.1, "%v", a.AsOf)
 }
@@ -100,8 +100,8 @@
 func TestNews(t *testing.T) {
 	s := open(t)
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 4}, State: state(4, 12, "a1")}, nil)
-	s.roster.poll(0, 1, []waymark.Worker{worker("i-1")})
-	version := s.roster.version
+	s.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("i-1")})
+	version := s.endpoints.version
 	all := s.answer(waymark.Sign{})
 	body, err := waymark.Inflate(all.Body)
 	assert.NilError(t, err)
@@ -140,13 +140,13 @@
 func TestASignWaitsForNews(t *testing.T) {
 	s := open(t)
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 4}, State: state(4, 12)}, nil)
-	q := waymark.Sign{Edition: 12, Evac: 4, Wait: waitMost, Member: membership.Member{Station: "p", Life: 1}}
+	q := waymark.Sign{Edition: 12, Evac: 4, Wait: maxWaitMs, Member: membership.Member{Station: "p", Life: 1}}
 	got := make(chan waymark.Signed, 1)
 	go func() {
 		defer close(got)
 		for t.Context().Err() == nil {
 			q.Member.Turn++
-			if a, err := s.sign(t.Context(), q); err == nil && a.Edition == 13 {
+			if a, err := s.handleHeartbeat(t.Context(), q); err == nil && a.Edition == 13 {
 				got <- a
 				return
 			}
@@ -154,7 +154,7 @@
 	}()
 	for came := false; !came; {
 		s.mu.Lock()
-		came = s.counts.Signs > 0
+		came = s.counters.Signs > 0
 		s.mu.Unlock()
 	}
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 5}, State: state(5, 13)}, nil)
@@ -169,28 +169,28 @@
 	s := open(t, "127.0.0.2:80")
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: state(1, 12), View: &cairn.View{No: 1, Core: []cairn.Ident{{Addr: "127.0.0.1:7461"}, {Addr: "127.0.0.2:7461"}}}}, nil)
 	s.mu.Lock()
-	s.asked = s.now()
+	s.tailConfirmedAt = s.now()
 	q := waymark.Sign{Member: membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Ready: true}}
-	s.book.Sign(s.now(), q.Member)
-	s.book.Sign(s.now(), membership.Member{Station: "q", Zone: "a2", Region: "a", Life: 2, Turn: 1, Inner: "10.0.0.2:7460", Ready: true})
+	s.sessions.Sign(s.now(), q.Member)
+	s.sessions.Sign(s.now(), membership.Member{Station: "q", Zone: "a2", Region: "a", Life: 2, Turn: 1, Inner: "10.0.0.2:7460", Ready: true})
 	born := s.now()
 	told := func(at float64) waymark.Signed { // by a clock of our own: s.now() is at born and goes on
-		a, _ := s.signed(q, at)
+		a, _ := s.heartbeatAnswer(q, at)
 		return a
 	}
 	s.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now() < lapse { // else this machine stood still for over a second
+	if s.now() < sessionTimeoutMs { // else this machine stood still for over a second
 		a := told(born)
 		assert.Assert(t, !a.Settled && a.Crowd == nil, "the other bothy was not heard")
 	}
-	s.book.Hear(s.now(), membership.Page{From: other, Life: 9, Serial: 1})
-	if s.now() < crowdAfter {
+	s.sessions.Hear(s.now(), membership.Page{From: other, Life: 9, Serial: 1})
+	if s.now() < memberListDelayMs {
 		a := told(born)
 		assert.Assert(t, a.Settled && a.Crowd == nil, "its sessions may not all be told yet")
 	}
-	s.start = s.start.Add(-crowdAfter * 1e6)
+	s.start = s.start.Add(-memberListDelayMs * 1e6)
 	a := told(born)
 	assert.Assert(t, a.Settled && a.Crowd != nil)
 	assert.Equal(t, a.Crowd.Place, 0)
@@ -213,20 +213,20 @@
 	})
 	s := open(t)
 	q := waymark.Draw{Station: "p", Life: 1, Turn: 1}
-	_, err := s.draw(t.Context(), q)
+	_, err := s.handleQuotaRequest(t.Context(), q)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "nobody has the duty")
 
 	// The other one says that it has the duty.
 	holds := func(from string) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.election.Step(s.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Announce, From: from, Held: []election.Tenure{{Duty: dutySlices, Term: 3}}}})
+		s.election.Step(s.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Announce, From: from, Held: []election.Tenure{{Duty: dutyQuota, Term: 3}}}})
 	}
 	s.peers[addr] = rpc.NewPeer(addr)
 	var got waymark.Drawn
 	for until := time.Now().Add(patience); err != nil && time.Now().Before(until); { // a machine that stands still is late
 		holds(addr)
-		got, err = s.draw(t.Context(), q)
+		got, err = s.handleQuotaRequest(t.Context(), q)
 	}
 	assert.NilError(t, err)
 	assert.Equal(t, waymark.Unpack(got.Slices)["ana"].Rate, 2.0)
@@ -235,27 +235,27 @@
 	}
 	holds(addr)
 	q.Passed = true
-	_, err = s.draw(t.Context(), q)
+	_, err = s.handleQuotaRequest(t.Context(), q)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 	assert.Equal(t, len(heard), 0)
 	holds("10.9.9.9:1") // a holder that is not known
 	q.Passed = false
-	_, err = s.draw(t.Context(), q)
+	_, err = s.handleQuotaRequest(t.Context(), q)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 }
 
 // TestTheHolderAllots, and refuses an asking that another has overtaken.
 func TestTheHolderAllots(t *testing.T) {
 	s := open(t)
-	self := s.set.Inner(bothyDock)
+	self := s.settings.Inner(registryPort)
 	s.says(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: state(1, 12), View: &cairn.View{No: 1, Core: []cairn.Ident{{Addr: "127.0.0.1:7461"}}}}, nil)
 	for holder := ""; holder != self; { // one that votes alone wins at a step of its own
 		s.mu.Lock()
 		s.election.Electorate(s.now(), s.now(), []string{self}, 1, 0)
 		s.mu.Unlock()
-		s.ward(t.Context())
+		s.stepElection(t.Context())
 		s.mu.Lock()
-		holder = s.election.Holder(s.now(), dutySlices)
+		holder = s.election.Holder(s.now(), dutyQuota)
 		s.mu.Unlock()
 		s.pass(20)
 	}
@@ -263,8 +263,8 @@
 		s.mu.Lock()
 		s.election.Electorate(s.now(), s.now(), []string{self}, 1, 0)
 		s.mu.Unlock()
-		s.ward(t.Context()) // the duty is renewed right before
-		return s.draw(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: turn, Passed: passed})
+		s.stepElection(t.Context()) // the duty is renewed right before
+		return s.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: turn, Passed: passed})
 	}
 	once := draw
 	draw = func(turn uint64, passed bool) (a waymark.Drawn, err error) {
@@ -277,15 +277,15 @@
 	}
 	a, err := draw(2, true)
 	assert.NilError(t, err)
-	assert.Equal(t, a.Lease, sliceLease)
+	assert.Equal(t, a.Lease, allocationLeaseMs)
 	_, err = draw(2, false)
 	assert.Equal(t, rpc.KindOf(err), rpc.Stale)
 	_, err = draw(1, false)
 	assert.Equal(t, rpc.KindOf(err), rpc.Stale)
 	_, err = draw(3, false)
 	assert.NilError(t, err)
-	s.leave()
-	_, err = s.draw(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 4})
+	s.shutDown()
+	_, err = s.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 4})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "who leaves has given its duty up")
 }
 
--- a/internal/bothy/lives_test.go
+++ b/internal/bothy/startlog_test.go
@@ -24,16 +24,16 @@
 // signs has a life of a station sign, and gives what it is told of first tokens.
 func signs(t *testing.T, b *Bothy, station string, life uint64) (again bool) {
 	t.Helper()
-	a, err := b.sign(t.Context(), waymark.Sign{Member: membership.Member{Station: station, Life: life, Turn: 1}})
+	a, err := b.handleHeartbeat(t.Context(), waymark.Sign{Member: membership.Member{Station: station, Life: life, Turn: 1}})
 	assert.NilError(t, err)
 	return a.Again
 }
 
 // passes has the loop that keeps lives do its work, until nothing is being written.
 func passes(t *testing.T, b *Bothy) {
-	b.ward(t.Context())
+	b.stepElection(t.Context())
 	b.mu.Lock()
-	over := b.lives.over
+	over := b.startLog.writeEnded
 	b.mu.Unlock()
 	if over != nil {
 		<-over
@@ -50,9 +50,9 @@
 	b = onDisk(dir, &now) // restarted, with its disk
 	assert.Assert(t, signs(t, b, "counter-1", 2), "the life before may have taken them")
 	assert.Assert(t, !signs(t, b, "counter-2", 3), "another station")
-	now += b.firstTokensWindow() + 1
+	now += b.startBurstWindowMs() + 1
 	passes(t, b)
-	assert.Equal(t, len(readLives(dir)), 0, "nothing that is that old counts")
+	assert.Equal(t, len(readStartLog(dir)), 0, "nothing that is that old counts")
 	b = onDisk(dir, &now)
 	assert.Assert(t, !signs(t, b, "counter-1", 4))
 }
@@ -61,12 +61,12 @@
 func TestLivesThatOthersToldOf(t *testing.T) {
 	dir, now := t.TempDir(), 0.0
 	b := onDisk(dir, &now)
-	other := membership.New("127.0.0.2:7001", 9, now, lapse)
+	other := membership.New("127.0.0.2:7001", 9, now, sessionTimeoutMs)
 	other.Sign(now, membership.Member{Station: "counter-1", Life: 1, Turn: 1})
-	b.hear("127.0.0.2:7001", "z", other.Tell(now))
-	now += livesEvery
+	b.receiveReport("127.0.0.2:7001", "z", other.Tell(now))
+	now += startLogCheckIntervalMs
 	passes(t, b)
-	assert.DeepEqual(t, readLives(dir), []string{"counter-1"})
+	assert.DeepEqual(t, readStartLog(dir), []string{"counter-1"})
 	b = onDisk(dir, &now)
 	assert.Assert(t, signs(t, b, "counter-1", 2))
 }
@@ -76,13 +76,13 @@
 	now := 0.0
 	b := onDisk(t.TempDir(), &now)
 	hangs := make(chan error)
-	b.lives.write = func(string, []string) error { return <-hangs }
+	b.startLog.write = func(string, []string) error { return <-hangs }
 	assert.Assert(t, signs(t, b, "counter-1", 1))
 	hangs <- unix.ENOSPC
 	passes(t, b)
 	assert.Assert(t, signs(t, b, "counter-1", 1), "no write before the pause is over")
-	b.lives.write = writeLives
-	now += livesAgain
+	b.startLog.write = writeStartLog
+	now += startLogRetryMs
 	passes(t, b)
 	assert.Assert(t, !signs(t, b, "counter-1", 1))
 }
@@ -90,8 +90,8 @@
 func TestOddLivesTellNothing(t *testing.T) {
 	dir := t.TempDir()
 	for _, raw := range []string{"", "lives 1\ncounter-1\n", "lives 2\ncounter-1\nend\n", "lives 1"} {
-		assert.NilError(t, os.WriteFile(filepath.Join(dir, livesName), []byte(raw), 0o600))
-		assert.Equal(t, len(readLives(dir)), 0, "%q", raw)
+		assert.NilError(t, os.WriteFile(filepath.Join(dir, startLogFile), []byte(raw), 0o600))
+		assert.Equal(t, len(readStartLog(dir)), 0, "%q", raw)
 	}
-	assert.Equal(t, len(readLives(filepath.Join(dir, "none"))), 0)
+	assert.Equal(t, len(readStartLog(filepath.Join(dir, "none"))), 0)
 }
--- /dev/null
+++ b/internal/bothy/updates.go
@@ -0,0 +1,92 @@
+package bothy
+
+import (
+	"maps"
+	"slices"
+
+	"foxwood/internal/configcache"
+	"foxwood/internal/membership"
+	"foxwood/internal/waymark"
+)
+
+// maxZoneHomeBodyBytes is the size of a compressed configuration up to which it is distributed
+// through zone homes.
+const maxZoneHomeBodyBytes = 8 << 10
+
+// addConfigurationAndEndpoints adds the updates of the configuration and the endpoints to a
+// heartbeat's answer, and reports whether there are any. Traffic between zones is expensive:
+// configurations and workers go only to the zone homes, to a gatekeeper that holds nothing yet, and
+// to one that did not get them from its zone homes. The lock is held.
+func (b *Bothy) addConfigurationAndEndpoints(now float64, members membership.Roll, heartbeat *waymark.Sign, answer *waymark.Signed) (updated bool) {
+	gatekeeper := &heartbeat.Member
+	ownsOrAlone := func(service string) bool {
+		owner := membership.Home(members, gatekeeper.Zone, service)
+		return owner == "" || owner == gatekeeper.Inner
+	}
+	answer.Edition = b.committed.Edition
+	if b.committed.Edition > heartbeat.Edition {
+		updated = true
+		// A large configuration goes to each gatekeeper directly: its zone home would send copies
+		// for seconds over a slow link, delaying answers to its own clients.
+		if heartbeat.Edition == 0 || heartbeat.Body || ownsOrAlone(configcache.Timetable) || len(b.packedConfiguration) > maxZoneHomeBodyBytes {
+			answer.Body = b.packedConfiguration
+		} else {
+			answer.Bulk = len(b.packedConfiguration)
+		}
+	}
+	answer.Marks = b.endpoints.marksSince(heartbeat.Roster)
+	for _, name := range slices.Sorted(maps.Keys(b.endpoints.destinationVersions)) {
+		heldVersion, wanted := heartbeat.Want[name]
+		if !wanted {
+			heldVersion = heartbeat.Roster
+			if b.endpoints.destinationVersion(name) <= heldVersion || heldVersion > 0 && !ownsOrAlone(name) {
+				continue
+			}
+		}
+		if part := b.endpoints.partSince(now, name, heldVersion); part != nil {
+			answer.Parts = append(answer.Parts, *part)
+		}
+	}
+	return updated || answer.Marks != nil || len(answer.Parts) > 0
+}
+
+// destinationVersion returns the version at which a destination last changed.
+func (l *endpointList) destinationVersion(name string) uint64 {
+	return max(l.destinationVersions[name], l.termStart)
+}
+
+// marksSince returns which destinations have changed since a version, nil if none have.
+func (l *endpointList) marksSince(heldVersion uint64) *waymark.Marks {
+	if heldVersion >= l.version {
+		return nil
+	}
+	marks := &waymark.Marks{Version: l.version, Whole: heldVersion < l.termStart || heldVersion == 0, Behind: map[string]uint64{}}
+	for name := range l.destinationVersions {
+		if version := l.destinationVersion(name); marks.Whole || version > heldVersion {
+			marks.Behind[name] = l.version - version
+		}
+	}
+	return marks
+}
+
+// partSince returns a destination's workers for a gatekeeper that holds heldVersion, nil if that is
+// current.
+func (l *endpointList) partSince(now float64, name string, heldVersion uint64) *waymark.Part {
+	if l.destinationVersion(name) <= heldVersion || l.destinationVersions[name] == 0 {
+		return nil
+	}
+	part := &waymark.Part{Destination: name, Version: l.version, Since: heldVersion}
+	if heldVersion < max(l.termStart, l.destinationChangesSince[name]) {
+		part.Since = 0
+	}
+	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
+		listed := l.workers[id]
+		if listed.Destination != name || part.Since == 0 && listed.Gone || part.Since > 0 && listed.changedVersion <= heldVersion {
+			continue
+		}
+		worker := listed.Worker
+		worker.Destination, worker.Cold = "", max(listed.coldUntil-now, 0)
+		part.Workers = append(part.Workers, worker)
+	}
+	return part
+}
--- a/internal/bothy/relay_test.go
+++ b/internal/bothy/updates_test.go
@@ -29,11 +29,11 @@
 			other = g.Inner
 		}
 	}
-	b := &Bothy{roster: newRoster()}
-	b.state.Edition, b.packed = 7, waymark.Deflate([]byte("seven"))
-	b.roster.poll(0, 1, []waymark.Worker{worker("a")})
-	old := b.roster.version
-	b.roster.poll(0, 1, []waymark.Worker{worker("a", closing)})
+	b := &Bothy{endpoints: newEndpointList()}
+	b.committed.Edition, b.packedConfiguration = 7, waymark.Deflate([]byte("seven"))
+	b.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a")})
+	old := b.endpoints.version
+	b.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a", closing)})
 	for _, c := range []struct {
 		name       string
 		roll       membership.Roll
@@ -44,7 +44,7 @@
 		{"home of the workers", roll, waymark.Sign{Member: membership.Member{Inner: part}, Edition: 5, Roster: old}, body == part, true},
 		{"another", roll, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: old}, false, false},
 		{"another that wants the body", roll, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: old, Body: true}, true, false},
-		{"another that wants the workers", roll, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: b.roster.version,
+		{"another that wants the workers", roll, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: b.endpoints.version,
 			Want: map[string]uint64{"d": old}}, false, true},
 		{"another that holds nothing", roll, waymark.Sign{Member: membership.Member{Inner: other}}, true, true},
 		{"nobody is a home", membership.Roll{}, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: old}, true, true},
@@ -52,16 +52,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.q.Member.Zone = "z"
 			var a waymark.Signed
-			assert.Assert(t, b.relay(0, c.roll, &c.q, &a))
+			assert.Assert(t, b.addConfigurationAndEndpoints(0, c.roll, &c.q, &a))
 			assert.Equal(t, a.Edition, uint64(7))
 			assert.Equal(t, len(a.Body) > 0, c.body)
 			assert.Equal(t, len(a.Parts) > 0, c.part)
-			assert.Equal(t, a.Marks != nil, c.q.Roster < b.roster.version)
+			assert.Equal(t, a.Marks != nil, c.q.Roster < b.endpoints.version)
 		})
 	}
 	var a waymark.Signed
-	q := waymark.Sign{Member: membership.Member{Inner: body, Zone: "z"}, Edition: 7, Roster: b.roster.version}
-	assert.Assert(t, !b.relay(0, roll, &q, &a), "no news")
+	q := waymark.Sign{Member: membership.Member{Inner: body, Zone: "z"}, Edition: 7, Roster: b.endpoints.version}
+	assert.Assert(t, !b.addConfigurationAndEndpoints(0, roll, &q, &a), "no news")
 }
 
 // TestGatekeepersHoldTheList lets lists change, terms begin, bothies hear of each other late, homes
@@ -71,7 +71,7 @@
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		now, term := 0.0, uint64(1)
-		bothies := []*Bothy{{roster: newRoster()}, {roster: newRoster()}}
+		bothies := []*Bothy{{endpoints: newEndpointList()}, {endpoints: newEndpointList()}}
 		names := []string{"g1", "g2", "g3", "g4"}
 		caches := map[string]*configcache.Cache{}
 		for _, n := range names {
@@ -102,9 +102,9 @@
 			for _, w := range list {
 				all = append(all, w)
 			}
-			bothies[0].roster.poll(now, term, all)
+			bothies[0].endpoints.applyPlatformList(now, term, all)
 			if r.IntN(3) > 0 {
-				bothies[1].roster.hear(now, bothies[0].roster.since(now, bothies[1].roster.version))
+				bothies[1].endpoints.merge(now, bothies[0].endpoints.since(now, bothies[1].endpoints.version))
 			}
 			for _, n := range names {
 				if r.IntN(40) == 0 {
@@ -116,7 +116,7 @@
 					q := waymark.Sign{Member: membership.Member{Inner: n, Zone: "z"}}
 					l.Question(&q)
 					var a waymark.Signed
-					b.relay(now, roll, &q, &a)
+					b.addConfigurationAndEndpoints(now, roll, &q, &a)
 					l.Hear(now, &a)
 				}
 				sign()
@@ -130,8 +130,8 @@
 					l.Asked(now, at, &q, err)
 				}
 				sign()
-				for d := range b.roster.marks {
-					if max(l.Heard(), l.Held().Held[d]) > b.roster.version {
+				for d := range b.endpoints.destinationVersions {
+					if max(l.Heard(), l.Held().Held[d]) > b.endpoints.version {
 						continue // it has heard of more than its bothy
 					}
 					held := map[string]bool{}
@@ -139,7 +139,7 @@
 						held[w.ID] = w.Closing
 					}
 					want := map[string]bool{}
-					for id, w := range b.roster.listed {
+					for id, w := range b.endpoints.workers {
 						if w.Destination == d && !w.Gone {
 							want[id] = w.Closing
 						}
