--- a/internal/bothy/coldstartsim_test.go
+++ b/internal/bothy/coldstartsim_test.go
@@ -27,8 +27,8 @@
 // the requests that each cold worker receives from all gatekeepers in any second.
 
 const (
-	simStepMs                  = 5.0    // milliseconds
-	simLengthMs                = 20_000 // milliseconds
+	simStepMs                  = 5.0
+	simLengthMs                = 20_000
 	simSeeds                   = 8
 	simGossipMs                = 300.0
 	simPollMs                  = 400.0
@@ -110,7 +110,7 @@
 	reachable   func() []*simRegistry // registries that it can reach, the preferred one first
 	isolated    bool                  // cut off from all registries
 	frozenUntil float64
-	configcache *configcache.Cache
+	cache       *configcache.Cache
 	peers       waymark.Crowd
 	lease       slowstart.Lease
 	gateway     *policy.Gateway
@@ -133,7 +133,7 @@
 		addrs = append(addrs, fmt.Sprintf("10.%d.0.1:7460", i+1))
 		machines = append(machines, cairn.Ident{Addr: fmt.Sprintf("10.%d.0.1:7461", i+1), Disk: "first"})
 	}
-	configuration, err := timetable.Parse([]byte(configuration))
+	parsed, err := timetable.Parse([]byte(configuration))
 	assert.NilError(t, err)
 	for i := range 4 {
 		settings := &bootconfig.Settings{Station: fmt.Sprint("sorting-", i), IP: fmt.Sprintf("10.%d.0.1", i+1), InnerDocks: []int{7460, 7475},
@@ -144,7 +144,7 @@
 		registry.sessions = membership.New(addrs[i], uint64(i+1), w.now, sessionTimeoutMs)
 		registry.election = election.New(addrs[i], uint64(i+1), w.now, dutyLeaseMs, true, dutyEndpoints, dutyQuota)
 		registry.view = cairn.View{No: 1, Chain: machines, Core: machines, Epoch: 1, Seats: 4}
-		registry.configuration = configuration
+		registry.configuration = parsed
 		registry.updateRegistries()
 		w.registries = append(w.registries, &simRegistry{Bothy: registry, addr: addrs[i]})
 	}
@@ -194,7 +194,7 @@
 func (g *simGatekeeper) restart() {
 	world := g.world
 	world.lastID++
-	g.incarnation, g.heartbeats, g.configcache, g.peers = uint64(world.lastID), 0, configcache.New(), waymark.Crowd{}
+	g.incarnation, g.heartbeats, g.cache, g.peers = uint64(world.lastID), 0, configcache.New(), waymark.Crowd{}
 	g.lease = slowstart.Lease{}
 	g.attempts, g.timers = map[uint32]int{}, nil
 	g.gateway = policy.New(policy.Settings{Gateways: 9, Self: int(g.incarnation), Tick: 1000, MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, Turns: true,
@@ -254,7 +254,7 @@
 	g.heartbeats++
 	heartbeat := waymark.Sign{Member: membership.Member{Station: g.node, Zone: g.zone, Region: "r0", Life: g.incarnation, Turn: g.heartbeats, Inner: g.node + ":1", Ready: true},
 		Crowd: g.peers.Mark}
-	g.configcache.Question(&heartbeat)
+	g.cache.Question(&heartbeat)
 	answer, err := registries[0].handleHeartbeat(g.world.t.Context(), heartbeat)
 	assert.NilError(g.world.t, err)
 	if answer.Stale && len(registries) > 1 {
@@ -262,8 +262,8 @@
 		heartbeat.Member.Turn = g.heartbeats
 		_, _ = registries[1].handleHeartbeat(g.world.t.Context(), heartbeat) // it uses another registry for a while, and comes back here later
 	}
-	g.configcache.Hear(g.world.now, &answer)
-	g.configcache.Stock(g.world.now, answer.Parts)
+	g.cache.Hear(g.world.now, &answer)
+	g.cache.Stock(g.world.now, answer.Parts)
 	if answer.Crowd != nil && answer.Crowd.Place >= 0 {
 		g.peers = *answer.Crowd
 	}
@@ -292,7 +292,7 @@
 // updateServers passes the workers in the cache to the decision module.
 func (g *simGatekeeper) updateServers() {
 	var entries []policy.Entry
-	for _, worker := range g.configcache.Workers(g.world.now, "a") {
+	for _, worker := range g.cache.Workers(g.world.now, "a") {
 		entry := policy.Entry{Server: serverOf(worker.ID), State: policy.Ready}
 		if worker.Cold > 0 {
 			entry.ColdUntil = micros(g.world.now + worker.Cold)
@@ -334,7 +334,7 @@
 }
 
 func (w *simWorld) registryAt(addr string) *simRegistry {
-	i := slices.IndexFunc(w.registries, func(r *simRegistry) bool { return r.addr == addr })
+	i := slices.IndexFunc(w.registries, func(registry *simRegistry) bool { return registry.addr == addr })
 	return w.registries[i]
 }
 
@@ -464,9 +464,9 @@
 
 // randomFaults returns the random events of a run.
 func (w *simWorld) randomFaults() (events []simEvent) {
-	schedule := func(ms float64, do func()) { events = append(events, simEvent{w.now + ms, do}) }
-	for k := range 4 {
-		beginMs := 4000 + float64(k)*4000 + w.random.Float64()*1000
+	schedule := func(ms float64, action func()) { events = append(events, simEvent{w.now + ms, action}) }
+	for i := range 4 {
+		beginMs := 4000 + float64(i)*4000 + w.random.Float64()*1000
 		zone := fmt.Sprint("z", w.random.IntN(4))
 		downMs := 500 + w.random.Float64()*2000
 		for _, worker := range slices.SortedFunc(maps.Values(w.workers), func(a, b *simWorker) int { return int(serverOf(a.id)) - int(serverOf(b.id)) }) {
@@ -503,9 +503,9 @@
 // corePartitions returns the events of a run in which the core is split in two four times, with
 // cold workers and restarts during and right after the partitions. Gatekeepers reach both sides.
 func (w *simWorld) corePartitions() (events []simEvent) {
-	schedule := func(ms float64, do func()) { events = append(events, simEvent{w.now + ms, do}) }
-	for k := range 4 {
-		beginMs := 3000 + float64(k)*4500 + w.random.Float64()*500
+	schedule := func(ms float64, action func()) { events = append(events, simEvent{w.now + ms, action}) }
+	for i := range 4 {
+		beginMs := 3000 + float64(i)*4500 + w.random.Float64()*500
 		lengthMs := 700 + w.random.Float64()*2800
 		order := w.random.Perm(len(w.registries))
 		size := 1 + w.random.IntN(2)
@@ -557,7 +557,7 @@
 		world := newSimWorld(t, seed, noFault)
 		violations := world.run(faults(world))
 		assert.Assert(t, len(violations) == 0, "seed %d: %v", seed, violations)
-		assert.Assert(t, world.maxPerSecond <= coldRequestBudgetPerSecond, "seed %d: %d in a second", seed, world.maxPerSecond)
+		assert.Assert(t, world.maxPerSecond <= coldRequestBudgetPerSecond, "seed %d: a cold worker got %d requests in a second", seed, world.maxPerSecond)
 		coldServed += world.coldServed
 	}
 	return coldServed
--- a/internal/bothy/controlcost_test.go
+++ b/internal/bothy/controlcost_test.go
@@ -36,7 +36,7 @@
 // costGatekeeper is a gatekeeper: what it holds, and its traffic.
 type costGatekeeper struct {
 	member         membership.Member
-	configcache    *configcache.Cache
+	cache          *configcache.Cache
 	peers          waymark.Crowd
 	cores          uint64
 	edition        uint64
@@ -95,7 +95,7 @@
 	c.received, c.sent, c.cpu = make([]int, costRegistryCount), make([]int, costRegistryCount), make([]time.Duration, costRegistryCount)
 	for i := range gatekeepers {
 		zone := i % costZoneCount
-		gatekeeper := &costGatekeeper{configcache: configcache.New(), registry: i % costRegistryCount, allocations: map[string]quota.Slice{}, heartbeatAt: float64(i%50) * 10,
+		gatekeeper := &costGatekeeper{cache: configcache.New(), registry: i % costRegistryCount, allocations: map[string]quota.Slice{}, heartbeatAt: float64(i%50) * 10,
 			allocationAt: 3000 + float64(i*7%50)*10, member: membership.Member{Station: fmt.Sprintf("counter-z%d-%d", zone, i/costZoneCount), Zone: fmt.Sprint("z", zone),
 				Region: fmt.Sprint("r", zone%2), Life: uint64(i) + 1<<60, Counter: fmt.Sprintf("10.%d.0.%d:8206", zone+1, i/costZoneCount+20),
 				Inner: fmt.Sprintf("10.%d.0.%d:7460", zone+1, i/costZoneCount+20), Ready: true}}
@@ -201,7 +201,7 @@
 	gatekeeper.member.Turn = gatekeeper.sequence
 	heartbeat := waymark.Sign{Member: gatekeeper.member, Crowd: gatekeeper.peers.Mark, Cores: gatekeeper.cores, Wait: 500}
 	var answer waymark.Signed
-	c.measureCPU(&gatekeeper.cpu, func() { gatekeeper.configcache.Question(&heartbeat) })
+	c.measureCPU(&gatekeeper.cpu, func() { gatekeeper.cache.Question(&heartbeat) })
 	c.measureCPU(&c.cpu[gatekeeper.registry], func() {
 		registry.sessions.Sign(c.now, heartbeat.Member)
 		registry.updateMembers()
@@ -216,9 +216,9 @@
 
 // applyAnswer applies a heartbeat's answer, and requests missing data from zone homes.
 func (c *costRun) applyAnswer(gatekeeper *costGatekeeper, answer *waymark.Signed) {
-	gatekeeper.configcache.Hear(c.now, answer)
+	gatekeeper.cache.Hear(c.now, answer)
 	if len(answer.Body) > 0 && answer.Edition > gatekeeper.edition {
-		gatekeeper.configcache.Body(answer.Edition, answer.Body)
+		gatekeeper.cache.Body(answer.Edition, answer.Body)
 	}
 	if answer.CoresNow != 0 {
 		gatekeeper.cores = answer.CoresNow
@@ -226,24 +226,24 @@
 	if answer.Crowd != nil {
 		gatekeeper.peers = *answer.Crowd
 	}
-	requests, _ := gatekeeper.configcache.Plan(c.now, configcache.Zone{Name: gatekeeper.member.Zone, Self: gatekeeper.member.Inner, Ready: true, Near: gatekeeper.peers.Peers[:len(gatekeeper.peers.Near)]})
+	requests, _ := gatekeeper.cache.Plan(c.now, configcache.Zone{Name: gatekeeper.member.Zone, Self: gatekeeper.member.Inner, Ready: true, Near: gatekeeper.peers.Peers[:len(gatekeeper.peers.Near)]})
 	for address, request := range requests {
 		owner := c.gatekeeperAt[address]
 		if c.fullLists {
 			request.Have = nil
 		}
 		var ownerAnswer waymark.Subscribed
-		if owner.configcache.Has(&request) {
-			ownerAnswer = owner.configcache.Give(c.now, &request)
+		if owner.cache.Has(&request) {
+			ownerAnswer = owner.cache.Give(c.now, &request)
 		}
 		requestBytes, answerBytes := rpc.Size(request, true), rpc.Size(ownerAnswer, false)
 		gatekeeper.sent, owner.received, owner.sent, gatekeeper.received = gatekeeper.sent+requestBytes, owner.received+requestBytes, owner.sent+answerBytes, gatekeeper.received+answerBytes
 		c.bytesByCall["homes"] += requestBytes + answerBytes
-		gatekeeper.configcache.Stock(c.now, ownerAnswer.Parts)
+		gatekeeper.cache.Stock(c.now, ownerAnswer.Parts)
 		if len(ownerAnswer.Body) > 0 {
-			gatekeeper.configcache.Body(answer.Edition, ownerAnswer.Body)
+			gatekeeper.cache.Body(answer.Edition, ownerAnswer.Body)
 		}
-		gatekeeper.configcache.Asked(c.now, address, &request, nil)
+		gatekeeper.cache.Asked(c.now, address, &request, nil)
 	}
 }
 
@@ -386,9 +386,9 @@
 		assert.Assert(t, largeCosts.gatekeeperBytes < 1.6*smallCosts.gatekeeperBytes, "%.0f and %.0f bytes a second", smallCosts.gatekeeperBytes, largeCosts.gatekeeperBytes)
 	}
 	for _, gatekeeper := range large.gatekeepers {
-		assert.Equal(t, len(gatekeeper.configcache.Workers(large.now, "huvo0")), 47)
+		assert.Equal(t, len(gatekeeper.cache.Workers(large.now, "huvo0")), 47)
 		assert.Equal(t, gatekeeper.peers.Count, 40)
-		assert.Equal(t, gatekeeper.configcache.Edition(), uint64(1))
+		assert.Equal(t, gatekeeper.cache.Edition(), uint64(1))
 	}
 }
 
--- a/internal/bothy/electorate_test.go
+++ b/internal/bothy/electorate_test.go
@@ -19,20 +19,20 @@
 // means a first start.
 func TestReadElectorate(t *testing.T) {
 	for _, c := range []struct {
-		name, raw string
-		ids       []string
-		epoch     uint64
+		name, content string
+		ids           []string
+		epoch         uint64
 	}{
 		{"whole", "electorate 2 epoch 4\na:1\nb:1\nend\n", []string{"a:1", "b:1"}, 4},
-		{"kept before the first voice", "electorate 2 epoch 0\nend\n", nil, 0},
+		{"written before the first vote", "electorate 2 epoch 0\nend\n", nil, 0},
 		{"empty", "", nil, 0},
-		{"of a format without a number", "electorate 1\na:1\nend\n", nil, 0},
-		{"an odd number", "electorate 2 epoch -4\na:1\nend\n", nil, 0},
-		{"torn", "electorate 2 epoch 4\na:1\n", nil, 0},
-		{"another kind", "electorate 3 epoch 4\na:1\nend\n", nil, 0},
+		{"a format without an epoch", "electorate 1\na:1\nend\n", nil, 0},
+		{"a negative epoch", "electorate 2 epoch -4\na:1\nend\n", nil, 0},
+		{"truncated", "electorate 2 epoch 4\na:1\n", nil, 0},
+		{"another format version", "electorate 3 epoch 4\na:1\nend\n", nil, 0},
 	} {
 		dir := t.TempDir()
-		assert.NilError(t, os.WriteFile(filepath.Join(dir, electorateFile), []byte(c.raw), 0o600))
+		assert.NilError(t, os.WriteFile(filepath.Join(dir, electorateFile), []byte(c.content), 0o600))
 		ids, epoch, missing := readElectorate(dir)
 		assert.DeepEqual(t, ids, c.ids)
 		assert.Equal(t, epoch, c.epoch, c.name)
@@ -111,7 +111,7 @@
 	for range 3 {
 		failedAt := now
 		runUntil(failedAt + electorateRetryMs)
-		assert.Assert(t, !registry.electorateWrites.busy, "a pause after a fault")
+		assert.Assert(t, !registry.electorateWrites.busy, "no write during the pause after a failure")
 		runUntil(failedAt + electorateRetryMs + 300)
 		endWrite(<-writes, unix.ENOSPC)
 	}
@@ -121,7 +121,7 @@
 	assert.DeepEqual(t, registry.storedElectorate, []string{self})
 	assert.Equal(t, registry.storedEpoch, uint64(1))
 	runUntil(now + 5000)
-	assert.Assert(t, !registry.electorateWrites.busy, "it is kept")
+	assert.Assert(t, !registry.electorateWrites.busy, "the electorate is stored already")
 	assert.Equal(t, strings.Count(log.String(), "cannot store the electorate"), 1)
 	assert.Equal(t, strings.Count(log.String(), "electorate is stored again"), 1)
 }
--- a/internal/bothy/endpoints_test.go
+++ b/internal/bothy/endpoints_test.go
@@ -36,7 +36,7 @@
 	endpoints := newEndpointList()
 	assert.Assert(t, endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a"), worker("b")}))
 	first := endpoints.version
-	assert.Assert(t, !endpoints.applyPlatformList(400, 1, []waymark.Worker{worker("a"), worker("b")}), "the same list is no news")
+	assert.Assert(t, !endpoints.applyPlatformList(400, 1, []waymark.Worker{worker("a"), worker("b")}), "the same list changes nothing")
 	assert.Assert(t, endpoints.applyPlatformList(800, 1, []waymark.Worker{worker("a", closing), worker("c")}))
 	full := endpoints.since(800, 0)
 	assert.Assert(t, full.Whole)
@@ -55,7 +55,7 @@
 	assert.Assert(t, !endpoints.applyPlatformList(400, 1, []waymark.Worker{worker("a", coldFor(2600))}))
 	assert.Equal(t, endpoints.since(1000, 0).Workers[0].Cold, 2000.0)
 	assert.Assert(t, endpoints.applyPlatformList(800, 1, []waymark.Worker{worker("a", coldFor(3000))}), "cold again")
-	assert.Assert(t, !endpoints.applyPlatformList(3900, 1, []waymark.Worker{worker("a")}), "over as was told")
+	assert.Assert(t, !endpoints.applyPlatformList(3900, 1, []waymark.Worker{worker("a")}), "the cold period ends as announced")
 }
 
 // TestNewTermSendsFullList guards against changes made by the previous holder that the new one
@@ -72,7 +72,7 @@
 	assert.Assert(t, update.Whole)
 	assert.DeepEqual(t, workerIDs(update), []string{"a", "b"})
 	assert.Assert(t, previous.merge(800, update))
-	assert.Assert(t, !previous.merge(800, &waymark.Roster{Version: 1<<termShift | 1, Whole: true}), "an older term's")
+	assert.Assert(t, !previous.merge(800, &waymark.Roster{Version: 1<<termShift | 1, Whole: true}), "a list of an older term is ignored")
 }
 
 // TestReturnedWorkerIsAnnounced guards against a gatekeeper that learned of a worker's removal from
--- a/internal/bothy/httpapi_test.go
+++ b/internal/bothy/httpapi_test.go
@@ -62,11 +62,13 @@
 		Bounds: bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
 	registry := &testRegistry{Bothy: New(settings, zerolog.Nop()), t: t, submitted: make(chan cairn.Change, 99)}
 	registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, q waymark.Enter) (waymark.Entered, error) {
-			registry.submitted <- q.Change
+		rpc.Handle(server, func(_ context.Context, request waymark.Enter) (waymark.Entered, error) {
+			registry.submitted <- request.Change
 			return waymark.Entered{}, registry.refusal
 		})
-		rpc.Handle(server, func(_ context.Context, q waymark.Confirm) (waymark.Confirmed, error) { return registry.confirm(q) })
+		rpc.Handle(server, func(_ context.Context, request waymark.Confirm) (waymark.Confirmed, error) {
+			return registry.confirm(request)
+		})
 	}))
 	t.Cleanup(registry.store.Close)
 	registry.storeTimeout = testTimeout
@@ -98,8 +100,8 @@
 // a Retry-After.
 func TestErrorResponses(t *testing.T) {
 	for kind, want := range map[rpc.Kind]struct {
-		status int
-		again  bool
+		status     int
+		retryAfter bool
 	}{
 		rpc.Internal: {500, false}, rpc.Unavailable: {503, true}, rpc.Unknown: {503, true}, rpc.Invalid: {400, false},
 		rpc.NotFound: {404, false}, rpc.Busy: {503, true}, rpc.Stale: {503, true}, rpc.Conflict: {409, false},
@@ -112,7 +114,7 @@
 		} {
 			response := registry.request("control", c.method, c.path, strings.NewReader(c.body))
 			assert.Equal(t, response.Code, want.status, "%s %s: %s", c.method, c.path, kind)
-			assert.Equal(t, response.Header().Get("Retry-After") != "", want.again, "%s %s: %s", c.method, c.path, kind)
+			assert.Equal(t, response.Header().Get("Retry-After") != "", want.retryAfter, "%s %s: %s", c.method, c.path, kind)
 			var message map[string]string
 			assert.NilError(t, json.Unmarshal(response.Body.Bytes(), &message))
 			assert.Assert(t, strings.Contains(message["error"], "so it is"))
@@ -136,7 +138,7 @@
 	assert.Equal(t, string(change.Body), text)
 
 	registry.confirm = func(request waymark.Confirm) (waymark.Confirmed, error) {
-		assert.Check(t, !request.Recall && request.Have.Seq == 0, "the tail's word is asked for, and all of it")
+		assert.Check(t, !request.Recall && request.Have.Seq == 0, "the complete state must be read from the tail")
 		return waymark.Confirmed{State: &cairn.State{Body: change.Body}}, nil
 	}
 	response = registry.request("control", "GET", "/timetable", nil)
@@ -163,15 +165,15 @@
 func TestInvalidRequestsAreNotSubmitted(t *testing.T) {
 	registry := newTestRegistry(t)
 	for name, body := range map[string]io.Reader{
-		"empty":                 strings.NewReader(""),
-		"no JSON":               strings.NewReader("edition"),
-		"cut short":             strings.NewReader(configuration[:len(configuration)-1]),
-		"a body that breaks":    truncatedReader{strings.NewReader(configuration)},
-		"too long":              io.MultiReader(strings.NewReader(configuration), strings.NewReader(strings.Repeat(" ", maxConfigurationBytes))),
-		"an unknown kind":       strings.NewReader(strings.Replace(configuration, "safe", "sane", 1)),
-		"an unknown service":    strings.NewReader(strings.Replace(configuration, `,"a"]`, `,"b"]`, 1)),
-		"a deadline of nothing": strings.NewReader(strings.Replace(configuration, `"safe",1`, `"safe",0`, 1)),
-		"an odd edition":        strings.NewReader(strings.Replace(configuration, "0000000c", "c", 1)),
+		"empty":                  strings.NewReader(""),
+		"no JSON":                strings.NewReader("edition"),
+		"cut short":              strings.NewReader(configuration[:len(configuration)-1]),
+		"a body that ends early": truncatedReader{strings.NewReader(configuration)},
+		"too long":               io.MultiReader(strings.NewReader(configuration), strings.NewReader(strings.Repeat(" ", maxConfigurationBytes))),
+		"an unknown kind":        strings.NewReader(strings.Replace(configuration, "safe", "sane", 1)),
+		"an unknown service":     strings.NewReader(strings.Replace(configuration, `,"a"]`, `,"b"]`, 1)),
+		"a deadline of zero":     strings.NewReader(strings.Replace(configuration, `"safe",1`, `"safe",0`, 1)),
+		"a malformed edition":    strings.NewReader(strings.Replace(configuration, "0000000c", "c", 1)),
 	} {
 		response := registry.request("control", "PUT", "/timetable", body)
 		assert.Equal(t, response.Code, 400, name)
@@ -283,7 +285,7 @@
 		fault string
 	}{
 		{"one page", map[string]string{"": page("null", row("i-1"), row("i-2"))}, []waymark.Worker{want("i-1"), want("i-2")}, ""},
-		{"an empty token ends it", map[string]string{"": page(`""`, row("i-1"))}, []waymark.Worker{want("i-1")}, ""},
+		{"an empty token ends the list", map[string]string{"": page(`""`, row("i-1"))}, []waymark.Worker{want("i-1")}, ""},
 		{"no token", map[string]string{"": `{"roster":{` + columns + `,"rows":[]}}`}, nil, ""},
 		{"pages", map[string]string{"": page(`"p 2&x"`, row("i-1")), "p 2&x": page(`"p3"`), "p3": page("null", row("i-2"))},
 			[]waymark.Worker{want("i-1"), want("i-2")}, ""},
@@ -292,10 +294,10 @@
 			[]waymark.Worker{{ID: "i-1", Destination: "d", Addr: "10.0.0.2:80", Closing: true}}, ""},
 		{"nulls", map[string]string{"": page("null", `["d","10.0.0.1:80",null,null,null,"open_counter",null,"i-1"]`)},
 			[]waymark.Worker{want("i-1", func(worker *waymark.Worker) { worker.Zone, worker.Edition, worker.Berths, worker.Cold = "", "", 0, 0 })}, ""},
-		{"a state that is not known", map[string]string{"": page("null", strings.Replace(row("i-1"), "open_counter", "ending", 1))},
+		{"an unknown state", map[string]string{"": page("null", strings.Replace(row("i-1"), "open_counter", "ending", 1))},
 			[]waymark.Worker{want("i-1", closing)}, ""},
 		{"a row too short", map[string]string{"": page("null", row("i-1"), `["d"]`)}, nil, "without id"},
-		{"an id that is a figure", map[string]string{"": page("null", strings.Replace(row("i-1"), `"i-1"`, "7", 1))}, nil, "without id"},
+		{"an id that is a number", map[string]string{"": page("null", strings.Replace(row("i-1"), `"i-1"`, "7", 1))}, nil, "without id"},
 		{"no address", map[string]string{"": page("null", strings.Replace(row("i-1"), `"10.0.0.1:80"`, "null", 1))}, nil, "without id or address"},
 		{"a column missing", map[string]string{"": `{"roster":{"columns":["id","address","state"],"rows":[]}}`}, nil, `"destination"`},
 		{"no list", map[string]string{"": `{}`}, nil, "no column"},
@@ -303,9 +305,9 @@
 		{"cut short", map[string]string{"": page("null", row("i-1"))[:150]}, nil, "EOF"},
 		{"too many calls", map[string]string{"": "429"}, nil, "429"},
 		{"too many calls at the second page", map[string]string{"": page(`"p2"`, row("i-1")), "p2": "429"}, nil, "429"},
-		{"a token that is not known", map[string]string{"": page(`"p2"`, row("i-1"))}, nil, "404"},
+		{"an unknown token", map[string]string{"": page(`"p2"`, row("i-1"))}, nil, "404"},
 		{"no end", map[string]string{"": page(`"p0"`, row("i-1")), "*": page(`"p$"`, row("i-1"))}, nil, "does not end"},
-		{"a circle", map[string]string{"": page(`"p"`, row("i-1")), "p": page(`"p"`, row("i-1"))}, nil, "does not end"},
+		{"a token that repeats", map[string]string{"": page(`"p"`, row("i-1")), "p": page(`"p"`, row("i-1"))}, nil, "does not end"},
 	} {
 		registry := newTestRegistry(t)
 		requestCount := registry.servePlatform(c.pages)
--- a/internal/bothy/mirroring_test.go
+++ b/internal/bothy/mirroring_test.go
@@ -24,11 +24,11 @@
 func (r *testRegistry) keepOrders(held cairn.Order) *cairn.Order {
 	r.store.Close()
 	r.store = rpc.NewPeer(serveRPC(r.t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, q waymark.Enter) (waymark.Entered, error) {
-			if r.refusal == nil && q.Change.No > held.No {
-				held = cairn.Order{No: q.Change.No, Body: q.Change.Body}
+		rpc.Handle(server, func(_ context.Context, request waymark.Enter) (waymark.Entered, error) {
+			if r.refusal == nil && request.Change.No > held.No {
+				held = cairn.Order{No: request.Change.No, Body: request.Change.Body}
 			}
-			r.submitted <- q.Change
+			r.submitted <- request.Change
 			return waymark.Entered{}, r.refusal
 		})
 		rpc.Handle(server, func(context.Context, waymark.Confirm) (waymark.Confirmed, error) {
@@ -51,7 +51,7 @@
 		return w.Code, w.Body.String()
 	}
 	assert.Equal(t, registry.request("control", "GET", "/shadow", nil).Code, 404)
-	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200, "nothing is copied as it is")
+	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200, "no order is in force, so nothing has to be stopped")
 	assert.Equal(t, len(registry.submitted), 0)
 	for _, c := range []struct{ body, fault string }{
 		{"", "unreadable"},
@@ -66,7 +66,7 @@
 		assert.Equal(t, code, 400, c.body)
 		assert.Assert(t, strings.Contains(message, c.fault), "%s: %s", c.fault, message)
 	}
-	assert.Equal(t, len(registry.submitted), 0, "what is invalid never reaches the chain")
+	assert.Equal(t, len(registry.submitted), 0, "invalid orders are not submitted")
 
 	order3 := mirrorOrderJSON(3, "10.0.0.9:80")
 	for range 2 { // an operator who got no answer repeats the order
@@ -75,7 +75,7 @@
 	}
 	assert.Equal(t, held.No, uint64(3))
 	response := registry.request("control", "GET", "/shadow", nil)
-	assert.Equal(t, response.Body.String(), order3, "as it came")
+	assert.Equal(t, response.Body.String(), order3, "the order is returned unchanged")
 	for _, stale := range []string{mirrorOrderJSON(2, "10.0.0.9:80"), mirrorOrderJSON(3, "10.0.0.8:80")} {
 		code, message := put(stale)
 		assert.Equal(t, code, 400, message)
@@ -85,13 +85,13 @@
 
 	registry.refusal = rpc.Errorf(rpc.Unavailable, "no chain")
 	code, _ := put(mirrorOrderJSON(4, "10.0.0.9:80"))
-	assert.Equal(t, code, 503, "not on the disks, not acknowledged")
+	assert.Equal(t, code, 503, "an order that was not committed is not acknowledged")
 	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 503)
 	registry.refusal = nil
 	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200)
 	assert.Equal(t, held.No, uint64(4))
 	assert.Assert(t, strings.Contains(string(held.Body), "stopped"))
-	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200, "again")
+	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200, "repeated")
 	assert.Equal(t, held.No, uint64(4))
 	assert.Equal(t, registry.request("directory", "PUT", "/shadow", strings.NewReader(mirrorOrderJSON(9, "10.0.0.9:80"))).Code, 404)
 }
@@ -118,16 +118,16 @@
 		assert.Assert(t, answer.Shadow == 0 && answer.Order == nil && answer.SeatsNow == 0)
 	}
 	heartbeat.Copies = true
-	assert.Assert(t, registry.heartbeat(heartbeat).SeatsNow == 0, "a member without a counter takes no requests")
+	assert.Assert(t, registry.heartbeat(heartbeat).SeatsNow == 0, "a member without an address for clients has no seat")
 	registry.sessions.Sign(registry.now(), membership.Member{Station: "q", Life: 5, Turn: 1, Region: "b", Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
 	answer = registry.heartbeat(heartbeat)
-	assert.Assert(t, answer.Settled, "the test's bothy has heard all that there are")
+	assert.Assert(t, answer.Settled, "the registry knows all members")
 	assert.Equal(t, len(answer.Seats), 1)
 	assert.Equal(t, answer.Seats[0].Station, "q")
 	assert.Equal(t, answer.Seats[0].Region, "b")
 	heartbeat.Seats = answer.SeatsNow
 	answer = registry.heartbeat(heartbeat)
-	assert.Assert(t, answer.Seats == nil && answer.SeatsNow == heartbeat.Seats, "the mark comes again, the list does not")
+	assert.Assert(t, answer.Seats == nil && answer.SeatsNow == heartbeat.Seats, "the hash is repeated, the list is not")
 }
 
 // TestRepeatedMirrorOrderIsAcknowledged: an order whose answer was lost is acknowledged when it is
@@ -143,8 +143,8 @@
 		return registry.request("control", "PUT", "/shadow", strings.NewReader(body)).Code
 	}
 	assert.Equal(t, put(order3), 200)
-	assert.Equal(t, put(mirrorOrderJSON(3, "10.0.0.8:80")), 400, "another under that number")
-	assert.Equal(t, put(mirrorOrderJSON(2, "10.0.0.8:80")), 400, "one that never held")
+	assert.Equal(t, put(mirrorOrderJSON(3, "10.0.0.8:80")), 400, "another order with that number")
+	assert.Equal(t, put(mirrorOrderJSON(2, "10.0.0.8:80")), 400, "an order that was never in force")
 	assert.Equal(t, len(registry.submitted), 0)
 	registry.refusal = rpc.Errorf(rpc.Conflict, "another was first")
 	assert.Equal(t, put(mirrorOrderJSON(5, "10.0.0.8:80")), 409)
--- a/internal/bothy/partition_test.go
+++ b/internal/bothy/partition_test.go
@@ -101,15 +101,15 @@
 	rows = closing1 + "," + open3
 	registry.stepElections(now, dutyLeaseMs+vacantAfterMs-100)
 	registry.pollPlatform(t.Context())
-	assert.Equal(t, requests.Load(), int64(0), "it may be won yet")
+	assert.Equal(t, requests.Load(), int64(0), "the duty may still be won")
 	registry.stepElections(now, 200)
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1))
 	answer := registry.heartbeat(heartbeat)
 	assert.DeepEqual(t, answer.Struck, []waymark.Struck{{ID: "i-1", At: version}})
-	assert.Assert(t, answer.Marks == nil && answer.Parts == nil, "nothing is told as a holder tells it")
+	assert.Assert(t, answer.Marks == nil && answer.Parts == nil, "only withdrawals are announced")
 	heartbeat.Struck = answer.StruckNow
-	assert.Assert(t, registry.heartbeat(heartbeat).Struck == nil, "it has that")
+	assert.Assert(t, registry.heartbeat(heartbeat).Struck == nil, "the gatekeeper holds that list already")
 
 	const durationMs = 10_000
 	for from := now.Load(); now.Load() < from+durationMs; {
@@ -150,7 +150,7 @@
 	holder.applyPlatformList(registry.now(), 2, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	fetchFromHolder()
 	assert.Assert(t, registry.heartbeat(waymark.Sign{}).Struck == nil)
-	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []waymark.Struck{{ID: "i-2", At: version}}), "one of the last term that comes late")
+	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []waymark.Struck{{ID: "i-2", At: version}}), "a withdrawal of the previous term that arrives late")
 }
 
 // TestMissingWorkerIsWithdrawnOnSecondList: a page may lack a worker because another one was
@@ -163,7 +163,7 @@
 	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1"), worker("i-2")}))
 	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
 	withdrawn.observeHolder(10, "somebody")
-	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}), "he has seen it meanwhile")
+	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}), "a holder of the duty may have read the list in between")
 	assert.Assert(t, withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
 	all, hash := withdrawn.snapshot()
 	assert.DeepEqual(t, all, []waymark.Struck{{ID: "i-2", At: endpoints.version}})
@@ -191,7 +191,7 @@
 	assert.Assert(t, registry.heartbeat(waymark.Sign{}).Struck == nil)
 	registry.stepElections(now, 1000)
 	registry.pollPlatform(t.Context())
-	assert.Equal(t, requests.Load(), int64(1), "somebody may have won the duty meanwhile, and his word lies unread")
+	assert.Equal(t, requests.Load(), int64(1), "another registry may have won the duty meanwhile, in a message not yet read")
 	frozenMs = 0
 	registry.stepElections(now, 600)
 	registry.pollPlatform(t.Context())
@@ -215,7 +215,7 @@
 			return term
 		}
 	}
-	r.t.Fatal("the duty is not won")
+	r.t.Fatal("the duty was not won within 20 s of simulated time")
 	return 0
 }
 
@@ -243,7 +243,7 @@
 	}
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(2))
-	assert.Equal(t, registry.endpoints.version, version, "read in one term, and taken for another's")
+	assert.Equal(t, registry.endpoints.version, version, "a list read in one term was applied in another")
 	duringAnswer = nil
 	registry.winDuty(now, firstTerm)
 	registry.pollPlatform(t.Context())
@@ -262,14 +262,14 @@
 // order.
 func TestUnreachableTailGives503(t *testing.T) {
 	for name, storeError := range map[string]error{
-		"the chain has no majority":  rpc.Errorf(rpc.Unavailable, "the chain takes nothing now"),
-		"the tail does not answer":   rpc.Errorf(rpc.Unknown, "the chain did not answer in time"),
-		"the store has much to do":   rpc.Errorf(rpc.Busy, "the store has too much to do"),
-		"nothing comes":              nil,
-		"only the disk's word comes": nil,
+		"the chain has no majority":      rpc.Errorf(rpc.Unavailable, "the chain takes nothing now"),
+		"the tail does not answer":       rpc.Errorf(rpc.Unknown, "the chain did not answer in time"),
+		"the store is overloaded":        rpc.Errorf(rpc.Busy, "the store has too much to do"),
+		"no answer comes":                nil,
+		"only state from the disk comes": nil,
 	} {
 		registry := newTestRegistry(t)
-		hangs := name == "nothing comes"
+		hangs := name == "no answer comes"
 		if hangs {
 			registry.storeTimeout = time.Millisecond
 		}
--- a/internal/bothy/probe_test.go
+++ b/internal/bothy/probe_test.go
@@ -18,7 +18,7 @@
 	assert.DeepEqual(t, endpoints.takeDueProbes(600, 9), []string{"new"}) // each one once in two seconds
 	assert.Equal(t, len(endpoints.takeDueProbes(1000, 9)), 0)
 	assert.DeepEqual(t, endpoints.takeDueProbes(2700, 9), []string{"cold", "new"})
-	assert.Equal(t, len(endpoints.takeDueProbes(9000, 9)), 0, "neither new nor cold any more")
+	assert.Equal(t, len(endpoints.takeDueProbes(9000, 9)), 0, "the workers are neither new nor cold any more")
 }
 
 // TestProbeOverridesList: a worker's own answer overrides the list, which is older, for a while.
@@ -27,13 +27,13 @@
 	endpoints := newEndpointList()
 	endpoints.applyPlatformList(100, 1, []waymark.Worker{worker("a")})
 	before := endpoints.version
-	assert.Assert(t, !endpoints.applyProbe(200, 1, "a", 0), "as the list said")
+	assert.Assert(t, !endpoints.applyProbe(200, 1, "a", 0), "the probe agrees with the list")
 	assert.Assert(t, endpoints.applyProbe(200, 1, "a", 4000))
 	assert.Assert(t, endpoints.version > before)
 	assert.Equal(t, endpoints.since(300, before).Workers[0].Cold, 3900.0)
-	assert.Assert(t, !endpoints.applyPlatformList(600, 1, []waymark.Worker{worker("a")}), "the list does not know yet")
-	assert.Assert(t, endpoints.applyPlatformList(2600, 1, []waymark.Worker{worker("a")}), "it must by now")
-	assert.Assert(t, !endpoints.applyProbe(2700, 1, "b", 4000), "nobody of that name")
+	assert.Assert(t, !endpoints.applyPlatformList(600, 1, []waymark.Worker{worker("a")}), "the probe overrides the list")
+	assert.Assert(t, endpoints.applyPlatformList(2600, 1, []waymark.Worker{worker("a")}), "the probe's answer has expired")
+	assert.Assert(t, !endpoints.applyProbe(2700, 1, "b", 4000), "an unknown worker")
 }
 
 func TestProbeWorker(t *testing.T) {
@@ -49,8 +49,8 @@
 		{"cold", 200, "w", "1250", 1250, true},
 		{"another worker at its address", 200, "x", "1250", 0, false},
 		{"draining", 503, "w", "", 0, false},
-		{"no figure", 200, "w", "soon", 0, false},
-		{"below nothing", 200, "w", "-5", -5, false},
+		{"not a number", 200, "w", "soon", 0, false},
+		{"negative", 200, "w", "-5", -5, false},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(workerIDHeader, c.id)
--- a/internal/bothy/sessions_test.go
+++ b/internal/bothy/sessions_test.go
@@ -43,7 +43,7 @@
 func TestAsOfCountsFromRequest(t *testing.T) {
 	registry := newTestRegistry(t)
 	answer := registry.heartbeat(waymark.Sign{})
-	assert.Assert(t, answer.Stale, "before the tail's first word")
+	assert.Assert(t, answer.Stale, "before the tail's first answer")
 
 	const slowMs = 5000.0 // how long the tail takes to answer, and the clock's step below: longer than any stall of a test machine
 	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
@@ -52,9 +52,9 @@
 	}
 	registry.confirmWithTail(t.Context())
 	answer = registry.heartbeat(waymark.Sign{})
-	assert.Assert(t, answer.AsOf <= -slowMs, "%v: it counts from the asking", answer.AsOf)
-	assert.Assert(t, answer.Stale, "an answer that old")
-	assert.Equal(t, answer.Edition, uint64(12), "old news is news")
+	assert.Assert(t, answer.AsOf <= -slowMs, "%v: AsOf must count from the request", answer.AsOf)
+	assert.Assert(t, answer.Stale, "an answer that old is stale")
+	assert.Equal(t, answer.Edition, uint64(12), "an old answer still brings new data")
 
 	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}}, nil)
 	answer = registry.heartbeat(waymark.Sign{})
@@ -62,7 +62,7 @@
 	registry.advance(slowMs)
 	registry.confirmState(waymark.Confirmed{}, rpc.Errorf(rpc.Unavailable, "no tail"))
 	answer = registry.heartbeat(waymark.Sign{})
-	assert.Assert(t, answer.Stale && answer.AsOf <= -slowMs, "%v: a failed asking makes nothing newer", answer.AsOf)
+	assert.Assert(t, answer.Stale && answer.AsOf <= -slowMs, "%v: a failed request must not renew AsOf", answer.AsOf)
 	assert.Equal(t, registry.counters.ConfirmsFailed, uint64(1))
 
 	// An answer that names a newer state without containing it confirms nothing that this registry
@@ -89,13 +89,13 @@
 	assert.Equal(t, answer.Edition, uint64(12))
 	assert.DeepEqual(t, answer.Evacuated, []string{"a1"})
 	registry.confirmState(waymark.Confirmed{Recalled: true, State: committedState(9, 13)}, nil)
-	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Edition, uint64(12), "it has something by now")
+	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Edition, uint64(12), "recalled state is ignored once something is known")
 	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 6}, State: committedState(6, 12)}, nil)
 	answer = registry.heartbeat(waymark.Sign{})
 	assert.Equal(t, len(answer.Evacuated), 0)
 	assert.Equal(t, answer.Evac, uint64(6))
 	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 5}, State: committedState(5, 12, "a1")}, nil)
-	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Evac, uint64(6), "nothing goes back")
+	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Evac, uint64(6), "older state is ignored")
 }
 
 // TestHeartbeatAnswerContainsMissingData: a gatekeeper is sent what it lacks, and nothing that it
@@ -111,17 +111,17 @@
 	assert.Equal(t, string(body), configuration)
 	for _, c := range []struct {
 		name                string
-		q                   waymark.Sign
+		heartbeat           waymark.Sign
 		body, evac, workers bool
 	}{
-		{"all", waymark.Sign{}, true, true, true},
+		{"everything", waymark.Sign{}, true, true, true},
 		{"an older configuration", waymark.Sign{Edition: 11, Evac: 4, Roster: version}, true, false, false},
 		{"older evacuations", waymark.Sign{Edition: 12, Evac: 3, Roster: version}, false, true, false},
 		{"an older roster", waymark.Sign{Edition: 12, Evac: 4, Roster: version - 1}, false, false, true},
 		{"nothing", waymark.Sign{Edition: 12, Evac: 4, Roster: version}, false, false, false},
-		{"who knows more", waymark.Sign{Edition: 13, Evac: 5, Roster: version + 1}, false, false, false},
+		{"newer data than the registry's", waymark.Sign{Edition: 13, Evac: 5, Roster: version + 1}, false, false, false},
 	} {
-		answer := registry.heartbeat(c.q)
+		answer := registry.heartbeat(c.heartbeat)
 		assert.Equal(t, len(answer.Body) > 0, c.body, c.name)
 		assert.Equal(t, answer.HasEvac, c.evac, c.name)
 		assert.Equal(t, answer.Marks != nil, c.workers, c.name)
@@ -187,12 +187,12 @@
 	defer registry.mu.Unlock()
 	if registry.now() < sessionTimeoutMs { // otherwise this machine stalled for over a second
 		answer := answerAt(startedAt)
-		assert.Assert(t, !answer.Settled && answer.Crowd == nil, "the other bothy was not heard")
+		assert.Assert(t, !answer.Settled && answer.Crowd == nil, "the other registry has not reported yet")
 	}
 	registry.sessions.Hear(registry.now(), membership.Page{From: other, Life: 9, Serial: 1})
 	if registry.now() < memberListDelayMs {
 		answer := answerAt(startedAt)
-		assert.Assert(t, answer.Settled && answer.Crowd == nil, "its sessions may not all be told yet")
+		assert.Assert(t, answer.Settled && answer.Crowd == nil, "the other registry may not know all members yet")
 	}
 	registry.start = registry.start.Add(-memberListDelayMs * 1e6)
 	answer := answerAt(startedAt)
@@ -201,7 +201,7 @@
 	assert.Equal(t, answer.Crowd.Count, 2)
 	assert.DeepEqual(t, answer.Crowd.Peers, []string{"10.0.0.2:7460"})
 	heartbeat.Crowd = answer.Crowd.Mark
-	assert.Assert(t, answerAt(startedAt).Crowd == nil, "it has that one")
+	assert.Assert(t, answerAt(startedAt).Crowd == nil, "the gatekeeper holds that list")
 }
 
 // TestAllocationRequestIsForwardedOnce: two registries that each take the other for the holder must
@@ -291,7 +291,7 @@
 	assert.NilError(t, err)
 	registry.shutDown()
 	_, err = registry.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 4})
-	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "who leaves has given its duty up")
+	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "a registry that has shut down holds no duty")
 }
 
 // TestSilentPeerDelaysNoOther: while one peer does not answer, the others get a report in each
--- a/internal/bothy/startlog_test.go
+++ b/internal/bothy/startlog_test.go
@@ -48,14 +48,14 @@
 func TestStartBurstOnceAcrossRestarts(t *testing.T) {
 	dir, now := filepath.Join(t.TempDir(), "disk"), 0.0
 	registry := newRegistryOnDisk(dir, &now)
-	assert.Assert(t, !sendHeartbeat(t, registry, "counter-1", 1), "a first life")
+	assert.Assert(t, !sendHeartbeat(t, registry, "counter-1", 1), "the first incarnation")
 	now += 1000
 	registry = newRegistryOnDisk(dir, &now) // restarted with the same folder
-	assert.Assert(t, sendHeartbeat(t, registry, "counter-1", 2), "the life before may have taken them")
-	assert.Assert(t, !sendHeartbeat(t, registry, "counter-2", 3), "another station")
+	assert.Assert(t, sendHeartbeat(t, registry, "counter-1", 2), "the previous incarnation may have taken the start burst")
+	assert.Assert(t, !sendHeartbeat(t, registry, "counter-2", 3), "another node")
 	now += registry.startBurstWindowMs() + 1
 	runChecks(t, registry)
-	assert.Equal(t, len(readStartLog(dir)), 0, "nothing that is that old counts")
+	assert.Equal(t, len(readStartLog(dir)), 0, "starts before the window are dropped")
 	registry = newRegistryOnDisk(dir, &now)
 	assert.Assert(t, !sendHeartbeat(t, registry, "counter-1", 4))
 }
--- a/internal/bothy/updates_test.go
+++ b/internal/bothy/updates_test.go
@@ -37,32 +37,32 @@
 	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a", closing)})
 	for _, c := range []struct {
 		name       string
-		roll       membership.Roll
-		q          waymark.Sign
+		members    membership.Roll
+		heartbeat  waymark.Sign
 		body, part bool
 	}{
-		{"home of the configuration", members, waymark.Sign{Member: membership.Member{Inner: configurationOwner}, Edition: 5, Roster: olderVersion}, true, configurationOwner == workersOwner},
-		{"home of the workers", members, waymark.Sign{Member: membership.Member{Inner: workersOwner}, Edition: 5, Roster: olderVersion}, configurationOwner == workersOwner, true},
-		{"another", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, false, false},
-		{"another that wants the body", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion, Body: true}, true, false},
-		{"another that wants the workers", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: registry.endpoints.version,
+		{"zone home of the configuration", members, waymark.Sign{Member: membership.Member{Inner: configurationOwner}, Edition: 5, Roster: olderVersion}, true, configurationOwner == workersOwner},
+		{"zone home of the workers", members, waymark.Sign{Member: membership.Member{Inner: workersOwner}, Edition: 5, Roster: olderVersion}, configurationOwner == workersOwner, true},
+		{"another gatekeeper", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, false, false},
+		{"another that requests the configuration", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion, Body: true}, true, false},
+		{"another that requests the workers", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: registry.endpoints.version,
 			Want: map[string]uint64{"d": olderVersion}}, false, true},
 		{"another that holds nothing", members, waymark.Sign{Member: membership.Member{Inner: other}}, true, true},
-		{"nobody is a home", membership.Roll{}, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, true, true},
+		{"there is no zone home", membership.Roll{}, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.q.Member.Zone = "z"
+			c.heartbeat.Member.Zone = "z"
 			var answer waymark.Signed
-			assert.Assert(t, registry.addConfigurationAndEndpoints(0, c.roll, &c.q, &answer))
+			assert.Assert(t, registry.addConfigurationAndEndpoints(0, c.members, &c.heartbeat, &answer))
 			assert.Equal(t, answer.Edition, uint64(7))
 			assert.Equal(t, len(answer.Body) > 0, c.body)
 			assert.Equal(t, len(answer.Parts) > 0, c.part)
-			assert.Equal(t, answer.Marks != nil, c.q.Roster < registry.endpoints.version)
+			assert.Equal(t, answer.Marks != nil, c.heartbeat.Roster < registry.endpoints.version)
 		})
 	}
 	var answer waymark.Signed
 	heartbeat := waymark.Sign{Member: membership.Member{Inner: configurationOwner, Zone: "z"}, Edition: 7, Roster: registry.endpoints.version}
-	assert.Assert(t, !registry.addConfigurationAndEndpoints(0, members, &heartbeat, &answer), "no news")
+	assert.Assert(t, !registry.addConfigurationAndEndpoints(0, members, &heartbeat, &answer), "no updates")
 }
 
 // TestCachesConverge runs random changes of the list, new terms, late gossip, failing zone homes
