--- a/internal/bothy/httpapi.go
+++ b/internal/bothy/httpapi.go
@@ -93,9 +93,9 @@
 	case response.status == http.StatusConflict:
 		b.counters.Conflicts++
 	case response.status < 500:
-		b.counters.Refused++
+		b.counters.InvalidRequests++
 	default:
-		b.counters.Failed++
+		b.counters.UnavailableRequests++
 	}
 	b.mu.Unlock()
 	writeJSON(w, response.status, map[string]string{"error": err.Error()})
@@ -122,7 +122,7 @@
 		return
 	}
 	b.mu.Lock()
-	b.counters.Puts++
+	b.counters.ConfigurationsStored++
 	b.mu.Unlock()
 	writeJSON(w, http.StatusOK, map[string]string{"edition": timetable.FormatEdition(configuration.Edition)})
 }
--- a/internal/bothy/httpapi_test.go
+++ b/internal/bothy/httpapi_test.go
@@ -337,7 +337,7 @@
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requestCount(), 1)
 	assert.Equal(t, registry.endpoints.version, uint64(0))
-	assert.Equal(t, registry.counters.PollsFailed, uint64(1))
+	assert.Equal(t, registry.counters.PlatformReadsFailed, uint64(1))
 	pages[""] = `{"roster":{"columns":["id","destination","address","state"],"rows":[["i-1","d","10.0.0.1:80","open_counter"]]}}`
 	registry.pollPlatform(t.Context())
 	assert.DeepEqual(t, workerIDs(registry.endpoints.since(0, 0)), []string{"i-1"})
--- a/internal/bothy/metrics.go
+++ b/internal/bothy/metrics.go
@@ -20,21 +20,21 @@
 		metrics.Gauge("members", "Gatekeepers whose sessions stand, here or elsewhere.", float64(len(b.sessions.Members(now).Members))),
 		metrics.Gauge("workers_listed", "Workers on the platform's list as known here.", float64(len(b.endpoints.workers))),
 		metrics.Gauge("roster_version", "Version of that list.", float64(b.endpoints.version)),
-		metrics.Count("sign_calls_total", "Calls of sessions answered.", b.counters.Signs),
+		metrics.Count("sign_calls_total", "Calls of sessions answered.", b.counters.Heartbeats),
 		metrics.Count("resolve_calls_total", "Answers of the directory.", b.counters.Resolves),
-		metrics.Count("quota_draws_total", "Calls for quota slices answered.", b.counters.Draws),
+		metrics.Count("quota_draws_total", "Calls for quota slices answered.", b.counters.AllocationRequests),
 		metrics.Count("quota_holdings_looked_total", "Holdings of one gatekeeper of one quota looked at to answer calls for slices.", b.allocator.Looked()),
-		metrics.Gauge("quota_allot_seconds_sum", "Time spent on answers to calls for slices since the start.", float64(b.counters.AllotNanos)/1e9),
+		metrics.Gauge("quota_allot_seconds_sum", "Time spent on answers to calls for slices since the start.", float64(b.counters.AllocationNanos)/1e9),
 		metrics.Count("duties_won_total", "Duties won.", b.counters.DutiesWon),
 		metrics.Count("duties_lost_total", "Duties lost, those given up among them.", b.counters.DutiesLost),
-		metrics.Count("platform_calls_total", "Readings of the platform's list.", b.counters.Polls),
-		metrics.Count("platform_calls_failed_total", "Readings of the platform's list that failed.", b.counters.PollsFailed),
+		metrics.Count("platform_calls_total", "Readings of the platform's list.", b.counters.PlatformReads),
+		metrics.Count("platform_calls_failed_total", "Readings of the platform's list that failed.", b.counters.PlatformReadsFailed),
 		metrics.Count("probes_total", "Health probes of workers.", b.counters.Probes),
-		metrics.Count("confirms_total", "Questions to the tail.", b.counters.Confirms),
-		metrics.Count("confirms_failed_total", "Questions to the tail that failed.", b.counters.ConfirmsFailed),
-		metrics.Count("configurations_taken_total", "Configurations acknowledged here.", b.counters.Puts),
+		metrics.Count("confirms_total", "Questions to the tail.", b.counters.TailReads),
+		metrics.Count("confirms_failed_total", "Questions to the tail that failed.", b.counters.TailReadsFailed),
+		metrics.Count("configurations_taken_total", "Configurations acknowledged here.", b.counters.ConfigurationsStored),
 	}
-	for reason, n := range map[string]uint64{"conflict": b.counters.Conflicts, "invalid": b.counters.Refused, "unavailable": b.counters.Failed} {
+	for reason, n := range map[string]uint64{"conflict": b.counters.Conflicts, "invalid": b.counters.InvalidRequests, "unavailable": b.counters.UnavailableRequests} {
 		figures = append(figures, metrics.Count("refusals_total", "Outside calls refused, by reason.", n, metrics.Label{Name: "reason", Value: reason}))
 	}
 	for _, duty := range b.election.Duties() {
--- a/internal/bothy/platform.go
+++ b/internal/bothy/platform.go
@@ -48,13 +48,13 @@
 	list, pages, err := b.readPlatformList(ctx)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.counters.Polls++
+	b.counters.PlatformReads++
 	term, ok := b.election.Holds(b.now(), dutyEndpoints)
 	ok = ok && term == termBefore       // a list requested in an earlier term may be older than what that term's holder has announced
 	ok = ok || b.endpoints.version == 0 // a registry that knows no workers does not wait until it holds the duty
 	switch {
 	case err != nil:
-		b.counters.PollsFailed++
+		b.counters.PlatformReadsFailed++
 		if !b.pollFailing && b.now()-b.polledAt > pollWarnAfterMs {
 			b.pollFailing = true
 			b.log.Warn().Err(err).Msg("cannot read the platform's list")
--- a/internal/bothy/registry.go
+++ b/internal/bothy/registry.go
@@ -126,10 +126,23 @@
 	sentAt      float64
 }
 
-// counters counts events since the start.
+// counters counts events since the start. The tags are the names in the log.
 type counters struct {
-	Signs, Resolves, Puts, Refused, Conflicts, Failed, Polls, PollsFailed, Confirms, ConfirmsFailed, Draws, Probes uint64
-	DutiesWon, DutiesLost, AllotNanos                                                                              uint64
+	Heartbeats           uint64 `json:"Signs"`
+	Resolves             uint64
+	ConfigurationsStored uint64 `json:"Puts"`
+	InvalidRequests      uint64 `json:"Refused"`
+	Conflicts            uint64
+	UnavailableRequests  uint64 `json:"Failed"`
+	PlatformReads        uint64 `json:"Polls"`
+	PlatformReadsFailed  uint64 `json:"PollsFailed"`
+	TailReads            uint64 `json:"Confirms"`
+	TailReadsFailed      uint64 `json:"ConfirmsFailed"`
+	AllocationRequests   uint64 `json:"Draws"`
+	Probes               uint64
+	DutiesWon            uint64
+	DutiesLost           uint64
+	AllocationNanos      uint64 `json:"AllotNanos"`
 }
 
 // New returns a registry. Besides its usual duties it also stands for the duties named.
@@ -318,13 +331,13 @@
 	answer, err := rpc.Call[waymark.Confirm, waymark.Confirmed](ctx, b.store, waymark.Confirm{Have: have, View: view, Recall: have.Seq == 0})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.counters.Confirms++
+	b.counters.TailReads++
 	if unreachable := err != nil && b.now()-b.tailConfirmedAt > staleAfterMs; unreachable != b.tailUnreachable {
 		b.tailUnreachable = unreachable
 		b.updateRegistries()
 	}
 	if err != nil {
-		b.counters.ConfirmsFailed++
+		b.counters.TailReadsFailed++
 		return
 	}
 	if answer.Recalled { // read from the disk and not confirmed by the tail: used only if nothing else is known
--- a/internal/bothy/sessions.go
+++ b/internal/bothy/sessions.go
@@ -22,7 +22,7 @@
 // or else when the first one comes or the wait is over.
 func (b *Bothy) handleHeartbeat(ctx context.Context, heartbeat waymark.Sign) (waymark.Signed, error) {
 	b.mu.Lock()
-	b.counters.Signs++
+	b.counters.Heartbeats++
 	receivedAt := b.now()
 	if heartbeat.Leaving {
 		b.sessions.Leave(receivedAt, heartbeat.Member.Station, heartbeat.Member.Life)
@@ -194,7 +194,7 @@
 
 // allocate answers an allocation request as the holder of the duty. The lock is held.
 func (b *Bothy) allocate(request waymark.Draw) (waymark.Drawn, error) {
-	b.counters.Draws++
+	b.counters.AllocationRequests++
 	now := b.now()
 	if _, ok := b.election.Holds(now, dutyQuota); !ok || b.configuration == nil {
 		return waymark.Drawn{}, rpc.Errorf(rpc.Unavailable, "the duty is lost")
@@ -207,7 +207,7 @@
 	b.updateMembers() // the allocator allocates nothing before it knows the members
 	startedAt := time.Now()
 	allocations := b.allocator.Ask(now, id, request.Turn, demand, request.Held(), request.LeaseLeft)
-	b.counters.AllotNanos += uint64(time.Since(startedAt))
+	b.counters.AllocationNanos += uint64(time.Since(startedAt))
 	if allocations == nil {
 		return waymark.Drawn{}, rpc.Errorf(rpc.Stale, "an asking that was overtaken")
 	}
--- a/internal/bothy/sessions_test.go
+++ b/internal/bothy/sessions_test.go
@@ -63,7 +63,7 @@
 	registry.confirmState(waymark.Confirmed{}, rpc.Errorf(rpc.Unavailable, "no tail"))
 	answer = registry.heartbeat(waymark.Sign{})
 	assert.Assert(t, answer.Stale && answer.AsOf <= -slowMs, "%v: a failed request must not renew AsOf", answer.AsOf)
-	assert.Equal(t, registry.counters.ConfirmsFailed, uint64(1))
+	assert.Equal(t, registry.counters.TailReadsFailed, uint64(1))
 
 	// An answer that names a newer state without containing it confirms nothing that this registry
 	// could pass on.
@@ -158,7 +158,7 @@
 	}()
 	for received := false; !received; {
 		registry.mu.Lock()
-		received = registry.counters.Signs > 0
+		received = registry.counters.Heartbeats > 0
 		registry.mu.Unlock()
 	}
 	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 5}, State: committedState(5, 13)}, nil)
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -78,21 +78,21 @@
 	return &Cache{destinations: map[string]*destination{}, avoidUntil: map[string]float64{}}
 }
 
-func (l *Cache) destination(name string) *destination {
-	d := l.destinations[name]
+func (c *Cache) destination(name string) *destination {
+	d := c.destinations[name]
 	if d == nil {
 		d = &destination{workers: map[string]cachedWorker{}, removed: map[string]removedWorker{}}
-		l.destinations[name] = d
+		c.destinations[name] = d
 	}
 	return d
 }
 
 // Question fills the heartbeat's fields that state what is held. Data still missing is requested
 // from the registry: by then the zone homes have been asked.
-func (l *Cache) Question(heartbeat *waymark.Sign) {
-	heartbeat.Edition, heartbeat.Evac, heartbeat.Roster, heartbeat.Body, heartbeat.Want, heartbeat.Shadow = l.edition, l.evacuationVersion, l.announcedVersion, l.announcedEdition > l.edition, nil, l.mirrorOrderNumber
-	heartbeat.Struck = l.withdrawnHash
-	for name, d := range l.destinations {
+func (c *Cache) Question(heartbeat *waymark.Sign) {
+	heartbeat.Edition, heartbeat.Evac, heartbeat.Roster, heartbeat.Body, heartbeat.Want, heartbeat.Shadow = c.edition, c.evacuationVersion, c.announcedVersion, c.announcedEdition > c.edition, nil, c.mirrorOrderNumber
+	heartbeat.Struck = c.withdrawnHash
+	for name, d := range c.destinations {
 		if d.version < d.wantedVersion {
 			if heartbeat.Want == nil {
 				heartbeat.Want = map[string]uint64{}
@@ -103,34 +103,34 @@
 }
 
 // Hear applies a registry's answer, except for the configuration's body.
-func (l *Cache) Hear(now float64, answer *waymark.Signed) {
-	if answer.Edition > l.announcedEdition {
-		l.announcedEdition, l.announcedBytes = answer.Edition, answer.Bulk
+func (c *Cache) Hear(now float64, answer *waymark.Signed) {
+	if answer.Edition > c.announcedEdition {
+		c.announcedEdition, c.announcedBytes = answer.Edition, answer.Bulk
 	}
 	if answer.HasEvac {
-		if answer.Evac > l.evacuationVersion {
-			l.endedEvacuations = append(l.endedEvacuations, answer.TakenBack...)
+		if answer.Evac > c.evacuationVersion {
+			c.endedEvacuations = append(c.endedEvacuations, answer.TakenBack...)
 		}
-		l.Evacuate(answer.Evac, answer.Evacuated)
+		c.Evacuate(answer.Evac, answer.Evacuated)
 	}
-	l.Shadow(answer.Shadow, answer.Order)
-	defer l.withdraw(answer)
+	c.Shadow(answer.Shadow, answer.Order)
+	defer c.withdraw(answer)
 	marks := answer.Marks
 	if marks != nil {
 		for name, behind := range marks.Behind {
-			d := l.destination(name)
+			d := c.destination(name)
 			d.wantedVersion = max(d.wantedVersion, marks.Version-behind)
 		}
-		for name, d := range l.destinations {
+		for name, d := range c.destinations {
 			if _, named := marks.Behind[name]; marks.Whole && !named && d.version < marks.Version {
 				d.apply(marks.Version, nil, true, now)
 			}
 		}
-		l.announcedVersion = max(l.announcedVersion, marks.Version)
+		c.announcedVersion = max(c.announcedVersion, marks.Version)
 	}
-	l.Stock(now, answer.Parts)
+	c.Stock(now, answer.Parts)
 	if marks != nil { // unchanged destinations are valid for the new version too
-		for _, d := range l.destinations {
+		for _, d := range c.destinations {
 			if d.version >= d.wantedVersion {
 				d.version = max(d.version, marks.Version)
 			}
@@ -140,9 +140,9 @@
 
 // Stock adds workers of destinations. Changes relative to a version that is not held are ignored,
 // as they would leave a gap.
-func (l *Cache) Stock(now float64, parts []waymark.Part) {
+func (c *Cache) Stock(now float64, parts []waymark.Part) {
 	for _, part := range parts {
-		if d := l.destination(part.Destination); part.Version > d.version && (part.Since == 0 || part.Since <= d.version) {
+		if d := c.destination(part.Destination); part.Version > d.version && (part.Since == 0 || part.Since <= d.version) {
 			d.apply(part.Version, part.Workers, part.Since == 0, now)
 		}
 	}
@@ -179,51 +179,51 @@
 }
 
 // Body stores a configuration that was read, and reports whether it is newer than the one held.
-func (l *Cache) Body(edition uint64, body []byte) bool {
-	if edition <= l.edition {
+func (c *Cache) Body(edition uint64, body []byte) bool {
+	if edition <= c.edition {
 		return false
 	}
-	l.edition, l.body = edition, body
-	l.announcedEdition = max(l.announcedEdition, edition)
+	c.edition, c.body = edition, body
+	c.announcedEdition = max(c.announcedEdition, edition)
 	return true
 }
 
 // Evacuate stores a newer list of evacuated zones.
-func (l *Cache) Evacuate(version uint64, zones []string) {
-	if version > l.evacuationVersion {
-		l.evacuationVersion, l.evacuatedZones = version, zones
+func (c *Cache) Evacuate(version uint64, zones []string) {
+	if version > c.evacuationVersion {
+		c.evacuationVersion, c.evacuatedZones = version, zones
 	}
 }
 
 // Shadow stores a newer traffic-mirroring order.
-func (l *Cache) Shadow(number uint64, body []byte) {
-	if number > l.mirrorOrderNumber && len(body) > 0 {
-		l.mirrorOrderNumber, l.mirrorOrder = number, body
+func (c *Cache) Shadow(number uint64, body []byte) {
+	if number > c.mirrorOrderNumber && len(body) > 0 {
+		c.mirrorOrderNumber, c.mirrorOrder = number, body
 	}
 }
 
 // Order returns the traffic-mirroring order and its number, 0 if there never was one.
-func (l *Cache) Order() (uint64, []byte) { return l.mirrorOrderNumber, l.mirrorOrder }
+func (c *Cache) Order() (uint64, []byte) { return c.mirrorOrderNumber, c.mirrorOrder }
 
 // Edition returns the edition of the configuration held.
-func (l *Cache) Edition() uint64 { return l.edition }
+func (c *Cache) Edition() uint64 { return c.edition }
 
 // Heard returns the endpoint version last announced.
-func (l *Cache) Heard() uint64 { return l.announcedVersion }
+func (c *Cache) Heard() uint64 { return c.announcedVersion }
 
 // Evacuated returns the evacuated zones and the version of that list.
-func (l *Cache) Evacuated() (uint64, []string) { return l.evacuationVersion, l.evacuatedZones }
+func (c *Cache) Evacuated() (uint64, []string) { return c.evacuationVersion, c.evacuatedZones }
 
 // TakenBack returns the zones whose evacuation has ended since the last call.
-func (l *Cache) TakenBack() (zones []string) {
-	zones, l.endedEvacuations = l.endedEvacuations, nil
+func (c *Cache) TakenBack() (zones []string) {
+	zones, c.endedEvacuations = c.endedEvacuations, nil
 	return zones
 }
 
 // Turns returns, for each destination, a number that rises whenever its workers change.
-func (l *Cache) Turns() map[string]uint64 {
-	revisions := make(map[string]uint64, len(l.destinations))
-	for name, d := range l.destinations {
+func (c *Cache) Turns() map[string]uint64 {
+	revisions := make(map[string]uint64, len(c.destinations))
+	for name, d := range c.destinations {
 		revisions[name] = d.revision
 	}
 	return revisions
@@ -232,40 +232,40 @@
 // withdraw removes from use the workers that registries withdrew while nobody held the duty of the
 // endpoint list. Later data of a duty holder takes precedence; until it has been received here, the
 // workers stay withdrawn.
-func (l *Cache) withdraw(answer *waymark.Signed) {
+func (c *Cache) withdraw(answer *waymark.Signed) {
 	if answer.StruckNow != 0 {
-		l.withdrawnHash = answer.StruckNow
+		c.withdrawnHash = answer.StruckNow
 	}
-	if l.withdrawn == nil {
-		l.withdrawn = map[string]uint64{}
+	if c.withdrawn == nil {
+		c.withdrawn = map[string]uint64{}
 	}
 	for _, withdrawal := range answer.Struck {
-		knownVersion, known := l.withdrawn[withdrawal.ID]
-		l.withdrawn[withdrawal.ID] = max(knownVersion, withdrawal.At)
-		for _, d := range l.destinations {
+		knownVersion, known := c.withdrawn[withdrawal.ID]
+		c.withdrawn[withdrawal.ID] = max(knownVersion, withdrawal.At)
+		for _, d := range c.destinations {
 			if _, ok := d.workers[withdrawal.ID]; ok && !known {
 				d.revision++
 			}
 		}
 	}
-	maps.DeleteFunc(l.withdrawn, func(id string, knownVersion uint64) bool {
+	maps.DeleteFunc(c.withdrawn, func(id string, knownVersion uint64) bool {
 		withdrawal := waymark.Struck{At: knownVersion}
-		for _, d := range l.destinations {
+		for _, d := range c.destinations {
 			if worker, ok := d.workers[id]; ok {
 				return withdrawal.Void(d.version, worker.changedVersion)
 			}
 		}
-		return withdrawal.Void(l.announcedVersion, 0) // the worker's destination may not have been received yet
+		return withdrawal.Void(c.announcedVersion, 0) // the worker's destination may not have been received yet
 	})
 }
 
 // Workers returns a destination's workers as they are to be used: one that was withdrawn is marked
 // as closing.
-func (l *Cache) Workers(now float64, name string) []waymark.Worker {
-	list := l.listedWorkers(now, name)
+func (c *Cache) Workers(now float64, name string) []waymark.Worker {
+	list := c.listedWorkers(now, name)
 	for i := range list {
-		if knownVersion, ok := l.withdrawn[list[i].ID]; ok {
-			d := l.destinations[name]
+		if knownVersion, ok := c.withdrawn[list[i].ID]; ok {
+			d := c.destinations[name]
 			list[i].Closing = list[i].Closing || !(waymark.Struck{At: knownVersion}).Void(d.version, d.workers[list[i].ID].changedVersion)
 		}
 	}
@@ -274,8 +274,8 @@
 
 // listedWorkers returns a destination's workers with the rest of their cold periods. The time spent
 // in this cache is subtracted, so that passing a worker on never prolongs its cold period.
-func (l *Cache) listedWorkers(now float64, name string) []waymark.Worker {
-	d := l.destinations[name]
+func (c *Cache) listedWorkers(now float64, name string) []waymark.Worker {
+	d := c.destinations[name]
 	if d == nil {
 		return nil
 	}
@@ -288,19 +288,19 @@
 	return list
 }
 
-func (l *Cache) wholePart(now float64, name string) waymark.Part {
-	return waymark.Part{Destination: name, Version: l.destinations[name].version, Workers: l.listedWorkers(now, name)}
+func (c *Cache) wholePart(now float64, name string) waymark.Part {
+	return waymark.Part{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
 }
 
 // changesSince returns a destination's workers for a peer that holds heldVersion: only the changes
 // since then if all of them are known, or else the full list.
-func (l *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.Part {
-	d := l.destinations[name]
+func (c *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.Part {
+	d := c.destinations[name]
 	if heldVersion == 0 || heldVersion < d.changesSince {
-		return l.wholePart(now, name)
+		return c.wholePart(now, name)
 	}
 	part := waymark.Part{Destination: name, Version: d.version, Since: heldVersion}
-	for _, w := range l.listedWorkers(now, name) {
+	for _, w := range c.listedWorkers(now, name) {
 		if d.workers[w.ID].changedVersion > heldVersion {
 			part.Workers = append(part.Workers, w)
 		}
@@ -325,7 +325,7 @@
 // with the answer. Each version is requested from a zone home once. The registry has to supply what
 // is missing after that, and what has no other owner to ask: if this gatekeeper is the owner
 // itself, if there is none, or if the owner has just failed.
-func (l *Cache) Plan(now float64, zone Zone) (requests map[string]waymark.Subscribe, bodyBytes int) {
+func (c *Cache) Plan(now float64, zone Zone) (requests map[string]waymark.Subscribe, bodyBytes int) {
 	ready := zone.Near
 	if zone.Ready {
 		ready = append(slices.Clone(ready), zone.Self)
@@ -333,19 +333,19 @@
 	requests = map[string]waymark.Subscribe{}
 	owner := func(service string) string {
 		addr := membership.HomeAmong(ready, zone.Name, service)
-		if addr == zone.Self || now < l.avoidUntil[addr] {
+		if addr == zone.Self || now < c.avoidUntil[addr] {
 			return ""
 		}
 		return addr
 	}
-	if l.announcedEdition > max(l.edition, l.requestedEdition) && l.edition > 0 {
-		l.requestedEdition = l.announcedEdition
+	if c.announcedEdition > max(c.edition, c.requestedEdition) && c.edition > 0 {
+		c.requestedEdition = c.announcedEdition
 		if addr := owner(Timetable); addr != "" {
-			requests[addr] = waymark.Subscribe{Edition: l.announcedEdition}
-			bodyBytes = l.announcedBytes
+			requests[addr] = waymark.Subscribe{Edition: c.announcedEdition}
+			bodyBytes = c.announcedBytes
 		}
 	}
-	for name, d := range l.destinations {
+	for name, d := range c.destinations {
 		if d.version >= d.wantedVersion || d.requestedVersion >= d.wantedVersion {
 			continue
 		}
@@ -363,51 +363,51 @@
 }
 
 // Asked records how a zone home answered a request; err is not nil if it did not.
-func (l *Cache) Asked(now float64, owner string, request *waymark.Subscribe, err error) {
-	maps.DeleteFunc(l.avoidUntil, func(_ string, until float64) bool { return until <= now })
-	if err != nil || !l.Has(request) {
-		l.avoidUntil[owner] = now + ownerRetryDelayMs
+func (c *Cache) Asked(now float64, owner string, request *waymark.Subscribe, err error) {
+	maps.DeleteFunc(c.avoidUntil, func(_ string, until float64) bool { return until <= now })
+	if err != nil || !c.Has(request) {
+		c.avoidUntil[owner] = now + ownerRetryDelayMs
 	}
 }
 
 // Has reports whether everything that a peer requests is held.
-func (l *Cache) Has(request *waymark.Subscribe) bool {
+func (c *Cache) Has(request *waymark.Subscribe) bool {
 	for name, version := range request.Parts {
-		if d := l.destinations[name]; d == nil || d.version < version {
+		if d := c.destinations[name]; d == nil || d.version < version {
 			return false
 		}
 	}
-	return l.edition >= request.Edition
+	return c.edition >= request.Edition
 }
 
 // Give returns what is held of a peer's request. Data older than requested is left out.
-func (l *Cache) Give(now float64, request *waymark.Subscribe) (answer waymark.Subscribed) {
-	if request.Edition > 0 && l.edition >= request.Edition {
-		answer.Body = l.body
+func (c *Cache) Give(now float64, request *waymark.Subscribe) (answer waymark.Subscribed) {
+	if request.Edition > 0 && c.edition >= request.Edition {
+		answer.Body = c.body
 	}
 	for _, name := range slices.Sorted(maps.Keys(request.Parts)) {
-		if d := l.destinations[name]; d != nil && d.version >= request.Parts[name] {
-			answer.Parts = append(answer.Parts, l.changesSince(now, name, request.Have[name]))
+		if d := c.destinations[name]; d != nil && d.version >= request.Parts[name] {
+			answer.Parts = append(answer.Parts, c.changesSince(now, name, request.Have[name]))
 		}
 	}
 	return answer
 }
 
 // Held returns the versions held, as the answer to a peer's offer.
-func (l *Cache) Held() waymark.Lent {
-	held := waymark.Lent{Edition: l.edition, Evac: l.evacuationVersion, Held: map[string]uint64{}, Shadow: l.mirrorOrderNumber}
-	for name, d := range l.destinations {
+func (c *Cache) Held() waymark.Lent {
+	held := waymark.Lent{Edition: c.edition, Evac: c.evacuationVersion, Held: map[string]uint64{}, Shadow: c.mirrorOrderNumber}
+	for name, d := range c.destinations {
 		held.Held[name] = d.version
 	}
 	return held
 }
 
 // Offer returns the versions that could be handed over.
-func (l *Cache) Offer() waymark.Lend {
-	held := l.Held()
-	offer := waymark.Lend{Edition: held.Edition, Evac: held.Evac, Held: held.Held, Heard: l.announcedVersion, Shadow: held.Shadow}
-	for _, d := range l.destinations {
-		if d.version < l.announcedVersion { // the destinations held are then not complete for that version
+func (c *Cache) Offer() waymark.Lend {
+	held := c.Held()
+	offer := waymark.Lend{Edition: held.Edition, Evac: held.Evac, Held: held.Held, Heard: c.announcedVersion, Shadow: held.Shadow}
+	for _, d := range c.destinations {
+		if d.version < c.announcedVersion { // the destinations held are then not complete for that version
 			offer.Heard = 0
 		}
 	}
@@ -415,31 +415,31 @@
 }
 
 // Exceeds reports whether an offer contains data that is missing here.
-func (l *Cache) Exceeds(offer *waymark.Lend) bool {
+func (c *Cache) Exceeds(offer *waymark.Lend) bool {
 	for name, version := range offer.Held {
-		if d := l.destinations[name]; d == nil || d.version < version {
+		if d := c.destinations[name]; d == nil || d.version < version {
 			return true
 		}
 	}
-	return offer.Edition > l.edition || offer.Evac > l.evacuationVersion || offer.Shadow > l.mirrorOrderNumber
+	return offer.Edition > c.edition || offer.Evac > c.evacuationVersion || offer.Shadow > c.mirrorOrderNumber
 }
 
 // Lend returns the data that a peer lacks, and whether there is any.
-func (l *Cache) Lend(now float64, held *waymark.Lent) (handover waymark.Lend, nonEmpty bool) {
-	handover = l.Offer()
+func (c *Cache) Lend(now float64, held *waymark.Lent) (handover waymark.Lend, nonEmpty bool) {
+	handover = c.Offer()
 	handover.Given = true
 	if handover.Edition > held.Edition {
-		handover.Body, nonEmpty = l.body, true
+		handover.Body, nonEmpty = c.body, true
 	}
 	if handover.Evac > held.Evac {
-		handover.Evacuated, nonEmpty = l.evacuatedZones, true
+		handover.Evacuated, nonEmpty = c.evacuatedZones, true
 	}
 	if handover.Shadow > held.Shadow {
-		handover.Order, nonEmpty = l.mirrorOrder, true
+		handover.Order, nonEmpty = c.mirrorOrder, true
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.destinations)) {
-		if v, ok := held.Held[name]; !ok || l.destinations[name].version > v {
-			handover.Parts, nonEmpty = append(handover.Parts, l.wholePart(now, name)), true
+	for _, name := range slices.Sorted(maps.Keys(c.destinations)) {
+		if v, ok := held.Held[name]; !ok || c.destinations[name].version > v {
+			handover.Parts, nonEmpty = append(handover.Parts, c.wholePart(now, name)), true
 		}
 	}
 	return handover, nonEmpty
@@ -448,17 +448,17 @@
 // Borrow applies data that a peer hands over, except for the configuration's body. A cache to which
 // nothing has been announced yet also adopts the sender's announced version: registries then send
 // only newer data, and learn from that version which terms there have been.
-func (l *Cache) Borrow(now float64, handover *waymark.Lend) {
-	l.Evacuate(handover.Evac, handover.Evacuated)
-	l.Shadow(handover.Shadow, handover.Order)
-	l.Stock(now, handover.Parts)
-	if l.announcedVersion > 0 {
+func (c *Cache) Borrow(now float64, handover *waymark.Lend) {
+	c.Evacuate(handover.Evac, handover.Evacuated)
+	c.Shadow(handover.Shadow, handover.Order)
+	c.Stock(now, handover.Parts)
+	if c.announcedVersion > 0 {
 		return
 	}
 	for name, version := range handover.Held {
-		if d := l.destinations[name]; d == nil || d.version < version || version < handover.Heard {
+		if d := c.destinations[name]; d == nil || d.version < version || version < handover.Heard {
 			return
 		}
 	}
-	l.announcedVersion = handover.Heard
+	c.announcedVersion = handover.Heard
 }
