--- a/internal/bothy/coldstartsim_test.go
+++ b/internal/bothy/coldstartsim_test.go
@@ -316,6 +316,7 @@
 	return list
 }
 
+// recordList records the platform's current list.
 func (w *simWorld) recordList() {
 	list := listSnapshot{at: w.now, coldUntil: map[string]float64{}}
 	for _, worker := range slices.SortedFunc(maps.Values(w.workers), func(a, b *simWorker) int { return int(serverOf(a.id)) - int(serverOf(b.id)) }) {
@@ -349,6 +350,7 @@
 	}
 }
 
+// isDue reports whether a periodic task is due in the current step.
 func isDue(now, period, phase float64) bool {
 	return int((now+phase)/period) != int((now+phase-simStepMs)/period)
 }
--- a/internal/bothy/controlcost_test.go
+++ b/internal/bothy/controlcost_test.go
@@ -64,6 +64,7 @@
 	fullLists      bool // zone homes send full lists of destinations instead of changes
 }
 
+// newCostRun returns a fleet of registries, gatekeepers and workers that do not know each other yet.
 func newCostRun(gatekeepers, workers int) *costRun {
 	c := &costRun{workers: map[string]waymark.Worker{}, gatekeeperAt: map[string]*costGatekeeper{}, bytesByCall: map[string]int{}, smallQuotas: map[string]bool{}}
 	zones := ""
@@ -110,6 +111,7 @@
 	return c
 }
 
+// setWorker puts a worker onto the platform's list.
 func (c *costRun) setWorker(i int, closing bool) {
 	worker := waymark.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("huvo", i%3), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/200, i%200),
 		Zone: fmt.Sprint("z", i%costZoneCount), Edition: "v1", Berths: 2, Closing: closing}
@@ -195,6 +197,7 @@
 	return time.Duration(spec.Nano())
 }
 
+// sendHeartbeat simulates a heartbeat that waits until its time is over.
 func (c *costRun) sendHeartbeat(gatekeeper *costGatekeeper) {
 	registry := c.registries[gatekeeper.registry]
 	gatekeeper.sequence++
@@ -247,6 +250,7 @@
 	}
 }
 
+// requestAllocation simulates an allocation request; the first registry holds the duty.
 func (c *costRun) requestAllocation(gatekeeper *costGatekeeper) {
 	gatekeeper.sequence++
 	request := waymark.Draw{Station: gatekeeper.member.Station, Life: gatekeeper.member.Life, Turn: gatekeeper.sequence, Demand: map[string]float32{}, Holding: waymark.Pack(gatekeeper.allocations),
@@ -282,6 +286,7 @@
 	gatekeeper.leaseEnd, gatekeeper.allocationAt = c.now+allocationLeaseMs, c.now+500
 }
 
+// gossip simulates one gossip round between all registries.
 func (c *costRun) gossip() {
 	for i, registry := range c.registries {
 		var brief, full membership.Page
--- a/internal/bothy/endpoints_test.go
+++ b/internal/bothy/endpoints_test.go
@@ -8,6 +8,7 @@
 	"foxwood/internal/waymark"
 )
 
+// worker returns a warm, open worker of the destination d, with changes applied.
 func worker(id string, change ...func(*waymark.Worker)) waymark.Worker {
 	worker := waymark.Worker{ID: id, Destination: "d", Addr: id + ":80", Zone: "z", Berths: 2}
 	for _, apply := range change {
@@ -16,6 +17,7 @@
 	return worker
 }
 
+// workerIDs returns the IDs of a list's workers, with a minus sign before removed ones.
 func workerIDs(list *waymark.Roster) (names []string) {
 	for _, w := range list.Workers {
 		name := w.ID
--- a/internal/bothy/httpapi_test.go
+++ b/internal/bothy/httpapi_test.go
@@ -26,6 +26,7 @@
 // testTimeout is the limit of every wait: only what never happens takes that long.
 const testTimeout = 60 * time.Second
 
+// TestMain replaces the platform's client by one whose timeout is long enough for a busy machine.
 func TestMain(m *testing.M) {
 	platformClient = &http.Client{Timeout: testTimeout}
 	os.Exit(m.Run())
@@ -54,6 +55,7 @@
 	return listener.Addr().String()
 }
 
+// newTestRegistry returns a registry at 127.0.0.1 whose seeds are itself and the others.
 func newTestRegistry(t *testing.T, others ...string) *testRegistry {
 	t.Helper()
 	settings := &bootconfig.Settings{Station: "sorting-a-1", IP: "127.0.0.1", InnerDocks: []int{7460, 7475}, Zone: "a1", Region: "a", FirstRun: true,
@@ -150,6 +152,7 @@
 	}
 }
 
+// truncatedReader is a request body whose connection ends early.
 type truncatedReader struct{ io.Reader }
 
 func (b truncatedReader) Read(p []byte) (int, error) {
--- a/internal/bothy/partition_test.go
+++ b/internal/bothy/partition_test.go
@@ -50,6 +50,7 @@
 	return requests
 }
 
+// announceHolder delivers another registry's message that it holds duties.
 func (r *testRegistry) announceHolder(from string, held ...election.Tenure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,6 +65,7 @@
 	}
 }
 
+// withdrawnIDs returns the IDs of the withdrawn workers in an answer.
 func withdrawnIDs(answer waymark.Signed) (ids []string) {
 	for _, withdrawal := range answer.Struck {
 		ids = append(ids, withdrawal.ID)
--- a/internal/bothy/probe_test.go
+++ b/internal/bothy/probe_test.go
@@ -10,6 +10,7 @@
 	"foxwood/internal/waymark"
 )
 
+// TestTakeDueProbes: new and cold workers are probed, neither old nor closing ones.
 func TestTakeDueProbes(t *testing.T) {
 	endpoints := newEndpointList()
 	endpoints.applyPlatformList(100, 1, []waymark.Worker{worker("old"), worker("cold", coldFor(3000)), worker("away", coldFor(3000), closing)})
@@ -36,6 +37,7 @@
 	assert.Assert(t, !endpoints.applyProbe(2700, 1, "b", 4000), "an unknown worker")
 }
 
+// TestProbeWorker: only a valid answer of the expected worker counts.
 func TestProbeWorker(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/bothy/registry.go
+++ b/internal/bothy/registry.go
@@ -88,7 +88,7 @@
 	packedConfiguration []byte // the committed configuration in compressed form
 	configuration       *timetable.Timetable
 	view                cairn.View
-	tailConfirmedAt     float64 // when the request began to which the tail last answered
+	tailConfirmedAt     float64 // start of the last request that the tail answered
 	tailUnreachable     bool    // the tail has not answered for staleAfterMs
 	core                []string
 	coreMachines        []waymark.Core // all core machines known, and a hash of the list
--- a/internal/bothy/sessions_test.go
+++ b/internal/bothy/sessions_test.go
@@ -21,6 +21,7 @@
 	r.confirmWithTail(r.t.Context())
 }
 
+// committedState returns a state with the test configuration and the given evacuated zones.
 func committedState(seq, edition uint64, zones ...string) *cairn.State {
 	state := &cairn.State{Last: cairn.Stamp{Seq: seq, View: 1}, Edition: edition, Body: []byte(configuration), Evacuated: map[string]uint64{}}
 	for _, zone := range zones {
--- a/internal/bothy/startlog_test.go
+++ b/internal/bothy/startlog_test.go
@@ -92,6 +92,8 @@
 	assert.Assert(t, !sendHeartbeat(t, registry, "counter-1", 1))
 }
 
+// TestMalformedStartLogIsIgnored: truncated files, files of another version and missing files count
+// as empty.
 func TestMalformedStartLogIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	for _, content := range []string{"", "lives 1\ncounter-1\n", "lives 2\ncounter-1\nend\n", "lives 1"} {
--- a/internal/bothy/updates.go
+++ b/internal/bothy/updates.go
@@ -19,7 +19,7 @@
 // to one that did not get them from its zone homes. The lock is held.
 func (b *Bothy) addConfigurationAndEndpoints(now float64, members membership.Roll, heartbeat *waymark.Sign, answer *waymark.Signed) (updated bool) {
 	gatekeeper := &heartbeat.Member
-	ownsOrAlone := func(service string) bool {
+	isOwnerOrNone := func(service string) bool {
 		owner := membership.Home(members, gatekeeper.Zone, service)
 		return owner == "" || owner == gatekeeper.Inner
 	}
@@ -28,7 +28,7 @@
 		updated = true
 		// A large configuration goes to each gatekeeper directly: its zone home would send copies
 		// for seconds over a slow link, delaying answers to its own clients.
-		if heartbeat.Edition == 0 || heartbeat.Body || ownsOrAlone(configcache.Timetable) || len(b.packedConfiguration) > maxZoneHomeBodyBytes {
+		if heartbeat.Edition == 0 || heartbeat.Body || isOwnerOrNone(configcache.Timetable) || len(b.packedConfiguration) > maxZoneHomeBodyBytes {
 			answer.Body = b.packedConfiguration
 		} else {
 			answer.Bulk = len(b.packedConfiguration)
@@ -39,7 +39,7 @@
 		heldVersion, wanted := heartbeat.Want[name]
 		if !wanted {
 			heldVersion = heartbeat.Roster
-			if b.endpoints.destinationVersion(name) <= heldVersion || heldVersion > 0 && !ownsOrAlone(name) {
+			if b.endpoints.destinationVersion(name) <= heldVersion || heldVersion > 0 && !isOwnerOrNone(name) {
 				continue
 			}
 		}
--- a/internal/bothy/updates_test.go
+++ b/internal/bothy/updates_test.go
@@ -12,6 +12,7 @@
 	"foxwood/internal/waymark"
 )
 
+// membersOfZone returns ready members of the zone z.
 func membersOfZone(nodes ...string) (members membership.Roll) {
 	for _, node := range nodes {
 		members.Members = append(members.Members, membership.Member{Station: node, Zone: "z", Inner: node, Ready: true})
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -47,7 +47,7 @@
 	avoidUntil       map[string]float64 // zone homes that get no request, and until when
 }
 
-// destination is the workers of one destination.
+// destination holds the workers of one destination, and which versions of them are known.
 type destination struct {
 	version, wantedVersion uint64 // version held, and lowest version that is sufficient
 	requestedVersion       uint64 // version last requested from a zone home
@@ -57,6 +57,7 @@
 	removed                map[string]removedWorker
 }
 
+// cachedWorker is a worker with the version at which it last changed.
 type cachedWorker struct {
 	waymark.Worker
 	coldUntil      float64 // end of the cold period
@@ -78,6 +79,7 @@
 	return &Cache{destinations: map[string]*destination{}, avoidUntil: map[string]float64{}}
 }
 
+// destination returns the entry of a destination, which it creates if necessary.
 func (c *Cache) destination(name string) *destination {
 	d := c.destinations[name]
 	if d == nil {
@@ -148,6 +150,7 @@
 	}
 }
 
+// apply applies the workers of a version: the full list, or the changes since the version held.
 func (d *destination) apply(version uint64, workers []waymark.Worker, whole bool, now float64) {
 	if whole { // changes between the old version and this one are unknown
 		clear(d.workers)
@@ -288,6 +291,7 @@
 	return list
 }
 
+// wholePart returns the full list of a destination's workers as a message part.
 func (c *Cache) wholePart(now float64, name string) waymark.Part {
 	return waymark.Part{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
 }
