--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -369,7 +369,7 @@
 		old: "		s.next = now +", wrong: "		s.next = 0*now +", tests: "TestNobodyHasTheDuty"},
 	{corner: "cut off", name: "a worker that one reading misses is taken away", file: "internal/bothy/strikes.go",
 		old: " || !ok && !s.missing[id] {", wrong: " {", tests: "TestAMissingWorkerCountsAtTheSecondTime"},
-	{corner: "cut off", name: "a later term does not go before what was taken away", file: "internal/waymark/struck.go",
+	{corner: "cut off", name: "a later term does not go before what was taken away", file: "internal/waymark/withdrawn.go",
 		old: "version>>TermShift > s.At>>TermShift || ", wrong: "", tests: "TestNobodyHasTheDuty", in: "internal/bothy"},
 	{corner: "cut off", name: "a term that is only announced brings back what was taken away", file: "internal/configcache/configcache.go",
 		old: "			if k, ok := s.workers[id]; ok {\n				return x.Void(s.have, k.changed)", wrong: "			if k, ok := s.workers[id]; ok {\n				return x.Void(l.heard, k.changed)", tests: "TestWhatIsTakenAwayWithoutTheDuty"},
--- a/internal/waymark/encoding_test.go
+++ b/internal/waymark/encoding_test.go
@@ -11,7 +11,7 @@
 	"foxwood/internal/waymark"
 )
 
-// checkMessage checks the name and the encoding of a message that processes of the release before send and read.
+// checkMessage checks that a message keeps the name and the encoding by which processes of the previous release know it.
 func checkMessage[T any](t *testing.T, name string) {
 	t.Helper()
 	assert.Equal(t, rpc.NameOf[T](), name)
