--- a/internal/platform/export_test.go
+++ b/internal/platform/export_test.go
@@ -1,4 +1,4 @@
 package platform
 
-// ServerID is the module's name of a worker, for tests.
+// ServerID exports serverID to tests.
 var ServerID = serverID
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,5 +1,5 @@
-// Package platform is the front for the platform's protocol: its headers, its
-// outcomes and its host group.
+// Package platform implements the platform's protocol at a gatekeeper: the headers of requests, the
+// outcomes in workers' answers, and the host group that discovery lists.
 package platform
 
 import (
@@ -16,170 +16,170 @@
 	"foxwood/policy"
 )
 
-// The platform's names on sockets.
+// Paths and header names of the platform's protocol.
 const (
 	pathAPI   = "/api"
-	PathReady = "/health/ready" // 200 once clients may come
-	PathLive  = "/health/live"  // 200 while the loop turns
+	PathReady = "/health/ready" // readiness: 200 once the gatekeeper accepts clients
+	PathLive  = "/health/live"  // liveness: 200 while the event loop runs
 
-	headTrace  = "X-Trace-Id"
-	headClass  = "X-Qos"
-	headPlan   = "X-Tier"
-	headKey    = "X-Api-Key"
-	HeadLeft   = "X-Expires-In-Ms" // how long the sender waits for the answer
-	headRepeat = "Idempotency-Key"
-	headTerms  = "X-Call-Terms"
-	headAgain  = "X-Second-Try"
-	headNever  = "X-Never-Ran"
-	headUnits  = "X-Cost-Units"
-	headLoad   = "Endpoint-Load-Metrics"
+	headerTrace          = "X-Trace-Id"
+	headerClass          = "X-Qos"
+	headerPlan           = "X-Tier"
+	headerAPIKey         = "X-Api-Key"
+	HeadLeft             = "X-Expires-In-Ms" // how long the client waits for the answer, in milliseconds
+	headerIdempotencyKey = "Idempotency-Key"
+	headerCallTerms      = "X-Call-Terms"
+	headerSecondTry      = "X-Second-Try"
+	headerNeverRan       = "X-Never-Ran"
+	headerCostUnits      = "X-Cost-Units"
+	headerLoadMetrics    = "Endpoint-Load-Metrics"
 )
 
-// Front speaks the platform's protocol with clients and workers.
+// Front implements the platform's protocol with clients (link.Front) and workers (link.Reader).
 type Front struct {
 	settings policy.Settings
 	names    settings.Names
 	ready    func() bool
 }
 
-// NewFront makes a front; ready tells whether clients may come.
-func NewFront(s policy.Settings, n settings.Names, ready func() bool) *Front {
-	if s.Largest <= 0 { // an operator's settings need not say
-		s.Largest = math.MaxInt32
+// NewFront returns a front. The function ready reports whether the gatekeeper accepts clients.
+func NewFront(policySettings policy.Settings, names settings.Names, ready func() bool) *Front {
+	if policySettings.Largest <= 0 { // the setting is optional
+		policySettings.Largest = math.MaxInt32
 	}
-	return &Front{settings: s, names: n, ready: ready}
+	return &Front{settings: policySettings, names: names, ready: ready}
 }
 
-// Replace puts another table of classes in force, in the places that the core's has them.
-// Requests that were read before keep the terms they came with.
+// Replace replaces the table of classes, whose order must be that of the core's. Requests that were
+// parsed before keep their terms.
 func (f *Front) Replace(classes []policy.Class, names []string) {
 	f.settings.Classes, f.names.Classes = classes, names
 }
 
 // Handle implements link.Front.
-func (f *Front) Handle(l *link.Client, m *http1.Message) {
-	path, _, _ := bytes.Cut(m.Target, []byte{'?'})
+func (f *Front) Handle(client *link.Client, message *http1.Message) {
+	path, _, _ := bytes.Cut(message.Target, []byte{'?'})
 	switch string(path) {
 	case pathAPI:
-		r, err := f.request(m)
+		request, err := f.parseRequest(message)
 		if err != nil {
-			l.Reject(400, err.Error()+"\n")
+			client.Reject(400, err.Error()+"\n")
 			return
 		}
-		l.Submit(r)
+		client.Submit(request)
 	case PathReady, PathLive:
-		Health(l, m, f.ready())
+		Health(client, message, f.ready())
 	default:
-		l.Reply(404, "", "no such path\n")
+		client.Reply(404, "", "no such path\n")
 	}
 }
 
-// Health answers a question for PathReady or PathLive.
-func Health(l *link.Client, m *http1.Message, ready bool) {
-	path, _, _ := bytes.Cut(m.Target, []byte{'?'})
+// Health answers a request for PathReady or PathLive.
+func Health(client *link.Client, message *http1.Message, ready bool) {
+	path, _, _ := bytes.Cut(message.Target, []byte{'?'})
 	switch {
-	case string(m.Method) != "GET" && string(m.Method) != "HEAD":
-		l.Reply(405, "Allow: GET, HEAD\r\n", "only GET\n")
+	case string(message.Method) != "GET" && string(message.Method) != "HEAD":
+		client.Reply(405, "Allow: GET, HEAD\r\n", "only GET\n")
 	case string(path) == PathReady && !ready:
-		l.Reply(503, "", "not ready\n")
+		client.Reply(503, "", "not ready\n")
 	default:
-		l.Reply(200, "", "ok\n")
+		client.Reply(200, "", "ok\n")
 	}
 }
 
-// claims are the fields that a request is judged by. One that stands twice could mean
-// one thing here and another at a worker.
-var claims = [...]string{headTrace, headClass, headPlan, headKey, HeadLeft, headRepeat, headTerms, headAgain}
+// singleHeaders are the headers that may occur only once: of a repeated one, the gatekeeper and the worker
+// could use different values.
+var singleHeaders = [...]string{headerTrace, headerClass, headerPlan, headerAPIKey, HeadLeft, headerIdempotencyKey, headerCallTerms, headerSecondTry}
 
-// keyMost is past the largest key of a customer.
-const keyMost = 1 << 33
+// customerKeyLimit is greater than any customer's key.
+const customerKeyLimit = 1 << 33
 
-// request reads a request's headers, and refuses what it is not sure of.
-func (f *Front) request(m *http1.Message) (*gatekeeper.Request, error) {
-	for _, name := range claims {
-		if m.Count(name) > 1 {
+// parseRequest parses the headers of a request. It rejects a request that is ambiguous.
+func (f *Front) parseRequest(message *http1.Message) (*gatekeeper.Request, error) {
+	for _, name := range singleHeaders {
+		if message.Count(name) > 1 {
 			return nil, fmt.Errorf("%s stands twice", name)
 		}
 	}
-	r := &gatekeeper.Request{Name: string(m.Get(headTrace))}
-	if r.Name == "" {
-		return nil, fmt.Errorf("%s is missing", headTrace)
+	request := &gatekeeper.Request{Name: string(message.Get(headerTrace))}
+	if request.Name == "" {
+		return nil, fmt.Errorf("%s is missing", headerTrace)
 	}
-	name := string(m.Get(headClass))
-	if r.Class = slices.Index(f.names.Classes, name); r.Class < 0 || name == "" {
-		return nil, fmt.Errorf("%s names no class", headClass)
+	name := string(message.Get(headerClass))
+	if request.Class = slices.Index(f.names.Classes, name); request.Class < 0 || name == "" {
+		return nil, fmt.Errorf("%s names no class", headerClass)
 	}
-	if r.Plan = slices.Index(f.names.Plans, string(m.Get(headPlan))); r.Plan < 0 {
-		return nil, fmt.Errorf("%s names no plan", headPlan)
+	if request.Plan = slices.Index(f.names.Plans, string(message.Get(headerPlan))); request.Plan < 0 {
+		return nil, fmt.Errorf("%s names no plan", headerPlan)
 	}
-	key, err := strconv.ParseUint(string(m.Get(headKey)), 16, 64)
-	if err != nil || len(m.Get(headKey)) != 16 || key >= keyMost {
-		return nil, fmt.Errorf("%s is not a customer's key in 16 hex digits", headKey)
+	key, err := strconv.ParseUint(string(message.Get(headerAPIKey)), 16, 64)
+	if err != nil || len(message.Get(headerAPIKey)) != 16 || key >= customerKeyLimit {
+		return nil, fmt.Errorf("%s is not a customer's key in 16 hex digits", headerAPIKey)
 	}
-	r.Customer = key
-	left, err := strconv.ParseUint(string(m.Get(HeadLeft)), 10, 31)
+	request.Customer = key
+	left, err := strconv.ParseUint(string(message.Get(HeadLeft)), 10, 31)
 	if err != nil || left == 0 {
 		return nil, fmt.Errorf("%s is not a number of milliseconds", HeadLeft)
 	}
-	class := f.settings.Classes[r.Class]
-	r.Left = min(float64(left), float64(class.Deadline)/1000)
-	switch get := string(m.Method) == "GET"; {
-	case !get && string(m.Method) != "POST":
+	class := f.settings.Classes[request.Class]
+	request.Left = min(float64(left), float64(class.Deadline)/1000)
+	switch isGet := string(message.Method) == "GET"; {
+	case !isGet && string(message.Method) != "POST":
 		return nil, fmt.Errorf("neither GET nor POST")
-	case get && class.Repeat == policy.Keyed:
+	case isGet && class.Repeat == policy.Keyed:
 		return nil, fmt.Errorf("the class wants method POST")
-	case !get && class.Repeat == policy.Safe:
+	case !isGet && class.Repeat == policy.Safe:
 		return nil, fmt.Errorf("the class wants method GET")
 	}
-	if class.Repeat == policy.Keyed && len(m.Get(headRepeat)) == 0 {
-		return nil, fmt.Errorf("%s is missing", headRepeat)
+	if class.Repeat == policy.Keyed && len(message.Get(headerIdempotencyKey)) == 0 {
+		return nil, fmt.Errorf("%s is missing", headerIdempotencyKey)
 	}
-	if string(m.Method) == "GET" && (len(m.Body) > 0 || m.Large) {
+	if string(message.Method) == "GET" && (len(message.Body) > 0 || message.Large) {
 		return nil, fmt.Errorf("GET has no body")
 	}
-	if err := f.terms(r, m.Get(headTerms)); err != nil {
+	if err := f.parseTerms(request, message.Get(headerCallTerms)); err != nil {
 		return nil, err
 	}
-	r.Again = string(m.Get(headAgain)) == "1"
-	r.Payload = payload(m)
-	return r, nil
+	request.Again = string(message.Get(headerSecondTry)) == "1"
+	request.Payload = workerPayload(message)
+	return request, nil
 }
 
-// terms reads the units and the customer's set of gatekeepers. Each stands once and
-// is within what the settings allow: a request of a thousand units would empty the
-// quota of the customer it names.
-func (f *Front) terms(r *gatekeeper.Request, terms []byte) error {
+// parseTerms parses the units of a request and the customer's set of gatekeepers. Each term must occur exactly
+// once, within the limits of the settings: a request of a thousand units would use up the quota of the
+// customer that it names.
+func (f *Front) parseTerms(request *gatekeeper.Request, terms []byte) error {
 	seen := map[string]bool{}
 	for pair := range bytes.SplitSeq(terms, []byte{','}) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
 		if seen[string(name)] {
-			return fmt.Errorf("%s states %s twice", headTerms, name)
+			return fmt.Errorf("%s states %s twice", headerCallTerms, name)
 		}
 		seen[string(name)] = true
 		ok := true
 		switch string(name) {
 		case "units":
-			r.Units, ok = number(value, f.settings.Largest)
-			ok = ok && r.Units > 0
+			request.Units, ok = parseDecimal(value, f.settings.Largest)
+			ok = ok && request.Units > 0
 		case "spread":
-			r.Spread, ok = whole(value, f.settings.Gateways)
-			ok = ok && r.Spread > 0
+			request.Spread, ok = parseInteger(value, f.settings.Gateways)
+			ok = ok && request.Spread > 0
 		case "first":
-			_, ok = whole(value, f.settings.Gateways-1)
+			_, ok = parseInteger(value, f.settings.Gateways-1)
 		}
 		if !ok {
-			return fmt.Errorf("%s states no possible %s", headTerms, name)
+			return fmt.Errorf("%s states no possible %s", headerCallTerms, name)
 		}
 	}
 	if !seen["units"] || !seen["spread"] || !seen["first"] {
-		return fmt.Errorf("%s lacks a term", headTerms)
+		return fmt.Errorf("%s lacks a term", headerCallTerms)
 	}
 	return nil
 }
 
-// number reads a decimal number from 0 to most, written as people write them: no
-// NaN, no infinity, no hexadecimals.
-func number(text []byte, most float64) (float64, bool) {
+// parseDecimal parses a decimal number from 0 to maximum. It accepts digits and a point only: no NaN, infinity,
+// exponent or hexadecimal number.
+func parseDecimal(text []byte, maximum float64) (float64, bool) {
 	if len(text) == 0 || text[0] < '0' || text[0] > '9' {
 		return 0, false
 	}
@@ -189,86 +189,86 @@
 		}
 	}
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && v <= most
+	return v, err == nil && v <= maximum
 }
 
-// whole reads a whole number from 0 to most.
-func whole(text []byte, most int) (int, bool) {
+// parseInteger parses an integer from 0 to maximum.
+func parseInteger(text []byte, maximum int) (int, bool) {
 	v, err := strconv.ParseUint(string(text), 10, 31)
-	return int(v), err == nil && int(v) <= most
+	return int(v), err == nil && int(v) <= maximum
 }
 
-// payload is what workers get to see of a request.
-func payload(m *http1.Message) *link.Payload {
-	b := make([]byte, 0, 256+len(m.Target)+len(m.Body))
-	b = append(append(b, m.Method...), ' ')
-	b = append(append(b, m.Target...), " HTTP/1.1\r\n"...)
-	for _, name := range [...]string{"Host", headTrace, headRepeat, "Content-Type"} {
-		if v := m.Get(name); v != nil {
-			b = append(append(b, name...), ": "...)
-			b = append(append(b, v...), "\r\n"...)
+// workerPayload returns the head and the body that are sent to a worker for a request.
+func workerPayload(message *http1.Message) *link.Payload {
+	buffer := make([]byte, 0, 256+len(message.Target)+len(message.Body))
+	buffer = append(append(buffer, message.Method...), ' ')
+	buffer = append(append(buffer, message.Target...), " HTTP/1.1\r\n"...)
+	for _, name := range [...]string{"Host", headerTrace, headerIdempotencyKey, "Content-Type"} {
+		if v := message.Get(name); v != nil {
+			buffer = append(append(buffer, name...), ": "...)
+			buffer = append(append(buffer, v...), "\r\n"...)
 		}
 	}
 	switch {
-	case m.Large && m.Length < 0:
-		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	case m.Large:
-		b = append(b, "Content-Length: "...)
-		b = append(strconv.AppendInt(b, int64(m.Length), 10), "\r\n"...)
-	case string(m.Method) != "GET" || len(m.Body) > 0:
-		b = append(b, "Content-Length: "...)
-		b = append(strconv.AppendInt(b, int64(len(m.Body)), 10), "\r\n"...)
+	case message.Large && message.Length < 0:
+		buffer = append(buffer, "Transfer-Encoding: chunked\r\n"...)
+	case message.Large:
+		buffer = append(buffer, "Content-Length: "...)
+		buffer = append(strconv.AppendInt(buffer, int64(message.Length), 10), "\r\n"...)
+	case string(message.Method) != "GET" || len(message.Body) > 0:
+		buffer = append(buffer, "Content-Length: "...)
+		buffer = append(strconv.AppendInt(buffer, int64(len(message.Body)), 10), "\r\n"...)
 	}
-	head := len(b)
-	b = append(b, m.Body...)
-	return &link.Payload{Head: b[:head], Body: b[head:]}
+	headLength := len(buffer)
+	buffer = append(buffer, message.Body...)
+	return &link.Payload{Head: buffer[:headLength], Body: buffer[headLength:]}
 }
 
-// Left implements link.Reader.
+// Left implements link.Reader: it names the header with the time that is left for a request.
 func (f *Front) Left() string { return HeadLeft }
 
-// Outcome implements link.Reader: it reads a worker's answer. Only the header
-// that says so proves that a request never ran.
-func (f *Front) Outcome(m *http1.Message) gatekeeper.Outcome {
-	o := gatekeeper.Outcome{Status: policy.Failed, Load: Load(m, f.settings.InlineLoad)}
+// Outcome implements link.Reader: it parses a worker's answer. Only the header X-Never-Ran proves that a
+// request was not executed.
+func (f *Front) Outcome(message *http1.Message) gatekeeper.Outcome {
+	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: Load(message, f.settings.InlineLoad)}
 	switch {
-	case m.Status == 200:
-		o.Status = policy.OK
-		o.Answer.Body = m.Body
-		o.Units = Units(m, f.settings.Largest)
-	case NeverRan(m):
-		o.Status = policy.Full
+	case message.Status == 200:
+		outcome.Status = policy.OK
+		outcome.Answer.Body = message.Body
+		outcome.Units = Units(message, f.settings.Largest)
+	case NeverRan(message):
+		outcome.Status = policy.Full
 	}
-	return o
+	return outcome
 }
 
-// NeverRan tells whether a worker proves that it has not run a request.
-func NeverRan(m *http1.Message) bool {
-	return (m.Status == 503 || m.Status == 504) && string(m.Get(headNever)) == "1"
+// NeverRan reports whether an answer proves that the worker has not executed the request.
+func NeverRan(message *http1.Message) bool {
+	return (message.Status == 503 || message.Status == 504) && string(message.Get(headerNeverRan)) == "1"
 }
 
-// Units is what a worker says that a request really cost, 0 where it does not or
-// where no request can cost that much.
-func Units(m *http1.Message, largest float64) float64 {
+// Units returns the actual cost of a request that a worker reports, or 0 if it reports none or more than
+// largest, the most that a request can cost.
+func Units(message *http1.Message, largest float64) float64 {
 	if largest <= 0 { // as in NewFront
 		largest = math.MaxInt32
 	}
-	text, _ := m.Single(headUnits)
-	v, ok := number(text, largest)
+	text, _ := message.Single(headerCostUnits)
+	v, ok := parseDecimal(text, largest)
 	if !ok {
 		return 0
 	}
 	return v
 }
 
-// loadMost is past any load that a worker can have; what reports more is broken.
-const loadMost = 1 << 20
+// maxLoad is greater than any load that a worker can have. A report above it is invalid.
+const maxLoad = 1 << 20
 
-// Load is the load report in an answer: the values named by fields, NaN for those
-// that it does not tell or that can't be read. It guards against taking a worker for
-// idle whose report is spoilt.
-func Load(m *http1.Message, fields []string) []float32 {
-	text, _ := m.Single(headLoad)
+// Load returns the values of the load report in an answer, in the order of fields, with NaN for fields that
+// the report does not have. It returns nil if the report has none of the fields or is invalid, so that a worker
+// with a damaged report does not count as idle.
+func Load(message *http1.Message, fields []string) []float32 {
+	text, _ := message.Single(headerLoadMetrics)
 	report, ok := bytes.CutPrefix(text, []byte("TEXT "))
 	if !ok || len(fields) == 0 {
 		return nil
@@ -284,8 +284,8 @@
 		if i < 0 {
 			continue
 		}
-		v, ok := number(value, loadMost)
-		if !ok || load[i] == load[i] { // unreadable, or told twice
+		v, ok := parseDecimal(value, maxLoad)
+		if !ok || load[i] == load[i] { // invalid, or a repeated field
 			return nil
 		}
 		load[i], found = float32(v), true
