--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -1,5 +1,5 @@
-// Package bootconfig reads the settings file that a process of the system is told by
-// FOXWOOD_BOOT, and says of each fault which field has it.
+// Package bootconfig reads the settings file of a process, whose path is in the environment variable FOXWOOD_BOOT.
+// Errors name each invalid field.
 package bootconfig
 
 import (
@@ -15,38 +15,38 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable names the environment's variable that holds the file's path.
+// Variable is the environment variable that holds the path of the settings file.
 const Variable = "FOXWOOD_BOOT"
 
-// Settings is what a process is told. Fields that are not known are ignored.
+// Settings are the settings of a process. Unknown fields of the file are ignored.
 type Settings struct {
-	Station       string            `toml:"station"`
+	Station       string            `toml:"station"` // name of the node
 	Role          string            `toml:"role"`
 	Grade         string            `toml:"grade"`
 	Carries       []string          `toml:"carries"`
 	IP            string            `toml:"ip"`
 	Zone          string            `toml:"zone"`
 	Region        string            `toml:"region"`
-	InnerDocks    []int             `toml:"innerDocks"`
-	FirstStations []string          `toml:"firstStations"`
-	FirstRun      bool              `toml:"firstRun"`
+	InnerDocks    []int             `toml:"innerDocks"`    // first and last of the ports for calls between processes
+	FirstStations []string          `toml:"firstStations"` // addresses of the seed nodes
+	FirstRun      bool              `toml:"firstRun"`      // the deployment starts for the first time
 	Counted       bool              `toml:"counted"`
-	ArchiveDir    string            `toml:"archiveDir"`
+	ArchiveDir    string            `toml:"archiveDir"` // folder for stored state
 	ReportS       float64           `toml:"reportS"`
 	Clauses       []string          `toml:"clauses"`
-	TimeBounds    []string          `toml:"timeBounds"`
+	TimeBounds    []string          `toml:"timeBounds"` // NAME=VALUE each, see Bounds
 	EditionMode   string            `toml:"editionMode"`
-	Metrics       string            `toml:"metrics"` // PORT/PATH where the process is to tell its figures; empty for nowhere
-	Zones         map[string]string `toml:"zones"`
+	Metrics       string            `toml:"metrics"` // PORT/PATH at which to serve metrics; empty for none
+	Zones         map[string]string `toml:"zones"`   // region of each zone
 	Gates         Gates             `toml:"gates"`
 	SizeLimits    SizeLimits        `toml:"sizeLimits"`
 	Tolerance     Tolerance         `toml:"tolerance"`
 	CarrierAPI    CarrierAPI        `toml:"carrierApi"`
 
-	Bounds Bounds `toml:"-"` // what TimeBounds says
+	Bounds Bounds `toml:"-"` // parsed from TimeBounds
 }
 
-// Gates are the addresses that a process serves at.
+// Gates are the addresses at which a process serves external clients.
 type Gates struct {
 	Counter       string `toml:"counter"`
 	Readiness     string `toml:"readiness"`
@@ -54,30 +54,30 @@
 	DirectoryDesk string `toml:"directoryDesk"`
 }
 
-// SizeLimits are what the machine allows the process.
+// SizeLimits are the resources of the machine that the process may use.
 type SizeLimits struct {
-	CPUShare float64 `toml:"cpuShare"`
+	CPUShare float64 `toml:"cpuShare"` // cores
 	MemoryMB int     `toml:"memoryMb"`
-	Handles  int     `toml:"handles"`
-	LineMbps float64 `toml:"lineMbps"`
+	Handles  int     `toml:"handles"`  // file descriptors
+	LineMbps float64 `toml:"lineMbps"` // network bandwidth
 	DiskMB   float64 `toml:"diskMb"`
 }
 
-// Tolerance is what may be lost at once.
+// Tolerance is the number of machines, zones and regions that may fail at the same time.
 type Tolerance struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// CarrierAPI is where the platform lists workers.
+// CarrierAPI is the API in which the platform lists workers.
 type CarrierAPI struct {
 	Address  string  `toml:"address"`
 	RatePerS float64 `toml:"ratePerS"`
 	DelayS   float64 `toml:"delayS"`
 }
 
-// Bounds are the figures of the rules, times in seconds.
+// Bounds are the limits that the platform's rules set. Fields that end with S are in seconds.
 type Bounds struct {
 	ContactS, ReceiptS, SyncS, DrainS, GraceS, EditionS, RevertSlackS float64
 	RevocationFinal                                                   bool
@@ -88,15 +88,15 @@
 	EvacuateS, RecoveryS, TTLMaxS                                     float64
 }
 
-// fallback holds where the file does not say.
-var fallback = Bounds{
+// defaultBounds apply where the file does not set a bound.
+var defaultBounds = Bounds{
 	ContactS: 5, ReceiptS: 8, SyncS: 4, DrainS: 2.5, GraceS: 6, EditionS: 2.5, RevertSlackS: 0.25, RevokeS: 5,
 	RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 20, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 10,
 	ColdExcess: 1.5, ColdSlack: 5, EvacuateS: 5, RecoveryS: 15, TTLMaxS: 5,
 }
 
-// figures are the names of the bounds.
-func (b *Bounds) figures() map[string]*float64 {
+// byName returns the numeric bounds by their names in the file.
+func (b *Bounds) byName() map[string]*float64 {
 	return map[string]*float64{
 		"contactS": &b.ContactS, "receiptS": &b.ReceiptS, "syncS": &b.SyncS, "drainS": &b.DrainS, "graceS": &b.GraceS,
 		"editionS": &b.EditionS, "revertSlackS": &b.RevertSlackS, "revokeS": &b.RevokeS, "retryRatio": &b.RetryRatio,
@@ -106,16 +106,16 @@
 	}
 }
 
-// Read reads the file that the environment names.
+// Read reads the settings file that the environment variable names.
 func Read() (*Settings, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
-		return nil, fmt.Errorf("settings: %s is not set", Variable)
+		return nil, fmt.Errorf("settings: environment variable %s is not set, expected the path of the settings file", Variable)
 	}
 	return File(path)
 }
 
-// File reads a settings file.
+// File reads and checks a settings file.
 func File(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -128,92 +128,92 @@
 	return s, nil
 }
 
-// Parse reads and checks settings. The error names every field that has a fault.
+// Parse parses and checks settings. Its error names every invalid field.
 func Parse(text []byte) (*Settings, error) {
-	s := &Settings{Bounds: fallback}
+	s := &Settings{Bounds: defaultBounds}
 	if err := toml.NewDecoder(bytes.NewReader(text)).Decode(s); err != nil {
 		return nil, err
 	}
 	var faults []error
-	wrong := func(field, format string, a ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, a...)))
+	addFault := func(field, format string, host ...any) {
+		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, host...)))
 	}
 	if s.Station == "" {
-		wrong("station", "is missing")
+		addFault("station", "is missing")
 	}
 	if net.ParseIP(s.IP).To4() == nil {
-		wrong("ip", "%q is not an IPv4 address", s.IP)
+		addFault("ip", "%q is not an IPv4 address", s.IP)
 	}
 	if s.Zone == "" {
-		wrong("zone", "is missing")
+		addFault("zone", "is missing")
 	}
 	if len(s.InnerDocks) != 2 || s.InnerDocks[0] <= 0 || s.InnerDocks[1] < s.InnerDocks[0]+1 || s.InnerDocks[1] > 65535 {
-		wrong("innerDocks", "%v is not a range of two ports or more", s.InnerDocks)
+		addFault("innerDocks", "%v is not a range of two ports or more", s.InnerDocks)
 	}
 	if len(s.FirstStations) == 0 {
-		wrong("firstStations", "names nobody")
+		addFault("firstStations", "is empty, expected at least one address")
 	}
-	for i, a := range s.FirstStations {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			wrong(fmt.Sprintf("firstStations[%d]", i), "%q is not an address", a)
+	for i, host := range s.FirstStations {
+		if _, _, err := net.SplitHostPort(host); err != nil {
+			addFault(fmt.Sprintf("firstStations[%d]", i), "%q is not an address with a port", host)
 		}
 	}
 	if s.SizeLimits.MemoryMB < 0 || s.SizeLimits.Handles < 0 {
-		wrong("sizeLimits", "below nothing")
+		addFault("sizeLimits", "memoryMb is %d and handles is %d, expected no negative number", s.SizeLimits.MemoryMB, s.SizeLimits.Handles)
 	}
-	figures := s.Bounds.figures()
+	boundsByName := s.Bounds.byName()
 	for i, pair := range s.TimeBounds {
 		name, value, ok := strings.Cut(pair, "=")
 		field := fmt.Sprintf("timeBounds[%d]", i)
 		if name = strings.TrimSpace(name); !ok {
-			wrong(field, "%q is not name=value", pair)
+			addFault(field, "%q is not name=value", pair)
 			continue
 		}
 		value = strings.TrimSpace(value)
 		if name == "revocationFinal" {
-			v, err := strconv.ParseBool(value)
+			parsed, err := strconv.ParseBool(value)
 			if err != nil {
-				wrong(field, "%s is neither true nor false", name)
+				addFault(field, "%s: %q is neither true nor false", name, value)
 			}
-			s.Bounds.RevocationFinal = v
+			s.Bounds.RevocationFinal = parsed
 			continue
 		}
-		at := figures[name]
-		if at == nil {
-			continue // new ones may be added
+		bound := boundsByName[name]
+		if bound == nil {
+			continue // unknown bounds are ignored: the platform may add new ones
 		}
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || v < 0 || math.IsInf(v, 0) || math.IsNaN(v) {
-			wrong(field, "%s: %q is not a figure", name, value)
+		parsed, err := strconv.ParseFloat(value, 64)
+		if err != nil || parsed < 0 || math.IsInf(parsed, 0) || math.IsNaN(parsed) {
+			addFault(field, "%s: %q is not a finite number of at least 0", name, value)
 			continue
 		}
-		*at = v
+		*bound = parsed
 	}
 	return s, errors.Join(faults...)
 }
 
-// Inner is the address at which the n-th program of this machine is called by others.
-func (s *Settings) Inner(n int) string { return s.At(s.IP, n) }
+// Inner returns the address for calls between processes of a program on this machine, by its number.
+func (s *Settings) Inner(program int) string { return s.At(s.IP, program) }
 
-// At is the address of the n-th program of the machine with an IP.
-func (s *Settings) At(ip string, n int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.InnerDocks[0]+n))
+// At returns the address for calls between processes of a program on the machine with the IP.
+func (s *Settings) At(ip string, program int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.InnerDocks[0]+program))
 }
 
-// Seeds are the addresses of the n-th program on the first stations.
-func (s *Settings) Seeds(n int) []string {
+// Seeds returns the addresses for calls between processes of a program on the seed nodes.
+func (s *Settings) Seeds(program int) []string {
 	seeds := make([]string, 0, len(s.FirstStations))
-	for _, a := range s.FirstStations {
-		host, _, _ := net.SplitHostPort(a)
-		seeds = append(seeds, s.At(host, n))
+	for _, address := range s.FirstStations {
+		host, _, _ := net.SplitHostPort(address)
+		seeds = append(seeds, s.At(host, program))
 	}
 	return seeds
 }
 
-// RegionOf is the region of a zone, the zone itself where it is not known.
+// RegionOf returns the region of a zone, or the zone itself if its region is unknown.
 func (s *Settings) RegionOf(zone string) string {
-	if r, ok := s.Zones[zone]; ok {
-		return r
+	if region, ok := s.Zones[zone]; ok {
+		return region
 	}
 	return zone
 }
--- a/internal/bootconfig/bootconfig_test.go
+++ b/internal/bootconfig/bootconfig_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-const whole = `
+// validFile is a valid settings file with unknown fields.
+const validFile = `
 station = "sorting-a-1"
 role = "bothy"
 grade = "sorting"
@@ -37,19 +38,19 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(whole))
+	s, err := Parse([]byte(validFile))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Bounds.DrainS, 2.5)
 	assert.Equal(t, s.Bounds.RevokeS, 4.0)
 	assert.Equal(t, s.Bounds.RevocationFinal, true)
-	assert.Equal(t, s.Bounds.RetryRatio, fallback.RetryRatio, "what the file does not say")
+	assert.Equal(t, s.Bounds.RetryRatio, defaultBounds.RetryRatio, "a bound that the file does not set")
 	assert.Equal(t, s.Inner(1), "10.1.0.25:7461")
 	assert.DeepEqual(t, s.Seeds(0), []string{"10.1.0.25:7460", "10.3.0.36:7460"})
 	assert.Equal(t, s.RegionOf("b"), "s")
 	assert.Equal(t, s.RegionOf("c"), "c")
 }
 
-func TestFaultsNameTheirFields(t *testing.T) {
+func TestErrorsNameInvalidFields(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`ip = "10.1.0.25"`, `ip = "here"`, "ip"},
 		{`innerDocks = [7460,7475]`, `innerDocks = [7460]`, "innerDocks"},
@@ -62,7 +63,7 @@
 		{`station = "sorting-a-1"`, ``, "station"},
 		{`zone = "a"`, ``, "zone"},
 	} {
-		_, err := Parse([]byte(strings.Replace(whole, c.from, c.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
 		assert.ErrorContains(t, err, c.field+": ", "%s", c.to)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the system's programs.
+// Package cli implements the command line of the system's programs: the command serve, and the operator's commands.
 package cli
 
 import (
@@ -25,184 +25,187 @@
 	"foxwood/internal/waymark"
 )
 
-// Runner is a program that serves.
+// Runner is a process that serves.
 type Runner interface {
-	// Serve returns once the context has ended and all that was owed is done.
+	// Serve runs until the context ends and the graceful shutdown is complete.
 	Serve(ctx context.Context) error
-	// Reload takes settings that have changed.
-	Reload(set *bootconfig.Settings)
+	// Reload applies changed settings.
+	Reload(settings *bootconfig.Settings)
 }
 
-// Program is one of the system's programs.
+// Program describes one of the system's programs.
 type Program struct {
 	Name    string
 	Summary string
-	Flags   func(*flag.FlagSet) // of its serve command, nil for none
-	Check   func() error        // of what they say
-	Make    func(set *bootconfig.Settings, log zerolog.Logger) (Runner, error)
+	Flags   func(*flag.FlagSet) // defines flags of the serve command; nil for none
+	Check   func() error        // checks the values of these flags; nil for none
+	// Make creates the runner of the serve command.
+	Make func(settings *bootconfig.Settings, log zerolog.Logger) (Runner, error)
 }
 
-// Main runs the command that the arguments name, and returns the exit status.
-func Main(p Program) int {
-	set := flag.NewFlagSet(p.Name, flag.ExitOnError)
-	c := subcommands.NewCommander(set, p.Name)
-	c.Register(c.HelpCommand(), "")
-	c.Register(c.CommandsCommand(), "")
-	c.Register(&serve{p: p}, "")
-	c.Register(&check{}, "")
-	c.Register(&status{}, "")
-	c.Register(&shed{}, "")
-	c.Register(&shadow{}, "")
-	c.Register(&forget{}, "")
-	c.Register(&rebuild{}, "")
-	c.Register(&version{}, "")
-	_ = set.Parse(os.Args[1:])
-	return int(c.Execute(context.Background()))
+// Main runs the command in the arguments of the process and returns its exit status.
+func Main(program Program) int {
+	flags := flag.NewFlagSet(program.Name, flag.ExitOnError)
+	commander := subcommands.NewCommander(flags, program.Name)
+	commander.Register(commander.HelpCommand(), "")
+	commander.Register(commander.CommandsCommand(), "")
+	commander.Register(&serve{program: program}, "")
+	commander.Register(&check{}, "")
+	commander.Register(&status{}, "")
+	commander.Register(&shed{}, "")
+	commander.Register(&shadow{}, "")
+	commander.Register(&forget{}, "")
+	commander.Register(&rebuild{}, "")
+	commander.Register(&version{}, "")
+	_ = flags.Parse(os.Args[1:])
+	return int(commander.Execute(context.Background()))
 }
 
-// plain holds what the commands have alike.
-type plain struct{}
+// noFlags is embedded in commands without flags.
+type noFlags struct{}
 
-func (plain) SetFlags(*flag.FlagSet) {}
+func (noFlags) SetFlags(*flag.FlagSet) {}
 
+// fail prints an error and returns the exit status for it.
 func fail(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return subcommands.ExitFailure
 }
 
+// serve is the command that runs the program.
 type serve struct {
-	p       Program
+	program Program
 	metrics string
 }
 
 func (*serve) Name() string       { return "serve" }
-func (c *serve) Synopsis() string { return c.p.Summary }
+func (c *serve) Synopsis() string { return c.program.Summary }
 func (c *serve) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.metrics, "metrics", "", "PORT/PATH at which to serve the process's figures; the settings' own goes before it")
-	if c.p.Flags != nil {
-		c.p.Flags(f)
+	f.StringVar(&c.metrics, "metrics", "", "PORT/PATH at which to serve metrics; the settings file takes precedence")
+	if c.program.Flags != nil {
+		c.program.Flags(f)
 	}
 }
 func (c *serve) Usage() string {
-	return "serve\n\tServe by the settings file that " + bootconfig.Variable + " names, until SIGTERM has been answered to the\n" +
-		"\tend. SIGHUP reads the file again.\n"
+	return "serve\n\tServe with the settings file that " + bootconfig.Variable + " names. SIGTERM starts a graceful shutdown, SIGHUP reloads\n" +
+		"\tthe file.\n"
 }
 
-// lookEvery is how often the settings file is looked at, as it may change without a signal.
-const lookEvery = 2 * time.Second
+// settingsCheckInterval is how often the settings file is checked for changes, as it may change without a signal.
+const settingsCheckInterval = 2 * time.Second
 
 func (c *serve) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	stop, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(again, syscall.SIGHUP)
-	if c.p.Check != nil {
-		if err := c.p.Check(); err != nil {
+	signals, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reload, syscall.SIGHUP)
+	if c.program.Check != nil {
+		if err := c.program.Check(); err != nil {
 			return fail(err)
 		}
 	}
-	set, err := bootconfig.Read()
+	settings, err := bootconfig.Read()
 	if err != nil {
 		return fail(err)
 	}
-	log := zerolog.New(os.Stderr).With().Timestamp().Str("program", c.p.Name).Str("station", set.Station).Logger()
-	r, err := c.p.Make(set, log)
+	log := zerolog.New(os.Stderr).With().Timestamp().Str("program", c.program.Name).Str("station", settings.Station).Logger()
+	runner, err := c.program.Make(settings, log)
 	if err != nil {
-		log.Error().Err(err).Msg("not started")
+		log.Error().Err(err).Msg("start failed")
 		return subcommands.ExitFailure
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		s := <-stop
-		log.Info().Stringer("signal", s).Msg("ending")
+		received := <-signals
+		log.Info().Stringer("signal", received).Msg("shutting down")
 		cancel()
 	}()
-	if err := c.serveMetrics(ctx, set, r); err != nil { // traffic goes before figures
-		log.Error().Err(err).Msg("figures are not served")
+	if err := c.serveMetrics(ctx, settings, runner); err != nil { // a failure must not prevent serving traffic
+		log.Error().Err(err).Msg("serving without metrics")
 	}
-	go watch(ctx, again, r, log)
-	if err := r.Serve(ctx); err != nil {
-		log.Error().Err(err).Msg("ended with a fault")
+	go watchSettings(ctx, reload, runner, log)
+	if err := runner.Serve(ctx); err != nil {
+		log.Error().Err(err).Msg("terminated with an error")
 		return subcommands.ExitFailure
 	}
-	log.Info().Msg("ended")
+	log.Info().Msg("terminated")
 	return subcommands.ExitSuccess
 }
 
-// serveMetrics serves a runner's figures where the settings or the command line name a place for them.
-func (c *serve) serveMetrics(ctx context.Context, set *bootconfig.Settings, r Runner) error {
-	where := cmp.Or(set.Metrics, c.metrics)
-	source, ok := r.(metrics.Source)
-	if where == "" || !ok {
+// serveMetrics serves a runner's metrics if the settings or the command line name an endpoint.
+func (c *serve) serveMetrics(ctx context.Context, settings *bootconfig.Settings, runner Runner) error {
+	address := cmp.Or(settings.Metrics, c.metrics)
+	source, ok := runner.(metrics.Source)
+	if address == "" || !ok {
 		return nil
 	}
-	at, err := metrics.ParseEndpoint(where)
+	endpoint, err := metrics.ParseEndpoint(address)
 	if err != nil {
 		return err
 	}
-	return metrics.Serve(ctx, set.IP, at, source)
+	return metrics.Serve(ctx, settings.IP, endpoint, source)
 }
 
-// watch reads the settings again when told, or when the file has changed. One with a fault
-// changes nothing.
-func watch(ctx context.Context, again <-chan os.Signal, r Runner, log zerolog.Logger) {
+// watchSettings reloads the settings on a signal or if the file has changed. An invalid file changes nothing.
+func watchSettings(ctx context.Context, reload <-chan os.Signal, runner Runner, log zerolog.Logger) {
 	path := os.Getenv(bootconfig.Variable)
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	changed := func() time.Time {
-		at, err := os.Stat(path)
+	ticker := time.NewTicker(settingsCheckInterval)
+	defer ticker.Stop()
+	modTime := func() time.Time {
+		info, err := os.Stat(path)
 		if err != nil {
 			return time.Time{}
 		}
-		return at.ModTime()
+		return info.ModTime()
 	}
-	last := changed()
+	lastModTime := modTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
-		case <-look.C:
-			if at := changed(); at.IsZero() || at.Equal(last) {
+		case <-reload:
+		case <-ticker.C:
+			if current := modTime(); current.IsZero() || current.Equal(lastModTime) {
 				continue
 			}
 		}
-		last = changed()
-		set, err := bootconfig.Read()
+		lastModTime = modTime()
+		settings, err := bootconfig.Read()
 		if err != nil {
-			log.Error().Err(err).Msg("settings not replaced, the old ones hold")
+			log.Error().Err(err).Msg("settings not reloaded, the previous ones stay in force")
 			continue
 		}
-		log.Info().Strs("firstStations", set.FirstStations).Msg("settings replaced")
-		r.Reload(set)
+		log.Info().Strs("firstStations", settings.FirstStations).Msg("settings reloaded")
+		runner.Reload(settings)
 	}
 }
 
+// check is the command that checks files.
 type check struct {
 	settings, table, shadow string
 }
 
 func (*check) Name() string     { return "check" }
-func (*check) Synopsis() string { return "Say every fault of a settings file or of a configuration" }
+func (*check) Synopsis() string { return "Check a settings file, a configuration or a mirroring order" }
 func (*check) Usage() string {
-	return "check [-settings FILE] [-timetable FILE] [-shadow FILE]\n\tName each field that has a fault, and why. Exits with 1 where there is one.\n"
+	return "check [-settings FILE] [-timetable FILE] [-shadow FILE]\n\tPrint every invalid field and the reason. The exit status is 1 if there are any.\n"
 }
 func (c *check) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.settings, "settings", "", "a settings file, as "+bootconfig.Variable+" names one (TOML)")
-	f.StringVar(&c.table, "timetable", "", "an operator's configuration, as PUT /timetable takes it (JSON); - for standard input")
-	f.StringVar(&c.shadow, "shadow", "", "an operator's order for copies, as PUT /shadow takes it (JSON); - for standard input")
+	f.StringVar(&c.settings, "settings", "", "a settings file (TOML), see "+bootconfig.Variable)
+	f.StringVar(&c.table, "timetable", "", "a configuration as for PUT /timetable (JSON); - for standard input")
+	f.StringVar(&c.shadow, "shadow", "", "a traffic mirroring order as for PUT /shadow (JSON); - for standard input")
 }
 
 func (c *check) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.settings == "" && c.table == "" && c.shadow == "" {
-		fmt.Fprintln(os.Stderr, "check: none of -settings, -timetable and -shadow names a file")
+		fmt.Fprintln(os.Stderr, "check: expected a file for at least one of -settings, -timetable and -shadow")
 		return subcommands.ExitUsageError
 	}
-	bad := false
+	faulty := false
 	if c.settings != "" {
 		if _, err := bootconfig.File(c.settings); err != nil {
 			fmt.Println(err)
-			bad = true
+			faulty = true
 		}
 	}
 	if c.table != "" {
@@ -210,9 +213,9 @@
 		if err != nil {
 			return fail(err)
 		}
-		for _, f := range timetable.Check(text) {
-			fmt.Printf("%s: %s\n", c.table, f.Error())
-			bad = true
+		for _, fault := range timetable.Check(text) {
+			fmt.Printf("%s: %s\n", c.table, fault.Error())
+			faulty = true
 		}
 	}
 	if c.shadow != "" {
@@ -223,16 +226,17 @@
 		_, faults := spur.ReadOrder(text)
 		for i := range faults {
 			fmt.Printf("%s: %s\n", c.shadow, faults[i].Error())
-			bad = true
+			faulty = true
 		}
 	}
-	if bad {
+	if faulty {
 		return subcommands.ExitFailure
 	}
 	fmt.Println("no faults")
 	return subcommands.ExitSuccess
 }
 
+// readAll reads a file, or standard input if the path is "-".
 func readAll(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
@@ -240,55 +244,57 @@
 	return os.ReadFile(path)
 }
 
-type status struct{ patience time.Duration }
+// status is the command that prints the status of processes.
+type status struct{ timeout time.Duration }
 
 func (*status) Name() string     { return "status" }
-func (*status) Synopsis() string { return "Ask running processes how they stand" }
+func (*status) Synopsis() string { return "Print the status of running processes" }
 func (*status) Usage() string {
-	return "status [-patience DURATION] ADDRESS...\n\tAsk each process at its inner address (ip:port, of innerDocks) who is a member, which view and\n" +
-		"\tversions hold, who has which duty, and what each tenant's slices are.\n"
+	return "status [-patience DURATION] ADDRESS...\n\tPrint the status of each process at an inner address (ip:port, of innerDocks): members, the current view\n" +
+		"\tand versions, the holders of duties, and the quota slices of tenants.\n"
 }
 func (c *status) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.patience, "patience", time.Second, "how long to wait for each")
+	f.DurationVar(&c.timeout, "patience", time.Second, "timeout for each process")
 }
 
 func (c *status) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "status: no address")
+		fmt.Fprintln(os.Stderr, "status: expected at least one address")
 		return subcommands.ExitUsageError
 	}
 	exit := subcommands.ExitSuccess
 	for _, addr := range f.Args() {
-		p := rpc.NewPeer(addr)
-		ctx, cancel := context.WithTimeout(ctx, c.patience)
-		s, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, p, waymark.AskStatus{})
+		peer := rpc.NewPeer(addr)
+		ctx, cancel := context.WithTimeout(ctx, c.timeout)
+		answer, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, peer, waymark.AskStatus{})
 		cancel()
-		p.Close()
+		peer.Close()
 		if err != nil {
 			fmt.Printf("%s: %v\n", addr, err)
 			exit = subcommands.ExitFailure
 			continue
 		}
-		fmt.Printf("%s\n  %s\n", addr, strings.Join(s.Lines, "\n  "))
+		fmt.Printf("%s\n  %s\n", addr, strings.Join(answer.Lines, "\n  "))
 	}
 	return exit
 }
 
-type version struct{ plain }
+// version is the command that prints the version of the program.
+type version struct{ noFlags }
 
 func (*version) Name() string     { return "version" }
-func (*version) Synopsis() string { return "Say what was built" }
+func (*version) Synopsis() string { return "Print the commit and the Go version of this build" }
 func (*version) Usage() string    { return "version\n" }
 
 func (*version) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	revision := "unknown"
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fail(fmt.Errorf("the program holds no build information"))
+		return fail(fmt.Errorf("version: the program has no build information"))
 	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			revision = s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = setting.Value
 		}
 	}
 	fmt.Printf("foxwood, commit %s, %s\n", revision, info.GoVersion)
--- a/internal/cli/forget.go
+++ b/internal/cli/forget.go
@@ -14,18 +14,18 @@
 	"foxwood/internal/waymark"
 )
 
-// forget is an operator's order about a core machine that is gone for good.
+// forget is the command that removes a permanently lost machine from the core.
 type forget struct{ at string }
 
 func (*forget) Name() string     { return "forget" }
-func (*forget) Synopsis() string { return "Have the core forget a machine that is gone for good" }
+func (*forget) Synopsis() string { return "Remove a permanently lost machine from the core" }
 func (*forget) Usage() string {
-	return "forget -at ADDRESS GONE\n\tHave any cairn, at its inner address, leave the cairn at the address GONE (as status names it) out of\n" +
-		"\tthe core, for whose majority it counts. One that is there is not forgotten; one that comes back joins again.\n"
+	return "forget -at ADDRESS GONE\n\tMake the cairn at an inner address remove the cairn at the address GONE (as printed by status) from the core, so\n" +
+		"\tthat it no longer counts for the majority. A running cairn is not removed; one that returns joins again.\n"
 }
 
 func (c *forget) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "a running cairn's inner address")
+	f.StringVar(&c.at, "at", "", "inner address of any running cairn")
 }
 
 func (c *forget) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -33,14 +33,14 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	p := rpc.NewPeer(c.at)
-	defer p.Close()
+	peer := rpc.NewPeer(c.at)
+	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
-	a, err := rpc.Call[waymark.Forget, waymark.Forgotten](ctx, p, waymark.Forget{Addr: f.Arg(0)})
+	answer, err := rpc.Call[waymark.Forget, waymark.Forgotten](ctx, peer, waymark.Forget{Addr: f.Arg(0)})
 	if err != nil {
 		return fail(err)
 	}
-	fmt.Printf("the core is %s\n", strings.Join(a.Core, " "))
+	fmt.Printf("the core is %s\n", strings.Join(answer.Core, " "))
 	return subcommands.ExitSuccess
 }
--- a/internal/cli/shed.go
+++ b/internal/cli/shed.go
@@ -15,61 +15,62 @@
 	"foxwood/policy"
 )
 
-// shed is an operator's order for the shedding level. It is no part of the chain: an order must
-// reach a cluster that is too full to take a configuration, and must end by itself.
+// shed is the command that fixes the load shedding level. An order is not committed to the configuration store: it must
+// reach a cluster that is too overloaded to commit, and must expire by itself.
 type shed struct {
 	at            string
 	tenant, route int
 	open, auto    bool
-	lasts         time.Duration
+	duration      time.Duration
 }
 
 func (*shed) Name() string     { return "shed" }
-func (*shed) Synopsis() string { return "Fix the shedding level for a time, or give it back" }
+func (*shed) Synopsis() string { return "Fix the load shedding level for a time, or release it" }
 func (*shed) Usage() string {
 	return "shed -at ADDRESS (-tenant N [-route N] | -open | -auto) [-for DURATION]\n" +
-		"\tHave any bothy, at its inner address, refuse all from a tenants' priority on (and of it, from a routes'\n" +
-		"\tpriority on), or nothing, for a time; -auto ends an order. After it the level is agreed upon again.\n"
+		"\tMake the gatekeepers, through any bothy at its inner address, refuse for a time all requests of tenants from a\n" +
+		"\tpriority on (with -route, of the first such priority only from a route priority on), or refuse nothing with -open.\n" +
+		"\t-auto ends an order. After that the level is adjusted automatically again.\n"
 }
 
 func (c *shed) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "a bothy's inner address")
-	f.IntVar(&c.tenant, "tenant", -1, "the priority of tenants from which on all is refused")
-	f.IntVar(&c.route, "route", 0, "of these tenants, routes from this priority on")
+	f.StringVar(&c.at, "at", "", "inner address of any bothy")
+	f.IntVar(&c.tenant, "tenant", -1, "refuse tenants from this priority on")
+	f.IntVar(&c.route, "route", 0, "of tenants with exactly that priority, refuse only routes from this priority on")
 	f.BoolVar(&c.open, "open", false, "refuse nothing")
-	f.BoolVar(&c.auto, "auto", false, "end the order that holds")
-	f.DurationVar(&c.lasts, "for", 5*time.Minute, "how long it holds, a day at most")
+	f.BoolVar(&c.auto, "auto", false, "end the order in force")
+	f.DurationVar(&c.duration, "for", 5*time.Minute, "duration of the order, at most 24h")
 }
 
 func (c *shed) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	ways := 0
-	for _, is := range []bool{c.open, c.auto, c.tenant >= 0} {
-		if is {
-			ways++
+	modes := 0
+	for _, chosen := range []bool{c.open, c.auto, c.tenant >= 0} {
+		if chosen {
+			modes++
 		}
 	}
-	if c.at == "" || ways != 1 || f.NArg() > 0 || c.lasts <= 0 || c.lasts > 24*time.Hour || c.tenant > 15 || c.route < 0 || c.route > 15 {
+	if c.at == "" || modes != 1 || f.NArg() > 0 || c.duration <= 0 || c.duration > 24*time.Hour || c.tenant > 15 || c.route < 0 || c.route > 15 {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	q := waymark.FixLevel{Cut: policy.MarkOpen, ForMs: float64(c.lasts.Milliseconds())}
+	order := waymark.FixLevel{Cut: policy.MarkOpen, ForMs: float64(c.duration.Milliseconds())}
 	switch {
 	case c.auto:
-		q.ForMs = 0
+		order.ForMs = 0
 	case c.tenant >= 0:
-		q.Cut = policy.TierMark(policy.Tier(c.tenant, c.route, 0))
+		order.Cut = policy.TierMark(policy.Tier(c.tenant, c.route, 0))
 	}
-	p := rpc.NewPeer(c.at)
-	defer p.Close()
+	peer := rpc.NewPeer(c.at)
+	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := rpc.Call[waymark.FixLevel, waymark.Eased](ctx, p, q); err != nil {
+	if _, err := rpc.Call[waymark.FixLevel, waymark.Eased](ctx, peer, order); err != nil {
 		return fail(err)
 	}
 	if c.auto {
 		fmt.Println("the level is agreed upon again")
 		return subcommands.ExitSuccess
 	}
-	fmt.Printf("refused for %v: %s\n", c.lasts, snowline.Describe(q.Cut))
+	fmt.Printf("refused for %v: %s\n", c.duration, snowline.Describe(order.Cut))
 	return subcommands.ExitSuccess
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a process's own figures over HTTP in the Prometheus text exposition format. Figures are
-// read from the process at each scrape, and cost nothing between two.
+// Package metrics serves a process's metrics over HTTP in the Prometheus text exposition format. Values are read from
+// the process at each scrape and cost nothing between scrapes.
 package metrics
 
 import (
@@ -17,104 +17,106 @@
 	"foxwood/internal/rpc"
 )
 
-// namespace begins the name of each figure.
+// namespace prefixes the name of each metric.
 const namespace = "foxwood"
 
 const (
-	readMost  = 2 * time.Second
-	writeMost = 5 * time.Second
-	idleMost  = 15 * time.Second
-	headMost  = 4 << 10 // bytes of a request's header
+	readTimeout    = 2 * time.Second
+	writeTimeout   = 5 * time.Second
+	idleTimeout    = 15 * time.Second
+	maxHeaderBytes = 4 << 10 // bytes of a request's header
 )
 
-// Label tells figures of one name apart.
+// Label distinguishes metrics of the same name.
 type Label struct{ Name, Value string }
 
-// Figure is one value as of a scrape.
+// Figure is the value of a metric at a scrape.
 type Figure struct {
-	Name    string // without the namespace; counters end in _total, others in their unit
+	Name    string // without the namespace; ends in _total for counters and in the unit for other metrics
 	Help    string
-	Counter bool // it only grows while the process lives
+	Counter bool // the value only increases during the life of the process
 	Labels  []Label
 	Value   float64
 }
 
-// Gauge is a figure that rises and falls.
+// Gauge returns the value of a gauge.
 func Gauge(name, help string, value float64, labels ...Label) Figure {
 	return Figure{Name: name, Help: help, Labels: labels, Value: value}
 }
 
-// Count is a figure that only grows.
+// Count returns the value of a counter.
 func Count(name, help string, value uint64, labels ...Label) Figure {
 	return Figure{Name: name, Help: help, Counter: true, Labels: labels, Value: float64(value)}
 }
 
-// Flag is a gauge of 1 where something holds, else of 0.
-func Flag(name, help string, holds bool, labels ...Label) Figure {
+// Flag returns the value of a gauge that is 1 if a condition is set and 0 otherwise.
+func Flag(name, help string, set bool, labels ...Label) Figure {
 	value := 0.0
-	if holds {
+	if set {
 		value = 1
 	}
 	return Gauge(name, help, value, labels...)
 }
 
-// Source tells a process's figures as they stand. It may be asked at any time and by any goroutine.
+// Source provides the metrics of a process.
 type Source interface {
+	// Figures returns the current values. It may be called at any time by any goroutine.
 	Figures(ctx context.Context) []Figure
 }
 
-// Endpoint is where figures are served, written PORT/PATH.
+// Endpoint is the port and path at which metrics are served, written as PORT/PATH.
 type Endpoint struct {
 	Port int
-	Path string // with its slash
+	Path string // with the leading slash
 }
 
-// ParseEndpoint reads PORT/PATH.
+// ParseEndpoint parses PORT/PATH.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, ok := strings.Cut(text, "/")
-	n, err := strconv.Atoi(port)
-	if !ok || err != nil || n < 1 || n > 65535 {
-		return Endpoint{}, fmt.Errorf("metrics: %q is not PORT/PATH", text)
+	number, err := strconv.Atoi(port)
+	if !ok || err != nil || number < 1 || number > 65535 {
+		return Endpoint{}, fmt.Errorf("metrics: %q is not PORT/PATH with a port from 1 to 65535", text)
 	}
-	return Endpoint{Port: n, Path: "/" + path}, nil
+	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// collector reads a source at each scrape.
+// collector implements prometheus.Collector. It reads a source at each scrape.
 type collector struct {
 	source Source
 }
 
-// Describe tells nothing beforehand: which labels there are is known at a scrape only.
+// Describe sends no descriptors: the labels are known only at a scrape. This makes the collector an unchecked one.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector.
-func (c collector) Collect(to chan<- prometheus.Metric) {
-	ctx, cancel := context.WithTimeout(context.Background(), readMost)
+// Collect sends the current values of the source and of the calls that this process has sent.
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	for _, f := range append(c.source.Figures(ctx), calls()...) {
-		to <- f.metric()
+	for _, f := range append(c.source.Figures(ctx), rpcFigures()...) {
+		metrics <- f.toPrometheus()
 	}
 }
 
-func (f Figure) metric() prometheus.Metric {
+// toPrometheus converts a value to a Prometheus metric.
+func (f Figure) toPrometheus() prometheus.Metric {
 	names, values := make([]string, len(f.Labels)), make([]string, len(f.Labels))
 	for i, l := range f.Labels {
 		names[i], values[i] = l.Name, l.Value
 	}
-	kind := prometheus.GaugeValue
+	valueType := prometheus.GaugeValue
 	if f.Counter {
-		kind = prometheus.CounterValue
+		valueType = prometheus.CounterValue
 	}
 	desc := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", f.Name), f.Help, names, nil)
-	m, err := prometheus.NewConstMetric(desc, kind, f.Value, values...)
+	metric, err := prometheus.NewConstMetric(desc, valueType, f.Value, values...)
 	if err != nil {
 		return prometheus.NewInvalidMetric(desc, err)
 	}
-	return m
+	return metric
 }
 
-// calls are the calls between processes that this one has sent.
-func calls() (figures []Figure) {
+// rpcFigures returns the numbers of frames and bytes that this process has sent to other processes.
+func rpcFigures() (figures []Figure) {
 	for call, sent := range rpc.Sent() {
 		call = strings.TrimPrefix(call, "waymark.")
 		label := Label{"call", call}
@@ -124,22 +126,22 @@
 	return figures
 }
 
-// Handler answers scrapes of a source.
+// Handler returns a handler that answers scrapes with the metrics of a source.
 func Handler(source Source) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{source})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true, MaxRequestsInFlight: 1})
 }
 
-// Serve answers scrapes at an address of this machine until the context ends.
-func Serve(ctx context.Context, ip string, at Endpoint, source Source) error {
-	listener, err := rpc.Listen(net.JoinHostPort(ip, strconv.Itoa(at.Port)))
+// Serve starts to answer scrapes at an endpoint of the IP address, and goes on until the context ends.
+func Serve(ctx context.Context, ip string, endpoint Endpoint, source Source) error {
+	listener, err := rpc.Listen(net.JoinHostPort(ip, strconv.Itoa(endpoint.Port)))
 	if err != nil {
-		return fmt.Errorf("metrics: %w", err)
+		return fmt.Errorf("metrics: endpoint %d%s: %w", endpoint.Port, endpoint.Path, err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+at.Path, Handler(source))
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readMost, WriteTimeout: writeMost, IdleTimeout: idleMost, MaxHeaderBytes: headMost}
+	mux.Handle("GET "+endpoint.Path, Handler(source))
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,34 +10,35 @@
 	"gotest.tools/v3/assert"
 )
 
-type fixed []Figure
+// fixedSource is a source of fixed values.
+type fixedSource []Figure
 
-func (f fixed) Figures(context.Context) []Figure { return f }
+func (f fixedSource) Figures(context.Context) []Figure { return f }
 
 func TestExposition(t *testing.T) {
-	w := httptest.NewRecorder()
-	Handler(fixed{
+	recorder := httptest.NewRecorder()
+	Handler(fixedSource{
 		Gauge("members", "Members.", 3),
 		Count("refusals_total", "Refusals.", 7, Label{"reason", "quota"}),
 		Count("refusals_total", "Refusals.", 2, Label{"reason", "no_route"}),
 		Flag("duty_held", "Duties.", true, Label{"duty", "roster"}),
-	}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-	assert.Equal(t, w.Code, http.StatusOK)
-	assert.Assert(t, strings.HasPrefix(w.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
+	}).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	assert.Equal(t, recorder.Code, http.StatusOK)
+	assert.Assert(t, strings.HasPrefix(recorder.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
 	for _, line := range []string{
 		"# TYPE foxwood_members gauge", "foxwood_members 3", "# TYPE foxwood_refusals_total counter",
 		`foxwood_refusals_total{reason="quota"} 7`, `foxwood_refusals_total{reason="no_route"} 2`, `foxwood_duty_held{duty="roster"} 1`,
 	} {
-		assert.Assert(t, strings.Contains(w.Body.String(), line+"\n"), "%s is not in\n%s", line, w.Body)
+		assert.Assert(t, strings.Contains(recorder.Body.String(), line+"\n"), "%s is not in\n%s", line, recorder.Body)
 	}
 }
 
 func TestParseEndpoint(t *testing.T) {
-	at, err := ParseEndpoint("9464/metrics")
+	endpoint, err := ParseEndpoint("9464/metrics")
 	assert.NilError(t, err)
-	assert.Equal(t, at, Endpoint{Port: 9464, Path: "/metrics"})
-	for _, wrong := range []string{"", "9464", "/metrics", "x/metrics", "0/metrics", "70000/metrics"} {
-		_, err := ParseEndpoint(wrong)
-		assert.ErrorContains(t, err, "not PORT/PATH", "%q", wrong)
+	assert.Equal(t, endpoint, Endpoint{Port: 9464, Path: "/metrics"})
+	for _, text := range []string{"", "9464", "/metrics", "x/metrics", "0/metrics", "70000/metrics"} {
+		_, err := ParseEndpoint(text)
+		assert.ErrorContains(t, err, "not PORT/PATH", "%q", text)
 	}
 }
