--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -77,15 +77,28 @@
 	DelayS   float64 `toml:"delayS"`
 }
 
-// Bounds are the limits that the platform's rules set. Fields that end with S are in seconds.
+// Bounds are the limits that the platform's rules set. Fields whose names end with S are in seconds.
 type Bounds struct {
-	ContactS, ReceiptS, SyncS, DrainS, GraceS, EditionS, RevertSlackS float64
-	RevocationFinal                                                   bool
-	RevokeS                                                           float64
-	RetryRatio, RetryWindowS, RetrySlack                              float64
-	QuotaWindowS, QuotaExcess, QuotaSlack                             float64
-	ColdExcess, ColdSlack                                             float64
-	EvacuateS, RecoveryS, TTLMaxS                                     float64
+	ContactS        float64
+	ReceiptS        float64
+	SyncS           float64
+	DrainS          float64
+	GraceS          float64 // duration of a graceful shutdown
+	EditionS        float64
+	RevertSlackS    float64
+	RevocationFinal bool    // API keys may be accepted only under a lease of RevokeS
+	RevokeS         float64 // duration of the lease, from when the configuration was last confirmed as current
+	RetryRatio      float64 // retries per request in a window of RetryWindowS
+	RetryWindowS    float64
+	RetrySlack      float64 // retries in a window that are allowed beyond RetryRatio
+	QuotaWindowS    float64
+	QuotaExcess     float64 // part by which a quota may be exceeded in a window of QuotaWindowS
+	QuotaSlack      float64 // requests in a window that are allowed beyond QuotaExcess
+	ColdExcess      float64 // factor by which a worker's slow start rate may be exceeded
+	ColdSlack       float64 // requests that are allowed beyond ColdExcess
+	EvacuateS       float64
+	RecoveryS       float64
+	TTLMaxS         float64 // maximum validity of an answer with the addresses of gatekeepers
 }
 
 // defaultBounds apply where the file does not set a bound.
