--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -134,48 +134,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s, err := Parse(text)
+	settings, err := Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %s: %w", path, err)
 	}
-	return s, nil
+	return settings, nil
 }
 
 // Parse parses and checks settings. Its error names every invalid field.
-func Parse(text []byte) (*Settings, error) {
-	s := &Settings{Bounds: defaultBounds}
-	if err := toml.NewDecoder(bytes.NewReader(text)).Decode(s); err != nil {
+func Parse(document []byte) (*Settings, error) {
+	settings := &Settings{Bounds: defaultBounds}
+	if err := toml.NewDecoder(bytes.NewReader(document)).Decode(settings); err != nil {
 		return nil, err
 	}
 	var faults []error
 	addFault := func(field, format string, host ...any) {
 		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, host...)))
 	}
-	if s.Station == "" {
+	if settings.Station == "" {
 		addFault("station", "is missing")
 	}
-	if net.ParseIP(s.IP).To4() == nil {
-		addFault("ip", "%q is not an IPv4 address", s.IP)
+	if net.ParseIP(settings.IP).To4() == nil {
+		addFault("ip", "%q is not an IPv4 address", settings.IP)
 	}
-	if s.Zone == "" {
+	if settings.Zone == "" {
 		addFault("zone", "is missing")
 	}
-	if len(s.InnerDocks) != 2 || s.InnerDocks[0] <= 0 || s.InnerDocks[1] < s.InnerDocks[0]+1 || s.InnerDocks[1] > 65535 {
-		addFault("innerDocks", "%v is not a range of two ports or more", s.InnerDocks)
+	if len(settings.InnerDocks) != 2 || settings.InnerDocks[0] <= 0 || settings.InnerDocks[1] < settings.InnerDocks[0]+1 || settings.InnerDocks[1] > 65535 {
+		addFault("innerDocks", "%v is not a range of two ports or more", settings.InnerDocks)
 	}
-	if len(s.FirstStations) == 0 {
+	if len(settings.FirstStations) == 0 {
 		addFault("firstStations", "is empty, expected at least one address")
 	}
-	for i, host := range s.FirstStations {
+	for i, host := range settings.FirstStations {
 		if _, _, err := net.SplitHostPort(host); err != nil {
 			addFault(fmt.Sprintf("firstStations[%d]", i), "%q is not an address with a port", host)
 		}
 	}
-	if s.SizeLimits.MemoryMB < 0 || s.SizeLimits.Handles < 0 {
-		addFault("sizeLimits", "memoryMb is %d and handles is %d, expected no negative number", s.SizeLimits.MemoryMB, s.SizeLimits.Handles)
+	if settings.SizeLimits.MemoryMB < 0 || settings.SizeLimits.Handles < 0 {
+		addFault("sizeLimits", "memoryMb is %d and handles is %d, expected no negative number", settings.SizeLimits.MemoryMB, settings.SizeLimits.Handles)
 	}
-	boundsByName := s.Bounds.byName()
-	for i, pair := range s.TimeBounds {
+	boundsByName := settings.Bounds.byName()
+	for i, pair := range settings.TimeBounds {
 		name, value, ok := strings.Cut(pair, "=")
 		field := fmt.Sprintf("timeBounds[%d]", i)
 		if name = strings.TrimSpace(name); !ok {
@@ -188,7 +188,7 @@
 			if err != nil {
 				addFault(field, "%s: %q is neither true nor false", name, value)
 			}
-			s.Bounds.RevocationFinal = parsed
+			settings.Bounds.RevocationFinal = parsed
 			continue
 		}
 		bound := boundsByName[name]
@@ -202,7 +202,7 @@
 		}
 		*bound = parsed
 	}
-	return s, errors.Join(faults...)
+	return settings, errors.Join(faults...)
 }
 
 // Inner returns the address for calls between processes of a program on this machine, by its number.
--- a/internal/bootconfig/bootconfig_test.go
+++ b/internal/bootconfig/bootconfig_test.go
@@ -38,20 +38,20 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(validFile))
+	settings, err := Parse([]byte(validFile))
 	assert.NilError(t, err)
-	assert.Equal(t, s.Bounds.DrainS, 2.5)
-	assert.Equal(t, s.Bounds.RevokeS, 4.0)
-	assert.Equal(t, s.Bounds.RevocationFinal, true)
-	assert.Equal(t, s.Bounds.RetryRatio, defaultBounds.RetryRatio, "a bound that the file does not set")
-	assert.Equal(t, s.Inner(1), "10.1.0.25:7461")
-	assert.DeepEqual(t, s.Seeds(0), []string{"10.1.0.25:7460", "10.3.0.36:7460"})
-	assert.Equal(t, s.RegionOf("b"), "s")
-	assert.Equal(t, s.RegionOf("c"), "c")
+	assert.Equal(t, settings.Bounds.DrainS, 2.5)
+	assert.Equal(t, settings.Bounds.RevokeS, 4.0)
+	assert.Equal(t, settings.Bounds.RevocationFinal, true)
+	assert.Equal(t, settings.Bounds.RetryRatio, defaultBounds.RetryRatio, "a bound that the file does not set")
+	assert.Equal(t, settings.Inner(1), "10.1.0.25:7461")
+	assert.DeepEqual(t, settings.Seeds(0), []string{"10.1.0.25:7460", "10.3.0.36:7460"})
+	assert.Equal(t, settings.RegionOf("b"), "s")
+	assert.Equal(t, settings.RegionOf("c"), "c")
 }
 
 func TestErrorsNameInvalidFields(t *testing.T) {
-	for _, c := range []struct{ from, to, field string }{
+	for _, test := range []struct{ from, to, field string }{
 		{`ip = "10.1.0.25"`, `ip = "here"`, "ip"},
 		{`innerDocks = [7460,7475]`, `innerDocks = [7460]`, "innerDocks"},
 		{`innerDocks = [7460,7475]`, `innerDocks = [7460,7460]`, "innerDocks"},
@@ -63,7 +63,7 @@
 		{`station = "sorting-a-1"`, ``, "station"},
 		{`zone = "a"`, ``, "zone"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
-		assert.ErrorContains(t, err, c.field+": ", "%s", c.to)
+		_, err := Parse([]byte(strings.Replace(validFile, test.from, test.to, 1)))
+		assert.ErrorContains(t, err, test.field+": ", "%s", test.to)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -80,10 +80,10 @@
 
 func (*serve) Name() string       { return "serve" }
 func (c *serve) Synopsis() string { return c.program.Summary }
-func (c *serve) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.metrics, "metrics", "", "PORT/PATH at which to serve metrics; the settings file takes precedence")
+func (c *serve) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.metrics, "metrics", "", "PORT/PATH at which to serve metrics; the settings file takes precedence")
 	if c.program.Flags != nil {
-		c.program.Flags(f)
+		c.program.Flags(flags)
 	}
 }
 func (c *serve) Usage() string {
@@ -190,10 +190,10 @@
 func (*check) Usage() string {
 	return "check [-settings FILE] [-timetable FILE] [-shadow FILE]\n\tPrint every invalid field and the reason. The exit status is 1 if there are any.\n"
 }
-func (c *check) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.settings, "settings", "", "a settings file (TOML), see "+bootconfig.Variable)
-	f.StringVar(&c.table, "timetable", "", "a configuration as for PUT /timetable (JSON); - for standard input")
-	f.StringVar(&c.shadow, "shadow", "", "a traffic mirroring order as for PUT /shadow (JSON); - for standard input")
+func (c *check) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.settings, "settings", "", "a settings file (TOML), see "+bootconfig.Variable)
+	flags.StringVar(&c.table, "timetable", "", "a configuration as for PUT /timetable (JSON); - for standard input")
+	flags.StringVar(&c.shadow, "shadow", "", "a traffic mirroring order as for PUT /shadow (JSON); - for standard input")
 }
 
 func (c *check) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -253,17 +253,17 @@
 	return "status [-patience DURATION] ADDRESS...\n\tPrint the status of each process at an inner address (ip:port, of innerDocks): members, the current view\n" +
 		"\tand versions, the holders of duties, and the quota slices of tenants.\n"
 }
-func (c *status) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.timeout, "patience", time.Second, "timeout for each process")
+func (c *status) SetFlags(flags *flag.FlagSet) {
+	flags.DurationVar(&c.timeout, "patience", time.Second, "timeout for each process")
 }
 
-func (c *status) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() == 0 {
+func (c *status) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if flags.NArg() == 0 {
 		fmt.Fprintln(os.Stderr, "status: expected at least one address")
 		return subcommands.ExitUsageError
 	}
 	exit := subcommands.ExitSuccess
-	for _, addr := range f.Args() {
+	for _, addr := range flags.Args() {
 		peer := rpc.NewPeer(addr)
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		answer, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, peer, waymark.AskStatus{})
--- a/internal/cli/forget.go
+++ b/internal/cli/forget.go
@@ -24,12 +24,12 @@
 		"\tthat it no longer counts for the majority. A running cairn is not removed; one that returns joins again.\n"
 }
 
-func (c *forget) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "inner address of any running cairn")
+func (c *forget) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.at, "at", "", "inner address of any running cairn")
 }
 
-func (c *forget) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if c.at == "" || f.NArg() != 1 {
+func (c *forget) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if c.at == "" || flags.NArg() != 1 {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
@@ -37,7 +37,7 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
-	answer, err := rpc.Call[waymark.Forget, waymark.Forgotten](ctx, peer, waymark.Forget{Addr: f.Arg(0)})
+	answer, err := rpc.Call[waymark.Forget, waymark.Forgotten](ctx, peer, waymark.Forget{Addr: flags.Arg(0)})
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/cli/rebuild.go
+++ b/internal/cli/rebuild.go
@@ -25,9 +25,9 @@
 	return "rebuild -at ADDRESS -copy VIEW.NUMBER\n\tMake the cairn at an inner address start a new core from its copy, which status prints after \"holds\". Use\n" +
 		"\tit only if the other machines of the core are permanently lost: what only they hold is lost.\n"
 }
-func (c *rebuild) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "inner address of the cairn with the copy (ip:port, of innerDocks)")
-	f.StringVar(&c.lastEntry, "copy", "", "the copy, as printed by status")
+func (c *rebuild) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.at, "at", "", "inner address of the cairn with the copy (ip:port, of innerDocks)")
+	flags.StringVar(&c.lastEntry, "copy", "", "the copy, as printed by status")
 }
 
 func (c *rebuild) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/cli/shadow.go
+++ b/internal/cli/shadow.go
@@ -33,19 +33,19 @@
 		"\tthe order in force. stop ends all mirroring. status prints what the gatekeepers at inner addresses have mirrored.\n"
 }
 
-func (c *shadow) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "control desk address of any bothy")
-	f.DurationVar(&c.timeout, "patience", 3*time.Second, "timeout for each answer")
+func (c *shadow) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.at, "at", "", "control desk address of any bothy")
+	flags.DurationVar(&c.timeout, "patience", 3*time.Second, "timeout for each answer")
 }
 
-func (c *shadow) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	verb, argCount := f.Arg(0), f.NArg()
+func (c *shadow) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	verb, argCount := flags.Arg(0), flags.NArg()
 	switch {
 	case verb == "status" && argCount > 1 && c.at == "":
-		return c.status(ctx, f.Args()[1:])
+		return c.status(ctx, flags.Args()[1:])
 	case c.at == "":
 	case verb == "put" && argCount == 2:
-		body, err := readAll(f.Arg(1))
+		body, err := readAll(flags.Arg(1))
 		if err != nil {
 			return fail(err)
 		}
--- a/internal/cli/shed.go
+++ b/internal/cli/shed.go
@@ -33,23 +33,23 @@
 		"\t-auto ends an order. After that the level is adjusted automatically again.\n"
 }
 
-func (c *shed) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.at, "at", "", "inner address of any bothy")
-	f.IntVar(&c.tenant, "tenant", -1, "refuse tenants from this priority on")
-	f.IntVar(&c.route, "route", 0, "of tenants with exactly that priority, refuse only routes from this priority on")
-	f.BoolVar(&c.open, "open", false, "refuse nothing")
-	f.BoolVar(&c.auto, "auto", false, "end the order in force")
-	f.DurationVar(&c.duration, "for", 5*time.Minute, "duration of the order, at most 24h")
+func (c *shed) SetFlags(flags *flag.FlagSet) {
+	flags.StringVar(&c.at, "at", "", "inner address of any bothy")
+	flags.IntVar(&c.tenant, "tenant", -1, "refuse tenants from this priority on")
+	flags.IntVar(&c.route, "route", 0, "of tenants with exactly that priority, refuse only routes from this priority on")
+	flags.BoolVar(&c.open, "open", false, "refuse nothing")
+	flags.BoolVar(&c.auto, "auto", false, "end the order in force")
+	flags.DurationVar(&c.duration, "for", 5*time.Minute, "duration of the order, at most 24h")
 }
 
-func (c *shed) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *shed) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	modes := 0
 	for _, chosen := range []bool{c.open, c.auto, c.tenant >= 0} {
 		if chosen {
 			modes++
 		}
 	}
-	if c.at == "" || modes != 1 || f.NArg() > 0 || c.duration <= 0 || c.duration > 24*time.Hour || c.tenant > 15 || c.route < 0 || c.route > 15 {
+	if c.at == "" || modes != 1 || flags.NArg() > 0 || c.duration <= 0 || c.duration > 24*time.Hour || c.tenant > 15 || c.route < 0 || c.route > 15 {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -92,8 +92,8 @@
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	for _, f := range append(c.source.Figures(ctx), rpcFigures()...) {
-		metrics <- f.toPrometheus()
+	for _, figure := range append(c.source.Figures(ctx), rpcFigures()...) {
+		metrics <- figure.toPrometheus()
 	}
 }
 
--- a/internal/platform/event_orders_test.go
+++ b/internal/platform/event_orders_test.go
@@ -708,7 +708,7 @@
 	allSafe := func(s *policy.Settings) {
 		s.Classes = []policy.Class{s.Classes[0], s.Classes[0], s.Classes[0], s.Classes[0]}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, want string
 		scenario   int
 		configure  func(s *policy.Settings)
@@ -727,20 +727,20 @@
 		{"ceiling not configured", "5:", 4, func(s *policy.Settings) { s.Plans[1].CeilingRate = 0 }, nil},
 		{"refusals without retry delay", "a refusal has no retry delay", 0, func(s *policy.Settings) { s.RetryAfter = false }, nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			policySettings := deploymentSettings()
-			if c.configure != nil {
-				c.configure(&policySettings)
+			if test.configure != nil {
+				test.configure(&policySettings)
 			}
-			_, violation := scenarios[c.scenario].explore(func() *simulation {
+			_, violation := scenarios[test.scenario].explore(func() *simulation {
 				s := newSimulation(policySettings)
-				if c.breakSim != nil {
-					c.breakSim(s)
+				if test.breakSim != nil {
+					test.breakSim(s)
 				}
 				return s
-			}, c.want)
+			}, test.want)
 			if violation == "" {
-				t.Errorf("no event order was found with a violation %q", c.want)
+				t.Errorf("no event order was found with a violation %q", test.want)
 			}
 		})
 	}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -155,53 +155,53 @@
 	if old := f.gatekeepers[index]; old != nil {
 		old.stop()
 	}
-	p := &fleetGatekeeper{fleet: f, index: index, workers: map[policy.Server]*fleetWorker{}, idleSince: map[*fleetWorker][]float64{}, outstanding: map[*gatekeeper.Execution]bool{}}
-	f.gatekeepers[index] = p
+	g := &fleetGatekeeper{fleet: f, index: index, workers: map[policy.Server]*fleetWorker{}, idleSince: map[*fleetWorker][]float64{}, outstanding: map[*gatekeeper.Execution]bool{}}
+	f.gatekeepers[index] = g
 	policySettings := f.settings
 	policySettings.Self = index
 	f.sequence++
-	p.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: uint64(f.sequence)*2 + 1, Clock: f.clock, Fleet: p, Counter: p,
+	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: uint64(f.sequence)*2 + 1, Clock: f.clock, Fleet: g, Counter: g,
 		Wake: func(at float64) {
 			f.schedule(at-f.now(), func() {
-				if !p.stopped {
-					p.Advance()
+				if !g.stopped {
+					g.Advance()
 				}
 			})
 		}})
-	p.hostGroup = &platform.HostGroup{Core: p.Gatekeeper, Fleet: p, Names: settings.Names{Zones: []string{"norte", "sur"}}}
-	p.receiveList()
+	g.hostGroup = &platform.HostGroup{Core: g.Gatekeeper, Fleet: g, Names: settings.Names{Zones: []string{"norte", "sur"}}}
+	g.receiveList()
 }
 
-func (p *fleetGatekeeper) stop() {
-	p.stopped = true
-	for worker, idle := range p.idleSince {
+func (g *fleetGatekeeper) stop() {
+	g.stopped = true
+	for worker, idle := range g.idleSince {
 		worker.conns -= len(idle)
-		p.fleet.conns -= len(idle)
+		g.fleet.conns -= len(idle)
 	}
 }
 
 // receiveList passes the current list of workers to the gatekeeper.
-func (p *fleetGatekeeper) receiveList() {
+func (g *fleetGatekeeper) receiveList() {
 	var lines []string
-	for _, worker := range p.fleet.workers {
+	for _, worker := range g.fleet.workers {
 		if worker.up || worker.startedAt == 0 { // a lost worker that never restarted is still listed
-			p.workers[platform.ServerID(worker.id)] = worker
+			g.workers[platform.ServerID(worker.id)] = worker
 			lines = append(lines, fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:9%s","zone":%q,"cell":1,"lifecycle":"ready","weight":1,"startedAtMs":%f}`,
 				worker.id, worker.id[1:], worker.zone, worker.startedAt))
 		}
 	}
-	p.fleet.listGeneration++
-	if err := p.hostGroup.Line([]byte(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, p.fleet.listGeneration, strings.Join(lines, ",")))); err != nil {
-		p.fleet.t.Fatal(err)
+	g.fleet.listGeneration++
+	if err := g.hostGroup.Line([]byte(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, g.fleet.listGeneration, strings.Join(lines, ",")))); err != nil {
+		g.fleet.t.Fatal(err)
 	}
 }
 
 // announceList passes the list to all gatekeepers, each after a random delay.
 func (f *fleet) announceList() {
-	for _, p := range f.gatekeepers {
+	for _, g := range f.gatekeepers {
 		f.schedule(f.random()*maxListDelayMS, func() {
-			if !p.stopped {
-				p.receiveList()
+			if !g.stopped {
+				g.receiveList()
 			}
 		})
 	}
@@ -212,9 +212,9 @@
 func (f *fleet) generateTraffic(ms, perSecond float64, customers int) {
 	for at := 0.0; at < ms; at -= math.Log(1-f.random()) * 1000 / perSecond {
 		f.schedule(at, func() {
-			p := f.gatekeepers[int(f.random()*float64(len(f.gatekeepers)))]
+			g := f.gatekeepers[int(f.random()*float64(len(f.gatekeepers)))]
 			f.requests++
-			if p.stopped {
+			if g.stopped {
 				return
 			}
 			customer := 100 + uint64(f.random()*float64(customers))
@@ -222,8 +222,8 @@
 				customer = 1 + uint64(f.random()*10)
 			}
 			request := &gatekeeper.Request{Customer: customer, Left: 2000, Units: 1 + math.Floor(f.random()*2), Spread: len(f.gatekeepers)}
-			request.Caller = &fleetRequest{p, f.now()}
-			p.Take(request)
+			request.Caller = &fleetRequest{g, f.now()}
+			g.Take(request)
 		})
 	}
 }
@@ -236,26 +236,26 @@
 func (r *fleetRequest) Throttled(*gatekeeper.Request, float64) { r.gatekeeper.fleet.refused++ }
 func (a *fleetRequest) Failed(*gatekeeper.Request)             {}
 
-func (p *fleetGatekeeper) Place(policy.Server, string, float64) {}
-func (p *fleetGatekeeper) Release(policy.Server)                {}
+func (g *fleetGatekeeper) Place(policy.Server, string, float64) {}
+func (g *fleetGatekeeper) Release(policy.Server)                {}
 
-func (p *fleetGatekeeper) Abandon(execution *gatekeeper.Execution) bool {
-	sent := p.outstanding[execution]
-	delete(p.outstanding, execution)
+func (g *fleetGatekeeper) Abandon(execution *gatekeeper.Execution) bool {
+	sent := g.outstanding[execution]
+	delete(g.outstanding, execution)
 	return sent
 }
 
 // Execute uses an idle connection or opens one. A connection carries one request at a time.
-func (p *fleetGatekeeper) Execute(execution *gatekeeper.Execution) {
-	fleet, worker := p.fleet, p.workers[execution.Worker]
+func (g *fleetGatekeeper) Execute(execution *gatekeeper.Execution) {
+	fleet, worker := g.fleet, g.workers[execution.Worker]
 	fleet.attempts++
-	p.outstanding[execution] = worker.up
+	g.outstanding[execution] = worker.up
 	fleet.takeUnits(execution.Request)
 	if !worker.up {
-		fleet.schedule(1, func() { p.finish(execution, nil, policy.ConnectFailed) })
+		fleet.schedule(1, func() { g.finish(execution, nil, policy.ConnectFailed) })
 		return
 	}
-	idle := slices.DeleteFunc(p.idleSince[worker], func(since float64) bool {
+	idle := slices.DeleteFunc(g.idleSince[worker], func(since float64) bool {
 		expired := fleet.now()-since > maxIdleConnMS
 		if expired {
 			worker.conns--
@@ -270,8 +270,8 @@
 		fleet.conns++
 		worker.conns++
 	}
-	p.idleSince[worker] = idle
-	fleet.schedule(1, func() { fleet.process(p, worker, execution) })
+	g.idleSince[worker] = idle
+	fleet.schedule(1, func() { fleet.process(g, worker, execution) })
 }
 
 // takeUnits takes a request's units from the customer's token bucket, which all gatekeepers share.
@@ -290,7 +290,7 @@
 }
 
 // process simulates a worker: up to maxWorkerRequests requests run on or wait for one of its cores.
-func (f *fleet) process(p *fleetGatekeeper, worker *fleetWorker, execution *gatekeeper.Execution) {
+func (f *fleet) process(g *fleetGatekeeper, worker *fleetWorker, execution *gatekeeper.Execution) {
 	now, share := f.now(), 1.0
 	worker.received++
 	if age := now - worker.startedAt; worker.startedAt > 0 && age < slowStartMS {
@@ -305,9 +305,9 @@
 	}
 	switch {
 	case worker.failing:
-		f.schedule(2, func() { p.finish(execution, worker, policy.Failed) })
+		f.schedule(2, func() { g.finish(execution, worker, policy.Failed) })
 	case worker.inFlight >= maxWorkerRequests:
-		f.schedule(1, func() { p.finish(execution, worker, policy.Full) })
+		f.schedule(1, func() { g.finish(execution, worker, policy.Full) })
 	default:
 		core := 0
 		if worker.coreFreeAt[1] < worker.coreFreeAt[0] {
@@ -318,48 +318,48 @@
 		started := worker.startedAt
 		f.schedule(worker.coreFreeAt[core]-now+1, func() {
 			if worker.startedAt != started || !worker.up {
-				p.finish(execution, worker, policy.Reset)
+				g.finish(execution, worker, policy.Reset)
 				return
 			}
 			worker.inFlight--
-			p.finish(execution, worker, policy.OK)
+			g.finish(execution, worker, policy.OK)
 		})
 	}
 }
 
 // finish ends an execution. Its connection becomes idle.
-func (p *fleetGatekeeper) finish(execution *gatekeeper.Execution, worker *fleetWorker, status policy.Status) {
-	if worker != nil && !p.stopped {
-		p.idleSince[worker] = append(p.idleSince[worker], p.fleet.now())
+func (g *fleetGatekeeper) finish(execution *gatekeeper.Execution, worker *fleetWorker, status policy.Status) {
+	if worker != nil && !g.stopped {
+		g.idleSince[worker] = append(g.idleSince[worker], g.fleet.now())
 	}
-	if _, outstanding := p.outstanding[execution]; !outstanding || p.stopped {
+	if _, outstanding := g.outstanding[execution]; !outstanding || g.stopped {
 		return
 	}
-	delete(p.outstanding, execution)
-	p.Done(execution, gatekeeper.Outcome{Status: status, Units: execution.Request.Units})
+	delete(g.outstanding, execution)
+	g.Done(execution, gatekeeper.Outcome{Status: status, Units: execution.Request.Units})
 }
 
 // Add simulates the counter, which answers calls in order and rejects a call that would wait longer than 20 ms.
-func (p *fleetGatekeeper) Add(call *gatekeeper.Count) {
-	fleet := p.fleet
+func (g *fleetGatekeeper) Add(call *gatekeeper.Count) {
+	fleet := g.fleet
 	fleet.counterCalls++
 	fleet.counterBusyUntil = max(fleet.counterBusyUntil, fleet.now()) + 1000/fleet.counterRate
 	wait := fleet.counterBusyUntil - fleet.now() + 1
 	if wait > 20 {
 		fleet.counterBusyUntil -= 1000 / fleet.counterRate
 		fleet.counterRejected++
-		fleet.schedule(1, func() { p.counterAnswered(call, policy.Full, 0) })
+		fleet.schedule(1, func() { g.counterAnswered(call, policy.Full, 0) })
 		return
 	}
 	fleet.schedule(wait, func() {
 		fleet.counterTotals[call.Name] += call.Amount
-		p.counterAnswered(call, policy.OK, fleet.counterTotals[call.Name])
+		g.counterAnswered(call, policy.OK, fleet.counterTotals[call.Name])
 	})
 }
 
-func (p *fleetGatekeeper) counterAnswered(call *gatekeeper.Count, status policy.Status, total float64) {
-	if !p.stopped {
-		p.Counted(call, status, total)
+func (g *fleetGatekeeper) counterAnswered(call *gatekeeper.Count, status policy.Status, total float64) {
+	if !g.stopped {
+		g.Counted(call, status, total)
 	}
 }
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -117,12 +117,12 @@
 		return nil, fmt.Errorf("%s is not a customer's key in 16 hex digits", headerAPIKey)
 	}
 	request.Customer = key
-	left, err := strconv.ParseUint(string(message.Get(HeadLeft)), 10, 31)
-	if err != nil || left == 0 {
+	timeLeft, err := strconv.ParseUint(string(message.Get(HeadLeft)), 10, 31)
+	if err != nil || timeLeft == 0 {
 		return nil, fmt.Errorf("%s is not a number of milliseconds", HeadLeft)
 	}
 	class := f.settings.Classes[request.Class]
-	request.Left = min(float64(left), float64(class.Deadline)/1000)
+	request.Left = min(float64(timeLeft), float64(class.Deadline)/1000)
 	switch isGet := string(message.Method) == "GET"; {
 	case !isGet && string(message.Method) != "POST":
 		return nil, fmt.Errorf("neither GET nor POST")
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -17,7 +17,7 @@
 func TestInvalidLoadAndUnitsAreIgnored(t *testing.T) {
 	nan := float32(math.NaN())
 	front := NewFront(policy.Settings{InlineLoad: []string{"latency_ms", "inflight"}, Largest: 6}, settings.Names{}, nil)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		head  string
 		load  []float32
 		units float64
@@ -35,11 +35,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			parser := http1.Answers()
-			if _, done, err := parser.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + c.head + "\r\n")); !done {
+			if _, done, err := parser.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + test.head + "\r\n")); !done {
 				t.Fatal(err)
 			}
 			outcome := front.Outcome(parser.Message())
-			if diff := cmp.Diff(c.load, outcome.Load, cmpopts.EquateNaNs()); diff != "" || outcome.Units != c.units || outcome.Status != policy.OK {
+			if diff := cmp.Diff(test.load, outcome.Load, cmpopts.EquateNaNs()); diff != "" || outcome.Units != test.units || outcome.Status != policy.OK {
 				t.Errorf("units %v, status %v, load %s", outcome.Units, outcome.Status, diff)
 			}
 		})
--- a/internal/rpc/truncation_test.go
+++ b/internal/rpc/truncation_test.go
@@ -15,37 +15,37 @@
 )
 
 // scriptedPeer starts a server that runs one script for each connection in turn, and returns a peer for it.
-func scriptedPeer(t *testing.T, scripts ...func(c net.Conn, in *bufio.Reader)) *Peer {
+func scriptedPeer(t *testing.T, scripts ...func(conn net.Conn, in *bufio.Reader)) *Peer {
 	t.Helper()
-	ln, err := Listen("127.0.0.1:0")
+	listener, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan bool)
 	go func() {
 		defer close(done)
 		for _, script := range scripts {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			script(c, bufio.NewReader(c))
-			_ = c.Close()
+			script(conn, bufio.NewReader(conn))
+			_ = conn.Close()
 		}
 	}()
-	p := NewPeer(ln.Addr().String())
-	p.connectWait = time.Hour // a busy test machine must not count as a slow connection
+	peer := NewPeer(listener.Addr().String())
+	peer.connectWait = time.Hour // a busy test machine must not count as a slow connection
 	t.Cleanup(func() {
-		p.Close()
-		_ = ln.Close()
+		peer.Close()
+		_ = listener.Close()
 		<-done
 	})
-	return p
+	return peer
 }
 
 // readRequests reads count requests and returns the encoded answers to them, by the requests' N.
-func readRequests(in *bufio.Reader, count int) map[int][]byte {
+func readRequests(reader *bufio.Reader, count int) map[int][]byte {
 	answers := map[int][]byte{}
 	for range count {
-		f, err := decode(in)
+		f, err := decode(reader)
 		if err != nil {
 			return answers
 		}
@@ -70,13 +70,13 @@
 }
 
 // callTwice makes two concurrent calls and returns their errors. A call that succeeded must have its own answer.
-func callTwice(t *testing.T, p *Peer) (errs [2]error) {
+func callTwice(t *testing.T, peer *Peer) (errs [2]error) {
 	t.Helper()
 	var responses [2]response
 	done := make(chan int, 2)
 	for i := range 2 {
 		go func() {
-			responses[i], errs[i] = Call[request, response](t.Context(), p, request{i + 1})
+			responses[i], errs[i] = Call[request, response](t.Context(), peer, request{i + 1})
 			done <- i
 		}()
 	}
@@ -93,14 +93,14 @@
 }
 
 // answerAll answers requests until the connection ends.
-func answerAll(c net.Conn, in *bufio.Reader) {
+func answerAll(conn net.Conn, reader *bufio.Reader) {
 	for {
-		for _, encoded := range readRequests(in, 1) {
-			if _, err := c.Write(encoded); err != nil {
+		for _, encoded := range readRequests(reader, 1) {
+			if _, err := conn.Write(encoded); err != nil {
 				return
 			}
 		}
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 	}
@@ -120,33 +120,33 @@
 					var sentBytes []byte
 					firstEnd := map[int]int{} // offset at which the first answer to each request ends
 					sentSize := make(chan int, 1)
-					p := scriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
-						answers := readRequests(in, 2)
+					peer := scriptedPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+						answers := readRequests(reader, 2)
 						for _, n := range order {
 							if sentBytes = append(sentBytes, answers[n]...); firstEnd[n] == 0 {
 								firstEnd[n] = len(sentBytes)
 							}
 						}
 						sentSize <- len(sentBytes)
-						_, _ = c.Write(sentBytes[:min(cutAt, len(sentBytes))])
+						_, _ = conn.Write(sentBytes[:min(cutAt, len(sentBytes))])
 						if reset {
-							_ = c.(*net.TCPConn).SetLinger(0)
+							_ = conn.(*net.TCPConn).SetLinger(0)
 						}
 					}, answerAll)
-					errs := callTwice(t, p)
+					errs := callTwice(t, peer)
 					size = <-sentSize
 					for i, err := range errs {
 						complete := firstEnd[i+1] <= cutAt
 						assert.Assert(t, err != nil || complete, "call succeeded, but its answer was truncated at byte %d of %d", cutAt, firstEnd[i+1])
 						assert.Assert(t, err == nil || !complete || reset, "%v", err)
 					}
-					got, err := Call[request, response](t.Context(), p, request{5})
+					got, err := Call[request, response](t.Context(), peer, request{5})
 					for KindOf(err) == Unknown && err != nil { // sent before the end of the connection was noticed
-						got, err = Call[request, response](t.Context(), p, request{5})
+						got, err = Call[request, response](t.Context(), peer, request{5})
 					}
 					assert.NilError(t, err)
 					assert.Equal(t, got.N, 1005)
-					p.Close()
+					peer.Close()
 				}
 			})
 		}
@@ -158,26 +158,26 @@
 func TestLateAnswerIsDiscarded(t *testing.T) {
 	t.Parallel()
 	received, lateAnswer := make(chan bool), make(chan []byte, 1)
-	p := scriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
-		old := readRequests(in, 1)[1]
+	peer := scriptedPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+		old := readRequests(reader, 1)[1]
 		close(received)
-		_, err := in.ReadByte()
+		_, err := reader.ReadByte()
 		assert.Check(t, err != nil, "the connection was not closed after a call that timed out")
-		_, _ = c.Write(old)
+		_, _ = conn.Write(old)
 		lateAnswer <- old
-	}, func(c net.Conn, in *bufio.Reader) {
+	}, func(conn net.Conn, reader *bufio.Reader) {
 		old := <-lateAnswer
-		own := readRequests(in, 1)[2]
-		_, _ = c.Write(slices.Concat(old, own, old, own))
-		_, _ = in.ReadByte()
+		own := readRequests(reader, 1)[2]
+		_, _ = conn.Write(slices.Concat(old, own, old, own))
+		_, _ = reader.ReadByte()
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-received; cancel() }()
-	_, err := Call[request, response](ctx, p, request{1})
+	_, err := Call[request, response](ctx, peer, request{1})
 	assert.Equal(t, KindOf(err), Unknown)
-	a, err := Call[request, response](t.Context(), p, request{2})
+	answer, err := Call[request, response](t.Context(), peer, request{2})
 	assert.NilError(t, err)
-	assert.Equal(t, a.N, 1002)
+	assert.Equal(t, answer.N, 1002)
 }
 
 // TestRestartOfCallerAndServer: call IDs restart with each incarnation of a caller, so the answer to a call
@@ -210,8 +210,8 @@
 	}
 	results := make(chan result, 1)
 	go func() {
-		a, err := Call[request, response](t.Context(), newPeer, request{2})
-		results <- result{a, err}
+		answer, err := Call[request, response](t.Context(), newPeer, request{2})
+		results <- result{answer, err}
 	}()
 	oldPeer.Close()
 	<-abandoned
@@ -225,18 +225,18 @@
 	assert.Assert(t, err != nil)
 	restarted := NewServer()
 	Handle(restarted, func(_ context.Context, q request) (response, error) { return response{q.N + 7}, nil })
-	ln, err := Listen(newPeer.Addr())
+	listener, err := Listen(newPeer.Addr())
 	assert.NilError(t, err)
 	t.Cleanup(restarted.Close)
-	go func() { _ = restarted.Serve(ln) }()
+	go func() { _ = restarted.Serve(listener) }()
 	for range 3 {
-		var a response
+		var answer response
 		for err = io.EOF; err != nil; {
-			if a, err = Call[request, response](t.Context(), newPeer, request{4}); err != nil {
+			if answer, err = Call[request, response](t.Context(), newPeer, request{4}); err != nil {
 				assert.Assert(t, KindOf(err) == Unavailable || KindOf(err) == Unknown, "%v", err)
 			}
 		}
-		assert.Equal(t, a.N, 11)
+		assert.Equal(t, answer.N, 11)
 	}
 }
 
@@ -245,8 +245,8 @@
 func TestTruncatedRequestIsNotExecuted(t *testing.T) {
 	t.Parallel()
 	executed := make(chan int, 9)
-	_, p := startServer(t, func(s *Server) {
-		Handle(s, func(_ context.Context, q request) (response, error) {
+	_, peer := startServer(t, func(server *Server) {
+		Handle(server, func(_ context.Context, q request) (response, error) {
 			executed <- q.N
 			return response{}, nil
 		})
@@ -262,14 +262,14 @@
 		frameEnds[n] = len(frames)
 	}
 	for cutAt := range len(frames) + 1 {
-		c, err := net.Dial("tcp", p.Addr())
+		conn, err := net.Dial("tcp", peer.Addr())
 		assert.NilError(t, err)
-		_, err = c.Write(frames[:cutAt])
+		_, err = conn.Write(frames[:cutAt])
 		assert.NilError(t, err)
-		assert.NilError(t, c.(*net.TCPConn).CloseWrite())
-		_, err = io.Copy(io.Discard, c) // until the server closes it
+		assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
+		_, err = io.Copy(io.Discard, conn) // until the server closes it
 		assert.NilError(t, err)
-		_ = c.Close()
+		_ = conn.Close()
 		want := 0
 		for _, end := range frameEnds {
 			if end <= cutAt {
--- a/internal/timetable/lookup_bench_test.go
+++ b/internal/timetable/lookup_bench_test.go
@@ -12,14 +12,14 @@
 // BenchmarkCourse measures the lookup of a request's route, whose cost must not grow with the number of routes.
 func BenchmarkCourse(b *testing.B) {
 	for _, routes := range []int{10, 1000, 50000} {
-		t, err := Parse(largeDocument(routes, 77))
+		table, err := Parse(largeDocument(routes, 77))
 		assert.NilError(b, err)
 		type lookup struct{ host, path []byte }
 		lookups := make([]lookup, 1024)
 		for i := range lookups {
-			c := &t.Courses[i*7919%routes]
+			c := &table.Courses[i*7919%routes]
 			lookups[i] = lookup{[]byte(c.Domain), []byte(c.Prefix + "2f/some/where")}
-			if got := t.Course(lookups[i].host, lookups[i].path); got != c {
+			if got := table.Course(lookups[i].host, lookups[i].path); got != c {
 				b.Fatalf("%s%s: %v", c.Domain, lookups[i].path, got)
 			}
 		}
@@ -28,7 +28,7 @@
 			i := 0
 			for b.Loop() {
 				next := &lookups[i&1023]
-				t.Course(next.host, next.path)
+				table.Course(next.host, next.path)
 				i++
 			}
 		})
--- a/internal/timetable/parse.go
+++ b/internal/timetable/parse.go
@@ -23,13 +23,13 @@
 // must not be modified afterwards.
 func Parse(raw []byte) (*Timetable, error) {
 	p := parser{}
-	t := p.parse(raw)
+	table := p.parse(raw)
 	if len(p.faults) > 0 {
 		return nil, &p.faults[0]
 	}
-	t.buildIndex()
-	t.digest = xxh3.Hash(raw)
-	return t, nil
+	table.buildIndex()
+	table.digest = xxh3.Hash(raw)
+	return table, nil
 }
 
 // Check returns all faults of a configuration, so that an operator can correct them at once.
@@ -146,50 +146,50 @@
 }
 
 // readEdition reads the version of the configuration.
-func (p *parser) readEdition(v gjson.Result) {
-	n, ok := ParseEdition(v.Str)
-	if v.Type != gjson.String || !ok {
+func (p *parser) readEdition(value gjson.Result) {
+	version, ok := ParseEdition(value.Str)
+	if value.Type != gjson.String || !ok {
 		p.addFault(OddEdition, wholeDocument, "edition", "not eight hexadecimal digits")
 		return
 	}
-	p.table.Edition, p.table.EditionText = n, p.intern(v.Str)
+	p.table.Edition, p.table.EditionText = version, p.intern(value.Str)
 }
 
 // readLimits reads the limits on clients.
-func (p *parser) readLimits(v gjson.Result) {
-	if p.stop() || v.Type == gjson.Null {
+func (p *parser) readLimits(value gjson.Result) {
+	if p.stop() || value.Type == gjson.Null {
 		return
 	}
-	if !v.IsObject() {
+	if !value.IsObject() {
 		p.addFault(WrongType, wholeDocument, "sizeLimits", "not an object")
 		return
 	}
-	l, loc := &p.table.Limits, location{"sizeLimits", -1, -1}
-	for _, f := range []struct {
+	limits, loc := &p.table.Limits, location{"sizeLimits", -1, -1}
+	for _, field := range []struct {
 		name    string
 		count   *int
 		seconds *float64
 	}{
-		{"envelopeBytes", &l.EnvelopeBytes, nil},
-		{"bodyBytes", &l.BodyBytes, nil},
-		{"envelopeS", nil, &l.EnvelopeS},
-		{"idleS", nil, &l.IdleS},
+		{"envelopeBytes", &limits.EnvelopeBytes, nil},
+		{"bodyBytes", &limits.BodyBytes, nil},
+		{"envelopeS", nil, &limits.EnvelopeS},
+		{"idleS", nil, &limits.IdleS},
 	} {
-		v := v.Get(f.name)
-		if f.count != nil {
-			*f.count = p.readInteger(v, loc, f.name, *f.count, 1, OddLimit)
-		} else if *f.seconds = p.readNumber(v, loc, f.name, *f.seconds, OddLimit); *f.seconds == 0 {
-			p.addFault(OddLimit, loc, f.name, "0 is not above 0")
+		value := value.Get(field.name)
+		if field.count != nil {
+			*field.count = p.readInteger(value, loc, field.name, *field.count, 1, OddLimit)
+		} else if *field.seconds = p.readNumber(value, loc, field.name, *field.seconds, OddLimit); *field.seconds == 0 {
+			p.addFault(OddLimit, loc, field.name, "0 is not above 0")
 		}
 	}
 }
 
 // readDestinations reads the table of destinations (services).
-func (p *parser) readDestinations(v gjson.Result) {
+func (p *parser) readDestinations(value gjson.Result) {
 	const name, health, berths, cold, coldRate, protocol, tls = 0, 1, 2, 3, 4, 5, 6
 	fields := []string{"name", "healthPath", "berthCap", "coldS", "coldPerS", "protocol", "tls"}
 	faultsBefore := len(p.faults)
-	p.forEachRow(location{"destinations", -1, -1}, "", v, fields, func(loc location, cells []gjson.Result) {
+	p.forEachRow(location{"destinations", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
 		destination := &Destination{
 			Name:       p.readString(cells[name], loc, "name"),
 			HealthPath: p.readString(cells[health], loc, "healthPath"),
@@ -215,19 +215,19 @@
 }
 
 // readCourses reads the table of courses (routes).
-func (p *parser) readCourses(v gjson.Result) {
+func (p *parser) readCourses(value gjson.Result) {
 	const name, domain, prefix, kind, deadline, target, priority, split, tries, unsealed, homes, singleDestination = 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11
 	fields := []string{
 		"name", "domain", "streetPrefix", "kind", "deadlineS", "targetS", "priority", "split", "tries", "unsealed",
 		"homeRegions", "destination",
 	}
-	if v.Type == gjson.Null {
+	if value.Type == gjson.Null {
 		p.addFault(NoCourses, wholeDocument, "courses", "the courses are left out")
 		return
 	}
 	p.courseByName, p.courseByMatch = make(map[string]int), make(map[routeMatch]int)
-	p.forEachRow(location{"courses", -1, -1}, "", v, fields, func(loc location, cells []gjson.Result) {
-		course := Course{
+	p.forEachRow(location{"courses", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
+		route := Course{
 			Name:     p.readString(cells[name], loc, "name"),
 			Domain:   p.intern(strings.ToLower(p.readString(cells[domain], loc, "domain"))),
 			Prefix:   p.readString(cells[prefix], loc, "streetPrefix"),
@@ -238,35 +238,35 @@
 			Homes:    p.readList(cells[homes], loc, "homeRegions"),
 			Index:    len(p.table.Courses),
 		}
-		course.Target = p.readNumber(cells[target], loc, "targetS", course.Deadline, OddNumber)
-		switch k := p.readString(cells[kind], loc, "kind"); k {
+		route.Target = p.readNumber(cells[target], loc, "targetS", route.Deadline, OddNumber)
+		switch kindName := p.readString(cells[kind], loc, "kind"); kindName {
 		case "safe":
-			course.Safe = true
+			route.Safe = true
 		case "unsafe":
 		default:
-			p.addFault(UnknownKind, loc, "kind", "%.40q is neither safe nor unsafe", k)
+			p.addFault(UnknownKind, loc, "kind", "%.40q is neither safe nor unsafe", kindName)
 		}
-		if course.Deadline == 0 {
+		if route.Deadline == 0 {
 			p.addFault(OddDeadline, loc, "deadlineS", "a course needs a deadline above 0")
 		}
-		if course.Name != "" {
-			p.checkUnique(p.courseByName, course.Name, loc, course.Index)
+		if route.Name != "" {
+			p.checkUnique(p.courseByName, route.Name, loc, route.Index)
 		}
-		if course.Domain == "" {
+		if route.Domain == "" {
 			p.addFault(NoDomain, loc, "domain", "a course needs a domain")
 		}
-		if !strings.HasPrefix(course.Prefix, "/") {
-			p.addFault(OddPrefix, loc, "streetPrefix", "%.40q does not start with a slash", course.Prefix)
+		if !strings.HasPrefix(route.Prefix, "/") {
+			p.addFault(OddPrefix, loc, "streetPrefix", "%.40q does not start with a slash", route.Prefix)
 		}
-		if course.Domain != "" && course.Prefix != "" {
-			match := routeMatch{course.Domain, course.Prefix}
+		if route.Domain != "" && route.Prefix != "" {
+			match := routeMatch{route.Domain, route.Prefix}
 			if other, ok := p.courseByMatch[match]; ok {
 				p.addFault(SamePlace, loc, "", "courses[%d] has the same domain and prefix", other)
 			}
-			p.courseByMatch[match] = course.Index
+			p.courseByMatch[match] = route.Index
 		}
-		course.Split = p.readSplit(cells[singleDestination], cells[split], loc)
-		p.table.Courses = append(p.table.Courses, course)
+		route.Split = p.readSplit(cells[singleDestination], cells[split], loc)
+		p.table.Courses = append(p.table.Courses, route)
 	})
 }
 
@@ -281,14 +281,14 @@
 	var shares []Share
 	sum, faultsBefore := 0.0, len(p.faults)
 	p.forEachRow(loc, "split", splitValue, []string{"destination", "share"}, func(loc location, cells []gjson.Result) {
-		s := Share{Destination: p.readString(cells[destination], loc, "destination")}
-		p.checkDestination(s.Destination, loc)
+		newShare := Share{Destination: p.readString(cells[destination], loc, "destination")}
+		p.checkDestination(newShare.Destination, loc)
 		if cells[share].Type == gjson.Null {
 			p.addFault(OddWeights, loc, "share", "the share is left out")
 		}
-		s.Weight = p.readNumber(cells[share], loc, "share", 0, OddWeights)
-		sum += s.Weight
-		shares = append(shares, s)
+		newShare.Weight = p.readNumber(cells[share], loc, "share", 0, OddWeights)
+		sum += newShare.Weight
+		shares = append(shares, newShare)
 	})
 	switch {
 	case len(p.faults) > faultsBefore:
@@ -315,16 +315,16 @@
 }
 
 // readSenders reads the table of senders (tenants).
-func (p *parser) readSenders(v gjson.Result) {
+func (p *parser) readSenders(value gjson.Result) {
 	const name, passes, priority, rate, surge, homes = 0, 1, 2, 3, 4, 5
 	fields := []string{"name", "passes", "priority", "ratePerS", "surge", "homeRegions"}
-	if v.Type == gjson.Null {
+	if value.Type == gjson.Null {
 		return
 	}
 	p.table.HasSenders = true
 	p.senderByName, p.table.senderByKey = make(map[string]int), make(map[string]int32)
-	p.forEachRow(location{"senders", -1, -1}, "", v, fields, func(loc location, cells []gjson.Result) {
-		s := Sender{
+	p.forEachRow(location{"senders", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
+		tenant := Sender{
 			Name:     p.readString(cells[name], loc, "name"),
 			Passes:   p.readList(cells[passes], loc, "passes"),
 			Priority: p.readInteger(cells[priority], loc, "priority", 0, -maxInteger, OddNumber),
@@ -333,18 +333,18 @@
 			Homes:    p.readList(cells[homes], loc, "homeRegions"),
 			Index:    len(p.table.Senders),
 		}
-		if s.Name == "" {
+		if tenant.Name == "" {
 			p.addFault(NoName, loc, "name", "a sender needs a name")
 		} else {
-			p.checkUnique(p.senderByName, s.Name, loc, s.Index)
+			p.checkUnique(p.senderByName, tenant.Name, loc, tenant.Index)
 		}
-		for i, key := range s.Passes {
-			if other, ok := p.table.senderByKey[key]; ok && int(other) != s.Index {
+		for i, key := range tenant.Passes {
+			if other, ok := p.table.senderByKey[key]; ok && int(other) != tenant.Index {
 				p.addFault(SameKey, loc, fmt.Sprintf("passes[%d]", i), "senders[%d] has the same key", other)
 			}
-			p.table.senderByKey[key] = int32(s.Index)
+			p.table.senderByKey[key] = int32(tenant.Index)
 		}
-		p.table.Senders = append(p.table.Senders, s)
+		p.table.Senders = append(p.table.Senders, tenant)
 	})
 	delete(p.table.senderByKey, "") // a request without a key must not match a sender
 }
@@ -359,8 +359,8 @@
 
 // forEachRow calls row for each row of a table in either form (a list of objects, or columns with rows).
 // Cells holds the values in the order of fields, null for missing ones. A missing table has no rows.
-func (p *parser) forEachRow(tableLoc location, field string, v gjson.Result, fields []string, row func(loc location, cells []gjson.Result)) {
-	if p.stop() || v.Type == gjson.Null {
+func (p *parser) forEachRow(tableLoc location, field string, value gjson.Result, fields []string, row func(loc location, cells []gjson.Result)) {
+	if p.stop() || value.Type == gjson.Null {
 		return
 	}
 	cells := make([]gjson.Result, len(fields))
@@ -376,16 +376,16 @@
 		index++
 		return loc
 	}
-	if v.IsArray() {
-		v.ForEach(func(_, object gjson.Result) bool {
+	if value.IsArray() {
+		value.ForEach(func(_, object gjson.Result) bool {
 			loc := nextRow()
 			if !object.IsObject() {
 				p.addFault(WrongType, loc, "", "not an object")
 				return !p.stop()
 			}
 			object.ForEach(func(key, value gjson.Result) bool {
-				if f := slices.Index(fields, key.Str); f >= 0 && !cells[f].Exists() {
-					cells[f] = value
+				if fieldIndex := slices.Index(fields, key.Str); fieldIndex >= 0 && !cells[fieldIndex].Exists() {
+					cells[fieldIndex] = value
 				}
 				return true
 			})
@@ -394,20 +394,20 @@
 		})
 		return
 	}
-	columns, rows := v.Get("columns"), v.Get("rows")
-	if !v.IsObject() || !columns.IsArray() || !rows.IsArray() {
+	columns, rows := value.Get("columns"), value.Get("rows")
+	if !value.IsObject() || !columns.IsArray() || !rows.IsArray() {
 		p.addFault(OddTable, tableLoc, field, "neither columns with rows nor a list of objects")
 		return
 	}
 	var fieldOfColumn []int // index into fields of each column, -1 for an unknown column
 	columns.ForEach(func(_, column gjson.Result) bool {
-		f := -1
+		fieldIndex := -1
 		if column.Type != gjson.String {
 			p.addFault(OddTable, tableLoc, field, "a column's name is not a text")
-		} else if f = slices.Index(fields, column.Str); f >= 0 && slices.Contains(fieldOfColumn, f) {
+		} else if fieldIndex = slices.Index(fields, column.Str); fieldIndex >= 0 && slices.Contains(fieldOfColumn, fieldIndex) {
 			p.addFault(OddTable, tableLoc, field, "%q is there twice", column.Str)
 		}
-		fieldOfColumn = append(fieldOfColumn, f)
+		fieldOfColumn = append(fieldOfColumn, fieldIndex)
 		return true
 	})
 	if p.stop() {
@@ -419,16 +419,16 @@
 			p.addFault(WrongType, loc, "", "not a list")
 			return !p.stop()
 		}
-		n := 0
+		count := 0
 		values.ForEach(func(_, value gjson.Result) bool {
-			if n < len(fieldOfColumn) && fieldOfColumn[n] >= 0 {
-				cells[fieldOfColumn[n]] = value
+			if count < len(fieldOfColumn) && fieldOfColumn[count] >= 0 {
+				cells[fieldOfColumn[count]] = value
 			}
-			n++
+			count++
 			return true
 		})
-		if n != len(fieldOfColumn) {
-			p.addFault(RowLength, loc, "", "%d values for %d columns", n, len(fieldOfColumn))
+		if count != len(fieldOfColumn) {
+			p.addFault(RowLength, loc, "", "%d values for %d columns", count, len(fieldOfColumn))
 			return !p.stop()
 		}
 		row(loc, cells)
@@ -447,69 +447,69 @@
 }
 
 // readString returns a string, empty if it is missing.
-func (p *parser) readString(v gjson.Result, loc location, field string) string {
-	if v.Type != gjson.String && v.Type != gjson.Null {
+func (p *parser) readString(value gjson.Result, loc location, field string) string {
+	if value.Type != gjson.String && value.Type != gjson.Null {
 		p.addFault(WrongType, loc, field, "not a text")
 	}
-	if v.Type != gjson.String {
+	if value.Type != gjson.String {
 		return ""
 	}
-	return p.intern(v.Str)
+	return p.intern(value.Str)
 }
 
 // readBool returns a boolean, false if it is missing.
-func (p *parser) readBool(v gjson.Result, loc location, field string) bool {
-	if v.Type != gjson.Null && !v.IsBool() {
+func (p *parser) readBool(value gjson.Result, loc location, field string) bool {
+	if value.Type != gjson.Null && !value.IsBool() {
 		p.addFault(WrongType, loc, field, "neither true nor false")
 	}
-	return v.Type == gjson.True
+	return value.Type == gjson.True
 }
 
 // readNumber returns a finite number that is not negative, or fallback if it is missing. For a number out of
 // range it adds a fault of the kind.
-func (p *parser) readNumber(v gjson.Result, loc location, field string, fallback float64, kind FaultKind) float64 {
+func (p *parser) readNumber(value gjson.Result, loc location, field string, fallback float64, kind FaultKind) float64 {
 	switch {
-	case v.Type == gjson.Null:
+	case value.Type == gjson.Null:
 		return fallback
-	case v.Type != gjson.Number:
+	case value.Type != gjson.Number:
 		p.addFault(WrongType, loc, field, "not a number")
-	case v.Num < 0 || math.IsInf(v.Num, 0) || math.IsNaN(v.Num):
-		p.addFault(kind, loc, field, "%.40s is out of range", v.Raw)
+	case value.Num < 0 || math.IsInf(value.Num, 0) || math.IsNaN(value.Num):
+		p.addFault(kind, loc, field, "%.40s is out of range", value.Raw)
 	default:
-		return v.Num
+		return value.Num
 	}
 	return fallback
 }
 
 // readInteger returns an integer of at least minimum, or fallback if it is missing. It may be written as 3.0.
-func (p *parser) readInteger(v gjson.Result, loc location, field string, fallback, minimum int, kind FaultKind) int {
+func (p *parser) readInteger(value gjson.Result, loc location, field string, fallback, minimum int, kind FaultKind) int {
 	switch {
-	case v.Type == gjson.Null:
+	case value.Type == gjson.Null:
 		return fallback
-	case v.Type != gjson.Number || v.Num != math.Trunc(v.Num):
+	case value.Type != gjson.Number || value.Num != math.Trunc(value.Num):
 		p.addFault(WrongType, loc, field, "not a whole number")
-	case v.Num < float64(minimum):
-		p.addFault(kind, loc, field, "%.40s is less than %d", v.Raw, minimum)
+	case value.Num < float64(minimum):
+		p.addFault(kind, loc, field, "%.40s is less than %d", value.Raw, minimum)
 	default:
-		return int(min(v.Num, maxInteger))
+		return int(min(value.Num, maxInteger))
 	}
 	return fallback
 }
 
 // readList returns a list of strings, nil if it is missing. Lists with equal JSON text share one copy.
-func (p *parser) readList(v gjson.Result, loc location, field string) []string {
-	if v.Type == gjson.Null {
+func (p *parser) readList(value gjson.Result, loc location, field string) []string {
+	if value.Type == gjson.Null {
 		return nil
 	}
-	if list, ok := p.internedLists[v.Raw]; ok {
+	if list, ok := p.internedLists[value.Raw]; ok {
 		return list
 	}
 	list, faultsBefore := make([]string, 0, 2), len(p.faults)
-	if !v.IsArray() {
+	if !value.IsArray() {
 		p.addFault(WrongType, loc, field, "not a list")
 		return nil
 	}
-	v.ForEach(func(_, item gjson.Result) bool {
+	value.ForEach(func(_, item gjson.Result) bool {
 		if item.Type != gjson.String {
 			p.addFault(WrongType, loc, field, "holds something other than a text")
 			return false
@@ -518,7 +518,7 @@
 		return true
 	})
 	if len(p.faults) == faultsBefore {
-		p.internedLists[v.Raw] = list
+		p.internedLists[value.Raw] = list
 	}
 	return list
 }
--- a/internal/timetable/size_bench_test.go
+++ b/internal/timetable/size_bench_test.go
@@ -32,24 +32,24 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	for _, c := range []struct{ routes, tenants int }{
+	for _, size := range []struct{ routes, tenants int }{
 		{1000, 77}, {10_000, 77}, {50_000, 77}, {100_000, 77}, {320_000, 77},
 		{100, 1000}, {100, 10_000}, {100, 100_000}, {100, 300_000}, {100, 1_000_000},
 	} {
-		b.Run(fmt.Sprintf("%d-routes/%d-tenants", c.routes, c.tenants), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d-routes/%d-tenants", size.routes, size.tenants), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
 				base := heapBytes()
-				raw := largeDocument(c.routes, c.tenants)
+				raw := largeDocument(size.routes, size.tenants)
 				b.StartTimer()
-				t, err := Parse(raw)
+				table, err := Parse(raw)
 				b.StopTimer()
 				assert.NilError(b, err)
 				b.ReportMetric(float64(len(raw)), "bodyB")
 				b.ReportMetric(deflatedSize(b, raw), "packedB")
-				t.Raw, raw = nil, nil
+				table.Raw, raw = nil, nil
 				held := heapBytes() - base
-				runtime.KeepAlive(t)
+				runtime.KeepAlive(table)
 				b.ReportMetric(held, "heldB")
 				b.StartTimer()
 			}
--- a/internal/timetable/timetable.go
+++ b/internal/timetable/timetable.go
@@ -92,7 +92,7 @@
 // sortedRoute is an element of Timetable.sorted: the index of a course, and the index in Timetable.sorted of
 // its parent, or -1. The parent is the course with the longest other prefix that is a prefix of its own. By
 // following parents a lookup compares each enclosing prefix once.
-type sortedRoute struct{ course, parent int32 }
+type sortedRoute struct{ route, parent int32 }
 
 // Course returns the course of the host with the longest prefix of the path, or nil if none matches. The case
 // and the port of the host are ignored. The path must not include a query.
@@ -123,7 +123,7 @@
 	// prefixes of the path are among the parents from here on.
 	for i := low - 1; i >= 0; i = t.sorted[i].parent {
 		if prefix := t.prefixAt(i); len(prefix) <= len(path) && prefix == string(path[:len(prefix)]) {
-			return &t.Courses[t.sorted[i].course]
+			return &t.Courses[t.sorted[i].route]
 		}
 	}
 	return nil
@@ -168,7 +168,7 @@
 }
 
 // prefixAt returns the prefix of an element of Timetable.sorted.
-func (t *Timetable) prefixAt(at int32) string { return t.Courses[t.sorted[at].course].Prefix }
+func (t *Timetable) prefixAt(at int32) string { return t.Courses[t.sorted[at].route].Prefix }
 
 // Sender returns the sender that has the API key, or nil.
 func (t *Timetable) Sender(key []byte) *Sender {
@@ -189,7 +189,7 @@
 		t.sorted[i] = sortedRoute{int32(i), -1}
 	}
 	slices.SortFunc(t.sorted, func(a, b sortedRoute) int {
-		x, y := &t.Courses[a.course], &t.Courses[b.course]
+		x, y := &t.Courses[a.route], &t.Courses[b.route]
 		if x.Domain != y.Domain {
 			return strings.Compare(x.Domain, y.Domain)
 		}
@@ -198,7 +198,7 @@
 	t.domains = make(map[string]domainRoutes)
 	for i := range t.sorted {
 		at := int32(i)
-		course := &t.Courses[t.sorted[at].course]
+		course := &t.Courses[t.sorted[at].route]
 		routes, ok := t.domains[course.Domain]
 		if !ok {
 			routes.first = at
@@ -225,7 +225,7 @@
 				routes.byPrefix = nil
 				break
 			}
-			routes.byPrefix[prefix] = t.sorted[at].course
+			routes.byPrefix[prefix] = t.sorted[at].route
 			routes.maxSlashes = max(routes.maxSlashes, strings.Count(prefix, "/"))
 		}
 		t.domains[name] = routes
--- a/internal/timetable/timetable_test.go
+++ b/internal/timetable/timetable_test.go
@@ -114,7 +114,7 @@
 }
 
 func TestParseReportsFault(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		kind     FaultKind
 		path     string
 		from, to string
@@ -206,16 +206,16 @@
 		{OddNumber, "destinations[0].berthCap", `"/well",110`, `"/well",-1`},
 		{OddNumber, "destinations[0].coldPerS", `10.0`, `1e999`},
 	} {
-		t.Run(fmt.Sprintf("%s %s %.30s", c.kind, c.path, c.to), func(t *testing.T) {
-			raw := replaceInValid(t, c.from, c.to)
+		t.Run(fmt.Sprintf("%s %s %.30s", test.kind, test.path, test.to), func(t *testing.T) {
+			raw := replaceInValid(t, test.from, test.to)
 			table, err := Parse(raw)
 			assert.Assert(t, table == nil)
 			var fault *Fault
 			assert.Assert(t, err != nil)
 			assert.Assert(t, asFault(err, &fault))
-			assert.Equal(t, fault.Kind, c.kind, "%v", fault)
-			assert.Equal(t, fault.Path, c.path)
-			assert.ErrorContains(t, err, c.path)
+			assert.Equal(t, fault.Kind, test.kind, "%v", fault)
+			assert.Equal(t, fault.Path, test.path)
+			assert.ErrorContains(t, err, test.path)
 			assert.ErrorContains(t, err, fault.Reason)
 			assert.DeepEqual(t, Check(raw)[0], *fault)
 		})
@@ -245,9 +245,9 @@
 	raw = bytes.Replace(raw, []byte(`["k3","k3"]`), []byte(`["k1","k3"]`), 1)
 	raw = bytes.Replace(raw, []byte(`8192`), []byte(`0`), 1)
 	var kinds []FaultKind
-	for _, f := range Check(raw) {
-		kinds = append(kinds, f.Kind)
-		assert.Assert(t, !strings.Contains(f.Error(), "k1"), "the fault contains an API key")
+	for _, fault := range Check(raw) {
+		kinds = append(kinds, fault.Kind)
+		assert.Assert(t, !strings.Contains(fault.Error(), "k1"), "the fault contains an API key")
 	}
 	assert.DeepEqual(t, kinds, []FaultKind{OddLimit, UnknownKind, OddDeadline, OddPrefix, SameKey})
 }
@@ -271,7 +271,7 @@
 
 func TestCourseMatchesLongestPrefix(t *testing.T) {
 	table := mustParse(t, routesDocument("a.test/p/", "a.test/p/q/", "a.test/p/q/r/s/", "a.test/p/z/", "b.test/", "b.test/p/", "[::1]/", "::2/", "c.test/bare"))
-	for _, c := range []struct{ host, path, want string }{
+	for _, test := range []struct{ host, path, want string }{
 		{"a.test", "/p/", "a.test/p/"},
 		{"a.test", "/p/x", "a.test/p/"},
 		{"a.test", "/p/q", "a.test/p/"},
@@ -304,11 +304,11 @@
 		{strings.Repeat("a", 999), "/", ""},
 	} {
 		got := ""
-		if course := table.Course([]byte(c.host), []byte(c.path)); course != nil {
+		if course := table.Course([]byte(test.host), []byte(test.path)); course != nil {
 			got = course.Name
 			assert.Equal(t, course, &table.Courses[course.Index])
 		}
-		assert.Equal(t, got, c.want, "%s%s", c.host, c.path)
+		assert.Equal(t, got, test.want, "%s%s", test.host, test.path)
 	}
 }
 
@@ -364,12 +364,12 @@
 
 func TestParseEdition(t *testing.T) {
 	for _, text := range []string{"00000000", "0000000c", "fffffffe"} {
-		n, ok := ParseEdition(text)
+		version, ok := ParseEdition(text)
 		assert.Assert(t, ok)
-		assert.Equal(t, FormatEdition(n), text)
+		assert.Equal(t, FormatEdition(version), text)
 	}
-	n, ok := ParseEdition("0000ABcd")
-	assert.Assert(t, ok && n == 0xabcd)
+	version, ok := ParseEdition("0000ABcd")
+	assert.Assert(t, ok && version == 0xabcd)
 	for _, text := range []string{"", "c", "0x00000c", "0000_00c", "-000000c", "0000000 ", "0000000é"} {
 		_, ok := ParseEdition(text)
 		assert.Assert(t, !ok, text)
