--- a/internal/platform/event_orders_test.go
+++ b/internal/platform/event_orders_test.go
@@ -72,7 +72,7 @@
 	counterTotals  map[uint64]float64
 	counterMode    string // "" (answers in time), "late" or "silent"
 	counterAnswers []counterAnswer
-	ceilingTokens  float64 // tokens left under the ceiling of the plan "mayor"
+	ceilingTokens  float64 // tokens left under the ceiling of plan 1
 	refilledAt     float64 // time at which ceilingTokens was computed
 	violations     []string
 	lastEnded      *attempt // the attempt that ended last
@@ -501,10 +501,10 @@
 	}}
 }
 
-// ceilingRequests is the arrival of two requests of the plan "mayor". Each is estimated at the maximum units and
+// ceilingRequests is the arrival of two requests of plan 1, which has a ceiling. Each is estimated at the maximum units and
 // costs one.
 func ceilingRequests(index int) event {
-	return event{fmt.Sprintf("two mayor at %d", index), func(s *simulation) bool {
+	return event{fmt.Sprintf("two requests with a ceiling at %d", index), func(s *simulation) bool {
 		first := s.submit(index, 0, 1, 6)
 		return first && s.submit(index, 0, 1, 6)
 	}}
@@ -560,11 +560,11 @@
 	lateAnswer       = event{"late answer", (*simulation).answerAgain}
 	restart          = event{"restart 0", func(s *simulation) bool { s.startGatekeeper(0); return true }}
 	drainA           = listChange("a drains", "a", func(_ *simulation, worker *simWorker) { worker.state = "draining" })
-	removeA          = listChange("a goes", "a", func(_ *simulation, worker *simWorker) { worker.state = "gone" })
-	restartA         = listChange("a returns cold", "a", func(s *simulation, worker *simWorker) {
+	removeA          = listChange("a is removed", "a", func(_ *simulation, worker *simWorker) { worker.state = "gone" })
+	restartA         = listChange("a restarts", "a", func(s *simulation, worker *simWorker) {
 		worker.state, worker.startedAt, worker.recentRequests = "ready", s.now(), nil
 	})
-	restartB = listChange("b is a new process", "b", func(s *simulation, worker *simWorker) { worker.startedAt, worker.recentRequests = s.now(), nil })
+	restartB = listChange("b restarts", "b", func(s *simulation, worker *simWorker) { worker.startedAt, worker.recentRequests = s.now(), nil })
 	moveA    = listChange("a moves", "a", func(_ *simulation, worker *simWorker) { worker.addr = worker.addr[:len(worker.addr)-1] + "9" })
 	serveAll = event{"all answered", func(s *simulation) bool {
 		any := false
--- a/internal/timetable/timetable_test.go
+++ b/internal/timetable/timetable_test.go
@@ -76,7 +76,7 @@
 		"whole numbers with a point":   replaceInValid(t, `[],null,7]`, `[],null,{"x":[]}]`),
 		"a priority with an exponent":  replaceInValid(t, `2,0.5,2,`, `2e0,5e-1,2.0,`),
 		"both destination and split":   replaceInValid(t, `[],null,7]`, `[],"elm",7]`),
-		"a share of 0 beside another":  replaceInValid(t, `"share":90`, `"share":0`),
+		"a share of 0 next to another": replaceInValid(t, `"share":90`, `"share":0`),
 		"an empty split":               replaceInValid(t, `2.5,null,null,null,`, `2.5,null,null,[],`),
 		"one service twice in a split": replaceInValid(t, `"elm","share"`, `"oak","share"`),
 		"no slash at the end":          replaceInValid(t, `"/a/b/"`, `"/a/b"`),
