--- a/internal/platform/event_orders_test.go
+++ b/internal/platform/event_orders_test.go
@@ -32,14 +32,14 @@
 	drainMS          = 250.0  // from the announcement of a drain to the last new request
 	slowStartMS      = 14000. // duration of the slow start
 	slowStartShare   = 0.16   // of the capacity, at the beginning of the slow start
-	overloadFactor   = 3.0
+	overloadFactor   = 3.0    // a worker is overloaded by this multiple of its capacity
 	overloadWindowMS = 1500.0
 	workerCapacity   = 10.0 // requests per second of a worker past its slow start
 	maxAttempts      = 3
-	ceilingRate      = 40.0
-	ceilingBurst     = 48.0
-	ceilingCustomer  = 18  // a customer whose window on the counter is old enough at the start
-	ceilingSlack     = 6.0 // one request of the maximum units
+	ceilingRate      = 40.0 // units per second
+	ceilingBurst     = 48.0 // units
+	ceilingCustomer  = 18   // a customer whose window on the counter is old enough at the start
+	ceilingSlack     = 6.0  // one request of the maximum units
 )
 
 // deploymentSettings returns the settings that the simulation and its checks use. Gatekeepers have the same settings,
