--- a/internal/cairn/types.go
+++ b/internal/cairn/types.go
@@ -420,3 +420,7 @@
 	}
 	return b.By.Disk < other.By.Disk
 }
+
+// CallName implements rpc.Named. Processes of different releases call each other, so the message keeps the name
+// under which it was first released.
+func (Message) CallName() string { return "cairn.Message" }
