--- a/internal/brocken/clients.go
+++ b/internal/brocken/clients.go
@@ -9,233 +9,235 @@
 	"foxwood/internal/spur"
 )
 
-// door is a connection to a shadow service.
-type door struct {
+// targetConnection records what is sent to a mirror target.
+type targetConnection struct {
 	bytes.Buffer
-	addr string
+	address string
 }
 
-func (d *door) ShadowAddress() string { return d.addr }
+// ShadowAddress implements spur.Door.
+func (c *targetConnection) ShadowAddress() string { return c.address }
 
-// busy is how much of the mean rate comes at a time of day.
-func busy(now float64) float64 { return 1 + 0.85*math.Sin(2*math.Pi*(now/day-0.375)) }
+// loadFactor returns the load at a time of day relative to the mean.
+func loadFactor(now float64) float64 { return 1 + 0.85*math.Sin(2*math.Pi*(now/day-0.375)) }
 
-// arrive is a client that begins a journey. The next follows.
-func (w *week) arrive() {
-	if w.now > float64(w.plan.Days)*day {
+// startClient starts a flow of a new client, and schedules the next client.
+func (s *simulation) startClient() {
+	if s.now > float64(s.plan.Days)*day {
 		return
 	}
-	rate := float64(w.plan.Journeys) / (days * day) * busy(w.now)
-	w.in(w.rnd.ExpFloat64()/rate, w.arrive)
-	w.begin(nil)
+	ratePerMs := float64(s.plan.Journeys) / (days * day) * loadFactor(s.now)
+	s.scheduleIn(s.random.ExpFloat64()/ratePerMs, s.startClient)
+	s.startFlow(nil)
 }
 
-// begin is a new journey, its first request through a gatekeeper if one is named.
-func (w *week) begin(g *gate) {
-	w.lastRQ++
-	v := &visit{name: fmt.Sprintf("visit-%d", w.lastRQ), tenant: tenants[w.rnd.IntN(len(tenants))], left: 2 + w.rnd.IntN(8), slow: w.rnd.IntN(10) == 0, again: w.rnd.IntN(50) == 0}
-	w.step(v, g)
+// startFlow starts a flow. If a gatekeeper is given, the first request goes through it.
+func (s *simulation) startFlow(gatekeeper *gatekeeperNode) {
+	s.lastID++
+	flow := &clientFlow{name: fmt.Sprintf("visit-%d", s.lastID), tenant: tenants[s.random.IntN(len(tenants))], remaining: 2 + s.random.IntN(8), slow: s.random.IntN(10) == 0, returns: s.random.IntN(50) == 0}
+	s.nextRequest(flow, gatekeeper)
 }
 
-// step is a client's next request.
-func (w *week) step(v *visit, g *gate) {
-	v.left--
-	w.lastRQ++
-	r := w.rnd.IntN(len(routes))
-	w.send(&request{visit: v, id: w.lastRQ, route: r, gate: g}, 0)
-	var wait float64
+// nextRequest sends a flow's next request, and schedules the one after it.
+func (s *simulation) nextRequest(flow *clientFlow, gatekeeper *gatekeeperNode) {
+	flow.remaining--
+	s.lastID++
+	routeIndex := s.random.IntN(len(routes))
+	s.send(&clientRequest{flow: flow, id: s.lastID, route: routeIndex, gatekeeper: gatekeeper}, 0)
+	var delay float64
 	switch {
-	case v.left > 0 && v.slow && w.rnd.IntN(3) == 0:
-		wait = w.between(0.5, 2.5) * hour
-	case v.left > 0:
-		wait = min(w.rnd.ExpFloat64()*40, 900)*second + 500
-	case v.again:
-		v.again = false
-		v.left = 3
-		wait = (endS + w.between(600, 7200)) * second
+	case flow.remaining > 0 && flow.slow && s.random.IntN(3) == 0:
+		delay = s.uniform(0.5, 2.5) * hour
+	case flow.remaining > 0:
+		delay = min(s.random.ExpFloat64()*40, 900)*second + 500
+	case flow.returns:
+		flow.returns = false
+		flow.remaining = 3
+		delay = (idleTimeoutS + s.uniform(600, 7200)) * second
 	default:
 		return
 	}
-	w.in(wait, func() { w.step(v, nil) })
+	s.scheduleIn(delay, func() { s.nextRequest(flow, nil) })
 }
 
-// send brings a request to a gatekeeper, by chance, now and then to one that the directory does
-// not name any more.
-func (w *week) send(q *request, tries int) {
-	if tries > 5 || len(w.named) == 0 {
+// send sends a request to a random gatekeeper, sometimes to one that the directory no longer lists.
+func (s *simulation) send(request *clientRequest, attempts int) {
+	if attempts > 5 || len(s.published) == 0 {
 		return
 	}
-	g := w.named[w.rnd.IntN(len(w.named))]
-	if w.rnd.IntN(6) == 0 {
-		g = w.gates[w.rnd.IntN(len(w.gates))]
+	gatekeeper := s.published[s.random.IntN(len(s.published))]
+	if s.random.IntN(6) == 0 {
+		gatekeeper = s.gatekeepers[s.random.IntN(len(s.gatekeepers))]
 	}
-	if q.gate != nil {
-		g, q.gate = q.gate, nil
+	if request.gatekeeper != nil {
+		gatekeeper, request.gatekeeper = request.gatekeeper, nil
 	}
-	if !g.up || !g.ready {
-		w.in(w.between(100, 800), func() { w.send(q, tries+1) }) // no connection
+	if !gatekeeper.running || !gatekeeper.ready {
+		s.scheduleIn(s.uniform(100, 800), func() { s.send(request, attempts+1) }) // connection refused
 		return
 	}
-	if g.leaving { // it takes nothing new
-		w.in(20, func() { w.send(q, tries+1) })
+	if gatekeeper.leaving { // it accepts no new requests
+		s.scheduleIn(20, func() { s.send(request, attempts+1) })
 		return
 	}
-	r := routes[q.route]
-	w.lastRQ++
-	k := &running{q: q, piece: w.lastRQ}
-	now := g.clock(w.now)
-	sight := &spur.Sight{Route: r.name, Destination: r.destination, Tenant: q.visit.tenant, Header: func(h string) ([]byte, bool) { return []byte(q.visit.name), h == "X-Visit" }}
-	j, chosen := g.spur.Chooses(sight)
-	if j != (spur.Journey{}) {
-		w.book.chose(q.visit.name, g.spur.Order().Number, chosen)
-	}
-	w.book.run(w, q, k.piece, chosen)
-	k.ticket = g.spur.Begin(now, sight)
-	g.open[k.piece] = k
-	took := 20 + w.rnd.ExpFloat64()*150
-	if w.rnd.IntN(3000) == 0 {
-		took = w.between(5, 40) * second
-	}
-	life := g.life
-	w.in(took, func() {
-		if g.up && g.life == life {
-			w.end(g, k, took)
+	route := routes[request.route]
+	s.lastID++
+	live := &liveRequest{request: request, piece: s.lastID}
+	now := gatekeeper.clock(s.now)
+	info := &spur.Sight{Route: route.name, Destination: route.destination, Tenant: request.flow.tenant, Header: func(h string) ([]byte, bool) { return []byte(request.flow.name), h == "X-Visit" }}
+	id, selected := gatekeeper.engine.Chooses(info)
+	if id != (spur.Journey{}) {
+		s.ledger.recordSelection(request.flow.name, gatekeeper.engine.Order().Number, selected)
+	}
+	s.ledger.recordRun(s, request, live.piece, selected)
+	live.ticket = gatekeeper.engine.Begin(now, info)
+	gatekeeper.openRequests[live.piece] = live
+	tookMs := 20 + s.random.ExpFloat64()*150
+	if s.random.IntN(3000) == 0 {
+		tookMs = s.uniform(5, 40) * second
+	}
+	incarnation := gatekeeper.incarnation
+	s.scheduleIn(tookMs, func() {
+		if gatekeeper.running && gatekeeper.incarnation == incarnation {
+			s.finishRequest(gatekeeper, live, tookMs)
 		}
 	})
 }
 
-// end is a real answer.
-func (w *week) end(g *gate, k *running, took float64) {
-	delete(g.open, k.piece)
-	if k.ticket == 0 {
+// finishRequest processes the live worker's answer.
+func (s *simulation) finishRequest(gatekeeper *gatekeeperNode, live *liveRequest, tookMs float64) {
+	delete(gatekeeper.openRequests, live.piece)
+	if live.ticket == 0 {
 		return
 	}
-	now, chance := g.clock(w.now), w.rnd.IntN(10_000)
+	now, chance := gatekeeper.clock(s.now), s.random.IntN(10_000)
 	switch {
 	case chance < 3:
-		g.spur.Drop(now, k.ticket, spur.TooLarge)
-	case chance < 6, w.plan.Fault == "careless" && chance < 300:
-		g.spur.Drop(now, k.ticket, spur.GivenUp)
+		gatekeeper.engine.Drop(now, live.ticket, spur.TooLarge)
+	case chance < 6, s.plan.Fault == "careless" && chance < 300:
+		gatekeeper.engine.Drop(now, live.ticket, spur.GivenUp)
 	default:
-		g.spur.End(now, k.ticket, &spur.Request{Method: []byte("POST"), Target: []byte("/" + routes[k.q.route].name), Body: fmt.Appendf(nil, "%d", k.piece),
-			Fields: []spur.Field{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, spur.Real{Status: 200, TookMs: took})
+		gatekeeper.engine.End(now, live.ticket, &spur.Request{Method: []byte("POST"), Target: []byte("/" + routes[live.request.route].name), Body: fmt.Appendf(nil, "%d", live.piece),
+			Fields: []spur.Field{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, spur.Real{Status: 200, TookMs: tookMs})
 	}
 }
 
-// kill ends a gatekeeper without a word. What it had out ran or not; clients send again what may
-// repeat.
-func (w *week) kill(g *gate) {
-	w.note("%s is killed", g.name)
-	g.up, g.ready = false, false
+// kill ends a gatekeeper without notice. Its open requests may or may not have run; clients retry
+// those that are safe to repeat.
+func (s *simulation) kill(gatekeeper *gatekeeperNode) {
+	s.addIncident("%s is killed", gatekeeper.name)
+	gatekeeper.running, gatekeeper.ready = false, false
 	var pieces []int
-	for n := range g.open {
-		pieces = append(pieces, n)
+	for piece := range gatekeeper.openRequests {
+		pieces = append(pieces, piece)
 	}
 	slices.Sort(pieces)
-	for _, n := range pieces {
-		if q := g.open[n].q; routes[q.route].safe || w.plan.Fault == "resend" {
-			w.in(w.between(100, 2000), func() { w.send(q, 0) })
+	for _, piece := range pieces {
+		if request := gatekeeper.openRequests[piece].request; routes[request.route].safe || s.plan.Fault == "resend" {
+			s.scheduleIn(s.uniform(100, 2000), func() { s.send(request, 0) })
 		}
 	}
-	w.in(2*second, w.enrol)
+	s.scheduleIn(2*second, s.updateMembers)
 }
 
-// release replaces a gatekeeper's process: it leaves, hands over, and comes again.
-func (w *week) release(g *gate, then func()) {
-	g.leaving = true
-	w.enrol()
-	life := g.life
+// release restarts a gatekeeper for a new release: it leaves, hands over its flows and joins again.
+func (s *simulation) release(gatekeeper *gatekeeperNode, onDone func()) {
+	gatekeeper.leaving = true
+	s.updateMembers()
+	incarnation := gatekeeper.incarnation
 	closed := false
-	began := w.now
-	var wait func()
-	wait = func() {
-		if !g.up || g.life != life {
+	startedAt := s.now
+	var check func()
+	check = func() {
+		if !gatekeeper.running || gatekeeper.incarnation != incarnation {
 			return
 		}
-		now := g.clock(w.now)
-		if !closed && len(g.open) == 0 {
+		now := gatekeeper.clock(s.now)
+		if !closed && len(gatekeeper.openRequests) == 0 {
 			closed = true
-			g.spur.Close(now)
+			gatekeeper.engine.Close(now)
 		}
-		if closed && g.spur.Emptied(now) || w.now-began > 40*w.plan.AskS*second {
-			if !closed || !g.spur.Emptied(now) {
-				w.book.abrupt++
+		if closed && gatekeeper.engine.Emptied(now) || s.now-startedAt > 40*s.plan.AskS*second {
+			if !closed || !gatekeeper.engine.Emptied(now) {
+				s.ledger.abruptExits++
 			}
-			w.book.tick(w, g)
-			g.up, g.ready = false, false
-			w.in(30*second, func() {
-				w.born(g)
-				w.in(5*w.plan.AskS*second, then)
+			s.ledger.recordCounters(s, gatekeeper)
+			gatekeeper.running, gatekeeper.ready = false, false
+			s.scheduleIn(30*second, func() {
+				s.startGatekeeper(gatekeeper)
+				s.scheduleIn(5*s.plan.AskS*second, onDone)
 			})
 			return
 		}
-		w.in(5*second, wait)
+		s.scheduleIn(5*second, check)
 	}
-	w.in(3*second, wait)
+	s.scheduleIn(3*second, check)
 }
 
-func (w *week) releaseAll(n int) {
-	if n == len(w.gates) {
-		w.note("the release is over")
+// releaseAll restarts the gatekeepers one after another, from an index on.
+func (s *simulation) releaseAll(index int) {
+	if index == len(s.gatekeepers) {
+		s.addIncident("the release is over")
 		return
 	}
-	w.release(w.gates[n], func() { w.releaseAll(n + 1) })
+	s.release(s.gatekeepers[index], func() { s.releaseAll(index + 1) })
 }
 
-// cutOff is a gatekeeper that nobody of ours reaches, while clients do.
-func (w *week) cutOff(g *gate, lasts float64) {
-	w.note("%s is cut off for %.0f min", g.name, lasts/60/second)
-	g.cut = true
-	w.in(2*second, w.enrol)
-	w.in(lasts, func() {
-		g.cut = false
-		w.in(second, w.enrol)
+// isolate cuts a gatekeeper off from the control servers and the other gatekeepers. Clients still
+// reach it.
+func (s *simulation) isolate(gatekeeper *gatekeeperNode, durationMs float64) {
+	s.addIncident("%s is cut off for %.0f min", gatekeeper.name, durationMs/60/second)
+	gatekeeper.isolated = true
+	s.scheduleIn(2*second, s.updateMembers)
+	s.scheduleIn(durationMs, func() {
+		gatekeeper.isolated = false
+		s.scheduleIn(second, s.updateMembers)
 	})
 }
 
-// trouble is what the week has in store. Days 0, 2, 4 and 6 are calm.
-func (w *week) trouble() {
-	g := func(i int) *gate { return w.gates[i%len(w.gates)] }
-	w.at(1*day+10*hour, func() { w.note("share up to 0.5"); w.put(2, 0.5, "key-of-the-first-days", "") })
-	w.at(1*day+13*hour, func() { w.note("a release"); w.releaseAll(0) })
-	w.at(1*day+18*hour, func() { w.note("share down to 0.3"); w.put(3, 0.3, "key-of-the-first-days", "") })
-	w.at(3*day+9*hour-20, func() { w.rush(g(1)) })
-	w.at(3*day+9*hour, func() { w.kill(g(1)) })
-	w.at(3*day+9*hour+600*second, func() { w.born(g(1)) })
-	w.at(3*day+22*hour, func() { w.note("a shadow hangs for two hours"); w.hangs[w.shadow["numbers"]] = true })
-	w.at(4*day, func() { w.hangs[w.shadow["numbers"]] = false })
-	w.at(3*day+15*hour, func() { w.kill(g(4)) })
-	w.at(3*day+15*hour+60*second, func() { w.born(g(4)) })
-	w.at(5*day+8*hour, func() { // the platform lists it first, then it serves
-		addr := w.shadow["deals"]
-		w.note("a worker gets a shadow's address")
-		live := map[string]bool{addr: true}
-		for k := range w.live {
-			live[k] = true
+// scheduleIncidents schedules the incidents of the week. Days 0, 2, 4 and 6 have none.
+func (s *simulation) scheduleIncidents() {
+	gatekeeper := func(i int) *gatekeeperNode { return s.gatekeepers[i%len(s.gatekeepers)] }
+	s.schedule(1*day+10*hour, func() { s.addIncident("share up to 0.5"); s.setRule(2, 0.5, "key-of-the-first-days", "") })
+	s.schedule(1*day+13*hour, func() { s.addIncident("a release"); s.releaseAll(0) })
+	s.schedule(1*day+18*hour, func() { s.addIncident("share down to 0.3"); s.setRule(3, 0.3, "key-of-the-first-days", "") })
+	s.schedule(3*day+9*hour-20, func() { s.burst(gatekeeper(1)) })
+	s.schedule(3*day+9*hour, func() { s.kill(gatekeeper(1)) })
+	s.schedule(3*day+9*hour+600*second, func() { s.startGatekeeper(gatekeeper(1)) })
+	s.schedule(3*day+22*hour, func() { s.addIncident("a shadow hangs for two hours"); s.hanging[s.targets["numbers"]] = true })
+	s.schedule(4*day, func() { s.hanging[s.targets["numbers"]] = false })
+	s.schedule(3*day+15*hour, func() { s.kill(gatekeeper(4)) })
+	s.schedule(3*day+15*hour+60*second, func() { s.startGatekeeper(gatekeeper(4)) })
+	s.schedule(5*day+8*hour, func() { // the platform lists the worker before it serves
+		address := s.targets["deals"]
+		s.addIncident("a worker gets a shadow's address")
+		liveAddresses := map[string]bool{address: true}
+		for k := range s.liveAddresses {
+			liveAddresses[k] = true
 		}
-		w.live = live
-		w.in(8*w.plan.AskS*second, func() { w.liveAt[addr] = w.now })
+		s.liveAddresses = liveAddresses
+		s.scheduleIn(8*s.plan.AskS*second, func() { s.liveSince[address] = s.now })
 	})
-	w.at(5*day+9.5*hour, func() {
-		w.note("an order with another shadow")
-		w.shadow["deals"] = "10.9.0.4:8080"
-		w.put(4, 0.3, "key-of-the-first-days", "")
+	s.schedule(5*day+9.5*hour, func() {
+		s.addIncident("an order with another shadow")
+		s.targets["deals"] = "10.9.0.4:8080"
+		s.setRule(4, 0.3, "key-of-the-first-days", "")
 	})
-	w.at(5*day+13*hour, func() { w.cutOff(g(2), 25*60*second) })
-	w.at(5*day+14*hour, func() { w.cutOff(g(5), 5*hour) })
-	for i := range 3 { // each core machine is replaced by another one
-		w.at(5*day+13.5*hour+float64(i)*1200*second, func() {
-			w.note("core machine %d is replaced", i)
-			w.down[i] = w.now + 90*second
-			w.lag[i] = w.between(0, 3*second)
+	s.schedule(5*day+13*hour, func() { s.isolate(gatekeeper(2), 25*60*second) })
+	s.schedule(5*day+14*hour, func() { s.isolate(gatekeeper(5), 5*hour) })
+	for i := range 3 { // each core machine is replaced
+		s.schedule(5*day+13.5*hour+float64(i)*1200*second, func() {
+			s.addIncident("core machine %d is replaced", i)
+			s.downUntil[i] = s.now + 90*second
+			s.viewLag[i] = s.uniform(0, 3*second)
 		})
 	}
-	w.at(5*day+20.5*hour, func() { w.note("another key"); w.put(5, 0.4, "key-of-the-later-days", "") })
+	s.schedule(5*day+20.5*hour, func() { s.addIncident("another key"); s.setRule(5, 0.4, "key-of-the-later-days", "") })
 }
 
-// rush is a crowd that comes to one gatekeeper at once, just before something befalls it.
-func (w *week) rush(g *gate) {
+// burst starts 100 flows at one gatekeeper at once, just before an incident there.
+func (s *simulation) burst(gatekeeper *gatekeeperNode) {
 	for range 100 {
-		w.begin(g)
+		s.startFlow(gatekeeper)
 	}
 }
--- a/internal/brocken/ledger.go
+++ b/internal/brocken/ledger.go
@@ -10,286 +10,291 @@
 	"foxwood/internal/spur"
 )
 
-// truth is a request that a live worker ran, and that the order wants copied.
-type truth struct {
-	piece  int
-	at     float64
-	chosen bool // by the order at its gatekeeper
+// liveRun is a request that a live worker ran and to which the mirroring rule applies.
+type liveRun struct {
+	piece    int
+	at       float64
+	selected bool // by the rule at its gatekeeper
 }
 
-// set is the copies of one journey as they went out.
-type set struct {
-	whole   bool
-	of      int
-	pieces  []int
-	journey spur.Journey
+// deliveredFlow is the copies of one flow as they were sent.
+type deliveredFlow struct {
+	complete bool
+	of       int
+	pieces   []int
+	id       spur.Journey
 }
 
-type setKey struct {
-	life    uint64
-	journey spur.Journey
+// deliveryKey identifies a flow and the incarnation of its collector.
+type deliveryKey struct {
+	incarnation uint64
+	flow        spur.Journey
 }
 
-type choiceKey struct {
-	name  string
-	order uint64
+// selectionKey identifies a flow and a rule.
+type selectionKey struct {
+	name string
+	rule uint64
 }
 
-// ledger is what clients, live workers and shadows know.
+// ledger records what clients, live workers and mirror targets have seen.
 type ledger struct {
-	runs    map[int]int // by unsafe request
-	tracks  map[string][]truth
-	visitOf map[int]string // by piece
-	copies  map[int]int    // by piece
-	openSet map[setKey]*set
-	sets    []*set
-	choices map[choiceKey]bool
-	orders  map[uint64]float64
-	by      [days]map[spur.Cause]int // journeys broken, by the day that they ended on
-	wholes  [days]int                // found whole, the same
-	hours   [days * 24][3]int        // chosen journeys by the hour of their beginning: all, whole, not
-	sum     spur.Counts
-	open    [days * 24]int // journeys in hand, most in the hour
-	bytes   int            // most that a spur held
+	unsafeRuns     map[int]int // runs of each unsafe request, by its ID
+	liveRuns       map[string][]liveRun
+	flowOf         map[int]string // flow name by piece
+	copiesSent     map[int]int    // by piece; a negative value is the ID of an unsafe request that is not copied yet
+	openDeliveries map[deliveryKey]*deliveredFlow
+	deliveries     []*deliveredFlow
+	selections     map[selectionKey]bool
+	ruleTimes      map[uint64]float64
+	brokenByDay    [days]map[spur.Cause]int // broken flows by the day on which they ended
+	completeByDay  [days]int                // complete flows by the day on which they ended
+	flowsByHour    [days * 24][3]int        // selected flows by the hour in which they began: all, complete, others
+	totals         spur.Counts
+	maxOpenByHour  [days * 24]int // largest number of flows being collected in each hour
+	maxBytes       int            // largest memory use of a gatekeeper's engine
 
-	verdict verdict
-	abrupt  int // releases whose process ended before it was empty
+	verdict     verdict
+	abruptExits int // releases whose process ended before all was fetched and handed over
 }
 
-// verdict is what was found.
+// verdict holds the results of the checks.
 type verdict struct {
 	Requests, Wanted, Visits, Copies                               int
 	UnsafeTwice, AtLive, Lack, Double, Disorder, Pairs, Leaks, Odd int
-	Whole, Partial, Broken                                         int // sets that went out: whole and complete, whole and cut short, as broken
+	Whole, Partial, Broken                                         int // deliveries: complete, marked as complete but not finished, marked as broken
 	CopiedTwice                                                    int
-	Chosen, Delivered                                              [days]int         // journeys, by the day of their beginning
-	Examples                                                       map[string]string // by check, the first
+	Chosen, Delivered                                              [days]int         // flows by the day on which they began
+	Examples                                                       map[string]string // the first example of each check
 }
 
+// newLedger returns an empty ledger.
 func newLedger() *ledger {
-	b := &ledger{runs: map[int]int{}, tracks: map[string][]truth{}, visitOf: map[int]string{}, copies: map[int]int{}, openSet: map[setKey]*set{},
-		choices: map[choiceKey]bool{}, orders: map[uint64]float64{}}
-	for i := range b.by {
-		b.by[i] = map[spur.Cause]int{}
+	ledger := &ledger{unsafeRuns: map[int]int{}, liveRuns: map[string][]liveRun{}, flowOf: map[int]string{}, copiesSent: map[int]int{}, openDeliveries: map[deliveryKey]*deliveredFlow{},
+		selections: map[selectionKey]bool{}, ruleTimes: map[uint64]float64{}}
+	for i := range ledger.brokenByDay {
+		ledger.brokenByDay[i] = map[spur.Cause]int{}
 	}
-	return b
+	return ledger
 }
 
-func (b *ledger) put(now float64, o *spur.Order) { b.orders[o.Number] = now }
+// recordRule records when a rule was set.
+func (l *ledger) recordRule(now float64, rule *spur.Order) { l.ruleTimes[rule.Number] = now }
 
-// run is a live worker's run of a request.
-func (b *ledger) run(w *week, q *request, piece int, chosen bool) {
-	b.verdict.Requests++
-	r := routes[q.route]
-	if !r.safe {
-		b.runs[q.id]++
+// recordRun records that a live worker ran a request.
+func (l *ledger) recordRun(sim *simulation, request *clientRequest, piece int, selected bool) {
+	l.verdict.Requests++
+	route := routes[request.route]
+	if !route.safe {
+		l.unsafeRuns[request.id]++
 	}
-	if r.wanted && q.visit.tenant != left {
-		b.verdict.Wanted++
-		b.tracks[q.visit.name] = append(b.tracks[q.visit.name], truth{piece, w.now, chosen})
-		b.visitOf[piece] = q.visit.name
-		if !r.safe {
-			b.copies[piece] = -q.id // which request it is, until a copy goes out
+	if route.wanted && request.flow.tenant != excludedTenant {
+		l.verdict.Wanted++
+		l.liveRuns[request.flow.name] = append(l.liveRuns[request.flow.name], liveRun{piece, sim.now, selected})
+		l.flowOf[piece] = request.flow.name
+		if !route.safe {
+			l.copiesSent[piece] = -request.id // the request's ID, until a copy is sent
 		}
 	}
 }
 
-// chose is a gatekeeper's choice under an order.
-func (b *ledger) chose(name string, order uint64, chosen bool) {
-	k := choiceKey{name, order}
-	if was, ok := b.choices[k]; ok && was != chosen {
-		b.verdict.Pairs++
+// recordSelection records a gatekeeper's decision on a flow, and counts differing decisions under
+// one rule.
+func (l *ledger) recordSelection(name string, rule uint64, selected bool) {
+	key := selectionKey{name, rule}
+	if previous, ok := l.selections[key]; ok && previous != selected {
+		l.verdict.Pairs++
 	}
-	b.choices[k] = chosen
+	l.selections[key] = selected
 }
 
-// copied is a copy that goes out to an address.
-func (b *ledger) copied(w *week, g *gate, d *spur.Delivery, raw []byte) {
-	v := &b.verdict
-	v.Copies++
-	head, body, _ := bytes.Cut(raw, []byte("\r\n\r\n"))
+// recordCopy records a copy that is sent, and checks its content and address.
+func (l *ledger) recordCopy(sim *simulation, gatekeeper *gatekeeperNode, delivery *spur.Delivery, message []byte) {
+	verdict := &l.verdict
+	verdict.Copies++
+	header, body, _ := bytes.Cut(message, []byte("\r\n\r\n"))
 	piece, err := strconv.Atoi(string(body))
-	state := fmt.Sprintf("; n=%d; of=%d;", d.N, d.Of)
-	if err != nil || !bytes.Contains(head, []byte("X-Foxwood-Shadow: ")) || !bytes.Contains(head, []byte(state)) || b.visitOf[piece] == "" {
-		v.Odd++
+	position := fmt.Sprintf("; n=%d; of=%d;", delivery.N, delivery.Of)
+	if err != nil || !bytes.Contains(header, []byte("X-Foxwood-Shadow: ")) || !bytes.Contains(header, []byte(position)) || l.flowOf[piece] == "" {
+		verdict.Odd++
 		return
 	}
-	if bytes.Contains(raw, []byte("secret")) {
-		v.Leaks++
+	if bytes.Contains(message, []byte("secret")) {
+		verdict.Leaks++
 	}
 	request := 0
-	if n := b.copies[piece]; n < 0 {
-		request, b.copies[piece] = -n, 0
+	if n := l.copiesSent[piece]; n < 0 {
+		request, l.copiesSent[piece] = -n, 0
 	}
-	if b.copies[piece]++; b.copies[piece] > 1 {
-		v.CopiedTwice++
+	if l.copiesSent[piece]++; l.copiesSent[piece] > 1 {
+		verdict.CopiedTwice++
 	}
-	if at, ok := w.liveAt[d.Address]; ok && w.now >= at {
-		v.AtLive++
+	if since, ok := sim.liveSince[delivery.Address]; ok && sim.now >= since {
+		verdict.AtLive++
 		if request > 0 {
-			b.runs[request]++
+			l.unsafeRuns[request]++
 		}
 	}
-	k := setKey{g.life, d.Journey}
-	s := b.openSet[k]
-	if d.N == 1 && (s == nil || len(s.pieces) != 1 || s.pieces[0] != piece) {
-		s = &set{whole: d.Cause == spur.Fine, of: d.Of, journey: d.Journey}
-		b.openSet[k] = s
-		b.sets = append(b.sets, s)
+	key := deliveryKey{gatekeeper.incarnation, delivery.Journey}
+	delivered := l.openDeliveries[key]
+	if delivery.N == 1 && (delivered == nil || len(delivered.pieces) != 1 || delivered.pieces[0] != piece) {
+		delivered = &deliveredFlow{complete: delivery.Cause == spur.Fine, of: delivery.Of, id: delivery.Journey}
+		l.openDeliveries[key] = delivered
+		l.deliveries = append(l.deliveries, delivered)
 	}
-	s.pieces = append(s.pieces, piece)
+	delivered.pieces = append(delivered.pieces, piece)
 }
 
-// tick reads a spur's counters.
-func (b *ledger) tick(w *week, g *gate) {
-	st := g.spur.Status(g.clock(w.now))
-	b.bytes = max(b.bytes, st.Bytes)
-	on := min(max(int((w.now-endS*second)/day), 0), days-1)
-	c, was := st.Counts, g.last
-	g.last = c
-	for _, why := range spur.Causes() {
-		if n := int(c.By[why] - was.By[why]); n != 0 {
-			b.by[on][why] += n
-			b.sum.By[why] += uint64(n)
+// recordCounters adds the increase of an engine's counters since the last call.
+func (l *ledger) recordCounters(sim *simulation, gatekeeper *gatekeeperNode) {
+	status := gatekeeper.engine.Status(gatekeeper.clock(sim.now))
+	l.maxBytes = max(l.maxBytes, status.Bytes)
+	dayIndex := min(max(int((sim.now-idleTimeoutS*second)/day), 0), days-1)
+	counts, previous := status.Counts, gatekeeper.lastCounts
+	gatekeeper.lastCounts = counts
+	for _, cause := range spur.Causes() {
+		if added := int(counts.By[cause] - previous.By[cause]); added != 0 {
+			l.brokenByDay[dayIndex][cause] += added
+			l.totals.By[cause] += uint64(added)
 		}
 	}
-	b.wholes[on] += int(c.Whole - was.Whole)
-	b.sum.Whole += c.Whole - was.Whole
-	b.sum.Broken += c.Broken - was.Broken
-	b.sum.NotChosen += c.NotChosen - was.NotChosen
-	b.sum.Taken += c.Taken - was.Taken
-	b.sum.Lost += c.Lost - was.Lost
-	b.sum.Copies += c.Copies - was.Copies
-	b.sum.CopiesDone += c.CopiesDone - was.CopiesDone
-	b.sum.CopiesFailed += c.CopiesFailed - was.CopiesFailed
-	b.sum.CopiesUnsent += c.CopiesUnsent - was.CopiesUnsent
-	b.sum.Doubt += c.Doubt - was.Doubt
-	if h := int(w.now / hour); h >= 0 && h < len(b.open) {
-		b.open[h] = max(b.open[h], st.Open*w.plan.Gatekeepers)
+	l.completeByDay[dayIndex] += int(counts.Whole - previous.Whole)
+	l.totals.Whole += counts.Whole - previous.Whole
+	l.totals.Broken += counts.Broken - previous.Broken
+	l.totals.NotChosen += counts.NotChosen - previous.NotChosen
+	l.totals.Taken += counts.Taken - previous.Taken
+	l.totals.Lost += counts.Lost - previous.Lost
+	l.totals.Copies += counts.Copies - previous.Copies
+	l.totals.CopiesDone += counts.CopiesDone - previous.CopiesDone
+	l.totals.CopiesFailed += counts.CopiesFailed - previous.CopiesFailed
+	l.totals.CopiesUnsent += counts.CopiesUnsent - previous.CopiesUnsent
+	l.totals.Doubt += counts.Doubt - previous.Doubt
+	if hourIndex := int(sim.now / hour); hourIndex >= 0 && hourIndex < len(l.maxOpenByHour) {
+		l.maxOpenByHour[hourIndex] = max(l.maxOpenByHour[hourIndex], status.Open*sim.plan.Gatekeepers)
 	}
 }
 
-// journeys splits a visit's requests where it was away for so long that it was over.
-func journeys(all []truth) (out [][]truth) {
-	from := 0
-	for i := 1; i <= len(all); i++ {
-		if i == len(all) || all[i].at-all[i-1].at > endS*second {
-			out = append(out, all[from:i])
-			from = i
+// splitFlows splits the requests with one flow name where the gap exceeds the idle timeout.
+func splitFlows(runs []liveRun) (flows [][]liveRun) {
+	start := 0
+	for i := 1; i <= len(runs); i++ {
+		if i == len(runs) || runs[i].at-runs[i-1].at > idleTimeoutS*second {
+			flows = append(flows, runs[start:i])
+			start = i
 		}
 	}
-	return out
+	return flows
 }
 
-// close judges the sets against what ran.
-func (b *ledger) close(w *week) {
-	v := &b.verdict
-	for _, n := range b.runs {
+// evaluate compares the deliveries with the requests that ran.
+func (l *ledger) evaluate(sim *simulation) {
+	verdict := &l.verdict
+	for _, n := range l.unsafeRuns {
 		if n > 1 {
-			v.UnsafeTwice++
+			verdict.UnsafeTwice++
 		}
 	}
-	done := map[int]int{} // by first piece of the true journey: whole sets
-	v.Examples = map[string]string{}
-	example := func(check, format string, a ...any) {
-		if v.Examples[check] == "" {
-			v.Examples[check] = fmt.Sprintf(format, a...)
+	completeDeliveries := map[int]int{} // complete deliveries by the first piece of the real flow
+	verdict.Examples = map[string]string{}
+	example := func(check, format string, args ...any) {
+		if verdict.Examples[check] == "" {
+			verdict.Examples[check] = fmt.Sprintf(format, args...)
 		}
 	}
-	for _, s := range b.sets {
-		name := b.visitOf[s.pieces[0]]
-		var real []truth
-		for _, j := range journeys(b.tracks[name]) {
-			if slices.ContainsFunc(j, func(t truth) bool { return t.piece == s.pieces[0] }) {
-				real = j
+	for _, delivered := range l.deliveries {
+		name := l.flowOf[delivered.pieces[0]]
+		var expected []liveRun
+		for _, flow := range splitFlows(l.liveRuns[name]) {
+			if slices.ContainsFunc(flow, func(t liveRun) bool { return t.piece == delivered.pieces[0] }) {
+				expected = flow
 			}
 		}
 		seen := map[int]bool{}
-		double, foreign, disorder, last := false, false, false, -1.0
-		for _, p := range s.pieces {
-			i := slices.IndexFunc(real, func(t truth) bool { return t.piece == p })
-			if i < 0 {
+		duplicated, foreign, outOfOrder, lastAt := false, false, false, -1.0
+		for _, piece := range delivered.pieces {
+			index := slices.IndexFunc(expected, func(t liveRun) bool { return t.piece == piece })
+			if index < 0 {
 				foreign = true
 				continue
 			}
-			double = double || seen[p]
-			seen[p] = true
-			if real[i].at < last-500 { // within that the order can't be told
-				disorder = true
+			duplicated = duplicated || seen[piece]
+			seen[piece] = true
+			if expected[index].at < lastAt-500 { // the order within 500 ms can't be determined
+				outOfOrder = true
 			}
-			last = real[i].at
+			lastAt = expected[index].at
 		}
 		switch {
-		case double || foreign:
-			v.Double++
-			example("double", "%s went out with %v of %v", name, s.pieces, real)
-		case s.whole && disorder:
-			v.Disorder++
-			example("order", "%s went out in another order: %v of %v", name, s.pieces, real)
-		case !s.whole:
-			v.Broken++
-		case len(s.pieces) < s.of: // its shadow hung, or copying stopped
-			v.Partial++
-		case len(seen) < len(real):
-			v.Lack++
-			example("lack", "%s went out as whole with %v of %v", name, s.pieces, real)
+		case duplicated || foreign:
+			verdict.Double++
+			example("double", "%s went out with %v of %v", name, delivered.pieces, expected)
+		case delivered.complete && outOfOrder:
+			verdict.Disorder++
+			example("order", "%s went out in another order: %v of %v", name, delivered.pieces, expected)
+		case !delivered.complete:
+			verdict.Broken++
+		case len(delivered.pieces) < delivered.of: // its mirror target did not answer, or mirroring was stopped
+			verdict.Partial++
+		case len(seen) < len(expected):
+			verdict.Lack++
+			example("lack", "%s went out as whole with %v of %v", name, delivered.pieces, expected)
 		default:
-			v.Whole++
-			if done[real[0].piece]++; done[real[0].piece] > 1 {
-				v.Double++
+			verdict.Whole++
+			if completeDeliveries[expected[0].piece]++; completeDeliveries[expected[0].piece] > 1 {
+				verdict.Double++
 				example("double", "%s went out twice", name)
 			}
 		}
 	}
-	for _, track := range b.tracks {
-		v.Visits++
-		for _, j := range journeys(track) {
-			on, at := int(math.Floor(j[0].at/day)), int(math.Floor(j[0].at/hour))
-			if on < 0 || on >= days || !j[0].chosen {
+	for _, runs := range l.liveRuns {
+		verdict.Visits++
+		for _, flow := range splitFlows(runs) {
+			dayIndex, hourIndex := int(math.Floor(flow[0].at/day)), int(math.Floor(flow[0].at/hour))
+			if dayIndex < 0 || dayIndex >= days || !flow[0].selected {
 				continue
 			}
-			v.Chosen[on]++
-			b.hours[at][0]++
-			if done[j[0].piece] > 0 {
-				v.Delivered[on]++
-				b.hours[at][1]++
+			verdict.Chosen[dayIndex]++
+			l.flowsByHour[hourIndex][0]++
+			if completeDeliveries[flow[0].piece] > 0 {
+				verdict.Delivered[dayIndex]++
+				l.flowsByHour[hourIndex][1]++
 			} else {
-				b.hours[at][2]++
+				l.flowsByHour[hourIndex][2]++
 			}
 		}
 	}
 }
 
-// calm are the days without a trouble of their own.
-var calm = []int{0, 2, 4, 6}
+// calmDays are the days without incidents.
+var calmDays = []int{0, 2, 4, 6}
 
-// mostBroken is the share of the chosen journeys that may not come whole on a calm day.
-const mostBroken = 0.01
+// maxBrokenShare is the share of the selected flows that may be incomplete on a calm day.
+const maxBrokenShare = 0.01
 
-// faults are what must never be, by the name of the check.
-func (b *ledger) faults(played int) map[string]string {
-	v := &b.verdict
-	out := map[string]string{}
-	say := func(check string, n int, what string) {
-		if n > 0 {
-			out[check] = fmt.Sprintf("%d %s", n, what)
+// violations returns what must never happen but did, by the name of the check.
+func (l *ledger) violations(playedDays int) map[string]string {
+	verdict := &l.verdict
+	violations := map[string]string{}
+	add := func(check string, count int, what string) {
+		if count > 0 {
+			violations[check] = fmt.Sprintf("%d %s", count, what)
 		}
 	}
-	say("unsafe", v.UnsafeTwice, "unsafe requests ran more than once")
-	say("live", v.AtLive, "copies went to live workers")
-	say("lack", v.Lack, "journeys went out as whole that lack a piece: "+v.Examples["lack"])
-	say("double", v.Double+v.CopiedTwice, "journeys or copies went out doubled: "+v.Examples["double"])
-	say("order", v.Disorder, "journeys went out in a wrong order: "+v.Examples["order"])
-	say("pairs", v.Pairs, "times two gatekeepers chose differently under one order")
-	say("leaks", v.Leaks, "copies hold a key")
-	say("odd", v.Odd, "copies were no copies of what ran")
-	for _, d := range calm {
-		if d >= played {
+	add("unsafe", verdict.UnsafeTwice, "unsafe requests ran more than once")
+	add("live", verdict.AtLive, "copies went to live workers")
+	add("lack", verdict.Lack, "journeys went out as whole that lack a piece: "+verdict.Examples["lack"])
+	add("double", verdict.Double+verdict.CopiedTwice, "journeys or copies went out doubled: "+verdict.Examples["double"])
+	add("order", verdict.Disorder, "journeys went out in a wrong order: "+verdict.Examples["order"])
+	add("pairs", verdict.Pairs, "times two gatekeepers chose differently under one order")
+	add("leaks", verdict.Leaks, "copies hold a key")
+	add("odd", verdict.Odd, "copies were no copies of what ran")
+	for _, dayIndex := range calmDays {
+		if dayIndex >= playedDays {
 			continue
 		}
-		if lost := v.Chosen[d] - v.Delivered[d]; v.Chosen[d] == 0 || float64(lost) > mostBroken*float64(v.Chosen[d]) {
-			out["calm"] += fmt.Sprintf("on day %d %d of %d chosen journeys did not come whole. ", d, lost, v.Chosen[d])
+		if lost := verdict.Chosen[dayIndex] - verdict.Delivered[dayIndex]; verdict.Chosen[dayIndex] == 0 || float64(lost) > maxBrokenShare*float64(verdict.Chosen[dayIndex]) {
+			violations["calm"] += fmt.Sprintf("on day %d %d of %d chosen journeys did not come whole. ", dayIndex, lost, verdict.Chosen[dayIndex])
 		}
 	}
-	return out
+	return violations
 }
--- /dev/null
+++ b/internal/brocken/planted_faults.go
@@ -0,0 +1,63 @@
+package brocken
+
+import "foxwood/internal/spur"
+
+// Planted faults in the calls between gatekeepers.
+
+// forgeResponse returns a response in the name of a gatekeeper that gave none, if the planted fault
+// does that.
+func (s *simulation) forgeResponse(gatekeeper, peer *gatekeeperNode, request spur.Ask) (spur.Answer, bool) {
+	alive := peer.running && peer.incarnation == request.To.Life
+	switch {
+	case s.plan.Fault == "cut" && alive && peer.isolated && !gatekeeper.isolated, s.plan.Fault == "death" && !alive:
+		response := s.ownResponse(gatekeeper)
+		response.From, response.Items, response.First, response.Done = request.To, nil, request.After+1, !alive
+		return response, true
+	}
+	return spur.Answer{}, false
+}
+
+// ownResponse returns a response with the gatekeeper's own effective rules.
+func (s *simulation) ownResponse(gatekeeper *gatekeeperNode) spur.Answer {
+	now := gatekeeper.clock(s.now)
+	return gatekeeper.engine.Answer(now, spur.Ask{To: s.member(gatekeeper), From: spur.Seat{Station: "nobody"}, SinceMs: 1})
+}
+
+// applyFault changes a response as the planted fault does.
+func (s *simulation) applyFault(gatekeeper *gatekeeperNode, response spur.Answer) spur.Answer {
+	switch s.plan.Fault {
+	case "loss":
+		for i := range response.Items {
+			if item := &response.Items[i]; item.Lost != spur.Fine {
+				item.Journey.Rest++
+			}
+		}
+	case "stances":
+		if !response.Idle {
+			response.Idle, response.Stances = true, nil
+		}
+	case "handed":
+		for i := range response.Items {
+			if handedOver := response.Items[i].Given; handedOver != nil && len(handedOver.Pieces) > 0 {
+				handedOver.Pieces = append(handedOver.Pieces, handedOver.Pieces[0])
+			}
+		}
+	case "half":
+		for i := range response.Items {
+			if handedOver := response.Items[i].Given; handedOver != nil && len(handedOver.Pieces) > 1 {
+				handedOver.Pieces = handedOver.Pieces[:len(handedOver.Pieces)-1]
+			}
+		}
+	case "ages":
+		for i := range response.Items {
+			if item := &response.Items[i]; item.Given == nil && item.Word == nil {
+				item.AgeMs = s.random.Float64() * s.plan.AskS * second
+			}
+		}
+	case "forgetful":
+		if len(response.Items) > 0 && s.random.IntN(50) == 0 {
+			response.Items = response.Items[1:]
+		}
+	}
+	return response
+}
--- a/internal/spur/copy.go
+++ b/internal/spur/copy.go
@@ -10,168 +10,170 @@
 	"strings"
 )
 
-// Copy is a request for a shadow service. It is no request of the path to live workers, and has
-// no way to become one: its bytes leave it only by Delivery.Send, into a Door.
+// Copy is a copied request for a mirror target. Its type differs from that of requests to live
+// workers, and its content is accessible only to Delivery.Send, which writes it to a Door.
 type Copy struct {
 	method, target string
 	fields         []Field
 	body           []byte
 }
 
-// Field is a header field.
+// Field is an HTTP header field.
 type Field struct{ Name, Value []byte }
 
-// Request is a real request as it came, by reference: the caller must not change what it points
-// to afterwards, so let it be no buffer that is used again.
+// Request is a real request as received. Its slices are kept by reference, so the caller must not
+// change or reuse them afterwards.
 type Request struct {
 	Method, Target []byte
 	Fields         []Field
 	Body           []byte
 }
 
-// Door is a connection to a shadow service. The part with sockets implements it, by a type of
-// its own that knows no live worker; ShadowAddress must say where the connection leads.
+// Door is a connection to a mirror target. The networking code implements it with a type that is
+// not used for live workers. ShadowAddress returns the address to which the connection leads.
 type Door interface {
 	io.Writer
 	ShadowAddress() string
 }
 
 const (
-	copyCost  = 200 // bytes that a copy takes beside its texts
-	fieldCost = 48
+	copyCostBytes  = 200 // memory of a copy beside its texts, in bytes
+	fieldCostBytes = 48  // memory of a header field beside its texts, in bytes
 )
 
-// neverCopied are headers that keys stand in, those of one connection, and those that are written
-// anew. All of X-Foxwood-… goes too.
+// neverCopied lists the headers that hold credentials, belong to one connection, or are written
+// anew for the copy. All X-Foxwood-… headers are removed too.
 var neverCopied = []string{"authorization", "proxy-authorization", "proxy-authenticate", "set-cookie", "connection", "keep-alive", "proxy-connection",
 	"te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect", "x-api-key"}
 
-// take makes a copy of a request, without what must not leave.
-func (o *Order) take(r *Request) Copy {
-	c := Copy{method: string(r.Method), target: string(r.Target), body: r.Body}
-	var named [][]byte // by the request's own Connection header
-	for _, f := range r.Fields {
-		if bytes.EqualFold(f.Name, []byte("connection")) {
-			named = append(named, bytes.Split(f.Value, []byte{','})...)
+// newCopy copies a request without the headers and cookies that must not reach a mirror target.
+func (o *Order) newCopy(request *Request) Copy {
+	result := Copy{method: string(request.Method), target: string(request.Target), body: request.Body}
+	var connectionHeaders [][]byte // names in the request's Connection header
+	for _, field := range request.Fields {
+		if bytes.EqualFold(field.Name, []byte("connection")) {
+			connectionHeaders = append(connectionHeaders, bytes.Split(field.Value, []byte{','})...)
 		}
 	}
-	for _, f := range r.Fields {
-		name := strings.ToLower(string(f.Name))
+	for _, field := range request.Fields {
+		name := strings.ToLower(string(field.Name))
 		switch {
 		case slices.Contains(neverCopied, name), strings.HasPrefix(name, "x-foxwood-"):
 		case slices.ContainsFunc(o.HeadersOut, func(h string) bool { return strings.EqualFold(h, name) }):
-		case slices.ContainsFunc(named, func(h []byte) bool { return bytes.EqualFold(bytes.TrimSpace(h), f.Name) }):
+		case slices.ContainsFunc(connectionHeaders, func(h []byte) bool { return bytes.EqualFold(bytes.TrimSpace(h), field.Name) }):
 		case name == "cookie":
-			if kept := keptCookies(f.Value, o.CookiesKept); len(kept) > 0 {
-				c.fields = append(c.fields, Field{f.Name, kept})
+			if kept := keptCookies(field.Value, o.CookiesKept); len(kept) > 0 {
+				result.fields = append(result.fields, Field{field.Name, kept})
 			}
 		default:
-			c.fields = append(c.fields, f)
+			result.fields = append(result.fields, field)
 		}
 	}
-	return c
+	return result
 }
 
-func keptCookies(all []byte, kept []string) (out []byte) {
-	for one := range bytes.SplitSeq(all, []byte{';'}) {
-		one = bytes.Trim(one, " \t")
-		k, _, _ := bytes.Cut(one, []byte{'='})
-		if slices.Contains(kept, string(k)) {
-			if out != nil {
-				out = append(out, "; "...)
+// keptCookies returns the Cookie header reduced to the cookies to keep.
+func keptCookies(header []byte, keep []string) (result []byte) {
+	for pair := range bytes.SplitSeq(header, []byte{';'}) {
+		pair = bytes.Trim(pair, " \t")
+		k, _, _ := bytes.Cut(pair, []byte{'='})
+		if slices.Contains(keep, string(k)) {
+			if result != nil {
+				result = append(result, "; "...)
 			}
-			out = append(out, one...)
+			result = append(result, pair...)
 		}
 	}
-	return out
+	return result
 }
 
-// Bytes is the memory that the copy takes.
+// Bytes returns the memory that the copy takes.
 func (c *Copy) Bytes() int {
-	n := copyCost + len(c.method) + len(c.target) + len(c.body)
+	n := copyCostBytes + len(c.method) + len(c.target) + len(c.body)
 	for _, f := range c.fields {
-		n += fieldCost + len(f.Name) + len(f.Value)
+		n += fieldCostBytes + len(f.Name) + len(f.Value)
 	}
 	return n
 }
 
-// MarshalBinary and UnmarshalBinary bring a copy from one gatekeeper to another. The form is
-// no request of HTTP.
+// MarshalBinary encodes the copy for the transfer to another gatekeeper. The format is
+// deliberately not HTTP.
 func (c Copy) MarshalBinary() ([]byte, error) {
-	b := make([]byte, 0, c.Bytes())
-	b = appendText(appendText(b, c.method), c.target)
-	b = binary.AppendUvarint(b, uint64(len(c.fields)))
+	data := make([]byte, 0, c.Bytes())
+	data = appendText(appendText(data, c.method), c.target)
+	data = binary.AppendUvarint(data, uint64(len(c.fields)))
 	for _, f := range c.fields {
-		b = appendText(appendText(b, f.Name), f.Value)
+		data = appendText(appendText(data, f.Name), f.Value)
 	}
-	return appendText(b, c.body), nil
+	return appendText(data, c.body), nil
 }
 
+// appendText appends a text with its length.
 func appendText[T string | []byte](b []byte, t T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(t))), t...)
 }
 
-var errCopy = errors.New("spur: not a whole copy")
+var errMalformedCopy = errors.New("spur: copied request is truncated or has trailing bytes")
 
-// UnmarshalBinary is the inverse of MarshalBinary.
-func (c *Copy) UnmarshalBinary(b []byte) error {
-	b = slices.Clone(b) // the decoder's buffer is not ours
-	bad := false
-	number := func() int {
-		n, used := binary.Uvarint(b)
-		if used <= 0 || n > uint64(len(b)) {
-			bad = true
+// UnmarshalBinary decodes the format of MarshalBinary.
+func (c *Copy) UnmarshalBinary(data []byte) error {
+	data = slices.Clone(data) // the decoder reuses its buffer
+	malformed := false
+	readLength := func() int {
+		n, used := binary.Uvarint(data)
+		if used <= 0 || n > uint64(len(data)) {
+			malformed = true
 			return 0
 		}
-		b = b[used:]
+		data = data[used:]
 		return int(n)
 	}
-	text := func() []byte {
-		n := number()
-		if n > len(b) {
-			bad = true
+	readText := func() []byte {
+		n := readLength()
+		if n > len(data) {
+			malformed = true
 			return nil
 		}
-		t := b[:n:n]
-		b = b[n:]
+		t := data[:n:n]
+		data = data[n:]
 		return t
 	}
-	*c = Copy{method: string(text()), target: string(text())}
-	for n := number(); n > 0 && !bad; n-- {
-		c.fields = append(c.fields, Field{text(), text()})
+	*c = Copy{method: string(readText()), target: string(readText())}
+	for n := readLength(); n > 0 && !malformed; n-- {
+		c.fields = append(c.fields, Field{readText(), readText()})
 	}
-	if c.body = text(); len(c.body) == 0 {
+	if c.body = readText(); len(c.body) == 0 {
 		c.body = nil
 	}
-	if bad || len(b) > 0 {
-		return errCopy
+	if malformed || len(data) > 0 {
+		return errMalformedCopy
 	}
 	return nil
 }
 
-// Send writes the copy as an HTTP/1.1 request, with X-Foxwood-Shadow and what belongs to it. It
-// refuses a door that leads elsewhere than to the delivery's address, and writes at most once.
-func (d *Delivery) Send(to Door) error {
+// Send writes the copy as an HTTP/1.1 request with the X-Foxwood-Shadow headers. It writes at most
+// once, and returns an error if the connection does not lead to the delivery's address.
+func (d *Delivery) Send(connection Door) error {
 	if d.sent {
-		return errors.New("spur: it was sent before")
+		return fmt.Errorf("spur: delivery %d was sent before; a copy is sent at most once", d.ID)
 	}
-	if !sameAddress(to.ShadowAddress(), d.Address) {
-		return fmt.Errorf("spur: a door to %s for a copy to %s", to.ShadowAddress(), d.Address)
+	if !sameAddress(connection.ShadowAddress(), d.Address) {
+		return fmt.Errorf("spur: connection leads to %s, want mirror target %s", connection.ShadowAddress(), d.Address)
 	}
 	d.sent = true
-	c := &d.copy
-	b := make([]byte, 0, c.Bytes()+len(d.head)+128)
-	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\n", c.method, c.target)
-	for _, f := range c.fields {
-		b = fmt.Appendf(b, "%s: %s\r\n", f.Name, f.Value)
+	copied := &d.copy
+	message := make([]byte, 0, copied.Bytes()+len(d.head)+128)
+	message = fmt.Appendf(message, "%s %s HTTP/1.1\r\n", copied.method, copied.target)
+	for _, f := range copied.fields {
+		message = fmt.Appendf(message, "%s: %s\r\n", f.Name, f.Value)
 	}
-	b = append(b, d.head...)
-	b = append(b, "X-Foxwood-Expect-Worker: a-shadow\r\n"...) // any live worker answers 421, and does not run it
-	if len(c.body) > 0 || c.method != "GET" && c.method != "HEAD" {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(c.body))
+	message = append(message, d.head...)
+	message = append(message, "X-Foxwood-Expect-Worker: a-shadow\r\n"...) // a live worker answers 421 without running the request
+	if len(copied.body) > 0 || copied.method != "GET" && copied.method != "HEAD" {
+		message = fmt.Appendf(message, "Content-Length: %d\r\n", len(copied.body))
 	}
-	b = append(b, "Connection: close\r\n\r\n"...)
-	b = append(b, c.body...)
-	_, err := to.Write(b)
+	message = append(message, "Connection: close\r\n\r\n"...)
+	message = append(message, copied.body...)
+	_, err := connection.Write(message)
 	return err
 }
--- a/internal/spur/handover.go
+++ b/internal/spur/handover.go
@@ -6,245 +6,253 @@
 	"slices"
 )
 
-// Hand-over: where the members change, a journey's collector gives it to the next one, once all
-// gatekeepers go by the new list and nothing can come any more under the old.
+// Hand-over: after a change of members, a collector hands the flows that are no longer its own to
+// their new collectors, once all gatekeepers use the new list and have no items left for the old.
 
-// word is what this seat says of the journeys that it has handed over.
-type word struct {
-	list         *seatList
-	vouch, until float64
-	others       []Seat
-	usages       []usage
-	nothing      bool
+// pendingReport is this member's report on the flows that it has handed over, before its times are
+// converted to ages.
+type pendingReport struct {
+	list                       *memberList
+	completeSince, unusedSince float64
+	unlisted                   []Seat
+	periods                    []memberPeriod
+	unreliable                 bool
 }
 
-func (w *word) tell(now float64) *Word {
-	out := &Word{List: w.list.hash, Seats: w.list.seats, VouchMs: now - w.vouch, UntilMs: now - w.until, Others: w.others, Nothing: w.nothing}
-	for _, u := range w.usages {
-		out.Stances = append(out.Stances, Before{u.stance, now - u.from, now - u.to})
+// toWire converts the report with its times as ages.
+func (r *pendingReport) toWire(now float64) *Word {
+	report := &Word{List: r.list.hash, Seats: r.list.members, VouchMs: now - r.completeSince, UntilMs: now - r.unusedSince, Others: r.unlisted, Nothing: r.unreliable}
+	for _, period := range r.periods {
+		report.Stances = append(report.Stances, Before{period.rule, now - period.from, now - period.to})
 	}
-	return out
+	return report
 }
 
-func (g *gathered) give(now float64) *Given {
-	out := &Given{FirstMs: now - g.first, LastMs: now - g.last, Cause: g.cause, Counted: g.counted}
-	if g.from != nil {
-		out.List = g.from.list
+// toWire converts the flow with its times as ages.
+func (f *flowState) toWire(now float64) *Given {
+	handedOver := &Given{FirstMs: now - f.earliest, LastMs: now - f.latest, Cause: f.cause, Counted: f.counted}
+	if f.receivedFrom != nil {
+		handedOver.List = f.receivedFrom.membersHash
 	}
-	for _, k := range g.pieces {
-		out.Pieces = append(out.Pieces, Piece{now - k.high, now - k.low, k.copy, k.real, k.shadow})
+	for _, piece := range f.pieces {
+		handedOver.Pieces = append(handedOver.Pieces, Piece{now - piece.latest, now - piece.earliest, piece.copy, piece.response, piece.target})
 	}
-	return out
+	return handedOver
 }
 
-const handAsks = 20 // asks that a hand-over waits for all to go by the new list
+const maxHandoverPolls = 20 // poll intervals that a hand-over waits until all use the new list
 
-// handOver gives journeys away that are others' by the list in force.
-func (s *Spur) handOver(now float64) {
-	if s.handed || s.list == nil || len(s.moving) == 0 {
+// handOverFlows hands over the flows that other members collect under the current list.
+func (s *Spur) handOverFlows(now float64) {
+	if s.handedOver || s.members == nil || len(s.unreportedLists) == 0 {
 		return
 	}
-	until, all := math.Inf(-1), true // the last of all has gone by the new list since then
-	for _, p := range s.peers {
+	switchedAt, allSwitched := math.Inf(-1), true // time at which the last gatekeeper switched to the new list
+	for _, peer := range s.peers {
 		switch {
-		case p.done:
-		case !p.heard || p.stance.List != s.list.hash || p.cover < p.since:
-			all = false
+		case peer.done:
+		case !peer.answered || peer.rule.List != s.members.hash || peer.coveredUntil < peer.ruleSince:
+			allSwitched = false
 		default:
-			until = max(until, p.since)
+			switchedAt = max(switchedAt, peer.ruleSince)
 		}
 	}
-	if !all && now-s.movedAt < handAsks*s.every {
+	if !allSwitched && now-s.membersChangedAt < maxHandoverPolls*s.pollIntervalMs {
 		return
 	}
-	if math.IsInf(until, -1) {
-		until = now
+	if math.IsInf(switchedAt, -1) {
+		switchedAt = now
 	}
 	region := ""
-	if s.order != nil {
-		region = s.order.Region
+	if s.rule != nil {
+		region = s.rule.Region
 	}
-	old := s.moving[len(s.moving)-1]
-	hand := s.all()
-	slices.SortFunc(hand, func(a, b *gathered) int {
-		return cmp.Or(cmp.Compare(a.journey.Spot, b.journey.Spot), cmp.Compare(a.journey.Rest, b.journey.Rest), cmp.Compare(a.first, b.first))
+	previousHash := s.unreportedLists[len(s.unreportedLists)-1]
+	flows := s.allFlows()
+	slices.SortFunc(flows, func(a, b *flowState) int {
+		return cmp.Or(cmp.Compare(a.id.Spot, b.id.Spot), cmp.Compare(a.id.Rest, b.id.Rest), cmp.Compare(a.earliest, b.earliest))
 	})
-	for _, g := range hand {
-		to, ok := s.list.owner(region, g.journey)
-		if ok && to.key() == s.self.key() {
+	for _, flow := range flows {
+		collector, ok := s.members.collector(region, flow.id)
+		if ok && collector.key() == s.self.key() {
 			continue
 		}
 		if !ok {
-			s.breaks(g, Moved)
+			s.markBroken(flow, Moved)
 			continue
 		}
 		switch {
-		case !all:
-			s.breaks(g, Moved)
-		case g.cause == Fine:
-			if why := s.soFar(g, now); why != Fine {
-				s.breaks(g, why)
+		case !allSwitched:
+			s.markBroken(flow, Moved)
+		case flow.cause == Fine:
+			if cause := s.checkBeforeHandover(flow, now); cause != Fine {
+				s.markBroken(flow, cause)
 			}
 		}
-		s.forget(g)
-		s.bytes -= g.bytes
-		g.from = &wordKey{s.self.key(), old}
-		s.push(to.key(), entry{item: Item{Journey: g.journey, Trail: g.trail}, begun: now, bytes: g.bytes + itemCost, given: g})
+		s.removeFlow(flow)
+		s.usedBytes -= flow.bytes
+		flow.receivedFrom = &reportKey{s.self.key(), previousHash}
+		s.pushItem(collector.key(), entry{item: Item{Journey: flow.id, Trail: flow.scopeHash}, startedAt: now, bytes: flow.bytes + itemCostBytes, flow: flow})
 	}
-	var others []Seat // that may still serve, though they are on no list
-	for _, p := range s.peers {
-		if !p.listed && !p.done && p.seat.key() != s.self.key() {
-			others = append(others, p.seat)
+	var unlisted []Seat // on no list, but may still serve requests
+	for _, peer := range s.peers {
+		if !peer.listed && !peer.done && peer.member.key() != s.self.key() {
+			unlisted = append(unlisted, peer.member)
 		}
 	}
-	vouch := s.vouch()
-	mine := s.list.has(s.self.key())
-	for _, list := range s.moving {
-		w := &word{list: s.lists[list], vouch: vouch, until: until, others: others, usages: slices.Clone(s.usages), nothing: !all || list != old || s.lists[list] == nil}
-		if w.list == nil {
+	completeSince := s.completeSince()
+	stillMember := s.members.contains(s.self.key())
+	for _, membersHash := range s.unreportedLists {
+		report := &pendingReport{list: s.knownLists[membersHash], completeSince: completeSince, unusedSince: switchedAt, unlisted: unlisted, periods: slices.Clone(s.memberPeriods), unreliable: !allSwitched || membersHash != previousHash || s.knownLists[membersHash] == nil}
+		if report.list == nil {
 			continue
 		}
-		for _, k := range s.list.seats {
-			if k.key() != s.self.key() && !(mine && w.list.has(k.key())) {
-				s.push(k.key(), entry{item: Item{}, begun: now, bytes: itemCost + 32*len(w.list.seats), word: w})
+		for _, member := range s.members.members {
+			if member.key() != s.self.key() && !(stillMember && report.list.contains(member.key())) {
+				s.pushItem(member.key(), entry{item: Item{}, startedAt: now, bytes: itemCostBytes + 32*len(report.list.members), report: report})
 			}
 		}
 	}
-	s.moving = nil
-	s.handed = true
+	s.unreportedLists = nil
+	s.handedOver = true
 }
 
-// soFar judges a journey that is not over, but for the list that takes it away.
-func (s *Spur) soFar(g *gathered, now float64) Cause {
-	k := *g
-	k.last = min(g.last, now)
-	keep := s.usages
-	s.usages = nil
-	for _, u := range keep {
-		if u.stance.List != s.list.hash {
-			s.usages = append(s.usages, u)
-		}
-	}
-	why := s.check(&k)
-	s.usages = keep
-	if why == notChosen {
+// checkBeforeHandover checks an unfinished flow for completeness up to now, ignoring the periods of
+// the new list.
+func (s *Spur) checkBeforeHandover(flow *flowState, now float64) Cause {
+	partial := *flow
+	partial.latest = min(flow.latest, now)
+	saved := s.memberPeriods
+	s.memberPeriods = nil
+	for _, period := range saved {
+		if period.rule.List != s.members.hash {
+			s.memberPeriods = append(s.memberPeriods, period)
+		}
+	}
+	cause := s.checkCompleteness(&partial)
+	s.memberPeriods = saved
+	if cause == notSelected {
 		return Changed
 	}
-	return why
+	return cause
 }
 
-// vouch is since when everything is known here of the journeys that are gathered here under the
-// list before this one, also of those that nothing was seen of. Of each earlier list it needs the
-// words of those whose journeys came here next; these reach further back by themselves.
-func (s *Spur) vouch() float64 {
+// completeSince returns the time since which this member has complete data of the flows that it
+// collected under the previous list, including those without any piece. For each earlier list it
+// needs the reports of the members whose flows were reassigned to this one; these reports already
+// cover the lists before.
+func (s *Spur) completeSince() float64 {
 	self := s.self.key()
-	at, mine := math.Inf(-1), math.Inf(-1)
-	if s.order == nil || s.order.Stopped {
+	since, ownSince := math.Inf(-1), math.Inf(-1)
+	if s.rule == nil || s.rule.Stopped {
 		return math.Inf(1)
 	}
-	old := s.lists[s.moving[len(s.moving)-1]]
-	var all []usage // one for each list, in the order of their ends
-	for _, u := range s.usages {
-		if u.stance.List == s.list.hash {
+	previous := s.knownLists[s.unreportedLists[len(s.unreportedLists)-1]]
+	var periods []memberPeriod // one for each list, sorted by end
+	for _, period := range s.memberPeriods {
+		if period.rule.List == s.members.hash {
 			continue
 		}
-		if i := slices.IndexFunc(all, func(v usage) bool { return v.stance.List == u.stance.List }); i >= 0 {
-			all[i].from, all[i].to = min(all[i].from, u.from), max(all[i].to, u.to)
+		if i := slices.IndexFunc(periods, func(other memberPeriod) bool { return other.rule.List == period.rule.List }); i >= 0 {
+			periods[i].from, periods[i].to = min(periods[i].from, period.from), max(periods[i].to, period.to)
 		} else {
-			all = append(all, u)
+			periods = append(periods, period)
 		}
 	}
-	slices.SortFunc(all, func(a, b usage) int { return cmp.Compare(a.to, b.to) })
-	for i, u := range all {
-		l, next := s.lists[u.stance.List], old
-		if l == old {
+	slices.SortFunc(periods, func(a, b memberPeriod) int { return cmp.Compare(a.to, b.to) })
+	for i, period := range periods {
+		list, next := s.knownLists[period.rule.List], previous
+		if list == previous {
 			continue
 		}
-		if i+1 < len(all) {
-			next = s.lists[all[i+1].stance.List]
+		if i+1 < len(periods) {
+			next = s.knownLists[periods[i+1].rule.List]
 		}
-		nextOld := i+1 < len(all) && s.beforeUs(all[i+1])
-		if (l != nil && !l.has(self) || s.beforeUs(u)) && (next != nil && !next.has(self) || nextOld) {
-			continue // the next one's words reach over this one
+		nextPredates := i+1 < len(periods) && s.predatesIncarnation(periods[i+1])
+		if (list != nil && !list.contains(self) || s.predatesIncarnation(period)) && (next != nil && !next.contains(self) || nextPredates) {
+			continue // the reports on the next list cover this one
 		}
-		if l == nil || next == nil {
-			at = max(at, u.to)
+		if list == nil || next == nil {
+			since = max(since, period.to)
 			continue
 		}
 		complete := true
-		for _, k := range l.seats {
-			if k.key() == self || l.has(self) && next.has(k.key()) {
-				continue // what was its journey then did not come here next
+		for _, member := range list.members {
+			if member.key() == self || list.contains(self) && next.contains(member.key()) {
+				continue // its flows were not reassigned to this member by the next list
 			}
-			if w, ok := s.words[wordKey{k.key(), l.hash}]; ok && !w.nothing && u.to <= w.until+slackMs {
-				at = max(at, w.vouch)
+			if w, ok := s.handoverReports[reportKey{member.key(), list.hash}]; ok && !w.unreliable && period.to <= w.unusedSince+clockSlackMs {
+				since = max(since, w.completeSince)
 			} else {
-				at, complete = max(at, u.to), false
+				since, complete = max(since, period.to), false
 			}
 		}
-		if complete && !l.has(self) && i+1 < len(all) {
-			mine = max(s.began, all[i+1].from)
+		if complete && !list.contains(self) && i+1 < len(periods) {
+			ownSince = max(s.startedAt, periods[i+1].from)
 		}
 	}
-	for _, w := range s.windows {
-		if w.to > mine {
-			at = max(at, w.to)
+	for _, w := range s.lossWindows {
+		if w.to > ownSince {
+			since = max(since, w.to)
 		}
 	}
-	return at
+	return since
 }
 
-// beforeUs tells of a list that was in use before this life, and can't have it.
-func (s *Spur) beforeUs(u usage) bool { return u.from+slackMs < s.began }
+// predatesIncarnation reports whether a list was in use before this incarnation started, and so
+// can't contain it.
+func (s *Spur) predatesIncarnation(period memberPeriod) bool {
+	return period.from+clockSlackMs < s.startedAt
+}
 
-// hear takes another collector's word.
-func (s *Spur) hear(now float64, a Ask, p *peer, w *Word) {
-	l := newSeatList(w.Seats)
-	if l.hash != w.List {
+// addHandoverReport processes another collector's hand-over report.
+func (s *Spur) addHandoverReport(now float64, request Ask, peer *peerState, report *Word) {
+	list := newMemberList(report.Seats)
+	if list.hash != report.List {
 		return
 	}
-	s.learn(l)
-	if p.lossy > 0 && now-p.lossy < 2*handAsks*s.every { // journeys may have been among what was lost
+	s.rememberList(list)
+	if peer.lastGapAt > 0 && now-peer.lastGapAt < 2*maxHandoverPolls*s.pollIntervalMs { // the lost items may have included handed-over flows
 		return
 	}
-	for _, b := range w.Stances {
-		s.use(b.Stance, a.At-b.BeganMs, now-b.EndedMs)
+	for _, past := range report.Stances {
+		s.addMemberPeriod(past.Stance, request.At-past.BeganMs, now-past.EndedMs)
 	}
-	for _, k := range w.Others {
-		if s.peers[k.key()] == nil {
-			s.peers[k.key()] = &peer{seat: k, cover: a.At - w.UntilMs, heardAt: now}
+	for _, member := range report.Others {
+		if s.peers[member.key()] == nil {
+			s.peers[member.key()] = &peerState{member: member, coveredUntil: request.At - report.UntilMs, lastAnswerAt: now}
 		}
 	}
-	key := wordKey{p.seat.key(), w.List}
-	h := heardWord{now - w.VouchMs, a.At - w.UntilMs, w.Nothing}
-	if old, ok := s.words[key]; ok { // a list may come back
-		h.vouch, h.nothing = max(h.vouch, old.vouch), h.nothing || old.nothing
+	key := reportKey{peer.member.key(), report.List}
+	received := receivedReport{now - report.VouchMs, request.At - report.UntilMs, report.Nothing}
+	if earlier, ok := s.handoverReports[key]; ok { // the same list may have been in use twice
+		received.completeSince, received.unreliable = max(received.completeSince, earlier.completeSince), received.unreliable || earlier.unreliable
 	}
-	s.words[key] = h
+	s.handoverReports[key] = received
 }
 
-// given takes a journey that another collector hands over.
-func (s *Spur) given(now float64, a Ask, p *peer, it *Item) {
-	v := it.Given
-	low, high := a.At-v.FirstMs, now-v.LastMs
-	g := s.find(it.Journey, it.Trail, low, high)
-	if g == nil {
+// addHandedOverFlow processes a flow that another collector hands over.
+func (s *Spur) addHandedOverFlow(now float64, request Ask, peer *peerState, item *Item) {
+	handedOver := item.Given
+	earliest, latest := request.At-handedOver.FirstMs, now-handedOver.LastMs
+	flow := s.findOrCreateFlow(item.Journey, item.Trail, earliest, latest)
+	if flow == nil {
 		return
 	}
-	g.begunBy = min(g.begunBy, now-v.FirstMs)
-	g.from = &wordKey{p.seat.key(), v.List}
-	if s.order == nil || s.order.trail != it.Trail {
-		s.breaks(g, Changed)
+	flow.firstBefore = min(flow.firstBefore, now-handedOver.FirstMs)
+	flow.receivedFrom = &reportKey{peer.member.key(), handedOver.List}
+	if s.rule == nil || s.rule.scopeHash != item.Trail {
+		s.markBroken(flow, Changed)
 	}
-	if v.Cause != Fine && v.Cause < causes {
-		s.breaks(g, v.Cause)
+	if handedOver.Cause != Fine && handedOver.Cause < causeCount {
+		s.markBroken(flow, handedOver.Cause)
 	}
-	g.counted = g.counted || v.Counted
-	// A part of it that was here may already have been over, and forgotten.
-	if at := s.mineSince(it.Journey, high); now > at+s.endMs() {
-		s.breaks(g, Moved)
+	flow.counted = flow.counted || handedOver.Counted
+	// An earlier part of the flow may have been finished here and removed already.
+	if ownSince := s.collectedSince(item.Journey, latest); now > ownSince+s.idleTimeoutMs() {
+		s.markBroken(flow, Moved)
 	}
-	for _, k := range v.Pieces {
-		s.add(g, piece{a.At - k.HighMs, now - k.LowMs, k.Copy, k.Real, k.Shadow})
+	for _, wirePiece := range handedOver.Pieces {
+		s.addPiece(flow, piece{request.At - wirePiece.HighMs, now - wirePiece.LowMs, wirePiece.Copy, wirePiece.Real, wirePiece.Shadow})
 	}
 }
--- /dev/null
+++ b/internal/spur/mirror.go
@@ -0,0 +1,124 @@
+// Package spur implements traffic mirroring. Each gatekeeper selects live flows by a mirroring
+// rule and copies their requests; one gatekeeper per flow, its collector, fetches the copies,
+// checks that the flow is complete, and sends the copies in order to a mirror target. Answers of
+// mirror targets are discarded.
+//
+// The package does no I/O. A Spur receives events with the time of a monotonic clock in
+// milliseconds, and returns the calls to make, the responses to give and the copies to send.
+// docs/design/shadow.md describes the protocol and proves it.
+//
+// A flow is a series of requests with the same name (a header, cookie or trace ID) in which no
+// gap is longer than the rule's idle timeout. One request of a flow is a piece.
+//
+// A Spur is not safe for concurrent use.
+package spur
+
+import "fmt"
+
+// Seat identifies one incarnation of a gatekeeper process on a node. Each flow is collected by
+// one such member.
+type Seat struct {
+	Station string `cbor:"1,keyasint,omitempty"`
+	Life    uint64 `cbor:"2,keyasint,omitempty"`
+	Region  string `cbor:"3,keyasint,omitempty"`
+	Inner   string `cbor:"4,keyasint,omitempty"` // internal address for calls; not part of the identity
+}
+
+// Cause is the reason why a flow is broken or left out. The list below is complete.
+type Cause uint8
+
+// The causes. Fine means that the flow is not broken.
+const (
+	Fine     Cause = iota
+	Queue          // a gatekeeper had no memory or ticket left for a copy
+	Pressed        // a gatekeeper was overloaded
+	TooLarge       // a request body exceeded the rule's limit
+	GivenUp        // the real request got no complete answer, so it could not be copied
+	Home           // a copy would have left the regions in which the request may be served
+	Died           // a gatekeeper's incarnation ended before all its items were fetched
+	Gap            // a gatekeeper dropped items and can't tell whose
+	Silent         // a gatekeeper did not respond for longer than the rule waits
+	Moved          // another member collected the flow for a part of its time
+	Changed        // the rule changed during the flow, and the rule that applied at its start is uncertain
+	Started        // the flow may have started before its collector did
+	Room           // the collector had no memory for it
+	Long           // it lasted longer than the rule's maximum duration
+	Limit          // the queue for its mirror target was full
+	Struck         // a mirror target's address belonged to a live worker
+	Stopped        // mirroring was stopped
+	causeCount
+)
+
+var causeNames = [causeCount]string{"fine", "queue", "pressed", "too_large", "given_up", "home", "died", "gap", "silent", "moved", "changed",
+	"started", "room", "long", "limit", "struck", "stopped"}
+
+// String returns the name of the cause, as reports and counters show it.
+func (c Cause) String() string {
+	if c < causeCount {
+		return causeNames[c]
+	}
+	return fmt.Sprintf("cause %d", uint8(c))
+}
+
+// Causes returns all causes but Fine.
+func Causes() (all []Cause) {
+	for c := Queue; c < causeCount; c++ {
+		all = append(all, c)
+	}
+	return all
+}
+
+// Config holds the settings of a Spur.
+type Config struct {
+	Self Seat
+	Now  float64 // start of the incarnation in ms, before its first request
+	Room int     // memory limit for all copies, in bytes
+	// AskMs is the interval between two fetches from one gatekeeper, in ms; 0 means 500.
+	AskMs float64
+}
+
+// Counts are totals since the start of the incarnation. They are encoded by name, so renamed fields
+// keep the old name as a tag.
+type Counts struct {
+	// Requests.
+	Seen    uint64 `cbor:"Seen"` // on the rule's routes
+	Unnamed uint64 // without a flow name
+	Chosen  uint64 `cbor:"Chosen"` // of selected flows
+	Taken   uint64 `cbor:"Taken"`  // copied
+	Lost    uint64 // of selected flows, but not copied
+
+	// Flows.
+	Whole     uint64 `cbor:"Whole"` // found complete
+	Broken    uint64
+	Delivered uint64             // all copies were answered
+	Held      uint64             `cbor:"Held"`      // broken and not delivered
+	NotChosen uint64             `cbor:"NotChosen"` // copied for the previous rule, but not selected by the current one
+	By        [causeCount]uint64 `cbor:"By"`        // broken flows by cause
+
+	// Copies to mirror targets.
+	Copies       uint64 `cbor:"Copies"`     // issued for sending
+	CopiesDone   uint64 `cbor:"CopiesDone"` // answered
+	CopiesFailed uint64 // not answered
+	CopiesUnsent uint64 // dropped, mostly since an earlier copy of the flow was not answered
+
+	Doubt uint64 `cbor:"Doubt"` // pieces whose order within their flow is uncertain
+}
+
+// Status is the current state of a Spur. It is encoded by name, so renamed fields keep the old name
+// as a tag.
+type Status struct {
+	Order    uint64   `cbor:"Order"`   // number of the current rule, 0 without one
+	On       bool     `cbor:"On"`      // requests are being copied
+	Why      Cause    `cbor:"Why"`     // Struck or Pressed if one of these has stopped copying
+	Open     int      `cbor:"Open"`    // flows being collected here
+	Waiting  int      `cbor:"Waiting"` // flows in delivery or queued for it
+	Queued   int      `cbor:"Queued"`  // items not fetched yet
+	Bytes    int      `cbor:"Bytes"`   // memory in use
+	Room     int      `cbor:"Room"`    // memory limit in bytes
+	Silent   []string `cbor:"Silent"`  // nodes that have not responded for over five poll intervals
+	Members  int
+	Counts   Counts
+	CoverMs  float64 `cbor:"CoverMs"` // age of the time up to which the items of all gatekeepers are known
+	ListMs   float64 `cbor:"ListMs"`  // age of the member list
+	Settling bool    // not all gatekeepers have the same rule and members
+}
--- /dev/null
+++ b/internal/spur/selection.go
@@ -0,0 +1,198 @@
+package spur
+
+import (
+	"bytes"
+	"encoding/binary"
+	"slices"
+
+	"github.com/zeebo/xxh3"
+)
+
+// Journey identifies a flow: the hash of its name with the rule's key, equal at every gatekeeper.
+// Spot is compared with the rule's threshold; Rest selects the collector.
+type Journey struct {
+	Spot uint64 `cbor:"1,keyasint"`
+	Rest uint64 `cbor:"2,keyasint"`
+}
+
+// Sight holds the properties of a request by which it is selected. Header returns the value of a
+// header that occurs exactly once; its name may be given in any case.
+type Sight struct {
+	Route, Destination, Tenant string
+	Homes                      []string // regions in which both the route and the tenant may be served; empty means all
+	Header                     func(name string) ([]byte, bool)
+}
+
+const maxFlowNameBytes = 512
+
+// matches reports whether the rule applies to the request's route, tenant and destination.
+func (o *Order) matches(request *Sight) bool {
+	return !o.Stopped && slices.Contains(o.Routes, request.Route) && !slices.Contains(o.TenantsOut, request.Tenant) && o.target(request.Route, request.Destination) != nil
+}
+
+// Name returns the request's flow, and false if the request has none or the rule does not apply
+// to it.
+func (o *Order) Name(request *Sight) (Journey, bool) {
+	if !o.matches(request) {
+		return Journey{}, false
+	}
+	return o.flowID(request)
+}
+
+// flowID returns the hash of the flow name that the rule's source finds in the request.
+func (o *Order) flowID(request *Sight) (Journey, bool) {
+	var name []byte
+	tenant := ""
+	switch o.Journey.From {
+	case "header":
+		name, _ = request.Header(o.Journey.Name)
+	case "caller":
+		name, _ = request.Header(o.Journey.Name)
+		tenant = request.Tenant
+	case "cookie":
+		if header, ok := request.Header("Cookie"); ok {
+			name = cookieValue(header, o.Journey.Name)
+		}
+	case "trace":
+		if header, ok := request.Header("Traceparent"); ok {
+			name = traceID(header)
+		}
+	}
+	if len(name) == 0 || len(name) > maxFlowNameBytes {
+		return Journey{}, false
+	}
+	var buffer [256]byte
+	encoded := binary.AppendUvarint(buffer[:0], uint64(len(tenant)))
+	encoded = append(append(encoded, tenant...), name...)
+	h := xxh3.Hash128Seed(encoded, o.seed)
+	return Journey{h.Hi, h.Lo}, true
+}
+
+// Chooses reports whether the rule's share includes the flow.
+func (o *Order) Chooses(id Journey) bool {
+	return !o.Stopped && (o.selectsAll || id.Spot < o.threshold)
+}
+
+// cookieValue returns the value of the cookie with that name, if there is exactly one.
+func cookieValue(header []byte, name string) (value []byte) {
+	for len(header) > 0 {
+		var pair []byte
+		pair, header, _ = bytes.Cut(header, []byte{';'})
+		key, text, ok := bytes.Cut(bytes.Trim(pair, " \t"), []byte{'='})
+		if !ok || string(key) != name {
+			continue
+		}
+		if value != nil {
+			return nil
+		}
+		value = bytes.Trim(text, "\"")
+		if value == nil {
+			value = []byte{}
+		}
+	}
+	return value
+}
+
+// traceID returns the trace ID of a W3C traceparent header: 32 lower-case hexadecimal digits, not
+// all 0.
+func traceID(header []byte) []byte {
+	if len(header) < 55 || header[2] != '-' || header[35] != '-' || header[52] != '-' || len(header) > 55 && (header[55] != '-' || string(header[:2]) == "00") || string(header[:2]) == "ff" {
+		return nil
+	}
+	zero := true
+	for i, c := range header[:55] {
+		if i == 2 || i == 35 || i == 52 {
+			continue
+		}
+		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f') {
+			return nil
+		}
+		if i > 2 && i < 35 && c != '0' {
+			zero = false
+		}
+	}
+	if zero {
+		return nil
+	}
+	return header[3:35]
+}
+
+// mirrors reports whether a gatekeeper with this effective rule copies the flow, whose ID comes
+// from a rule with that scope hash.
+func (s Stance) mirrors(scopeHash uint64, id Journey) bool {
+	return s.Trail == scopeHash && scopeHash != 0 && (s.All || id.Spot < max(s.Cut, s.Was))
+}
+
+// key returns the member's identity without its region and address.
+func (s Seat) key() memberKey { return memberKey{s.Station, s.Life} }
+
+// memberKey is the identity of a member.
+type memberKey struct {
+	node        string
+	incarnation uint64
+}
+
+// hashMembers returns a hash of the members' nodes, regions and incarnations, never 0.
+func hashMembers(members []Seat) uint64 {
+	var encoded []byte
+	for _, member := range members {
+		for _, text := range []string{member.Station, member.Region} {
+			encoded = binary.AppendUvarint(encoded, uint64(len(text)))
+			encoded = append(encoded, text...)
+		}
+		encoded = binary.LittleEndian.AppendUint64(encoded, member.Life)
+	}
+	return max(xxh3.Hash(encoded), 1)
+}
+
+// memberList is a list of members by node name, with a hash of each for rendezvous hashing.
+type memberList struct {
+	hash    uint64
+	members []Seat
+	hashes  []uint64
+}
+
+// newMemberList sorts the members by node and keeps one per node.
+func newMemberList(members []Seat) *memberList {
+	list := &memberList{members: slices.Clone(members)}
+	slices.SortFunc(list.members, func(a, b Seat) int {
+		return bytes.Compare([]byte(a.Station), []byte(b.Station))
+	})
+	list.members = slices.CompactFunc(list.members, func(a, b Seat) bool { return a.Station == b.Station })
+	list.hash = hashMembers(list.members)
+	for _, member := range list.members {
+		list.hashes = append(list.hashes, xxh3.HashStringSeed(member.Station, member.Life))
+	}
+	return list
+}
+
+func (l *memberList) contains(key memberKey) bool {
+	return l != nil && slices.ContainsFunc(l.members, func(s Seat) bool { return s.key() == key })
+}
+
+// collector returns the member that collects a flow: the one in the region with the highest hash
+// of flow and member. It returns false if the region has no member.
+func (l *memberList) collector(region string, id Journey) (Seat, bool) {
+	bestScore, bestIndex := uint64(0), -1
+	for i, memberHash := range l.hashes {
+		if region != "" && l.members[i].Region != region {
+			continue
+		}
+		if score := mixBits(memberHash ^ id.Rest); bestIndex < 0 || score > bestScore {
+			bestScore, bestIndex = score, i
+		}
+	}
+	if bestIndex < 0 {
+		return Seat{}, false
+	}
+	return l.members[bestIndex], true
+}
+
+// mixBits is a bijective bit mixer for the scores of rendezvous hashing.
+func mixBits(x uint64) uint64 {
+	x ^= x >> 32
+	x *= 0xd6e8feb86659fd93
+	x ^= x >> 32
+	x *= 0xd6e8feb86659fd93
+	return x ^ x>>32
+}
