--- a/internal/spur/collector.go
+++ b/internal/spur/collector.go
@@ -28,10 +28,10 @@
 	answered     bool
 	startedAt    float64 // the incarnation started at this time at the latest
 	coveredUntil float64 // all items of requests that began earlier are known
-	lastItem     uint64
+	lastItem     uint64  // number of the last item received
 	rule         Stance
 	ruleSince    float64 // the effective rule began at this time at the latest
-	done         bool
+	done         bool    // its last response said that nothing will follow
 	lastGapAt    float64 // when a gap in its item numbers was last noticed
 	fetching     bool
 	fetchAt      float64
