--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -21,6 +21,7 @@
 	endCount
 )
 
+// endNames are the names that reports use.
 var endNames = [endCount]string{"served", "refused", "failed", "unheard"}
 
 // String returns the name of the result.
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -107,7 +107,8 @@
 	return zones
 }
 
-const addressesPerOctet = 250 // addresses that share a third octet
+// addressesPerOctet is the number of addresses that share a third octet.
+const addressesPerOctet = 250
 
 // address returns the n-th address of the range that begins at the given third octet.
 func (f *fleet) address(octet, n int) string {
--- a/internal/testing/soak/scenario.go
+++ b/internal/testing/soak/scenario.go
@@ -56,6 +56,7 @@
 	For    time.Duration // how long each one lasts; 0 for actions without a duration
 }
 
+// String returns the line that describes the step in reports.
 func (s Step) String() string {
 	return fmt.Sprintf("%5.1f s  %s, %d, %.1f s apart, for %.1f s", s.At.Seconds(), s.Action, s.Count, s.Gap.Seconds(), s.For.Seconds())
 }
@@ -84,6 +85,7 @@
 // Length returns how long clients send requests.
 func (s *Scenario) Length() time.Duration { return s.troubleEnd() + s.Calm }
 
+// String returns the deployment and all steps in the form used in reports.
 func (s *Scenario) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d gatekeepers, %d core machines, %d zones, %d workers, %d tenants, %.0f requests a second, %.0f s\n", s.Seed,
