--- a/cmd/forecast/main.go
+++ b/cmd/forecast/main.go
@@ -1,4 +1,5 @@
-// Command forecast draws days of trouble for a deployment, plays them, and shrinks those that break.
+// Command forecast generates fault scenarios ("days") for a simulated deployment, runs them in the simulator, and
+// shrinks failing ones to a minimal scenario.
 package main
 
 import (
--- a/cmd/whiteout/main.go
+++ b/cmd/whiteout/main.go
@@ -1,4 +1,4 @@
-// Command whiteout rehearses an overload of the whole cluster over this machine's loopback.
+// Command whiteout runs a live overload test of a whole cluster over the loopback interface.
 package main
 
 import (
--- a/internal/whiteout/child.go
+++ b/internal/whiteout/child.go
@@ -18,44 +18,48 @@
 	"foxwood/internal/switchback"
 )
 
-// child is one process of the system, as its own program would start it. SIGUSR1 cuts it off
-// from the others, SIGUSR2 joins it again.
-func child(program, mode string) int {
-	set, err := bootconfig.Read()
+// runChild runs one process of the cluster the way its own program would start it, and returns the
+// exit code. SIGUSR1 isolates the process from the others, SIGUSR2 reconnects it.
+func runChild(program, mode string) int {
+	settings, err := bootconfig.Read()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	if mode == copyMode {
-		return childOf(program, set, func(p *switchback.Proxy) { p.Shadow() }, nil)
+	if mode == modeCopies {
+		return serveProgram(program, settings, func(proxy *switchback.Proxy) { proxy.Shadow() }, nil)
 	}
-	return childOf(program, set, func(p *switchback.Proxy) {
-		p.Shed(map[string]switchback.ShedMode{"alike": switchback.ShedAlike, "whole": switchback.ShedAlike, "solitary": switchback.ShedSolitary, "dice": switchback.ShedDice}[mode])
-	}, func(b *bothy.Bothy) { b.Shed(snowline.Options{On: true, Caller: headCaller, Whole: mode == "whole"}) }, bothy.DutyLevel)
+	return serveProgram(program, settings, func(proxy *switchback.Proxy) {
+		proxy.Shed(map[string]switchback.ShedMode{"alike": switchback.ShedAlike, "whole": switchback.ShedAlike, "solitary": switchback.ShedSolitary, "dice": switchback.ShedDice}[mode])
+	}, func(control *bothy.Bothy) {
+		control.Shed(snowline.Options{On: true, Caller: callerHeader, Whole: mode == "whole"})
+	}, bothy.DutyLevel)
 }
 
-// childOf serves, with what gatekeepers and bothies do besides.
-func childOf(program string, set *bootconfig.Settings, gate func(*switchback.Proxy), core func(*bothy.Bothy), duties ...string) int {
+// serveProgram serves one program until it is told to stop. The two callbacks set options that
+// only this test uses on a proxy (switchback) or on a control node (bothy); duties are the cluster duties
+// that a control node competes for.
+func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*switchback.Proxy), configureControl func(*bothy.Bothy), duties ...string) int {
 	var err error
-	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", set.Station).Logger()
-	var r cli.Runner
+	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", settings.Station).Logger()
+	var runner cli.Runner
 	switch program {
 	case "cairn":
-		r, err = store.New(set, log)
+		runner, err = store.New(settings, log)
 	case "bothy":
-		b := bothy.New(set, log, duties...)
-		if core != nil {
-			core(b)
+		control := bothy.New(settings, log, duties...)
+		if configureControl != nil {
+			configureControl(control)
 		}
-		r = b
+		runner = control
 	case "switchback":
-		var p *switchback.Proxy
-		if p, err = switchback.New(set, log); err == nil {
-			gate(p)
+		var proxy *switchback.Proxy
+		if proxy, err = switchback.New(settings, log); err == nil {
+			configureProxy(proxy)
 		}
-		r = p
+		runner = proxy
 	default:
-		err = fmt.Errorf("no program %q", program)
+		err = fmt.Errorf("unknown program %q: expected cairn, bothy or switchback", program)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -63,23 +67,24 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	cuts := make(chan os.Signal, 1)
-	signal.Notify(cuts, syscall.SIGUSR1, syscall.SIGUSR2)
+	isolationSignals := make(chan os.Signal, 1)
+	signal.Notify(isolationSignals, syscall.SIGUSR1, syscall.SIGUSR2)
 	go func() {
-		for s := range cuts {
-			rpc.Isolate(s == syscall.SIGUSR1)
+		for received := range isolationSignals {
+			rpc.Isolate(received == syscall.SIGUSR1)
 		}
 	}()
-	go orphaned(stop)
-	if err := r.Serve(ctx); err != nil {
+	go stopOnParentExit(stop)
+	if err := runner.Serve(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	return 0
 }
 
-// orphaned ends the process once its parent has: standard input is a pipe of the parent's.
-func orphaned(stop func()) {
+// stopOnParentExit stops the process when its parent exits. Standard input is a pipe from the parent,
+// so the read returns at that moment.
+func stopOnParentExit(stop func()) {
 	_, _ = os.Stdin.Read(make([]byte, 1))
 	stop()
 }
--- a/internal/whiteout/clients.go
+++ b/internal/whiteout/clients.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	headCaller = "X-Caller"
-	deadline   = 2 * time.Second
-	tiers      = 5
-	callers    = 40 // of a tenant
-	triesMost  = 2
+	callerHeader     = "X-Caller"
+	requestDeadline  = 2 * time.Second // of a request, all attempts together
+	tierCount        = 5
+	callersPerTenant = 40
+	maxAttempts      = 2
 )
 
-// service is one with its route. Work of all adds up to the same load of its workers.
+// service describes a service and its route. The work and share of each service are chosen so that
+// the workers of all services are equally loaded.
 type service struct {
-	name  string
-	safe  bool
-	rank  int
-	work  time.Duration
-	aim   time.Duration
-	share float64 // of the requests
+	name          string
+	safe          bool          // may be repeated after a failure with unknown outcome
+	priority      int           // 0 is the most important
+	serviceTime   time.Duration // service time of one request
+	latencyTarget time.Duration // latency that counts as in time
+	requestShare  float64       // fraction of all requests
 }
 
 var services = []service{
@@ -40,209 +41,216 @@
 	{"schedule", true, 1, 60 * time.Millisecond, 800 * time.Millisecond, 2.0 / 9},
 }
 
-// fits is the requests a second that the workers can run at all.
-func fits() float64 {
-	return workersEach * workerSlots / (services[0].work.Seconds()) / services[0].share
+// capacity returns the number of requests per second that the workers can process at most.
+func capacity() float64 {
+	return workersPerService * workerSlots / (services[0].serviceTime.Seconds()) / services[0].requestShare
 }
 
+// tenant is one customer of the cluster.
 type tenant struct {
-	name, key string
-	rank      int
-	share     float64
+	name, key    string
+	tier         int     // 0 is the most important
+	requestShare float64 // fraction of all requests
 }
 
-// tenants are two of equal rank in each tier, the lower tiers larger.
+// tenants holds two tenants in each tier. Less important tiers send more requests.
 var tenants = func() (all []tenant) {
-	for rank, share := range []float64{0.10, 0.15, 0.20, 0.25, 0.30} {
+	for tier, share := range []float64{0.10, 0.15, 0.20, 0.25, 0.30} {
 		for i := range 2 {
-			name := fmt.Sprintf("plan%d-%c", rank, 'a'+i)
-			all = append(all, tenant{name, "key-" + name, rank, share / 2})
+			name := fmt.Sprintf("plan%d-%c", tier, 'a'+i)
+			all = append(all, tenant{name, "key-" + name, tier, share / 2})
 		}
 	}
 	return all
 }()
 
-// Ends of a try.
+// Outcomes of an attempt.
 const (
-	endOK = iota
-	endShed
-	endRefused // for want of room: no level's refusal
-	endDoubt   // a failure that promises nothing
-	endUnsent  // no connection
+	outcomeOK = iota
+	outcomeShed
+	outcomeRefused // refused for lack of capacity, not because of the shedding level
+	outcomeUnknown // failed; the worker may or may not have run it
+	outcomeNotSent // no connection was made
 )
 
-// try is one request on the wire.
-type try struct {
-	id     string
-	gate   int
-	caller string
-	rank   int // the tenant's
-	route  int // index of the service
-	sent   time.Time
-	ended  time.Time
-	end    int
+// attempt is one attempt to have a request served, sent to one proxy.
+type attempt struct {
+	id         string
+	proxy      int
+	caller     string
+	tenantTier int // tier of the tenant
+	route      int // index into services
+	sent       time.Time
+	ended      time.Time
+	outcome    int
 }
 
-// tier is what the order of tiers is judged by.
-func (t *try) tier() int { return t.rank<<4 | services[t.route].rank }
+// shedOrder returns the number by which attempts are ordered for shedding: the tenant's tier first, then the
+// priority of the service. A lower number is more important.
+func (t *attempt) shedOrder() int { return t.tenantTier<<4 | services[t.route].priority }
 
-// request is what a client wants: one or more tries.
+// request is one request of a client, with the result of its last attempt.
 type request struct {
-	at     time.Time
-	stage  int
-	rank   int
-	route  int
-	took   time.Duration
-	end    int // of the last try
-	inTime bool
-}
-
-// crowd is the clients. They send whether or not earlier ones were answered.
-type crowd struct {
-	gates []string
-	http  []*http.Client
-	down  []bool
-	mu    sync.Mutex
-	seq   int
-	tries []*try
-	asked []*request
-	wait  sync.WaitGroup
-	next  func() (tenant, string) // who asks next
-}
-
-func newCrowd(gates []*process) *crowd {
-	c := &crowd{down: make([]bool, len(gates)), next: anyone}
-	for _, g := range gates {
-		c.gates = append(c.gates, g.addr)
-		c.http = append(c.http, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 400, IdleConnTimeout: 10 * time.Second,
+	start     time.Time
+	stage     int // index into the run's stages
+	tier      int // tier of the tenant
+	route     int // index into services
+	latency   time.Duration
+	outcome   int  // outcome of the last attempt
+	metTarget bool // succeeded within the latency target of its service
+}
+
+// loadGenerator simulates the clients. It is an open-loop generator: it sends at the given rate, whether or not
+// earlier requests were answered.
+type loadGenerator struct {
+	proxyAddrs  []string
+	httpClients []*http.Client
+	delisted    []bool
+	mu          sync.Mutex
+	attemptSeq  int
+	attempts    []*attempt
+	requests    []*request
+	inFlight    sync.WaitGroup
+	nextCaller  func() (tenant, string) // returns the tenant and the caller of the next request
+}
+
+// newLoadGenerator returns a load generator that sends to the given proxies.
+func newLoadGenerator(proxies []*process) *loadGenerator {
+	generator := &loadGenerator{delisted: make([]bool, len(proxies)), nextCaller: randomCaller}
+	for _, proxy := range proxies {
+		generator.proxyAddrs = append(generator.proxyAddrs, proxy.addr)
+		generator.httpClients = append(generator.httpClients, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 400, IdleConnTimeout: 10 * time.Second,
 			DialContext: (&net.Dialer{Timeout: 500 * time.Millisecond}).DialContext}})
 	}
-	return c
+	return generator
 }
 
-// lost tells that a gatekeeper is no longer named by the directory.
-func (c *crowd) lost(gate int) {
+// delist excludes a proxy from further requests, as service discovery does when it no longer lists it.
+func (c *loadGenerator) delist(proxy int) {
 	c.mu.Lock()
-	c.down[gate] = true
+	c.delisted[proxy] = true
 	c.mu.Unlock()
 }
 
-// choose is a gatekeeper by chance, not the one just tried.
-func (c *crowd) choose(not int) int {
+// chooseProxy returns the index of a random proxy other than the excluded one.
+func (c *loadGenerator) chooseProxy(excluded int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		if g := rand.IntN(len(c.gates)); g != not && !c.down[g] {
-			return g
+		if proxy := rand.IntN(len(c.proxyAddrs)); proxy != excluded && !c.delisted[proxy] {
+			return proxy
 		}
 	}
 }
 
-// run sends at a rate for a time.
-func (c *crowd) run(ctx context.Context, stage int, rate float64, lasts time.Duration) {
-	next, end := time.Now(), time.Now().Add(lasts)
-	for next.Before(end) && ctx.Err() == nil {
-		time.Sleep(time.Until(next))
-		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
-		t, caller := c.next()
-		route := pick(len(services), func(i int) float64 { return services[i].share })
-		r := &request{at: time.Now(), stage: stage, rank: t.rank, route: route}
+// run sends requests as a Poisson process at the given rate per second for the given time.
+func (c *loadGenerator) run(ctx context.Context, stage int, rate float64, duration time.Duration) {
+	nextStart, end := time.Now(), time.Now().Add(duration)
+	for nextStart.Before(end) && ctx.Err() == nil {
+		time.Sleep(time.Until(nextStart))
+		nextStart = nextStart.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
+		sender, caller := c.nextCaller()
+		route := pickWeighted(len(services), func(i int) float64 { return services[i].requestShare })
+		req := &request{start: time.Now(), stage: stage, tier: sender.tier, route: route}
 		c.mu.Lock()
-		c.asked = append(c.asked, r)
+		c.requests = append(c.requests, req)
 		c.mu.Unlock()
-		c.wait.Go(func() { c.serve(r, t, caller) })
+		c.inFlight.Go(func() { c.perform(req, sender, caller) })
 	}
 	time.Sleep(time.Until(end))
 }
 
-// anyone is a caller by chance, by the tenants' shares.
-func anyone() (tenant, string) {
-	return tenants[pick(len(tenants), func(i int) float64 { return tenants[i].share })], strconv.Itoa(rand.IntN(callers))
+// randomCaller returns a random tenant, weighted by the tenants' shares, and one of its callers.
+func randomCaller() (tenant, string) {
+	return tenants[pickWeighted(len(tenants), func(i int) float64 { return tenants[i].requestShare })], strconv.Itoa(rand.IntN(callersPerTenant))
 }
 
-func pick(n int, share func(int) float64) int {
-	at := rand.Float64()
+// pickWeighted returns a random index below n, weighted by share; the shares add up to 1.
+func pickWeighted(n int, share func(int) float64) int {
+	remaining := rand.Float64()
 	for i := range n - 1 {
-		if at -= share(i); at < 0 {
+		if remaining -= share(i); remaining < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// serve goes on with a request until it is served, failed or out of tries. One that is refused
-// comes back as it was told, at another gatekeeper.
-func (c *crowd) serve(r *request, t tenant, caller string) {
-	gate := -1
-	for n := 0; ; n++ {
-		gate = c.choose(gate)
-		left := deadline - time.Since(r.at)
-		if left < 20*time.Millisecond {
+// perform sends attempts for a request until one succeeds, fails for good, or the attempts or the deadline
+// are used up. A refused request is retried at another proxy after the time given in Retry-After.
+func (c *loadGenerator) perform(req *request, sender tenant, caller string) {
+	proxy := -1
+	for made := 0; ; made++ {
+		proxy = c.chooseProxy(proxy)
+		timeLeft := requestDeadline - time.Since(req.start)
+		if timeLeft < 20*time.Millisecond {
 			break
 		}
-		k, after := c.try(r, t, caller, gate, left)
-		r.end, r.took = k.end, time.Since(r.at)
-		again := k.end == endShed || k.end == endRefused || k.end == endUnsent || k.end == endDoubt && services[r.route].safe
-		if !again || n+1 >= triesMost {
+		result, retryAfter := c.attemptOnce(req, sender, caller, proxy, timeLeft)
+		req.outcome, req.latency = result.outcome, time.Since(req.start)
+		mayRetry := result.outcome == outcomeShed || result.outcome == outcomeRefused || result.outcome == outcomeNotSent || result.outcome == outcomeUnknown && services[req.route].safe
+		if !mayRetry || made+1 >= maxAttempts {
 			break
 		}
-		time.Sleep(min(after, (deadline-time.Since(r.at))/3))
+		time.Sleep(min(retryAfter, (requestDeadline-time.Since(req.start))/3))
 	}
-	r.inTime = r.end == endOK && r.took <= services[r.route].aim
+	req.metTarget = req.outcome == outcomeOK && req.latency <= services[req.route].latencyTarget
 }
 
-func (c *crowd) try(r *request, t tenant, caller string, gate int, left time.Duration) (*try, time.Duration) {
-	s := services[r.route]
+// attemptOnce sends one attempt, records it, and returns it with the time to wait before the next.
+func (c *loadGenerator) attemptOnce(req *request, sender tenant, caller string, proxy int, timeLeft time.Duration) (*attempt, time.Duration) {
+	target := services[req.route]
 	c.mu.Lock()
-	c.seq++
-	k := &try{id: fmt.Sprintf("try-%d", c.seq), gate: gate, caller: t.name + "/" + caller, rank: t.rank, route: r.route, sent: time.Now()}
-	c.tries = append(c.tries, k)
+	c.attemptSeq++
+	result := &attempt{id: fmt.Sprintf("try-%d", c.attemptSeq), proxy: proxy, caller: sender.name + "/" + caller, tenantTier: sender.tier, route: req.route, sent: time.Now()}
+	c.attempts = append(c.attempts, result)
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+	ctx, cancel := context.WithTimeout(context.Background(), timeLeft)
 	defer cancel()
-	end, after := c.ask(ctx, s, t, caller, gate, k.id, left)
+	outcome, retryAfter := c.send(ctx, target, sender, caller, proxy, result.id, timeLeft)
 	c.mu.Lock()
-	k.end, k.ended = end, time.Now()
+	result.outcome, result.ended = outcome, time.Now()
 	c.mu.Unlock()
-	return k, after
+	return result, retryAfter
 }
 
-func (c *crowd) ask(ctx context.Context, s service, t tenant, caller string, gate int, id string, left time.Duration) (int, time.Duration) {
+// send makes the HTTP call of one attempt and returns its outcome and the time in Retry-After.
+func (c *loadGenerator) send(ctx context.Context, target service, sender tenant, caller string, proxy int, id string, timeLeft time.Duration) (int, time.Duration) {
 	method, body := http.MethodPost, io.Reader(bytes.NewReader([]byte(id)))
-	if s.safe {
+	if target.safe {
 		method, body = http.MethodGet, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.gates[gate]+"/"+s.name+"/x", body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.proxyAddrs[proxy]+"/"+target.name+"/x", body)
 	if err != nil {
-		return endUnsent, 0
+		return outcomeNotSent, 0
 	}
-	req.GetBody = nil // the transport must not send an unsafe one again by itself
+	req.GetBody = nil // keeps the transport from resending an unsafe request by itself
 	req.Host = "hut.example"
-	for name, v := range map[string]string{"X-Foxwood-Try-Id": id, "X-Foxwood-Time-Left": strconv.FormatInt(left.Milliseconds(), 10),
-		"Authorization": "Bearer " + t.key, headCaller: caller} {
-		req.Header.Set(name, v)
+	for name, value := range map[string]string{"X-Foxwood-Try-Id": id, "X-Foxwood-Time-Left": strconv.FormatInt(timeLeft.Milliseconds(), 10),
+		"Authorization": "Bearer " + sender.key, callerHeader: caller} {
+		req.Header.Set(name, value)
 	}
-	res, err := c.http[gate].Do(req)
+	res, err := c.httpClients[proxy].Do(req)
 	if err != nil {
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
-			return endUnsent, 0
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
+			return outcomeNotSent, 0
 		}
-		return endDoubt, 0
+		return outcomeUnknown, 0
 	}
-	got, err := io.ReadAll(res.Body)
+	answer, err := io.ReadAll(res.Body)
 	_ = res.Body.Close()
-	after, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-	wait := time.Duration(after * float64(time.Second))
+	retrySeconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
+	retryAfter := time.Duration(retrySeconds * float64(time.Second))
 	switch {
 	case err != nil:
-		return endDoubt, 0
-	case res.StatusCode == http.StatusOK && string(got) == "done "+id:
-		return endOK, 0
-	case res.StatusCode == http.StatusServiceUnavailable && string(got) == switchback.ShedText:
-		return endShed, wait
+		return outcomeUnknown, 0
+	case res.StatusCode == http.StatusOK && string(answer) == "done "+id:
+		return outcomeOK, 0
+	case res.StatusCode == http.StatusServiceUnavailable && string(answer) == switchback.ShedText:
+		return outcomeShed, retryAfter
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		return endRefused, wait
+		return outcomeRefused, retryAfter
 	}
-	return endDoubt, 0
+	return outcomeUnknown, 0
 }
--- a/internal/whiteout/cluster.go
+++ b/internal/whiteout/cluster.go
@@ -23,272 +23,279 @@
 )
 
 const (
-	gatekeepers = 6
-	cores       = 3
-	workersEach = 3
-	innerDock   = 7460
-	frontPort   = 8080
+	proxyCount        = 6
+	coreCount         = 3 // core machines: a store node and a control node each
+	workersPerService = 3
+	innerBasePort     = 7460 // first port for calls between nodes
+	publicPort        = 8080 // port for clients and operators
 )
 
-// line is a log line of a process, with when it was read here: one clock for all.
-type line struct {
-	at      time.Time
+// logLine is a log line of a process. It carries the time at which this program read it, so that
+// the lines of all processes are ordered by one clock.
+type logLine struct {
+	readAt  time.Time
 	program string
-	station string
+	node    string
 	fields  map[string]any
 }
 
-// process is one of ours.
+// process is a child process that runs one node of the cluster.
 type process struct {
-	name  string
-	addr  string // for clients, or inner
-	inner string
-	cmd   *exec.Cmd
-	stdin io.WriteCloser
-	done  chan struct{}
+	name      string
+	addr      string // address for clients and operators
+	innerAddr string // address for calls between nodes
+	cmd       *exec.Cmd
+	stdin     io.WriteCloser
+	exited    chan struct{}
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// cluster is the whole system on loopback addresses.
+// cluster is the system under test: all its processes, workers and the platform on loopback addresses.
 type cluster struct {
-	dir, net  string
-	mode      string
-	book      *standin.Ledger
-	workers   []*standin.Worker
-	platform  *http.Server
-	gates     []*process
-	bothies   []*process
-	cairns    []*process
-	mu        sync.Mutex
-	lines     []line
-	processes []*process
-	counted   [gatekeepers]waymark.Copies // what each last said of its copies
+	dir, netPrefix string // folder for the nodes' files; first two bytes of all addresses
+	mode           string // shedding mode, or modeCopies
+	ledger         *standin.Ledger
+	workers        []*standin.Worker
+	platform       *http.Server
+	proxies        []*process
+	controlNodes   []*process
+	storeNodes     []*process
+	mu             sync.Mutex
+	levelLog       []logLine
+	processes      []*process
+	lastCopies     [proxyCount]waymark.Copies // each proxy's last answer about its copies
 }
 
-func (c *cluster) ip(part, n int) string { return fmt.Sprintf("%s.%d.%d", c.net, part, n+1) }
+// ip returns the address of the n-th host of a part: 1 proxies, 2 core machines, 3 workers, 4 the
+// platform, 5 the shadow service.
+func (c *cluster) ip(part, n int) string { return fmt.Sprintf("%s.%d.%d", c.netPrefix, part, n+1) }
 
-// start brings the system up with a configuration.
+// start starts the cluster, puts its configuration in force, and waits until it is ready.
 func (c *cluster) start(ctx context.Context) error {
 	if err := c.startWorkers(); err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", net.JoinHostPort(c.ip(4, 0), fmt.Sprint(frontPort)))
+	listener, err := net.Listen("tcp", net.JoinHostPort(c.ip(4, 0), fmt.Sprint(publicPort)))
 	if err != nil {
 		return err
 	}
-	c.platform = &http.Server{Handler: http.HandlerFunc(c.roster)}
-	go func() { _ = c.platform.Serve(ln) }()
-	for i := range cores {
+	c.platform = &http.Server{Handler: http.HandlerFunc(c.serveRoster)}
+	go func() { _ = c.platform.Serve(listener) }()
+	for i := range coreCount {
 		for _, program := range []string{"cairn", "bothy"} {
-			p, err := c.spawn(program, 2, i)
+			node, err := c.spawn(program, 2, i)
 			if err != nil {
 				return err
 			}
 			if program == "bothy" {
-				c.bothies = append(c.bothies, p)
+				c.controlNodes = append(c.controlNodes, node)
 			} else {
-				c.cairns = append(c.cairns, p)
+				c.storeNodes = append(c.storeNodes, node)
 			}
 		}
 	}
-	for i := range gatekeepers {
-		p, err := c.spawn("switchback", 1, i)
+	for i := range proxyCount {
+		node, err := c.spawn("switchback", 1, i)
 		if err != nil {
 			return err
 		}
-		c.gates = append(c.gates, p)
+		c.proxies = append(c.proxies, node)
 	}
 	if err := c.configure(ctx); err != nil {
 		return err
 	}
-	return c.ready(ctx)
+	return c.waitReady(ctx)
 }
 
-// spawn starts a child of this program.
+// spawn writes the settings file of a node and starts the node as a child of this program.
 func (c *cluster) spawn(program string, part, n int) (*process, error) {
 	ip := c.ip(part, n)
 	zone := []string{"a", "b"}[n%2]
-	var seeds []string
-	for i := range cores {
-		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(c.ip(2, i), fmt.Sprint(frontPort))))
+	var seedAddrs []string
+	for i := range coreCount {
+		seedAddrs = append(seedAddrs, fmt.Sprintf("%q", net.JoinHostPort(c.ip(2, i), fmt.Sprint(publicPort))))
 	}
 	archive := filepath.Join(c.dir, fmt.Sprintf("%s-%d", program, n))
 	if err := os.MkdirAll(archive, 0o755); err != nil {
 		return nil, err
 	}
-	dock, gates := innerDock, fmt.Sprintf("counter = %q", net.JoinHostPort(ip, fmt.Sprint(frontPort)))
+	innerPort, listenSettings := innerBasePort, fmt.Sprintf("counter = %q", net.JoinHostPort(ip, fmt.Sprint(publicPort)))
 	switch program {
 	case "bothy":
-		gates = fmt.Sprintf("controlDesk = %q\ndirectoryDesk = %q", net.JoinHostPort(ip, fmt.Sprint(frontPort)), net.JoinHostPort(ip, fmt.Sprint(frontPort)))
+		listenSettings = fmt.Sprintf("controlDesk = %q\ndirectoryDesk = %q", net.JoinHostPort(ip, fmt.Sprint(publicPort)), net.JoinHostPort(ip, fmt.Sprint(publicPort)))
 	case "cairn":
-		dock, gates = innerDock+1, ""
+		innerPort, listenSettings = innerBasePort+1, ""
 	}
-	text := fmt.Sprintf("station = \"%s-%d\"\nrole = %q\nip = %q\nzone = %q\nregion = \"r\"\ninnerDocks = [%d,%d]\nfirstStations = [%s]\nfirstRun = true\narchiveDir = %q\n"+
+	settings := fmt.Sprintf("station = \"%s-%d\"\nrole = %q\nip = %q\nzone = %q\nregion = \"r\"\ninnerDocks = [%d,%d]\nfirstStations = [%s]\nfirstRun = true\narchiveDir = %q\n"+
 		"[zones]\na = \"r\"\nb = \"r\"\n[gates]\n%s\n[sizeLimits]\ncpuShare = 1.0\nmemoryMb = 400\nhandles = 4000\n[carrierApi]\naddress = %q\nratePerS = 50.0\n",
-		program, n, program, ip, zone, innerDock, innerDock+9, strings.Join(seeds, ","), archive, gates, net.JoinHostPort(c.ip(4, 0), fmt.Sprint(frontPort)))
-	file := archive + ".toml"
-	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		program, n, program, ip, zone, innerBasePort, innerBasePort+9, strings.Join(seedAddrs, ","), archive, listenSettings, net.JoinHostPort(c.ip(4, 0), fmt.Sprint(publicPort)))
+	settingsFile := archive + ".toml"
+	if err := os.WriteFile(settingsFile, []byte(settings), 0o644); err != nil {
 		return nil, err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	p := &process{name: fmt.Sprintf("%s-%d", program, n), addr: net.JoinHostPort(ip, fmt.Sprint(frontPort)),
-		inner: net.JoinHostPort(ip, fmt.Sprint(dock)), done: make(chan struct{})}
-	p.cmd = exec.Command(self, "child", program, c.mode)
-	p.cmd.Env = append(os.Environ(), "FOXWOOD_BOOT="+file)
-	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
+	node := &process{name: fmt.Sprintf("%s-%d", program, n), addr: net.JoinHostPort(ip, fmt.Sprint(publicPort)),
+		innerAddr: net.JoinHostPort(ip, fmt.Sprint(innerPort)), exited: make(chan struct{})}
+	node.cmd = exec.Command(executable, "child", program, c.mode)
+	node.cmd.Env = append(os.Environ(), "FOXWOOD_BOOT="+settingsFile)
+	if node.stdin, err = node.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := p.cmd.StderrPipe()
+	stderr, err := node.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := node.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go c.read(p, out)
-	c.processes = append(c.processes, p)
-	return p, nil
+	go c.collectLevelLog(node, stderr)
+	c.processes = append(c.processes, node)
+	return node, nil
 }
 
-// read keeps the lines that tell of the level.
-func (c *cluster) read(p *process, out io.Reader) {
-	in := bufio.NewScanner(out)
-	in.Buffer(nil, 1<<20)
-	for in.Scan() {
-		at := time.Now()
+// collectLevelLog collects the log lines that report a change of the shedding level, until the process ends.
+func (c *cluster) collectLevelLog(node *process, stderr io.Reader) {
+	scanner := bufio.NewScanner(stderr)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		readAt := time.Now()
 		if os.Getenv("WHITEOUT_LOGS") != "" {
-			fmt.Fprintln(os.Stderr, at.Format("05.000"), p.name, in.Text())
+			fmt.Fprintln(os.Stderr, readAt.Format("05.000"), node.name, scanner.Text())
 		}
-		if !bytes.Contains(in.Bytes(), []byte("shedding level")) {
+		if !bytes.Contains(scanner.Bytes(), []byte("shedding level")) {
 			continue
 		}
 		fields := map[string]any{}
-		if json.Unmarshal(in.Bytes(), &fields) == nil {
+		if json.Unmarshal(scanner.Bytes(), &fields) == nil {
 			c.mu.Lock()
-			c.lines = append(c.lines, line{at: at, program: strings.Split(p.name, "-")[0], station: p.name, fields: fields})
+			c.levelLog = append(c.levelLog, logLine{readAt: readAt, program: strings.Split(node.name, "-")[0], node: node.name, fields: fields})
 			c.mu.Unlock()
 		}
 	}
-	_ = p.cmd.Wait()
-	close(p.done)
+	_ = node.cmd.Wait()
+	close(node.exited)
 }
 
-// roster is the platform's list.
-func (c *cluster) roster(w http.ResponseWriter, _ *http.Request) {
+// serveRoster answers as the platform does: with the list of workers.
+func (c *cluster) serveRoster(w http.ResponseWriter, _ *http.Request) {
 	rows := [][]any{}
-	for _, k := range c.workers {
-		rows = append(rows, k.Row())
+	for _, worker := range c.workers {
+		rows = append(rows, worker.Row())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"nextToken": nil, "roster": map[string]any{
 		"columns": standin.RowColumns(), "rows": rows}})
 }
 
-// configure puts the configuration in force.
+// configure submits the configuration: routes, destinations, tenants and size limits.
 func (c *cluster) configure(ctx context.Context) error {
-	var courses, dests, senders [][]any
+	var routeRows, destinationRows, tenantRows [][]any
 	for _, s := range services {
 		kind := "unsafe"
 		if s.safe {
 			kind = "safe"
 		}
-		courses = append(courses, []any{"route-" + s.name, "hut.example", "/" + s.name + "/", kind, deadline.Seconds(), s.aim.Seconds(), s.rank, s.name, 2})
-		dests = append(dests, []any{s.name, "/health", 130})
+		routeRows = append(routeRows, []any{"route-" + s.name, "hut.example", "/" + s.name + "/", kind, requestDeadline.Seconds(), s.latencyTarget.Seconds(), s.priority, s.name, 2})
+		destinationRows = append(destinationRows, []any{s.name, "/health", 130})
 	}
 	for _, t := range tenants {
-		senders = append(senders, []any{t.name, []string{t.key}, t.rank})
+		tenantRows = append(tenantRows, []any{t.name, []string{t.key}, t.tier})
 	}
 	body, err := json.Marshal(map[string]any{"edition": "00000001",
-		"courses":      map[string]any{"columns": []string{"name", "domain", "streetPrefix", "kind", "deadlineS", "targetS", "priority", "destination", "tries"}, "rows": courses},
-		"destinations": map[string]any{"columns": []string{"name", "healthPath", "berthCap"}, "rows": dests},
-		"senders":      map[string]any{"columns": []string{"name", "passes", "priority"}, "rows": senders},
+		"courses":      map[string]any{"columns": []string{"name", "domain", "streetPrefix", "kind", "deadlineS", "targetS", "priority", "destination", "tries"}, "rows": routeRows},
+		"destinations": map[string]any{"columns": []string{"name", "healthPath", "berthCap"}, "rows": destinationRows},
+		"senders":      map[string]any{"columns": []string{"name", "passes", "priority"}, "rows": tenantRows},
 		"sizeLimits":   map[string]any{"envelopeBytes": 16384, "bodyBytes": 1 << 20, "envelopeS": 3, "idleS": 30}})
 	if err != nil {
 		return err
 	}
-	return c.operate(ctx, http.MethodPut, "/timetable", body)
+	return c.callControl(ctx, http.MethodPut, "/timetable", body)
 }
 
-// operate is an operator's call at one control gatekeeper after the other, until it is taken.
-func (c *cluster) operate(ctx context.Context, method, path string, body []byte) error {
-	end := time.Now().Add(40 * time.Second)
-	last := ""
-	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+c.bothies[n%cores].addr+path, bytes.NewReader(body))
+// callControl makes an operator's call to one control node after another until one accepts it, for at
+// most 40 s. A status below 500 other than OK ends it with an error.
+func (c *cluster) callControl(ctx context.Context, method, path string, body []byte) error {
+	giveUpAt := time.Now().Add(40 * time.Second)
+	lastFailure := ""
+	for n := 0; time.Now().Before(giveUpAt) && ctx.Err() == nil; n++ {
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+c.controlNodes[n%coreCount].addr+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
 		res, err := (&http.Client{Timeout: 2 * time.Second}).Do(req)
 		if err != nil {
-			last = err.Error()
+			lastFailure = err.Error()
 		} else {
-			said, _ := io.ReadAll(res.Body)
+			answer, _ := io.ReadAll(res.Body)
 			_ = res.Body.Close()
 			if res.StatusCode == http.StatusOK {
 				return nil
 			}
-			last = fmt.Sprintf("%d %s", res.StatusCode, said)
+			lastFailure = fmt.Sprintf("%d %s", res.StatusCode, answer)
 			if res.StatusCode < 500 {
-				return fmt.Errorf("%s %s was refused: %s", method, path, said)
+				return fmt.Errorf("%s %s: expected status 200, got %d: %s", method, path, res.StatusCode, answer)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return fmt.Errorf("%s %s was not taken in time, at last: %s", method, path, last)
+	return fmt.Errorf("%s %s not accepted within 40 s, last failure: %s", method, path, lastFailure)
 }
 
-// ready waits until all gatekeepers serve and somebody has the duty.
-func (c *cluster) ready(ctx context.Context) error {
-	end := time.Now().Add(30 * time.Second)
-	for time.Now().Before(end) && ctx.Err() == nil {
-		n := 0
-		for _, g := range c.gates {
-			if s, err := ask(g.inner); err == nil && strings.Contains(s, "ready true") && strings.Contains(s, fmt.Sprintf("of %d members", gatekeepers)) {
-				n++
+// waitReady waits until all proxies serve and, where one level holds for all of them, a control node holds
+// the duty that sets it.
+func (c *cluster) waitReady(ctx context.Context) error {
+	giveUpAt := time.Now().Add(30 * time.Second)
+	for time.Now().Before(giveUpAt) && ctx.Err() == nil {
+		readyProxies := 0
+		for _, proxy := range c.proxies {
+			if status, err := queryStatus(proxy.innerAddr); err == nil && strings.Contains(status, "ready true") && strings.Contains(status, fmt.Sprintf("of %d members", proxyCount)) {
+				readyProxies++
 			}
 		}
-		if n == gatekeepers && (c.mode != "alike" && c.mode != "whole" || c.holder() >= 0) {
-			time.Sleep(2 * time.Second) // the first level's gathering
+		if readyProxies == proxyCount && (c.mode != "alike" && c.mode != "whole" || c.levelHolder() >= 0) {
+			time.Sleep(2 * time.Second) // until the first level has been computed
 			return nil
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return fmt.Errorf("the gatekeepers were not ready in time")
+	return fmt.Errorf("cluster not ready within 30 s: expected %d ready proxies and a holder of the level duty", proxyCount)
 }
 
-func ask(inner string) (string, error) {
-	p := rpc.NewPeer(inner)
-	defer p.Close()
+// queryStatus returns the status lines of the node at an address for calls between nodes.
+func queryStatus(addr string) (string, error) {
+	peer := rpc.NewPeer(addr)
+	defer peer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	s, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, p, waymark.AskStatus{})
-	return strings.Join(s.Lines, "\n"), err
+	status, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, peer, waymark.AskStatus{})
+	return strings.Join(status.Lines, "\n"), err
 }
 
-// holder is the core machine with the duty, -1 for none.
-func (c *cluster) holder() int {
-	for i, b := range c.bothies {
-		if s, err := ask(b.inner); err == nil && strings.Contains(s, "duty level held by "+b.inner) {
+// levelHolder returns the index of the control node that holds the level duty, or -1 if none does.
+func (c *cluster) levelHolder() int {
+	for i, control := range c.controlNodes {
+		if status, err := queryStatus(control.innerAddr); err == nil && strings.Contains(status, "duty level held by "+control.innerAddr) {
 			return i
 		}
 	}
 	return -1
 }
 
-// stop ends what was started, by its process.
+// stop kills the child processes, waits for them, and stops the workers and the platform.
 func (c *cluster) stop() {
-	for _, p := range c.processes {
-		_ = p.cmd.Process.Kill()
+	for _, node := range c.processes {
+		_ = node.cmd.Process.Kill()
 	}
-	for _, p := range c.processes {
-		<-p.done
+	for _, node := range c.processes {
+		<-node.exited
 	}
-	for _, w := range c.workers {
-		w.Stop()
+	for _, worker := range c.workers {
+		worker.Stop()
 	}
 	if c.platform != nil {
 		_ = c.platform.Close()
--- a/internal/whiteout/copies.go
+++ b/internal/whiteout/copies.go
@@ -24,84 +24,90 @@
 	"foxwood/internal/waymark"
 )
 
-// What copies cost: the same cluster with copying off, at a tenth and at all journeys, in turns.
+// This file measures the cost of traffic shadowing: on one cluster, phases in which nothing is copied alternate
+// with phases in which 10 % or 100 % of the journeys (request sequences of one caller) are copied.
 
 const (
-	copyMode   = "copies"
-	copyRate   = 240.0 // requests a second
-	offFor     = 20.0  // seconds
-	onFor      = 48.0
-	offSkip    = 3.0 // until the stop is in force and what was open is dropped
-	onSkip     = 14.0
-	visitsOpen = 24
-	visitLong  = 5 // requests, about
-	clockTick  = 100.0
+	modeCopies            = "copies"
+	copyRequestsPerSecond = 240.0
+	offSeconds            = 20.0 // length of a phase without copies
+	onSeconds             = 48.0 // length of a phase with copies
+	offWarmupSeconds      = 3.0  // not measured: until the stop is in force and open journeys are dropped
+	onWarmupSeconds       = 14.0 // not measured
+	openJourneys          = 24
+	meanJourneyRequests   = 5     // mean length of a journey
+	clockTicksPerSecond   = 100.0 // unit of the processor times in /proc/PID/stat
 )
 
-// quick are services that answer at once, so that what is measured is the way there.
-var quick = []service{
+// fastServices holds services with very short service times, so that the measured latency is mostly the proxies'.
+var fastServices = []service{
 	{"quote", true, 0, 2 * time.Millisecond, 500 * time.Millisecond, 0.4},
 	{"lookup", true, 0, 2 * time.Millisecond, 500 * time.Millisecond, 0.4},
 	{"preapproval", false, 0, 3 * time.Millisecond, 500 * time.Millisecond, 0.2},
 }
 
-// visits are the journeys that clients are on.
-type visits struct {
-	mu   sync.Mutex
-	open []visitor
-	seq  int
+// journeySet holds the journeys that are open.
+type journeySet struct {
+	mu      sync.Mutex
+	open    []journey
+	started int // number of journeys started so far
 }
 
-type visitor struct {
+// journey is a sequence of requests of one caller.
+type journey struct {
 	tenant tenant
-	name   string
+	caller string
 }
 
-// next is who asks next. Some have asked for the last time then.
-func (v *visits) next() (tenant, string) {
+// nextCaller returns the tenant and the caller of the next request. With a probability of 1 in meanJourneyRequests it
+// is the last request of its journey.
+func (v *journeySet) nextCaller() (tenant, string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for len(v.open) < visitsOpen {
-		v.seq++
-		v.open = append(v.open, visitor{tenants[rand.IntN(len(tenants))], fmt.Sprintf("visit-%d", v.seq)})
+	for len(v.open) < openJourneys {
+		v.started++
+		v.open = append(v.open, journey{tenants[rand.IntN(len(tenants))], fmt.Sprintf("visit-%d", v.started)})
 	}
 	i := rand.IntN(len(v.open))
-	k := v.open[i]
-	if rand.IntN(visitLong) == 0 {
+	chosen := v.open[i]
+	if rand.IntN(meanJourneyRequests) == 0 {
 		v.open = slices.Delete(v.open, i, i+1)
 	}
-	return k.tenant, k.name
+	return chosen.tenant, chosen.caller
 }
 
-// shadowBook is what the shadow service got.
-type shadowBook struct {
-	mu     sync.Mutex
-	ids    map[string]int
-	pieces map[string][]string // of each visitor: what each copy said
+// shadowServer is the shadow service. It records the copies that it receives.
+type shadowServer struct {
+	mu              sync.Mutex
+	copiesByID      map[string]int      // number of copies received under each shadow id
+	headersByCaller map[string][]string // by caller: the X-Foxwood-Shadow header of each copy
 }
 
-func (b *shadowBook) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP records a copy and answers with status 200.
+func (b *shadowServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ids[r.Header.Get("X-Foxwood-Shadow-Id")]++
-	name := r.Header.Get(headCaller)
-	b.pieces[name] = append(b.pieces[name], r.Header.Get("X-Foxwood-Shadow"))
+	b.copiesByID[r.Header.Get("X-Foxwood-Shadow-Id")]++
+	caller := r.Header.Get(callerHeader)
+	b.headersByCaller[caller] = append(b.headersByCaller[caller], r.Header.Get("X-Foxwood-Shadow"))
 }
 
-// spent is one phase's cost.
-type spent struct {
-	mode      string
-	from, to  time.Time
-	cpu       time.Duration // of all gatekeepers
-	rss       float64       // MB of one
-	requests  int
-	quotes    []float64 // ms, of quotes and lookups
-	delivered uint64
+// phaseCost is the measured cost of one phase.
+type phaseCost struct {
+	mode        string
+	from, to    time.Time     // the measured part of the phase
+	cpu         time.Duration // processor time of all proxies
+	rssMB       float64       // mean memory of a proxy, in MB
+	requests    int
+	latenciesMs []float64 // of successful safe requests; sorted once the run is over
+	copiesSent  uint64    // copies sent by all proxies
 }
 
-func (s *spent) at(q float64) float64 { return quantile(s.quotes, q) }
+// latencyQuantile returns a quantile of the latencies, in milliseconds.
+func (s *phaseCost) latencyQuantile(q float64) float64 { return quantile(s.latenciesMs, q) }
 
+// quantile returns the q-quantile of sorted values, or NaN without any.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
@@ -109,277 +115,282 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Copies runs the phases and tells what they cost.
+// Copies runs the command "whiteout copies": it measures the cost of shadowing, prints the report and
+// returns the exit code.
 func Copies(args []string) int {
-	f := flag.NewFlagSet("whiteout copies", flag.ContinueOnError)
-	out := f.String("out", "", "folder for copies-live.md; empty: only print")
-	rounds := f.Int("rounds", 2, "of off, a tenth, off, all; 1 to 10, about two and a half minutes each")
-	if f.Parse(args) != nil {
+	flags := flag.NewFlagSet("whiteout copies", flag.ContinueOnError)
+	outDir := flags.String("out", "", "folder for copies-live.md; empty: only print")
+	rounds := flags.Int("rounds", 2, "of off, a tenth, off, all; 1 to 10, about two and a half minutes each")
+	if flags.Parse(args) != nil {
 		return 2
 	}
-	if f.NArg() > 0 || *rounds < 1 || *rounds > 10 {
-		f.Usage()
+	if flags.NArg() > 0 || *rounds < 1 || *rounds > 10 {
+		flags.Usage()
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	text, faults, err := copies(ctx, *rounds)
+	report, violations, err := measureCopies(ctx, *rounds)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "whiteout copies:", err)
 		return 1
 	}
-	fmt.Print(text)
-	if *out != "" {
-		if err := os.WriteFile(filepath.Join(*out, "copies-live.md"), []byte(text), 0o644); err != nil {
+	fmt.Print(report)
+	if *outDir != "" {
+		if err := os.WriteFile(filepath.Join(*outDir, "copies-live.md"), []byte(report), 0o644); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
 	}
-	for _, x := range faults {
-		fmt.Fprintln(os.Stderr, "whiteout copies: "+x)
+	for _, violation := range violations {
+		fmt.Fprintln(os.Stderr, "whiteout copies: "+violation)
 	}
-	return min(len(faults), 1)
+	return min(len(violations), 1)
 }
 
-func copies(ctx context.Context, rounds int) (text string, faults []string, err error) {
-	services = quick
+// measureCopies runs all phases on one cluster and returns the report and the violations found.
+func measureCopies(ctx context.Context, rounds int) (report string, violations []string, err error) {
+	services = fastServices
 	dir, err := os.MkdirTemp(os.Getenv("WHITEOUT_DISKS"), "whiteout")
 	if err != nil {
 		return "", nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &cluster{dir: dir, net: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: copyMode, book: standin.NewLedger()}
-	defer c.stop()
-	if err := c.start(ctx); err != nil {
+	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: modeCopies, ledger: standin.NewLedger()}
+	defer system.stop()
+	if err := system.start(ctx); err != nil {
 		return "", nil, err
 	}
-	book := &shadowBook{ids: map[string]int{}, pieces: map[string][]string{}}
-	ln, err := net.Listen("tcp", net.JoinHostPort(c.ip(5, 0), fmt.Sprint(frontPort)))
+	shadow := &shadowServer{copiesByID: map[string]int{}, headersByCaller: map[string][]string{}}
+	listener, err := net.Listen("tcp", net.JoinHostPort(system.ip(5, 0), fmt.Sprint(publicPort)))
 	if err != nil {
 		return "", nil, err
 	}
-	server := &http.Server{Handler: book}
-	go func() { _ = server.Serve(ln) }()
+	server := &http.Server{Handler: shadow}
+	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 
-	crowd := newCrowd(c.gates)
-	crowd.next = (&visits{}).next
-	var phases []*spent
+	generator := newLoadGenerator(system.proxies)
+	generator.nextCaller = (&journeySet{}).nextCaller
+	var phases []*phaseCost
 	number := 0
-	phase := func(mode string, share float64) error {
+	runPhase := func(mode string, share float64) error {
 		number++
 		method, body := http.MethodPut, fmt.Sprintf(`{"number":%d,"routes":["route-quote","route-lookup","route-preapproval"],"share":%g,"key":"0123456789abcdef",`+
 			`"journey":{"from":"caller","name":%q},"endS":10,"shadows":[{"destination":"quote","address":%q},{"destination":"lookup","address":%q},`+
-			`{"destination":"preapproval","address":%q}]}`, number, share, headCaller, ln.Addr(), ln.Addr(), ln.Addr())
-		lasts, skip := onFor, onSkip
+			`{"destination":"preapproval","address":%q}]}`, number, share, callerHeader, listener.Addr(), listener.Addr(), listener.Addr())
+		seconds, warmupSeconds := onSeconds, onWarmupSeconds
 		if share == 0 {
-			method, body, lasts, skip = http.MethodDelete, "", offFor, offSkip
+			method, body, seconds, warmupSeconds = http.MethodDelete, "", offSeconds, offWarmupSeconds
 		}
-		if err := c.operate(ctx, method, "/shadow", []byte(body)); err != nil {
+		if err := system.callControl(ctx, method, "/shadow", []byte(body)); err != nil {
 			return err
 		}
-		fmt.Fprintf(os.Stderr, "%s, %.0f s\n", mode, lasts)
-		s := &spent{mode: mode}
+		fmt.Fprintf(os.Stderr, "%s, %.0f s\n", mode, seconds)
+		cost := &phaseCost{mode: mode}
 		measured := make(chan bool)
 		go func() {
 			defer close(measured)
-			time.Sleep(time.Duration(skip * float64(time.Second)))
-			s.from, s.cpu, s.delivered = time.Now(), -c.cpu(), -c.delivered()
+			time.Sleep(time.Duration(warmupSeconds * float64(time.Second)))
+			cost.from, cost.cpu, cost.copiesSent = time.Now(), -system.proxyCPUTime(), -system.copiesSent()
 		}()
-		crowd.run(ctx, len(phases), copyRate, time.Duration(lasts*float64(time.Second)))
+		generator.run(ctx, len(phases), copyRequestsPerSecond, time.Duration(seconds*float64(time.Second)))
 		<-measured
-		s.to, s.rss = time.Now(), c.rss()
-		s.cpu += c.cpu()
-		s.delivered += c.delivered()
-		phases = append(phases, s)
+		cost.to, cost.rssMB = time.Now(), system.meanProxyRSS()
+		cost.cpu += system.proxyCPUTime()
+		cost.copiesSent += system.copiesSent()
+		phases = append(phases, cost)
 		return ctx.Err()
 	}
 	for range rounds {
-		for _, x := range []struct {
+		for _, setting := range []struct {
 			mode  string
 			share float64
 		}{{"off", 0}, {"10 %", 0.1}, {"off", 0}, {"100 %", 1}} {
-			if err := phase(x.mode, x.share); err != nil {
+			if err := runPhase(setting.mode, setting.share); err != nil {
 				return "", nil, err
 			}
 		}
 	}
-	if err := phase("off", 0); err != nil {
+	if err := runPhase("off", 0); err != nil {
 		return "", nil, err
 	}
-	crowd.wait.Wait()
-	time.Sleep(2 * time.Second) // what was on its way to the shadow
-	status := c.copyCounts()
-	for _, r := range crowd.asked {
-		s := phases[r.stage]
-		if r.at.Before(s.from) || r.at.After(s.to) {
+	generator.inFlight.Wait()
+	time.Sleep(2 * time.Second) // until copies in transit have reached the shadow service
+	status := system.copyCounts()
+	for _, req := range generator.requests {
+		cost := phases[req.stage]
+		if req.start.Before(cost.from) || req.start.After(cost.to) {
 			continue
 		}
-		s.requests++
-		if services[r.route].safe && r.end == endOK {
-			s.quotes = append(s.quotes, float64(r.took)/1e6)
+		cost.requests++
+		if services[req.route].safe && req.outcome == outcomeOK {
+			cost.latenciesMs = append(cost.latenciesMs, float64(req.latency)/1e6)
 		}
 	}
-	for _, s := range phases {
-		slices.Sort(s.quotes)
+	for _, cost := range phases {
+		slices.Sort(cost.latenciesMs)
 	}
-	text, faults = copyReport(phases, crowd, c.book, book, status)
-	return text, faults, nil
+	report, violations = copyReport(phases, generator, system.ledger, shadow, status)
+	return report, violations, nil
 }
 
-// copyCounts is the sum of what gatekeepers say.
-func (c *cluster) copyCounts() (sum waymark.Copies) {
-	for i, g := range c.gates {
-		p := rpc.NewPeer(g.inner)
+// copyCounts returns the sum of all proxies' counts of copies.
+func (c *cluster) copyCounts() (total waymark.Copies) {
+	for i, proxy := range c.proxies {
+		peer := rpc.NewPeer(proxy.innerAddr)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		a, err := rpc.Call[waymark.AskCopies, waymark.Copies](ctx, p, waymark.AskCopies{})
+		answer, err := rpc.Call[waymark.AskCopies, waymark.Copies](ctx, peer, waymark.AskCopies{})
 		cancel()
-		p.Close()
-		if err != nil { // on a busy machine: what it said last
-			a = c.counted[i]
+		peer.Close()
+		if err != nil { // a call may time out on a busy machine: use the last answer
+			answer = c.lastCopies[i]
 		}
-		c.counted[i] = a
-		k, of := &sum.Status.Counts, a.Status.Counts
-		k.Whole, k.Broken, k.Delivered, k.Held, k.Copies = k.Whole+of.Whole, k.Broken+of.Broken, k.Delivered+of.Delivered, k.Held+of.Held, k.Copies+of.Copies
-		for i, n := range of.By {
-			k.By[i] += n
+		c.lastCopies[i] = answer
+		totals, counts := &total.Status.Counts, answer.Status.Counts
+		totals.Whole, totals.Broken, totals.Delivered, totals.Held, totals.Copies = totals.Whole+counts.Whole, totals.Broken+counts.Broken, totals.Delivered+counts.Delivered, totals.Held+counts.Held, totals.Copies+counts.Copies
+		for i, n := range counts.By {
+			totals.By[i] += n
 		}
-		sum.Own.WorkMs, sum.Own.Pressed, sum.Own.Lost, sum.Own.NoRoom = sum.Own.WorkMs+a.Own.WorkMs, sum.Own.Pressed+a.Own.Pressed,
-			sum.Own.Lost+a.Own.Lost, sum.Own.NoRoom+a.Own.NoRoom
+		total.Own.WorkMs, total.Own.Pressed, total.Own.Lost, total.Own.NoRoom = total.Own.WorkMs+answer.Own.WorkMs, total.Own.Pressed+answer.Own.Pressed,
+			total.Own.Lost+answer.Own.Lost, total.Own.NoRoom+answer.Own.NoRoom
 	}
-	return sum
+	return total
 }
 
-func (c *cluster) delivered() uint64 { return c.copyCounts().Status.Counts.Copies }
+// copiesSent returns the number of copies that all proxies have sent so far.
+func (c *cluster) copiesSent() uint64 { return c.copyCounts().Status.Counts.Copies }
 
-// cpu is the processor time of all gatekeepers so far.
-func (c *cluster) cpu() (sum time.Duration) {
-	for _, g := range c.gates {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
+// proxyCPUTime returns the processor time that all proxies have used so far.
+func (c *cluster) proxyCPUTime() (total time.Duration) {
+	for _, proxy := range c.proxies {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", proxy.cmd.Process.Pid))
 		if err != nil {
 			continue
 		}
-		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-		for _, at := range []int{11, 12} {
-			n, _ := strconv.ParseFloat(fields[at], 64)
-			sum += time.Duration(n / clockTick * float64(time.Second))
+		fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
+		for _, index := range []int{11, 12} { // utime and stime
+			ticks, _ := strconv.ParseFloat(fields[index], 64)
+			total += time.Duration(ticks / clockTicksPerSecond * float64(time.Second))
 		}
 	}
-	return sum
+	return total
 }
 
-// rss is the memory of one gatekeeper, in MB.
-func (c *cluster) rss() (mean float64) {
-	for _, g := range c.gates {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", g.cmd.Process.Pid))
-		if f := strings.Fields(string(text)); len(f) > 1 {
-			pages, _ := strconv.ParseFloat(f[1], 64)
-			mean += pages * float64(os.Getpagesize()) / (1 << 20) / float64(len(c.gates))
+// meanProxyRSS returns the mean resident memory of a proxy, in MB.
+func (c *cluster) meanProxyRSS() (meanMB float64) {
+	for _, proxy := range c.proxies {
+		statm, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", proxy.cmd.Process.Pid))
+		if fields := strings.Fields(string(statm)); len(fields) > 1 {
+			pages, _ := strconv.ParseFloat(fields[1], 64)
+			meanMB += pages * float64(os.Getpagesize()) / (1 << 20) / float64(len(c.proxies))
 		}
 	}
-	return mean
+	return meanMB
 }
 
-// copyReport is the tables, and what must never be.
-func copyReport(phases []*spent, crowd *crowd, live *standin.Ledger, book *shadowBook, status waymark.Copies) (string, []string) {
+// copyReport returns the report as Markdown and the violations: unsafe requests that ran twice, copies
+// that reached live workers, and copies that are duplicated, missing or do not belong to a whole journey.
+func copyReport(phases []*phaseCost, generator *loadGenerator, ledger *standin.Ledger, shadow *shadowServer, status waymark.Copies) (string, []string) {
 	var b strings.Builder
-	say := func(format string, a ...any) { fmt.Fprintf(&b, format+"\n", a...) }
-	say("| phase | copies sent | requests | p50 ms | p99 ms | p99.9 ms | processor µs a request | MB of a gatekeeper |")
-	say("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
-	all := map[string]*spent{}
-	for i, s := range phases {
-		cpu := float64(s.cpu) / 1e3 / float64(max(s.requests, 1))
-		say("| %d %s | %d | %d | %.2f | %.2f | %.2f | %.0f | %.1f |", i+1, s.mode, s.delivered, s.requests, s.at(0.5), s.at(0.99), s.at(0.999), cpu, s.rss)
-		a := all[s.mode]
-		if a == nil {
-			a = &spent{mode: s.mode}
-			all[s.mode] = a
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	writeLine("| phase | copies sent | requests | p50 ms | p99 ms | p99.9 ms | processor µs a request | MB of a gatekeeper |")
+	writeLine("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
+	totals := map[string]*phaseCost{}
+	for i, cost := range phases {
+		cpu := float64(cost.cpu) / 1e3 / float64(max(cost.requests, 1))
+		writeLine("| %d %s | %d | %d | %.2f | %.2f | %.2f | %.0f | %.1f |", i+1, cost.mode, cost.copiesSent, cost.requests, cost.latencyQuantile(0.5), cost.latencyQuantile(0.99), cost.latencyQuantile(0.999), cpu, cost.rssMB)
+		total := totals[cost.mode]
+		if total == nil {
+			total = &phaseCost{mode: cost.mode}
+			totals[cost.mode] = total
 		}
-		a.quotes, a.requests, a.cpu, a.delivered = append(a.quotes, s.quotes...), a.requests+s.requests, a.cpu+s.cpu, a.delivered+s.delivered
-		a.rss += s.rss / float64(len(phases))
+		total.latenciesMs, total.requests, total.cpu, total.copiesSent = append(total.latenciesMs, cost.latenciesMs...), total.requests+cost.requests, total.cpu+cost.cpu, total.copiesSent+cost.copiesSent
+		total.rssMB += cost.rssMB / float64(len(phases))
 	}
 	for _, mode := range []string{"off", "10 %", "100 %"} {
-		a := all[mode]
-		slices.Sort(a.quotes)
-		say("| all %s | %d | %d | %.2f | %.2f | %.2f | %.0f | |", mode, a.delivered, a.requests, a.at(0.5), a.at(0.99), a.at(0.999),
-			float64(a.cpu)/1e3/float64(max(a.requests, 1)))
+		total := totals[mode]
+		slices.Sort(total.latenciesMs)
+		writeLine("| all %s | %d | %d | %.2f | %.2f | %.2f | %.0f | |", mode, total.copiesSent, total.requests, total.latencyQuantile(0.5), total.latencyQuantile(0.99), total.latencyQuantile(0.999),
+			float64(total.cpu)/1e3/float64(max(total.requests, 1)))
 	}
-	say("\n| difference of p99 to the off phases beside it | ms |\n| --- | ---: |")
-	last := -1
-	for i, s := range phases {
-		if s.mode == "off" {
-			if last >= 0 {
-				say("| off %d to off %d: noise | %+.2f |", last+1, i+1, s.at(0.99)-phases[last].at(0.99))
+	writeLine("\n| difference of p99 to the off phases beside it | ms |\n| --- | ---: |")
+	previousOff := -1
+	for i, cost := range phases {
+		if cost.mode == "off" {
+			if previousOff >= 0 {
+				writeLine("| off %d to off %d: noise | %+.2f |", previousOff+1, i+1, cost.latencyQuantile(0.99)-phases[previousOff].latencyQuantile(0.99))
 			}
-			last = i
+			previousOff = i
 			continue
 		}
-		say("| %s, phase %d | %+.2f |", s.mode, i+1, s.at(0.99)-(phases[i-1].at(0.99)+phases[i+1].at(0.99))/2)
+		writeLine("| %s, phase %d | %+.2f |", cost.mode, i+1, cost.latencyQuantile(0.99)-(phases[i-1].latencyQuantile(0.99)+phases[i+1].latencyQuantile(0.99))/2)
 	}
 
-	asked := map[string]int{} // of each visitor: what was answered, and what may have run
-	doubt := map[string]bool{}
-	twice := 0
-	for _, k := range crowd.tries {
-		name := k.caller[strings.IndexByte(k.caller, '/')+1:]
-		if k.end == endOK {
-			asked[name]++
-		} else if k.end == endDoubt {
-			doubt[name] = true
+	answered := map[string]int{} // requests answered with success, by caller
+	unknown := map[string]bool{} // callers with an attempt of unknown outcome
+	ranTwice := 0
+	for _, sent := range generator.attempts {
+		caller := sent.caller[strings.IndexByte(sent.caller, '/')+1:]
+		if sent.outcome == outcomeOK {
+			answered[caller]++
+		} else if sent.outcome == outcomeUnknown {
+			unknown[caller] = true
 		}
-		if n := live.Of(k.id); n > 1 && !services[k.route].safe {
-			twice++
+		if n := ledger.Of(sent.id); n > 1 && !services[sent.route].safe {
+			ranTwice++
 		}
 	}
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	doubled, wrong, whole, part := 0, 0, 0, 0
-	for _, n := range book.ids {
+	shadow.mu.Lock()
+	defer shadow.mu.Unlock()
+	receivedTwice, wrong, whole, incomplete := 0, 0, 0, 0
+	for _, n := range shadow.copiesByID {
 		if n > 1 {
-			doubled++
+			receivedTwice++
 		}
 	}
-	for name, pieces := range book.pieces {
-		seen, of := map[string]bool{}, 0
-		for _, p := range pieces {
-			_, rest, _ := strings.Cut(p, "; n=")
+	for caller, headers := range shadow.headersByCaller {
+		// A header reads "whole; journey=J; n=N; of=M; ...": request N of the M requests of journey J.
+		seenNumbers, requestCount := map[string]bool{}, 0
+		for _, header := range headers {
+			_, rest, _ := strings.Cut(header, "; n=")
 			n, rest, _ := strings.Cut(rest, "; of=")
-			last, _, _ := strings.Cut(rest, ";")
-			if of, _ = strconv.Atoi(last); !strings.HasPrefix(p, "whole") || seen[n] {
+			countText, _, _ := strings.Cut(rest, ";")
+			if requestCount, _ = strconv.Atoi(countText); !strings.HasPrefix(header, "whole") || seenNumbers[n] {
 				wrong++
 			}
-			seen[n] = true
+			seenNumbers[n] = true
 		}
 		switch {
-		case len(seen) < of:
-			part++ // its last copies were still to come at the end, or the shadow failed
-		case of != asked[name] && !doubt[name]:
+		case len(seenNumbers) < requestCount:
+			incomplete++ // the last copies were not sent before the run ended, or the shadow service failed
+		case requestCount != answered[caller] && !unknown[caller]:
 			wrong++
 		default:
 			whole++
 		}
 	}
-	k := status.Status.Counts
-	say("\n| ledger | |\n| --- | ---: |")
-	say("| requests | %d |", len(crowd.asked))
-	say("| unsafe requests that ran twice | %d |", twice)
-	say("| copies at live workers | %d |", live.CopyCount())
-	say("| copies that came twice | %d |", doubled)
-	say("| journeys delivered as whole, with all their requests | %d |", whole)
-	say("| of which the run's end or a stop cut the delivery off | %d |", part)
-	say("| journeys delivered as whole that lack or double a request | %d |", wrong)
-	say("| gatekeepers pressed, times | %d |", status.Own.Pressed)
-	say("| requests lost in a full queue | %d |", status.Own.Lost+status.Own.NoRoom)
-	say("| journeys found whole, broken | %d, %d |", k.Whole, k.Broken)
-	var faults []string
-	for what, n := range map[string]int{"unsafe requests ran twice": twice, "copies at live workers": live.CopyCount(), "copies came twice": doubled,
+	journeys := status.Status.Counts
+	writeLine("\n| ledger | |\n| --- | ---: |")
+	writeLine("| requests | %d |", len(generator.requests))
+	writeLine("| unsafe requests that ran twice | %d |", ranTwice)
+	writeLine("| copies at live workers | %d |", ledger.CopyCount())
+	writeLine("| copies that came twice | %d |", receivedTwice)
+	writeLine("| journeys delivered as whole, with all their requests | %d |", whole)
+	writeLine("| of which the run's end or a stop cut the delivery off | %d |", incomplete)
+	writeLine("| journeys delivered as whole that lack or double a request | %d |", wrong)
+	writeLine("| gatekeepers pressed, times | %d |", status.Own.Pressed)
+	writeLine("| requests lost in a full queue | %d |", status.Own.Lost+status.Own.NoRoom)
+	writeLine("| journeys found whole, broken | %d, %d |", journeys.Whole, journeys.Broken)
+	var violations []string
+	for what, n := range map[string]int{"unsafe requests ran twice": ranTwice, "copies at live workers": ledger.CopyCount(), "copies came twice": receivedTwice,
 		"journeys delivered as whole lack or double a request": wrong} {
 		if n > 0 {
-			faults = append(faults, fmt.Sprintf("%d %s", n, what))
+			violations = append(violations, fmt.Sprintf("%d %s", n, what))
 		}
 	}
 	if whole == 0 {
-		faults = append(faults, "no journey was delivered")
+		violations = append(violations, "no journey was delivered")
 	}
-	return b.String(), faults
+	return b.String(), violations
 }
--- a/internal/whiteout/judge.go
+++ b/internal/whiteout/judge.go
@@ -8,241 +8,257 @@
 	"foxwood/internal/testing/standin"
 )
 
-// settling is the time after a change of level in which gatekeepers may still differ.
-const settling = time.Second
+// settlingTime is the time after a change of the shedding level in which proxies may still apply different levels.
+const settlingTime = time.Second
 
-// span is a time in which one level held everywhere.
-type span struct{ from, to time.Time }
+// stableSpan is a period in which the same level was in force everywhere.
+type stableSpan struct{ from, to time.Time }
 
-// change is a moment at which what is applied changed: everywhere, or at one gatekeeper.
-type change struct {
-	at   time.Time
-	gate int // -1 for all
+// levelChange is a moment at which the applied level changed, at all proxies or at one.
+type levelChange struct {
+	at    time.Time
+	proxy int // index of the proxy, -1 for all
 }
 
-// verdict is what was found.
+// verdict is the result of checking a run.
 type verdict struct {
-	tries, unsafeTwice, refusedRan, lost, doubt, doubtRan int
-	pairs, alike, pairsAll, alikeAll                      int
-	outOfOrder                                            int
-	order                                                 string // an example
-	stable                                                time.Duration
+	attempts       int
+	unsafeRanTwice int // unsafe attempts that ran more than once
+	refusedRan     int // unsafe attempts that ran although they were refused
+	acceptedNotRun int // attempts that were accepted and did not run
+	unknown        int // attempts of unknown outcome
+	unknownRan     int // those of them that ran
+
+	// Pairs of answers by two proxies to one caller on one route within a second, and how many
+	// of them agree on shedding: while the level was settled, and over the whole run.
+	settledPairs, settledPairsAgreeing, allPairs, allPairsAgreeing int
+
+	outOfOrder        int           // settled spans in which a higher tier was shed while a lower one passed
+	outOfOrderExample string        // one example of them
+	settledTime       time.Duration // total of the settled spans
 }
 
-// changes are the moments of the logs. The first line of a gatekeeper that was cut off counts for
-// itself alone.
-func changes(lines []line) (all []change) {
-	for _, l := range lines {
-		switch l.program {
+// levelChanges returns the changes of level that the logs report, in order of time. A line of a control node
+// counts for all proxies, a line of an isolated proxy only for that proxy.
+func levelChanges(lines []logLine) (changes []levelChange) {
+	for _, entry := range lines {
+		switch entry.program {
 		case "bothy":
-			all = append(all, change{l.at, -1})
+			changes = append(changes, levelChange{entry.readAt, -1})
 		case "switchback":
-			off, _ := l.fields["cutOff"].(bool)
-			alone, _ := l.fields["alone"].(bool)
-			var gate int
-			if _, err := fmt.Sscanf(l.station, "switchback-%d", &gate); err == nil && (off || alone) {
-				all = append(all, change{l.at, gate})
+			cutOff, _ := entry.fields["cutOff"].(bool)
+			alone, _ := entry.fields["alone"].(bool)
+			var proxy int
+			if _, err := fmt.Sscanf(entry.node, "switchback-%d", &proxy); err == nil && (cutOff || alone) {
+				changes = append(changes, levelChange{entry.readAt, proxy})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b change) int { return a.at.Compare(b.at) })
-	return all
+	slices.SortFunc(changes, func(a, b levelChange) int { return a.at.Compare(b.at) })
+	return changes
 }
 
-// alones are the times in which gatekeepers shed by themselves or were cut off, by their own logs.
-func alones(lines []line, end time.Time) (out []away) {
+// isolations returns the periods in which proxies chose their own level or were isolated, by their own logs.
+func isolations(lines []logLine, end time.Time) (periods []isolation) {
 	open := map[int]int{}
-	for _, l := range lines {
-		var gate int
-		if _, err := fmt.Sscanf(l.station, "switchback-%d", &gate); err != nil {
+	for _, entry := range lines {
+		var proxy int
+		if _, err := fmt.Sscanf(entry.node, "switchback-%d", &proxy); err != nil {
 			continue
 		}
-		alone, _ := l.fields["alone"].(bool)
-		off, _ := l.fields["cutOff"].(bool)
-		alone = alone || off
-		at, ok := open[gate]
+		alone, _ := entry.fields["alone"].(bool)
+		cutOff, _ := entry.fields["cutOff"].(bool)
+		alone = alone || cutOff
+		index, isOpen := open[proxy]
 		switch {
-		case alone && !ok:
-			open[gate] = len(out)
-			out = append(out, away{gate: gate, from: l.at.Add(-settling / 10), to: end})
-		case !alone && ok:
-			out[at].to = l.at.Add(settling)
-			delete(open, gate)
+		case alone && !isOpen:
+			open[proxy] = len(periods)
+			periods = append(periods, isolation{proxy: proxy, from: entry.readAt.Add(-settlingTime / 10), to: end})
+		case !alone && isOpen:
+			periods[index].to = entry.readAt.Add(settlingTime)
+			delete(open, proxy)
 		}
 	}
-	return out
+	return periods
 }
 
-// spans are the times without a change near, for a gatekeeper or all (-1).
-func spans(all []change, gate int, from, to time.Time) (out []span) {
-	for _, c := range all {
-		if c.gate >= 0 && c.gate != gate {
+// stableSpans returns the periods between from and to that are not within the settling time of a change,
+// for one proxy or for all (-1).
+func stableSpans(changes []levelChange, proxy int, from, to time.Time) (spans []stableSpan) {
+	for _, change := range changes {
+		if change.proxy >= 0 && change.proxy != proxy {
 			continue
 		}
-		if c.at.After(from) && c.at.Before(to) {
-			out = append(out, span{from, c.at})
+		if change.at.After(from) && change.at.Before(to) {
+			spans = append(spans, stableSpan{from, change.at})
 		}
-		if next := c.at.Add(settling); next.After(from) { // also of one that comes while another settles
-			from = next
+		if settledAt := change.at.Add(settlingTime); settledAt.After(from) { // a change during another's settling time extends it
+			from = settledAt
 		}
 	}
 	if from.Before(to) {
-		out = append(out, span{from, to})
+		spans = append(spans, stableSpan{from, to})
 	}
-	return out
+	return spans
 }
 
-func in(all []span, k *try) int {
-	i, ok := slices.BinarySearchFunc(all, k.sent, func(s span, t time.Time) int { return s.from.Compare(t) })
+// spanIndex returns the index of the span in which an attempt was sent (and, if shed, also answered), or -1.
+func spanIndex(spans []stableSpan, candidate *attempt) int {
+	i, ok := slices.BinarySearchFunc(spans, candidate.sent, func(s stableSpan, t time.Time) int { return s.from.Compare(t) })
 	if !ok {
 		i--
 	}
-	if i < 0 || k.ended.After(all[i].to) && k.end == endShed || k.sent.After(all[i].to) {
+	if i < 0 || candidate.ended.After(spans[i].to) && candidate.outcome == outcomeShed || candidate.sent.After(spans[i].to) {
 		return -1
 	}
 	return i
 }
 
-// away is when a gatekeeper was on its own: it is judged by itself then.
-type away struct {
-	gate     int
+// isolation is a period in which a proxy chose its own level. Its attempts are judged separately then.
+type isolation struct {
+	proxy    int
 	from, to time.Time
 }
 
-// judge holds the order of tiers to be one for all services where whole is true, and else one for
-// each: what is let in at a service with room takes nothing from another.
-func judge(tries []*try, book *standin.Ledger, all []change, aways []away, from, to time.Time, whole bool) (v verdict) {
-	slices.SortFunc(tries, func(a, b *try) int { return a.sent.Compare(b.sent) })
-	v.tries = len(tries)
-	for _, k := range tries {
-		ran := book.Of(k.id)
-		if !services[k.route].safe && ran > 1 {
-			v.unsafeTwice++
+// judge checks the attempts of a run against the ledger of the workers and against the order of tiers.
+// If oneOrder is true, one order of tiers holds across all services; otherwise each service has its own,
+// because requests that a service with free capacity accepts take nothing from the others.
+func judge(attempts []*attempt, ledger *standin.Ledger, changes []levelChange, isolated []isolation, from, to time.Time, oneOrder bool) (v verdict) {
+	slices.SortFunc(attempts, func(a, b *attempt) int { return a.sent.Compare(b.sent) })
+	v.attempts = len(attempts)
+	for _, current := range attempts {
+		ran := ledger.Of(current.id)
+		if !services[current.route].safe && ran > 1 {
+			v.unsafeRanTwice++
 		}
-		switch k.end {
-		case endOK:
+		switch current.outcome {
+		case outcomeOK:
 			if ran == 0 {
-				v.lost++
+				v.acceptedNotRun++
 			}
-		case endShed, endRefused:
-			if ran > 0 && !services[k.route].safe { // a safe one may have run and be refused at its repeat
+		case outcomeShed, outcomeRefused:
+			if ran > 0 && !services[current.route].safe { // a safe request may have run, and then been refused when the proxy repeated it
 				v.refusedRan++
 			}
-		case endDoubt:
-			v.doubt++
+		case outcomeUnknown:
+			v.unknown++
 			if ran > 0 {
-				v.doubtRan++
+				v.unknownRan++
 			}
 		}
 	}
-	alone := func(k *try) bool {
-		return slices.ContainsFunc(aways, func(a away) bool { return a.gate == k.gate && !k.sent.Before(a.from) && k.sent.Before(a.to) })
+	isIsolated := func(current *attempt) bool {
+		return slices.ContainsFunc(isolated, func(a isolation) bool {
+			return a.proxy == current.proxy && !current.sent.Before(a.from) && current.sent.Before(a.to)
+		})
 	}
-	stable := spans(all, -1, from, to)
+	stable := stableSpans(changes, -1, from, to)
 	for _, s := range stable {
-		v.stable += s.to.Sub(s.from)
+		v.settledTime += s.to.Sub(s.from)
 	}
-	type edge struct{ shed, passed *try }
-	edges := map[[3]int]*edge{}
-	last := map[string]*try{}
-	lastIn := map[string]int{}
-	for _, k := range tries {
-		if k.end == endUnsent || k.end == endDoubt {
+	type extremes struct{ shed, passed *attempt } // the most important shed and the least important passed
+	extremesByKey := map[[3]int]*extremes{}       // by scope (a proxy or -1), span and service (or -1)
+	lastAttempt := map[string]*attempt{}
+	lastSpan := map[string]int{}
+	for _, current := range attempts {
+		if current.outcome == outcomeNotSent || current.outcome == outcomeUnknown {
 			continue
 		}
-		at := in(stable, k)
+		index := spanIndex(stable, current)
 		scope := -1
-		if alone(k) {
-			scope = k.gate
-			if at = in(spans(all, k.gate, from, to), k); at < 0 {
+		if isIsolated(current) {
+			scope = current.proxy
+			if index = spanIndex(stableSpans(changes, current.proxy, from, to), current); index < 0 {
 				continue
 			}
 		} else {
-			// Two answers to one caller for one kind of request, by two gatekeepers within a second.
-			name := fmt.Sprint(k.caller, "/", k.route)
-			if o := last[name]; o != nil && o.gate != k.gate && k.sent.Sub(o.sent) < time.Second {
-				same := (o.end == endShed) == (k.end == endShed)
-				v.pairsAll++
-				if same {
-					v.alikeAll++
+			// Compare two answers to one caller on one route, given by two proxies within a second.
+			callerAndRoute := fmt.Sprint(current.caller, "/", current.route)
+			if previous := lastAttempt[callerAndRoute]; previous != nil && previous.proxy != current.proxy && current.sent.Sub(previous.sent) < time.Second {
+				agrees := (previous.outcome == outcomeShed) == (current.outcome == outcomeShed)
+				v.allPairs++
+				if agrees {
+					v.allPairsAgreeing++
 				}
-				if at >= 0 && lastIn[name] == at {
-					v.pairs++
-					if same {
-						v.alike++
+				if index >= 0 && lastSpan[callerAndRoute] == index {
+					v.settledPairs++
+					if agrees {
+						v.settledPairsAgreeing++
 					}
 				}
 			}
-			last[name], lastIn[name] = k, at
-			if at < 0 {
+			lastAttempt[callerAndRoute], lastSpan[callerAndRoute] = current, index
+			if index < 0 {
 				continue
 			}
 		}
-		at3 := [3]int{scope, at, k.route}
-		if whole {
-			at3[2] = -1
+		key := [3]int{scope, index, current.route}
+		if oneOrder {
+			key[2] = -1
 		}
-		e := edges[at3]
-		if e == nil {
-			e = &edge{}
-			edges[at3] = e
+		found := extremesByKey[key]
+		if found == nil {
+			found = &extremes{}
+			extremesByKey[key] = found
 		}
-		if k.end == endShed {
-			if e.shed == nil || k.tier() < e.shed.tier() {
-				e.shed = k
+		if current.outcome == outcomeShed {
+			if found.shed == nil || current.shedOrder() < found.shed.shedOrder() {
+				found.shed = current
 			}
-		} else if e.passed == nil || k.tier() > e.passed.tier() {
-			e.passed = k
+		} else if found.passed == nil || current.shedOrder() > found.passed.shedOrder() {
+			found.passed = current
 		}
 	}
-	for _, e := range edges {
-		if e.shed != nil && e.passed != nil && e.shed.tier() < e.passed.tier() {
+	for _, found := range extremesByKey {
+		if found.shed != nil && found.passed != nil && found.shed.shedOrder() < found.passed.shedOrder() {
 			v.outOfOrder++
-			v.order = fmt.Sprintf("tier %d.%d shed at %v by %d, %d.%d passed at %v by %d", e.shed.rank, services[e.shed.route].rank,
-				e.shed.sent.Sub(from), e.shed.gate, e.passed.rank, services[e.passed.route].rank, e.passed.sent.Sub(from), e.passed.gate)
+			v.outOfOrderExample = fmt.Sprintf("tier %d.%d shed at %v by %d, %d.%d passed at %v by %d", found.shed.tenantTier, services[found.shed.route].priority,
+				found.shed.sent.Sub(from), found.shed.proxy, found.passed.tenantTier, services[found.passed.route].priority, found.passed.sent.Sub(from), found.passed.proxy)
 		}
 	}
 	return v
 }
 
-// sum is the requests of a kind in a stage.
-type sum struct{ offered, ok, inTime, shed, refused, other int }
+// requestCounts counts requests by their result.
+type requestCounts struct{ offered, succeeded, metTarget, shed, refused, other int }
 
-func (s *sum) add(r *request) {
+// add counts one request.
+func (s *requestCounts) add(req *request) {
 	s.offered++
-	switch r.end {
-	case endOK:
-		s.ok++
-	case endShed:
+	switch req.outcome {
+	case outcomeOK:
+		s.succeeded++
+	case outcomeShed:
 		s.shed++
-	case endRefused:
+	case outcomeRefused:
 		s.refused++
 	default:
 		s.other++
 	}
-	if r.inTime {
-		s.inTime++
+	if req.metTarget {
+		s.metTarget++
 	}
 }
 
-// table sums by stage, rank and route; a key part of -1 is all.
-func table(asked []*request) map[[3]int]*sum {
-	out := map[[3]int]*sum{}
-	for _, r := range asked {
-		for _, rank := range []int{-1, r.rank} {
-			for _, route := range []int{-1, r.route} {
-				k := [3]int{r.stage, rank, route}
-				if out[k] == nil {
-					out[k] = &sum{}
+// countRequests counts requests by stage, tier and route. A tier or route of -1 in the key stands for all.
+func countRequests(requests []*request) map[[3]int]*requestCounts {
+	counts := map[[3]int]*requestCounts{}
+	for _, req := range requests {
+		for _, tier := range []int{-1, req.tier} {
+			for _, route := range []int{-1, req.route} {
+				key := [3]int{req.stage, tier, route}
+				if counts[key] == nil {
+					counts[key] = &requestCounts{}
 				}
-				out[k].add(r)
+				counts[key].add(req)
 			}
 		}
 	}
-	return out
+	return counts
 }
 
-func share(a, b int) float64 {
+// percent returns a as a percentage of b, or 0 if b is 0.
+func percent(a, b int) float64 {
 	if b == 0 {
 		return 0
 	}
--- a/internal/whiteout/judge_test.go
+++ b/internal/whiteout/judge_test.go
@@ -9,56 +9,58 @@
 	"foxwood/internal/testing/standin"
 )
 
-// TestJudge: the rehearsal must see what it is there to see.
-func TestJudge(t *testing.T) {
-	zero := time.Unix(1000, 0)
-	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
-	one := func(id string, s float64, gate, rank, route, end int) *try {
-		return &try{id: id, gate: gate, caller: "c", rank: rank, route: route, sent: at(s), ended: at(s + 0.01), end: end}
+// TestJudgeFindsViolations checks that each kind of violation is found, and that none is reported for a
+// correct run, within the settling time, or between an isolated proxy and the others.
+func TestJudgeFindsViolations(t *testing.T) {
+	start := time.Unix(1000, 0)
+	at := func(second float64) time.Time { return start.Add(time.Duration(second * float64(time.Second))) }
+	newAttempt := func(id string, second float64, proxy, tier, route, outcome int) *attempt {
+		return &attempt{id: id, proxy: proxy, caller: "c", tenantTier: tier, route: route, sent: at(second), ended: at(second + 0.01), outcome: outcome}
 	}
-	moved := []change{{at(5), -1}, {at(5.6), -1}}
-	for _, c := range []struct {
-		name  string
-		tries []*try
-		runs  map[string]int
-		aways []away
-		want  verdict
+	changes := []levelChange{{at(5), -1}, {at(5.6), -1}}
+	for _, tc := range []struct {
+		name     string
+		attempts []*attempt
+		runs     map[string]int
+		isolated []isolation
+		want     verdict
 	}{
-		{"well", []*try{one("a", 1, 0, 0, 1, endOK), one("b", 1.1, 1, 1, 1, endShed)}, map[string]int{"a": 1}, nil, verdict{tries: 2, pairs: 1, pairsAll: 1}},
-		{"an unsafe one twice", []*try{one("a", 1, 0, 0, 1, endOK)}, map[string]int{"a": 2}, nil, verdict{tries: 1, unsafeTwice: 1}},
-		{"a safe one twice", []*try{one("a", 1, 0, 0, 0, endOK)}, map[string]int{"a": 2}, nil, verdict{tries: 1}},
-		{"accepted and lost", []*try{one("a", 1, 0, 0, 1, endOK)}, nil, nil, verdict{tries: 1, lost: 1}},
-		{"refused and run", []*try{one("a", 1, 0, 0, 1, endShed)}, map[string]int{"a": 1}, nil, verdict{tries: 1, refusedRan: 1}},
-		{"a higher tier shed", []*try{one("a", 1, 0, 0, 1, endShed), one("b", 3, 0, 1, 1, endOK)}, map[string]int{"b": 1}, nil, verdict{tries: 2, outOfOrder: 1}},
-		{"while it settles", []*try{one("a", 5.2, 0, 0, 1, endShed), one("b", 5.5, 0, 1, 1, endOK)}, map[string]int{"b": 1}, nil, verdict{tries: 2}},
-		{"while a second change settles", []*try{one("a", 6.2, 0, 0, 1, endShed), one("b", 6.4, 0, 1, 1, endOK)}, map[string]int{"b": 1}, nil, verdict{tries: 2}},
-		{"before and after", []*try{one("a", 1, 0, 0, 1, endShed), one("b", 7, 0, 1, 1, endOK)}, map[string]int{"b": 1}, nil, verdict{tries: 2}},
-		{"one that is cut off", []*try{one("a", 1, 0, 0, 1, endShed), one("b", 3, 1, 1, 1, endOK)}, map[string]int{"b": 1},
-			[]away{{0, at(0.5), at(4)}}, verdict{tries: 2}},
-		{"one that is cut off, by itself", []*try{one("a", 1, 0, 0, 1, endShed), one("b", 3, 0, 1, 1, endOK)}, map[string]int{"b": 1},
-			[]away{{0, at(0.5), at(4)}}, verdict{tries: 2, outOfOrder: 1}},
+		{"no violation", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeOK), newAttempt("b", 1.1, 1, 1, 1, outcomeShed)}, map[string]int{"a": 1}, nil, verdict{attempts: 2, settledPairs: 1, allPairs: 1}},
+		{"unsafe request ran twice", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeOK)}, map[string]int{"a": 2}, nil, verdict{attempts: 1, unsafeRanTwice: 1}},
+		{"safe request ran twice", []*attempt{newAttempt("a", 1, 0, 0, 0, outcomeOK)}, map[string]int{"a": 2}, nil, verdict{attempts: 1}},
+		{"accepted but not run", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeOK)}, nil, nil, verdict{attempts: 1, acceptedNotRun: 1}},
+		{"refused but run", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed)}, map[string]int{"a": 1}, nil, verdict{attempts: 1, refusedRan: 1}},
+		{"higher tier shed while a lower passed", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed), newAttempt("b", 3, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1}, nil, verdict{attempts: 2, outOfOrder: 1}},
+		{"within the settling time", []*attempt{newAttempt("a", 5.2, 0, 0, 1, outcomeShed), newAttempt("b", 5.5, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1}, nil, verdict{attempts: 2}},
+		{"within the settling time of a second change", []*attempt{newAttempt("a", 6.2, 0, 0, 1, outcomeShed), newAttempt("b", 6.4, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1}, nil, verdict{attempts: 2}},
+		{"before and after a change", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed), newAttempt("b", 7, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1}, nil, verdict{attempts: 2}},
+		{"isolated proxy against the others", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed), newAttempt("b", 3, 1, 1, 1, outcomeOK)}, map[string]int{"b": 1},
+			[]isolation{{0, at(0.5), at(4)}}, verdict{attempts: 2}},
+		{"isolated proxy by itself", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed), newAttempt("b", 3, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1},
+			[]isolation{{0, at(0.5), at(4)}}, verdict{attempts: 2, outOfOrder: 1}},
 	} {
-		book := standin.NewLedger()
-		for id, n := range c.runs {
-			book.Runs[id] = n
+		ledger := standin.NewLedger()
+		for id, n := range tc.runs {
+			ledger.Runs[id] = n
 		}
-		for _, whole := range []bool{true, false} {
-			got := judge(c.tries, book, moved, c.aways, zero, at(10), whole)
-			got.order, got.stable = "", 0
-			assert.Equal(t, got, c.want, c.name)
+		for _, oneOrder := range []bool{true, false} {
+			got := judge(tc.attempts, ledger, changes, tc.isolated, start, at(10), oneOrder)
+			got.outOfOrderExample, got.settledTime = "", 0
+			assert.Equal(t, got, tc.want, tc.name)
 		}
 	}
 }
 
-// TestJudgeServices: of two services each has its own order; under one cut they have one.
-func TestJudgeServices(t *testing.T) {
-	zero := time.Unix(1000, 0)
-	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
-	tries := []*try{{id: "a", caller: "a", rank: 1, route: 1, sent: at(1), ended: at(1), end: endShed},
-		{id: "b", caller: "b", rank: 2, route: 2, sent: at(2), ended: at(2), end: endOK}}
-	book := &standin.Ledger{Runs: map[string]int{"b": 1}}
-	assert.Equal(t, judge(tries, book, nil, nil, zero, at(10), false).outOfOrder, 0)
-	assert.Equal(t, judge(tries, book, nil, nil, zero, at(10), true).outOfOrder, 1)
-	tries[1].route = 1
-	assert.Equal(t, judge(tries, book, nil, nil, zero, at(10), false).outOfOrder, 1)
+// TestJudgeOrderPerService checks that the order of tiers is judged for each service separately, and
+// across all services if one cut holds for all.
+func TestJudgeOrderPerService(t *testing.T) {
+	start := time.Unix(1000, 0)
+	at := func(second float64) time.Time { return start.Add(time.Duration(second * float64(time.Second))) }
+	attempts := []*attempt{{id: "a", caller: "a", tenantTier: 1, route: 1, sent: at(1), ended: at(1), outcome: outcomeShed},
+		{id: "b", caller: "b", tenantTier: 2, route: 2, sent: at(2), ended: at(2), outcome: outcomeOK}}
+	ledger := &standin.Ledger{Runs: map[string]int{"b": 1}}
+	assert.Equal(t, judge(attempts, ledger, nil, nil, start, at(10), false).outOfOrder, 0)
+	assert.Equal(t, judge(attempts, ledger, nil, nil, start, at(10), true).outOfOrder, 1)
+	attempts[1].route = 1
+	assert.Equal(t, judge(attempts, ledger, nil, nil, start, at(10), false).outOfOrder, 1)
 }
--- a/internal/whiteout/report.go
+++ b/internal/whiteout/report.go
@@ -8,158 +8,163 @@
 	"strings"
 )
 
-func sortChanges(all []change) {
-	slices.SortFunc(all, func(a, b change) int { return a.at.Compare(b.at) })
+// sortChanges sorts changes by time.
+func sortChanges(changes []levelChange) {
+	slices.SortFunc(changes, func(a, b levelChange) int { return a.at.Compare(b.at) })
 }
 
-// names of the ways that are compared.
-var names = map[string]string{"alike": "one level, a cut for each service", "whole": "one cut for all services", "solitary": "each gatekeeper alone", "dice": "by dice, each alone"}
+// modeTitles holds the titles of the shedding modes in the report. With "alike" and "whole" a control node sets
+// one shedding level for all proxies, which "alike" applies to each service separately. With "solitary" and
+// "dice" each proxy decides alone; "dice" sheds at random.
+var modeTitles = map[string]string{"alike": "one level, a cut for each service", "whole": "one cut for all services", "solitary": "each gatekeeper alone", "dice": "by dice, each alone"}
 
-// report is the tables, as markdown.
-func report(all []*played) string {
+// formatReport returns the report of all runs as Markdown. The first run gives the detailed tables.
+func formatReport(runs []*runResult) string {
 	var b strings.Builder
-	say := func(format string, a ...any) { fmt.Fprintf(&b, format, a...) }
-	p := all[0]
-	say("Fits: %.0f requests a second; %d gatekeepers, %d core machines, %d workers; settling time %v.\n", fits(), gatekeepers, cores,
-		workersEach*len(services), settling)
-	say("Machine: %d processors; load average %s.\n", runtime.NumCPU(), loadAverage())
-	say("\n### By tier, in parts of a hundred of the offered (served in time / shed by the level)\n\n| stage | load |")
-	for t := range tiers {
-		say(" tier %d |", t)
+	writef := func(format string, a ...any) { fmt.Fprintf(&b, format, a...) }
+	mainRun := runs[0]
+	writef("Fits: %.0f requests a second; %d gatekeepers, %d core machines, %d workers; settling time %v.\n", capacity(), proxyCount, coreCount,
+		workersPerService*len(services), settlingTime)
+	writef("Machine: %d processors; load average %s.\n", runtime.NumCPU(), loadAverage())
+	writef("\n### By tier, in parts of a hundred of the offered (served in time / shed by the level)\n\n| stage | load |")
+	for t := range tierCount {
+		writef(" tier %d |", t)
 	}
-	say(" no room | in doubt |\n| --- | --- |%s --- | --- |\n", strings.Repeat(" --- |", tiers))
-	for i, s := range p.stages {
-		say("| %s | %.1f |", s.name, s.load)
-		for t := range tiers {
-			if x := p.sums[[3]int{i, t, -1}]; x != nil {
-				say(" %.1f / %.1f |", share(x.inTime, x.offered), share(x.shed, x.offered))
+	writef(" no room | in doubt |\n| --- | --- |%s --- | --- |\n", strings.Repeat(" --- |", tierCount))
+	for i, current := range mainRun.stages {
+		writef("| %s | %.1f |", current.name, current.loadFactor)
+		for t := range tierCount {
+			if counts := mainRun.counts[[3]int{i, t, -1}]; counts != nil {
+				writef(" %.1f / %.1f |", percent(counts.metTarget, counts.offered), percent(counts.shed, counts.offered))
 			} else {
-				say(" |")
+				writef(" |")
 			}
 		}
-		x := p.sums[[3]int{i, -1, -1}]
-		say(" %.2f | %.2f |\n", share(x.refused, x.offered), share(x.other, x.offered))
+		counts := mainRun.counts[[3]int{i, -1, -1}]
+		writef(" %.2f | %.2f |\n", percent(counts.refused, counts.offered), percent(counts.other, counts.offered))
 	}
-	say("\n### By tier and kind of route, whole run\n\n| tier | route | offered | accepted | shed | no room | in doubt | served in time |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for t := range tiers {
-		for r, s := range services {
-			var x sum
-			for i := range p.stages {
-				if y := p.sums[[3]int{i, t, r}]; y != nil {
-					x = sum{x.offered + y.offered, x.ok + y.ok, x.inTime + y.inTime, x.shed + y.shed, x.refused + y.refused, x.other + y.other}
+	writef("\n### By tier and kind of route, whole run\n\n| tier | route | offered | accepted | shed | no room | in doubt | served in time |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	for t := range tierCount {
+		for r, current := range services {
+			var counts requestCounts
+			for i := range mainRun.stages {
+				if part := mainRun.counts[[3]int{i, t, r}]; part != nil {
+					counts = requestCounts{counts.offered + part.offered, counts.succeeded + part.succeeded, counts.metTarget + part.metTarget, counts.shed + part.shed, counts.refused + part.refused, counts.other + part.other}
 				}
 			}
-			say("| %d | %s | %d | %d | %d | %d | %d | %.1f%% |\n", t, s.name, x.offered, x.ok, x.shed, x.refused, x.other, share(x.inTime, x.offered))
+			writef("| %d | %s | %d | %d | %d | %d | %d | %.1f%% |\n", t, current.name, counts.offered, counts.succeeded, counts.shed, counts.refused, counts.other, percent(counts.metTarget, counts.offered))
 		}
 	}
-	say("\n### Ways compared, at twice what fits\n\n| way |")
-	for t := range tiers {
-		say(" tier %d in time |", t)
+	writef("\n### Ways compared, at twice what fits\n\n| way |")
+	for t := range tierCount {
+		writef(" tier %d in time |", t)
 	}
-	say(" all in time, of what fits | same caller alike, settled | alike, all the while | out of order |\n| --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", tiers))
-	for _, q := range all {
-		for i, s := range q.stages {
-			if s.name != "twice" {
+	writef(" all in time, of what fits | same caller alike, settled | alike, all the while | out of order |\n| --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", tierCount))
+	for _, run := range runs {
+		for i, current := range run.stages {
+			if current.name != "twice" {
 				continue
 			}
-			say("| %s |", names[q.mode])
-			for t := range tiers {
-				if x := q.sums[[3]int{i, t, -1}]; x != nil {
-					say(" %.1f%% |", share(x.inTime, x.offered))
+			writef("| %s |", modeTitles[run.mode])
+			for t := range tierCount {
+				if counts := run.counts[[3]int{i, t, -1}]; counts != nil {
+					writef(" %.1f%% |", percent(counts.metTarget, counts.offered))
 				} else {
-					say(" |")
+					writef(" |")
 				}
 			}
-			x, v := q.sums[[3]int{i, -1, -1}], q.verdict
-			say(" %.1f%% | %.2f%% of %d | %.2f%% of %d | %d |\n", share(x.inTime, x.offered)*s.load, share(v.alike, v.pairs), v.pairs,
-				share(v.alikeAll, v.pairsAll), v.pairsAll, v.outOfOrder)
+			counts, verdict := run.counts[[3]int{i, -1, -1}], run.verdict
+			writef(" %.1f%% | %.2f%% of %d | %.2f%% of %d | %d |\n", percent(counts.metTarget, counts.offered)*current.loadFactor, percent(verdict.settledPairsAgreeing, verdict.settledPairs), verdict.settledPairs,
+				percent(verdict.allPairsAgreeing, verdict.allPairs), verdict.allPairs, verdict.outOfOrder)
 		}
 	}
-	v, runs := p.verdict, p.end.Sub(p.from[0])
-	say("\n### The ledger\n\n%d tries. Unsafe run twice: %d. Accepted and not run: %d. Refused and run: %d. In doubt (connection ended, as at the kill): %d, of which run: %d.\n",
-		v.tries, v.unsafeTwice, v.lost, v.refusedRan, v.doubt, v.doubtRan)
-	say("\nSettled for %.0f of %.0f s. Settled times with a higher tier shed while a lower passed: %d.\n", v.stable.Seconds(), runs.Seconds(), v.outOfOrder)
-	for _, a := range p.alones {
-		if a.to.Before(p.from[0].Add(settling)) { // before the first level
+	verdict, duration := mainRun.verdict, mainRun.end.Sub(mainRun.stageStarts[0])
+	writef("\n### The ledger\n\n%d tries. Unsafe run twice: %d. Accepted and not run: %d. Refused and run: %d. In doubt (connection ended, as at the kill): %d, of which run: %d.\n",
+		verdict.attempts, verdict.unsafeRanTwice, verdict.acceptedNotRun, verdict.refusedRan, verdict.unknown, verdict.unknownRan)
+	writef("\nSettled for %.0f of %.0f s. Settled times with a higher tier shed while a lower passed: %d.\n", verdict.settledTime.Seconds(), duration.Seconds(), verdict.outOfOrder)
+	for _, a := range mainRun.isolations {
+		if a.to.Before(mainRun.stageStarts[0].Add(settlingTime)) { // before the first level was in force
 			continue
 		}
-		say("\nGatekeeper %d was on its own (alone or cut off) from %.1f to %.1f s.\n", a.gate, a.from.Sub(p.from[0]).Seconds(), a.to.Sub(p.from[0]).Seconds())
+		writef("\nGatekeeper %d was on its own (alone or cut off) from %.1f to %.1f s.\n", a.proxy, a.from.Sub(mainRun.stageStarts[0]).Seconds(), a.to.Sub(mainRun.stageStarts[0]).Seconds())
 	}
-	say("\n### Changes of the level\n\n| at s | refused | why | offered a second | taken to fit |\n| --- | --- | --- | --- | --- |\n")
-	for _, l := range p.lines {
-		if l.program == "bothy" {
-			say("| %.1f | %v | %v | %.0f | %.0f |\n", l.at.Sub(p.from[0]).Seconds(), l.fields["refused"], l.fields["why"], number(l.fields["offered"]), number(l.fields["fits"]))
+	writef("\n### Changes of the level\n\n| at s | refused | why | offered a second | taken to fit |\n| --- | --- | --- | --- | --- |\n")
+	for _, entry := range mainRun.levelLog {
+		if entry.program == "bothy" {
+			writef("| %.1f | %v | %v | %.0f | %.0f |\n", entry.readAt.Sub(mainRun.stageStarts[0]).Seconds(), entry.fields["refused"], entry.fields["why"], floatField(entry.fields["offered"]), floatField(entry.fields["fits"]))
 		}
 	}
 	return b.String()
 }
 
-// loadAverage is how busy the machine was: others' work on it is in every figure.
+// loadAverage returns the machine's load averages. They are reported because other work on the machine
+// affects every figure.
 func loadAverage() string {
-	text, err := os.ReadFile("/proc/loadavg")
+	content, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return "not known"
 	}
-	return strings.Join(strings.Fields(string(text))[:3], " ")
+	return strings.Join(strings.Fields(string(content))[:3], " ")
 }
 
-func number(v any) float64 { f, _ := v.(float64); return f }
+// floatField returns a numeric log field, or 0 if it is none.
+func floatField(v any) float64 { f, _ := v.(float64); return f }
 
-// chart draws offered, served in time and shed by tier over the run.
-func chart(p *played) string {
+// drawChart returns an SVG chart of the requests offered, served in time and shed per second, by tier.
+func drawChart(run *runResult) string {
 	const (
-		wide, high, left, top, gap = 900, 110, 60, 30, 22
+		width, rowHeight, left, top, gap = 900, 110, 60, 30, 22
 	)
-	runs := p.end.Sub(p.from[0]).Seconds()
-	n := int(runs) + 1
+	duration := run.end.Sub(run.stageStarts[0]).Seconds()
+	seconds := int(duration) + 1
 	type row struct{ offered, served, shed []float64 }
-	rows := make([]row, tiers)
+	rows := make([]row, tierCount)
 	for t := range rows {
-		rows[t] = row{make([]float64, n), make([]float64, n), make([]float64, n)}
+		rows[t] = row{make([]float64, seconds), make([]float64, seconds), make([]float64, seconds)}
 	}
-	for _, r := range p.asked {
-		at := int(r.at.Sub(p.from[0]).Seconds())
-		if at < 0 || at >= n {
+	for _, current := range run.requests {
+		position := int(current.start.Sub(run.stageStarts[0]).Seconds())
+		if position < 0 || position >= seconds {
 			continue
 		}
-		x := &rows[r.rank]
-		x.offered[at]++
-		if r.inTime {
-			x.served[at]++
+		counts := &rows[current.tier]
+		counts.offered[position]++
+		if current.metTarget {
+			counts.served[position]++
 		}
-		if r.end == endShed {
-			x.shed[at]++
+		if current.outcome == outcomeShed {
+			counts.shed[position]++
 		}
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 %d %d" font-family="sans-serif" font-size="11">`+"\n", wide+left+20, top+tiers*(high+gap)+30)
+	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 %d %d" font-family="sans-serif" font-size="11">`+"\n", width+left+20, top+tierCount*(rowHeight+gap)+30)
 	fmt.Fprintf(&b, `<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="16">Requests a second by tier: offered (grey), served in time (green), shed by the level (red)</text>`+"\n", left)
-	x := func(s float64) float64 { return left + s/runs*wide }
-	for t, r := range rows {
-		base := float64(top + (t+1)*(high+gap) - gap)
-		most := max(slices.Max(r.offered), 1)
+	toX := func(s float64) float64 { return left + s/duration*width }
+	for t, current := range rows {
+		base := float64(top + (t+1)*(rowHeight+gap) - gap)
+		peak := max(slices.Max(current.offered), 1)
 		fmt.Fprintf(&b, `<text x="4" y="%.0f">tier %d</text><text x="4" y="%.0f">%.0f/s</text><line x1="%d" y1="%.0f" x2="%d" y2="%.0f" stroke="#999"/>`+"\n",
-			base-high/2, t, base-high+10, most, left, base, left+wide, base)
-		for _, c := range []struct {
-			of     []float64
+			base-rowHeight/2, t, base-rowHeight+10, peak, left, base, left+width, base)
+		for _, curve := range []struct {
+			values []float64
 			colour string
-		}{{r.offered, "#999999"}, {r.served, "#1a7f37"}, {r.shed, "#cf222e"}} {
-			fmt.Fprintf(&b, `<polyline fill="none" stroke="%s" stroke-width="1.5" points="`, c.colour)
-			for i, v := range c.of[:max(n-1, 1)] {
-				fmt.Fprintf(&b, "%.1f,%.1f ", x(float64(i)+0.5), base-v/most*high)
+		}{{current.offered, "#999999"}, {current.served, "#1a7f37"}, {current.shed, "#cf222e"}} {
+			fmt.Fprintf(&b, `<polyline fill="none" stroke="%s" stroke-width="1.5" points="`, curve.colour)
+			for i, v := range curve.values[:max(seconds-1, 1)] {
+				fmt.Fprintf(&b, "%.1f,%.1f ", toX(float64(i)+0.5), base-v/peak*rowHeight)
 			}
 			b.WriteString(`"/>` + "\n")
 		}
 	}
-	for i, s := range p.stages {
-		at := x(p.from[i].Sub(p.from[0]).Seconds())
+	for i, s := range run.stages {
+		position := toX(run.stageStarts[i].Sub(run.stageStarts[0]).Seconds())
 		fmt.Fprintf(&b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="#bbb" stroke-dasharray="3 3"/><text x="%.1f" y="%d" font-size="8">%s</text>`+"\n",
-			at, top, at, top+tiers*(high+gap), at+2, top+tiers*(high+gap)+8+(i%2)*10, s.name)
+			position, top, position, top+tierCount*(rowHeight+gap), position+2, top+tierCount*(rowHeight+gap)+8+(i%2)*10, s.name)
 	}
-	for _, l := range p.lines {
-		if l.program == "bothy" {
-			at := x(l.at.Sub(p.from[0]).Seconds())
-			fmt.Fprintf(&b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="#0969da"/>`+"\n", at, top-8, at, top-2)
+	for _, entry := range run.levelLog {
+		if entry.program == "bothy" {
+			position := toX(entry.readAt.Sub(run.stageStarts[0]).Seconds())
+			fmt.Fprintf(&b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="#0969da"/>`+"\n", position, top-8, position, top-2)
 		}
 	}
 	b.WriteString("</svg>\n")
--- a/internal/whiteout/whiteout.go
+++ b/internal/whiteout/whiteout.go
@@ -1,6 +1,9 @@
-// Package whiteout rehearses an overload of the whole cluster: three core machines and six
-// gatekeepers as processes of their own over loopback addresses, workers that keep a ledger, and
-// clients of five tiers that send on whether or not they are answered. It ends by itself.
+// Package whiteout is a live overload test of the whole cluster. It starts three core machines (a store
+// node, program cairn, and a control node, program bothy, on each) and six proxies (program switchback;
+// the reports call them gatekeepers) as processes on loopback addresses. Workers record in a ledger what they ran.
+// Clients of five tiers send at a fixed rate, whether or not they are answered, while processes are
+// killed and isolated. At the end it checks that no unsafe request ran twice, that accepted requests ran and
+// refused ones did not, and that no tier was shed while a less important one passed.
 package whiteout
 
 import (
@@ -16,15 +19,16 @@
 	"foxwood/internal/testing/standin"
 )
 
-// stage is a time at one load. Its trouble comes a quarter into it.
+// stage is a part of a run with constant load. Its failure is injected after a quarter of its time.
 type stage struct {
-	name    string
-	load    float64 // times what fits
-	lasts   float64 // seconds
-	trouble string
+	name       string
+	loadFactor float64 // as a multiple of the capacity
+	seconds    float64
+	failure    string // "kill", "cut" or "core", see injectFailure; empty for none
 }
 
-var whole = []stage{
+// fullStages holds the stages of the main run.
+var fullStages = []stage{
 	{"calm", 0.8, 8, ""},
 	{"1.2 times", 1.2, 10, ""},
 	{"twice", 2, 16, ""},
@@ -34,87 +38,88 @@
 	{"calm again", 0.8, 12, ""},
 }
 
-var short = []stage{{"calm", 0.8, 5, ""}, {"twice", 2, 12, ""}}
+// shortStages holds the stages of the runs that are only compared with the main run.
+var shortStages = []stage{{"calm", 0.8, 5, ""}, {"twice", 2, 12, ""}}
 
-// played is one run of stages.
-type played struct {
-	mode    string
-	stages  []stage
-	from    []time.Time
-	end     time.Time
-	asked   []*request
-	tries   []*try
-	lines   []line
-	alones  []away
-	verdict verdict
-	sums    map[[3]int]*sum
+// runResult is the result of one run.
+type runResult struct {
+	mode        string
+	stages      []stage
+	stageStarts []time.Time // start of each stage
+	end         time.Time
+	requests    []*request
+	attempts    []*attempt
+	levelLog    []logLine
+	isolations  []isolation
+	verdict     verdict
+	counts      map[[3]int]*requestCounts // see countRequests
 }
 
-// Main runs the command that the arguments name.
+// Main runs the command that the arguments name and returns the exit code.
 func Main(args []string) int {
 	if len(args) == 3 && args[0] == "child" {
-		return child(args[1], args[2])
+		return runChild(args[1], args[2])
 	}
 	if len(args) > 0 && args[0] == "copies" {
 		return Copies(args[1:])
 	}
-	f := flag.NewFlagSet("whiteout", flag.ContinueOnError)
-	out := f.String("out", "", "folder for overload.svg and overload-tables.md; empty: only print")
-	scale := f.Float64("scale", 1, "times the stages' lengths, 0.3 to 3")
-	alone := f.Bool("alone", false, "leave the baselines out")
-	f.Usage = func() {
-		fmt.Fprintln(f.Output(), "whiteout [-out DIR] [-scale N] [-alone]\nwhiteout copies [-out DIR] [-rounds N]\n\tRehearse an overload of a whole cluster over loopback, about three minutes. Exits with 1 where an\n"+
+	flags := flag.NewFlagSet("whiteout", flag.ContinueOnError)
+	outDir := flags.String("out", "", "folder for overload.svg and overload-tables.md; empty: only print")
+	scale := flags.Float64("scale", 1, "times the stages' lengths, 0.3 to 3")
+	mainOnly := flags.Bool("alone", false, "leave the baselines out")
+	flags.Usage = func() {
+		fmt.Fprintln(flags.Output(), "whiteout [-out DIR] [-scale N] [-alone]\nwhiteout copies [-out DIR] [-rounds N]\n\tRehearse an overload of a whole cluster over loopback, about three minutes. Exits with 1 where an\n"+
 			"\tunsafe request ran twice, one that was accepted did not run, one that was refused did, or a higher\n\ttier was shed while a lower one passed outside the settling time. copies measures what copies of journeys cost.")
-		f.PrintDefaults()
+		flags.PrintDefaults()
 	}
-	if f.Parse(args) != nil {
+	if flags.Parse(args) != nil {
 		return 2
 	}
-	if f.NArg() > 0 || !(*scale >= 0.3 && *scale <= 3) {
-		f.Usage()
+	if flags.NArg() > 0 || !(*scale >= 0.3 && *scale <= 3) {
+		flags.Usage()
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(360**scale)*time.Second)
 	defer cancel()
-	runs := []struct {
+	planned := []struct {
 		mode   string
 		stages []stage
-	}{{"alike", whole}, {"whole", short}, {"solitary", short}, {"dice", short}}
-	if *alone {
-		runs = runs[:1]
+	}{{"alike", fullStages}, {"whole", shortStages}, {"solitary", shortStages}, {"dice", shortStages}}
+	if *mainOnly {
+		planned = planned[:1]
 	}
-	var all []*played
+	var completed []*runResult
 	failed := false
-	for _, r := range runs {
-		p, err := play(ctx, r.mode, r.stages, *scale)
+	for _, plan := range planned {
+		result, err := runStages(ctx, plan.mode, plan.stages, *scale)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "whiteout: %s: %v\n", r.mode, err)
-			if failed = true; len(all) == 0 {
+			fmt.Fprintf(os.Stderr, "whiteout: %s: %v\n", plan.mode, err)
+			if failed = true; len(completed) == 0 {
 				return 1
 			}
-			break // what was played is still told
+			break // report the runs that were completed
 		}
-		all = append(all, p)
+		completed = append(completed, result)
 	}
-	text := report(all)
-	fmt.Print(text)
-	if *out != "" {
-		if err := os.MkdirAll(*out, 0o755); err != nil {
+	report := formatReport(completed)
+	fmt.Print(report)
+	if *outDir != "" {
+		if err := os.MkdirAll(*outDir, 0o755); err != nil {
 			fmt.Fprintln(os.Stderr, "whiteout:", err)
 			return 1
 		}
-		for name, body := range map[string]string{"overload-tables.md": text, "overload.svg": chart(all[0])} {
-			if err := os.WriteFile(filepath.Join(*out, name), []byte(body), 0o644); err != nil {
+		for name, body := range map[string]string{"overload-tables.md": report, "overload.svg": drawChart(completed[0])} {
+			if err := os.WriteFile(filepath.Join(*outDir, name), []byte(body), 0o644); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				return 1
 			}
 		}
 	}
-	if faults := all[0].faults(); len(faults) > 0 {
-		for _, x := range faults {
-			fmt.Fprintln(os.Stderr, "whiteout: "+x)
+	if violations := completed[0].violations(); len(violations) > 0 {
+		for _, violation := range violations {
+			fmt.Fprintln(os.Stderr, "whiteout: "+violation)
 		}
 		return 1
 	}
@@ -124,94 +129,96 @@
 	return 0
 }
 
-// play brings a cluster up, goes through the stages and takes it down.
-func play(ctx context.Context, mode string, stages []stage, scale float64) (*played, error) {
-	dir, err := os.MkdirTemp(os.Getenv("WHITEOUT_DISKS"), "whiteout") // the system's place for such files, if it names none
+// runStages starts a cluster, runs the stages on it, stops it, and judges the run.
+func runStages(ctx context.Context, mode string, stages []stage, scale float64) (*runResult, error) {
+	dir, err := os.MkdirTemp(os.Getenv("WHITEOUT_DISKS"), "whiteout") // the system's temporary folder if the variable is not set
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &cluster{dir: dir, net: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: mode, book: standin.NewLedger()}
-	defer c.stop()
-	if err := c.start(ctx); err != nil {
+	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: mode, ledger: standin.NewLedger()}
+	defer system.stop()
+	if err := system.start(ctx); err != nil {
 		return nil, err
 	}
-	p := &played{mode: mode, stages: stages}
-	crowd := newCrowd(c.gates)
+	result := &runResult{mode: mode, stages: stages}
+	generator := newLoadGenerator(system.proxies)
 	began := time.Now()
-	var aways []away
-	for i, s := range stages {
-		lasts := time.Duration(s.lasts * scale * float64(time.Second))
-		p.from = append(p.from, time.Now())
-		fmt.Fprintf(os.Stderr, "%s: %s, %.0f requests a second for %v\n", mode, s.name, s.load*fits(), lasts)
-		trouble := make(chan away, 1)
-		go func() { trouble <- c.harm(s.trouble, crowd, lasts) }()
-		crowd.run(ctx, i, s.load*fits(), lasts)
-		if a := <-trouble; !a.from.IsZero() {
-			aways = append(aways, a)
+	var allIsolated []isolation
+	for i, current := range stages {
+		duration := time.Duration(current.seconds * scale * float64(time.Second))
+		result.stageStarts = append(result.stageStarts, time.Now())
+		fmt.Fprintf(os.Stderr, "%s: %s, %.0f requests a second for %v\n", mode, current.name, current.loadFactor*capacity(), duration)
+		isolated := make(chan isolation, 1)
+		go func() { isolated <- system.injectFailure(current.failure, generator, duration) }()
+		generator.run(ctx, i, current.loadFactor*capacity(), duration)
+		if a := <-isolated; !a.from.IsZero() {
+			allIsolated = append(allIsolated, a)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	crowd.wait.Wait()
-	p.end = time.Now()
+	generator.inFlight.Wait()
+	result.end = time.Now()
 	time.Sleep(100 * time.Millisecond)
-	c.mu.Lock()
-	p.lines = c.lines
-	c.mu.Unlock()
-	p.asked, p.tries = crowd.asked, crowd.tries
-	moved := changes(p.lines)
-	for _, a := range aways { // who is cut off or joins again settles too
-		moved = append(moved, change{a.from, a.gate}, change{a.to, -1})
-	}
-	sortChanges(moved)
-	if mode == "alike" || mode == "whole" { // of the baselines all are always alone
-		p.alones = alones(p.lines, p.end)
-		aways = append(aways, p.alones...)
-	}
-	p.verdict = judge(p.tries, c.book, moved, aways, began, p.end, mode == "whole")
-	p.sums = table(p.asked)
-	return p, nil
+	system.mu.Lock()
+	result.levelLog = system.levelLog
+	system.mu.Unlock()
+	result.requests, result.attempts = generator.requests, generator.attempts
+	changes := levelChanges(result.levelLog)
+	for _, a := range allIsolated { // isolating and reconnecting a proxy need settling time too
+		changes = append(changes, levelChange{a.from, a.proxy}, levelChange{a.to, -1})
+	}
+	sortChanges(changes)
+	if mode == "alike" || mode == "whole" { // in the other modes every proxy always chooses its own level
+		result.isolations = isolations(result.levelLog, result.end)
+		allIsolated = append(allIsolated, result.isolations...)
+	}
+	result.verdict = judge(result.attempts, system.ledger, changes, allIsolated, began, result.end, mode == "whole")
+	result.counts = countRequests(result.requests)
+	return result, nil
 }
 
-// harm does a stage's trouble, a quarter into it.
-func (c *cluster) harm(what string, crowd *crowd, lasts time.Duration) (a away) {
-	if what == "" {
-		return a
-	}
-	time.Sleep(lasts / 4)
-	switch what {
+// injectFailure injects a stage's failure after a quarter of the stage's time: "kill" kills the last proxy, "cut"
+// isolates the one before it for half of the stage, "core" kills the core machine that holds the level duty.
+// It returns the isolation, if any.
+func (c *cluster) injectFailure(failure string, generator *loadGenerator, duration time.Duration) (isolated isolation) {
+	if failure == "" {
+		return isolated
+	}
+	time.Sleep(duration / 4)
+	switch failure {
 	case "kill":
-		c.gates[gatekeepers-1].signal(syscall.SIGKILL)
+		c.proxies[proxyCount-1].signal(syscall.SIGKILL)
 		time.Sleep(500 * time.Millisecond)
-		crowd.lost(gatekeepers - 1)
+		generator.delist(proxyCount - 1)
 	case "cut":
-		a = away{gate: gatekeepers - 2, from: time.Now()}
-		c.gates[a.gate].signal(syscall.SIGUSR1)
-		time.Sleep(lasts / 2)
-		c.gates[a.gate].signal(syscall.SIGUSR2)
-		a.to = time.Now().Add(settling)
+		isolated = isolation{proxy: proxyCount - 2, from: time.Now()}
+		c.proxies[isolated.proxy].signal(syscall.SIGUSR1)
+		time.Sleep(duration / 2)
+		c.proxies[isolated.proxy].signal(syscall.SIGUSR2)
+		isolated.to = time.Now().Add(settlingTime)
 	case "core":
-		if h := c.holder(); h >= 0 {
-			c.bothies[h].signal(syscall.SIGKILL)
-			c.cairns[h].signal(syscall.SIGKILL)
+		if holder := c.levelHolder(); holder >= 0 {
+			c.controlNodes[holder].signal(syscall.SIGKILL)
+			c.storeNodes[holder].signal(syscall.SIGKILL)
 		}
 	}
-	return a
+	return isolated
 }
 
-// faults are what must never be.
-func (p *played) faults() (out []string) {
-	v := p.verdict
-	for _, x := range []struct {
+// violations returns a line for each kind of violation that the run has.
+func (p *runResult) violations() (lines []string) {
+	found := p.verdict
+	for _, kind := range []struct {
 		n    int
 		what string
-	}{{v.unsafeTwice, "unsafe requests ran twice"}, {v.lost, "accepted requests did not run"}, {v.refusedRan, "refused requests ran"},
-		{v.outOfOrder, "settled times in which a higher tier was shed while a lower one passed: " + v.order}} {
-		if x.n > 0 {
-			out = append(out, fmt.Sprintf("%d %s", x.n, x.what))
+	}{{found.unsafeRanTwice, "unsafe requests ran twice"}, {found.acceptedNotRun, "accepted requests did not run"}, {found.refusedRan, "refused requests ran"},
+		{found.outOfOrder, "settled times in which a higher tier was shed while a lower one passed: " + found.outOfOrderExample}} {
+		if kind.n > 0 {
+			lines = append(lines, fmt.Sprintf("%d %s", kind.n, kind.what))
 		}
 	}
-	return out
+	return lines
 }
--- a/internal/whiteout/worker.go
+++ b/internal/whiteout/worker.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	workerSlots = 2
-	workerQueue = 8
+	workerSlots = 2 // requests that a worker runs at once
+	workerQueue = 8 // requests that may wait at a worker
 	workerIdle  = 30 * time.Second
 )
 
-// startWorkers starts the workers of all services.
+// startWorkers starts the workers of all services, in alternating zones.
 func (c *cluster) startWorkers() error {
 	for i, s := range services {
-		for j := range workersEach {
-			w := &standin.Worker{ID: fmt.Sprintf("%s-%d", s.name, j), Service: s.name, Zone: []string{"a", "b"}[j%2],
-				Addr: net.JoinHostPort(c.ip(3, i*workersEach+j), fmt.Sprint(frontPort)), Slots: workerSlots, Queue: workerQueue,
-				Idle: workerIdle, Work: func(*standin.Worker) time.Duration { return s.work }, Ledger: c.book}
-			if err := w.Start(); err != nil {
+		for j := range workersPerService {
+			worker := &standin.Worker{ID: fmt.Sprintf("%s-%d", s.name, j), Service: s.name, Zone: []string{"a", "b"}[j%2],
+				Addr: net.JoinHostPort(c.ip(3, i*workersPerService+j), fmt.Sprint(publicPort)), Slots: workerSlots, Queue: workerQueue,
+				Idle: workerIdle, Work: func(*standin.Worker) time.Duration { return s.serviceTime }, Ledger: c.ledger}
+			if err := worker.Start(); err != nil {
 				return err
 			}
-			c.workers = append(c.workers, w)
+			c.workers = append(c.workers, worker)
 		}
 	}
 	return nil
