--- a/internal/forecast/cold.go
+++ b/internal/forecast/cold.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	returnApartS = 5.8 // seconds between two cold returns
-	returnBurstX = 2.0 // times the traffic around each
-	coldTrafficX = 1.2 // times the traffic over the whole day
-	burstEarlyS  = 0.3 // before the return
-	burstS       = 2.5
+	returnIntervalS   = 5.8 // time between two cold returns
+	returnBurstFactor = 2.0 // factor of the traffic around each return
+	coldTrafficFactor = 1.2 // factor of the traffic over the whole scenario
+	burstLeadS        = 0.3 // start of the burst before the return
+	burstDurationS    = 2.5 // duration of the burst
 )
 
-// aroundReturn are the troubles that may fall together with a cold return. One that the bench does not have at a site
-// is left out.
-var aroundReturn = []table{
+// faultsAroundReturn holds the faults that may coincide with a cold return. Kinds that the simulator doesn't offer at a
+// site are left out.
+var faultsAroundReturn = []tomlTable{
 	{"kind": "core_cut", "count": int64(1), "how": "reader"},
 	{"kind": "core_cut", "count": int64(1), "how": "reader"},
 	{"kind": "core_cut", "count": int64(1), "how": "near"},
@@ -34,45 +34,46 @@
 	{"kind": "zone_loss"},
 }
 
-// coldStarts has zones of workers return cold again and again, by a loss or an evacuation that is taken back, while
-// clients press and gatekeepers and control machines come and go.
-func (w *sky) coldStarts() {
-	w.place("burst", table{"at": earliestS, "x": coldTrafficX, "for_s": w.length - earliestS})
-	for from := earliestS; from < w.length-returnApartS; from += returnApartS {
-		begin := from + w.between(0, 1)
-		away := w.between(0.5, 3)
-		back := begin + away
-		zone := w.Zones[w.rnd.IntN(len(w.Zones))].Name
-		if w.rnd.IntN(3) == 0 {
-			w.place("evacuate", table{"at": begin, "for_s": away, "zone": zone})
+// addColdStarts repeatedly makes the workers of a zone return cold, after a crash or after an evacuation that is
+// undone, while traffic is raised and proxies and core machines fail.
+func (w *generator) addColdStarts() {
+	w.addFixedEvent("burst", tomlTable{"at": firstEventS, "x": coldTrafficFactor, "for_s": w.lengthS - firstEventS})
+	for intervalStart := firstEventS; intervalStart < w.lengthS-returnIntervalS; intervalStart += returnIntervalS {
+		begin := intervalStart + w.uniform(0, 1)
+		outageS := w.uniform(0.5, 3)
+		returnAt := begin + outageS
+		zone := w.Zones[w.random.IntN(len(w.Zones))].Name
+		if w.random.IntN(3) == 0 {
+			w.addFixedEvent("evacuate", tomlTable{"at": begin, "for_s": outageS, "zone": zone})
 		} else {
-			how := []string{"", "dark"}[w.rnd.IntN(2)]
-			w.place("cold_return", table{"at": begin, "for_s": away, "zone": zone, "how": how})
+			variant := []string{"", "dark"}[w.random.IntN(2)]
+			w.addFixedEvent("cold_return", tomlTable{"at": begin, "for_s": outageS, "zone": zone, "how": variant})
 		}
-		w.place("burst", table{"at": back - burstEarlyS, "x": returnBurstX, "for_s": burstS})
-		w.someOf(aroundReturn, w.rnd.IntN(3), 5, func() float64 { return back + w.between(-1, 1) })
+		w.addFixedEvent("burst", tomlTable{"at": returnAt - burstLeadS, "x": returnBurstFactor, "for_s": burstDurationS})
+		w.addSomeOf(faultsAroundReturn, w.random.IntN(3), 5, func() float64 { return returnAt + w.uniform(-1, 1) })
 	}
 }
 
-// place adds an entry of a kind that the bench has.
-func (w *sky) place(name string, t table) {
-	i := slices.IndexFunc(w.list, func(one kind) bool { return one.name == name })
+// addFixedEvent adds a given event if the simulator offers its kind. It moves the event into the allowed times and
+// shortens it to the end of the scenario.
+func (w *generator) addFixedEvent(name string, fields tomlTable) {
+	i := slices.IndexFunc(w.kinds, func(candidate faultKind) bool { return candidate.name == name })
 	if i < 0 {
 		return
 	}
-	list := "faults"
-	if w.list[i].plan {
-		list = "plan"
+	section := "faults"
+	if w.kinds[i].planned {
+		section = "plan"
 	}
-	t["kind"] = name
-	t["at"] = math.Round(min(max(t["at"].(float64), earliestS), w.length-lastS)*100) / 100
-	if t["how"] == "" {
-		delete(t, "how")
+	fields["kind"] = name
+	fields["at"] = math.Round(min(max(fields["at"].(float64), firstEventS), w.lengthS-endMarginS)*100) / 100
+	if fields["how"] == "" {
+		delete(fields, "how")
 	}
-	if slices.Contains(instant, name) {
-		delete(t, "for_s")
-	} else if length, ok := t["for_s"].(float64); ok {
-		t["for_s"] = math.Round(min(length, w.length-t["at"].(float64))*100) / 100
+	if slices.Contains(instantKinds, name) {
+		delete(fields, "for_s")
+	} else if durationS, ok := fields["for_s"].(float64); ok {
+		fields["for_s"] = math.Round(min(durationS, w.lengthS-fields["at"].(float64))*100) / 100
 	}
-	w.entries = append(w.entries, entry{list, t})
+	w.events = append(w.events, event{section, fields})
 }
--- a/internal/forecast/halves.go
+++ b/internal/forecast/halves.go
@@ -1,18 +1,18 @@
 package forecast
 
 const (
-	halvesApartS  = 11.0 // seconds between two cuts
-	cutShortestS  = 0.8
-	cutLongestS   = 5.0
-	lossLongestS  = 4.0
-	aroundHalvesS = 1.5 // before a cut and after it, within which other troubles fall
+	partitionIntervalS = 11.0 // time between two partitions
+	minPartitionS      = 0.8  // least duration of a partition
+	maxPartitionS      = 5.0  // greatest duration of a partition
+	maxFaultS          = 4.0  // greatest duration of another event
+	partitionMarginS   = 1.5  // time before and after a partition in which other events may begin
 )
 
-// halvesHow are the variants of a core that is cut in two.
-var halvesHow = []string{"split", "split", "split oldest", "split reset", "split race", "split both", "split drain", "split relieve", "split hard", "split seeds"}
+// partitionVariants holds the variants of a partition that cuts the core machines into two halves.
+var partitionVariants = []string{"split", "split", "split oldest", "split reset", "split race", "split both", "split drain", "split relieve", "split hard", "split seeds"}
 
-// aroundHalves are the troubles that may fall together with a core that is cut in two.
-var aroundHalves = []table{
+// faultsAroundPartition holds the faults that may coincide with a partition of the core.
+var faultsAroundPartition = []tomlTable{
 	{"kind": "core_cut", "count": int64(1), "how": "all race"},
 	{"kind": "core_cut", "count": int64(1), "how": "one_way"},
 	{"kind": "node_kill", "on": "core", "count": int64(1), "how": "leader race"},
@@ -29,8 +29,8 @@
 	{"kind": "srv_crash"},
 }
 
-// ordersInHalves are what the operator wants of a core that is cut in two.
-var ordersInHalves = []table{
+// actionsAroundPartition holds the actions of the operator that may coincide with a partition of the core.
+var actionsAroundPartition = []tomlTable{
 	{"kind": "config_change", "how": "route"},
 	{"kind": "config_change", "how": "quota"},
 	{"kind": "config_change", "how": "weights"},
@@ -39,29 +39,29 @@
 	{"kind": "scale_in", "share": 0.12},
 }
 
-// halves has the core cut in two again and again, with orders, evacuations and losses right before, within and after
-// each cut.
-func (w *sky) halves() {
-	for from := earliestS + aroundHalvesS; from < w.length-halvesApartS; from += halvesApartS {
-		begin := from + w.between(0, 2)
-		length := w.between(cutShortestS, cutLongestS)
-		w.place("core_cut", table{"at": begin, "for_s": length, "how": halvesHow[w.rnd.IntN(len(halvesHow))]})
-		around := func() float64 { return begin + w.between(-aroundHalvesS, length+aroundHalvesS) }
-		if w.rnd.IntN(2) == 0 {
-			w.place("evacuate", table{"at": around(), "for_s": w.between(2, 5), "zone": w.Zones[w.rnd.IntN(len(w.Zones))].Name})
+// addPartitions repeatedly cuts the core machines into two halves, with operator actions, evacuations and faults shortly
+// before, during and after each partition.
+func (w *generator) addPartitions() {
+	for intervalStart := firstEventS + partitionMarginS; intervalStart < w.lengthS-partitionIntervalS; intervalStart += partitionIntervalS {
+		begin := intervalStart + w.uniform(0, 2)
+		partitionS := w.uniform(minPartitionS, maxPartitionS)
+		w.addFixedEvent("core_cut", tomlTable{"at": begin, "for_s": partitionS, "how": partitionVariants[w.random.IntN(len(partitionVariants))]})
+		timeAround := func() float64 { return begin + w.uniform(-partitionMarginS, partitionS+partitionMarginS) }
+		if w.random.IntN(2) == 0 {
+			w.addFixedEvent("evacuate", tomlTable{"at": timeAround(), "for_s": w.uniform(2, 5), "zone": w.Zones[w.random.IntN(len(w.Zones))].Name})
 		}
-		w.someOf(ordersInHalves, 1+w.rnd.IntN(3), lossLongestS, around)
-		w.someOf(aroundHalves, w.rnd.IntN(3), lossLongestS, around)
+		w.addSomeOf(actionsAroundPartition, 1+w.random.IntN(3), maxFaultS, timeAround)
+		w.addSomeOf(faultsAroundPartition, w.random.IntN(3), maxFaultS, timeAround)
 	}
 }
 
-// someOf places so many of the troubles of a list, each lasting half a second to so many.
-func (w *sky) someOf(list []table, n int, longest float64, at func() float64) {
+// addSomeOf adds n events drawn from a list, each lasting from half a second to the given number of seconds.
+func (w *generator) addSomeOf(templates []tomlTable, n int, maxDurationS float64, at func() float64) {
 	for range n {
-		trouble := table{"at": at(), "for_s": w.between(0.5, longest)}
-		for key, value := range list[w.rnd.IntN(len(list))] {
-			trouble[key] = value
+		fields := tomlTable{"at": at(), "for_s": w.uniform(0.5, maxDurationS)}
+		for key, value := range templates[w.random.IntN(len(templates))] {
+			fields[key] = value
 		}
-		w.place(trouble["kind"].(string), trouble)
+		w.addFixedEvent(fields["kind"].(string), fields)
 	}
 }
--- a/internal/forecast/shrink.go
+++ b/internal/forecast/shrink.go
@@ -12,8 +12,8 @@
 	"slices"
 )
 
-// minimize is delta debugging (ddmin): of the items 0 to n it gives a part that is still broken, and from
-// which none can be left out. It takes for granted that the whole is broken.
+// minimize is delta debugging (ddmin): of the items 0 to n-1 it returns a subset that is still broken and from which
+// no single item can be left out. It assumes that the full set is broken.
 func minimize(n int, broken func(keep []int) (bool, error)) ([]int, error) {
 	keep := make([]int, n)
 	for i := range keep {
@@ -22,34 +22,34 @@
 	for parts := 2; len(keep) > 0; {
 		parts = min(parts, len(keep))
 		smaller := false
-		try := func(some []int) (bool, error) {
-			is, err := broken(some)
-			if err == nil && is {
-				keep, smaller = some, true
+		keepIfBroken := func(subset []int) (bool, error) {
+			stillBroken, err := broken(subset)
+			if err == nil && stillBroken {
+				keep, smaller = subset, true
 			}
-			return is, err
+			return stillBroken, err
 		}
-		cut := func(i int) (from, to int) { return i * len(keep) / parts, (i + 1) * len(keep) / parts }
+		bounds := func(i int) (from, to int) { return i * len(keep) / parts, (i + 1) * len(keep) / parts }
 		for i := range parts {
-			from, to := cut(i)
+			from, to := bounds(i)
 			if to-from == len(keep) {
-				break // the whole
+				break // the full set, known to be broken
 			}
-			if is, err := try(slices.Clone(keep[from:to])); err != nil {
+			if stillBroken, err := keepIfBroken(slices.Clone(keep[from:to])); err != nil {
 				return nil, err
-			} else if is {
+			} else if stillBroken {
 				parts = 2
 				break
 			}
 		}
 		for i := 0; !smaller && i < parts; i++ {
-			from, to := cut(i)
+			from, to := bounds(i)
 			if parts == 2 {
-				break // each is what the other leaves
+				break // each half is the other's complement, and was already tried
 			}
-			if is, err := try(slices.Delete(slices.Clone(keep), from, to)); err != nil {
+			if stillBroken, err := keepIfBroken(slices.Delete(slices.Clone(keep), from, to)); err != nil {
 				return nil, err
-			} else if is {
+			} else if stillBroken {
 				parts = max(parts-1, 2)
 			}
 		}
@@ -63,111 +63,115 @@
 	return keep, nil
 }
 
-// shrinker makes a broken day less.
+// shrinker reduces a failing scenario.
 type shrinker struct {
-	broken func(day) (bool, error)
-	log    io.Writer
-	asked  int
-	seen   map[string]bool
+	fails   func(scenario) (bool, error) // reports whether a scenario fails
+	log     io.Writer
+	runs    int             // number of scenarios tried
+	results map[string]bool // results by encoded scenario
 }
 
-func (s *shrinker) ask(d day) (bool, error) {
-	text := string(d.text())
-	if was, is := s.seen[text]; is {
-		return was, nil
+// check reports whether a scenario fails. It runs each distinct scenario only once.
+func (s *shrinker) check(candidate scenario) (bool, error) {
+	encoded := string(candidate.encode())
+	if known, ok := s.results[encoded]; ok {
+		return known, nil
 	}
-	is, err := s.broken(d)
+	fails, err := s.fails(candidate)
 	if err != nil {
 		return false, err
 	}
-	s.asked++
-	s.seen[text] = is
+	s.runs++
+	s.results[encoded] = fails
 	verdict := "holds"
-	if is {
+	if fails {
 		verdict = "broken"
 	}
-	fmt.Fprintf(s.log, "%d: %d entries, %g s: %s\n", s.asked, len(d.entries), number(d.head["length_s"]), verdict)
-	return is, nil
+	fmt.Fprintf(s.log, "%d: %d entries, %g s: %s\n", s.runs, len(candidate.events), toFloat(candidate.header["length_s"]), verdict)
+	return fails, nil
 }
 
-// shrink gives the least day found that is still broken.
-func (s *shrinker) shrink(d day) (day, error) {
-	s.seen = map[string]bool{}
-	if is, err := s.ask(d); err != nil || !is {
-		return d, errors.Join(err, errNotBroken)
+// shrink returns the smallest scenario found that still fails: it leaves out events and the closing fault, and then
+// shortens the scenario.
+func (s *shrinker) shrink(best scenario) (scenario, error) {
+	s.results = map[string]bool{}
+	if fails, err := s.check(best); err != nil || !fails {
+		return best, errors.Join(err, errNotBroken)
 	}
-	all := d.entries
-	with := func(keep []int) day {
-		less := d
-		less.entries = nil
+	events := best.events
+	subset := func(keep []int) scenario {
+		candidate := best
+		candidate.events = nil
 		for _, i := range keep {
-			less.entries = append(less.entries, all[i])
+			candidate.events = append(candidate.events, events[i])
 		}
-		return less
+		return candidate
 	}
-	keep, err := minimize(len(all), func(keep []int) (bool, error) { return s.ask(with(keep)) })
+	keep, err := minimize(len(events), func(keep []int) (bool, error) { return s.check(subset(keep)) })
 	if err != nil {
-		return d, err
+		return best, err
 	}
-	d = with(keep)
-	if d.head["closing"] != nil {
-		less := d
-		less.head = without(d.head, "closing")
-		if is, err := s.ask(less); err != nil {
-			return d, err
-		} else if is {
-			d = less
+	best = subset(keep)
+	if best.header["closing"] != nil {
+		candidate := best
+		candidate.header = withoutKey(best.header, "closing")
+		if fails, err := s.check(candidate); err != nil {
+			return best, err
+		} else if fails {
+			best = candidate
 		}
 	}
-	// Shorter by halves of what follows the last entry.
+	// Shorten the time after the last event by binary search.
 	end := 0.0
-	for _, e := range d.entries {
-		end = max(end, e.at()+e.forS())
+	for _, ev := range best.events {
+		end = max(end, ev.at()+ev.durationS())
 	}
-	for low, high := end, number(d.head["length_s"]); high-low > 2; {
+	for low, high := end, toFloat(best.header["length_s"]); high-low > 2; {
 		mid := math.Ceil((low + high) / 2)
-		less := d
-		less.head = without(d.head, "")
-		less.head["length_s"] = mid
-		is, err := s.ask(less)
+		candidate := best
+		candidate.header = withoutKey(best.header, "")
+		candidate.header["length_s"] = mid
+		fails, err := s.check(candidate)
 		if err != nil {
-			return d, err
+			return best, err
 		}
-		if is {
-			d, high = less, mid
+		if fails {
+			best, high = candidate, mid
 		} else {
 			low = mid
 		}
 	}
-	return d, nil
+	return best, nil
 }
 
-var errNotBroken = errors.New("the day is not broken as it is")
+// errNotBroken is returned for a scenario that does not fail in the first place.
+var errNotBroken = errors.New("expected a day that breaks a rule, but the command finds it holds")
 
-func without(t table, key string) table {
-	less := table{}
-	for k, v := range t {
+// withoutKey returns a copy of a table without the given key.
+func withoutKey(original tomlTable, key string) tomlTable {
+	copied := tomlTable{}
+	for k, v := range original {
 		if k != key {
-			less[k] = v
+			copied[k] = v
 		}
 	}
-	return less
+	return copied
 }
 
-// asking is a predicate that writes the day to a file and runs a command with its name: 0 says that no rule
-// is broken, 1 that one is, anything else that there is no verdict.
-func asking(ctx context.Context, dir string, command []string, log io.Writer) func(day) (bool, error) {
-	n := 0
-	return func(d day) (bool, error) {
-		n++
-		file := filepath.Join(dir, fmt.Sprintf("try-%d.toml", n))
-		if err := os.WriteFile(file, d.text(), 0o644); err != nil {
+// commandPredicate returns a predicate that writes a scenario to a file and runs a command with the file's name. Exit
+// status 0 means that no rule is broken, 1 that one is, anything else that there is no verdict, which is an error.
+func commandPredicate(ctx context.Context, dir string, command []string, log io.Writer) func(scenario) (bool, error) {
+	runs := 0
+	return func(candidate scenario) (bool, error) {
+		runs++
+		file := filepath.Join(dir, fmt.Sprintf("try-%d.toml", runs))
+		if err := os.WriteFile(file, candidate.encode(), 0o644); err != nil {
 			return false, err
 		}
-		c := exec.CommandContext(ctx, command[0], append(slices.Clone(command[1:]), file)...)
-		c.Stdout, c.Stderr = log, log
-		err := c.Run()
-		if exit := (*exec.ExitError)(nil); errors.As(err, &exit) && exit.ExitCode() == 1 {
+		cmd := exec.CommandContext(ctx, command[0], append(slices.Clone(command[1:]), file)...)
+		cmd.Stdout, cmd.Stderr = log, log
+		err := cmd.Run()
+		if exitErr := (*exec.ExitError)(nil); errors.As(err, &exitErr) && exitErr.ExitCode() == 1 {
 			return true, nil
 		}
 		if err != nil {
--- a/internal/forecast/shrink_test.go
+++ b/internal/forecast/shrink_test.go
@@ -15,22 +15,23 @@
 	_ "foxwood/internal/fixedseed"
 )
 
-// TestMinimize: where a day breaks by some entries together, whatever else is there, just these are left.
-func TestMinimize(t *testing.T) {
+// TestMinimizeFindsNeededItems checks that exactly the needed items remain if a set is broken whenever it contains all
+// of them.
+func TestMinimizeFindsNeededItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 120).Draw(t, "n")
-		var need []int
+		var needed []int
 		for range rapid.IntRange(0, 5).Draw(t, "needed") {
-			if i := rapid.IntRange(0, 119).Draw(t, "need"); i < n && !slices.Contains(need, i) {
-				need = append(need, i)
+			if i := rapid.IntRange(0, 119).Draw(t, "need"); i < n && !slices.Contains(needed, i) {
+				needed = append(needed, i)
 			}
 		}
-		slices.Sort(need)
-		asked := 0
+		slices.Sort(needed)
+		runs := 0
 		got, err := minimize(n, func(keep []int) (bool, error) {
-			asked++
+			runs++
 			assert.Assert(t, slices.IsSorted(keep))
-			for _, i := range need {
+			for _, i := range needed {
 				if !slices.Contains(keep, i) {
 					return false, nil
 				}
@@ -38,85 +39,88 @@
 			return true, nil
 		})
 		assert.NilError(t, err)
-		assert.Equal(t, fmt.Sprint(got), fmt.Sprint(need))
-		assert.Assert(t, asked <= n*n+3*n+1)
+		assert.Equal(t, fmt.Sprint(got), fmt.Sprint(needed))
+		assert.Assert(t, runs <= n*n+3*n+1)
 	})
 }
 
-// TestMinimizeOdd: where the predicate is not monotone, what is left breaks and loses that with any one less.
-func TestMinimizeOdd(t *testing.T) {
+// TestMinimizeNonMonotonePredicate checks that the result is broken, and no longer is without any one item, even if
+// the predicate is not monotone.
+func TestMinimizeNonMonotonePredicate(t *testing.T) {
 	broken := func(keep []int) (bool, error) { return len(keep)%3 == 2 && slices.Contains(keep, 4), nil }
 	got, err := minimize(20, broken)
 	assert.NilError(t, err)
-	is, _ := broken(got)
-	assert.Assert(t, is)
+	isBroken, _ := broken(got)
+	assert.Assert(t, isBroken)
 	for i := range got {
-		is, _ := broken(slices.Delete(slices.Clone(got), i, i+1))
-		assert.Assert(t, !is)
+		isBroken, _ := broken(slices.Delete(slices.Clone(got), i, i+1))
+		assert.Assert(t, !isBroken)
 	}
 }
 
-func entriesOf(d day) []string {
+// eventNames returns kind and variant of each event.
+func eventNames(s scenario) []string {
 	var names []string
-	for _, e := range d.entries {
-		names = append(names, e.kind()+" "+e.how())
+	for _, ev := range s.events {
+		names = append(names, ev.kindName()+" "+ev.variant())
 	}
 	return names
 }
 
-// TestShrink: entries, closing and length go as far as the predicate lets them.
-func TestShrink(t *testing.T) {
-	s, k := given(t)
+// TestShrinkRemovesAllThatIsNotNeeded checks that events, the closing fault and the length are reduced as far as the
+// predicate allows.
+func TestShrinkRemovesAllThatIsNotNeeded(t *testing.T) {
+	parsedSite, catalog := readTestdata(t)
 	for seed := range uint64(4) {
-		d := draw(s, k, "changes", seed, 90)
-		d.head["closing"] = table{"kind": "kill_all", "down_s": 1.0}
-		one, other := d.entries[len(d.entries)/3], d.entries[len(d.entries)/2]
-		one.table["needed"], other.table["needed"] = true, true
-		for _, closing := range []bool{true, false} {
-			sh := &shrinker{log: io.Discard, broken: func(d day) (bool, error) {
+		original := generate(parsedSite, catalog, "changes", seed, 90)
+		original.header["closing"] = tomlTable{"kind": "kill_all", "down_s": 1.0}
+		firstNeeded, secondNeeded := original.events[len(original.events)/3], original.events[len(original.events)/2]
+		firstNeeded.tomlTable["needed"], secondNeeded.tomlTable["needed"] = true, true
+		for _, needsClosing := range []bool{true, false} {
+			reducer := &shrinker{log: io.Discard, fails: func(candidate scenario) (bool, error) {
 				needed := 0
-				for _, e := range d.entries {
-					if e.table["needed"] != nil {
+				for _, ev := range candidate.events {
+					if ev.tomlTable["needed"] != nil {
 						needed++
 					}
 				}
-				return needed == 2 && number(d.head["length_s"]) >= 70 && (!closing || d.head["closing"] != nil), nil
+				return needed == 2 && toFloat(candidate.header["length_s"]) >= 70 && (!needsClosing || candidate.header["closing"] != nil), nil
 			}}
-			least, err := sh.shrink(d)
+			smallest, err := reducer.shrink(original)
 			assert.NilError(t, err)
-			assert.Assert(t, len(least.entries) == 2, "%s", least.text())
-			assert.Equal(t, least.head["closing"] != nil, closing)
-			end := number(least.head["length_s"])
-			assert.Assert(t, end >= 70 && end <= 72 || end-(other.at()+other.forS()) <= 2 || end-(one.at()+one.forS()) <= 2, "%g", end)
-			assert.Equal(t, number(d.head["length_s"]), 90.0) // the day that was given is as it was
+			assert.Assert(t, len(smallest.events) == 2, "%s", smallest.encode())
+			assert.Equal(t, smallest.header["closing"] != nil, needsClosing)
+			end := toFloat(smallest.header["length_s"])
+			assert.Assert(t, end >= 70 && end <= 72 || end-(secondNeeded.at()+secondNeeded.durationS()) <= 2 || end-(firstNeeded.at()+firstNeeded.durationS()) <= 2, "%g", end)
+			assert.Equal(t, toFloat(original.header["length_s"]), 90.0) // the scenario passed in is unchanged
 		}
 	}
-	sh := &shrinker{log: io.Discard, broken: func(day) (bool, error) { return false, nil }}
-	_, err := sh.shrink(draw(s, k, "core", 1, 60))
+	reducer := &shrinker{log: io.Discard, fails: func(scenario) (bool, error) { return false, nil }}
+	_, err := reducer.shrink(generate(parsedSite, catalog, "core", 1, 60))
 	assert.ErrorIs(t, err, errNotBroken)
 }
 
-// TestReadDay: a day reads back as it was written, with what a person added.
-func TestReadDay(t *testing.T) {
-	s, k := given(t)
+// TestScenarioFileRoundTrip checks that a scenario reads back as it was written, including keys added by hand.
+func TestScenarioFileRoundTrip(t *testing.T) {
+	parsedSite, catalog := readTestdata(t)
 	file := filepath.Join(t.TempDir(), "day.toml")
 	for _, profile := range profiles {
-		text := draw(s, k, profile, 3, 60).text()
-		assert.NilError(t, os.WriteFile(file, text, 0o644))
-		d, err := readDay(file)
+		encoded := generate(parsedSite, catalog, profile, 3, 60).encode()
+		assert.NilError(t, os.WriteFile(file, encoded, 0o644))
+		read, err := readScenario(file)
 		assert.NilError(t, err)
-		assert.Equal(t, string(d.text()), string(text))
+		assert.Equal(t, string(read.encode()), string(encoded))
 	}
 	assert.NilError(t, os.WriteFile(file, []byte("traffic = [{ zone = \"a\", mix = { ask = 1.5 }, names = [\"b\\n\", 3, true] }]\nfaults = [{ kind = \"fog\", at = 2 }]\n"), 0o644))
-	d, err := readDay(file)
+	read, err := readScenario(file)
 	assert.NilError(t, err)
-	assert.Equal(t, string(d.text()), "traffic = [{ zone = \"a\", mix = { ask = 1.5 }, names = [\"b\\n\", 3, true] }]\nplan = [\n]\nfaults = [\n  { at = 2, kind = \"fog\" },\n]\n")
+	assert.Equal(t, string(read.encode()), "traffic = [{ zone = \"a\", mix = { ask = 1.5 }, names = [\"b\\n\", 3, true] }]\nplan = [\n]\nfaults = [\n  { at = 2, kind = \"fog\" },\n]\n")
 	assert.NilError(t, os.WriteFile(file, []byte("plan = [3]"), 0o644))
-	_, err = readDay(file)
+	_, err = readScenario(file)
 	assert.ErrorContains(t, err, "no table")
 }
 
-// script writes a command.
+// script writes an executable shell script and returns its path.
 func script(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "command")
@@ -124,22 +128,23 @@
 	return file
 }
 
-// TestShrinkCommand: the command's exit status is the predicate; the least day is in the file.
+// TestShrinkCommand checks that the command's exit status is the predicate and that the smallest scenario is written to
+// the file.
 func TestShrinkCommand(t *testing.T) {
-	s, k := given(t)
-	d := draw(s, k, "core", 2, 60)
-	if len(d.entries) < 12 || !strings.Contains(string(d.text()), "replace_core") {
-		t.Fatalf("another seed is needed: %s", d.text())
+	parsedSite, catalog := readTestdata(t)
+	original := generate(parsedSite, catalog, "core", 2, 60)
+	if len(original.events) < 12 || !strings.Contains(string(original.encode()), "replace_core") {
+		t.Fatalf("another seed is needed: %s", original.encode())
 	}
 	dir := t.TempDir()
 	file, out := filepath.Join(dir, "day.toml"), filepath.Join(dir, "least.toml")
-	assert.NilError(t, os.WriteFile(file, d.text(), 0o644))
+	assert.NilError(t, os.WriteFile(file, original.encode(), 0o644))
 	assert.Equal(t, Main([]string{"shrink", "-out", out, file, script(t, "! grep -q 'kind = \"replace_core\"' \"$1\"\n")}), 0)
-	least, err := readDay(out)
+	smallest, err := readScenario(out)
 	assert.NilError(t, err)
-	names := entriesOf(least)
+	names := eventNames(smallest)
 	assert.Assert(t, len(names) == 1 && strings.HasPrefix(names[0], "replace_core"), "%v", names)
-	assert.Equal(t, least.head["closing"], nil)
+	assert.Equal(t, smallest.header["closing"], nil)
 
 	assert.Equal(t, Main([]string{"shrink", "-out", out, file, script(t, "exit 0\n")}), 3)
 	assert.Equal(t, Main([]string{"shrink", "-out", out, file, script(t, "exit 2\n")}), 3)
--- a/internal/forecast/site.go
+++ b/internal/forecast/site.go
@@ -11,7 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// site is what a day needs to know of a deployment.
+// site is the part of a site file that is needed to generate scenarios. The fields are decoded under
+// their names.
 type site struct {
 	Name     string
 	Zones    []struct{ Name, Region string }
@@ -21,191 +22,200 @@
 	}
 	Services []struct{ Name string }
 	Classes  []struct{ Name string }
-	Troubles []table
-	Tolerate struct{ Machines int }
-	Day      []struct {
-		Closing      table
-		Plan, Faults []table
+	Troubles []tomlTable            // faults that may occur at the site
+	Tolerate struct{ Machines int } // core machines that may fail at once without breaking a rule
+	Day      []struct {             // the site's own scenarios
+		Closing      tomlTable
+		Plan, Faults []tomlTable
 	}
 }
 
+// readSite reads a site file.
 func readSite(file string) (*site, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	s := &site{}
-	if err := toml.Unmarshal(text, s); err != nil {
+	parsed := &site{}
+	if err := toml.Unmarshal(text, parsed); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if s.Name == "" || len(s.Zones) == 0 || len(s.Services) == 0 || len(s.Machines) == 0 {
-		return nil, fmt.Errorf("%s: no site: a name, zones, services and machines are needed", file)
+	if parsed.Name == "" || len(parsed.Zones) == 0 || len(parsed.Services) == 0 || len(parsed.Machines) == 0 {
+		return nil, fmt.Errorf("%s: no site: expected a name, zones, services and machines, got name %q, %d zones, %d services and %d machine classes", file,
+			parsed.Name, len(parsed.Zones), len(parsed.Services), len(parsed.Machines))
 	}
-	return s, nil
+	return parsed, nil
 }
 
-// kind is a kind of trouble as the bench describes it.
-type kind struct {
-	name  string
-	group group
-	says  string
-	words map[string]bool // of what it says
-	hows  []string        // variants, "" among them; one with a + goes with another
-	plan  bool            // planned work
-	hasX  bool
-	x     float64 // as a rule; 0 where none is told
+// faultKind is a kind of fault or planned work, as the simulator describes it.
+type faultKind struct {
+	name             string
+	target           target
+	description      string          // the simulator's text
+	descriptionWords map[string]bool // words of the description
+	variants         []string        // variants, including ""; one with a leading + is combined with another
+	planned          bool
+	hasX             bool    // has the parameter x, whose meaning depends on the kind
+	usualX           float64 // usual value of x; 0 if the description gives none
 }
 
-// group says what a kind strikes.
-type group int
+// target tells what a kind of fault affects.
+type target int
 
 const (
-	orders   group = iota // the operator's
-	machines              // of the system
-	servers
-	traffic
+	targetOperator target = iota // actions of the operator
+	targetMachines               // machines of the load balancer
+	targetServers                // workers
+	targetTraffic                // requests of the clients
 )
 
-// kinds is all that may come.
-type kinds struct {
-	list     []kind
-	closings []table // kind and how
-	// aims are which machine is struck, afters what comes with its return, cuts how a cut is felt, and
-	// spread which servers.
-	aims, afters, cuts, spread []string
+// faultCatalog is the catalogue of everything that may occur at a site.
+type faultCatalog struct {
+	kinds    []faultKind
+	closings []tomlTable // faults that may end a scenario, each with kind and how
+
+	// Modifiers that can be combined with the variants of many kinds.
+	machineModifiers []string // which machine is hit
+	returnModifiers  []string // what happens when the machine returns
+	cutModifiers     []string // how the other side sees a cut connection
+	serverModifiers  []string // which workers are hit
 }
 
+// Patterns for the simulator's description of kinds.
 var (
-	kindLine    = regexp.MustCompile(`^([a-z_]+): (.+)$`)
-	closingLine = regexp.MustCompile(`^closing = \{ kind = ([a-z_ |]+),`)
-	howClause   = regexp.MustCompile(`\bhow: `)
-	howTaken    = regexp.MustCompile(`\bhow ([a-z]+): `)
-	xValue      = regexp.MustCompile(`\bx (?:[a-z]+ )?\(([0-9.]+)\)`)
-	anyWord     = regexp.MustCompile(`[a-z_]+`)
-	word        = regexp.MustCompile(`^\+?[a-z_]+$`)
-	brackets    = regexp.MustCompile(`\([^()]*\)`)
+	kindPattern             = regexp.MustCompile(`^([a-z_]+): (.+)$`)
+	closingPattern          = regexp.MustCompile(`^closing = \{ kind = ([a-z_ |]+),`)
+	variantsPattern         = regexp.MustCompile(`\bhow: `)
+	explainedVariantPattern = regexp.MustCompile(`\bhow ([a-z]+): `)
+	usualXPattern           = regexp.MustCompile(`\bx (?:[a-z]+ )?\(([0-9.]+)\)`)
+	wordPattern             = regexp.MustCompile(`[a-z_]+`)
+	variantPattern          = regexp.MustCompile(`^\+?[a-z_]+$`)
+	bracketsPattern         = regexp.MustCompile(`\([^()]*\)`)
 )
 
-// readKinds reads the description of kinds. What the site's own days and troubles use belongs to it.
-func readKinds(text string, s *site) (*kinds, error) {
-	k := &kinds{}
+// readKinds parses the simulator's description of kinds. It adds the kinds and variants that only the site's own
+// scenarios use.
+func readKinds(description string, parsedSite *site) (*faultCatalog, error) {
+	catalog := &faultCatalog{}
 	var prose strings.Builder
-	for line := range strings.Lines(text) {
+	for line := range strings.Lines(description) {
 		line = strings.TrimSpace(line)
-		if m := closingLine.FindStringSubmatch(line); m != nil {
-			hows := []string{""}
-			for _, how := range howTaken.FindAllStringSubmatch(line, -1) {
-				hows = append(hows, how[1])
+		if match := closingPattern.FindStringSubmatch(line); match != nil {
+			variants := []string{""}
+			for _, variant := range explainedVariantPattern.FindAllStringSubmatch(line, -1) {
+				variants = append(variants, variant[1])
 			}
-			for name := range strings.SplitSeq(m[1], "|") {
-				for _, how := range hows {
-					k.closing(strings.TrimSpace(name), how)
+			for name := range strings.SplitSeq(match[1], "|") {
+				for _, variant := range variants {
+					catalog.addClosing(strings.TrimSpace(name), variant)
 				}
 			}
-		} else if m := kindLine.FindStringSubmatch(line); m != nil {
-			k.add(m[1], m[2])
+		} else if match := kindPattern.FindStringSubmatch(line); match != nil {
+			catalog.addDescribed(match[1], match[2])
 		} else {
 			prose.WriteString(line + "\n")
 		}
 	}
-	if len(k.list) == 0 {
-		return nil, fmt.Errorf("the description of kinds names none")
+	if len(catalog.kinds) == 0 {
+		return nil, fmt.Errorf("the description of kinds names none: expected lines of the form NAME: DESCRIPTION")
 	}
-	// The words that go with many kinds stand in prose.
-	said := func(words ...string) []string {
+	// The modifiers that apply to many kinds are mentioned in the prose around the list.
+	mentioned := func(words ...string) []string {
 		return slices.DeleteFunc(words, func(w string) bool {
 			return !regexp.MustCompile(`\b` + w + `\b`).MatchString(prose.String())
 		})
 	}
-	k.aims, k.afters = said("leader", "reader", "seed"), said("meet", "race", "hard", "drain", "busy")
-	k.cuts, k.spread = said("reset", "refuse"), said("across", "all")
-	for _, t := range s.Troubles {
-		k.seen(t)
+	catalog.machineModifiers, catalog.returnModifiers = mentioned("leader", "reader", "seed"), mentioned("meet", "race", "hard", "drain", "busy")
+	catalog.cutModifiers, catalog.serverModifiers = mentioned("reset", "refuse"), mentioned("across", "all")
+	for _, fields := range parsedSite.Troubles {
+		catalog.addUsage(fields)
 	}
-	for _, d := range s.Day {
-		if d.Closing != nil {
-			how, _ := d.Closing["how"].(string)
-			name, _ := d.Closing["kind"].(string)
-			k.closing(name, how)
+	for _, day := range parsedSite.Day {
+		if day.Closing != nil {
+			variant, _ := day.Closing["how"].(string)
+			name, _ := day.Closing["kind"].(string)
+			catalog.addClosing(name, variant)
 		}
-		for _, t := range d.Plan {
-			k.seen(t).plan = true
+		for _, fields := range day.Plan {
+			catalog.addUsage(fields).planned = true
 		}
-		for _, t := range d.Faults {
-			k.seen(t)
+		for _, fields := range day.Faults {
+			catalog.addUsage(fields)
 		}
 	}
-	return k, nil
+	return catalog, nil
 }
 
-func (k *kinds) closing(name, how string) {
-	same := func(t table) bool { return t["kind"] == name && t["how"] == how }
+// addClosing adds a closing fault unless it is known.
+func (k *faultCatalog) addClosing(name, variant string) {
+	same := func(known tomlTable) bool { return known["kind"] == name && known["how"] == variant }
 	if !slices.ContainsFunc(k.closings, same) {
-		k.closings = append(k.closings, table{"kind": name, "how": how})
+		k.closings = append(k.closings, tomlTable{"kind": name, "how": variant})
 	}
 }
 
-// find gives a kind, which is made where it is new.
-func (k *kinds) find(name string) *kind {
-	i := slices.IndexFunc(k.list, func(one kind) bool { return one.name == name })
+// findOrAdd returns the kind of a name, and adds it if it is new.
+func (k *faultCatalog) findOrAdd(name string) *faultKind {
+	i := slices.IndexFunc(k.kinds, func(known faultKind) bool { return known.name == name })
 	if i < 0 {
-		i = len(k.list)
-		k.list = append(k.list, kind{name: name, group: groupOf(name, ""), hows: []string{""}})
+		i = len(k.kinds)
+		k.kinds = append(k.kinds, faultKind{name: name, target: targetOf(name, ""), variants: []string{""}})
 	}
-	return &k.list[i]
+	return &k.kinds[i]
 }
 
-// leave takes a kind out.
-func (k *kinds) leave(name string) {
-	k.list = slices.DeleteFunc(k.list, func(one kind) bool { return one.name == name })
+// remove removes a kind.
+func (k *faultCatalog) remove(name string) {
+	k.kinds = slices.DeleteFunc(k.kinds, func(known faultKind) bool { return known.name == name })
 }
 
-func (k *kinds) add(name, says string) {
-	one := k.find(name)
-	one.says, one.group, one.plan = says, groupOf(name, says), slices.Contains(planned, name)
-	if strings.HasPrefix(says, "the same") && len(k.list) > 1 {
-		// The line before tells the rest.
-		before := k.list[len(k.list)-2]
-		one.says, one.hows = before.says+"; "+says, slices.Clone(before.hows)
+// addDescribed adds a kind by its description.
+func (k *faultCatalog) addDescribed(name, description string) {
+	added := k.findOrAdd(name)
+	added.description, added.target, added.planned = description, targetOf(name, description), slices.Contains(plannedKinds, name)
+	if strings.HasPrefix(description, "the same") && len(k.kinds) > 1 {
+		// The description continues that of the line before.
+		before := k.kinds[len(k.kinds)-2]
+		added.description, added.variants = before.description+"; "+description, slices.Clone(before.variants)
 	}
-	one.words = map[string]bool{}
-	for _, w := range anyWord.FindAllString(one.says, -1) {
-		one.words[w] = true
+	added.descriptionWords = map[string]bool{}
+	for _, word := range wordPattern.FindAllString(added.description, -1) {
+		added.descriptionWords[word] = true
 	}
-	one.hasX = one.words["x"]
-	if m := xValue.FindStringSubmatch(says); m != nil {
-		one.x, _ = strconv.ParseFloat(m[1], 64)
+	added.hasX = added.descriptionWords["x"]
+	if match := usualXPattern.FindStringSubmatch(description); match != nil {
+		added.usualX, _ = strconv.ParseFloat(match[1], 64)
 	}
-	for _, how := range variants(says) {
-		if !slices.Contains(one.hows, how) {
-			one.hows = append(one.hows, how)
+	for _, variant := range parseVariants(description) {
+		if !slices.Contains(added.variants, variant) {
+			added.variants = append(added.variants, variant)
 		}
 	}
 }
 
-// seen takes up how the site uses a kind.
-func (k *kinds) seen(t table) *kind {
-	name, _ := t["kind"].(string)
-	one := k.find(name)
-	if how, _ := t["how"].(string); !slices.Contains(one.hows, how) {
-		one.hows = append(one.hows, how)
+// addUsage adds the kind of an event in the site file, with the variant and the value of x used there.
+func (k *faultCatalog) addUsage(fields tomlTable) *faultKind {
+	name, _ := fields["kind"].(string)
+	used := k.findOrAdd(name)
+	if variant, _ := fields["how"].(string); !slices.Contains(used.variants, variant) {
+		used.variants = append(used.variants, variant)
 	}
-	if x := number(t["x"]); x > 0 && one.x == 0 {
-		one.x, one.hasX = x, true
+	if x := toFloat(fields["x"]); x > 0 && used.usualX == 0 {
+		used.usualX, used.hasX = x, true
 	}
-	return one
+	return used
 }
 
-// variants finds the words that a description allows for 'how': lists, words with an explanation in
-// brackets or behind a comma, clauses in brackets.
-func variants(says string) []string {
+// parseVariants returns the words that a description allows for 'how'. It understands lists, words with an explanation
+// in brackets or after a comma, and clauses in brackets.
+func parseVariants(description string) []string {
 	var words []string
-	for _, m := range howTaken.FindAllStringSubmatch(says, -1) {
-		words = append(words, m[1])
+	for _, match := range explainedVariantPattern.FindAllStringSubmatch(description, -1) {
+		words = append(words, match[1])
 	}
-	for _, at := range howClause.FindAllStringIndex(says, -1) {
-		rest, depth, end := says[at[1]:], 0, 0
-		inside := strings.Count(says[:at[0]], "(") > strings.Count(says[:at[0]], ")")
+	for _, position := range variantsPattern.FindAllStringIndex(description, -1) {
+		rest, depth, end := description[position[1]:], 0, 0
+		inside := strings.Count(description[:position[0]], "(") > strings.Count(description[:position[0]], ")")
 	scan:
 		for end = 0; end < len(rest); end++ {
 			switch rest[end] {
@@ -223,17 +233,17 @@
 			}
 		}
 		clause := rest[:end]
-		for brackets.MatchString(clause) {
-			clause = brackets.ReplaceAllString(clause, "")
+		for bracketsPattern.MatchString(clause) {
+			clause = bracketsPattern.ReplaceAllString(clause, "")
 		}
 		for part := range strings.FieldsFuncSeq(clause, func(r rune) bool { return r == ',' || r == ';' }) {
 			fields := strings.Fields(strings.ReplaceAll(part, "+ ", "+"))
 			if len(fields) == 0 || slices.Contains([]string{"they", "the", "a", "it"}, fields[0]) {
-				continue // an explanation
+				continue // an explanation, not a variant
 			}
-			for _, w := range fields {
-				if word.MatchString(w) && !slices.Contains(words, w) {
-					words = append(words, w)
+			for _, candidate := range fields {
+				if variantPattern.MatchString(candidate) && !slices.Contains(words, candidate) {
+					words = append(words, candidate)
 				}
 			}
 		}
@@ -241,32 +251,33 @@
 	return words
 }
 
-// planned are kinds of planned work that the days of a site may lack.
-var planned = []string{"release", "scale_in", "scale_out", "roll_term", "hup", "seed_turnover", "config_change", "config_storm", "config_race",
+// plannedKinds holds the kinds of planned work. A site's own scenarios needn't contain them.
+var plannedKinds = []string{"release", "scale_in", "scale_out", "roll_term", "hup", "seed_turnover", "config_change", "config_storm", "config_race",
 	"bad_config", "big_config", "revoke", "evacuate"}
 
-var groups = []struct {
-	is   *regexp.Regexp
-	what group
+// targetPatterns maps patterns of kind names to what the kinds affect.
+var targetPatterns = []struct {
+	pattern *regexp.Regexp
+	target  target
 }{
-	{regexp.MustCompile(`^(config_|bad_config|big_config|revoke|evacuate|ack_lost)`), orders},
-	{regexp.MustCompile(`^(node_|core_|disk_|zone_|after_ack_|roll_term|herd_kill|clock_step|replace_core|reset_conns|hup|seed_)`), machines},
-	{regexp.MustCompile(`^(burst|hot_|retry_)`), traffic},
-	{regexp.MustCompile(`^(srv_|release|scale_|cold_|answer_|garble|replace_with|idle_)`), servers},
+	{regexp.MustCompile(`^(config_|bad_config|big_config|revoke|evacuate|ack_lost)`), targetOperator},
+	{regexp.MustCompile(`^(node_|core_|disk_|zone_|after_ack_|roll_term|herd_kill|clock_step|replace_core|reset_conns|hup|seed_)`), targetMachines},
+	{regexp.MustCompile(`^(burst|hot_|retry_)`), targetTraffic},
+	{regexp.MustCompile(`^(srv_|release|scale_|cold_|answer_|garble|replace_with|idle_)`), targetServers},
 }
 
-// groupOf goes by the name, and for a kind that is new by its description.
-func groupOf(name, says string) group {
-	for _, g := range groups {
-		if g.is.MatchString(name) {
-			return g.what
+// targetOf returns what a kind affects: by its name, or for an unknown name by its description.
+func targetOf(name, description string) target {
+	for _, entry := range targetPatterns {
+		if entry.pattern.MatchString(name) {
+			return entry.target
 		}
 	}
 	switch {
-	case strings.Contains(says, "servers"):
-		return servers
-	case strings.Contains(says, "machine") || strings.Contains(says, "disk"):
-		return machines
+	case strings.Contains(description, "servers"):
+		return targetServers
+	case strings.Contains(description, "machine") || strings.Contains(description, "disk"):
+		return targetMachines
 	}
-	return orders
+	return targetOperator
 }
