--- a/internal/trial/capture.go
+++ b/internal/trial/capture.go
@@ -13,77 +13,78 @@
 	"foxwood/internal/replay"
 )
 
-// captured, behind a transport's name, has its gatekeeper keep a capture.
-const captured = "captured"
+// captureSuffix is appended to a transport's name to have its gateway write a capture.
+const captureSuffix = "captured"
 
-// bytesOf is how much some segments hold.
-func bytesOf(segments []capture.Segment) (n int64) {
-	for _, s := range segments {
-		n += s.Size
+// totalSize returns the total size of segments in bytes.
+func totalSize(segments []capture.Segment) (total int64) {
+	for _, segment := range segments {
+		total += segment.Size
 	}
-	return n
+	return total
 }
 
-// Captures measures a gatekeeper with and without a capture, interleaved, and then what
-// the capture takes to keep, to replay and to explain one request from.
-func Captures(ctx context.Context, o Options, to io.Writer) error {
+// Captures measures a gateway with and without a capture, in interleaved runs, and then the size of the
+// capture and the time it takes to read it, to replay it, and to explain one request from it. It
+// writes the results as Markdown.
+func Captures(ctx context.Context, options Options, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "foxwood-trial")
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	o.Dir = dir
-	o.Transports = []string{"one-at-a-time", "one-at-a-time " + captured}
-	table, err := Transports(ctx, o)
+	options.Dir = dir
+	options.Transports = []string{"one-at-a-time", "one-at-a-time " + captureSuffix}
+	table, err := Transports(ctx, options)
 	if err != nil {
 		return err
 	}
-	if err := table.Write(to); err != nil {
+	if err := table.Write(out); err != nil {
 		return err
 	}
-	segments, err := capture.Find(filepath.Join(dir, captured))
+	segments, err := capture.Find(filepath.Join(dir, captureSuffix))
 	if err != nil {
 		return err
 	}
-	size := bytesOf(segments)
+	size := totalSize(segments)
 	key := capture.Key{}
-	requests, last := 0, ""
+	requests, lastName := 0, ""
 	began := time.Now()
-	set := capture.NewSet(segments, &key)
-	defer set.Close()
-	err = set.Each(func(r *capturepb.Record) {
-		switch r.GetKind() {
+	records := capture.NewSet(segments, &key)
+	defer records.Close()
+	err = records.Each(func(record *capturepb.Record) {
+		switch record.GetKind() {
 		case capturepb.Kind_REQUESTED:
 			requests++
 		case capturepb.Kind_NAMED:
-			last = r.GetText()
+			lastName = record.GetText()
 		}
-	}, func(err error) { fmt.Fprintf(to, "\n%v\n", err) })
+	}, func(err error) { fmt.Fprintf(out, "\n%v\n", err) })
 	if err != nil {
 		return err
 	}
-	read := time.Since(began)
-	records := set.Records()
-	played := capture.NewSet(segments, &key)
-	defer played.Close()
+	readTime := time.Since(began)
+	recordCount := records.Records()
+	replaySet := capture.NewSet(segments, &key)
+	defer replaySet.Close()
 	began = time.Now()
-	report, err := replay.Run(played, &key, replay.Options{})
+	report, err := replay.Run(replaySet, &key, replay.Options{})
 	if err != nil {
 		return err
 	}
-	replayed := time.Since(began)
-	asked := capture.NewSet(segments, &key)
-	defer asked.Close()
+	replayTime := time.Since(began)
+	explainSet := capture.NewSet(segments, &key)
+	defer explainSet.Close()
 	began = time.Now()
-	if p, ok := capture.Locate(segments, last); ok {
-		asked.Skip(p)
+	if p, ok := capture.Locate(segments, lastName); ok {
+		explainSet.Skip(p)
 	}
-	if err := replay.Explain(io.Discard, asked, &key, last); err != nil {
+	if err := replay.Explain(io.Discard, explainSet, &key, lastName); err != nil {
 		return err
 	}
-	explained := time.Since(began)
-	span := float64(report.Last-report.First) / 1e6
-	_, err = fmt.Fprintf(to, `
+	explainTime := time.Since(began)
+	capturedSeconds := float64(report.Last-report.First) / 1e6
+	_, err = fmt.Fprintf(out, `
 ### The capture
 
 | figure | value |
@@ -96,8 +97,8 @@
 | time replayed in a second, at this load | %.0f s |
 | lives, differences | %d, %d |
 | explaining the last request, by index and checkpoint | %.2f s |
-`, requests, records, float64(size)/float64(max(records, 1)), float64(size)/float64(max(requests, 1)),
-		float64(size)/float64(max(requests, 1)), float64(records)/read.Seconds(), float64(report.Calls)/replayed.Seconds(),
-		span/replayed.Seconds(), report.Lives, len(report.Differences), explained.Seconds())
+`, requests, recordCount, float64(size)/float64(max(recordCount, 1)), float64(size)/float64(max(requests, 1)),
+		float64(size)/float64(max(requests, 1)), float64(recordCount)/readTime.Seconds(), float64(report.Calls)/replayTime.Seconds(),
+		capturedSeconds/replayTime.Seconds(), report.Lives, len(report.Differences), explainTime.Seconds())
 	return err
 }
--- a/internal/trial/counters.go
+++ b/internal/trial/counters.go
@@ -13,62 +13,65 @@
 	"foxwood/policy"
 )
 
-// Counters measures, in simulated time, what several gatekeepers hold banks to while their
-// counter is slow, silent, split or replaced: units sent on beyond quotas and ceilings, and
-// units refused that the quotas had.
+// Counters measures, in simulated time, how well several gateways enforce the customers' quotas while
+// the counter that they share is slow, silent, partitioned or replaced: units sent on beyond quotas and
+// ceilings, and units refused although the quota had them.
 type Counters struct {
-	Runs  int
-	Seed  uint64
-	Gates int // gatekeepers; 4 where 0
+	Runs  int    // runs of each scenario
+	Seed  uint64 // of the first run; each further run adds 1
+	Gates int    // number of gateways; 0 means 4
 }
 
 const (
-	tallyBefore  = 10000.0 // milliseconds before the trouble
-	tallyTrouble = 30000.0
-	tallyAfter   = 20000.0
-	tallyServe   = 40.0 // milliseconds of a request, mean
-	tallyTurn    = 7000.0
-	tallyBusiest = 0.7 // of a bank's requests come to one gatekeeper, which changes every turn
-	tallyEach    = 0.5 // milliseconds of a counter call
-	tallyQueue   = 100.0
+	beforeFaultMs         = 10000.0 // time before the fault
+	faultMs               = 30000.0 // duration of the fault
+	afterFaultMs          = 20000.0 // time after the fault
+	meanServiceMs         = 40.0    // mean service time of a request
+	preferredGatewayMs    = 7000.0  // time until a customer's preferred gateway changes
+	preferredGatewayShare = 0.7     // share of a customer's requests that go to its preferred gateway
+	counterCallMs         = 0.5     // duration of a counter call
+	counterQueueMs        = 100.0   // longest queue of the counter; further calls are refused
 )
 
-// The plans, by their place.
+// Indices of the plans in the settings.
 const (
-	tallyBasico = iota
-	tallyMayor
+	planBasico = iota
+	planMayor
 )
 
-func tallySettings(gates int, counter bool) policy.Settings {
-	s := simSettings()
-	s.Gateways, s.Counter, s.CounterTimeout = gates, counter, 50e3
-	mayor := s.Plans[0]
+// counterSettings returns the gateways' settings: the plan basico without a ceiling, and the plan mayor.
+func counterSettings(gateways int, withCounter bool) policy.Settings {
+	settings := simSettings()
+	settings.Gateways, settings.Counter, settings.CounterTimeout = gateways, withCounter, 50e3
+	mayor := settings.Plans[0]
 	mayor.Price = 2
-	s.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}, mayor}
-	return s
+	settings.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}, mayor}
+	return settings
 }
 
-// bank is a customer and what it asks for.
-type bank struct {
-	plan         int
-	times        float64 // its quota
-	quota, allow level
-	quotaWorst   float64 // units beyond the quota at the worst moment, over rate and burst
-	allowWorst   float64
-	asked, wrong float64 // while counted
+// customer holds the load of a customer and what was measured for it.
+type customer struct {
+	plan             int         // index of its plan
+	quotaMultiple    float64     // units asked for, as a multiple of its quota
+	quota, ceiling   tokenBucket // with everything that was sent on taken out
+	worstOverQuota   float64     // units beyond the quota at the worst moment, over rate and burst
+	worstOverCeiling float64     // the same for the ceiling
+	askedUnits       float64     // units asked for in the measured period
+	wronglyRefused   float64     // units refused in the measured period although the quota had them
 }
 
-// tallyScenario is a trouble on the time line.
-type tallyScenario struct {
-	name    string
-	events  []string
-	deaths  bool // 41% of the gatekeepers die in it and come back
-	without bool // no counter at all: each has an even part
+// counterScenario is a fault of the counter, at fixed times.
+type counterScenario struct {
+	name      string
+	events    []string // as emulator.ParseCounterEvent reads them
+	restarts  bool     // 41% of the gateways are killed and restarted during the fault
+	noCounter bool     // no counter at all: each gateway has an even part of every quota
 }
 
-func tallyScenarios() []tallyScenario {
-	all := []tallyScenario{{name: "no trouble"}, {name: "even parts, no counter", without: true}}
-	for _, s := range []tallyScenario{
+// counterScenarios returns all scenarios: each fault of the counter, without and with restarts of gateways.
+func counterScenarios() []counterScenario {
+	all := []counterScenario{{name: "no trouble"}, {name: "even parts, no counter", noCounter: true}}
+	for _, s := range []counterScenario{
 		{name: "slow, 200 times", events: []string{"10s+30s:slow=200"}},
 		{name: "answers 60 ms late", events: []string{"10s+30s:late=60ms"}},
 		{name: "every third addition lost", events: []string{"10s+30s:lose=3"}},
@@ -81,133 +84,148 @@
 		{name: "restored from 5 s ago, every 10 s", events: []string{"15s:restore=5s", "25s:restore=5s", "35s:restore=5s"}},
 	} {
 		all = append(all, s)
-		s.name, s.deaths = s.name+", with deaths", true
+		s.name, s.restarts = s.name+", with deaths", true
 		all = append(all, s)
 	}
 	return all
 }
 
-// tally is the world of one run.
-type tally struct {
-	set     policy.Settings
-	clock   *gatekeeper.Clock
-	random  *rand.Rand
-	counter *emulator.Counter
-	gates   []*tallyGate
-	banks   []*bank
-	later   agenda
-	n       int
-	calls   int
-	sends   int
-	seed    uint64
+// counterSim is the simulation of one run.
+type counterSim struct {
+	settings     policy.Settings
+	clock        *gatekeeper.Clock
+	random       *rand.Rand
+	counter      *emulator.Counter
+	gateways     []*simGateway
+	customers    []*customer
+	scheduled    eventQueue
+	sequence     int // sequence number of the last event or gateway
+	counterCalls int // calls of the counter
+	executions   int // requests sent on to workers
+	seed         uint64
 }
 
-// tallyGate is a gatekeeper's life.
-type tallyGate struct {
-	quiet
+// simGateway is a simulated gateway, from its start until it is killed.
+type simGateway struct {
+	noopEnvironment
 	*gatekeeper.Gatekeeper
-	w    *tally
-	n    int
-	dead bool
+	sim   *counterSim
+	index int
+	dead  bool
 }
 
-// agenda is what is due, by time and then by order.
-type agenda []due
+// eventQueue is a heap of scheduled events, ordered by time and then by sequence number.
+type eventQueue []scheduledEvent
 
-type due struct {
-	at float64
-	n  int
-	do func()
+// scheduledEvent is an event scheduled for a time.
+type scheduledEvent struct {
+	atMs     float64
+	sequence int
+	run      func()
 }
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return cmp.Or(cmp.Compare(a[i].at, a[j].at), a[i].n-a[j].n) < 0 }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
-	x := (*a)[len(*a)-1]
+// Len returns the number of events.
+func (a eventQueue) Len() int { return len(a) }
+
+// Less reports whether event i is due before event j.
+func (a eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(a[i].atMs, a[j].atMs), a[i].sequence-a[j].sequence) < 0
+}
+
+// Swap swaps two events.
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+
+// Push appends an event, for package heap.
+func (a *eventQueue) Push(x any) { *a = append(*a, x.(scheduledEvent)) }
+
+// Pop removes the last event, for package heap.
+func (a *eventQueue) Pop() any {
+	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
-	return x
+	return last
 }
 
-func (w *tally) at(when float64, do func()) {
-	w.n++
-	heap.Push(&w.later, due{max(when, w.clock.Now()), w.n, do})
+// schedule schedules a function for a time, or for now if the time has passed.
+func (w *counterSim) schedule(atMs float64, run func()) {
+	w.sequence++
+	heap.Push(&w.scheduled, scheduledEvent{max(atMs, w.clock.Now()), w.sequence, run})
 }
 
-// run lets time pass until a moment.
-func (w *tally) run(end float64) {
-	for len(w.later) > 0 && w.later[0].at <= end {
-		d := heap.Pop(&w.later).(due)
-		w.clock.Set(d.at)
-		d.do()
+// runUntil runs the scheduled events up to the given time and sets the clock to it.
+func (w *counterSim) runUntil(endMs float64) {
+	for len(w.scheduled) > 0 && w.scheduled[0].atMs <= endMs {
+		next := heap.Pop(&w.scheduled).(scheduledEvent)
+		w.clock.Set(next.atMs)
+		next.run()
 	}
-	w.clock.Set(end)
+	w.clock.Set(endMs)
 }
 
-// birth starts a gatekeeper that knows nothing, in the place of the one before it.
-func (w *tally) birth(n int) {
-	if w.gates[n] != nil {
-		w.gates[n].dead = true
+// startGateway starts a gateway without any state, in place of the one with the same index, which is killed.
+func (w *counterSim) startGateway(index int) {
+	if w.gateways[index] != nil {
+		w.gateways[index].dead = true
 	}
-	g := &tallyGate{w: w, n: n}
-	w.gates[n] = g
-	set := w.set
-	set.Self = n
-	w.n++
-	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: set, Seed: w.seed<<20 + uint64(w.n)*2 + 1, Clock: w.clock, Fleet: g, Counter: g,
-		Wake: func(at float64) {
-			w.at(at, func() {
-				if !g.dead {
-					g.Advance()
+	gateway := &simGateway{sim: w, index: index}
+	w.gateways[index] = gateway
+	settings := w.settings
+	settings.Self = index
+	w.sequence++
+	gateway.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: w.seed<<20 + uint64(w.sequence)*2 + 1, Clock: w.clock, Fleet: gateway, Counter: gateway,
+		Wake: func(atMs float64) {
+			w.schedule(atMs, func() {
+				if !gateway.dead {
+					gateway.Advance()
 				}
 			})
 		}})
-	g.Workers(policy.FullList, simWorkers())
+	gateway.Workers(policy.FullList, simWorkers())
 }
 
-// Execute sends a request on: from then on its units are spent.
-func (g *tallyGate) Execute(x *gatekeeper.Execution) {
-	w, b := g.w, g.w.banks[x.Request.Customer]
-	w.sends++
-	now, units := w.clock.Now(), x.Request.Units
-	b.quota.spend(now, units, &b.quotaWorst)
-	b.allow.spend(now, units, &b.allowWorst)
-	w.at(now+tallyServe*w.random.ExpFloat64(), func() {
+// Execute simulates a request sent to a worker. From then on its units are spent.
+func (g *simGateway) Execute(execution *gatekeeper.Execution) {
+	sim, sender := g.sim, g.sim.customers[execution.Request.Customer]
+	sim.executions++
+	now, units := sim.clock.Now(), execution.Request.Units
+	sender.quota.overdraw(now, units, &sender.worstOverQuota)
+	sender.ceiling.overdraw(now, units, &sender.worstOverCeiling)
+	sim.schedule(now+meanServiceMs*sim.random.ExpFloat64(), func() {
 		if !g.dead {
-			g.Done(x, gatekeeper.Outcome{Status: policy.OK})
+			g.Done(execution, gatekeeper.Outcome{Status: policy.OK})
 		}
 	})
 }
 
-// spend takes units from a store though it does not hold them, and notes the worst debt.
-func (l *level) spend(at, units float64, worst *float64) {
-	l.flow(at)
-	l.now -= units
-	*worst = max(*worst, -l.now)
+// overdraw takes units from a bucket even if it doesn't hold them, and records the greatest debt.
+func (l *tokenBucket) overdraw(at, units float64, worst *float64) {
+	l.refill(at)
+	l.tokens -= units
+	*worst = max(*worst, -l.tokens)
 }
 
-func (g *tallyGate) Throttled(r *gatekeeper.Request, _ float64) {
-	b := g.w.banks[r.Customer]
-	if b.quota.flow(g.w.clock.Now()); b.quota.now >= r.Units {
-		b.wrong += r.Units
+// Throttled counts the units of a refused request if its quota had them.
+func (g *simGateway) Throttled(refused *gatekeeper.Request, _ float64) {
+	sender := g.sim.customers[refused.Customer]
+	if sender.quota.refill(g.sim.clock.Now()); sender.quota.tokens >= refused.Units {
+		sender.wronglyRefused += refused.Units
 	}
 }
 
-// Add calls the counter, at the side of this gatekeeper's pair.
-func (g *tallyGate) Add(call *gatekeeper.Count) {
-	w := g.w
-	w.calls++
-	a := w.counter.Call(w.clock.Now(), g.n*2/len(w.gates), strconv.FormatUint(call.Name, 16), call.Amount, call.Life)
-	if a.Heard == emulator.Nothing {
-		return // the core gives the call up by itself
+// Add calls the counter. The lower half of the gateways reach one side of it, the upper half the other,
+// which matters while it is partitioned.
+func (g *simGateway) Add(call *gatekeeper.Count) {
+	sim := g.sim
+	sim.counterCalls++
+	answer := sim.counter.Call(sim.clock.Now(), g.index*2/len(sim.gateways), strconv.FormatUint(call.Name, 16), call.Amount, call.Life)
+	if answer.Heard == emulator.Nothing {
+		return // the gateway times the call out by itself
 	}
-	w.at(a.At, func() {
+	sim.schedule(answer.At, func() {
 		switch {
 		case g.dead:
-		case a.Heard == emulator.Added:
-			g.Counted(call, policy.OK, a.Total)
-		case a.Heard == emulator.TurnedAway:
+		case answer.Heard == emulator.Added:
+			g.Counted(call, policy.OK, answer.Total)
+		case answer.Heard == emulator.TurnedAway:
 			g.Counted(call, policy.Full, 0)
 		default:
 			g.Counted(call, policy.Reset, 0)
@@ -215,130 +233,137 @@
 	})
 }
 
-// ask has a bank send requests for good, most of them to the busiest gatekeeper of the turn.
-func (w *tally) ask(customer int, until float64) {
-	b := w.banks[customer]
-	plan := &w.set.Plans[b.plan]
-	const mean = 1.5
-	next := w.clock.Now() + 1000*mean/(b.times*plan.Rate)*w.random.ExpFloat64()
-	if next > until {
+// scheduleRequests schedules the requests of a customer until the given time. Most go to its preferred gateway, which
+// changes every preferredGatewayMs.
+func (w *counterSim) scheduleRequests(index int, endMs float64) {
+	sender := w.customers[index]
+	plan := &w.settings.Plans[sender.plan]
+	const meanUnits = 1.5 // mean number of units of a request
+	nextMs := w.clock.Now() + 1000*meanUnits/(sender.quotaMultiple*plan.Rate)*w.random.ExpFloat64()
+	if nextMs > endMs {
 		return
 	}
-	w.at(next, func() {
-		units := 1 + w.random.Float64()*(2*mean-2)
-		to := (int(w.clock.Now()/tallyTurn) + customer) % len(w.gates)
-		if w.random.Float64() > tallyBusiest {
-			to = w.random.IntN(len(w.gates))
+	w.schedule(nextMs, func() {
+		units := 1 + w.random.Float64()*(2*meanUnits-2)
+		receiver := (int(w.clock.Now()/preferredGatewayMs) + index) % len(w.gateways)
+		if w.random.Float64() > preferredGatewayShare {
+			receiver = w.random.IntN(len(w.gateways))
 		}
-		b.asked += units
-		g := w.gates[to]
-		g.Take(&gatekeeper.Request{Customer: uint64(customer), Plan: b.plan, Left: 2000, Units: units, Spread: len(w.gates), Caller: g})
-		w.ask(customer, until)
+		sender.askedUnits += units
+		gateway := w.gateways[receiver]
+		gateway.Take(&gatekeeper.Request{Customer: uint64(index), Plan: sender.plan, Left: 2000, Units: units, Spread: len(w.gateways), Caller: gateway})
+		w.scheduleRequests(index, endMs)
 	})
 }
 
-// tallied is what one run showed. Parts are of what banks inside their quotas asked for.
-type tallied struct {
-	quota              [2]float64 // most beyond it, units, by plan
-	ceiling            float64
-	wrong, wrongBehind float64 // while the trouble lasts, and afterwards
-	calls              float64 // a request
+// counterResult is the result of one run.
+type counterResult struct {
+	overQuota   [2]float64 // greatest number of units beyond a quota, by plan
+	overCeiling float64    // greatest number of units beyond a ceiling
+
+	// Percentage of the units asked for by customers within their quotas that were refused
+	// wrongly: during the fault, and afterwards.
+	refusedDuring, refusedAfter float64
+
+	callsPerExecution float64 // counter calls per request sent on, during the fault
 }
 
-func (o *Counters) gates() int { return cmp.Or(o.Gates, 4) }
-
-func (o *Counters) play(s tallyScenario, run int) (tallied, error) {
-	seed, gates := o.Seed+uint64(run), o.gates()
-	w := &tally{set: tallySettings(gates, !s.without), clock: gatekeeper.NewClock(), random: rand.New(rand.NewPCG(seed, 3)), seed: seed,
-		counter: emulator.NewCounter(emulator.CounterConfig{Each: tallyEach, Queue: tallyQueue, Seed: seed}), gates: make([]*tallyGate, gates)}
-	w.clock.Set(simStart)
-	for _, b := range []struct {
-		n, plan int
-		times   float64
-	}{{1, tallyMayor, 7.1}, {2, tallyMayor, 0.7}, {2, tallyBasico, 4}, {10, tallyBasico, 0.6}} {
-		for range b.n {
-			p := &w.set.Plans[b.plan]
-			one := &bank{plan: b.plan, times: b.times, quota: level{p.Rate, p.Burst, p.Burst, simStart}, allow: level{1e15, 1e15, 1e15, simStart}}
-			if p.CeilingRate > 0 {
-				one.allow = level{p.CeilingRate, p.CeilingBurst, p.CeilingBurst, simStart}
+// gatewayCount returns the number of gateways.
+func (o *Counters) gatewayCount() int { return cmp.Or(o.Gates, 4) }
+
+// simulate simulates one run of a scenario.
+func (o *Counters) simulate(scenario counterScenario, run int) (counterResult, error) {
+	seed, gatewayCount := o.Seed+uint64(run), o.gatewayCount()
+	sim := &counterSim{settings: counterSettings(gatewayCount, !scenario.noCounter), clock: gatekeeper.NewClock(), random: rand.New(rand.NewPCG(seed, 3)), seed: seed,
+		counter: emulator.NewCounter(emulator.CounterConfig{Each: counterCallMs, Queue: counterQueueMs, Seed: seed}), gateways: make([]*simGateway, gatewayCount)}
+	sim.clock.Set(simStartMs)
+	for _, group := range []struct {
+		size, plan    int
+		quotaMultiple float64
+	}{{1, planMayor, 7.1}, {2, planMayor, 0.7}, {2, planBasico, 4}, {10, planBasico, 0.6}} {
+		for range group.size {
+			plan := &sim.settings.Plans[group.plan]
+			added := &customer{plan: group.plan, quotaMultiple: group.quotaMultiple, quota: tokenBucket{plan.Rate, plan.Burst, plan.Burst, simStartMs}, ceiling: tokenBucket{1e15, 1e15, 1e15, simStartMs}}
+			if plan.CeilingRate > 0 {
+				added.ceiling = tokenBucket{plan.CeilingRate, plan.CeilingBurst, plan.CeilingBurst, simStartMs}
 			}
-			w.banks = append(w.banks, one)
+			sim.customers = append(sim.customers, added)
 		}
 	}
 	var events []emulator.CounterEvent
-	for _, text := range s.events {
-		e, err := emulator.ParseCounterEvent(text)
+	for _, text := range scenario.events {
+		parsed, err := emulator.ParseCounterEvent(text)
 		if err != nil {
-			return tallied{}, err
+			return counterResult{}, err
 		}
-		events = append(events, e)
+		events = append(events, parsed)
 	}
-	for _, m := range emulator.Moments(events) {
-		w.at(simStart+m.At, func() { m.Do(w.counter) })
+	for _, moment := range emulator.Moments(events) {
+		sim.schedule(simStartMs+moment.At, func() { moment.Do(sim.counter) })
 	}
-	for n := range gates {
-		w.birth(n)
+	for index := range gatewayCount {
+		sim.startGateway(index)
 	}
-	const end = simStart + tallyBefore + tallyTrouble + tallyAfter
-	for i := range w.banks {
-		w.ask(i, end)
+	const endMs = simStartMs + beforeFaultMs + faultMs + afterFaultMs
+	for i := range sim.customers {
+		sim.scheduleRequests(i, endMs)
 	}
-	if s.deaths { // 41% of them, one after the other, twice
-		dead := max(gates*41/100, 1)
-		for i := range 2 * dead {
-			at := tallyTrouble / 6 * float64(1+i/dead*3+i%dead*2/dead)
-			w.at(simStart+tallyBefore+at, func() { w.birth((int(seed) + i) % gates) })
+	if scenario.restarts { // restart 41% of the gateways, one after the other, twice
+		restarted := max(gatewayCount*41/100, 1)
+		for i := range 2 * restarted {
+			delayMs := faultMs / 6 * float64(1+i/restarted*3+i%restarted*2/restarted)
+			sim.schedule(simStartMs+beforeFaultMs+delayMs, func() { sim.startGateway((int(seed) + i) % gatewayCount) })
 		}
 	}
-	count := func(ms float64) (part float64) {
-		for _, b := range w.banks {
-			b.asked, b.wrong = 0, 0
+	measureRefused := func(ms float64) (percentage float64) {
+		for _, c := range sim.customers {
+			c.askedUnits, c.wronglyRefused = 0, 0
 		}
-		w.run(w.clock.Now() + ms)
-		asked, wrong := 0.0, 0.0
-		for _, b := range w.banks {
-			if b.times < 1 {
-				asked, wrong = asked+b.asked, wrong+b.wrong
+		sim.runUntil(sim.clock.Now() + ms)
+		asked, refused := 0.0, 0.0
+		for _, c := range sim.customers {
+			if c.quotaMultiple < 1 {
+				asked, refused = asked+c.askedUnits, refused+c.wronglyRefused
 			}
 		}
-		return 100 * wrong / max(asked, 1)
+		return 100 * refused / max(asked, 1)
 	}
-	w.run(simStart + tallyBefore)
-	calls, sends := w.calls, w.sends
-	var t tallied
-	t.wrong = count(tallyTrouble)
-	t.calls = float64(w.calls-calls) / float64(max(w.sends-sends, 1))
-	t.wrongBehind = count(tallyAfter)
-	for _, b := range w.banks {
-		t.quota[b.plan] = max(t.quota[b.plan], b.quotaWorst)
-		t.ceiling = max(t.ceiling, b.allowWorst)
+	sim.runUntil(simStartMs + beforeFaultMs)
+	callsBefore, executionsBefore := sim.counterCalls, sim.executions
+	var result counterResult
+	result.refusedDuring = measureRefused(faultMs)
+	result.callsPerExecution = float64(sim.counterCalls-callsBefore) / float64(max(sim.executions-executionsBefore, 1))
+	result.refusedAfter = measureRefused(afterFaultMs)
+	for _, c := range sim.customers {
+		result.overQuota[c.plan] = max(result.overQuota[c.plan], c.worstOverQuota)
+		result.overCeiling = max(result.overCeiling, c.worstOverCeiling)
 	}
-	return t, nil
+	return result, nil
 }
 
-// Write plays all scenarios and prints the table.
-func (o *Counters) Write(to io.Writer) error {
-	slack := tallySettings(o.gates(), true).Plans[tallyMayor].CeilingSlack
-	fmt.Fprintf(to, `%d runs of %.0f s of simulated time each, of %d gatekeepers; the trouble lasts from 10 s to 40 s. One mayor bank asks for
+// Write simulates all scenarios and writes the results as a Markdown table.
+func (o *Counters) Write(out io.Writer) error {
+	slack := counterSettings(o.gatewayCount(), true).Plans[planMayor].CeilingSlack
+	fmt.Fprintf(out, `%d runs of %.0f s of simulated time each, of %d gatekeepers; the trouble lasts from 10 s to 40 s. One mayor bank asks for
 7.1 times its quota, two of basico for 4 times, twelve stay inside theirs; %.0f%% of a bank's requests come to one gatekeeper,
 another every %.0f s. Units beyond quota and ceiling are at the worst moment, over rate and burst; the ceiling's slack is %g.
 
 | counter | beyond the ceiling: p99 | worst | beyond the quota, mayor: p99 | worst | basico: p99 | worst | refused wrongly meanwhile, %%: median | p99 | behind it: median | calls an attempt |
 | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |
-`, o.Runs, (tallyBefore+tallyTrouble+tallyAfter)/1000, o.gates(), 100*tallyBusiest, tallyTurn/1000, slack)
-	for _, s := range tallyScenarios() {
-		var ceiling, mayor, basico, wrong, behind, calls []float64
+`, o.Runs, (beforeFaultMs+faultMs+afterFaultMs)/1000, o.gatewayCount(), 100*preferredGatewayShare, preferredGatewayMs/1000, slack)
+	for _, scenario := range counterScenarios() {
+		var ceiling, mayor, basico, during, after, calls []float64
 		for run := range o.Runs {
-			t, err := o.play(s, run)
+			result, err := o.simulate(scenario, run)
 			if err != nil {
 				return err
 			}
-			ceiling, mayor, basico = append(ceiling, t.ceiling), append(mayor, t.quota[tallyMayor]), append(basico, t.quota[tallyBasico])
-			wrong, behind, calls = append(wrong, t.wrong), append(behind, t.wrongBehind), append(calls, t.calls)
+			ceiling, mayor, basico = append(ceiling, result.overCeiling), append(mayor, result.overQuota[planMayor]), append(basico, result.overQuota[planBasico])
+			during, after, calls = append(during, result.refusedDuring), append(after, result.refusedAfter), append(calls, result.callsPerExecution)
 		}
-		if _, err := fmt.Fprintf(to, "| %s | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f | %.2f |\n", s.name,
+		if _, err := fmt.Fprintf(out, "| %s | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f | %.2f |\n", scenario.name,
 			quantile(ceiling, 0.99), quantile(ceiling, 1), quantile(mayor, 0.99), quantile(mayor, 1), quantile(basico, 0.99), quantile(basico, 1),
-			quantile(wrong, 0.5), quantile(wrong, 0.99), quantile(behind, 0.5), quantile(calls, 0.5)); err != nil {
+			quantile(during, 0.5), quantile(during, 0.99), quantile(after, 0.5), quantile(calls, 0.5)); err != nil {
 			return err
 		}
 	}
--- a/internal/trial/counters_test.go
+++ b/internal/trial/counters_test.go
@@ -5,39 +5,40 @@
 	"testing"
 )
 
-// TestNoCounterLiftsACeiling: whatever becomes of the counter, and of the gatekeepers
-// meanwhile, no bank gets beyond its hard ceiling, within the slack that it is given; with
-// its parts held by four gatekeepers, and half of them leased by twenty-four.
-func TestNoCounterLiftsACeiling(t *testing.T) {
-	for _, gates := range []int{4, 24} {
-		for _, s := range tallyScenarios() {
-			if !s.deaths || gates > 4 && !strings.HasPrefix(s.name, "replaced") { // the others take long and show no more
+// TestCeilingHoldsDuringCounterFaults checks that no customer exceeds its hard ceiling by more than the configured
+// slack, whatever fault the counter has and while gateways restart: with four gateways, which each hold a
+// part of the ceiling, and with twenty-four, which lease half of the parts from the counter.
+func TestCeilingHoldsDuringCounterFaults(t *testing.T) {
+	for _, gateways := range []int{4, 24} {
+		for _, scenario := range counterScenarios() {
+			if !scenario.restarts || gateways > 4 && !strings.HasPrefix(scenario.name, "replaced") { // the other scenarios take long with 24 gateways and cover nothing more
 				continue
 			}
-			o := Counters{Seed: 7, Gates: gates}
-			got, err := o.play(s, 0)
+			counters := Counters{Seed: 7, Gates: gateways}
+			got, err := counters.simulate(scenario, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			slack := tallySettings(gates, true).Plans[tallyMayor].CeilingSlack
-			if got.ceiling > slack {
-				t.Errorf("%d gatekeepers, %s: %.1f units beyond the ceiling, slack %g", gates, s.name, got.ceiling, slack)
+			slack := counterSettings(gateways, true).Plans[planMayor].CeilingSlack
+			if got.overCeiling > slack {
+				t.Errorf("%d gateways, %s: %.1f units beyond the ceiling, slack %g", gateways, scenario.name, got.overCeiling, slack)
 			}
-			if got.calls == 0 != s.without {
-				t.Errorf("%d gatekeepers, %s: %.2f calls an attempt", gates, s.name, got.calls)
+			if got.callsPerExecution == 0 != scenario.noCounter {
+				t.Errorf("%d gateways, %s: %.2f calls an attempt", gateways, scenario.name, got.callsPerExecution)
 			}
 		}
 	}
 }
 
-// TestTheMeasureSeesWhatPasses, so that a row of zeros says something.
-func TestTheMeasureSeesWhatPasses(t *testing.T) {
+// TestOverdrawRecordsGreatestDebt checks that overdrawing a bucket is measured. Without this, a result of zero would prove
+// nothing.
+func TestOverdrawRecordsGreatestDebt(t *testing.T) {
 	var worst float64
-	l := level{rate: 10, burst: 20, now: 20}
+	bucket := tokenBucket{rate: 10, burst: 20, tokens: 20}
 	for at := 0.0; at < 1000; at += 10 {
-		l.spend(at, 1, &worst)
+		bucket.overdraw(at, 1, &worst)
 	}
-	if worst < 70 || worst > 71 { // 100 sent, 20 held, 9.9 filled
-		t.Errorf("%.2f beyond", worst)
+	if worst < 70 || worst > 71 { // 100 taken, 20 held at the start, 9.9 refilled
+		t.Errorf("expected a debt of 70 to 71 units, got %.2f", worst)
 	}
 }
--- a/internal/trial/events.go
+++ b/internal/trial/events.go
@@ -18,124 +18,127 @@
 	"foxwood/policy"
 )
 
-// Events measures what keeping a capture costs the core itself, in simulated time and
-// without any network: a process's CPU on a machine that is shared differs more from run to
-// run than a capture costs.
+// Events measures the cost of writing a capture to the gateway's event loop alone, in simulated time and without
+// a network. On a shared machine the CPU time of whole processes varies more from run to run than a
+// capture costs.
 type Events struct {
-	Runs     int // of each, interleaved
-	Requests int // of a run
-	Large    int // requests of the capture that one is explained from
-	Seed     uint64
+	Runs     int    // runs with and runs without a capture, interleaved
+	Requests int    // requests of a run
+	Large    int    // requests in the large capture, from which some are explained
+	Seed     uint64 // of the first run; each further run adds 1
 }
 
 const (
-	busyRate      = 500.0 // requests a second, simulated
-	busyTakes     = 25.0  // milliseconds until an answer
-	busyCustomers = 500
+	requestsPerSecond = 500.0 // requests per simulated second
+	answerMs          = 25.0  // simulated time until an answer
+	customerCount     = 500
 )
 
-// busy is a core before workers that answer everything after the same time.
-type busy struct {
-	quiet
-	core   *gatekeeper.Gatekeeper
-	clock  *gatekeeper.Clock
-	turns  *hdrhistogram.Histogram // nanoseconds of a call of the core
-	answer []leg                   // in the order of their answers
+// loopBench is a gateway in front of simulated workers that answer each request after the same time.
+type loopBench struct {
+	noopEnvironment
+	gateway   *gatekeeper.Gatekeeper
+	clock     *gatekeeper.Clock
+	callTimes *hdrhistogram.Histogram // duration of a call into the gateway, in nanoseconds
+	pending   []pendingExecution      // executions without an answer yet, in the order of their answers
 }
 
-func (b *busy) Execute(x *gatekeeper.Execution) {
-	b.answer = append(b.answer, leg{x, b.clock.Now() + busyTakes})
+// Execute schedules the answer to a request.
+func (b *loopBench) Execute(execution *gatekeeper.Execution) {
+	b.pending = append(b.pending, pendingExecution{execution, b.clock.Now() + answerMs})
 }
 
-func (b *busy) turn(call func()) {
+// timeCall runs a call into the gateway and records its duration.
+func (b *loopBench) timeCall(call func()) {
 	began := time.Now()
 	call()
-	_ = b.turns.RecordValue(time.Since(began).Nanoseconds())
+	_ = b.callTimes.RecordValue(time.Since(began).Nanoseconds())
 }
 
-// play takes n requests and returns the CPU that the process has spent on them.
-func (b *busy) play(rec gatekeeper.Recorder, n int, seed uint64) (time.Duration, error) {
-	b.turns = hdrhistogram.New(1, int64(time.Second), 3)
+// run sends n requests through the gateway and returns the CPU time that the process used for them.
+func (b *loopBench) run(recorder gatekeeper.Recorder, n int, seed uint64) (time.Duration, error) {
+	b.callTimes = hdrhistogram.New(1, int64(time.Second), 3)
 	b.clock = gatekeeper.NewClock()
 	random := rand.New(rand.NewPCG(seed, 1))
-	b.clock.Set(simStart)
-	set := simSettings()
-	set.Plans[0].Rate, set.Plans[0].Burst, set.Plans[0].CeilingRate = busyRate, busyRate, 0
-	before, err := cpu()
+	b.clock.Set(simStartMs)
+	settings := simSettings()
+	settings.Plans[0].Rate, settings.Plans[0].Burst, settings.Plans[0].CeilingRate = requestsPerSecond, requestsPerSecond, 0
+	before, err := processCPUTime()
 	if err != nil {
 		return 0, err
 	}
-	b.core = gatekeeper.New(gatekeeper.Config{Settings: set, Seed: seed, Clock: b.clock, Fleet: b, Counter: b,
-		Wake: func(float64) {}, Recorder: rec})
-	b.core.Workers(policy.FullList, simWorkers())
-	for at, i := simStart, 0; i < n; i++ {
-		at += 1000 / busyRate * random.ExpFloat64()
-		for len(b.answer) > 0 && b.answer[0].at <= at {
-			x := b.answer[0]
-			b.answer = b.answer[1:]
-			b.clock.Set(x.at)
-			b.turn(func() { b.core.Advance(); b.core.Done(x.x, gatekeeper.Outcome{Status: policy.OK}) })
+	b.gateway = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: seed, Clock: b.clock, Fleet: b, Counter: b,
+		Wake: func(float64) {}, Recorder: recorder})
+	b.gateway.Workers(policy.FullList, simWorkers())
+	for atMs, i := simStartMs, 0; i < n; i++ {
+		atMs += 1000 / requestsPerSecond * random.ExpFloat64()
+		for len(b.pending) > 0 && b.pending[0].doneAtMs <= atMs {
+			answered := b.pending[0]
+			b.pending = b.pending[1:]
+			b.clock.Set(answered.doneAtMs)
+			b.timeCall(func() { b.gateway.Advance(); b.gateway.Done(answered.execution, gatekeeper.Outcome{Status: policy.OK}) })
 		}
-		b.clock.Set(at)
-		q := &gatekeeper.Request{Name: eventName(i), Customer: random.Uint64N(busyCustomers), Left: 2000, Units: 1, Spread: 1, Caller: b}
-		b.turn(func() { b.core.Advance(); b.core.Take(q) })
+		b.clock.Set(atMs)
+		request := &gatekeeper.Request{Name: requestName(i), Customer: random.Uint64N(customerCount), Left: 2000, Units: 1, Spread: 1, Caller: b}
+		b.timeCall(func() { b.gateway.Advance(); b.gateway.Take(request) })
 	}
-	after, err := cpu()
+	after, err := processCPUTime()
 	return after - before, err
 }
 
-func eventName(i int) string { return fmt.Sprintf("%016x", i+1) }
+// requestName returns the name of the i-th request.
+func requestName(i int) string { return fmt.Sprintf("%016x", i+1) }
 
-// cpu is what this process has used.
-func cpu() (time.Duration, error) {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// processCPUTime returns the CPU time that this process has used so far.
+func processCPUTime() (time.Duration, error) {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, fmt.Errorf("trial: %w", err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// Write measures and prints the table.
-func (o *Events) Write(to io.Writer) error {
+// Write measures the cost of a capture, and then the use of a large capture, and writes the results as Markdown.
+func (o *Events) Write(out io.Writer) error {
 	dir, err := os.MkdirTemp("", "foxwood-trial")
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	records := uint64(0)
-	captured := func(folder string, n int, seed uint64) (*busy, time.Duration, error) {
-		w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: seed + 1, KeptMost: 8 << 30})
+	runCaptured := func(folder string, n int, seed uint64) (*loopBench, time.Duration, error) {
+		writer, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: seed + 1, KeptMost: 8 << 30})
 		if err != nil {
 			return nil, 0, err
 		}
-		var b busy
-		spent, err := b.play(w, n, seed)
-		w.Close()
-		records = w.Stats.Records.Load()
-		return &b, spent, err
+		var benchWith loopBench
+		cpuTime, err := benchWith.run(writer, n, seed)
+		writer.Close()
+		records = writer.Stats.Records.Load()
+		return &benchWith, cpuTime, err
 	}
-	var off, on, offTurn, onTurn []float64
+	var withoutNs, withNs, withoutCallNs, withCallNs []float64
 	for i := range o.Runs {
 		seed := o.Seed + uint64(i)
-		var plain busy
-		spent, err := plain.play(nil, o.Requests, seed)
+		var benchWithout loopBench
+		cpuTime, err := benchWithout.run(nil, o.Requests, seed)
 		if err != nil {
 			return err
 		}
-		off, offTurn = append(off, float64(spent.Nanoseconds())), append(offTurn, float64(plain.turns.ValueAtQuantile(99.9)))
+		withoutNs, withoutCallNs = append(withoutNs, float64(cpuTime.Nanoseconds())), append(withoutCallNs, float64(benchWithout.callTimes.ValueAtQuantile(99.9)))
 		folder := filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(folder, 0o700); err != nil {
 			return fmt.Errorf("trial: %w", err)
 		}
-		b, spent, err := captured(folder, o.Requests, seed)
+		benchWith, cpuTime, err := runCaptured(folder, o.Requests, seed)
 		if err != nil {
 			return err
 		}
-		on, onTurn = append(on, float64(spent.Nanoseconds())), append(onTurn, float64(b.turns.ValueAtQuantile(99.9)))
+		withNs, withCallNs = append(withNs, float64(cpuTime.Nanoseconds())), append(withCallNs, float64(benchWith.callTimes.ValueAtQuantile(99.9)))
 	}
-	n, each := float64(o.Requests), float64(records)
-	without, with := quantile(off, 0.5), quantile(on, 0.5)
-	fmt.Fprintf(to, `
+	requestCount, recordCount := float64(o.Requests), float64(records)
+	medianWithoutNs, medianWithNs := quantile(withoutNs, 0.5), quantile(withNs, 0.5)
+	fmt.Fprintf(out, `
 ### The core alone, with and without a capture
 
 %d interleaved runs each of %d requests at %.0f a second of simulated time, of %d customers; medians, ± the distance of the
@@ -146,18 +149,19 @@
 | CPU µs a request | %.2f ± %.2f | %.2f ± %.2f |
 | p99.9 of a turn of the loop, µs | %.1f | %.1f |
 | CPU ns an event captured | | %.0f |
-`, o.Runs, o.Requests, busyRate, busyCustomers, without/n/1e3, (quantile(off, 0.75)-quantile(off, 0.25))/n/1e3,
-		with/n/1e3, (quantile(on, 0.75)-quantile(on, 0.25))/n/1e3, quantile(offTurn, 0.5)/1e3, quantile(onTurn, 0.5)/1e3, (with-without)/each)
-	return o.explain(to, dir, captured)
+`, o.Runs, o.Requests, requestsPerSecond, customerCount, medianWithoutNs/requestCount/1e3, (quantile(withoutNs, 0.75)-quantile(withoutNs, 0.25))/requestCount/1e3,
+		medianWithNs/requestCount/1e3, (quantile(withNs, 0.75)-quantile(withNs, 0.25))/requestCount/1e3, quantile(withoutCallNs, 0.5)/1e3, quantile(withCallNs, 0.5)/1e3, (medianWithNs-medianWithoutNs)/recordCount)
+	return o.measureLargeCapture(out, dir, runCaptured)
 }
 
-// explain makes a large capture and has requests of it explained, by index and checkpoint.
-func (o *Events) explain(to io.Writer, dir string, captured func(string, int, uint64) (*busy, time.Duration, error)) error {
+// measureLargeCapture writes a large capture and measures how long it takes to explain single requests from it, found
+// by index and checkpoint, and to replay all of it.
+func (o *Events) measureLargeCapture(out io.Writer, dir string, runCaptured func(string, int, uint64) (*loopBench, time.Duration, error)) error {
 	folder := filepath.Join(dir, "large")
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
-	if _, _, err := captured(folder, o.Large, o.Seed); err != nil {
+	if _, _, err := runCaptured(folder, o.Large, o.Seed); err != nil {
 		return err
 	}
 	segments, err := capture.Find(folder)
@@ -166,30 +170,30 @@
 	}
 	key := capture.Key{}
 	random := rand.New(rand.NewPCG(o.Seed, 2))
-	var took []float64
+	var explainSeconds []float64
 	for range 9 {
-		name := eventName(random.IntN(o.Large))
+		name := requestName(random.IntN(o.Large))
 		began := time.Now()
-		set := capture.NewSet(segments, &key)
+		explainSet := capture.NewSet(segments, &key)
 		if p, ok := capture.Locate(segments, name); ok {
-			set.Skip(p)
+			explainSet.Skip(p)
 		}
-		err := replay.Explain(io.Discard, set, &key, name)
-		set.Close()
+		err := replay.Explain(io.Discard, explainSet, &key, name)
+		explainSet.Close()
 		if err != nil {
 			return err
 		}
-		took = append(took, time.Since(began).Seconds())
+		explainSeconds = append(explainSeconds, time.Since(began).Seconds())
 	}
-	whole := capture.NewSet(segments, &key)
-	defer whole.Close()
+	replaySet := capture.NewSet(segments, &key)
+	defer replaySet.Close()
 	began := time.Now()
-	report, err := replay.Run(whole, &key, replay.Options{})
+	report, err := replay.Run(replaySet, &key, replay.Options{})
 	if err != nil {
 		return err
 	}
-	span := time.Since(began).Seconds()
-	_, err = fmt.Fprintf(to, `
+	replaySeconds := time.Since(began).Seconds()
+	_, err = fmt.Fprintf(out, `
 ### A capture of %.1f million events
 
 | figure | value |
@@ -198,7 +202,7 @@
 | explaining a request, s: median, longest of %d | %.2f, %.2f |
 | replayed: events a second, times real time | %.0f, %.0f |
 | differences | %d |
-`, float64(whole.Records())/1e6, float64(bytesOf(segments))/1e6, len(segments), len(took), quantile(took, 0.5), slices.Max(took),
-		float64(whole.Records())/span, float64(report.Last-report.First)/1e6/span, len(report.Differences))
+`, float64(replaySet.Records())/1e6, float64(totalSize(segments))/1e6, len(segments), len(explainSeconds), quantile(explainSeconds, 0.5), slices.Max(explainSeconds),
+		float64(replaySet.Records())/replaySeconds, float64(report.Last-report.First)/1e6/replaySeconds, len(report.Differences))
 	return err
 }
--- a/internal/trial/proxy.go
+++ b/internal/trial/proxy.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// idleMost is how long an idle connection to a worker is kept: as in the gatekeepers'
-// configuration, so that one target's links are gone when the next one's turn comes.
-const idleMost = 500 * time.Millisecond
+// idleTimeout is the time for which an idle connection to a worker is kept. It is short, so that one target's
+// connections are closed before the next target is measured.
+const idleTimeout = 500 * time.Millisecond
 
-// Proxy serves the baseline that transports are measured against: the standard library's
-// ReverseProxy, which takes the workers in turn.
+// Proxy serves the baseline of the comparison of transports: the standard library's ReverseProxy, which sends to
+// the workers in turn.
 func Proxy(listen string, workers []string) error {
 	var next atomic.Uint64
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.SetURL(&url.URL{Scheme: "http", Host: workers[next.Add(1)%uint64(len(workers))]})
 		},
-		Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: idleMost},
+		Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: idleTimeout},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
 	mux.Handle("/", proxy)
-	ln, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
-	return http.Serve(ln, mux)
+	return http.Serve(listener, mux)
 }
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -11,124 +11,128 @@
 	"foxwood/internal/load"
 )
 
-// key is one cell of the measurement.
-type key struct {
-	fleet string
-	part  float64
-	name  string
+// cell identifies what was measured: a transport, with a fleet and a load.
+type cell struct {
+	fleet        string
+	loadFraction float64 // load, as a fraction of the capacity
+	transport    string
 }
 
-// one is one run of one target.
-type one struct {
-	result *load.Result
-	cpu    time.Duration
-	calls  int64
-	links  int
-	rss    int64
+// measurement is the measurement of one run of one target.
+type measurement struct {
+	result      *load.Result
+	cpu         time.Duration
+	syscalls    int64 // read and write system calls
+	connections int   // greatest number of connections to workers
+	rssBytes    int64 // resident memory at the end
 }
 
-// requests is how many were counted.
-func (o *one) requests() int {
-	n := 0
+// requestCount returns the number of requests counted.
+func (o *measurement) requestCount() int {
+	count := 0
 	for _, c := range o.result.Classes {
-		for _, e := range c.Ends {
-			n += e
+		for _, outcomeCount := range c.Ends {
+			count += outcomeCount
 		}
 	}
-	return n
+	return count
 }
 
-// Table is what was measured.
+// Table is the result of a comparison of transports.
 type Table struct {
 	Options Options
-	order   []key
-	runs    map[key][]one
+	order   []cell // in the order of the first measurement
+	runs    map[cell][]measurement
 }
 
-func (t *Table) add(k key, o one) {
+// add adds the measurement of a run.
+func (t *Table) add(at cell, run measurement) {
 	if t.runs == nil {
-		t.runs = map[key][]one{}
+		t.runs = map[cell][]measurement{}
 	}
-	if _, ok := t.runs[k]; !ok {
-		t.order = append(t.order, k)
+	if _, ok := t.runs[at]; !ok {
+		t.order = append(t.order, at)
 	}
-	t.runs[k] = append(t.runs[k], o)
+	t.runs[at] = append(t.runs[at], run)
 }
 
-// median and spread of a figure over the runs: the quartiles' distance.
-func summary(runs []one, figure func(*one) float64) (median, quartiles float64) {
-	all := make([]float64, len(runs))
+// medianAndSpread returns the median of a figure over the runs and the distance of its quartiles.
+func medianAndSpread(runs []measurement, figure func(*measurement) float64) (median, spread float64) {
+	values := make([]float64, len(runs))
 	for i := range runs {
-		all[i] = figure(&runs[i])
+		values[i] = figure(&runs[i])
 	}
-	slices.Sort(all)
-	at := func(q float64) float64 {
-		x := q * float64(len(all)-1)
-		i := int(x)
-		if i+1 >= len(all) {
-			return all[len(all)-1]
+	slices.Sort(values)
+	quantileAt := func(q float64) float64 {
+		position := q * float64(len(values)-1)
+		i := int(position)
+		if i+1 >= len(values) {
+			return values[len(values)-1]
 		}
-		return all[i] + (x-float64(i))*(all[i+1]-all[i])
+		return values[i] + (position-float64(i))*(values[i+1]-values[i])
 	}
-	return at(0.5), at(0.75) - at(0.25)
+	return quantileAt(0.5), quantileAt(0.75) - quantileAt(0.25)
 }
 
-// Write prints the table as Markdown.
-func (t *Table) Write(to io.Writer) error {
+// Write writes the table as Markdown.
+func (t *Table) Write(out io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Made by `foxwood measure transports`, %d interleaved runs of %v (the first %v not counted), seed %d, on a\n"+
 		"machine of %d cores that also held the emulated workers and the load's sender. Latency is of served requests\n"+
 		"from the intended send time, in ms.\n"+
 		"Each figure is the median over the runs; behind ± is the distance of the quartiles. The worst run's p99.9 stands apart.\n",
 		t.Options.Runs, t.Options.For, t.Options.Settle, t.Options.Seed, runtime.NumCPU())
-	for _, f := range t.Options.Fleets {
-		for _, part := range t.Options.Loads {
-			fmt.Fprintf(&b, "\n### %s service times, %.0f%% of capacity (%.0f requests a second)\n\n", f.Name, part*100, part*f.Capacity())
+	for _, fleet := range t.Options.Fleets {
+		for _, loadFraction := range t.Options.Loads {
+			fmt.Fprintf(&b, "\n### %s service times, %.0f%% of capacity (%.0f requests a second)\n\n", fleet.Name, loadFraction*100, loadFraction*fleet.Capacity())
 			b.WriteString("| transport | cuota p50 | p99 | p99.9 | worst | simulacion p99.9 | served % | links | CPU µs a request | calls a request | MB | sender p99.9 late, behind |\n")
 			b.WriteString("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 			for _, name := range t.Options.Transports {
-				t.row(&b, name, t.runs[key{f.Name, part, name}])
+				t.writeRow(&b, name, t.runs[cell{fleet.Name, loadFraction, name}])
 			}
 		}
 	}
-	_, err := io.WriteString(to, b.String())
+	_, err := io.WriteString(out, b.String())
 	return err
 }
 
-func (t *Table) row(b *strings.Builder, name string, runs []one) {
+// writeRow writes the line of a transport.
+func (t *Table) writeRow(b *strings.Builder, name string, runs []measurement) {
 	if len(runs) == 0 {
 		return
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	at := func(class int, q float64) func(*one) float64 {
-		return func(o *one) float64 { return ms(o.result.Classes[class].Latency.ValueAtQuantile(q)) }
+	latency := func(class int, q float64) func(*measurement) float64 {
+		return func(run *measurement) float64 { return ms(run.result.Classes[class].Latency.ValueAtQuantile(q)) }
 	}
-	p50, _ := summary(runs, at(0, 50))
-	p99, _ := summary(runs, at(0, 99))
-	tail, tails := summary(runs, at(0, 99.9))
-	other, _ := summary(runs, at(1, 99.9))
+	p50, _ := medianAndSpread(runs, latency(0, 50))
+	p99, _ := medianAndSpread(runs, latency(0, 99))
+	p999, p999Spread := medianAndSpread(runs, latency(0, 99.9))
+	otherP999, _ := medianAndSpread(runs, latency(1, 99.9))
 	worst := 0.0
 	for i := range runs {
-		worst = max(worst, at(0, 99.9)(&runs[i]))
+		worst = max(worst, latency(0, 99.9)(&runs[i]))
 	}
-	served, _ := summary(runs, func(o *one) float64 {
-		n := 0
-		for _, c := range o.result.Classes {
-			n += c.Ends[load.Served]
+	served, _ := medianAndSpread(runs, func(run *measurement) float64 {
+		servedCount := 0
+		for _, c := range run.result.Classes {
+			servedCount += c.Ends[load.Served]
 		}
-		return 100 * float64(n) / float64(max(o.requests(), 1))
+		return 100 * float64(servedCount) / float64(max(run.requestCount(), 1))
 	})
-	links, _ := summary(runs, func(o *one) float64 { return float64(o.links) })
-	cpu, cpus := summary(runs, func(o *one) float64 { return float64(o.cpu.Microseconds()) / float64(max(o.requests(), 1)) })
-	calls, _ := summary(runs, func(o *one) float64 { return float64(o.calls) / float64(max(o.requests(), 1)) })
-	rss, _ := summary(runs, func(o *one) float64 { return float64(o.rss) / (1 << 20) })
+	connections, _ := medianAndSpread(runs, func(run *measurement) float64 { return float64(run.connections) })
+	cpu, cpuSpread := medianAndSpread(runs, func(run *measurement) float64 {
+		return float64(run.cpu.Microseconds()) / float64(max(run.requestCount(), 1))
+	})
+	syscalls, _ := medianAndSpread(runs, func(run *measurement) float64 { return float64(run.syscalls) / float64(max(run.requestCount(), 1)) })
+	rss, _ := medianAndSpread(runs, func(run *measurement) float64 { return float64(run.rssBytes) / (1 << 20) })
 	behind := 0
 	for _, r := range runs {
 		if r.result.Behind {
 			behind++
 		}
 	}
-	lag, _ := summary(runs, func(o *one) float64 { return ms(o.result.Lag.ValueAtQuantile(99.9)) })
+	senderLag, _ := medianAndSpread(runs, func(run *measurement) float64 { return ms(run.result.Lag.ValueAtQuantile(99.9)) })
 	fmt.Fprintf(b, "| %s | %.2f | %.2f | %.2f ± %.2f | %.2f | %.2f | %.2f | %.0f | %.0f ± %.0f | %.2f | %.0f | %.2f, %d of %d |\n", name,
-		p50, p99, tail, tails, worst, other, served, links, cpu, cpus, calls, rss, lag, behind, len(runs))
+		p50, p99, p999, p999Spread, worst, otherP999, served, connections, cpu, cpuSpread, syscalls, rss, senderLag, behind, len(runs))
 }
--- a/internal/trial/transports.go
+++ b/internal/trial/transports.go
@@ -14,26 +14,26 @@
 	"foxwood/internal/load"
 )
 
-// Fleet is emulated workers and what they do.
+// Fleet describes a group of emulated workers and the requests that they serve.
 type Fleet struct {
 	Name    string
 	Workers int
-	Cores   int
+	Cores   int // of each worker
 	Classes []ServiceClass
 }
 
-// ServiceClass is a class of requests and how long it takes.
+// ServiceClass is a class of requests and the distribution of its service times.
 type ServiceClass struct {
 	Name  string
-	Part  float64
-	Mean  time.Duration
-	CV    float64
-	Keyed bool
-	Aim   time.Duration
+	Part  float64       // share of the requests, relative to the other classes
+	Mean  time.Duration // mean service time
+	CV    float64       // coefficient of variation of the service time
+	Keyed bool          // unsafe requests, made repeatable by a key
+	Aim   time.Duration // target latency
 }
 
-// Fleets are the two that transports are measured with: one of 1 to 5 ms, and one with
-// service times as of the site's cuota and simulacion.
+// Fleets returns the two fleets with which transports are compared: one with service times of 1 to 5 ms, and one with
+// the service times of the request classes cuota and simulacion at the production site.
 func Fleets() []Fleet {
 	return []Fleet{
 		{Name: "short", Workers: 4, Cores: 2, Classes: []ServiceClass{
@@ -45,7 +45,7 @@
 	}
 }
 
-// Capacity is the requests a second that a fleet's cores can do.
+// Capacity returns the number of requests per second that the fleet's cores can process.
 func (f *Fleet) Capacity() float64 {
 	mean, parts := 0.0, 0.0
 	for _, c := range f.Classes {
@@ -55,45 +55,46 @@
 	return float64(f.Workers*f.Cores) / (mean / parts)
 }
 
-const deadline = 2 * time.Second
+// requestDeadline is the deadline of every request.
+const requestDeadline = 2 * time.Second
 
-// start runs the fleet's workers in one process, and returns their addresses.
-func (f *Fleet) start() (*Process, []string, error) {
+// startWorkers starts the fleet's workers in one process and returns the process and the workers' addresses.
+func (f *Fleet) startWorkers() (*Process, []string, error) {
 	args := []string{"emulate", "worker", "--workers", fmt.Sprint(f.Workers), "--cores", fmt.Sprint(f.Cores), "--queue", "400",
-		"--window", (2 * deadline).String(), "--streams", "1000"}
+		"--window", (2 * requestDeadline).String(), "--streams", "1000"}
 	for _, c := range f.Classes {
 		args = append(args, "--service", fmt.Sprintf("%s=%s/%g", c.Name, c.Mean, c.CV))
 	}
-	p, err := start(nil, args...)
+	process, err := startSelf(nil, args...)
 	if err != nil {
 		return nil, nil, err
 	}
 	var addrs []string
 	for range f.Workers {
-		line, err := p.line()
+		line, err := process.readLine()
 		if err != nil {
-			p.stop()
+			process.stop()
 			return nil, nil, err
 		}
 		addrs = append(addrs, strings.TrimPrefix(line, "worker at "))
 	}
-	return p, addrs, nil
+	return process, addrs, nil
 }
 
-// configuration is the HCL file of a gatekeeper before some workers.
-func (f *Fleet) configuration(listen, transport string, workers []string) string {
+// gatewayConfig returns the HCL configuration of a gateway in front of the given workers.
+func (f *Fleet) gatewayConfig(listen, transport string, workers []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"trial\"\nlisten = %q\nlimits {\n  memory_mb = 192\n  sockets = 4096\n}\n", listen)
 	b.WriteString("plan \"mayor\" {\n  rate = 1000000\n  burst = 1000000\n  price = 1\n}\n")
 	for _, c := range f.Classes {
 		repeat := "repeat = \"safe\""
 		if c.Keyed {
-			repeat = fmt.Sprintf("repeat = \"keyed\"\n  window_ms = %d", (2 * deadline).Milliseconds())
+			repeat = fmt.Sprintf("repeat = \"keyed\"\n  window_ms = %d", (2 * requestDeadline).Milliseconds())
 		}
-		fmt.Fprintf(&b, "class %q {\n  aim_ms = %d\n  deadline_ms = %d\n  %s\n}\n", c.Name, c.Aim.Milliseconds(), deadline.Milliseconds(), repeat)
+		fmt.Fprintf(&b, "class %q {\n  aim_ms = %d\n  deadline_ms = %d\n  %s\n}\n", c.Name, c.Aim.Milliseconds(), requestDeadline.Milliseconds(), repeat)
 	}
-	kind, more := variant(transport)
-	fmt.Fprintf(&b, "pool \"fleet\" {\n  transport = %q\n  idle_ms = 1000\n%s", kind, more)
+	kind, poolSettings := splitTransport(transport)
+	fmt.Fprintf(&b, "pool \"fleet\" {\n  transport = %q\n  idle_ms = 1000\n%s", kind, poolSettings)
 	for i, w := range workers {
 		fmt.Fprintf(&b, "  worker \"w%d\" {\n    address = %q\n  }\n", i, w)
 	}
@@ -101,104 +102,105 @@
 	return b.String()
 }
 
-// target is one thing that is measured.
+// target is a process that is measured: a gateway with one transport, or the baseline.
 type target struct {
 	name string
 	addr string
 	*Process
 }
 
-// proxyName is the baseline: Go's net/http/httputil.ReverseProxy.
-const proxyName = "ReverseProxy"
+// reverseProxyName is the name of the baseline, Go's net/http/httputil.ReverseProxy, in a list of transports.
+const reverseProxyName = "ReverseProxy"
 
-// targets starts a gatekeeper for each transport, and the baseline.
-func (f *Fleet) targets(dir string, transports, workers []string) ([]target, error) {
-	var all []target
+// startTargets starts a process for each of the given transports. It returns the started processes also with an error.
+func (f *Fleet) startTargets(dir string, transports, workers []string) ([]target, error) {
+	var started []target
 	for _, name := range transports {
 		addr, err := freeAddr()
 		if err != nil {
-			return all, err
+			return started, err
 		}
 		args := []string{"measure", "proxy", "--listen", addr, "--workers", strings.Join(workers, ",")}
-		env := []string{"GOMAXPROCS=2"} // as a gatekeeper has
-		if name != proxyName {
-			file := filepath.Join(dir, name+".hcl")
-			text := f.configuration(addr, name, workers)
-			if kept := filepath.Join(dir, captured); strings.HasSuffix(name, " "+captured) {
-				text += fmt.Sprintf("capture {\n  folder = %q\n  kept_mb = 8192\n}\n", kept)
-				if err := os.MkdirAll(kept, 0o700); err != nil {
-					return all, fmt.Errorf("trial: %w", err)
+		env := []string{"GOMAXPROCS=2"} // the same as a gateway
+		if name != reverseProxyName {
+			configFile := filepath.Join(dir, name+".hcl")
+			config := f.gatewayConfig(addr, name, workers)
+			if captureDir := filepath.Join(dir, captureSuffix); strings.HasSuffix(name, " "+captureSuffix) {
+				config += fmt.Sprintf("capture {\n  folder = %q\n  kept_mb = 8192\n}\n", captureDir)
+				if err := os.MkdirAll(captureDir, 0o700); err != nil {
+					return started, fmt.Errorf("trial: %w", err)
 				}
 			}
-			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-				return all, fmt.Errorf("trial: %w", err)
+			if err := os.WriteFile(configFile, []byte(config), 0o600); err != nil {
+				return started, fmt.Errorf("trial: %w", err)
 			}
-			args, env = []string{"run", "-c", file}, nil
+			args, env = []string{"run", "-c", configFile}, nil
 		}
-		p, err := start(env, args...)
+		process, err := startSelf(env, args...)
 		if err != nil {
-			return all, err
+			return started, err
 		}
-		all = append(all, target{name, addr, p})
-		if err := ready(addr); err != nil {
-			return all, err
+		started = append(started, target{name, addr, process})
+		if err := waitReady(addr); err != nil {
+			return started, err
 		}
 	}
-	return all, nil
+	return started, nil
 }
 
-// freeAddr is a loopback address that nobody listens at.
+// freeAddr returns a loopback address with a port that is not in use.
 func freeAddr() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("trial: %w", err)
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
-// ready waits until a target answers.
-func ready(addr string) error {
+// waitReady waits until a target answers, for at most 200 tries, 20 ms apart.
+func waitReady(addr string) error {
 	const tries, pause = 200, 20 * time.Millisecond
-	var last error
+	var lastErr error
 	for range tries {
 		res, err := http.Get("http://" + addr + "/health/ready")
-		if last = err; err == nil {
+		if lastErr = err; err == nil {
 			_ = res.Body.Close()
 			return nil
 		}
 		time.Sleep(pause)
 	}
-	return fmt.Errorf("trial: %s is not ready: %w", addr, last)
+	return fmt.Errorf("trial: %s does not answer GET /health/ready: %w", addr, lastErr)
 }
 
-// Options is how long and how often transports are measured.
+// Options sets what a comparison of transports measures, and for how long.
 type Options struct {
 	Fleets     []Fleet
 	Transports []string
-	Loads      []float64 // parts of the capacity
-	Runs       int
-	For        time.Duration
-	Settle     time.Duration
-	Seed       uint64
-	Progress   io.Writer
-	Dir        string // for configurations and what targets write; a temporary one where empty
+	Loads      []float64     // fractions of the capacity
+	Runs       int           // runs of each transport at each load
+	For        time.Duration // length of a run
+	Settle     time.Duration // part of a run at its start that is not counted
+	Seed       uint64        // of the first run's arrivals; each further run adds 1
+	Progress   io.Writer     // receives a line for each run
+	Dir        string        // folder for configurations and files of the targets; empty means a temporary one
 }
 
-// Transports measures transports on the same arrivals, interleaved: every run plays each
-// transport once, in turn, at each load.
-func Transports(ctx context.Context, o Options) (*Table, error) {
-	table := &Table{Options: o}
-	for _, f := range o.Fleets {
-		if err := f.measure(ctx, o, table); err != nil {
+// Transports compares transports on the same arrivals. The runs are interleaved: each run measures every transport
+// once at each load, in turn.
+func Transports(ctx context.Context, options Options) (*Table, error) {
+	table := &Table{Options: options}
+	for _, fleet := range options.Fleets {
+		if err := fleet.measure(ctx, options, table); err != nil {
 			return table, err
 		}
 	}
 	return table, nil
 }
 
-func (f *Fleet) measure(ctx context.Context, o Options, table *Table) error {
-	dir := o.Dir
+// measure measures all transports with this fleet and adds the results to the table.
+func (f *Fleet) measure(ctx context.Context, options Options, table *Table) error {
+	dir := options.Dir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "foxwood-trial"); err != nil {
@@ -206,15 +208,15 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	fleet, workers, err := f.start()
+	workerProcess, workers, err := f.startWorkers()
 	if err != nil {
 		return err
 	}
-	defer fleet.stop()
-	targets, err := f.targets(dir, o.Transports, workers)
+	defer workerProcess.stop()
+	targets, err := f.startTargets(dir, options.Transports, workers)
 	defer func() {
-		for _, t := range targets {
-			t.stop()
+		for _, current := range targets {
+			current.stop()
 		}
 	}()
 	if err != nil {
@@ -229,108 +231,109 @@
 		ports[port] = true
 	}
 	capacity := f.Capacity()
-	warm := o
-	warm.For, warm.Settle = time.Second, time.Second/2
-	for i := range targets { // what a process does first it does slowly
-		if _, err := targets[i].play(ctx, f.plan(warm, capacity/2, o.Seed), ports); err != nil {
+	warmUp := options
+	warmUp.For, warmUp.Settle = time.Second, time.Second/2
+	for i := range targets { // warm each process up: first requests are slow
+		if _, err := targets[i].measure(ctx, f.loadPlan(warmUp, capacity/2, options.Seed), ports); err != nil {
 			return err
 		}
 	}
-	for run := range o.Runs {
-		for _, part := range o.Loads {
-			plan := f.plan(o, part*capacity, o.Seed+uint64(run))
+	for run := range options.Runs {
+		for _, loadFraction := range options.Loads {
+			plan := f.loadPlan(options, loadFraction*capacity, options.Seed+uint64(run))
 			for i := range targets {
-				t := &targets[(i+run)%len(targets)] // each goes first in its turn
+				current := &targets[(i+run)%len(targets)] // rotate, so that each target goes first in some runs
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				one, err := t.play(ctx, plan, ports)
+				measured, err := current.measure(ctx, plan, ports)
 				if err != nil {
 					return err
 				}
-				table.add(key{f.Name, part, t.name}, one)
-				fmt.Fprintf(o.Progress, "%s, run %d of %d, %.0f%%: %s p99.9 %.2f ms\n", f.Name, run+1, o.Runs, part*100, t.name,
-					float64(one.result.Classes[0].Latency.ValueAtQuantile(99.9))/1000)
+				table.add(cell{f.Name, loadFraction, current.name}, measured)
+				fmt.Fprintf(options.Progress, "%s, run %d of %d, %.0f%%: %s p99.9 %.2f ms\n", f.Name, run+1, options.Runs, loadFraction*100, current.name,
+					float64(measured.result.Classes[0].Latency.ValueAtQuantile(99.9))/1000)
 			}
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) plan(o Options, rate float64, seed uint64) load.Plan {
-	p := load.Plan{Rate: rate, Poisson: true, For: o.For, Settle: o.Settle, Customers: 20, PlanName: "mayor", Seed: seed, Body: 64}
+// loadPlan returns the load plan of a run.
+func (f *Fleet) loadPlan(options Options, rate float64, seed uint64) load.Plan {
+	plan := load.Plan{Rate: rate, Poisson: true, For: options.For, Settle: options.Settle, Customers: 20, PlanName: "mayor", Seed: seed, Body: 64}
 	for _, c := range f.Classes {
-		k := load.Class{Name: c.Name, Part: c.Part, Method: "GET", Deadline: deadline, Units: 1}
+		class := load.Class{Name: c.Name, Part: c.Part, Method: "GET", Deadline: requestDeadline, Units: 1}
 		if c.Keyed {
-			k.Method = "POST"
+			class.Method = "POST"
 		}
-		p.Classes = append(p.Classes, k)
+		plan.Classes = append(plan.Classes, class)
 	}
-	return p
+	return plan
 }
 
-// rest is how long a target's links have to be retired before the next one's turn.
-const rest = 800 * time.Millisecond
+// connectionDrainPause is the pause before each measurement, in which the target before closes its idle connections.
+const connectionDrainPause = 800 * time.Millisecond
 
-// play sends a plan to a target, and watches what it uses meanwhile.
-func (t *target) play(ctx context.Context, p load.Plan, ports map[string]bool) (one, error) {
-	time.Sleep(rest)
-	p.Targets = []string{t.addr}
+// measure sends the load of a plan to the target and measures the target's use of resources meanwhile.
+func (t *target) measure(ctx context.Context, plan load.Plan, ports map[string]bool) (measurement, error) {
+	time.Sleep(connectionDrainPause)
+	plan.Targets = []string{t.addr}
 	type window struct {
-		first spent
-		links int
-		err   error
+		first       usage
+		connections int
+		err         error
 	}
-	watched := make(chan window, 1)
+	observations := make(chan window, 1)
 	stop := make(chan struct{})
 	go func() {
-		var w window
-		defer func() { watched <- w }()
-		time.Sleep(p.Settle)
-		if w.first, w.err = t.spent(); w.err != nil {
+		var observed window
+		defer func() { observations <- observed }()
+		time.Sleep(plan.Settle)
+		if observed.first, observed.err = t.resourceUsage(); observed.err != nil {
 			return
 		}
-		every := time.NewTicker(100 * time.Millisecond)
-		defer every.Stop()
+		ticker := time.NewTicker(100 * time.Millisecond)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-stop:
 				return
-			case <-every.C:
-				n, err := established(ports)
+			case <-ticker.C:
+				count, err := countConnections(ports)
 				if err != nil {
-					w.err = err
+					observed.err = err
 					return
 				}
-				w.links = max(w.links, n)
+				observed.connections = max(observed.connections, count)
 			}
 		}
 	}()
-	r, err := load.Run(ctx, p)
+	result, err := load.Run(ctx, plan)
 	close(stop)
-	w := <-watched
+	observed := <-observations
 	if err != nil {
-		return one{}, err
+		return measurement{}, err
 	}
-	if w.err != nil {
-		return one{}, w.err
+	if observed.err != nil {
+		return measurement{}, observed.err
 	}
-	last, err := t.spent()
+	lastUsage, err := t.resourceUsage()
 	if err != nil {
-		return one{}, err
+		return measurement{}, err
 	}
-	return one{result: r, cpu: last.cpu - w.first.cpu, calls: last.calls - w.first.calls, links: w.links, rss: last.rss}, nil
+	return measurement{result: result, cpu: lastUsage.cpu - observed.first.cpu, syscalls: lastUsage.syscalls - observed.first.syscalls, connections: observed.connections, rssBytes: lastUsage.rssBytes}, nil
 }
 
-// variant splits the name of a transport with settings, as "batch gather_ms=1 links=1",
-// into the transport and lines for its pool.
-func variant(name string) (kind, more string) {
+// splitTransport splits the name of a transport with settings, for example "batch gather_ms=1 links=1", into the
+// transport and lines for the pool's configuration.
+func splitTransport(name string) (kind, poolSettings string) {
 	words := strings.Fields(name)
-	for _, w := range words[1:] {
-		if w == captured { // not of the pool
+	for _, word := range words[1:] {
+		if word == captureSuffix { // not a setting of the pool
 			continue
 		}
-		more += "  " + strings.Replace(w, "=", " = ", 1) + "\n"
+		poolSettings += "  " + strings.Replace(word, "=", " = ", 1) + "\n"
 	}
-	return words[0], more
+	return words[0], poolSettings
 }
