--- a/cmd/brocken/main.go
+++ b/cmd/brocken/main.go
@@ -1,4 +1,4 @@
-// Command brocken plays a busy week of journeys in the shadow on a set clock.
+// Command brocken simulates a week of traffic shadowing with a simulated clock.
 package main
 
 import (
--- a/internal/forecast/site.go
+++ b/internal/forecast/site.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// site is the part of a site file that is needed to generate scenarios. The fields are decoded under
-// their names.
+// site is the part of a site file that is needed to generate scenarios. Fields without a tag are decoded under their
+// own names, ignoring case.
 type site struct {
 	Name     string
 	Zones    []struct{ Name, Region string }
@@ -22,12 +22,13 @@
 	}
 	Services []struct{ Name string }
 	Classes  []struct{ Name string }
-	Troubles []tomlTable            // faults that may occur at the site
-	Tolerate struct{ Machines int } // core machines that may fail at once without breaking a rule
-	Day      []struct {             // the site's own scenarios
+	Troubles []tomlTable            `toml:"troubles"` // faults that may occur at the site
+	Tolerate struct{ Machines int } `toml:"tolerate"` // core machines that may fail at once without breaking a rule
+	// The site's own scenarios.
+	Day []struct {
 		Closing      tomlTable
 		Plan, Faults []tomlTable
-	}
+	} `toml:"day"`
 }
 
 // readSite reads a site file.
--- a/internal/scree/main.go
+++ b/internal/scree/main.go
@@ -1,10 +1,11 @@
-// Command scree loosens one stone at a time: it puts named faults into a copy of the tree, one by
-// one, and says whether the tests notice each. The tree itself is not touched. From its root:
+// Command scree runs mutation tests: it compiles the code with one known fault at a time, and reports whether the
+// tests detect it. The working tree is not changed, since the changed file is given to the compiler as an overlay.
+// Run it from the root of the module:
 //
 //	go run ./internal/scree [-jobs 2] [-only REGEXP] [-table FILE]
 //
-// A fault that no test notices ends it with status 1, and so does one whose place in the code has
-// changed: the table is then to be mended.
+// It exits with status 1 if a fault is not detected, or if the code that a fault replaces is no longer found exactly
+// once in its file. In the second case the table in faults.go has to be updated.
 package main
 
 import (
@@ -22,23 +23,24 @@
 	"time"
 )
 
-// fault is one wrong line of code, and the tests that must notice it.
+// fault is a change that makes the code wrong, with the tests that must detect it.
 type fault struct {
-	corner, name string
-	file         string
-	old, wrong   string // old stands there exactly once
-	tests        string // of the file's package, unless in names another
-	in           string
+	corner, name string // the area of the system and the fault, as shown in the results
+	file         string // path from the root of the module
+	old, wrong   string // the code and its replacement; old occurs exactly once in the file
+	tests        string // regular expression for the names of the tests
+	in           string // package of the tests; empty means the package of the file
 }
 
 const (
-	most = 4 * time.Minute // for one fault's tests
-	root = "go.mod"
+	testTimeout = 4 * time.Minute // time limit for one run of tests
+	moduleFile  = "go.mod"        // file that marks the root of the module
 )
 
+// verdict is the result of trying a fault.
 type verdict struct {
-	by  string // the first test that failed
-	err error
+	detectedBy string // the first test that failed; empty if none did
+	err        error  // why the fault could not be tried
 }
 
 func main() {
@@ -52,120 +54,124 @@
 	}
 }
 
-func run(jobs int, only, table string) error {
-	if _, err := os.Stat(root); err != nil {
-		return fmt.Errorf("not at the root of the tree: %w", err)
+// run tries the faults that match, up to jobs at a time, and returns an error if any is not detected.
+func run(jobs int, only, tableFile string) error {
+	if _, err := os.Stat(moduleFile); err != nil {
+		return fmt.Errorf("expected to run at the root of the module: %w", err)
 	}
-	match, err := regexp.Compile(only)
+	pattern, err := regexp.Compile(only)
 	if err != nil {
-		return fmt.Errorf("-only: %w", err)
+		return fmt.Errorf("-only: expected a regular expression: %w", err)
 	}
 	var chosen []fault
 	for _, f := range faults {
-		if match.MatchString(f.corner) || match.MatchString(f.name) {
+		if pattern.MatchString(f.corner) || pattern.MatchString(f.name) {
 			chosen = append(chosen, f)
 		}
 	}
 	verdicts := make([]verdict, len(chosen))
-	next := make(chan int)
-	var all sync.WaitGroup
+	indices := make(chan int)
+	var workers sync.WaitGroup
 	for range max(jobs, 1) {
-		all.Go(func() {
-			for i := range next {
+		workers.Go(func() {
+			for i := range indices {
 				began := time.Now()
-				verdicts[i] = try(&chosen[i])
-				fmt.Printf("%-9s %s: %s (%.0f s)\n", verdicts[i].word(), chosen[i].name, verdicts[i].detail(), time.Since(began).Seconds())
+				verdicts[i] = tryFault(&chosen[i])
+				fmt.Printf("%-9s %s: %s (%.0f s)\n", verdicts[i].status(), chosen[i].name, verdicts[i].detail(), time.Since(began).Seconds())
 			}
 		})
 	}
 	for i := range chosen {
-		next <- i
+		indices <- i
 	}
-	close(next)
-	all.Wait()
-	bad := 0
-	var out bytes.Buffer
-	out.WriteString("| corner | fault that was put in | file | noticed by |\n| --- | --- | --- | --- |\n")
+	close(indices)
+	workers.Wait()
+	undetected := 0
+	var results bytes.Buffer
+	results.WriteString("| corner | fault that was put in | file | noticed by |\n| --- | --- | --- | --- |\n")
 	for i, f := range chosen {
 		v := verdicts[i]
-		if v.by == "" {
-			bad++
+		if v.detectedBy == "" {
+			undetected++
 		}
-		fmt.Fprintf(&out, "| %s | %s | `%s` | %s |\n", f.corner, f.name, f.file, cmp.Or(v.by, v.word()))
+		fmt.Fprintf(&results, "| %s | %s | `%s` | %s |\n", f.corner, f.name, f.file, cmp.Or(v.detectedBy, v.status()))
 	}
-	if table != "" {
-		if err := os.WriteFile(table, out.Bytes(), 0o644); err != nil {
+	if tableFile != "" {
+		if err := os.WriteFile(tableFile, results.Bytes(), 0o644); err != nil {
 			return err
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d faults were not noticed", bad, len(chosen))
+	if undetected > 0 {
+		return fmt.Errorf("%d of %d faults were not noticed", undetected, len(chosen))
 	}
 	fmt.Printf("%d faults, each noticed\n", len(chosen))
 	return nil
 }
 
-func (v verdict) word() string {
+// status returns the verdict as it is shown in the results.
+func (v verdict) status() string {
 	switch {
 	case v.err != nil:
 		return "not tried"
-	case v.by == "":
+	case v.detectedBy == "":
 		return "unnoticed"
 	}
 	return "noticed"
 }
 
+// detail returns the reason for the verdict.
 func (v verdict) detail() string {
 	if v.err != nil {
 		return v.err.Error()
 	}
-	return cmp.Or(v.by, "all tests passed")
+	return cmp.Or(v.detectedBy, "all tests passed")
 }
 
-// try puts a fault into a file beside the tree, which the compiler reads in the file's place, and
-// runs the tests: those named first, then the package's others, should they not notice it.
-func try(f *fault) (v verdict) {
+// tryFault writes a file with the fault to a temporary folder, has the compiler read it in place of the original, and runs
+// the tests: first those named by the fault and, if they pass, all tests of the package.
+func tryFault(f *fault) (v verdict) {
 	code, err := os.ReadFile(f.file)
 	if err != nil {
 		return verdict{err: err}
 	}
 	if n := bytes.Count(code, []byte(f.old)); n != 1 {
-		return verdict{err: fmt.Errorf("its place is found %d times", n)}
+		return verdict{err: fmt.Errorf("expected the code to replace once in %s, found it %d times", f.file, n)}
 	}
-	dir, err := os.MkdirTemp("", "scree")
+	overlayDir, err := os.MkdirTemp("", "scree")
 	if err != nil {
 		return verdict{err: err}
 	}
-	defer os.RemoveAll(dir)
-	at, err := filepath.Abs(f.file)
+	defer os.RemoveAll(overlayDir)
+	original, err := filepath.Abs(f.file)
 	if err != nil {
 		return verdict{err: err}
 	}
-	wrong, overlay := filepath.Join(dir, filepath.Base(f.file)), filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(wrong, bytes.Replace(code, []byte(f.old), []byte(f.wrong), 1), 0o600); err != nil {
+	faulty, overlay := filepath.Join(overlayDir, filepath.Base(f.file)), filepath.Join(overlayDir, "overlay.json")
+	if err := os.WriteFile(faulty, bytes.Replace(code, []byte(f.old), []byte(f.wrong), 1), 0o600); err != nil {
 		return verdict{err: err}
 	}
-	if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace":{%q:%q}}`, at, wrong), 0o600); err != nil {
+	if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace":{%q:%q}}`, original, faulty), 0o600); err != nil {
 		return verdict{err: err}
 	}
 	pkg := "./" + cmp.Or(f.in, filepath.Dir(f.file))
-	if v = test(overlay, pkg, "^("+f.tests+")$"); v.err != nil || v.by != "" {
+	if v = runTests(overlay, pkg, "^("+f.tests+")$"); v.err != nil || v.detectedBy != "" {
 		return v
 	}
-	if v = test(overlay, pkg, "."); v.by != "" {
-		v.by += " (not by " + f.tests + ")"
+	if v = runTests(overlay, pkg, "."); v.detectedBy != "" {
+		v.detectedBy += " (not by " + f.tests + ")"
 	}
 	return v
 }
 
-var failed = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
+// failurePattern matches the name of a failed test in the output of go test.
+var failurePattern = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
 
-// test runs a package's tests with a fault in place, and gives the first that failed. One that does
-// not come to an end has noticed too; code that does not compile is no fault.
-func test(overlay, pkg, names string) verdict {
-	ctx, cancel := context.WithTimeout(context.Background(), most+time.Minute)
+// runTests runs tests of a package with the given overlay and returns the first that failed. Tests that panic or run into
+// the time limit have detected the fault, too. Code that doesn't compile is an error.
+func runTests(overlay, pkg, names string) verdict {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout+time.Minute)
 	defer cancel()
-	out, err := exec.CommandContext(ctx, "go", "test", "-overlay", overlay, "-count=1", "-failfast", "-timeout", most.String(), "-run", names, pkg).CombinedOutput()
+	out, err := exec.CommandContext(ctx, "go", "test", "-overlay", overlay, "-count=1", "-failfast", "-timeout", testTimeout.String(), "-run", names, pkg).CombinedOutput()
 	text := string(out)
 	switch {
 	case strings.Contains(text, "[build failed]") || strings.Contains(text, "[setup failed]"):
@@ -173,12 +179,12 @@
 	case err == nil:
 		return verdict{}
 	}
-	if m := failed.FindStringSubmatch(text); m != nil {
-		name, _, _ := strings.Cut(m[1], "/")
-		return verdict{by: "`" + name + "`"}
+	if match := failurePattern.FindStringSubmatch(text); match != nil {
+		name, _, _ := strings.Cut(match[1], "/")
+		return verdict{detectedBy: "`" + name + "`"}
 	}
 	if strings.Contains(text, "panic:") {
-		return verdict{by: "a panic or the time limit in " + names}
+		return verdict{detectedBy: "a panic or the time limit in " + names}
 	}
 	return verdict{err: fmt.Errorf("%w: %.300s", err, text)}
 }
