--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -13,14 +13,14 @@
 	"foxwood/internal/batch/batchpb"
 )
 
-// TestTheCodecAgreesWithTheDefinition: what the codec writes by hand is what the
+// TestCodecMatchesProtobuf: what the codec writes by hand is what the
 // generated code reads, and the other way round.
-func TestTheCodecAgreesWithTheDefinition(t *testing.T) {
-	m := AppendItem(nil, 7, []byte("GET / HTTP/1.1\r\n\r\n"))
-	m = AppendItem(m, 300, nil)
-	m = AppendPing(AppendGiveUp(AppendGiveUp(m, 5), 6), 9)
+func TestCodecMatchesProtobuf(t *testing.T) {
+	message := AppendItem(nil, 7, []byte("GET / HTTP/1.1\r\n\r\n"))
+	message = AppendItem(message, 300, nil)
+	message = AppendPing(AppendGiveUp(AppendGiveUp(message, 5), 6), 9)
 	var up batchpb.Up
-	if err := protodelim.UnmarshalFrom(bytes.NewReader(AppendMessage(nil, m)), &up); err != nil {
+	if err := protodelim.UnmarshalFrom(bytes.NewReader(AppendMessage(nil, message)), &up); err != nil {
 		t.Fatal(err)
 	}
 	want := &batchpb.Up{Items: []*batchpb.Item{{Id: 7, Request: []byte("GET / HTTP/1.1\r\n\r\n")}, {Id: 300}}, GiveUp: []uint64{5, 6}, Ping: 9}
@@ -38,9 +38,9 @@
 		}
 	}
 	var got []Down
-	var r Reader
+	var reader Reader
 	for _, b := range text.Bytes() { // a byte at a time
-		if err := r.Feed([]byte{b}, func(d *Down) error {
+		if err := reader.Feed([]byte{b}, func(d *Down) error {
 			c := *d
 			c.Done = append([]Done(nil), d.Done...)
 			for i := range c.Done {
@@ -55,13 +55,13 @@
 	if diff := cmp.Diff([]Down{
 		{Done: []Done{{ID: 7, Answer: []byte("a")}, {ID: 300, NeverRan: true}}},
 		{Pong: 9, Leaving: true, Last: 300},
-	}, got); diff != "" || r.Started() {
-		t.Errorf("started %v; %s", r.Started(), diff)
+	}, got); diff != "" || reader.Started() {
+		t.Errorf("started %v; %s", reader.Started(), diff)
 	}
 }
 
-func TestWhatCantBeReadIsNotGuessedAt(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestMalformedMessagesAreRejected(t *testing.T) {
+	for name, tc := range map[string]struct {
 		text string
 		want error
 	}{
@@ -75,8 +75,8 @@
 		"nothing":                 {"\x00", nil},
 	} {
 		var r Reader
-		if err := r.Feed([]byte(c.text), func(*Down) error { return nil }); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+		if err := r.Feed([]byte(tc.text), func(*Down) error { return nil }); !errors.Is(err, tc.want) {
+			t.Errorf("%s: %v, want %v", name, err, tc.want)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 				k := min(piece, len(rest))
 				err = r.Feed(rest[:k], func(d *Down) error { n += 1 + len(d.Done); return nil })
 				rest = rest[k:]
-				if len(r.held) > MessageMost+16 {
-					t.Fatalf("holds %d bytes", len(r.held))
+				if len(r.buffered) > MessageMost+16 {
+					t.Fatalf("holds %d bytes", len(r.buffered))
 				}
 			}
 			return n, err
--- a/internal/batch/codec.go
+++ b/internal/batch/codec.go
@@ -65,8 +65,8 @@
 
 // Reader takes the bytes of a worker's side as they come.
 type Reader struct {
-	held []byte
-	down Down
+	buffered []byte
+	message  Down
 }
 
 // Errors of a Reader. After one, where the next message begins is not known.
@@ -76,14 +76,14 @@
 )
 
 // Started tells whether a part of a message has come.
-func (r *Reader) Started() bool { return len(r.held) > 0 }
+func (r *Reader) Started() bool { return len(r.buffered) > 0 }
 
 // Feed takes bytes and calls do for each message that is whole by now. The message
 // holds during the call. An error of do ends Feed.
-func (r *Reader) Feed(b []byte, do func(*Down) error) error {
-	if len(r.held) > 0 {
-		r.held = append(r.held, b...)
-		b = r.held
+func (r *Reader) Feed(b []byte, handle func(*Down) error) error {
+	if len(r.buffered) > 0 {
+		r.buffered = append(r.buffered, b...)
+		b = r.buffered
 	}
 	for len(b) > 0 {
 		size, n := protowire.ConsumeVarint(b)
@@ -99,38 +99,38 @@
 		if uint64(len(b)-n) < size {
 			break
 		}
-		if err := r.down.read(b[n : n+int(size)]); err != nil {
+		if err := r.message.read(b[n : n+int(size)]); err != nil {
 			return err
 		}
 		b = b[n+int(size):]
-		if err := do(&r.down); err != nil {
+		if err := handle(&r.message); err != nil {
 			return err
 		}
 	}
-	r.held = append(r.held[:0], b...)
-	if len(r.held) == 0 && cap(r.held) > heldMost {
-		r.held = nil
+	r.buffered = append(r.buffered[:0], b...)
+	if len(r.buffered) == 0 && cap(r.buffered) > maxKeptBufferBytes {
+		r.buffered = nil
 	}
 	return nil
 }
 
-const heldMost = 64 << 10 // bytes of room that a Reader keeps between messages
+const maxKeptBufferBytes = 64 << 10 // bytes of room that a Reader keeps between messages
 
 // read reads a message over what was there. Fields that are not known are passed over.
 func (d *Down) read(b []byte) error {
 	*d = Down{Done: d.Done[:0]}
-	return fields(b, func(num protowire.Number, v uint64, text []byte) error {
+	return eachField(b, func(num protowire.Number, varint uint64, content []byte) error {
 		switch num {
 		case downDone:
 			var done Done
-			err := fields(text, func(num protowire.Number, v uint64, text []byte) error {
+			err := eachField(content, func(num protowire.Number, varint uint64, content []byte) error {
 				switch num {
 				case doneID:
-					done.ID = v
+					done.ID = varint
 				case doneAnswer:
-					done.Answer = text
+					done.Answer = content
 				case doneNeverRan:
-					done.NeverRan = v != 0
+					done.NeverRan = varint != 0
 				}
 				return nil
 			})
@@ -139,31 +139,31 @@
 			}
 			d.Done = append(d.Done, done)
 		case downPong:
-			d.Pong = v
+			d.Pong = varint
 		case downLeaving:
-			d.Leaving = v != 0
+			d.Leaving = varint != 0
 		case downLast:
-			d.Last = v
+			d.Last = varint
 		}
 		return nil
 	})
 }
 
 // fields calls do for each field of a message, with its number or its bytes.
-func fields(b []byte, do func(num protowire.Number, v uint64, text []byte) error) error {
+func eachField(b []byte, fn func(num protowire.Number, varint uint64, content []byte) error) error {
 	for len(b) > 0 {
 		num, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
 			return ErrMalformed
 		}
 		b = b[n:]
-		var v uint64
-		var text []byte
+		var varint uint64
+		var content []byte
 		switch kind {
 		case protowire.VarintType:
-			v, n = protowire.ConsumeVarint(b)
+			varint, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			text, n = protowire.ConsumeBytes(b)
+			content, n = protowire.ConsumeBytes(b)
 		default:
 			n = protowire.ConsumeFieldValue(num, kind, b)
 		}
@@ -171,7 +171,7 @@
 			return ErrMalformed
 		}
 		b = b[n:]
-		if err := do(num, v, text); err != nil {
+		if err := fn(num, varint, content); err != nil {
 			return err
 		}
 	}
--- a/internal/batch/server.go
+++ b/internal/batch/server.go
@@ -26,12 +26,12 @@
 var ErrNeverRan = errors.New("batch: the item never ran")
 
 // link is one batch link on the worker's side.
-type link struct {
-	to    *http.ResponseController
-	w     http.ResponseWriter
-	mu    sync.Mutex // of what is written
-	items sync.Map   // number -> context.CancelFunc
-	done  sync.WaitGroup
+type serverConn struct {
+	controller *http.ResponseController
+	w          http.ResponseWriter
+	mu         sync.Mutex // of what is written
+	cancels    sync.Map   // number -> context.CancelFunc
+	running    sync.WaitGroup
 }
 
 // ServeHTTP implements http.Handler. It returns when the gatekeeper ends its side, after
@@ -41,67 +41,67 @@
 		http.Error(w, "a batch link begins with a POST of "+ContentType, http.StatusUnsupportedMediaType)
 		return
 	}
-	l := &link{w: w, to: http.NewResponseController(w)}
+	conn := &serverConn{w: w, controller: http.NewResponseController(w)}
 	if r.ProtoMajor == 1 {
-		if err := l.to.EnableFullDuplex(); err != nil {
+		if err := conn.controller.EnableFullDuplex(); err != nil {
 			http.Error(w, err.Error(), http.StatusNotImplemented)
 			return
 		}
 	}
 	w.Header().Set("Content-Type", ContentType)
 	w.WriteHeader(http.StatusOK)
-	_ = l.to.Flush()
+	_ = conn.controller.Flush()
 	ctx, cancel := context.WithCancel(r.Context())
 	in := bufio.NewReader(r.Body)
-	for l.next(ctx, in, h.Items) == nil {
+	for conn.handleMessage(ctx, in, h.Items) == nil {
 	}
 	cancel()
-	l.done.Wait()
+	conn.running.Wait()
 }
 
 // next takes one message.
-func (l *link) next(ctx context.Context, in *bufio.Reader, items http.Handler) error {
-	var up batchpb.Up
-	if err := (protodelim.UnmarshalOptions{MaxSize: MessageMost}).UnmarshalFrom(in, &up); err != nil {
+func (l *serverConn) handleMessage(ctx context.Context, in *bufio.Reader, items http.Handler) error {
+	var message batchpb.Up
+	if err := (protodelim.UnmarshalOptions{MaxSize: MessageMost}).UnmarshalFrom(in, &message); err != nil {
 		return err
 	}
-	for _, id := range up.GetGiveUp() {
-		if stop, ok := l.items.LoadAndDelete(id); ok {
-			stop.(context.CancelFunc)()
+	for _, id := range message.GetGiveUp() {
+		if cancel, ok := l.cancels.LoadAndDelete(id); ok {
+			cancel.(context.CancelFunc)()
 		}
 	}
-	for _, it := range up.GetItems() {
-		ctx, stop := context.WithCancel(ctx)
-		l.items.Store(it.GetId(), stop)
-		l.done.Add(1)
+	for _, item := range message.GetItems() {
+		ctx, cancel := context.WithCancel(ctx)
+		l.cancels.Store(item.GetId(), cancel)
+		l.running.Add(1)
 		go func() {
-			defer l.done.Done()
-			defer stop()
-			done := run(ctx, it, items)
-			if _, wanted := l.items.LoadAndDelete(it.GetId()); wanted && done != nil {
+			defer l.running.Done()
+			defer cancel()
+			done := serveItem(ctx, item, items)
+			if _, wanted := l.cancels.LoadAndDelete(item.GetId()); wanted && done != nil {
 				l.write(&batchpb.Down{Done: []*batchpb.Done{done}})
 			}
 		}()
 	}
-	if up.GetPing() > 0 {
-		l.write(&batchpb.Down{Pong: up.GetPing()})
+	if message.GetPing() > 0 {
+		l.write(&batchpb.Down{Pong: message.GetPing()})
 	}
 	return nil
 }
 
-func (l *link) write(d *batchpb.Down) {
+func (l *serverConn) write(message *batchpb.Down) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, err := protodelim.MarshalTo(l.w, d); err == nil {
-		_ = l.to.Flush()
+	if _, err := protodelim.MarshalTo(l.w, message); err == nil {
+		_ = l.controller.Flush()
 	}
 }
 
 // run serves one item. It returns nil for one whose handler gives no answer, as
 // net/http has them say with http.ErrAbortHandler.
-func run(ctx context.Context, it *batchpb.Item, items http.Handler) (done *batchpb.Done) {
-	done = &batchpb.Done{Id: it.GetId()}
-	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(it.GetRequest())))
+func serveItem(ctx context.Context, item *batchpb.Item, items http.Handler) (done *batchpb.Done) {
+	done = &batchpb.Done{Id: item.GetId()}
+	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(item.GetRequest())))
 	if err != nil {
 		done.Answer = []byte("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return done
@@ -117,24 +117,24 @@
 			panic(v)
 		}
 	}()
-	a := &answer{header: http.Header{}, status: http.StatusOK}
-	items.ServeHTTP(a, r.WithContext(ctx))
-	done.Answer = a.message()
+	recorder := &responseRecorder{header: http.Header{}, status: http.StatusOK}
+	items.ServeHTTP(recorder, request.WithContext(ctx))
+	done.Answer = recorder.message()
 	return done
 }
 
 // answer gathers what a handler writes.
-type answer struct {
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *answer) Header() http.Header         { return a.header }
-func (a *answer) WriteHeader(status int)      { a.status = status }
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *responseRecorder) Header() http.Header         { return a.header }
+func (a *responseRecorder) WriteHeader(status int)      { a.status = status }
+func (a *responseRecorder) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-func (a *answer) message() []byte {
+func (a *responseRecorder) message() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", a.status, http.StatusText(a.status), a.body.Len())
 	for name, values := range a.header {
--- a/internal/h2/encode.go
+++ b/internal/h2/encode.go
@@ -10,18 +10,18 @@
 // encode turns the head of an HTTP/1.1 request, and further field lines, into a header
 // block: the pseudo-headers first, Host as ":authority" (RFC 9113, section 8.3.1),
 // names in lower case.
-func (s *Session) encode(head, extra []byte) error {
+func (s *Session) encodeHeaders(head, extra []byte) error {
 	line, rest, ok := bytes.Cut(head, crlf)
 	method, target, okMethod := bytes.Cut(line, space)
 	target, _, okTarget := bytes.Cut(target, space)
 	if !ok || !okMethod || !okTarget {
 		return errors.New("h2: a request without a request line")
 	}
-	s.put(":method", string(method), false)
-	s.put(":scheme", "http", false)
-	s.put(":path", string(target), bytes.IndexByte(target, '?') >= 0)
-	if host, ok := find(rest, "host"); ok {
-		s.put(":authority", string(host), false)
+	s.encodeField(":method", string(method), false)
+	s.encodeField(":scheme", "http", false)
+	s.encodeField(":path", string(target), bytes.IndexByte(target, '?') >= 0)
+	if host, ok := findHeader(rest, "host"); ok {
+		s.encodeField(":authority", string(host), false)
 	}
 	for i, lines := range [...][]byte{rest, extra} {
 		for len(lines) > 0 {
@@ -32,7 +32,7 @@
 			}
 			if !bytes.EqualFold(name, host) {
 				name := string(bytes.ToLower(name))
-				s.put(name, string(bytes.TrimLeft(value, " ")), i > 0 || name == "idempotency-key" || name == "x-trace-id")
+				s.encodeField(name, string(bytes.TrimLeft(value, " ")), i > 0 || name == "idempotency-key" || name == "x-trace-id")
 			}
 		}
 	}
@@ -44,12 +44,12 @@
 // put encodes a field. One whose value is another with every request is never indexed
 // (RFC 7541, section 6.2.3): it would only push out of the table what does come again.
 // A buffer takes whatever is written to it.
-func (s *Session) put(name, value string, varies bool) {
-	_ = s.enc.WriteField(hpack.HeaderField{Name: name, Value: value, Sensitive: varies})
+func (s *Session) encodeField(name, value string, sensitive bool) {
+	_ = s.enc.WriteField(hpack.HeaderField{Name: name, Value: value, Sensitive: sensitive})
 }
 
 // find is the value of the first field line with a name.
-func find(lines []byte, name string) ([]byte, bool) {
+func findHeader(lines []byte, name string) ([]byte, bool) {
 	for len(lines) > 0 {
 		var line []byte
 		line, lines, _ = bytes.Cut(lines, crlf)
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -12,7 +12,7 @@
 	"foxwood/internal/http1"
 )
 
-const frameHead = 9 // bytes, RFC 9113, section 4.1
+const frameHeaderBytes = 9 // bytes, RFC 9113, section 4.1
 
 // Feed takes bytes as they come. After an error the connection must end, once what Out
 // still gives has been written: it holds the GOAWAY that tells the peer why.
@@ -26,7 +26,7 @@
 		b = s.in
 	}
 	for {
-		n, err := s.frame(b)
+		n, err := s.readFrame(b)
 		if err != nil {
 			return s.fail(err)
 		}
@@ -36,7 +36,7 @@
 		b = b[n:]
 	}
 	s.in = append(s.in[:0], b...) // the same bytes, moved to the front, where they were held
-	if len(s.in) == 0 && cap(s.in) > frameMost {
+	if len(s.in) == 0 && cap(s.in) > maxFrameBytes {
 		s.in = nil
 	}
 	return s.failed
@@ -57,176 +57,176 @@
 		code = http2.ErrCodeFrameSize
 	}
 	s.out.Reset()
-	s.wrote(s.framer.WriteGoAway(0, code, nil))
+	s.noteWriteError(s.framer.WriteGoAway(0, code, nil))
 	s.failed = err
 	return err
 }
 
 // frame takes one whole frame, and returns how many bytes it had: 0 where it is not
 // whole yet.
-func (s *Session) frame(b []byte) (int, error) {
-	if len(b) < frameHead {
+func (s *Session) readFrame(b []byte) (int, error) {
+	if len(b) < frameHeaderBytes {
 		return 0, nil
 	}
 	length := int(b[0])<<16 | int(b[1])<<8 | int(b[2])
-	if length > frameMost {
-		return 0, fault(http2.ErrCodeFrameSize, "a frame of %d bytes", length)
+	if length > maxFrameBytes {
+		return 0, connError(http2.ErrCodeFrameSize, "a frame of %d bytes", length)
 	}
-	kind, flags, id := http2.FrameType(b[3]), http2.Flags(b[4]), binary.BigEndian.Uint32(b[5:])&lastID
-	if !s.settled && (kind != http2.FrameSettings || flags.Has(http2.FlagSettingsAck)) {
-		return 0, fault(http2.ErrCodeProtocol, "the first frame is not SETTINGS") // RFC 9113, section 3.4
+	kind, flags, streamID := http2.FrameType(b[3]), http2.Flags(b[4]), binary.BigEndian.Uint32(b[5:])&maxStreamID
+	if !s.settingsReceived && (kind != http2.FrameSettings || flags.Has(http2.FlagSettingsAck)) {
+		return 0, connError(http2.ErrCodeProtocol, "the first frame is not SETTINGS") // RFC 9113, section 3.4
 	}
-	if len(b) < frameHead+length {
+	if len(b) < frameHeaderBytes+length {
 		return 0, nil
 	}
-	if s.heads != 0 && (kind != http2.FrameContinuation || id != s.heads) {
-		return 0, fault(http2.ErrCodeProtocol, "a header block is interrupted")
+	if s.headerStream != 0 && (kind != http2.FrameContinuation || streamID != s.headerStream) {
+		return 0, connError(http2.ErrCodeProtocol, "a header block is interrupted")
 	}
-	s.source.Reset(b[:frameHead+length])
-	f, err := s.framer.ReadFrame()
+	s.source.Reset(b[:frameHeaderBytes+length])
+	frame, err := s.framer.ReadFrame()
 	var stream http2.StreamError
 	switch {
 	case errors.As(err, &stream) && kind == http2.FrameHeaders: // its block would be missing from the table
-		return 0, fault(stream.Code, "a broken HEADERS frame")
+		return 0, connError(stream.Code, "a broken HEADERS frame")
 	case errors.As(err, &stream):
 		if st := s.streams[stream.StreamID]; st != nil {
-			s.spoil(st, stream.Code)
+			s.failStream(st, stream.Code)
 		}
-		return frameHead + length, s.chat()
+		return frameHeaderBytes + length, s.countUnproductive()
 	case err != nil:
 		return 0, err
 	}
-	if err := s.take(f); err != nil {
+	if err := s.handleFrame(frame); err != nil {
 		return 0, err
 	}
-	return frameHead + length, nil
+	return frameHeaderBytes + length, nil
 }
 
 // chat counts a frame that brings no answer on.
-func (s *Session) chat() error {
-	if s.chatter++; s.chatter > chatterMost {
-		return fault(http2.ErrCodeEnhanceYourCalm, "%d frames that bring no answer", s.chatter)
+func (s *Session) countUnproductive() error {
+	if s.unproductive++; s.unproductive > maxUnproductiveFrames {
+		return connError(http2.ErrCodeEnhanceYourCalm, "%d frames that bring no answer", s.unproductive)
 	}
 	return nil
 }
 
 // take acts on a frame.
-func (s *Session) take(f http2.Frame) error {
-	switch f := f.(type) {
+func (s *Session) handleFrame(frame http2.Frame) error {
+	switch frame := frame.(type) {
 	case *http2.DataFrame:
-		return s.data(f)
+		return s.handleData(frame)
 	case *http2.HeadersFrame:
-		if err := s.begin(f.StreamID); err != nil {
+		if err := s.beginHeaders(frame.StreamID); err != nil {
 			return err
 		}
-		s.ends = f.StreamEnded()
-		return s.fragment(f.StreamID, f.HeaderBlockFragment(), f.HeadersEnded())
+		s.headerEndsStream = frame.StreamEnded()
+		return s.handleFragment(frame.StreamID, frame.HeaderBlockFragment(), frame.HeadersEnded())
 	case *http2.ContinuationFrame:
-		if err := s.chat(); err != nil {
+		if err := s.countUnproductive(); err != nil {
 			return err
 		}
-		return s.fragment(f.StreamID, f.HeaderBlockFragment(), f.HeadersEnded())
+		return s.handleFragment(frame.StreamID, frame.HeaderBlockFragment(), frame.HeadersEnded())
 	case *http2.PushPromiseFrame:
-		return fault(http2.ErrCodeProtocol, "a push, which is switched off")
+		return connError(http2.ErrCodeProtocol, "a push, which is switched off")
 	case *http2.RSTStreamFrame:
-		return s.resetBy(f)
+		return s.handleReset(frame)
 	case *http2.SettingsFrame:
-		return s.settings(f)
+		return s.handleSettings(frame)
 	case *http2.PingFrame:
-		if f.IsAck() {
-			s.ponged = max(s.ponged, binary.BigEndian.Uint64(f.Data[:]))
+		if frame.IsAck() {
+			s.pingsAnswered = max(s.pingsAnswered, binary.BigEndian.Uint64(frame.Data[:]))
 		} else {
-			s.wrote(s.framer.WritePing(true, f.Data))
+			s.noteWriteError(s.framer.WritePing(true, frame.Data))
 		}
 	case *http2.GoAwayFrame:
-		s.goneAway(f)
+		s.handleGoAway(frame)
 	case *http2.WindowUpdateFrame:
-		return s.widen(f)
+		return s.handleWindowUpdate(frame)
 	}
-	return s.chat() // other frames are passed over: RFC 9113, section 4.1
+	return s.countUnproductive() // other frames are passed over: RFC 9113, section 4.1
 }
 
 // known refuses a stream that was never opened: the peer opens none.
-func (s *Session) known(id uint32) error {
-	if id%2 == 0 || id >= s.next {
-		return fault(http2.ErrCodeProtocol, "stream %d was not opened", id)
+func (s *Session) checkOpened(id uint32) error {
+	if id%2 == 0 || id >= s.nextID {
+		return connError(http2.ErrCodeProtocol, "stream %d was not opened", id)
 	}
 	return nil
 }
 
-func (s *Session) begin(id uint32) error {
-	if err := s.known(id); err != nil {
+func (s *Session) beginHeaders(id uint32) error {
+	if err := s.checkOpened(id); err != nil {
 		return err
 	}
-	s.heads, s.size, s.toobig = id, 0, false
-	s.fields, s.coming = s.fields[:0], s.coming[:0]
+	s.headerStream, s.fieldsSize, s.fieldsTooLarge = id, 0, false
+	s.fields, s.headerBlock = s.fields[:0], s.headerBlock[:0]
 	return nil
 }
 
 // fragment takes a piece of a header block. It is decoded also for streams that have
 // ended: the dynamic table is the connection's.
-func (s *Session) fragment(id uint32, piece []byte, last bool) error {
-	if len(s.coming)+len(piece) > blockMost {
-		return fault(http2.ErrCodeEnhanceYourCalm, "a header block of more than %d bytes", blockMost)
+func (s *Session) handleFragment(streamID uint32, piece []byte, last bool) error {
+	if len(s.headerBlock)+len(piece) > maxHeaderBlockBytes {
+		return connError(http2.ErrCodeEnhanceYourCalm, "a header block of more than %d bytes", maxHeaderBlockBytes)
 	}
-	s.coming = append(s.coming, piece...)
+	s.headerBlock = append(s.headerBlock, piece...)
 	if !last {
 		return nil
 	}
-	s.heads = 0
-	if _, err := s.dec.Write(s.coming); err != nil {
-		return fault(http2.ErrCodeCompression, "header block: %v", err)
+	s.headerStream = 0
+	if _, err := s.dec.Write(s.headerBlock); err != nil {
+		return connError(http2.ErrCodeCompression, "header block: %v", err)
 	}
 	if err := s.dec.Close(); err != nil {
-		return fault(http2.ErrCodeCompression, "header block: %v", err)
+		return connError(http2.ErrCodeCompression, "header block: %v", err)
 	}
-	st := s.streams[id]
-	if st == nil {
-		return s.chat()
+	stream := s.streams[streamID]
+	if stream == nil {
+		return s.countUnproductive()
 	}
 	switch {
-	case s.toobig:
-		s.spoil(st, http2.ErrCodeEnhanceYourCalm)
-	case st.headed && !s.ends: // trailers end a stream: RFC 9113, section 8.1
-		s.spoil(st, http2.ErrCodeProtocol)
-	case st.headed: // trailers are dropped
-		s.finish(st)
+	case s.fieldsTooLarge:
+		s.failStream(stream, http2.ErrCodeEnhanceYourCalm)
+	case stream.headersDone && !s.headerEndsStream: // trailers end a stream: RFC 9113, section 8.1
+		s.failStream(stream, http2.ErrCodeProtocol)
+	case stream.headersDone: // trailers are dropped
+		s.finishStream(stream)
 	default:
-		return s.head(st)
+		return s.handleHeaders(stream)
 	}
 	return nil
 }
 
 // field is given each field of a header block.
-func (s *Session) field(f hpack.HeaderField) {
-	if s.size += int(f.Size()); s.size > headMost || len(s.fields) >= http1.MaxFields {
-		s.toobig = true
+func (s *Session) collectField(field hpack.HeaderField) {
+	if s.fieldsSize += int(field.Size()); s.fieldsSize > maxHeaderListBytes || len(s.fields) >= http1.MaxFields {
+		s.fieldsTooLarge = true
 		return
 	}
-	s.fields = append(s.fields, f)
+	s.fields = append(s.fields, field)
 }
 
 // head reads the header of an answer.
-func (s *Session) head(st *Stream) error {
-	status, ok := readHead(s.fields, &st.answer, &st.length)
+func (s *Session) handleHeaders(stream *Stream) error {
+	status, ok := readHead(s.fields, &stream.response, &stream.declaredLength)
 	switch {
 	case !ok || status == 101: // 101 is not of HTTP/2: RFC 9113, section 8.6
-		s.spoil(st, http2.ErrCodeProtocol)
+		s.failStream(stream, http2.ErrCodeProtocol)
 		return nil
 	case status < 200:
-		st.answer, st.length = http1.Message{}, -1
-		if s.ends {
-			s.spoil(st, http2.ErrCodeProtocol)
+		stream.response, stream.declaredLength = http1.Message{}, -1
+		if s.headerEndsStream {
+			s.failStream(stream, http2.ErrCodeProtocol)
 			return nil
 		}
-		return s.chat()
-	case st.length > http1.MaxAnswer:
-		s.spoil(st, http2.ErrCodeCancel)
+		return s.countUnproductive()
+	case stream.declaredLength > http1.MaxAnswer:
+		s.failStream(stream, http2.ErrCodeCancel)
 		return nil
 	}
-	st.headed, st.answer.Status = true, status
-	if s.ends {
-		s.finish(st)
+	stream.headersDone, stream.response.Status = true, status
+	if s.headerEndsStream {
+		s.finishStream(stream)
 	}
 	return nil
 }
@@ -234,26 +234,26 @@
 // readHead reads the fields of an answer as RFC 9113, section 8.2 and 8.3, has them: one
 // pseudo-header, ":status", before all others; names in lower case; nothing that belongs
 // to a connection.
-func readHead(fields []hpack.HeaderField, m *http1.Message, length *int) (status int, ok bool) {
-	for i, f := range fields {
+func readHead(fields []hpack.HeaderField, message *http1.Message, length *int) (status int, ok bool) {
+	for i, field := range fields {
 		switch {
-		case f.Name == ":status" && i == 0:
-			n, err := strconv.ParseUint(f.Value, 10, 16)
-			if err != nil || len(f.Value) != 3 || n < 100 {
+		case field.Name == ":status" && i == 0:
+			n, err := strconv.ParseUint(field.Value, 10, 16)
+			if err != nil || len(field.Value) != 3 || n < 100 {
 				return 0, false
 			}
 			status = int(n)
 			continue
-		case i == 0, !lower(f.Name) || !plain(f.Value), slices.Contains(connectionFields, f.Name):
+		case i == 0, !isLowerToken(field.Name) || !isPlainValue(field.Value), slices.Contains(connectionFields, field.Name):
 			return 0, false
-		case f.Name == "content-length":
-			n, err := strconv.ParseUint(f.Value, 10, 31)
+		case field.Name == "content-length":
+			n, err := strconv.ParseUint(field.Value, 10, 31)
 			if err != nil || *length >= 0 {
 				return 0, false
 			}
 			*length = int(n)
 		}
-		m.Add([]byte(f.Name), []byte(f.Value))
+		message.Add([]byte(field.Name), []byte(field.Value))
 	}
 	return status, status > 0
 }
@@ -261,7 +261,7 @@
 var connectionFields = []string{"connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade"}
 
 // lower tells whether a name is a token without capitals.
-func lower(name string) bool {
+func isLowerToken(name string) bool {
 	for _, c := range []byte(name) {
 		if c <= ' ' || c >= 0x7f || c == ':' || c >= 'A' && c <= 'Z' {
 			return false
@@ -270,7 +270,7 @@
 	return name != ""
 }
 
-func plain(value string) bool {
+func isPlainValue(value string) bool {
 	for _, c := range []byte(value) {
 		if c == 0 || c == '\r' || c == '\n' {
 			return false
@@ -280,150 +280,150 @@
 }
 
 // data takes a piece of an answer's body, and gives back the window it took.
-func (s *Session) data(f *http2.DataFrame) error {
-	if err := s.known(f.StreamID); err != nil {
+func (s *Session) handleData(frame *http2.DataFrame) error {
+	if err := s.checkOpened(frame.StreamID); err != nil {
 		return err
 	}
-	n := int64(f.Header().Length) // padding counts: RFC 9113, section 6.1
-	if s.credit -= n; s.credit < 0 {
-		return fault(http2.ErrCodeFlowControl, "more data than the connection's window")
+	n := int64(frame.Header().Length) // padding counts: RFC 9113, section 6.1
+	if s.receiveWindow -= n; s.receiveWindow < 0 {
+		return connError(http2.ErrCodeFlowControl, "more data than the connection's window")
 	}
-	if s.spent += n; s.spent >= connWindow/2 {
-		s.wrote(s.framer.WriteWindowUpdate(0, uint32(s.spent)))
-		s.credit += s.spent
-		s.spent = 0
+	if s.unacknowledged += n; s.unacknowledged >= connWindowBytes/2 {
+		s.noteWriteError(s.framer.WriteWindowUpdate(0, uint32(s.unacknowledged)))
+		s.receiveWindow += s.unacknowledged
+		s.unacknowledged = 0
 	}
-	st := s.streams[f.StreamID]
-	if st == nil || len(f.Data()) == 0 && !f.StreamEnded() {
-		return s.chat()
+	stream := s.streams[frame.StreamID]
+	if stream == nil || len(frame.Data()) == 0 && !frame.StreamEnded() {
+		return s.countUnproductive()
 	}
-	piece := f.Data()
+	piece := frame.Data()
 	switch {
-	case !st.headed:
-		s.spoil(st, http2.ErrCodeProtocol)
+	case !stream.headersDone:
+		s.failStream(stream, http2.ErrCodeProtocol)
 		return nil
-	case n > st.credit:
-		s.spoil(st, http2.ErrCodeFlowControl)
+	case n > stream.receiveWindow:
+		s.failStream(stream, http2.ErrCodeFlowControl)
 		return nil
-	case len(st.body)+len(piece) > http1.MaxAnswer:
-		s.spoil(st, http2.ErrCodeCancel)
+	case len(stream.body)+len(piece) > http1.MaxAnswer:
+		s.failStream(stream, http2.ErrCodeCancel)
 		return nil
 	}
-	st.body = append(st.body, piece...)
-	if st.credit -= n; st.credit < streamWindow/2 && !f.StreamEnded() {
-		s.wrote(s.framer.WriteWindowUpdate(st.ID, uint32(streamWindow-st.credit)))
-		st.credit = streamWindow
+	stream.body = append(stream.body, piece...)
+	if stream.receiveWindow -= n; stream.receiveWindow < streamWindowBytes/2 && !frame.StreamEnded() {
+		s.noteWriteError(s.framer.WriteWindowUpdate(stream.ID, uint32(streamWindowBytes-stream.receiveWindow)))
+		stream.receiveWindow = streamWindowBytes
 	}
-	if f.StreamEnded() {
-		s.finish(st)
+	if frame.StreamEnded() {
+		s.finishStream(stream)
 	}
 	return nil
 }
 
 // finish gives an answer out. It guards against one whose stated length its body does
 // not have (RFC 9113, section 8.1.1).
-func (s *Session) finish(st *Stream) {
-	bare := st.answer.Status == 204 || st.answer.Status == 304
-	if st.length >= 0 && st.length != len(st.body) && !(bare && len(st.body) == 0) {
-		s.spoil(st, http2.ErrCodeProtocol)
+func (s *Session) finishStream(stream *Stream) {
+	noBody := stream.response.Status == 204 || stream.response.Status == 304
+	if stream.declaredLength >= 0 && stream.declaredLength != len(stream.body) && !(noBody && len(stream.body) == 0) {
+		s.failStream(stream, http2.ErrCodeProtocol)
 		return
 	}
-	s.chatter = 0
-	if st.End == 0 { // the worker needed no more of the body: RFC 9113, section 8.1
-		s.reset(st, http2.ErrCodeNo)
+	s.unproductive = 0
+	if stream.End == 0 { // the worker needed no more of the body: RFC 9113, section 8.1
+		s.resetStream(stream, http2.ErrCodeNo)
 	} else {
-		delete(s.streams, st.ID)
+		delete(s.streams, stream.ID)
 	}
-	st.answer.Body = st.body
-	s.handler.Answered(st, &st.answer)
+	stream.response.Body = stream.body
+	s.handler.Answered(stream, &stream.response)
 }
 
-func (s *Session) resetBy(f *http2.RSTStreamFrame) error {
-	if err := s.known(f.StreamID); err != nil {
+func (s *Session) handleReset(frame *http2.RSTStreamFrame) error {
+	if err := s.checkOpened(frame.StreamID); err != nil {
 		return err
 	}
-	if st := s.streams[f.StreamID]; st != nil {
-		delete(s.streams, st.ID)
+	if stream := s.streams[frame.StreamID]; stream != nil {
+		delete(s.streams, stream.ID)
 		why := Spoilt
-		if f.ErrCode == http2.ErrCodeRefusedStream {
+		if frame.ErrCode == http2.ErrCodeRefusedStream {
 			why = Refused
 		}
-		s.handler.Ended(st, why)
+		s.handler.Ended(stream, why)
 	}
-	return s.chat()
+	return s.countUnproductive()
 }
 
-func (s *Session) settings(f *http2.SettingsFrame) error {
-	if err := s.chat(); err != nil || f.IsAck() {
+func (s *Session) handleSettings(frame *http2.SettingsFrame) error {
+	if err := s.countUnproductive(); err != nil || frame.IsAck() {
 		return err
 	}
-	s.settled = true
-	for i := range f.NumSettings() {
-		v := f.Setting(i)
-		if err := v.Valid(); err != nil {
+	s.settingsReceived = true
+	for i := range frame.NumSettings() {
+		setting := frame.Setting(i)
+		if err := setting.Valid(); err != nil {
 			return err
 		}
-		switch v.ID {
+		switch setting.ID {
 		case http2.SettingMaxConcurrentStreams:
-			s.allowed = v.Val
+			s.peerMaxStreams = setting.Val
 		case http2.SettingInitialWindowSize: // RFC 9113, section 6.9.2
-			by := int64(v.Val) - s.initial
-			s.initial = int64(v.Val)
+			delta := int64(setting.Val) - s.peerInitialWindow
+			s.peerInitialWindow = int64(setting.Val)
 			for _, st := range s.streams {
-				if st.window += by; st.window > windowMost {
-					return fault(http2.ErrCodeFlowControl, "a window past its bound")
+				if st.sendWindow += delta; st.sendWindow > maxWindowBytes {
+					return connError(http2.ErrCodeFlowControl, "a window past its bound")
 				}
 			}
 		case http2.SettingMaxFrameSize:
-			s.maxFrame = int(min(v.Val, frameMost))
+			s.maxFrame = int(min(setting.Val, maxFrameBytes))
 		case http2.SettingHeaderTableSize:
-			s.enc.SetMaxDynamicTableSizeLimit(min(v.Val, tableMost))
+			s.enc.SetMaxDynamicTableSizeLimit(min(setting.Val, maxTableBytes))
 		}
 	}
-	s.wrote(s.framer.WriteSettingsAck())
-	s.pushAll()
+	s.noteWriteError(s.framer.WriteSettingsAck())
+	s.sendBlocked()
 	return nil
 }
 
 // goneAway ends the streams that the peer says it has not and will not act on.
-func (s *Session) goneAway(f *http2.GoAwayFrame) {
-	s.goaway = true
-	var never []*Stream
-	for id, st := range s.streams {
-		if id > f.LastStreamID {
-			never = append(never, st)
+func (s *Session) handleGoAway(frame *http2.GoAwayFrame) {
+	s.goAwayReceived = true
+	var unprocessed []*Stream
+	for id, stream := range s.streams {
+		if id > frame.LastStreamID {
+			unprocessed = append(unprocessed, stream)
 		}
 	}
-	slices.SortFunc(never, func(a, b *Stream) int { return int(a.ID) - int(b.ID) })
-	for _, st := range never {
-		delete(s.streams, st.ID)
+	slices.SortFunc(unprocessed, func(a, b *Stream) int { return int(a.ID) - int(b.ID) })
+	for _, stream := range unprocessed {
+		delete(s.streams, stream.ID)
 	}
-	for _, st := range never {
-		s.handler.Ended(st, Unprocessed)
+	for _, stream := range unprocessed {
+		s.handler.Ended(stream, Unprocessed)
 	}
 }
 
-func (s *Session) widen(f *http2.WindowUpdateFrame) error {
-	if err := s.chat(); err != nil {
+func (s *Session) handleWindowUpdate(frame *http2.WindowUpdateFrame) error {
+	if err := s.countUnproductive(); err != nil {
 		return err
 	}
-	by := int64(f.Increment)
-	if f.StreamID == 0 {
-		if s.window += by; s.window > windowMost {
-			return fault(http2.ErrCodeFlowControl, "the connection's window past its bound")
+	increment := int64(frame.Increment)
+	if frame.StreamID == 0 {
+		if s.sendWindow += increment; s.sendWindow > maxWindowBytes {
+			return connError(http2.ErrCodeFlowControl, "the connection's window past its bound")
 		}
-		s.pushAll()
+		s.sendBlocked()
 		return nil
 	}
-	if err := s.known(f.StreamID); err != nil {
+	if err := s.checkOpened(frame.StreamID); err != nil {
 		return err
 	}
-	if st := s.streams[f.StreamID]; st != nil {
-		if st.window += by; st.window > windowMost {
-			s.spoil(st, http2.ErrCodeFlowControl)
+	if stream := s.streams[frame.StreamID]; stream != nil {
+		if stream.sendWindow += increment; stream.sendWindow > maxWindowBytes {
+			s.failStream(stream, http2.ErrCodeFlowControl)
 			return nil
 		}
-		s.pushAll()
+		s.sendBlocked()
 	}
 	return nil
 }
--- a/internal/h2/session.go
+++ b/internal/h2/session.go
@@ -18,19 +18,19 @@
 
 // The bounds of what a peer may make a session hold.
 const (
-	frameMost    = 16 << 10  // bytes of a frame's payload, as SETTINGS_MAX_FRAME_SIZE is at first
-	headMost     = 16 << 10  // bytes of a header list, counted as RFC 9113, section 6.5.2, does
-	blockMost    = 24 << 10  // bytes of a header block before it is read
-	streamWindow = 256 << 10 // bytes of an answer that may come unasked
-	connWindow   = 1 << 20   // bytes of all answers that may come unasked
-	firstWindow  = 65535     // RFC 9113, section 6.9.2
-	windowMost   = 1<<31 - 1 // RFC 9113, section 6.9.1
-	lastID       = 1<<31 - 1 // RFC 9113, section 5.1.1
-	tableMost    = 4096      // bytes of the dynamic tables
+	maxFrameBytes       = 16 << 10  // bytes of a frame's payload, as SETTINGS_MAX_FRAME_SIZE is at first
+	maxHeaderListBytes  = 16 << 10  // bytes of a header list, counted as RFC 9113, section 6.5.2, does
+	maxHeaderBlockBytes = 24 << 10  // bytes of a header block before it is read
+	streamWindowBytes   = 256 << 10 // bytes of an answer that may come unasked
+	connWindowBytes     = 1 << 20   // bytes of all answers that may come unasked
+	initialWindowBytes  = 65535     // RFC 9113, section 6.9.2
+	maxWindowBytes      = 1<<31 - 1 // RFC 9113, section 6.9.1
+	maxStreamID         = 1<<31 - 1 // RFC 9113, section 5.1.1
+	maxTableBytes       = 4096      // bytes of the dynamic tables
 	// chatterMost is how many frames that bring no answer on a peer may send before one
 	// is: PING, SETTINGS, RST_STREAM, empty DATA, CONTINUATION, PRIORITY and the like.
 	// It guards against the floods of CVE-2019-9512 to 9518 and CVE-2023-44487's kin.
-	chatterMost = 1000
+	maxUnproductiveFrames = 1000
 )
 
 // Stream is one request and its answer.
@@ -41,13 +41,13 @@
 	// request begins and ends; End is 0 until its last byte has been written.
 	Start, End int64
 
-	answer  http1.Message
-	headed  bool // the final header block has come
-	body    []byte
-	length  int // that the answer states, -1 where it does not
-	pending []byte
-	window  int64 // what may be sent
-	credit  int64 // what may come
+	response       http1.Message
+	headersDone    bool // the final header block has come
+	body           []byte
+	declaredLength int // that the answer states, -1 where it does not
+	pending        []byte
+	sendWindow     int64 // what may be sent
+	receiveWindow  int64 // what may come
 }
 
 // Why tells how a stream ended without an answer, and what that proves.
@@ -73,63 +73,63 @@
 
 // Session is one connection.
 type Session struct {
-	handler Handler
-	out     bytes.Buffer
-	written int64 // bytes handed out and in out
-	in      []byte
-	framer  *http2.Framer
-	source  bytes.Reader
-	enc     *hpack.Encoder
-	block   bytes.Buffer // being sent
-	dec     *hpack.Decoder
-	coming  []byte // a header block that has not come whole: a request may go out meanwhile
-	fields  []hpack.HeaderField
-	size    int  // of fields
-	toobig  bool // the header list is past its bound
-
-	depth    int
-	allowed  uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
-	initial  int64  // the peer's SETTINGS_INITIAL_WINDOW_SIZE
-	maxFrame int
-	window   int64 // of the connection, for what is sent
-	credit   int64 // of the connection, for what comes
-	spent    int64 // of credit, not yet given back
-	next     uint32
-	streams  map[uint32]*Stream
-	blocked  []*Stream // with a body that waits for a window, in their order
-	heads    uint32    // the stream of a header block that is still coming, 0 for none
-	ends     bool      // that block's stream ends with it
-	settled  bool      // the peer's first SETTINGS has come
-	goaway   bool
-	chatter  int
-	pings    uint64
-	ponged   uint64
-	failed   error
+	handler        Handler
+	out            bytes.Buffer
+	written        int64 // bytes handed out and in out
+	in             []byte
+	framer         *http2.Framer
+	source         bytes.Reader
+	enc            *hpack.Encoder
+	block          bytes.Buffer // being sent
+	dec            *hpack.Decoder
+	headerBlock    []byte // a header block that has not come whole: a request may go out meanwhile
+	fields         []hpack.HeaderField
+	fieldsSize     int  // of fields
+	fieldsTooLarge bool // the header list is past its bound
+
+	depth             int
+	peerMaxStreams    uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
+	peerInitialWindow int64  // the peer's SETTINGS_INITIAL_WINDOW_SIZE
+	maxFrame          int
+	sendWindow        int64 // of the connection, for what is sent
+	receiveWindow     int64 // of the connection, for what comes
+	unacknowledged    int64 // of credit, not yet given back
+	nextID            uint32
+	streams           map[uint32]*Stream
+	blocked           []*Stream // with a body that waits for a window, in their order
+	headerStream      uint32    // the stream of a header block that is still coming, 0 for none
+	headerEndsStream  bool      // that block's stream ends with it
+	settingsReceived  bool      // the peer's first SETTINGS has come
+	goAwayReceived    bool
+	unproductive      int
+	pingsSent         uint64
+	pingsAnswered     uint64
+	failed            error
 }
 
 // New makes a session that has its preface and settings to write. depth is the most
 // streams it opens at once, below what the peer allows.
 func New(h Handler, depth int) *Session {
-	s := &Session{handler: h, depth: depth, allowed: windowMost, initial: firstWindow, maxFrame: frameMost,
-		window: firstWindow, credit: connWindow, next: 1, streams: map[uint32]*Stream{}}
+	s := &Session{handler: h, depth: depth, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
+		sendWindow: initialWindowBytes, receiveWindow: connWindowBytes, nextID: 1, streams: map[uint32]*Stream{}}
 	s.framer = http2.NewFramer(&s.out, &s.source)
 	s.framer.SetReuseFrames()
-	s.framer.SetMaxReadFrameSize(frameMost)
+	s.framer.SetMaxReadFrameSize(maxFrameBytes)
 	s.enc = hpack.NewEncoder(&s.block)
-	s.dec = hpack.NewDecoder(tableMost, s.field)
-	s.dec.SetMaxStringLength(headMost)
+	s.dec = hpack.NewDecoder(maxTableBytes, s.collectField)
+	s.dec.SetMaxStringLength(maxHeaderListBytes)
 	s.out.WriteString(http2.ClientPreface)
-	s.wrote(s.framer.WriteSettings(
+	s.noteWriteError(s.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: headMost}))
-	s.wrote(s.framer.WriteWindowUpdate(0, connWindow-firstWindow))
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindowBytes},
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderListBytes}))
+	s.noteWriteError(s.framer.WriteWindowUpdate(0, connWindowBytes-initialWindowBytes))
 	return s
 }
 
 // wrote keeps a framer's error: with a buffer to write to there is none but for frames
 // that are not as they may be, which this package does not write.
-func (s *Session) wrote(err error) {
+func (s *Session) noteWriteError(err error) {
 	if err != nil && s.failed == nil {
 		s.failed = err
 	}
@@ -145,29 +145,29 @@
 }
 
 // at is the place in all that the session has written.
-func (s *Session) at() int64 { return s.written + int64(s.out.Len()) }
+func (s *Session) outputOffset() int64 { return s.written + int64(s.out.Len()) }
 
 // Waiting tells whether there is something to write.
 func (s *Session) Waiting() bool { return s.out.Len() > 0 }
 
 // Room is how many more streams may be opened now.
 func (s *Session) Room() int {
-	if s.goaway || s.failed != nil || s.next > lastID {
+	if s.goAwayReceived || s.failed != nil || s.nextID > maxStreamID {
 		return 0
 	}
-	return max(min(s.depth, int(min(s.allowed, windowMost)))-len(s.streams), 0)
+	return max(min(s.depth, int(min(s.peerMaxStreams, maxWindowBytes)))-len(s.streams), 0)
 }
 
 // Leaving tells whether the peer takes no new streams any more.
-func (s *Session) Leaving() bool { return s.goaway || s.next > lastID }
+func (s *Session) Leaving() bool { return s.goAwayReceived || s.nextID > maxStreamID }
 
 // Len is how many streams are open.
 func (s *Session) Len() int { return len(s.streams) }
 
 // Each calls do for every open stream, in no order. do may cancel it.
-func (s *Session) Each(do func(*Stream)) {
+func (s *Session) Each(fn func(*Stream)) {
 	for _, st := range s.streams {
-		do(st)
+		fn(st)
 	}
 }
 
@@ -179,88 +179,88 @@
 // must stay as they are until the stream has ended.
 func (s *Session) Open(tag any, head, extra, body []byte) error {
 	s.block.Reset()
-	if err := s.encode(head, extra); err != nil {
+	if err := s.encodeHeaders(head, extra); err != nil {
 		return err
 	}
-	st := &Stream{ID: s.next, Tag: tag, Start: s.at(), length: -1, window: s.initial, credit: streamWindow}
-	s.next += 2
-	s.streams[st.ID] = st
+	stream := &Stream{ID: s.nextID, Tag: tag, Start: s.outputOffset(), declaredLength: -1, sendWindow: s.peerInitialWindow, receiveWindow: streamWindowBytes}
+	s.nextID += 2
+	s.streams[stream.ID] = stream
 	block := s.block.Bytes()
 	first := block[:min(len(block), s.maxFrame)]
 	block = block[len(first):]
-	s.wrote(s.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: st.ID, BlockFragment: first,
+	s.noteWriteError(s.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream.ID, BlockFragment: first,
 		EndStream: len(body) == 0, EndHeaders: len(block) == 0}))
 	for len(block) > 0 {
 		piece := block[:min(len(block), s.maxFrame)]
 		block = block[len(piece):]
-		s.wrote(s.framer.WriteContinuation(st.ID, len(block) == 0, piece))
+		s.noteWriteError(s.framer.WriteContinuation(stream.ID, len(block) == 0, piece))
 	}
 	if len(body) == 0 {
-		st.End = s.at()
-	} else if st.pending = body; !s.push(st) {
-		s.blocked = append(s.blocked, st)
+		stream.End = s.outputOffset()
+	} else if stream.pending = body; !s.sendBody(stream) {
+		s.blocked = append(s.blocked, stream)
 	}
 	return nil
 }
 
 // push sends what the windows allow of a stream's body, and tells whether that was all.
-func (s *Session) push(st *Stream) bool {
-	for len(st.pending) > 0 {
-		n := min(int64(len(st.pending)), st.window, s.window, int64(s.maxFrame))
+func (s *Session) sendBody(stream *Stream) bool {
+	for len(stream.pending) > 0 {
+		n := min(int64(len(stream.pending)), stream.sendWindow, s.sendWindow, int64(s.maxFrame))
 		if n <= 0 {
 			return false
 		}
-		piece := st.pending[:n]
-		st.pending = st.pending[n:]
-		st.window -= n
-		s.window -= n
-		s.wrote(s.framer.WriteData(st.ID, len(st.pending) == 0, piece))
+		piece := stream.pending[:n]
+		stream.pending = stream.pending[n:]
+		stream.sendWindow -= n
+		s.sendWindow -= n
+		s.noteWriteError(s.framer.WriteData(stream.ID, len(stream.pending) == 0, piece))
 	}
-	st.End = s.at()
+	stream.End = s.outputOffset()
 	return true
 }
 
 // pushAll sends what the windows allow of every body that waits.
-func (s *Session) pushAll() {
-	still := s.blocked[:0]
-	for _, st := range s.blocked {
-		if s.streams[st.ID] == st && !s.push(st) {
-			still = append(still, st)
+func (s *Session) sendBlocked() {
+	blocked := s.blocked[:0]
+	for _, stream := range s.blocked {
+		if s.streams[stream.ID] == stream && !s.sendBody(stream) {
+			blocked = append(blocked, stream)
 		}
 	}
-	clear(s.blocked[len(still):])
-	s.blocked = still
+	clear(s.blocked[len(blocked):])
+	s.blocked = blocked
 }
 
 // Cancel gives a stream up (RFC 9113, section 5.4.2, with CANCEL): the peer is told, and
 // the connection goes on.
 func (s *Session) Cancel(st *Stream) {
 	if s.streams[st.ID] == st {
-		s.reset(st, http2.ErrCodeCancel)
+		s.resetStream(st, http2.ErrCodeCancel)
 	}
 }
 
-func (s *Session) reset(st *Stream, code http2.ErrCode) {
+func (s *Session) resetStream(st *Stream, code http2.ErrCode) {
 	delete(s.streams, st.ID)
-	s.wrote(s.framer.WriteRSTStream(st.ID, code))
+	s.noteWriteError(s.framer.WriteRSTStream(st.ID, code))
 }
 
 // spoil resets a stream of which something came that may not.
-func (s *Session) spoil(st *Stream, code http2.ErrCode) {
-	s.reset(st, code)
+func (s *Session) failStream(st *Stream, code http2.ErrCode) {
+	s.resetStream(st, code)
 	s.handler.Ended(st, Spoilt)
 }
 
 // Ping asks the peer for a sign of life (RFC 9113, section 6.7).
 func (s *Session) Ping() {
-	s.pings++
+	s.pingsSent++
 	var data [8]byte
-	binary.BigEndian.PutUint64(data[:], s.pings)
-	s.wrote(s.framer.WritePing(false, data))
+	binary.BigEndian.PutUint64(data[:], s.pingsSent)
+	s.noteWriteError(s.framer.WritePing(false, data))
 }
 
 // Ponged tells whether the last Ping has been answered.
-func (s *Session) Ponged() bool { return s.pings == s.ponged }
+func (s *Session) Ponged() bool { return s.pingsSent == s.pingsAnswered }
 
 // Error is why a connection must end.
 type Error struct {
@@ -270,6 +270,6 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("h2: %s (%s)", e.Reason, e.Code) }
 
-func fault(code http2.ErrCode, format string, a ...any) error {
+func connError(code http2.ErrCode, format string, a ...any) error {
 	return &Error{code, fmt.Sprintf(format, a...)}
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -14,17 +14,17 @@
 
 // The bounds of a message.
 const (
-	MaxHead   = 16 << 10 // request or status line and all header fields
-	MaxFields = 100
-	MaxBody   = 64 << 10 // of a request
-	MaxAnswer = 1 << 20  // of an answer that is held whole
-	MaxLarge  = 32 << 20 // of a message that flows through
-	maxLine   = 256      // a line between chunks
-	maxTrail  = 4 << 10  // all trailers together
+	MaxHead           = 16 << 10 // request or status line and all header fields
+	MaxFields         = 100
+	MaxBody           = 64 << 10 // of a request
+	MaxAnswer         = 1 << 20  // of an answer that is held whole
+	MaxLarge          = 32 << 20 // of a message that flows through
+	maxChunkLineBytes = 256      // a line between chunks
+	maxTrailerBytes   = 4 << 10  // all trailers together
 
-	maxSkipped = 4 // bytes of empty lines before a request
+	maxSkippedBytes = 4 // bytes of empty lines before a request
 
-	keepMost = 4 << 10 // bytes of a buffer that are kept for the next message
+	maxKeptBufferBytes = 4 << 10 // bytes of a buffer that are kept for the next message
 )
 
 // Limits are bounds in the place of the constants, as an operator sets them. Many parsers
@@ -44,9 +44,9 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
-func bad(reason string) *Error { return &Error{Status: 400, Reason: reason} }
+func badMessage(reason string) *Error { return &Error{Status: 400, Reason: reason} }
 
-type field struct{ name, value []byte }
+type headerField struct{ name, value []byte }
 
 // Message is a whole request or answer. Its slices belong to the parser and hold
 // until the next Reset.
@@ -60,7 +60,7 @@
 	Large          bool // the body flows through: it is not in Body
 	Old            bool // HTTP/1.0, which has no chunks
 	Bare           bool // it answers a HEAD: the length that its head states is not its own
-	fields         []field
+	fields         []headerField
 }
 
 // Get is the value of a header field, nil where there is none. The name is
@@ -100,23 +100,23 @@
 }
 
 // Each calls do for every header field, in order.
-func (m *Message) Each(do func(name, value []byte)) {
+func (m *Message) Each(fn func(name, value []byte)) {
 	for _, f := range m.fields {
-		do(f.name, f.value)
+		fn(f.name, f.value)
 	}
 }
 
-type state uint8
+type parserState uint8
 
 const (
-	inHead state = iota
+	inHead parserState = iota
 	inBody
 	inChunkSize
 	inChunk
 	inChunkEnd
 	inTrailer
-	inRest // all that comes until the connection ends
-	whole
+	inBodyUntilClose // all that comes until the connection ends
+	complete
 )
 
 // Parser reads the messages of one connection, one after the other.
@@ -133,26 +133,26 @@
 	// Limits, where set, is in the place of the constants.
 	Limits *Limits
 
-	msg     Message
-	answers bool
-	state   state
-	head    []byte
-	body    []byte
-	line    []byte
-	left    int  // bytes to come of the body or the chunk
-	lineAt  int  // where in head the line begins that is being read
-	old     bool // HTTP/1.0
-	skipped int  // bytes of empty lines before the message
-	trailed int  // bytes of trailers
-	total   int  // bytes of the body so far
-	full    bool // there is more of the body than may be held
+	msg          Message
+	responses    bool
+	state        parserState
+	head         []byte
+	body         []byte
+	line         []byte
+	remaining    int  // bytes to come of the body or the chunk
+	lineStart    int  // where in head the line begins that is being read
+	http10       bool // HTTP/1.0
+	skippedBytes int  // bytes of empty lines before the message
+	trailerBytes int  // bytes of trailers
+	bodyBytes    int  // bytes of the body so far
+	overflow     bool // there is more of the body than may be held
 }
 
 // Requests makes a parser of requests.
 func Requests() *Parser { return &Parser{} }
 
 // Answers makes a parser of answers.
-func Answers() *Parser { return &Parser{answers: true} }
+func Answers() *Parser { return &Parser{responses: true} }
 
 // Message is the message that Feed has completed, or what is there of it.
 func (p *Parser) Message() *Message { return &p.msg }
@@ -164,15 +164,15 @@
 // hundreds of connections it would stay taken by those at rest.
 func (p *Parser) Reset() {
 	p.msg = Message{fields: p.msg.fields[:0]}
-	p.state, p.left, p.lineAt, p.skipped, p.trailed, p.total, p.full = inHead, 0, 0, 0, 0, 0, false
+	p.state, p.remaining, p.lineStart, p.skippedBytes, p.trailerBytes, p.bodyBytes, p.overflow = inHead, 0, 0, 0, 0, 0, false
 	if p.Flows {
 		p.Piece = nil
 	}
 	p.head, p.body, p.line = p.head[:0], p.body[:0], p.line[:0]
-	if cap(p.head) > keepMost {
+	if cap(p.head) > maxKeptBufferBytes {
 		p.head = nil
 	}
-	if cap(p.body) > keepMost {
+	if cap(p.body) > maxKeptBufferBytes {
 		p.body = nil
 	}
 }
@@ -181,7 +181,7 @@
 func (p *Parser) HeadDone() bool { return p.state != inHead }
 
 // Full tells that there is more of the body than may be held, and no Piece to give it to.
-func (p *Parser) Full() bool { return p.full && p.Piece == nil }
+func (p *Parser) Full() bool { return p.overflow && p.Piece == nil }
 
 // Held gives out what there is of the body, which the parser does not keep.
 func (p *Parser) Held() []byte {
@@ -193,10 +193,10 @@
 // End tells the parser that the connection has come to its proper end, and whether that
 // makes the message whole.
 func (p *Parser) End() bool {
-	if p.state != inRest {
+	if p.state != inBodyUntilClose {
 		return false
 	}
-	p.state = whole
+	p.state = complete
 	p.msg.Body = p.body
 	return true
 }
@@ -204,7 +204,7 @@
 // Feed takes bytes up to the end of one message. It returns how many it took and
 // whether the message is whole.
 func (p *Parser) Feed(b []byte) (taken int, done bool, err error) {
-	for p.state != whole {
+	for p.state != complete {
 		rest := b[taken:]
 		if len(rest) == 0 {
 			return taken, false, nil
@@ -228,41 +228,41 @@
 	case inHead:
 		return p.takeHead(b)
 	case inBody, inChunk:
-		n, err := p.take(b[:min(p.left, len(b))])
+		n, err := p.takeBody(b[:min(p.remaining, len(b))])
 		if err != nil {
 			return n, err
 		}
-		if p.left -= n; p.left > 0 {
+		if p.remaining -= n; p.remaining > 0 {
 			return n, nil
 		}
 		if p.state == inBody {
-			p.state = whole
+			p.state = complete
 		} else {
 			p.state = inChunkEnd
 		}
 		return n, nil
-	case inRest:
-		return p.take(b)
+	case inBodyUntilClose:
+		return p.takeBody(b)
 	default: // inChunkSize, inChunkEnd, inTrailer
 		return p.takeLine(b)
 	}
 }
 
 // take takes bytes of the body: all of them, or as many as may be held.
-func (p *Parser) take(b []byte) (int, error) {
+func (p *Parser) takeBody(b []byte) (int, error) {
 	switch {
-	case p.tooLong(p.total + len(b)):
+	case p.tooLong(p.bodyBytes + len(b)):
 		return 0, &Error{Status: 413, Reason: "the body is too long"}
 	case p.Piece != nil:
 		p.Piece(b)
 	case p.Flows && len(p.body)+len(b) > p.Holds():
 		b = b[:max(p.Holds()-len(p.body), 0)] // the limit may have come down meanwhile
-		p.full = true
+		p.overflow = true
 		p.body = append(p.body, b...)
 	default:
 		p.body = append(p.body, b...)
 	}
-	p.total += len(b)
+	p.bodyBytes += len(b)
 	return len(b), nil
 }
 
@@ -271,12 +271,12 @@
 	if p.Flows {
 		return n > p.Carries()
 	}
-	return p.Piece == nil && n > p.most()
+	return p.Piece == nil && n > p.maxBody()
 }
 
 // most is the longest body that is taken. What a length claims is only held as it comes.
-func (p *Parser) most() int {
-	if p.answers {
+func (p *Parser) maxBody() int {
+	if p.responses {
 		return MaxAnswer
 	}
 	return p.Holds()
@@ -299,7 +299,7 @@
 }
 
 // heads is how long a head may be.
-func (p *Parser) heads() int {
+func (p *Parser) maxHead() int {
 	if p.Limits != nil {
 		return cmp.Or(p.Limits.Head, MaxHead)
 	}
@@ -309,10 +309,10 @@
 // takeHead gathers the bytes of one line of the head and reads it once it is whole.
 // A line that can't be one is refused as it comes: who sends noise may never end it.
 func (p *Parser) takeHead(b []byte) (int, error) {
-	if len(p.head) == 0 && !p.answers { // an empty line before a request is let pass
+	if len(p.head) == 0 && !p.responses { // an empty line before a request is let pass
 		if skip := len(b) - len(bytes.TrimLeft(b, "\r\n")); skip > 0 {
-			if p.skipped += skip; p.skipped > maxSkipped {
-				return skip, bad("empty lines in place of a request")
+			if p.skippedBytes += skip; p.skippedBytes > maxSkippedBytes {
+				return skip, badMessage("empty lines in place of a request")
 			}
 			return skip, nil
 		}
@@ -322,163 +322,163 @@
 	if !found {
 		n = len(b)
 	}
-	if len(p.head)+n > p.heads() {
+	if len(p.head)+n > p.maxHead() {
 		return n, &Error{Status: 431, Reason: "the header is too long"}
 	}
 	p.head = append(p.head, b[:n]...)
 	if !found {
-		return n, p.partLine(b)
+		return n, p.checkPartialLine(b)
 	}
-	line, _, err := cutLine(p.head[p.lineAt:])
+	line, _, err := cutLine(p.head[p.lineStart:])
 	if err != nil {
 		return n, err
 	}
-	first := p.lineAt == 0
-	p.lineAt = len(p.head)
+	first := p.lineStart == 0
+	p.lineStart = len(p.head)
 	switch {
-	case first && p.answers:
-		p.old, err = p.statusLine(line)
+	case first && p.responses:
+		p.http10, err = p.statusLine(line)
 	case first:
-		p.old, err = p.requestLine(line)
+		p.http10, err = p.requestLine(line)
 	case len(line) > 0:
-		err = p.field(line)
+		err = p.readField(line)
 	default:
-		err = p.framing(p.old)
+		err = p.readFraming(p.http10)
 	}
 	return n, err
 }
 
 // partLine looks at more of a line whose end has not come.
-func (p *Parser) partLine(more []byte) error {
+func (p *Parser) checkPartialLine(more []byte) error {
 	const start = "HTTP/1."
-	if p.answers && p.lineAt == 0 && string(p.head[:min(len(p.head), len(start))]) != start[:min(len(p.head), len(start))] {
-		return bad("not an answer of HTTP/1.1")
+	if p.responses && p.lineStart == 0 && string(p.head[:min(len(p.head), len(start))]) != start[:min(len(p.head), len(start))] {
+		return badMessage("not an answer of HTTP/1.1")
 	}
 	for _, c := range more {
-		if control(c) && c != '\r' || c >= 0x7f && p.lineAt == 0 {
-			return bad("a line of the head holds what it can't")
+		if isControl(c) && c != '\r' || c >= 0x7f && p.lineStart == 0 {
+			return badMessage("a line of the head holds what it can't")
 		}
 	}
 	return nil
 }
 
-func control(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
+func isControl(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
 // field reads one line of the header.
-func (p *Parser) field(line []byte) error {
+func (p *Parser) readField(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) {
-		return bad("a header field has no proper name")
+		return badMessage("a header field has no proper name")
 	}
 	value := bytes.Trim(line[colon+1:], " \t")
-	if slices.ContainsFunc(value, control) {
-		return bad("a header value holds a control character")
+	if slices.ContainsFunc(value, isControl) {
+		return badMessage("a header value holds a control character")
 	}
 	if len(p.msg.fields) == MaxFields {
 		return &Error{Status: 431, Reason: "too many header fields"}
 	}
-	p.msg.fields = append(p.msg.fields, field{line[:colon], value})
+	p.msg.fields = append(p.msg.fields, headerField{line[:colon], value})
 	return nil
 }
 
 func cutLine(b []byte) (line, rest []byte, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 1 || b[i-1] != '\r' || bytes.IndexByte(b[:i-1], '\r') >= 0 {
-		return nil, nil, bad("a line does not end as lines do")
+		return nil, nil, badMessage("a line does not end as lines do")
 	}
 	return b[:i-1], b[i+1:], nil
 }
 
-func (p *Parser) requestLine(line []byte) (old bool, err error) {
+func (p *Parser) requestLine(line []byte) (http10 bool, err error) {
 	method, rest, ok1 := bytes.Cut(line, []byte{' '})
 	target, version, ok2 := bytes.Cut(rest, []byte{' '})
 	if !ok1 || !ok2 || !isToken(method) || len(target) == 0 {
-		return false, bad("the request line is malformed")
+		return false, badMessage("the request line is malformed")
 	}
 	for _, c := range target {
 		if c <= ' ' || c >= 0x7f {
-			return false, bad("the request target holds what it can't")
+			return false, badMessage("the request target holds what it can't")
 		}
 	}
 	p.msg.Method, p.msg.Target = method, target
-	return isOld(version)
+	return isHTTP10(version)
 }
 
-func isOld(version []byte) (bool, error) {
+func isHTTP10(version []byte) (bool, error) {
 	switch string(version) {
 	case "HTTP/1.1":
 		return false, nil
 	case "HTTP/1.0":
 		return true, nil
 	}
-	return false, bad("the HTTP version is not 1.1")
+	return false, badMessage("the HTTP version is not 1.1")
 }
 
-func (p *Parser) statusLine(line []byte) (old bool, err error) {
+func (p *Parser) statusLine(line []byte) (http10 bool, err error) {
 	version, rest, _ := bytes.Cut(line, []byte{' '})
 	code, _, _ := bytes.Cut(rest, []byte{' '})
-	n, ok := digits(code, 999)
+	n, ok := parseDigits(code, 999)
 	if !ok || len(code) != 3 || n < 100 {
-		return false, bad("the status line is malformed")
+		return false, badMessage("the status line is malformed")
 	}
 	p.msg.Status = n
-	return isOld(version)
+	return isHTTP10(version)
 }
 
 // framing finds where the body ends and whether the connection lasts.
-func (p *Parser) framing(old bool) error {
-	m := &p.msg
+func (p *Parser) readFraming(http10 bool) error {
+	message := &p.msg
 	chunked, length := false, -1
-	m.Close, m.Old, m.Bare = old, old, p.answers && p.Bare
-	for _, f := range m.fields {
+	message.Close, message.Old, message.Bare = http10, http10, p.responses && p.Bare
+	for _, field := range message.fields {
 		switch {
-		case EqualFold(f.name, "transfer-encoding"):
-			if chunked || old || !EqualFold(f.value, "chunked") {
-				return bad("a transfer encoding other than chunked")
+		case EqualFold(field.name, "transfer-encoding"):
+			if chunked || http10 || !EqualFold(field.value, "chunked") {
+				return badMessage("a transfer encoding other than chunked")
 			}
 			chunked = true
-		case EqualFold(f.name, "content-length"):
-			n, ok := digits(f.value, 1<<40)
+		case EqualFold(field.name, "content-length"):
+			n, ok := parseDigits(field.value, 1<<40)
 			if !ok || length >= 0 {
-				return bad("the content length is malformed or stands twice")
+				return badMessage("the content length is malformed or stands twice")
 			}
 			length = n
-		case EqualFold(f.name, "connection"):
-			for v := range bytes.SplitSeq(f.value, []byte{','}) {
+		case EqualFold(field.name, "connection"):
+			for v := range bytes.SplitSeq(field.value, []byte{','}) {
 				v = bytes.Trim(v, " \t")
-				m.Close = m.Close && !EqualFold(v, "keep-alive") || EqualFold(v, "close")
+				message.Close = message.Close && !EqualFold(v, "keep-alive") || EqualFold(v, "close")
 			}
-		case EqualFold(f.name, "expect"):
-			m.Continue = EqualFold(f.value, "100-continue")
+		case EqualFold(field.name, "expect"):
+			message.Continue = EqualFold(field.value, "100-continue")
 		}
 	}
 	if chunked && length >= 0 {
-		return bad("both a content length and a transfer encoding")
+		return badMessage("both a content length and a transfer encoding")
 	}
-	if !p.answers && !old && m.Count("host") != 1 {
-		return bad("not exactly one host field")
+	if !p.responses && !http10 && message.Count("host") != 1 {
+		return badMessage("not exactly one host field")
 	}
-	m.Length = length
+	message.Length = length
 	if chunked {
-		m.Length = -1
+		message.Length = -1
 	}
-	bare := m.Bare || p.answers && (m.Status < 200 || m.Status == 204 || m.Status == 304)
+	noBody := message.Bare || p.responses && (message.Status < 200 || message.Status == 204 || message.Status == 304)
 	switch {
-	case bare && m.Status < 200 && m.Status != 101: // interim: the answer is still to come
+	case noBody && message.Status < 200 && message.Status != 101: // interim: the answer is still to come
 		p.Reset()
-	case bare, length == 0, !p.answers && !chunked && length < 0:
-		p.state, m.Length = whole, 0
-		m.Close = m.Close || p.answers && m.Status == 101 // what comes behind it is no HTTP/1.1
+	case noBody, length == 0, !p.responses && !chunked && length < 0:
+		p.state, message.Length = complete, 0
+		message.Close = message.Close || p.responses && message.Status == 101 // what comes behind it is no HTTP/1.1
 	case chunked:
 		p.state = inChunkSize
 	case p.tooLong(length):
 		return &Error{Status: 413, Reason: "the body is too long"}
 	case length > 0:
-		p.state, p.left = inBody, length
+		p.state, p.remaining = inBody, length
 	case p.Flows:
-		p.state, m.Close = inRest, true
+		p.state, message.Close = inBodyUntilClose, true
 	default: // only its connection's end would end it, and so would a worker's
-		return bad("an answer without a length")
+		return badMessage("an answer without a length")
 	}
 	return nil
 }
@@ -491,14 +491,14 @@
 		n = len(b)
 	}
 	if p.state == inTrailer {
-		p.trailed += n
+		p.trailerBytes += n
 	}
-	most := maxLine
+	limit := maxChunkLineBytes
 	if p.state == inTrailer {
-		most = maxTrail
+		limit = maxTrailerBytes
 	}
-	if p.line = append(p.line, b[:n]...); len(p.line) > most || p.trailed > maxTrail {
-		return n, bad("a line between chunks is too long")
+	if p.line = append(p.line, b[:n]...); len(p.line) > limit || p.trailerBytes > maxTrailerBytes {
+		return n, badMessage("a line between chunks is too long")
 	}
 	if !found {
 		return n, nil
@@ -510,27 +510,27 @@
 	p.line = p.line[:0]
 	switch {
 	case p.state == inTrailer && len(line) == 0:
-		p.state = whole
+		p.state = complete
 	case p.state == inTrailer: // trailers are dropped
 	case p.state == inChunkEnd && len(line) > 0:
-		return n, bad("a chunk is longer than it says")
+		return n, badMessage("a chunk is longer than it says")
 	case p.state == inChunkEnd:
 		p.state = inChunkSize
 	default:
 		size, _, _ := bytes.Cut(line, []byte{';'})
-		v, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 31)
+		chunkSize, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 31)
 		if err != nil || size[0] == '+' {
-			return n, bad("a chunk's size is malformed")
+			return n, badMessage("a chunk's size is malformed")
 		}
-		p.state, p.left = inChunk, int(v)
-		if v == 0 {
+		p.state, p.remaining = inChunk, int(chunkSize)
+		if chunkSize == 0 {
 			p.state = inTrailer
 		}
 	}
 	return n, nil
 }
 
-func digits(b []byte, most int) (int, bool) {
+func parseDigits(b []byte, most int) (int, bool) {
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' || n > most/10 {
@@ -552,12 +552,12 @@
 }
 
 // EqualFold compares the name of a header field, without regard to case.
-func EqualFold(b []byte, s string) bool {
-	if len(b) != len(s) {
+func EqualFold(name []byte, want string) bool {
+	if len(name) != len(want) {
 		return false
 	}
-	for i, c := range b {
-		d := s[i]
+	for i, c := range name {
+		d := want[i]
 		if c != d && (c|0x20 != d|0x20 || c|0x20 < 'a' || c|0x20 > 'z') {
 			return false
 		}
@@ -566,4 +566,4 @@
 }
 
 // Add puts a header field behind those that the message has. The slices are kept.
-func (m *Message) Add(name, value []byte) { m.fields = append(m.fields, field{name, value}) }
+func (m *Message) Add(name, value []byte) { m.fields = append(m.fields, headerField{name, value}) }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,30 +10,30 @@
 )
 
 // got is what a message says, in plain strings.
-type got struct {
+type parsedMessage struct {
 	Line, Body string
 	Close      bool
 	Err        int
 }
 
 // feed gives text to a parser in pieces of n bytes, and reads every message.
-func feed(p *Parser, text string, n int) []got {
-	var all []got
+func parseAll(parser *Parser, text string, n int) []parsedMessage {
+	var all []parsedMessage
 	for b := []byte(text); len(b) > 0; {
-		taken, done, err := p.Feed(b[:min(n, len(b))])
+		taken, done, err := parser.Feed(b[:min(n, len(b))])
 		b = b[taken:]
-		m := p.Message()
-		line := string(m.Method) + " " + string(m.Target)
-		if p.answers {
-			line = strings.Repeat("x", m.Status/100)
+		message := parser.Message()
+		line := string(message.Method) + " " + string(message.Target)
+		if parser.responses {
+			line = strings.Repeat("x", message.Status/100)
 		}
 		var fault *Error
 		if errors.As(err, &fault) {
-			return append(all, got{Err: fault.Status})
+			return append(all, parsedMessage{Err: fault.Status})
 		}
 		if done {
-			all = append(all, got{Line: line, Body: string(m.Body), Close: m.Close})
-			p.Reset()
+			all = append(all, parsedMessage{Line: line, Body: string(message.Body), Close: message.Close})
+			parser.Reset()
 		}
 	}
 	return all
@@ -41,49 +41,49 @@
 
 const host = "Host: a\r\n"
 
-func TestMessagesReadTheSameInAnyPieces(t *testing.T) {
+func TestParseIsIndependentOfPieceSize(t *testing.T) {
 	long := strings.Repeat("x", MaxBody+1)
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		text    string
 		answers bool
-		want    []got
+		want    []parsedMessage
 	}{
 		"two in a row": {text: "GET /a HTTP/1.1\r\n" + host + "\r\nPOST /b HTTP/1.1\r\n" + host + "Content-Length: 3\r\n\r\nxyz",
-			want: []got{{Line: "GET /a"}, {Line: "POST /b", Body: "xyz"}}},
+			want: []parsedMessage{{Line: "GET /a"}, {Line: "POST /b", Body: "xyz"}}},
 		"chunked": {text: "POST /b HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nxyz\r\n0\r\nT: 1\r\n\r\n",
-			want: []got{{Line: "POST /b", Body: "xyz"}}},
-		"closing":              {text: "GET / HTTP/1.1\r\n" + host + "Connection: x, close\r\n\r\n", want: []got{{Line: "GET /", Close: true}}},
-		"of HTTP/1.0":          {text: "GET / HTTP/1.0\r\n\r\n", want: []got{{Line: "GET /", Close: true}}},
-		"interim answer":       {text: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny", answers: true, want: []got{{Line: "xx", Body: "y"}}},
-		"answer without body":  {text: "HTTP/1.1 204 N\r\n\r\n", answers: true, want: []got{{Line: "xx"}}},
-		"another protocol":     {text: "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n", answers: true, want: []got{{Line: "x", Close: true}}},
-		"length and chunks":    {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", want: []got{{Err: 400}}},
-		"two lengths":          {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n", want: []got{{Err: 400}}},
-		"signed length":        {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: +3\r\n\r\n", want: []got{{Err: 400}}},
-		"signed chunk":         {text: "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n+3\r\n", want: []got{{Err: 400}}},
-		"other coding":         {text: "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", want: []got{{Err: 400}}},
-		"no host":              {text: "GET / HTTP/1.1\r\n\r\n", want: []got{{Err: 400}}},
-		"two hosts":            {text: "GET / HTTP/1.1\r\n" + host + host + "\r\n", want: []got{{Err: 400}}},
-		"space before a colon": {text: "GET / HTTP/1.1\r\nHost : a\r\n\r\n", want: []got{{Err: 400}}},
-		"folded field":         {text: "GET / HTTP/1.1\r\n" + host + " b: c\r\n\r\n", want: []got{{Err: 400}}},
-		"bare newline":         {text: "GET / HTTP/1.1\nHost: a\r\n\r\n", want: []got{{Err: 400}}},
-		"control character":    {text: "GET / HTTP/1.1\r\n" + host + "A: b\x00c\r\n\r\n", want: []got{{Err: 400}}},
-		"other version":        {text: "GET / HTTP/2.0\r\n" + host + "\r\n", want: []got{{Err: 400}}},
-		"long head":            {text: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead), want: []got{{Err: 431}}},
-		"many fields":          {text: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", want: []got{{Err: 431}}},
-		"long answer":          {text: "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, answers: true, want: []got{{Line: "xx", Body: long}}},
-		"endless answer":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", answers: true, want: []got{{Err: 413}}},
-		"long body":            {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 65537\r\n\r\n", want: []got{{Err: 413}}},
+			want: []parsedMessage{{Line: "POST /b", Body: "xyz"}}},
+		"closing":              {text: "GET / HTTP/1.1\r\n" + host + "Connection: x, close\r\n\r\n", want: []parsedMessage{{Line: "GET /", Close: true}}},
+		"of HTTP/1.0":          {text: "GET / HTTP/1.0\r\n\r\n", want: []parsedMessage{{Line: "GET /", Close: true}}},
+		"interim answer":       {text: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny", answers: true, want: []parsedMessage{{Line: "xx", Body: "y"}}},
+		"answer without body":  {text: "HTTP/1.1 204 N\r\n\r\n", answers: true, want: []parsedMessage{{Line: "xx"}}},
+		"another protocol":     {text: "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n", answers: true, want: []parsedMessage{{Line: "x", Close: true}}},
+		"length and chunks":    {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"two lengths":          {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"signed length":        {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: +3\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"signed chunk":         {text: "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n+3\r\n", want: []parsedMessage{{Err: 400}}},
+		"other coding":         {text: "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"no host":              {text: "GET / HTTP/1.1\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"two hosts":            {text: "GET / HTTP/1.1\r\n" + host + host + "\r\n", want: []parsedMessage{{Err: 400}}},
+		"space before a colon": {text: "GET / HTTP/1.1\r\nHost : a\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"folded field":         {text: "GET / HTTP/1.1\r\n" + host + " b: c\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"bare newline":         {text: "GET / HTTP/1.1\nHost: a\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"control character":    {text: "GET / HTTP/1.1\r\n" + host + "A: b\x00c\r\n\r\n", want: []parsedMessage{{Err: 400}}},
+		"other version":        {text: "GET / HTTP/2.0\r\n" + host + "\r\n", want: []parsedMessage{{Err: 400}}},
+		"long head":            {text: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead), want: []parsedMessage{{Err: 431}}},
+		"many fields":          {text: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", want: []parsedMessage{{Err: 431}}},
+		"long answer":          {text: "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, answers: true, want: []parsedMessage{{Line: "xx", Body: long}}},
+		"endless answer":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", answers: true, want: []parsedMessage{{Err: 413}}},
+		"long body":            {text: "POST / HTTP/1.1\r\n" + host + "Content-Length: 65537\r\n\r\n", want: []parsedMessage{{Err: 413}}},
 		"long chunks": {text: "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + long,
-			want: []got{{Err: 413}}},
+			want: []parsedMessage{{Err: 413}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, n := range []int{1, 2, 7, len(c.text)} {
+			for _, n := range []int{1, 2, 7, len(tc.text)} {
 				p := Requests()
-				if c.answers {
+				if tc.answers {
 					p = Answers()
 				}
-				if diff := cmp.Diff(c.want, feed(p, c.text, n)); diff != "" {
+				if diff := cmp.Diff(tc.want, parseAll(p, tc.text, n)); diff != "" {
 					t.Errorf("in pieces of %d (-want +got):\n%s", n, diff)
 				}
 			}
@@ -91,11 +91,11 @@
 	}
 }
 
-// TestWhatCanNoLongerBeAMessageIsRefusedBeforeItEnds: who sends noise may never end
+// TestInvalidInputIsRejectedEarly: who sends noise may never end
 // it, and an answer that only its connection's end would end can't be told from one
 // cut short.
-func TestWhatCanNoLongerBeAMessageIsRefusedBeforeItEnds(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestInvalidInputIsRejectedEarly(t *testing.T) {
+	for name, tc := range map[string]struct {
 		text    string
 		answers bool
 	}{
@@ -113,10 +113,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := Requests()
-			if c.answers {
+			if tc.answers {
 				p = Answers()
 			}
-			if all := feed(p, c.text, 1); len(all) != 1 || all[0].Err != 400 {
+			if all := parseAll(p, tc.text, 1); len(all) != 1 || all[0].Err != 400 {
 				t.Fatalf("read as %+v", all)
 			}
 		})
@@ -127,15 +127,15 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, n int) {
 		n = max(n%64, 1)
-		if diff := cmp.Diff(feed(Requests(), string(text), len(text)+1), feed(Requests(), string(text), n)); diff != "" {
+		if diff := cmp.Diff(parseAll(Requests(), string(text), len(text)+1), parseAll(Requests(), string(text), n)); diff != "" {
 			t.Fatalf("pieces of %d read otherwise:\n%s", n, diff)
 		}
 	})
 }
 
-// TestALargeBodyFlowsInEveryForm, wherever the pieces that come are cut: what is held and
+// TestLargeBodyIsStreamed, wherever the pieces that come are cut: what is held and
 // what goes to Piece is the body, and what stands behind it is left.
-func TestALargeBodyFlowsInEveryForm(t *testing.T) {
+func TestLargeBodyIsStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", (MaxBody+1000)/16)
 	chunks := func(size int) string {
 		var b strings.Builder
@@ -147,7 +147,7 @@
 		return b.String() + "0\r\nX-Trailer: " + strings.Repeat("t", 900) + "\r\n\r\n"
 	}
 	request := "POST / HTTP/1.1\r\nHost: a\r\n"
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		parser *Parser
 		text   string
 		rest   bool // it ends with its connection
@@ -160,27 +160,27 @@
 	} {
 		for _, cut := range []int{1, 2, 3, 1000, 1 << 20} {
 			t.Run(fmt.Sprintf("%s, cut at %d", name, cut), func(t *testing.T) {
-				p, text := c.parser, c.text
-				if !c.rest {
+				parser, text := tc.parser, tc.text
+				if !tc.rest {
 					text += "behind"
 				}
-				p.Flows = true
-				p.Reset()
+				parser.Flows = true
+				parser.Reset()
 				got, done := []byte{}, false
 				for !done && len(text) > 0 {
-					n, whole, err := p.Feed([]byte(text[:min(cut, len(text))]))
+					n, whole, err := parser.Feed([]byte(text[:min(cut, len(text))]))
 					if err != nil {
 						t.Fatal(err)
 					}
-					if text, done = text[n:], whole; p.Full() {
-						got = append(got, p.Held()...)
-						p.Piece = func(b []byte) { got = append(got, b...) }
+					if text, done = text[n:], whole; parser.Full() {
+						got = append(got, parser.Held()...)
+						parser.Piece = func(b []byte) { got = append(got, b...) }
 					}
 				}
-				if c.rest {
-					done = p.End()
+				if tc.rest {
+					done = parser.End()
 				}
-				if string(got) != body || !done || !c.rest && text != "behind" {
+				if string(got) != body || !done || !tc.rest && text != "behind" {
 					t.Fatalf("%d bytes of %d, whole %v, left %q", len(got), len(body), done, text)
 				}
 			})
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestABodyWithinWhatIsHeldIsHeldWhole also where it might flow.
-func TestABodyWithinWhatIsHeldIsHeldWhole(t *testing.T) {
+// TestSmallBodyIsBuffered also where it might flow.
+func TestSmallBodyIsBuffered(t *testing.T) {
 	for _, size := range []int{1, MaxBody - 1, MaxBody} {
 		p := Requests()
 		p.Flows = true
@@ -205,12 +205,12 @@
 // exceed the constants.
 func TestLimitsAreReadAtUse(t *testing.T) {
 	limits := &Limits{Head: 60, Body: 10, Large: MaxLarge + 100}
-	p := Requests()
-	p.Flows, p.Limits = true, limits
+	parser := Requests()
+	parser.Flows, parser.Limits = true, limits
 	text := "POST / HTTP/1.1\r\n" + host + "Content-Length: %d\r\n\r\n"
 	head := func(n int) error {
-		p.Reset()
-		_, _, err := p.Feed(fmt.Appendf(nil, text, n))
+		parser.Reset()
+		_, _, err := parser.Feed(fmt.Appendf(nil, text, n))
 		return err
 	}
 	status := func(err error) int {
@@ -234,7 +234,7 @@
 	if err := head(20); err != nil {
 		t.Error(err)
 	}
-	if n, _, err := p.Feed([]byte(strings.Repeat("x", 20))); n != 10 || !p.Full() || err != nil {
+	if n, _, err := parser.Feed([]byte(strings.Repeat("x", 20))); n != 10 || !parser.Full() || err != nil {
 		t.Errorf("%d bytes are held, %v", n, err)
 	}
 	limits.Head = 40
--- a/internal/lanes/lanes.go
+++ b/internal/lanes/lanes.go
@@ -19,31 +19,31 @@
 const (
 	// waitPart is the part of its class's aim that a request may be expected to wait
 	// behind others. With an aim of 400 ms that is 20 ms.
-	waitPart = 0.05
+	maxWaitFraction = 0.05
 	// gatherPart is the part of its class's slack, what the aim leaves beyond the time it
 	// takes, that a request may wait for others to go with it.
-	gatherPart = 0.01
+	batchDelayFraction = 0.01
 	// enough is how many answers a class's times are believed after. Before, a request is
 	// expected to take as long as its aim, so that nothing stands behind it.
-	enough = 8
+	minSamples = 8
 	// spreads is how many mean deviations above the mean a request is expected to take.
-	spreads = 4.0
+	deviationFactor = 4.0
 	// gain and spreadGain are the weights of a new time, as in RFC 6298, section 2.
-	gain       = 1.0 / 8
-	spreadGain = 1.0 / 4
+	meanGain      = 1.0 / 8
+	deviationGain = 1.0 / 4
 )
 
 // times is what is known of how long a class takes: mean and mean deviation as RFC 6298
 // estimates round trips.
-type times struct {
-	mean, spread float64
-	seen         int
+type classTimes struct {
+	mean, deviation float64
+	samples         int
 }
 
 // Table holds the learned times of every class.
 type Table struct {
 	terms func(class int) Terms
-	times []times
+	times []classTimes
 }
 
 // NewTable makes a table of classes whose terms are asked for as they are needed: they
@@ -57,23 +57,23 @@
 		return
 	}
 	for len(t.times) <= class {
-		t.times = append(t.times, times{})
+		t.times = append(t.times, classTimes{})
 	}
-	k := &t.times[class]
-	if k.seen++; k.seen == 1 {
-		k.mean, k.spread = ms, ms/2
+	learned := &t.times[class]
+	if learned.samples++; learned.samples == 1 {
+		learned.mean, learned.deviation = ms, ms/2
 		return
 	}
-	k.spread += spreadGain * (math.Abs(ms-k.mean) - k.spread)
-	k.mean += gain * (ms - k.mean)
+	learned.deviation += deviationGain * (math.Abs(ms-learned.mean) - learned.deviation)
+	learned.mean += meanGain * (ms - learned.mean)
 }
 
 // Expect is the milliseconds that a request of a class is expected to take at most.
 func (t *Table) Expect(class int) float64 {
-	if class < 0 || class >= len(t.times) || t.times[class].seen < enough {
+	if class < 0 || class >= len(t.times) || t.times[class].samples < minSamples {
 		return t.terms(class).Aim
 	}
-	return t.times[class].mean + spreads*t.times[class].spread
+	return t.times[class].mean + deviationFactor*t.times[class].deviation
 }
 
 // Entry is one request on a line.
@@ -94,15 +94,15 @@
 func (t *Table) Wait(now float64, entries []Entry) float64 {
 	sum := 0.0
 	for i, e := range entries {
-		left := t.Expect(e.Class)
+		remaining := t.Expect(e.Class)
 		if i == 0 {
-			if gone := now - e.Since; gone > left {
-				left = gone
+			if elapsed := now - e.Since; elapsed > remaining {
+				remaining = elapsed
 			} else {
-				left -= gone
+				remaining -= elapsed
 			}
 		}
-		sum += left
+		sum += remaining
 	}
 	return sum
 }
@@ -122,19 +122,19 @@
 // bears no line gets a link beyond the room as well, as its tail must not pay for
 // connections saved: overflow tells that it may.
 func (t *Table) Choose(now float64, class int, lines []Line, room, overflow bool) Choice {
-	best, least := Nobody, math.Inf(1)
+	best, shortest := Nobody, math.Inf(1)
 	terms := t.terms(class)
-	bears := terms.Aim * waitPart
+	maxWait := terms.Aim * maxWaitFraction
 	for i := range lines {
-		l := &lines[i]
-		if len(l.Entries) == 0 && l.Most > 0 {
+		line := &lines[i]
+		if len(line.Entries) == 0 && line.Most > 0 {
 			return Choice(i)
 		}
-		if !terms.Share || len(l.Entries) >= l.Most || !t.shares(l.Entries) {
+		if !terms.Share || len(line.Entries) >= line.Most || !t.allMayShare(line.Entries) {
 			continue
 		}
-		if w := t.Wait(now, l.Entries); w <= bears && w < least {
-			best, least = Choice(i), w
+		if wait := t.Wait(now, line.Entries); wait <= maxWait && wait < shortest {
+			best, shortest = Choice(i), wait
 		}
 	}
 	if room || best == Nobody && overflow {
@@ -143,7 +143,7 @@
 	return best
 }
 
-func (t *Table) shares(entries []Entry) bool {
+func (t *Table) allMayShare(entries []Entry) bool {
 	for _, e := range entries {
 		if !t.terms(e.Class).Share {
 			return false
@@ -158,5 +158,5 @@
 func (t *Table) Gather(class int, most, left float64) float64 {
 	aim := t.terms(class).Aim
 	slack := min(aim, left) - t.Expect(class)
-	return max(min(most, slack*gatherPart), 0)
+	return max(min(most, slack*batchDelayFraction), 0)
 }
--- a/internal/link/counted_test.go
+++ b/internal/link/counter_test.go
@@ -7,10 +7,10 @@
 	"foxwood/policy"
 )
 
-// TestWhatACounterSays: a total may be below nothing, where requests were cheaper than
+// TestParseCounterResponse: a total may be below nothing, where requests were cheaper than
 // guessed. Taken for a spoilt one, it cost its link and all calls that were out on it.
-func TestWhatACounterSays(t *testing.T) {
-	for _, c := range []struct {
+func TestParseCounterResponse(t *testing.T) {
+	for _, tc := range []struct {
 		status int
 		body   string
 		want   policy.Status
@@ -27,8 +27,8 @@
 		{404, "", policy.ConnectFailed, 0},
 		{299, "1", policy.Reset, 0},
 	} {
-		if st, total := counted(&http1.Message{Status: c.status, Body: []byte(c.body)}); st != c.want || total != c.total {
-			t.Errorf("%d %q: status %d and %g, want %d and %g", c.status, c.body, st, total, c.want, c.total)
+		if st, total := parseCounterResponse(&http1.Message{Status: tc.status, Body: []byte(tc.body)}); st != tc.want || total != tc.total {
+			t.Errorf("%d %q: status %d and %g, want %d and %g", tc.status, tc.body, st, total, tc.want, tc.total)
 		}
 	}
 }
--- a/internal/link/cutoff_test.go
+++ b/internal/link/discard_unsent_test.go
@@ -9,18 +9,18 @@
 	"foxwood/gatekeeper"
 )
 
-// TestNothingLeavesByALinkThatHasEnded guards against gnet's close, which writes what is
+// TestNoBytesSentAfterConnectionCloses guards against gnet's close, which writes what is
 // still buffered after OnClose: a request that was given up with its last byte unsent, and
 // so proved to have never run, would yet arrive whole.
-func TestNothingLeavesByALinkThatHasEnded(t *testing.T) {
+func TestNoBytesSentAfterConnectionCloses(t *testing.T) {
 	const body = 8 << 20 // more than the kernel takes
 	for _, carrier := range []Carrier{OneAtATime, Pipeline} {
 		t.Run(carrier.String(), func(t *testing.T) {
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer ln.Close()
+			defer listener.Close()
 			loop, err := NewLoop(NewBudget(1024, 0))
 			if err != nil {
 				t.Fatal(err)
@@ -32,22 +32,22 @@
 			}()
 			clock := gatekeeper.NewClock()
 			w := newWorld(Transport{}) // only to be told of ends
-			f := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: carrier})
-			f.Attach(w)
-			x := execution(1, 0, body)
-			loop.Post(func() { f.Place(1, ln.Addr().String(), 0); f.Execute(x) })
-			c, err := ln.Accept()
+			fleet := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: carrier})
+			fleet.Attach(w)
+			execution := newExecution(1, 0, body)
+			loop.Post(func() { fleet.Place(1, listener.Addr().String(), 0); fleet.Execute(execution) })
+			workerSide, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer workerSide.Close()
 			buffered := make(chan bool)
 			look := func() {
-				switch at := x.Slot.(type) {
-				case *server:
-					buffered <- at.c.OutboundBuffered() > 0
-				case *trunk:
-					buffered <- at.c.OutboundBuffered() > 0
+				switch at := execution.Slot.(type) {
+				case *workerConn:
+					buffered <- at.conn.OutboundBuffered() > 0
+				case *muxConn:
+					buffered <- at.conn.OutboundBuffered() > 0
 				default:
 					buffered <- false
 				}
@@ -56,13 +56,13 @@
 			}
 			// The loop is held while the worker makes room in the kernel, then gives up.
 			held, drained, sent := make(chan bool), make(chan bool), make(chan bool, 1)
-			loop.Post(func() { held <- true; <-drained; sent <- f.Abandon(x) })
+			loop.Post(func() { held <- true; <-drained; sent <- fleet.Abandon(execution) })
 			<-held
 			total := 0
 			b := make([]byte, 1<<20)
 			for {
-				_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-				n, err := c.Read(b)
+				_ = workerSide.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+				n, err := workerSide.Read(b)
 				if total += n; err != nil {
 					break
 				}
@@ -71,8 +71,8 @@
 			if <-sent {
 				t.Fatal("said to be sent whole")
 			}
-			_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-			rest, err := io.Copy(io.Discard, c)
+			_ = workerSide.SetReadDeadline(time.Now().Add(5 * time.Second))
+			rest, err := io.Copy(io.Discard, workerSide)
 			if total += int(rest); err == nil && total >= body {
 				t.Errorf("all of its %d bytes arrived", total)
 			}
--- /dev/null
+++ b/internal/link/fake_worker_test.go
@@ -0,0 +1,440 @@
+package link
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+	"google.golang.org/protobuf/encoding/protodelim"
+
+	"foxwood/gatekeeper"
+	"foxwood/internal/batch/batchpb"
+	"foxwood/internal/http1"
+	"foxwood/policy"
+)
+
+// world drives a fleet without sockets: connections are objects that take as many bytes
+// as the test lets them, and what is behind them is a model of a worker.
+type world struct {
+	fleet          *Fleet
+	clock          *gatekeeper.Clock
+	dials          []*fakeConn
+	conns          []*fakeConn
+	timers         []fakeTimer
+	pendingFlushes []flusher
+	outcomes       map[*gatekeeper.Execution][]gatekeeper.Outcome
+	classes        []policy.Class
+}
+
+type fakeTimer struct {
+	at float64
+	do func()
+}
+
+func newWorld(transport Transport) *world {
+	w := &world{clock: gatekeeper.NewClock(), outcomes: map[*gatekeeper.Execution][]gatekeeper.Outcome{}}
+	w.clock.Set(1e6)
+	w.classes = []policy.Class{{Aim: 400e3, Deadline: 2e6, Repeat: policy.Safe}, {Aim: 400e3, Deadline: 2e6, Repeat: policy.Unsafe}}
+	w.fleet = NewFleet(w, w.clock, modelReader{}, 250, 5000, transport)
+	w.fleet.Attach(w)
+	return w
+}
+
+func (w *world) maxWorkerConns() int { return 12 }
+func (w *world) maxDialing() int     { return maxDialingConns }
+func (w *world) flushSoon(f flusher, mark *writeMark) {
+	if !mark.dirty {
+		mark.dirty = true
+		w.pendingFlushes = append(w.pendingFlushes, f)
+	}
+}
+func (w *world) Class(c int) policy.Class { return w.classes[c] }
+func (w *world) afterMS(ms float64, fn func()) {
+	w.timers = append(w.timers, fakeTimer{w.clock.Now() + ms, fn})
+}
+
+func (w *world) dial(_ string, _ time.Duration, e endpoint, failed func(error)) {
+	w.dials = append(w.dials, &fakeConn{world: w, endpoint: e, failed: failed})
+}
+
+func (w *world) closeConn(c conn)                                          { c.(*fakeConn).close() }
+func (w *world) makePausable(conn, pausableEndpoint) (*pausableConn, bool) { return nil, false }
+
+// Done implements Core.
+func (w *world) Wrote(*gatekeeper.Execution)                     {}
+func (w *world) MayLeave(*gatekeeper.Execution) bool             { return true }
+func (w *world) Progress(*gatekeeper.Execution)                  {}
+func (w *world) Begun(*gatekeeper.Execution, gatekeeper.Outcome) {}
+func (w *world) Finish(*gatekeeper.Request, gatekeeper.End)      {}
+func (w *world) Gone(*gatekeeper.Request)                        {}
+
+func (w *world) Done(x *gatekeeper.Execution, o gatekeeper.Outcome) {
+	o.Answer.Body = bytes.Clone(o.Answer.Body)
+	w.outcomes[x] = append(w.outcomes[x], o)
+}
+
+// turn ends a turn of the loop.
+func (w *world) endIteration() {
+	for i := 0; i < len(w.pendingFlushes); i++ {
+		w.pendingFlushes[i].flush()
+	}
+	w.pendingFlushes = w.pendingFlushes[:0]
+}
+
+// pass lets time go by, and timers ring.
+func (w *world) advance(ms float64) {
+	w.clock.Set(w.clock.Now() + ms)
+	due := w.timers
+	w.timers = nil
+	for _, t := range due {
+		if t.at <= w.clock.Now() {
+			t.do()
+		} else {
+			w.timers = append(w.timers, t)
+		}
+	}
+}
+
+// fakeConn is a connection and the worker's side of it.
+type fakeConn struct {
+	gnet.Conn
+	world       *world
+	endpoint    endpoint
+	failed      func(error)
+	model       model
+	unsent      []byte // written and not taken by the kernel yet
+	acceptBytes int    // bytes that the kernel takes at once
+	closed      bool
+	sentNoise   bool // it has brought noise
+	fd          int  // of a socket that is looked at in its place, 0 for none
+}
+
+func (c *fakeConn) Write(b []byte) (int, error) {
+	if c.closed {
+		return 0, fmt.Errorf("closed")
+	}
+	c.unsent = append(c.unsent, b...)
+	c.accept(c.acceptBytes)
+	return len(b), nil
+}
+
+func (c *fakeConn) OutboundBuffered() int { return len(c.unsent) }
+func (c *fakeConn) Fd() int               { return cmp.Or(c.fd, -1) }
+
+// pass lets the kernel take more of what is held.
+func (c *fakeConn) accept(n int) {
+	n = min(n, len(c.unsent))
+	c.model.receive(c.unsent[:n])
+	c.unsent = slices.Delete(c.unsent, 0, n)
+}
+
+func (c *fakeConn) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.world.conns = slices.DeleteFunc(c.world.conns, func(o *fakeConn) bool { return o == c })
+	c.endpoint.closed(nil)
+}
+
+// model is the worker's side of a connection.
+type model interface {
+	receive(b []byte)
+	// whole lists the ids of requests that have come whole and have no answer yet.
+	pendingIDs() []string
+	// answer gives the bytes that answer one of them.
+	answer(id string) []byte
+	// refuse gives the bytes that say that it has not run, nil where there are none.
+	refuse(id string) []byte
+	// leave gives the bytes that say that nothing new is taken, nil where there are none.
+	goAway() []byte
+	// told tells whether the gatekeeper has given an id up.
+	cancelled(id string) bool
+	// has tells whether a request has ever come whole, and was not refused.
+	hasRun(id string) bool
+}
+
+// known is what every model keeps.
+type modelState struct {
+	pending      []string
+	ran          map[string]bool
+	cancelledIDs map[string]bool
+	wireIDs      map[string]uint64 // stream or item
+}
+
+func newModelState() modelState {
+	return modelState{ran: map[string]bool{}, cancelledIDs: map[string]bool{}, wireIDs: map[string]uint64{}}
+}
+
+func (k *modelState) pendingIDs() []string     { return k.pending }
+func (k *modelState) cancelled(id string) bool { return k.cancelledIDs[id] }
+func (k *modelState) hasRun(id string) bool    { return k.ran[id] }
+func (k *modelState) addRequest(id string, name uint64) {
+	k.pending = append(k.pending, id)
+	k.ran[id] = true
+	k.wireIDs[id] = name
+}
+func (k *modelState) endRequest(id string) {
+	k.pending = slices.DeleteFunc(k.pending, func(o string) bool { return o == id })
+}
+func (k *modelState) cancelWireID(name uint64) {
+	for id, n := range k.wireIDs {
+		if n == name {
+			k.cancelledIDs[id] = true
+			k.endRequest(id)
+		}
+	}
+}
+
+func newModel(carrier Carrier) model {
+	switch carrier {
+	case HTTP2:
+		m := &http2Model{modelState: newModelState(), bodies: map[uint32]string{}, maxID: 1 << 31}
+		m.framer = http2.NewFramer(nil, &m.in)
+		m.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+		m.enc = hpack.NewEncoder(&m.block)
+		return m
+	case Batch:
+		m := &batchModel{modelState: newModelState(), parser: http1.Requests(), maxID: 1 << 62}
+		m.parser.Piece = func(b []byte) { m.input = append(m.input, b...) }
+		return m
+	}
+	return &http1Model{modelState: newModelState(), parser: http1.Requests(), sequences: map[string]string{}}
+}
+
+// lineModel is HTTP/1.1.
+type http1Model struct {
+	modelState
+	parser    *http1.Parser
+	sequences map[string]string
+}
+
+func (m *http1Model) receive(b []byte) {
+	for len(b) > 0 {
+		n, done, err := m.parser.Feed(b)
+		if err != nil {
+			panic(err)
+		}
+		b = b[n:]
+		if done {
+			id := string(m.parser.Message().Get("X-Id"))
+			m.sequences[id] = string(m.parser.Message().Get(defaultEcho))
+			m.addRequest(id, 0)
+			m.parser.Reset()
+		}
+	}
+}
+
+func (m *http1Model) answer(string) []byte {
+	id := m.pending[0] // in their order
+	m.endRequest(id)
+	return echoedResponse(id, m.sequences[id])
+}
+func (m *http1Model) refuse(string) []byte { return nil }
+func (m *http1Model) goAway() []byte       { return nil }
+
+func echoedResponse(id, turn string) []byte {
+	body := "ran " + id
+	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", defaultEcho, turn, len(body), body)
+}
+
+// streamModel is HTTP/2.
+type http2Model struct {
+	modelState
+	in          bytes.Buffer
+	framer      *http2.Framer
+	out         bytes.Buffer
+	block       bytes.Buffer
+	enc         *hpack.Encoder
+	prefaceRead bool
+	bodies      map[uint32]string // id of a request whose body is coming
+	lastID      uint32
+	maxID       uint32 // after a GOAWAY: what is above is passed over
+}
+
+func (m *http2Model) receive(b []byte) {
+	m.in.Write(b)
+	if !m.prefaceRead {
+		if m.in.Len() < len(http2.ClientPreface) {
+			return
+		}
+		m.in.Next(len(http2.ClientPreface))
+		m.prefaceRead = true
+	}
+	for m.in.Len() >= 9 {
+		header := m.in.Bytes()
+		if m.in.Len() < 9+int(header[0])<<16+int(header[1])<<8+int(header[2]) {
+			return
+		}
+		frame, err := m.framer.ReadFrame()
+		if err != nil {
+			panic(err)
+		}
+		switch frame := frame.(type) {
+		case *http2.MetaHeadersFrame:
+			id := ""
+			for _, header := range frame.Fields {
+				if header.Name == "x-id" {
+					id = header.Value
+				}
+			}
+			if frame.StreamID > m.maxID {
+				continue
+			}
+			m.lastID = frame.StreamID
+			m.bodies[frame.StreamID] = id
+			if frame.StreamEnded() {
+				m.addRequest(id, uint64(frame.StreamID))
+			} else {
+				m.wireIDs[id] = uint64(frame.StreamID)
+			}
+		case *http2.DataFrame:
+			if frame.StreamEnded() && frame.StreamID <= m.maxID {
+				m.addRequest(m.bodies[frame.StreamID], uint64(frame.StreamID))
+			}
+		case *http2.RSTStreamFrame:
+			m.cancelWireID(uint64(frame.StreamID))
+		}
+	}
+}
+
+// frames gives out what do writes with a framer.
+func (m *http2Model) frames(write func(f *http2.Framer)) []byte {
+	m.out.Reset()
+	write(http2.NewFramer(&m.out, nil))
+	return bytes.Clone(m.out.Bytes())
+}
+
+func (m *http2Model) answer(id string) []byte {
+	m.endRequest(id)
+	m.block.Reset()
+	_ = m.enc.WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+	return m.frames(func(f *http2.Framer) {
+		stream := uint32(m.wireIDs[id])
+		_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: m.block.Bytes(), EndHeaders: true})
+		_ = f.WriteData(stream, true, []byte("ran "+id))
+	})
+}
+
+func (m *http2Model) refuse(id string) []byte {
+	m.endRequest(id)
+	m.ran[id] = false
+	return m.frames(func(f *http2.Framer) { _ = f.WriteRSTStream(uint32(m.wireIDs[id]), http2.ErrCodeRefusedStream) })
+}
+
+func (m *http2Model) goAway() []byte {
+	last := m.lastID
+	if len(m.pending) > 1 { // the newest is turned away with it
+		id := m.pending[len(m.pending)-1]
+		last = uint32(m.wireIDs[m.pending[0]])
+		for _, o := range m.pending {
+			last = max(last, min(uint32(m.wireIDs[o]), uint32(m.wireIDs[id])-2))
+		}
+		for _, o := range slices.Clone(m.pending) {
+			if uint32(m.wireIDs[o]) > last {
+				m.endRequest(o)
+				m.ran[o] = false
+			}
+		}
+	}
+	m.maxID = last
+	return m.frames(func(f *http2.Framer) { _ = f.WriteGoAway(last, http2.ErrCodeNo, nil) })
+}
+
+// itemModel is the batch protocol.
+type batchModel struct {
+	modelState
+	parser   *http1.Parser
+	input    []byte
+	lastID   uint64
+	maxID    uint64 // after leaving: what is above is passed over
+	headSent bool
+}
+
+func (m *batchModel) receive(b []byte) {
+	if _, _, err := m.parser.Feed(b); err != nil {
+		panic(err)
+	}
+	for {
+		r := bytes.NewReader(m.input)
+		var up batchpb.Up
+		if protodelim.UnmarshalFrom(r, &up) != nil {
+			return
+		}
+		m.input = m.input[len(m.input)-r.Len():]
+		for _, it := range up.GetItems() {
+			p := http1.Requests()
+			if _, done, err := p.Feed(it.GetRequest()); !done {
+				panic(err)
+			}
+			if it.GetId() > m.maxID {
+				continue
+			}
+			m.lastID = it.GetId()
+			m.addRequest(string(p.Message().Get("X-Id")), it.GetId())
+		}
+		for _, id := range up.GetGiveUp() {
+			m.cancelWireID(id)
+		}
+	}
+}
+
+func (m *batchModel) downMessage(message *batchpb.Down) []byte {
+	var b bytes.Buffer
+	if !m.headSent {
+		m.headSent = true
+		b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	}
+	var text bytes.Buffer
+	_, _ = protodelim.MarshalTo(&text, message)
+	fmt.Fprintf(&b, "%x\r\n%s\r\n", text.Len(), text.Bytes())
+	return b.Bytes()
+}
+
+func (m *batchModel) answer(id string) []byte {
+	m.endRequest(id)
+	return m.downMessage(&batchpb.Down{Done: []*batchpb.Done{{Id: m.wireIDs[id], Answer: echoedResponse(id, "")}}})
+}
+
+func (m *batchModel) refuse(id string) []byte {
+	m.endRequest(id)
+	m.ran[id] = false
+	return m.downMessage(&batchpb.Down{Done: []*batchpb.Done{{Id: m.wireIDs[id], NeverRan: true}}})
+}
+
+func (m *batchModel) goAway() []byte {
+	last := m.lastID
+	if n := len(m.pending); n > 1 {
+		last = m.wireIDs[m.pending[n-1]] - 1
+		m.ran[m.pending[n-1]] = false
+		m.endRequest(m.pending[n-1])
+	}
+	m.maxID = last
+	return m.downMessage(&batchpb.Down{Leaving: true, Last: last})
+}
+
+// modelReader reads the models' answers.
+type modelReader struct{}
+
+func (modelReader) Left() string { return "X-Left" }
+func (modelReader) Outcome(m *http1.Message) gatekeeper.Outcome {
+	return gatekeeper.Outcome{Status: policy.OK, Answer: gatekeeper.Answer{Body: m.Body}}
+}
+
+// execution makes an execution whose request is named in its head.
+func newExecution(n, class, body int) *gatekeeper.Execution {
+	id := strconv.Itoa(n)
+	p := &Payload{Head: []byte("GET /api HTTP/1.1\r\nHost: a\r\nX-Id: " + id + "\r\n")}
+	if body > 0 {
+		p.Head = append([]byte("POST"), p.Head[3:]...)
+		p.Head = fmt.Appendf(p.Head, "Content-Length: %d\r\n", body)
+		p.Body = bytes.Repeat([]byte("b"), body)
+	}
+	return &gatekeeper.Execution{Request: &gatekeeper.Request{Name: id, Class: class, Payload: p}, Worker: 1, Timeout: 1000}
+}
--- a/internal/link/fleet.go
+++ b/internal/link/fleet.go
@@ -16,7 +16,7 @@
 	Head, Body []byte
 	Up         *upload // in the place of the body, where that flows
 
-	on []*server // links that have carried it
+	carriedBy []*workerConn // links that have carried it
 }
 
 // Reader turns a worker's answer into an outcome.
@@ -37,12 +37,12 @@
 
 // carrier carries executions to one worker, over links of one kind. Every execution
 // that it takes ends once: with Gatekeeper.Done, or given up through its holder.
-type carrier interface {
+type connPool interface {
 	// execute sends an execution, or keeps it until a link can take it.
 	execute(x *gatekeeper.Execution)
 	// moved tells that the worker listens elsewhere from now on, or is another process:
 	// links to what it was finish what they hold and get nothing new.
-	moved()
+	addressChanged()
 	// release tells that the worker takes nothing new: what has not been sent ends as
 	// never run, and links at rest are closed.
 	release()
@@ -50,15 +50,15 @@
 	sweep(now float64)
 	// rested is since when the link that has rested longest does; ok is false where
 	// none rests.
-	rested() (since float64, ok bool)
+	idleSince() (since float64, ok bool)
 	// retire closes that link.
-	retire()
+	closeOldestIdle()
 	// empty tells that there is neither a link nor an execution.
 	empty() bool
 }
 
 // holder is where an execution is: a queue or a link. It is the execution's Slot.
-type holder interface {
+type executionHolder interface {
 	// abandon gives an execution up. When it returns the execution is no longer out. It
 	// tells whether the whole of it was on its way to the worker.
 	abandon(x *gatekeeper.Execution) (sent bool)
@@ -66,19 +66,19 @@
 
 // Fleet holds the server links. It implements gatekeeper.Fleet.
 type Fleet struct {
-	loop      driver
-	core      Core
-	reader    Reader
-	clock     *gatekeeper.Clock
-	transport Transport
-	table     *lanes.Table
-	workers   map[policy.Server]*worker
-	patience  time.Duration // for a connection to come up
-	idleMost  float64       // milliseconds that a link may rest
-	links     int           // open or being opened
-	openings  int
-	out       []byte
-	matcher   Matcher // nil where the reader is none
+	loop        eventLoop
+	core        Core
+	reader      Reader
+	clock       *gatekeeper.Clock
+	transport   Transport
+	laneTable   *lanes.Table
+	workers     map[policy.Server]*workerRecord
+	dialTimeout time.Duration // for a connection to come up
+	maxIdleMS   float64       // milliseconds that a link may rest
+	connCount   int           // open or being opened
+	dialing     int
+	scratch     []byte
+	matcher     Matcher // nil where the reader is none
 
 	// What follows may be set before the first execution, and concerns the carrier of one
 	// execution at a time. Times are in milliseconds.
@@ -100,29 +100,29 @@
 }
 
 // worker is one server and what carries executions to it.
-type worker struct {
-	fleet *Fleet
-	id    policy.Server
-	addr  string
-	since float64 // when its process started: an older link leads to one that has ended
-	lines []byte  // whole header lines that its executions carry
-	gone  bool
-	carry carrier
+type workerRecord struct {
+	fleet       *Fleet
+	id          policy.Server
+	addr        string
+	startedAt   float64 // when its process started: an older link leads to one that has ended
+	headerLines []byte  // whole header lines that its executions carry
+	released    bool
+	pool        connPool
 }
 
 // takes tells whether a link that was opened at a time may carry something new.
-func (w *worker) takes(addr string, born float64) bool {
-	return !w.gone && addr == w.addr && born >= w.since
+func (w *workerRecord) accepts(addr string, born float64) bool {
+	return !w.released && addr == w.addr && born >= w.startedAt
 }
 
 // NewFleet makes a fleet without workers. Links are retired when they have rested
 // for idleMost milliseconds.
-func NewFleet(l driver, clock *gatekeeper.Clock, r Reader, connectMost, idleMost float64, t Transport) *Fleet {
-	f := &Fleet{loop: l, clock: clock, reader: r, workers: map[policy.Server]*worker{}, transport: t.filled(),
-		patience: time.Duration(connectMost * float64(time.Millisecond)), idleMost: idleMost,
-		PartMost: partMost, Settle: settleFor}
+func NewFleet(l eventLoop, clock *gatekeeper.Clock, r Reader, connectMost, idleMost float64, t Transport) *Fleet {
+	f := &Fleet{loop: l, clock: clock, reader: r, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
+		dialTimeout: time.Duration(connectMost * float64(time.Millisecond)), maxIdleMS: idleMost,
+		PartMost: maxPartialMS, Settle: settleMS}
 	f.matcher, _ = r.(Matcher)
-	f.table = lanes.NewTable(f.terms)
+	f.laneTable = lanes.NewTable(f.terms)
 	return f
 }
 
@@ -158,80 +158,80 @@
 
 // Place tells where a worker that takes work listens, and when its process started.
 func (f *Fleet) Place(id policy.Server, addr string, since float64) {
-	w := f.worker(id)
-	w.gone = false
+	worker := f.worker(id)
+	worker.released = false
 	since = min(since, f.clock.Now()) // or links would be old from the start
-	if w.addr != addr || w.since != since {
-		w.addr, w.since = addr, since
-		w.carry.moved()
+	if worker.addr != addr || worker.startedAt != since {
+		worker.addr, worker.startedAt = addr, since
+		worker.pool.addressChanged()
 	}
 }
 
 // Lines names whole header lines that every execution to a worker carries, before the time
 // left. They are forgotten with the worker, so each Place that follows a Release needs them
 // again. Carriers that are not of HTTP/1.1 leave them out.
-func (f *Fleet) Lines(id policy.Server, lines []byte) { f.worker(id).lines = lines }
+func (f *Fleet) Lines(id policy.Server, lines []byte) { f.worker(id).headerLines = lines }
 
 // worker is the record of a worker, made as one that takes nothing where there is none.
-func (f *Fleet) worker(id policy.Server) *worker {
-	w := f.workers[id]
-	if w == nil {
-		w = &worker{fleet: f, id: id, gone: true}
-		w.carry = f.carrier(w)
-		f.workers[id] = w
+func (f *Fleet) worker(id policy.Server) *workerRecord {
+	worker := f.workers[id]
+	if worker == nil {
+		worker = &workerRecord{fleet: f, id: id, released: true}
+		worker.pool = f.newPool(worker)
+		f.workers[id] = worker
 	}
-	return w
+	return worker
 }
 
 // mine tells whether an answer that a link brings is an execution's, or another request's.
-func (f *Fleet) mine(l *server, x *gatekeeper.Execution, m *http1.Message) (mine, other bool) {
+func (f *Fleet) matches(conn *workerConn, execution *gatekeeper.Execution, message *http1.Message) (mine, other bool) {
 	if f.matcher == nil {
 		return true, false
 	}
-	mine, other = f.matcher.Mine(x, m, l.carried == 1)
+	mine, other = f.matcher.Mine(execution, message, conn.executions == 1)
 	return mine, other && !mine
 }
 
-func (f *Fleet) carrier(w *worker) carrier {
+func (f *Fleet) newPool(w *workerRecord) connPool {
 	if f.transport.Carrier == OneAtATime {
-		return &serial{w: w, fleet: f}
+		return &serialPool{worker: w, fleet: f}
 	}
-	return newShared(w)
+	return newMuxPool(w)
 }
 
 // Release implements gatekeeper.Fleet.
 func (f *Fleet) Release(id policy.Server) {
 	if w := f.workers[id]; w != nil {
-		w.gone = true
-		w.carry.release()
-		f.drop(w)
+		w.released = true
+		w.pool.release()
+		f.forget(w)
 	}
 }
 
 // drop forgets a worker that is gone, once nothing is left of it.
-func (f *Fleet) drop(w *worker) {
-	if w.gone && w.carry.empty() && f.workers[w.id] == w {
+func (f *Fleet) forget(w *workerRecord) {
+	if w.released && w.pool.empty() && f.workers[w.id] == w {
 		delete(f.workers, w.id)
 	}
 }
 
 // Execute implements gatekeeper.Fleet.
-func (f *Fleet) Execute(x *gatekeeper.Execution) {
-	w := f.workers[x.Worker]
-	if p, ok := x.Request.Payload.(*Payload); ok && p.Up != nil && f.transport.Carrier != OneAtATime {
-		f.end(x, policy.ConnectFailed) // fronts do not hand such to other transports
+func (f *Fleet) Execute(execution *gatekeeper.Execution) {
+	worker := f.workers[execution.Worker]
+	if p, ok := execution.Request.Payload.(*Payload); ok && p.Up != nil && f.transport.Carrier != OneAtATime {
+		f.endUnanswered(execution, policy.ConnectFailed) // fronts do not hand such to other transports
 		return
 	}
-	if w == nil {
-		f.end(x, policy.ConnectFailed)
+	if worker == nil {
+		f.endUnanswered(execution, policy.ConnectFailed)
 		return
 	}
-	w.carry.execute(x)
+	worker.pool.execute(execution)
 }
 
 // Abandon implements gatekeeper.Fleet.
 func (f *Fleet) Abandon(x *gatekeeper.Execution) (sent bool) {
-	if h, ok := x.Slot.(holder); ok {
+	if h, ok := x.Slot.(executionHolder); ok {
 		x.Slot = nil
 		return h.abandon(x)
 	}
@@ -239,39 +239,39 @@
 }
 
 // end reports an execution that got no answer.
-func (f *Fleet) end(x *gatekeeper.Execution, st policy.Status) {
-	x.Slot = nil
-	f.core.Done(x, gatekeeper.Outcome{Status: st})
+func (f *Fleet) endUnanswered(execution *gatekeeper.Execution, status policy.Status) {
+	execution.Slot = nil
+	f.core.Done(execution, gatekeeper.Outcome{Status: status})
 }
 
 // mayLeave tells whether an execution that has waited may be written, and ends it as one that never ran if not.
-func (f *Fleet) mayLeave(x *gatekeeper.Execution) bool {
-	if f.core.MayLeave(x) {
+func (f *Fleet) checkSend(execution *gatekeeper.Execution) bool {
+	if f.core.MayLeave(execution) {
 		return true
 	}
-	f.end(x, policy.Moot)
+	f.endUnanswered(execution, policy.Moot)
 	return false
 }
 
 // room tells whether another link may be opened, and closes one at rest for it where
 // that is what it takes.
-func (f *Fleet) room() bool {
-	return f.openings < f.loop.openings() && (f.links < f.loop.servers() || f.spare())
+func (f *Fleet) canDial() bool {
+	return f.dialing < f.loop.maxDialing() && (f.connCount < f.loop.maxWorkerConns() || f.closeOldestIdle())
 }
 
 // spare closes an idle link to make room for another.
-func (f *Fleet) spare() bool {
-	var oldest carrier
+func (f *Fleet) closeOldestIdle() bool {
+	var oldest connPool
 	since := 0.0
 	for _, w := range f.workers {
-		if at, ok := w.carry.rested(); ok && (oldest == nil || at < since) {
-			oldest, since = w.carry, at
+		if at, ok := w.pool.idleSince(); ok && (oldest == nil || at < since) {
+			oldest, since = w.pool, at
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.retire()
+	oldest.closeOldestIdle()
 	return true
 }
 
@@ -279,22 +279,22 @@
 // a request written then would be lost.
 func (f *Fleet) Sweep() {
 	now := f.clock.Now()
-	for _, w := range f.workers {
+	for _, worker := range f.workers {
 		for {
-			at, ok := w.carry.rested()
-			if !ok || now-at <= f.idleMost {
+			at, ok := worker.pool.idleSince()
+			if !ok || now-at <= f.maxIdleMS {
 				break
 			}
-			w.carry.retire()
+			worker.pool.closeOldestIdle()
 		}
-		w.carry.sweep(now)
+		worker.pool.sweep(now)
 	}
 }
 
 // cutOff sees to it that nothing more leaves by a link that ends. It guards against
 // gnet's close, which writes what is still buffered after OnClose: an execution that was
 // reported as never sent whole would yet arrive whole.
-func cutOff(c conn) {
+func discardUnsent(c conn) {
 	if c.OutboundBuffered() > 0 {
 		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_WR)
 	}
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -36,39 +36,39 @@
 	Failed(l *Client, r *gatekeeper.Request)
 }
 
-func (s *Clients) readMost() float64 {
+func (s *Clients) maxRead() float64 {
 	if s.Limits != nil {
-		return cmp.Or(s.Limits.ReadMost, readMost)
+		return cmp.Or(s.Limits.ReadMost, maxReadMS)
 	}
-	return readMost
+	return maxReadMS
 }
 
-func (s *Clients) restMost() float64 {
+func (s *Clients) maxIdle() float64 {
 	if s.Limits != nil {
-		return cmp.Or(s.Limits.RestMost, restMost)
+		return cmp.Or(s.Limits.RestMost, maxIdleMS)
 	}
-	return restMost
+	return maxIdleMS
 }
 
-func (s *Clients) silentMost() float64 {
+func (s *Clients) maxSilent() float64 {
 	if s.Limits != nil {
-		return cmp.Or(s.Limits.SilentMost, s.restMost())
+		return cmp.Or(s.Limits.SilentMost, s.maxIdle())
 	}
-	return silentMost
+	return maxSilentMS
 }
 
-func (s *Clients) stallMost() float64 {
+func (s *Clients) maxStall() float64 {
 	if s.Limits != nil {
-		return cmp.Or(s.Limits.StallMost, s.restMost())
+		return cmp.Or(s.Limits.StallMost, s.maxIdle())
 	}
-	return stallMost
+	return maxStallMS
 }
 
 // keepAlive is what answers tell of the time that a link may rest, in seconds; 0 for
 // nothing.
-func (s *Clients) keepAlive() int64 {
+func (s *Clients) keepAliveSeconds() int64 {
 	if s.Limits == nil || !s.Limits.KeepAlive {
 		return 0
 	}
-	return max(int64(s.restMost()/1000)-1, 1)
+	return max(int64(s.maxIdle()/1000)-1, 1)
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -34,7 +34,7 @@
 }
 
 // enrolled is a connection that gnet serves.
-type enrolled interface {
+type gnetConn interface {
 	conn
 	Dup() (int, error)
 	SetContext(any)
@@ -50,19 +50,19 @@
 // Loop is the event loop that owns everything.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	client  *gnet.Client
-	events  gnet.EventLoop
-	alarm   *time.Timer
-	ring    func()
-	stopped atomic.Bool
-	turns   turns
-	dirty   []flusher // links with something to write
-	gathers bool      // there are such links at all
-	asked   bool      // for the end of the turn
-	depth   int       // of events
-	pump    *pump     // nil before the first flow
-	Budget  *Budget
-	Flowing int // bytes that all flows may hold, 0 for no limit
+	client         *gnet.Client
+	events         gnet.EventLoop
+	alarm          *time.Timer
+	onAlarm        func()
+	stopped        atomic.Bool
+	iterations     iterationTracker
+	pendingFlushes []flusher // links with something to write
+	batchesWrites  bool      // there are such links at all
+	flushPosted    bool      // for the end of the turn
+	eventDepth     int       // of events
+	poller         *poller   // nil before the first flow
+	Budget         *Budget
+	Flowing        int // bytes that all flows may hold, 0 for no limit
 }
 
 // flusher is a link that writes what it has gathered in a turn of the loop at once.
@@ -71,8 +71,8 @@
 // NewLoop starts an event loop whose sockets stay within the budget.
 func NewLoop(b *Budget) (*Loop, error) {
 	l := &Loop{Budget: b}
-	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBuffer),
-		gnet.WithWriteBufferCap(readBuffer), gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.ErrorLevel))
+	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes),
+		gnet.WithWriteBufferCap(readBufferBytes), gnet.WithLogger(gnetLogger{}), gnet.WithLogLevel(logging.ErrorLevel))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
@@ -80,26 +80,26 @@
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	l.client = client
-	if err := l.anchor(); err != nil {
+	if err := l.registerAnchor(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	l.alarm = time.AfterFunc(time.Hour, func() { l.Post(func() { l.ring() }) })
+	l.alarm = time.AfterFunc(time.Hour, func() { l.Post(func() { l.onAlarm() }) })
 	return l, nil
 }
 
-const readBuffer = 64 << 10
+const readBufferBytes = 64 << 10
 
 // anchor enrols a connection that nothing ever comes on: gnet gives its event loop out
 // with a connection only, and calls from other goroutines need it before the first.
-func (l *Loop) anchor() error {
-	c, held, err := quietPair()
+func (l *Loop) registerAnchor() error {
+	c, held, err := newSocketPair()
 	if err != nil {
 		slog.Info("loop: no Unix sockets here, a datagram socket holds its place", "error", err)
-		if c, err = quietDatagrams(); err != nil {
+		if c, err = newDiscardSocket(); err != nil {
 			return err
 		}
 	}
-	g, err := l.client.EnrollContext(c, anchor{held})
+	g, err := l.client.EnrollContext(c, anchorEndpoint{held})
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 }
 
 // quietPair is one end of a pair of Unix sockets, and the other.
-var quietPair = func() (net.Conn, io.Closer, error) {
+var newSocketPair = func() (net.Conn, io.Closer, error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
@@ -130,108 +130,108 @@
 
 // quietDatagrams is a socket that takes datagrams from one reserved port of this machine
 // alone, and sends none.
-func quietDatagrams() (net.Conn, error) {
+func newDiscardSocket() (net.Conn, error) {
 	const discard = 9
 	return net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discard})
 }
 
-type anchor struct {
-	held io.Closer // for the life of the loop; nil for datagrams
+type anchorEndpoint struct {
+	peer io.Closer // for the life of the loop; nil for datagrams
 }
 
-func (a anchor) opened(conn)    {}
-func (a anchor) traffic([]byte) {}
-func (a anchor) closed(error) {
-	if a.held != nil {
-		_ = a.held.Close()
+func (a anchorEndpoint) opened(conn)    {}
+func (a anchorEndpoint) traffic([]byte) {}
+func (a anchorEndpoint) closed(error) {
+	if a.peer != nil {
+		_ = a.peer.Close()
 	}
 }
 
 // Post runs do on the loop. Any goroutine may call it.
-func (l *Loop) Post(do func()) {
-	run := gnet.RunnableFunc(func(context.Context) error {
-		l.begin()
-		defer l.end()
-		do()
+func (l *Loop) Post(fn func()) {
+	runnable := gnet.RunnableFunc(func(context.Context) error {
+		l.beginEvent()
+		defer l.endEvent()
+		fn()
 		return nil
 	})
-	if err := l.events.Execute(context.Background(), run); err != nil && !l.stopped.Load() {
+	if err := l.events.Execute(context.Background(), runnable); err != nil && !l.stopped.Load() {
 		slog.Error("loop: call not taken", "error", err)
 	}
 }
 
 // flushSoon has a link written to when this event, or this turn of the loop, ends: see
 // turns. Must be called on the loop.
-func (l *Loop) flushSoon(f flusher, g *mark) {
-	l.gathers = true
-	if l.turns.touch(g) {
-		l.dirty = append(l.dirty, f)
+func (l *Loop) flushSoon(f flusher, mark *writeMark) {
+	l.batchesWrites = true
+	if l.iterations.markDirty(mark) {
+		l.pendingFlushes = append(l.pendingFlushes, f)
 	}
 }
 
 // begin and end are around everything that runs on the loop; one may lie in another.
-func (l *Loop) begin() {
-	if l.depth++; l.depth == 1 && l.gathers {
-		l.turns.began(time.Now())
+func (l *Loop) beginEvent() {
+	if l.eventDepth++; l.eventDepth == 1 && l.batchesWrites {
+		l.iterations.beginEvent(time.Now())
 	}
 }
 
-func (l *Loop) end() {
-	if l.depth--; l.depth > 0 || !l.gathers {
+func (l *Loop) endEvent() {
+	if l.eventDepth--; l.eventDepth > 0 || !l.batchesWrites {
 		return
 	}
 	switch {
-	case len(l.dirty) == 0:
-	case !l.turns.crowded():
+	case len(l.pendingFlushes) == 0:
+	case !l.iterations.worthBatching():
 		l.flushAll()
-	case !l.asked:
-		l.asked = true
+	case !l.flushPosted:
+		l.flushPosted = true
 		l.Post(l.flushAll) // what is posted runs after the turn's events
 	}
-	l.turns.ended(time.Now())
+	l.iterations.endEvent(time.Now())
 }
 
 func (l *Loop) flushAll() {
-	l.asked = false
-	for i := 0; i < len(l.dirty); i++ { // a flush may make others dirty
-		l.dirty[i].flush()
+	l.flushPosted = false
+	for i := 0; i < len(l.pendingFlushes); i++ { // a flush may make others dirty
+		l.pendingFlushes[i].flush()
 	}
-	clear(l.dirty)
-	l.dirty = l.dirty[:0]
+	clear(l.pendingFlushes)
+	l.pendingFlushes = l.pendingFlushes[:0]
 }
 
 // OnAlarm names what Wake calls. It must be set before the first Wake.
-func (l *Loop) OnAlarm(ring func()) { l.ring = ring }
+func (l *Loop) OnAlarm(ring func()) { l.onAlarm = ring }
 
 // Wake asks for a call of the alarm after so many milliseconds, instead of the
 // one asked for before.
-func (l *Loop) Wake(after float64) {
-	l.alarm.Reset(time.Duration(max(after, 0) * float64(time.Millisecond)))
+func (l *Loop) Wake(ms float64) {
+	l.alarm.Reset(time.Duration(max(ms, 0) * float64(time.Millisecond)))
 }
 
 // after calls do on the loop once so many milliseconds are over.
-func (l *Loop) after(ms float64, do func()) {
+func (l *Loop) afterMS(ms float64, fn func()) {
 	time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
 		if !l.stopped.Load() {
-			l.Post(do)
+			l.Post(fn)
 		}
 	})
 }
 
 // After calls do on the loop once so much time is over.
-func (l *Loop) After(wait time.Duration, do func()) {
-	l.after(float64(wait)/float64(time.Millisecond), do)
+func (l *Loop) After(wait time.Duration, fn func()) {
+	l.afterMS(float64(wait)/float64(time.Millisecond), fn)
 }
 
 // Every calls do on the loop again and again.
-func (l *Loop) Every(pace time.Duration, do func()) {
-	time.AfterFunc(pace, func() {
+func (l *Loop) Every(interval time.Duration, fn func()) {
+	time.AfterFunc(interval, func() {
 		if l.stopped.Load() {
 			return
 		}
 		l.Post(func() {
-			do()
-			l.Every(pace, do)
+			fn()
+			l.Every(interval, fn)
 		})
 	})
 }
@@ -241,24 +241,24 @@
 	l.stopped.Store(true)
 	l.alarm.Stop()
 	err := l.client.Stop()
-	if l.pump != nil { // the loop has ended, so nobody else has it
-		l.pump.stop()
+	if l.poller != nil { // the loop has ended, so nobody else has it
+		l.poller.stop()
 	}
 	return err
 }
 
 // OnOpen implements gnet.EventHandler.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	c.Context().(endpoint).opened(c)
 	return nil, gnet.None
 }
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	b, err := c.Next(-1)
 	if err == nil && len(b) > 0 {
 		c.Context().(endpoint).traffic(b)
@@ -268,26 +268,26 @@
 
 // OnClose implements gnet.EventHandler.
 func (l *Loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	c.Context().(endpoint).closed(err)
 	return gnet.None
 }
 
-func (l *Loop) shut(c conn) {
-	switch c := c.(type) {
-	case *flow:
-		c.close(nil)
+func (l *Loop) closeConn(conn conn) {
+	switch conn := conn.(type) {
+	case *pausableConn:
+		conn.close(nil)
 	case gnet.Conn:
-		_ = c.EventLoop().Close(c)
+		_ = conn.EventLoop().Close(conn)
 	}
 }
 
 // dial opens a connection and hands it to e, or calls failed. It belongs to a
 // connection, which serves many requests, not to a request.
-func (l *Loop) dial(addr string, patience time.Duration, e endpoint, failed func(error)) {
+func (l *Loop) dial(addr string, timeout time.Duration, e endpoint, failed func(error)) {
 	go func() {
-		c, err := net.DialTimeout("tcp", addr, patience)
+		c, err := net.DialTimeout("tcp", addr, timeout)
 		if err == nil {
 			_, err = l.client.EnrollContext(c, e)
 		}
@@ -300,8 +300,8 @@
 // Listener accepts client connections.
 type Listener struct {
 	*net.TCPListener
-	from    interface{ Accept() (net.Conn, error) } // itself, but for tests
-	closing atomic.Bool
+	acceptor interface{ Accept() (net.Conn, error) } // itself, but for tests
+	closing  atomic.Bool
 
 	mu     sync.Mutex
 	paused chan struct{} // closed when it goes on; nil while it does
@@ -325,31 +325,31 @@
 }
 
 // Inherited is a listener that another process has opened.
-func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, from: ln} }
+func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, acceptor: ln} }
 
 // Accept hands every client connection to the loop, until the listener closes.
 // Running out of descriptors makes it wait, not end.
-func (ln *Listener) Accept(l *Loop, make func() *Client) {
+func (ln *Listener) Accept(loop *Loop, newClient func() *Client) {
 	const pause = 5 * time.Millisecond
 	for {
-		if wait := ln.resting(); wait != nil {
+		if wait := ln.pauseSignal(); wait != nil {
 			<-wait
 		}
-		c, err := ln.from.Accept()
+		c, err := ln.acceptor.Accept()
 		if err == nil {
-			_, err = l.client.EnrollContext(c, make())
+			_, err = loop.client.EnrollContext(c, newClient())
 		}
 		if ln.closing.Load() {
 			return
 		}
-		if err != nil && ln.resting() == nil {
+		if err != nil && ln.pauseSignal() == nil {
 			slog.Warn("client link not accepted", "error", err)
 			time.Sleep(pause)
 		}
 	}
 }
 
-func (ln *Listener) resting() chan struct{} {
+func (ln *Listener) pauseSignal() chan struct{} {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.paused
@@ -385,10 +385,10 @@
 }
 
 // quiet passes on gnet's errors and drops the rest.
-type quiet struct{}
+type gnetLogger struct{}
 
-func (quiet) Debugf(string, ...any)          {}
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Warnf(string, ...any)           {}
-func (quiet) Errorf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
-func (quiet) Fatalf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
+func (gnetLogger) Debugf(string, ...any)          {}
+func (gnetLogger) Infof(string, ...any)           {}
+func (gnetLogger) Warnf(string, ...any)           {}
+func (gnetLogger) Errorf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
+func (gnetLogger) Fatalf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
--- a/internal/link/flow.go
+++ b/internal/link/pausable_conn.go
@@ -12,44 +12,44 @@
 // and what is ready is served on the loop.
 
 const (
-	flowRead  = 32 << 10 // bytes read at once
-	flowMost  = 64 << 10 // bytes that wait on one side of a flow, where memory allows,
-	flowLeast = 8 << 10  // and where many flows share it
-	flowBatch = 64       // connections served in a turn
+	readChunkBytes = 32 << 10 // bytes read at once
+	maxWindowBytes = 64 << 10 // bytes that wait on one side of a flow, where memory allows,
+	minWindowBytes = 8 << 10  // and where many flows share it
+	maxPollEvents  = 64       // connections served in a turn
 )
 
 // flowing is an endpoint that can move to a flow.
-type flowing interface {
+type pausableEndpoint interface {
 	endpoint
 	// drained tells that the kernel has taken all that was written.
 	drained()
 }
 
-type flow struct {
-	pump   *pump
-	fd     int
-	end    flowing
-	out    []byte // that the kernel has not taken yet
-	rests  bool   // does not read
-	wants  uint32 // events that are registered
-	pushed int    // bytes that the kernel has taken
-	closed bool
+type pausableConn struct {
+	poller       *poller
+	fd           int
+	endpoint     pausableEndpoint
+	out          []byte // that the kernel has not taken yet
+	paused       bool   // does not read
+	events       uint32 // events that are registered
+	writtenBytes int    // bytes that the kernel has taken
+	closed       bool
 }
 
 // Fd implements conn.
-func (f *flow) Fd() int { return f.fd }
+func (f *pausableConn) Fd() int { return f.fd }
 
 // OutboundBuffered implements conn.
-func (f *flow) OutboundBuffered() int { return len(f.out) }
+func (f *pausableConn) OutboundBuffered() int { return len(f.out) }
 
 // Write implements conn. A failed write closes the connection.
-func (f *flow) Write(b []byte) (int, error) {
+func (f *pausableConn) Write(b []byte) (int, error) {
 	if f.closed {
 		return 0, os.ErrClosed
 	}
 	n := len(b)
 	if len(f.out) == 0 {
-		sent, err := f.push(b)
+		sent, err := f.writeNow(b)
 		if err != nil {
 			f.close(err)
 			return 0, err
@@ -57,12 +57,12 @@
 		b = b[sent:]
 	}
 	f.out = append(f.out, b...)
-	f.update()
+	f.updateEvents()
 	return n, nil
 }
 
 // push writes what the kernel takes.
-func (f *flow) push(b []byte) (sent int, err error) {
+func (f *pausableConn) writeNow(b []byte) (sent int, err error) {
 	for sent < len(b) {
 		n, err := unix.Write(f.fd, b[sent:])
 		switch {
@@ -74,53 +74,53 @@
 			return sent, os.NewSyscallError("write", err)
 		}
 		sent += n
-		f.pushed += n
+		f.writtenBytes += n
 	}
 	return sent, nil
 }
 
 // rest stops reading, or goes on.
-func (f *flow) rest(stop bool) {
-	if f.rests != stop && !f.closed {
-		f.rests = stop
-		f.update()
+func (f *pausableConn) setPaused(stop bool) {
+	if f.paused != stop && !f.closed {
+		f.paused = stop
+		f.updateEvents()
 	}
 }
 
 // update registers the events that are wanted.
-func (f *flow) update() {
+func (f *pausableConn) updateEvents() {
 	var wants uint32
-	if !f.rests {
+	if !f.paused {
 		wants |= unix.EPOLLIN
 	}
 	if len(f.out) > 0 {
 		wants |= unix.EPOLLOUT
 	}
-	if f.closed || wants == f.wants {
+	if f.closed || wants == f.events {
 		return
 	}
-	f.wants = wants
-	_ = unix.EpollCtl(f.pump.fd, unix.EPOLL_CTL_MOD, f.fd, &unix.EpollEvent{Events: wants, Fd: int32(f.fd)})
+	f.events = wants
+	_ = unix.EpollCtl(f.poller.fd, unix.EPOLL_CTL_MOD, f.fd, &unix.EpollEvent{Events: wants, Fd: int32(f.fd)})
 }
 
 // ready serves what epoll has told of the connection.
-func (f *flow) ready(events uint32, buffer []byte) {
+func (f *pausableConn) handleEvents(events uint32, buffer []byte) {
 	if events&unix.EPOLLOUT != 0 && len(f.out) > 0 {
-		sent, err := f.push(f.out)
+		sent, err := f.writeNow(f.out)
 		if err != nil {
 			f.close(err)
 			return
 		}
 		if f.out = f.out[:copy(f.out, f.out[sent:])]; len(f.out) == 0 {
-			if cap(f.out) > 2*flowMost {
+			if cap(f.out) > 2*maxWindowBytes {
 				f.out = nil
 			}
-			f.update()
-			f.end.drained()
+			f.updateEvents()
+			f.endpoint.drained()
 		}
 	}
 	broken := events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 // told even to one that rests
-	if f.closed || !broken && (f.rests || events&unix.EPOLLIN == 0) {
+	if f.closed || !broken && (f.paused || events&unix.EPOLLIN == 0) {
 		return
 	}
 	n, err := unix.Read(f.fd, buffer)
@@ -134,47 +134,47 @@
 	case n == 0:
 		f.close(io.EOF)
 	default:
-		f.end.traffic(buffer[:n])
+		f.endpoint.traffic(buffer[:n])
 	}
 }
 
 // close ends the connection and tells its endpoint. What the kernel has not taken is lost.
-func (f *flow) close(err error) {
+func (f *pausableConn) close(err error) {
 	if f.closed {
 		return
 	}
 	f.closed = true
-	delete(f.pump.flows, f.fd)
-	f.end.closed(err)
+	delete(f.poller.conns, f.fd)
+	f.endpoint.closed(err)
 	f.out = nil
 	_ = unix.Close(f.fd)
 }
 
 // pump serves all flows.
-type pump struct {
-	loop   *Loop
-	fd     int
-	flows  map[int]*flow
-	buffer []byte
-	over   chan struct{}
+type poller struct {
+	loop    *Loop
+	fd      int
+	conns   map[int]*pausableConn
+	buffer  []byte
+	stopped chan struct{}
 }
 
-func newPump(l *Loop) (*pump, error) {
+func newPoller(l *Loop) (*poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	p := &pump{loop: l, fd: fd, flows: map[int]*flow{}, buffer: make([]byte, flowRead),
-		over: make(chan struct{})}
+	p := &poller{loop: l, fd: fd, conns: map[int]*pausableConn{}, buffer: make([]byte, readChunkBytes),
+		stopped: make(chan struct{})}
 	go p.run()
 	return p, nil
 }
 
 // run waits for what is ready, and for the loop to have served it.
-func (p *pump) run() {
+func (p *poller) run() {
 	const look = 500 // milliseconds between two looks whether the loop has ended
 	defer unix.Close(p.fd)
-	events := make([]unix.EpollEvent, flowBatch)
+	events := make([]unix.EpollEvent, maxPollEvents)
 	for {
 		n, err := unix.EpollWait(p.fd, events, look)
 		if p.loop.stopped.Load() || err != nil && err != unix.EINTR {
@@ -186,80 +186,80 @@
 		served := make(chan struct{})
 		p.loop.Post(func() {
 			for _, e := range events[:n] {
-				if f := p.flows[int(e.Fd)]; f != nil && !f.closed {
-					f.ready(e.Events, p.buffer)
+				if f := p.conns[int(e.Fd)]; f != nil && !f.closed {
+					f.handleEvents(e.Events, p.buffer)
 				}
 			}
 			close(served)
 		})
 		select {
 		case <-served:
-		case <-p.over:
+		case <-p.stopped:
 			return
 		}
 	}
 }
 
 // stop ends it once the loop has ended.
-func (p *pump) stop() {
-	close(p.over)
-	for _, f := range p.flows {
+func (p *poller) stop() {
+	close(p.stopped)
+	for _, f := range p.conns {
 		_ = unix.Close(f.fd)
 	}
 }
 
 // window is how many bytes may wait on one side of a flow.
-func (p *pump) window() int {
+func (p *poller) window() int {
 	if p.loop.Flowing <= 0 {
-		return flowMost
+		return maxWindowBytes
 	}
-	return max(min(p.loop.Flowing/(2*max(len(p.flows), 1)), flowMost), flowLeast)
+	return max(min(p.loop.Flowing/(2*max(len(p.conns), 1)), maxWindowBytes), minWindowBytes)
 }
 
 // leave takes a connection from gnet and makes it a flow, with the same endpoint. It can't
 // where gnet still has bytes to write.
-func (l *Loop) leave(c conn, e flowing) (*flow, bool) {
-	if f, ok := c.(*flow); ok {
-		return f, true
+func (l *Loop) makePausable(c conn, endpoint pausableEndpoint) (*pausableConn, bool) {
+	if pausable, ok := c.(*pausableConn); ok {
+		return pausable, true
 	}
-	g, ok := c.(enrolled)
-	if !ok || g.OutboundBuffered() > 0 {
+	conn, ok := c.(gnetConn)
+	if !ok || conn.OutboundBuffered() > 0 {
 		return nil, false
 	}
-	if l.pump == nil {
-		p, err := newPump(l)
+	if l.poller == nil {
+		p, err := newPoller(l)
 		if err != nil {
 			return nil, false
 		}
-		l.pump = p
+		l.poller = p
 	}
-	fd, err := g.Dup()
+	fd, err := conn.Dup()
 	if err != nil {
 		return nil, false
 	}
-	f := &flow{pump: l.pump, fd: fd, end: e, wants: unix.EPOLLIN}
+	pausable := &pausableConn{poller: l.poller, fd: fd, endpoint: endpoint, events: unix.EPOLLIN}
 	if unix.SetNonblock(fd, true) != nil ||
-		unix.EpollCtl(l.pump.fd, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: f.wants, Fd: int32(fd)}) != nil {
+		unix.EpollCtl(l.poller.fd, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: pausable.events, Fd: int32(fd)}) != nil {
 		_ = unix.Close(fd)
 		return nil, false
 	}
-	l.pump.flows[fd] = f
-	g.SetContext(left{})
-	l.shut(g)
-	return f, true
+	l.poller.conns[fd] = pausable
+	conn.SetContext(detachedEndpoint{})
+	l.closeConn(conn)
+	return pausable, true
 }
 
 // left is what stays of a link at gnet when it has become a flow.
-type left struct{}
+type detachedEndpoint struct{}
 
-func (left) opened(conn)    {}
-func (left) traffic([]byte) {}
-func (left) closed(error)   {}
+func (detachedEndpoint) opened(conn)    {}
+func (detachedEndpoint) traffic([]byte) {}
+func (detachedEndpoint) closed(error)   {}
 
 // Waiting is how many bytes of flows wait to be written.
 func (l *Loop) Waiting() (n int) {
-	if l.pump != nil {
-		for _, f := range l.pump.flows {
+	if l.poller != nil {
+		for _, f := range l.poller.conns {
 			n += len(f.out)
 		}
 	}
@@ -269,11 +269,11 @@
 // Holding is how many bytes of memory flows hold: what waits to be written, and what is kept of
 // the bodies of requests.
 func (l *Loop) Holding() (n int) {
-	if l.pump != nil {
-		for _, f := range l.pump.flows {
+	if l.poller != nil {
+		for _, f := range l.poller.conns {
 			n += cap(f.out)
-			if c, ok := f.end.(*Client); ok && c.up != nil {
-				n += cap(c.up.held)
+			if c, ok := f.endpoint.(*Client); ok && c.upload != nil {
+				n += cap(c.upload.held)
 			}
 		}
 	}
--- a/internal/link/serial.go
+++ b/internal/link/serial.go
@@ -18,117 +18,117 @@
 // and a request written meanwhile is lost. A waiting execution waits for a link that
 // has rested nearly so long, and has another opened else.
 const (
-	settleFor  = 5.0
-	settleWait = 2.0
+	settleMS     = 5.0
+	settleWaitMS = 2.0
 )
 
 // keepPart is the part of the time that a worker lets a link rest in which it is used:
 // the worker's close takes its way too.
-const keepPart = 0.8
+const keepAliveFraction = 0.8
 
 // skipMost is how many answers to other requests a link may bring before the one that is
 // due. More are a sign of a worker that is spoilt, not late.
-const skipMost = 4
+const maxSkippedResponses = 4
 
 // partMost is how many milliseconds an answer that has begun may rest. Some come in
 // pieces, so it is not for the whole of it.
-const partMost = 200.0
+const maxPartialMS = 200.0
 
 // serial is the carrier of one execution at a time on a link, as the platform's
 // protocol wants it.
-type serial struct {
-	w        *worker
-	fleet    *Fleet
-	idle     []*server // the one used last is taken first, so that the rest can age
-	queue    []*gatekeeper.Execution
-	openings int
-	links    int
-	settling bool // a link at rest is waited for
-	opening  bool // open is under way
-	again    bool // and was asked for again meanwhile
+type serialPool struct {
+	worker      *workerRecord
+	fleet       *Fleet
+	idle        []*workerConn // the one used last is taken first, so that the rest can age
+	queue       []*gatekeeper.Execution
+	dialing     int
+	connCount   int
+	settling    bool // a link at rest is waited for
+	assigning   bool // open is under way
+	assignAgain bool // and was asked for again meanwhile
 }
 
 // server is a link of a serial carrier.
-type server struct {
-	fleet   *Fleet
-	set     *serial
-	addr    string
-	born    float64 // when its opening began
-	c       conn
-	parser  *http1.Parser
-	x       *gatekeeper.Execution
-	part    *gatekeeper.Execution // whose answer has begun
-	heard   float64               // last piece of it
-	writing bool
-	dead    bool
-	since   float64 // idle since
-	keep    float64 // for so long at most, by the worker's word
-	kept    bool    // it gave one
-	shed    bool    // the body of a failure was not held
-	skipped int     // answers to other requests
-	carried int     // executions
-
-	up     *upload // that flows to the worker
-	sent   int     // bytes of it
-	filled bool    // all of it
-	down   *Client // that the answer flows to
-	serves *gatekeeper.Request
-	headAt float64 // when the answer's head had come
-	moved  float64 // when bytes of what flows last did
-	told   float64 // when the core was last told so
-	cut    bool    // the link is of no further use
+type workerConn struct {
+	fleet        *Fleet
+	pool         *serialPool
+	addr         string
+	dialedAt     float64 // when its opening began
+	conn         conn
+	parser       *http1.Parser
+	execution    *gatekeeper.Execution
+	partialOf    *gatekeeper.Execution // whose answer has begun
+	lastPartAt   float64               // last piece of it
+	writing      bool
+	isClosed     bool
+	idleSince    float64 // idle since
+	keepAliveMS  float64 // for so long at most, by the worker's word
+	hasKeepAlive bool    // it gave one
+	bodyDropped  bool    // the body of a failure was not held
+	skipped      int     // answers to other requests
+	executions   int     // executions
+
+	upload      *upload // that flows to the worker
+	uploadSent  int     // bytes of it
+	uploadDone  bool    // all of it
+	client      *Client // that the answer flows to
+	request     *gatekeeper.Request
+	headReadAt  float64 // when the answer's head had come
+	lastMovedAt float64 // when bytes of what flows last did
+	progressAt  float64 // when the core was last told so
+	mustClose   bool    // the link is of no further use
 }
 
-func (s *serial) execute(x *gatekeeper.Execution) {
-	if l := s.take(x, s.fleet.clock.Now()); l != nil {
-		l.start(x)
+func (s *serialPool) execute(execution *gatekeeper.Execution) {
+	if l := s.takeIdle(execution, s.fleet.clock.Now()); l != nil {
+		l.start(execution)
 		return
 	}
-	x.Slot = s
-	s.queue = append(s.queue, x)
-	s.open()
+	execution.Slot = s
+	s.queue = append(s.queue, execution)
+	s.assignOrDial()
 }
 
-func (s *serial) moved() {
+func (s *serialPool) addressChanged() {
 	for _, l := range slices.Clone(s.idle) {
 		if !l.usable() {
-			l.shut()
+			l.close()
 		}
 	}
 }
 
-func (s *serial) release() {
-	s.moved()
+func (s *serialPool) release() {
+	s.addressChanged()
 	for len(s.queue) > 0 { // a link that comes up by now would still be given them
-		s.fleet.end(s.next(), policy.ConnectFailed)
+		s.fleet.endUnanswered(s.dequeue(), policy.ConnectFailed)
 	}
 }
 
-func (s *serial) empty() bool { return s.links == 0 && len(s.queue) == 0 }
+func (s *serialPool) empty() bool { return s.connCount == 0 && len(s.queue) == 0 }
 
-func (s *serial) rested() (float64, bool) {
+func (s *serialPool) idleSince() (float64, bool) {
 	if len(s.idle) == 0 {
 		return 0, false
 	}
-	return s.idle[0].since, true
+	return s.idle[0].idleSince, true
 }
 
-func (s *serial) retire() { s.idle[0].shut() }
+func (s *serialPool) closeOldestIdle() { s.idle[0].close() }
 
-func (s *serial) sweep(now float64) {
+func (s *serialPool) sweep(now float64) {
 	for _, l := range slices.Clone(s.idle) {
 		if l.stale(now) {
-			l.shut()
+			l.close()
 		}
 	}
-	s.open()
+	s.assignOrDial()
 }
 
 // stale tells whether the worker may be closing the link by now, by its own word; or whether it has rested
 // for longer than any may, as after a freeze of ours, before the sweep has seen it.
-func (l *server) stale(now float64) bool {
-	rest := now - l.since
-	return !l.dead && (l.kept && rest >= l.keep || rest > l.fleet.idleMost)
+func (l *workerConn) stale(now float64) bool {
+	rest := now - l.idleSince
+	return !l.isClosed && (l.hasKeepAlive && rest >= l.keepAliveMS || rest > l.fleet.maxIdleMS)
 }
 
 // take is an idle link that can be used, the one used last of them. It guards against
@@ -137,31 +137,31 @@
 // which something has come by then, be it bytes or its end, is closed. A link that has
 // carried the request before is left to others: a late second copy of the refusal that it
 // had there states the same id, and would prove that it never runs while it does.
-func (s *serial) take(x *gatekeeper.Execution, now float64) *server {
+func (s *serialPool) takeIdle(execution *gatekeeper.Execution, now float64) *workerConn {
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		if i >= len(s.idle) { // to close one may have had others taken
 			continue
 		}
-		l := s.idle[i]
-		if now-l.since < s.fleet.Settle || l.knows(x) {
+		conn := s.idle[i]
+		if now-conn.idleSince < s.fleet.Settle || conn.hasCarried(execution) {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
-		if !l.stale(now) && l.usable() && unheard(l.c) {
-			return l
+		if !conn.stale(now) && conn.usable() && noUnreadInput(conn.conn) {
+			return conn
 		}
-		l.shut()
+		conn.close()
 	}
 	return nil
 }
 
 // knows tells whether the link has carried an execution's request before.
-func (l *server) knows(x *gatekeeper.Execution) bool {
-	return slices.Contains(x.Request.Payload.(*Payload).on, l)
+func (l *workerConn) hasCarried(x *gatekeeper.Execution) bool {
+	return slices.Contains(x.Request.Payload.(*Payload).carriedBy, l)
 }
 
 // next is the execution that has waited longest.
-func (s *serial) next() *gatekeeper.Execution {
+func (s *serialPool) dequeue() *gatekeeper.Execution {
 	x := s.queue[0]
 	s.queue = slices.Delete(s.queue, 0, 1)
 	return x
@@ -171,71 +171,71 @@
 // others has one on its way, as far as the budget goes. It guards against itself: to
 // close a link that is not quiet calls it again, and two such links at once had it take
 // what the inner call had taken already.
-func (s *serial) open() {
-	if s.opening {
-		s.again = true
+func (s *serialPool) assignOrDial() {
+	if s.assigning {
+		s.assignAgain = true
 		return
 	}
-	s.opening = true
-	for s.again = true; s.again; {
-		s.again = false
-		s.serve()
+	s.assigning = true
+	for s.assignAgain = true; s.assignAgain; {
+		s.assignAgain = false
+		s.assignOnce()
 	}
-	s.opening = false
+	s.assigning = false
 }
 
-func (s *serial) serve() {
-	f := s.fleet
+func (s *serialPool) assignOnce() {
+	fleet := s.fleet
 	for i := 0; i < len(s.queue) && len(s.idle) > 0; {
-		x := s.queue[i]
-		l := s.take(x, f.clock.Now())
-		if l == nil {
+		execution := s.queue[i]
+		conn := s.takeIdle(execution, fleet.clock.Now())
+		if conn == nil {
 			i++
 			continue
 		}
-		s.queue = slices.DeleteFunc(s.queue, func(o *gatekeeper.Execution) bool { return o == x })
-		if !f.mayLeave(x) {
-			l.rest()
+		s.queue = slices.DeleteFunc(s.queue, func(o *gatekeeper.Execution) bool { return o == execution })
+		if !fleet.checkSend(execution) {
+			conn.makeIdle()
 			continue
 		}
-		l.start(x)
-	}
-	soon, now := 0, f.clock.Now()
-	settles := -1.0 // until the next link has rested
-	for _, l := range s.idle {
-		left := f.Settle - (now - l.since)
-		if left <= settleWait && !slices.ContainsFunc(s.queue, l.knows) {
-			soon++
+		conn.start(execution)
+	}
+	idleSoon, now := 0, fleet.clock.Now()
+	nextSettleMS := -1.0 // until the next link has rested
+	for _, conn := range s.idle {
+		left := fleet.Settle - (now - conn.idleSince)
+		if left <= settleWaitMS && !slices.ContainsFunc(s.queue, conn.hasCarried) {
+			idleSoon++
 		}
-		if left > 0 && settles < 0 {
-			settles = left
+		if left > 0 && nextSettleMS < 0 {
+			nextSettleMS = left
 		}
 	}
-	if len(s.queue) > 0 && settles >= 0 && !s.settling {
+	if len(s.queue) > 0 && nextSettleMS >= 0 && !s.settling {
 		s.settling = true
-		f.loop.after(settles, func() {
+		fleet.loop.afterMS(nextSettleMS, func() {
 			s.settling = false
-			s.open()
+			s.assignOrDial()
 		})
 	}
-	if len(s.queue) > 0 && f.PerWorker > 0 && s.links >= f.PerWorker {
-		if i := slices.IndexFunc(s.idle, func(l *server) bool { return l.knows(s.queue[0]) }); i >= 0 {
-			s.idle[i].shut() // for one that may carry it
+	if len(s.queue) > 0 && fleet.PerWorker > 0 && s.connCount >= fleet.PerWorker {
+		if i := slices.IndexFunc(s.idle, func(conn *workerConn) bool { return conn.hasCarried(s.queue[0]) }); i >= 0 {
+			s.idle[i].close() // for one that may carry it
 		}
 	}
-	for s.openings+soon < len(s.queue) && (f.PerWorker == 0 || s.links < f.PerWorker) && f.room() {
-		s.openings++
-		f.openings++
-		s.links++
-		f.links++
-		l := &server{fleet: f, set: s, addr: s.w.addr, born: now, parser: http1.Answers()}
-		l.parser.Flows, l.parser.Limits = true, f.Limits
-		f.loop.dial(s.w.addr, f.patience, l, l.failed)
+	for s.dialing+idleSoon < len(s.queue) && (fleet.PerWorker == 0 || s.connCount < fleet.PerWorker) && fleet.canDial() {
+		s.dialing++
+		fleet.dialing++
+		s.connCount++
+		fleet.connCount++
+		conn := &workerConn{fleet: fleet, pool: s, addr: s.worker.addr, dialedAt: now, parser: http1.Answers()}
+		conn.parser.Flows, conn.parser.Limits = true, fleet.Limits
+		fleet.loop.dial(s.worker.addr, fleet.dialTimeout, conn, conn.dialFailed)
 	}
 }
 
 // abandon implements holder for what waits for a link.
-func (s *serial) abandon(x *gatekeeper.Execution) (sent bool) {
+func (s *serialPool) abandon(x *gatekeeper.Execution) (sent bool) {
 	if i := slices.Index(s.queue, x); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
 	}
@@ -244,149 +244,149 @@
 
 // abandon implements holder. The link is closed, so the execution is no longer out when
 // this returns.
-func (l *server) abandon(x *gatekeeper.Execution) (sent bool) {
-	if l.x == x {
-		l.x = nil
-		sent = l.whole()
-		l.detach()
-		l.shut()
+func (l *workerConn) abandon(x *gatekeeper.Execution) (sent bool) {
+	if l.execution == x {
+		l.execution = nil
+		sent = l.fullySent()
+		l.detachUpload()
+		l.close()
 	}
 	return sent
 }
 
-func (l *server) opened(c conn) {
-	l.c = c
-	l.set.openings--
-	l.fleet.openings--
-	for l.usable() && len(l.set.queue) > 0 {
-		if x := l.set.next(); l.fleet.mayLeave(x) {
+func (l *workerConn) opened(c conn) {
+	l.conn = c
+	l.pool.dialing--
+	l.fleet.dialing--
+	for l.usable() && len(l.pool.queue) > 0 {
+		if x := l.pool.dequeue(); l.fleet.checkSend(x) {
 			l.start(x)
 			return
 		}
 	}
-	l.rest()
+	l.makeIdle()
 }
 
 // unheard tells whether nothing has come on a connection that has not been read yet.
-func unheard(c conn) bool {
+func noUnreadInput(c conn) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(c.Fd(), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
 // usable tells whether new executions may go out on the link.
-func (l *server) usable() bool { return !l.dead && l.set.w.takes(l.addr, l.born) }
+func (l *workerConn) usable() bool { return !l.isClosed && l.pool.worker.accepts(l.addr, l.dialedAt) }
 
 // failed reports a connection that did not come up.
-func (l *server) failed(error) {
-	f, s := l.fleet, l.set
-	s.openings--
-	f.openings--
-	l.ended()
-	if l.addr != s.w.addr { // that says nothing of where the worker listens now
-		s.open()
+func (l *workerConn) dialFailed(error) {
+	fleet, pool := l.fleet, l.pool
+	pool.dialing--
+	fleet.dialing--
+	l.uncount()
+	if l.addr != pool.worker.addr { // that says nothing of where the worker listens now
+		pool.assignOrDial()
 		return
 	}
-	if len(s.queue) > s.openings {
-		f.end(s.next(), policy.ConnectFailed)
+	if len(pool.queue) > pool.dialing {
+		fleet.endUnanswered(pool.dequeue(), policy.ConnectFailed)
 	}
 }
 
 // ended takes a link out of the counts.
-func (l *server) ended() {
-	l.dead = true
-	l.set.links--
-	l.fleet.links--
-	l.fleet.drop(l.set.w)
+func (l *workerConn) uncount() {
+	l.isClosed = true
+	l.pool.connCount--
+	l.fleet.connCount--
+	l.fleet.forget(l.pool.worker)
 }
 
 // rest keeps the link for a later execution, or ends it where there will be none.
-func (l *server) rest() {
+func (l *workerConn) makeIdle() {
 	if !l.usable() {
-		l.shut()
+		l.close()
 		return
 	}
-	l.since = l.fleet.clock.Now()
-	l.set.idle = append(l.set.idle, l)
-	l.set.open()
+	l.idleSince = l.fleet.clock.Now()
+	l.pool.idle = append(l.pool.idle, l)
+	l.pool.assignOrDial()
 }
 
 // start writes an execution.
-func (l *server) start(x *gatekeeper.Execution) {
+func (l *workerConn) start(execution *gatekeeper.Execution) {
 	l.parser.Reset()
-	l.x, x.Slot, l.headAt, l.up, l.shed = x, l, 0, nil, false
-	p := x.Request.Payload.(*Payload)
-	p.on = append(p.on, l)
-	l.carried++
-	l.parser.Bare = bytes.HasPrefix(p.Head, []byte("HEAD "))
-	flows := p.Up != nil
-	if flows {
-		p.Up.given = true
-		f, ok := l.fleet.loop.leave(l.c, l)
+	l.execution, execution.Slot, l.headReadAt, l.upload, l.bodyDropped = execution, l, 0, nil, false
+	payload := execution.Request.Payload.(*Payload)
+	payload.carriedBy = append(payload.carriedBy, l)
+	l.executions++
+	l.parser.Bare = bytes.HasPrefix(payload.Head, []byte("HEAD "))
+	streamed := payload.Up != nil
+	if streamed {
+		payload.Up.mayHaveSent = true
+		f, ok := l.fleet.loop.makePausable(l.conn, l)
 		if !ok {
-			l.shut()
+			l.close()
 			return
 		}
-		l.c = f
+		l.conn = f
 	}
-	out := l.fleet.message(l.fleet.out[:0], x, "", 0)
-	l.fleet.out = out
+	out := l.fleet.message(l.fleet.scratch[:0], execution, "", 0)
+	l.fleet.scratch = out
 	l.writing = true
-	_, _ = send(l.c, out) // a failed write closes the link
+	_, _ = send(l.conn, out) // a failed write closes the link
 	l.writing = false
 	switch {
-	case l.dead || l.x != x:
+	case l.isClosed || l.execution != execution:
 		return
-	case flows:
-		l.attach(p.Up)
+	case streamed:
+		l.beginUpload(payload.Up)
 	default:
-		l.wrote()
+		l.reportSent()
 	}
 	if l.fleet.Sent != nil {
-		l.fleet.Sent(x)
+		l.fleet.Sent(execution)
 	}
 }
 
 // message appends an execution as an HTTP/1.1 request. A turn is stated in the header
 // that echo names, unless that is empty.
-func (f *Fleet) message(out []byte, x *gatekeeper.Execution, echo string, turn uint64) []byte {
-	p := x.Request.Payload.(*Payload)
-	out = append(out, p.Head...)
-	if w := f.workers[x.Worker]; w != nil {
-		out = append(out, w.lines...)
+func (f *Fleet) message(out []byte, execution *gatekeeper.Execution, echo string, sequence uint64) []byte {
+	payload := execution.Request.Payload.(*Payload)
+	out = append(out, payload.Head...)
+	if w := f.workers[execution.Worker]; w != nil {
+		out = append(out, w.headerLines...)
 	}
 	if echo != "" {
 		out = append(append(out, echo...), ": "...)
-		out = append(strconv.AppendUint(out, turn, 10), "\r\n"...)
+		out = append(strconv.AppendUint(out, sequence, 10), "\r\n"...)
 	}
 	out = append(append(out, f.reader.Left()...), ": "...)
-	out = strconv.AppendInt(out, int64(max(x.Timeout, 1)), 10)
-	return append(append(out, "\r\n\r\n"...), p.Body...)
+	out = strconv.AppendInt(out, int64(max(execution.Timeout, 1)), 10)
+	return append(append(out, "\r\n\r\n"...), payload.Body...)
 }
 
-func (l *server) traffic(b []byte) {
-	for !l.dead {
-		if l.x == nil && l.down == nil { // nothing was asked
-			l.shut()
+func (l *workerConn) traffic(b []byte) {
+	for !l.isClosed {
+		if l.execution == nil && l.client == nil { // nothing was asked
+			l.close()
 			return
 		}
 		n, done, err := l.parser.Feed(b)
 		b = b[n:]
 		switch {
-		case l.dead:
+		case l.isClosed:
 		case err != nil:
-			l.shut()
-		case done && l.skips():
+			l.close()
+		case done && l.skipResponse():
 		case done:
-			l.answered(len(b) > 0)
+			l.responseRead(len(b) > 0)
 			return
-		case l.x != nil && l.parser.Started():
-			l.heard = l.fleet.clock.Now()
-			if l.part != l.x {
-				l.part = l.x
-				l.hurry()
+		case l.execution != nil && l.parser.Started():
+			l.lastPartAt = l.fleet.clock.Now()
+			if l.partialOf != l.execution {
+				l.partialOf = l.execution
+				l.checkPartial()
 			}
-			l.consider()
+			l.streamResponse()
 		}
 		if len(b) == 0 {
 			return
@@ -396,144 +396,144 @@
 
 // hurry ends the link where an answer has begun and nothing more comes: a spoilt one
 // may claim more bytes than it has, and would be waited for as long as the client waits.
-func (l *server) hurry() {
-	if l.dead || l.x == nil || l.part != l.x {
+func (l *workerConn) checkPartial() {
+	if l.isClosed || l.execution == nil || l.partialOf != l.execution {
 		return
 	}
-	left := l.heard + l.fleet.PartMost - l.fleet.clock.Now()
+	left := l.lastPartAt + l.fleet.PartMost - l.fleet.clock.Now()
 	if left <= 0 {
-		l.shut()
+		l.close()
 		return
 	}
-	l.fleet.loop.after(left, l.hurry)
+	l.fleet.loop.afterMS(left, l.checkPartial)
 }
 
 // skips passes over a whole answer that is not the one due: it states another request's id,
 // so the one due is still to come, and the link ends behind that. An answer that states
 // none at all may be anyone's, and ends the link at once. It guards against a worker's
 // late extra answer going to the client of another request.
-func (l *server) skips() bool {
-	if l.x == nil {
+func (l *workerConn) skipResponse() bool {
+	if l.execution == nil {
 		return false
 	}
-	mine, other := l.fleet.mine(l, l.x, l.parser.Message())
+	mine, other := l.fleet.matches(l, l.execution, l.parser.Message())
 	if mine {
 		return false
 	}
-	if l.skipped++; !other || l.skipped > skipMost {
-		l.shut()
+	if l.skipped++; !other || l.skipped > maxSkippedResponses {
+		l.close()
 		return true
 	}
 	l.parser.Reset()
-	l.cut, l.part, l.headAt = true, nil, 0
+	l.mustClose, l.partialOf, l.headReadAt = true, nil, 0
 	return true
 }
 
-func (l *server) answered(more bool) {
-	if l.down != nil {
-		more = more || l.cut || l.parser.Message().Close
-		l.keeps(l.parser.Message())
-		l.passed(true)
-		if l.dead {
+func (l *workerConn) responseRead(mustClose bool) {
+	if l.client != nil {
+		mustClose = mustClose || l.mustClose || l.parser.Message().Close
+		l.readKeepAlive(l.parser.Message())
+		l.endResponse(true)
+		if l.isClosed {
 			return
 		}
-		if more {
-			l.shut()
+		if mustClose {
+			l.close()
 		} else {
-			l.rest()
+			l.makeIdle()
 		}
 		return
 	}
-	x := l.x
-	more = more || l.cut || !l.whole()
-	l.detach()
-	l.up = nil
-	l.x, l.part, x.Slot = nil, nil, nil
+	execution := l.execution
+	mustClose = mustClose || l.mustClose || !l.fullySent()
+	l.detachUpload()
+	l.upload = nil
+	l.execution, l.partialOf, execution.Slot = nil, nil, nil
 	m := l.parser.Message()
-	o := l.outcome(m)
-	l.keeps(m)
-	if m.Close || more {
-		l.shut()
+	outcome := l.outcome(m)
+	l.readKeepAlive(m)
+	if m.Close || mustClose {
+		l.close()
 	} else { // The body holds until the next bytes come in.
-		l.rest()
+		l.makeIdle()
 	}
-	l.fleet.core.Done(x, o)
+	l.fleet.core.Done(execution, outcome)
 }
 
 // ending takes an answer that is whole because its connection has properly ended.
-func (l *server) ending(m *http1.Message) {
-	x := l.x
-	l.x = nil
-	l.ended()
+func (l *workerConn) endByClose(message *http1.Message) {
+	execution := l.execution
+	l.execution = nil
+	l.uncount()
 	mine := true
-	if x != nil {
-		mine, _ = l.fleet.mine(l, x, m)
+	if execution != nil {
+		mine, _ = l.fleet.matches(l, execution, message)
 	}
 	switch {
-	case x == nil:
-		l.passed(true)
+	case execution == nil:
+		l.endResponse(true)
 	case !mine:
-		l.fleet.end(x, policy.Reset)
+		l.fleet.endUnanswered(execution, policy.Reset)
 	default:
-		x.Slot = nil
-		l.fleet.core.Done(x, l.outcome(m))
+		execution.Slot = nil
+		l.fleet.core.Done(execution, l.outcome(message))
 	}
-	l.set.open()
+	l.pool.assignOrDial()
 }
 
 // outcome reads an answer. A failure whose body is not there is not one to be passed on.
-func (l *server) outcome(m *http1.Message) gatekeeper.Outcome {
+func (l *workerConn) outcome(m *http1.Message) gatekeeper.Outcome {
 	o := l.fleet.reader.Outcome(m)
-	if l.shed {
+	if l.bodyDropped {
 		o.Answer = gatekeeper.Answer{}
 	}
 	return o
 }
 
 // keeps takes note of how long the worker lets the link rest, in whole seconds.
-func (l *server) keeps(m *http1.Message) {
-	if l.kept = false; !l.fleet.KeepAlive {
+func (l *workerConn) readKeepAlive(m *http1.Message) {
+	if l.hasKeepAlive = false; !l.fleet.KeepAlive {
 		return
 	}
 	for v := range bytes.SplitSeq(m.Get("Keep-Alive"), []byte{','}) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(v), []byte{'='})
 		n, err := strconv.ParseUint(string(value), 10, 20)
 		if err == nil && bytes.EqualFold(name, []byte("timeout")) {
-			l.kept, l.keep = true, float64(n)*1000*keepPart
+			l.hasKeepAlive, l.keepAliveMS = true, float64(n)*1000*keepAliveFraction
 		}
 	}
 }
 
-func (l *server) shut() {
-	if !l.dead {
-		l.fleet.loop.shut(l.c)
+func (l *workerConn) close() {
+	if !l.isClosed {
+		l.fleet.loop.closeConn(l.conn)
 	}
 }
 
-func (l *server) closed(err error) {
-	if (l.x != nil || l.down != nil) && errors.Is(err, io.EOF) && l.parser.End() {
-		l.ending(l.parser.Message())
+func (l *workerConn) closed(err error) {
+	if (l.execution != nil || l.client != nil) && errors.Is(err, io.EOF) && l.parser.End() {
+		l.endByClose(l.parser.Message())
 		return
 	}
-	x := l.x
-	if i := slices.Index(l.set.idle, l); i >= 0 {
-		l.set.idle = slices.Delete(l.set.idle, i, i+1)
+	execution := l.execution
+	if i := slices.Index(l.pool.idle, l); i >= 0 {
+		l.pool.idle = slices.Delete(l.pool.idle, i, i+1)
 	}
-	left := l.writing || !l.whole() // its last byte never left
-	l.detach()
-	cutOff(l.c)
-	l.ended()
-	if l.down != nil {
-		l.passed(false)
+	unsent := l.writing || !l.fullySent()
+	l.detachUpload()
+	discardUnsent(l.conn)
+	l.uncount()
+	if l.client != nil {
+		l.endResponse(false)
 	}
-	l.set.open()
-	if x == nil {
+	l.pool.assignOrDial()
+	if execution == nil {
 		return
 	}
-	l.x = nil
-	st := policy.Reset
-	if left {
-		st = policy.ConnectFailed
+	l.execution = nil
+	status := policy.Reset
+	if unsent {
+		status = policy.ConnectFailed
 	}
-	l.fleet.end(x, st)
+	l.fleet.endUnanswered(execution, status)
 }
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -55,26 +55,26 @@
 
 // What holds where an operator's file does not say.
 const (
-	defaultLineDepth = 4
-	defaultStreams   = 64
-	defaultLinks     = 8
-	defaultMuxLinks  = 2
-	defaultGather    = 0.0
-	defaultEcho      = "X-Link-Turn"
-	defaultPath      = "/batch"
-	gatherMost       = 20.0
-	depthMost        = 1 << 10
+	defaultPipelineDepth = 4
+	defaultStreams       = 64
+	defaultPipelineConns = 8
+	defaultMuxConns      = 2
+	defaultGatherMS      = 0.0
+	defaultEcho          = "X-Link-Turn"
+	defaultPath          = "/batch"
+	maxGatherMS          = 20.0
+	maxDepth             = 1 << 10
 )
 
 // Check tells what is wrong with a transport, and names the first such.
 func (t Transport) Check() error {
 	switch {
-	case t.Depth < 0 || t.Depth > depthMost:
-		return fmt.Errorf("depth %d is not from 1 to %d", t.Depth, depthMost)
+	case t.Depth < 0 || t.Depth > maxDepth:
+		return fmt.Errorf("depth %d is not from 1 to %d", t.Depth, maxDepth)
 	case t.Links < 0:
 		return fmt.Errorf("links %d is below 1", t.Links)
-	case t.Gather < 0 || t.Gather > gatherMost:
-		return fmt.Errorf("gather_ms %g is not from 0 to %g", t.Gather, gatherMost)
+	case t.Gather < 0 || t.Gather > maxGatherMS:
+		return fmt.Errorf("gather_ms %g is not from 0 to %g", t.Gather, maxGatherMS)
 	case t.Echo != "" && t.Carrier != Pipeline:
 		return errors.New("echo belongs to the transport pipeline")
 	case (t.Gather != 0 || t.Path != "") && t.Carrier != Batch:
@@ -88,10 +88,10 @@
 }
 
 // filled is the transport with its defaults.
-func (t Transport) filled() Transport {
-	depth, links := defaultStreams, defaultMuxLinks
+func (t Transport) withDefaults() Transport {
+	depth, links := defaultStreams, defaultMuxConns
 	if t.Carrier == Pipeline {
-		depth, links = defaultLineDepth, defaultLinks
+		depth, links = defaultPipelineDepth, defaultPipelineConns
 	}
 	if t.Depth == 0 {
 		t.Depth = depth
@@ -100,7 +100,7 @@
 		t.Links = links
 	}
 	if t.Gather == 0 {
-		t.Gather = defaultGather
+		t.Gather = defaultGatherMS
 	}
 	if t.Echo == "" {
 		t.Echo = defaultEcho
--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	watchSilent  = 6000.0 // milliseconds: three of the lines that say nothing
-	watchAgain   = 200 * time.Millisecond
-	watchPatient = time.Second // for a connection to come up
-	lineMost     = 4 << 20
+	watchSilenceMS    = 6000.0 // milliseconds: three of the lines that say nothing
+	watchRetryDelay   = 200 * time.Millisecond
+	watchDialTimeout  = time.Second // for a connection to come up
+	maxWatchLineBytes = 4 << 20
 )
 
 // Watch keeps a watch on the host group open. After a break it asks anew, from
@@ -25,21 +25,21 @@
 	addr  string
 	path  func() string
 	line  func([]byte) error
-	open  *watchLink
+	conn  *watchConn
 
 	broken bool
-	asking bool // a link is open, being opened or soon to be
+	active bool // a link is open, being opened or soon to be
 }
 
-type watchLink struct {
-	w      *Watch
-	addr   string
-	c      conn
-	parser *http1.Parser
-	line   []byte
-	last   float64
-	err    error
-	dead   bool
+type watchConn struct {
+	watch      *Watch
+	addr       string
+	conn       conn
+	parser     *http1.Parser
+	line       []byte
+	lastReadAt float64
+	err        error
+	isClosed   bool
 }
 
 // NewWatch makes a watch. The path names what is asked for; every line that is
@@ -56,39 +56,39 @@
 	}
 	w.addr = addr
 	switch {
-	case w.open != nil:
-		w.loop.shut(w.open.c)
-	case !w.asking:
+	case w.conn != nil:
+		w.loop.closeConn(w.conn.conn)
+	case !w.active:
 		w.Start()
 	}
 }
 
 // Start opens the watch.
 func (w *Watch) Start() {
-	w.asking = true
-	l := &watchLink{w: w, addr: w.addr, parser: http1.Answers()}
-	l.parser.Piece = l.piece
-	w.loop.dial(w.addr, watchPatient, l, l.closed)
+	w.active = true
+	l := &watchConn{watch: w, addr: w.addr, parser: http1.Answers()}
+	l.parser.Piece = l.bodyPiece
+	w.loop.dial(w.addr, watchDialTimeout, l, l.closed)
 }
 
 // Sweep breaks a watch that has fallen silent.
 func (w *Watch) Sweep() {
-	if l := w.open; l != nil && w.clock.Now()-l.last > watchSilent {
-		w.loop.shut(l.c)
+	if l := w.conn; l != nil && w.clock.Now()-l.lastReadAt > watchSilenceMS {
+		w.loop.closeConn(l.conn)
 	}
 }
 
-func (l *watchLink) opened(c conn) {
-	l.c, l.last, l.w.open = c, l.w.clock.Now(), l
-	if l.addr != l.w.addr { // the watch moved meanwhile
-		l.w.loop.shut(c)
+func (l *watchConn) opened(c conn) {
+	l.conn, l.lastReadAt, l.watch.conn = c, l.watch.clock.Now(), l
+	if l.addr != l.watch.addr { // the watch moved meanwhile
+		l.watch.loop.closeConn(c)
 		return
 	}
-	_, _ = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", l.w.path(), l.w.addr)
+	_, _ = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", l.watch.path(), l.watch.addr)
 }
 
-func (l *watchLink) traffic(b []byte) {
-	l.last = l.w.clock.Now()
+func (l *watchConn) traffic(b []byte) {
+	l.lastReadAt = l.watch.clock.Now()
 	_, done, err := l.parser.Feed(b)
 	switch {
 	case l.err == nil && err != nil:
@@ -96,12 +96,12 @@
 	case done && l.err == nil:
 		l.err = fmt.Errorf("the watch ended with status %d", l.parser.Message().Status)
 	}
-	if l.err != nil && !l.dead {
-		l.w.loop.shut(l.c)
+	if l.err != nil && !l.isClosed {
+		l.watch.loop.closeConn(l.conn)
 	}
 }
 
-func (l *watchLink) piece(b []byte) {
+func (l *watchConn) bodyPiece(b []byte) {
 	if l.err != nil {
 		return
 	}
@@ -112,41 +112,41 @@
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			if l.line = append(l.line, b...); len(l.line) > lineMost {
-				l.err = fmt.Errorf("a line of the watch is longer than %d bytes", lineMost)
+			if l.line = append(l.line, b...); len(l.line) > maxWatchLineBytes {
+				l.err = fmt.Errorf("a line of the watch is longer than %d bytes", maxWatchLineBytes)
 			}
 			return
 		}
 		l.line = append(l.line, b[:i]...)
 		b = b[i+1:]
 		if line := bytes.TrimSpace(l.line); len(line) > 0 {
-			if l.err = l.w.line(line); l.err != nil {
+			if l.err = l.watch.line(line); l.err != nil {
 				return
 			}
-			l.w.broken = false
+			l.watch.broken = false
 		}
 		l.line = l.line[:0]
 	}
 }
 
-func (l *watchLink) closed(err error) {
-	l.dead = true
-	if l.w.open == l {
-		l.w.open = nil
+func (l *watchConn) closed(err error) {
+	l.isClosed = true
+	if l.watch.conn == l {
+		l.watch.conn = nil
 	}
 	if l.err != nil {
 		err = l.err
 	}
-	if l.w.loop.stopped.Load() {
+	if l.watch.loop.stopped.Load() {
 		return
 	}
-	if l.addr != l.w.addr {
-		l.w.Start()
+	if l.addr != l.watch.addr {
+		l.watch.Start()
 		return
 	}
-	if !l.w.broken { // told once, until it works again
-		l.w.broken = true
+	if !l.watch.broken { // told once, until it works again
+		l.watch.broken = true
 		slog.Warn("discovery: watch broken, asking again", "error", err)
 	}
-	time.AfterFunc(watchAgain, func() { l.w.loop.Post(l.w.Start) })
+	time.AfterFunc(watchRetryDelay, func() { l.watch.loop.Post(l.watch.Start) })
 }
