--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -79,11 +79,11 @@
 
 func (p *fakeServer) open(body string) *Stream {
 	p.t.Helper()
-	id := p.session.nextID
+	streamID := p.session.nextID
 	if err := p.session.Open(nil, []byte(requestHead), []byte("X-Expires-In-Ms: 900\r\n"), []byte(body)); err != nil {
 		p.t.Fatal(err)
 	}
-	return p.session.streams[id]
+	return p.session.streams[streamID]
 }
 
 // headers writes a header block, in pieces of so many bytes, 0 for one.
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -84,13 +84,13 @@
 	}
 	s.source.Reset(b[:frameHeaderBytes+length])
 	frame, err := s.framer.ReadFrame()
-	var stream http2.StreamError
+	var streamErr http2.StreamError
 	switch {
-	case errors.As(err, &stream) && kind == http2.FrameHeaders: // its block would be missing from the table
-		return 0, connError(stream.Code, "a broken HEADERS frame")
-	case errors.As(err, &stream):
-		if st := s.streams[stream.StreamID]; st != nil {
-			s.failStream(st, stream.Code)
+	case errors.As(err, &streamErr) && kind == http2.FrameHeaders: // its block would be missing from the table
+		return 0, connError(streamErr.Code, "a broken HEADERS frame")
+	case errors.As(err, &streamErr):
+		if st := s.streams[streamErr.StreamID]; st != nil {
+			s.failStream(st, streamErr.Code)
 		}
 		return frameHeaderBytes + length, s.countUnproductive()
 	case err != nil:
--- a/internal/h2/session.go
+++ b/internal/h2/session.go
@@ -234,21 +234,21 @@
 
 // Cancel gives a stream up (RFC 9113, section 5.4.2, with CANCEL): the peer is told, and
 // the connection goes on.
-func (s *Session) Cancel(st *Stream) {
-	if s.streams[st.ID] == st {
-		s.resetStream(st, http2.ErrCodeCancel)
+func (s *Session) Cancel(stream *Stream) {
+	if s.streams[stream.ID] == stream {
+		s.resetStream(stream, http2.ErrCodeCancel)
 	}
 }
 
-func (s *Session) resetStream(st *Stream, code http2.ErrCode) {
-	delete(s.streams, st.ID)
-	s.noteWriteError(s.framer.WriteRSTStream(st.ID, code))
+func (s *Session) resetStream(stream *Stream, code http2.ErrCode) {
+	delete(s.streams, stream.ID)
+	s.noteWriteError(s.framer.WriteRSTStream(stream.ID, code))
 }
 
 // spoil resets a stream of which something came that may not.
-func (s *Session) failStream(st *Stream, code http2.ErrCode) {
-	s.resetStream(st, code)
-	s.handler.Ended(st, Spoilt)
+func (s *Session) failStream(stream *Stream, code http2.ErrCode) {
+	s.resetStream(stream, code)
+	s.handler.Ended(stream, Spoilt)
 }
 
 // Ping asks the peer for a sign of life (RFC 9113, section 6.7).
--- a/internal/lanes/lanes.go
+++ b/internal/lanes/lanes.go
@@ -42,8 +42,8 @@
 
 // Table holds the learned times of every class.
 type Table struct {
-	terms func(class int) Terms
-	times []classTimes
+	terms   func(class int) Terms
+	classes []classTimes
 }
 
 // NewTable makes a table of classes whose terms are asked for as they are needed: they
@@ -56,10 +56,10 @@
 	if class < 0 || !(ms >= 0) || math.IsInf(ms, 0) {
 		return
 	}
-	for len(t.times) <= class {
-		t.times = append(t.times, classTimes{})
+	for len(t.classes) <= class {
+		t.classes = append(t.classes, classTimes{})
 	}
-	learned := &t.times[class]
+	learned := &t.classes[class]
 	if learned.samples++; learned.samples == 1 {
 		learned.mean, learned.deviation = ms, ms/2
 		return
@@ -70,10 +70,10 @@
 
 // Expect is the milliseconds that a request of a class is expected to take at most.
 func (t *Table) Expect(class int) float64 {
-	if class < 0 || class >= len(t.times) || t.times[class].samples < minSamples {
+	if class < 0 || class >= len(t.classes) || t.classes[class].samples < minSamples {
 		return t.terms(class).Aim
 	}
-	return t.times[class].mean + deviationFactor*t.times[class].deviation
+	return t.classes[class].mean + deviationFactor*t.classes[class].deviation
 }
 
 // Entry is one request on a line.
@@ -91,9 +91,9 @@
 // Wait is the milliseconds until a line is expected to have answered all it holds. A
 // request that has taken longer than expected is expected to take as long again: the
 // longer one of a heavy tail has taken, the longer it will.
-func (t *Table) Wait(now float64, entries []Entry) float64 {
+func (t *Table) Wait(now float64, pending []Entry) float64 {
 	sum := 0.0
-	for i, e := range entries {
+	for i, e := range pending {
 		remaining := t.Expect(e.Class)
 		if i == 0 {
 			if elapsed := now - e.Since; elapsed > remaining {
@@ -121,19 +121,19 @@
 // share, be it the request or one on the line, has its link to itself. A request that
 // bears no line gets a link beyond the room as well, as its tail must not pay for
 // connections saved: overflow tells that it may.
-func (t *Table) Choose(now float64, class int, lines []Line, room, overflow bool) Choice {
+func (t *Table) Choose(now float64, class int, pipelines []Line, room, overflow bool) Choice {
 	best, shortest := Nobody, math.Inf(1)
 	terms := t.terms(class)
 	maxWait := terms.Aim * maxWaitFraction
-	for i := range lines {
-		line := &lines[i]
-		if len(line.Entries) == 0 && line.Most > 0 {
+	for i := range pipelines {
+		pipeline := &pipelines[i]
+		if len(pipeline.Entries) == 0 && pipeline.Most > 0 {
 			return Choice(i)
 		}
-		if !terms.Share || len(line.Entries) >= line.Most || !t.allMayShare(line.Entries) {
+		if !terms.Share || len(pipeline.Entries) >= pipeline.Most || !t.allMayShare(pipeline.Entries) {
 			continue
 		}
-		if wait := t.Wait(now, line.Entries); wait <= maxWait && wait < shortest {
+		if wait := t.Wait(now, pipeline.Entries); wait <= maxWait && wait < shortest {
 			best, shortest = Choice(i), wait
 		}
 	}
@@ -143,8 +143,8 @@
 	return best
 }
 
-func (t *Table) allMayShare(entries []Entry) bool {
-	for _, e := range entries {
+func (t *Table) allMayShare(pending []Entry) bool {
+	for _, e := range pending {
 		if !t.terms(e.Class).Share {
 			return false
 		}
--- a/internal/lanes/lanes_test.go
+++ b/internal/lanes/lanes_test.go
@@ -22,7 +22,7 @@
 }
 
 // learned is a table that has seen each class take so many milliseconds.
-func newTrainedTable(ms ...float64) *Table {
+func newTrainedEstimator(ms ...float64) *Table {
 	t := NewTable(testTerms)
 	for class, m := range ms {
 		for range 50 {
@@ -32,7 +32,7 @@
 	return t
 }
 
-func newLine(most int, classes ...int) Line {
+func newPipeline(most int, classes ...int) Line {
 	l := Line{Most: most}
 	for _, c := range classes {
 		l.Entries = append(l.Entries, Entry{Class: c})
@@ -41,7 +41,7 @@
 }
 
 func TestChooseLine(t *testing.T) {
-	short := newTrainedTable(4, 2000, 4)
+	short := newTrainedEstimator(4, 2000, 4)
 	for name, tc := range map[string]struct {
 		table          *Table
 		class          int
@@ -49,17 +49,17 @@
 		room, overflow bool
 		want           Choice
 	}{
-		"an empty line first":                   {short, quote, []Line{newLine(4, quote), newLine(4)}, true, true, 1},
-		"then a link of its own":                {short, quote, []Line{newLine(4, quote)}, true, true, Open},
-		"then the shortest wait":                {short, quote, []Line{newLine(4, quote, quote), newLine(4, quote)}, false, true, 1},
-		"never behind a slow one":               {short, quote, []Line{newLine(4, simulation)}, false, true, Open},
-		"nor where no link can be had":          {short, quote, []Line{newLine(4, simulation)}, false, false, Nobody},
-		"the slow one may stand behind a quick": {short, simulation, []Line{newLine(4, quote)}, false, true, 0},
-		"a full line takes nobody":              {short, quote, []Line{newLine(2, quote, quote)}, false, true, Open},
-		"one that bears no break stands alone":  {short, unsafe, []Line{newLine(4, quote)}, false, true, Open},
-		"and nobody stands behind it":           {short, quote, []Line{newLine(4, unsafe)}, false, true, Open},
-		"unknown times are not trusted":         {NewTable(testTerms), quote, []Line{newLine(4, quote)}, false, true, Open},
-		"a line of too many quick ones":         {newTrainedTable(8), quote, []Line{newLine(9, quote, quote, quote)}, false, true, Open},
+		"an empty line first":                   {short, quote, []Line{newPipeline(4, quote), newPipeline(4)}, true, true, 1},
+		"then a link of its own":                {short, quote, []Line{newPipeline(4, quote)}, true, true, Open},
+		"then the shortest wait":                {short, quote, []Line{newPipeline(4, quote, quote), newPipeline(4, quote)}, false, true, 1},
+		"never behind a slow one":               {short, quote, []Line{newPipeline(4, simulation)}, false, true, Open},
+		"nor where no link can be had":          {short, quote, []Line{newPipeline(4, simulation)}, false, false, Nobody},
+		"the slow one may stand behind a quick": {short, simulation, []Line{newPipeline(4, quote)}, false, true, 0},
+		"a full line takes nobody":              {short, quote, []Line{newPipeline(2, quote, quote)}, false, true, Open},
+		"one that bears no break stands alone":  {short, unsafe, []Line{newPipeline(4, quote)}, false, true, Open},
+		"and nobody stands behind it":           {short, quote, []Line{newPipeline(4, unsafe)}, false, true, Open},
+		"unknown times are not trusted":         {NewTable(testTerms), quote, []Line{newPipeline(4, quote)}, false, true, Open},
+		"a line of too many quick ones":         {newTrainedEstimator(8), quote, []Line{newPipeline(9, quote, quote, quote)}, false, true, Open},
 		"no line at all":                        {short, quote, nil, false, false, Nobody},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -73,15 +73,15 @@
 // TestOverdueRequestDoublesExpectedTime guards against lining up behind the long one
 // of a heavy tail, of whose time the mean says nothing.
 func TestOverdueRequestDoublesExpectedTime(t *testing.T) {
-	table := newTrainedTable(4)
-	entries := []Entry{{Class: quote, Since: 0}}
-	if w := table.Wait(1, entries); w > 4 {
+	estimator := newTrainedEstimator(4)
+	pending := []Entry{{Class: quote, Since: 0}}
+	if w := estimator.Wait(1, pending); w > 4 {
 		t.Errorf("1 ms into one of 4: %g ms", w)
 	}
-	if w := table.Wait(300, entries); w < 300 {
+	if w := estimator.Wait(300, pending); w < 300 {
 		t.Errorf("300 ms into one of 4: %g ms", w)
 	}
-	if got := table.Choose(300, quote, []Line{{Entries: entries, Most: 4}}, false, true); got != Open {
+	if got := estimator.Choose(300, quote, []Line{{Entries: pending, Most: 4}}, false, true); got != Open {
 		t.Errorf("stands behind it: %d", got)
 	}
 }
@@ -89,21 +89,21 @@
 // TestVaryingClassHasLongExpectedTime: the mean alone would let others stand behind
 // a class of which every tenth takes 100 ms.
 func TestVaryingClassHasLongExpectedTime(t *testing.T) {
-	table := NewTable(testTerms)
+	estimator := NewTable(testTerms)
 	for i := range 200 {
 		ms := 2.0
 		if i%10 == 0 {
 			ms = 100
 		}
-		table.Learn(quote, ms)
+		estimator.Learn(quote, ms)
 	}
-	if got := table.Expect(quote); got < 40 {
+	if got := estimator.Expect(quote); got < 40 {
 		t.Errorf("expected to take %g ms", got)
 	}
 }
 
 func TestGatherStaysWithinSlack(t *testing.T) {
-	table := newTrainedTable(4, 740)
+	estimator := newTrainedEstimator(4, 740)
 	for name, tc := range map[string]struct {
 		class            int
 		most, left, want float64
@@ -114,7 +114,7 @@
 		"none left":                 {quote, 20, 3, 0},
 		"a class that has no slack": {simulation, 20, 740, 0},
 	} {
-		if got := table.Gather(tc.class, tc.most, tc.left); math.Abs(got-tc.want) > 0.05 {
+		if got := estimator.Gather(tc.class, tc.most, tc.left); math.Abs(got-tc.want) > 0.05 {
 			t.Errorf("%s: %g ms, want %g", name, got, tc.want)
 		}
 	}
@@ -124,33 +124,33 @@
 // lines.
 func TestChosenLineObeysRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := NewTable(testTerms)
+		estimator := NewTable(testTerms)
 		for range rapid.IntRange(0, 60).Draw(t, "answers") {
-			table.Learn(rapid.IntRange(0, 2).Draw(t, "of"), rapid.Float64Range(0, 3000).Draw(t, "ms"))
+			estimator.Learn(rapid.IntRange(0, 2).Draw(t, "of"), rapid.Float64Range(0, 3000).Draw(t, "ms"))
 		}
 		now := rapid.Float64Range(0, 5000).Draw(t, "now")
-		lines := make([]Line, rapid.IntRange(0, 4).Draw(t, "lines"))
-		for i := range lines {
-			lines[i].Most = rapid.IntRange(0, 4).Draw(t, "most")
-			for range rapid.IntRange(0, lines[i].Most).Draw(t, "length") {
-				lines[i].Entries = append(lines[i].Entries, Entry{Class: rapid.IntRange(0, 2).Draw(t, "class"), Since: rapid.Float64Range(0, now).Draw(t, "since")})
+		pipelines := make([]Line, rapid.IntRange(0, 4).Draw(t, "lines"))
+		for i := range pipelines {
+			pipelines[i].Most = rapid.IntRange(0, 4).Draw(t, "most")
+			for range rapid.IntRange(0, pipelines[i].Most).Draw(t, "length") {
+				pipelines[i].Entries = append(pipelines[i].Entries, Entry{Class: rapid.IntRange(0, 2).Draw(t, "class"), Since: rapid.Float64Range(0, now).Draw(t, "since")})
 			}
 		}
 		class := rapid.IntRange(0, 2).Draw(t, "class")
-		choice := table.Choose(now, class, lines, rapid.Bool().Draw(t, "room"), rapid.Bool().Draw(t, "overflow"))
+		choice := estimator.Choose(now, class, pipelines, rapid.Bool().Draw(t, "room"), rapid.Bool().Draw(t, "overflow"))
 		if choice < 0 {
 			return
 		}
-		line := lines[choice]
-		if len(line.Entries) >= line.Most {
+		pipeline := pipelines[choice]
+		if len(pipeline.Entries) >= pipeline.Most {
 			t.Fatal("a full line")
 		}
-		for _, e := range line.Entries {
+		for _, e := range pipeline.Entries {
 			if !testTerms(e.Class).Share || !testTerms(class).Share {
 				t.Fatal("shared with one that must not")
 			}
 		}
-		if w := table.Wait(now, line.Entries); w > maxWaitFraction*testTerms(class).Aim {
+		if w := estimator.Wait(now, pipeline.Entries); w > maxWaitFraction*testTerms(class).Aim {
 			t.Fatalf("a wait of %g ms", w)
 		}
 	})
--- a/internal/link/batch.go
+++ b/internal/link/batch.go
@@ -76,7 +76,7 @@
 	if s.inFlight() == 0 { // the silence before was nobody's
 		s.lastReadAt = now
 	}
-	due := now + fleet.laneTable.Gather(execution.Request.Class, fleet.transport.Gather, execution.Timeout)
+	due := now + fleet.estimator.Gather(execution.Request.Class, fleet.transport.Gather, execution.Timeout)
 	if len(s.waiting) == 0 || due < s.dueAt {
 		s.dueAt = due
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	execution.Slot = nil
-	fleet.laneTable.Learn(execution.Request.Class, took)
+	fleet.estimator.Learn(execution.Request.Class, took)
 	fleet.core.Done(execution, fleet.reader.Outcome(s.itemParser.Message()))
 }
 
--- a/internal/link/discard_unsent_test.go
+++ b/internal/link/discard_unsent_test.go
@@ -14,8 +14,8 @@
 // so proved to have never run, would yet arrive whole.
 func TestNoBytesSentAfterConnectionCloses(t *testing.T) {
 	const body = 8 << 20 // more than the kernel takes
-	for _, carrier := range []Carrier{OneAtATime, Pipeline} {
-		t.Run(carrier.String(), func(t *testing.T) {
+	for _, protocol := range []Carrier{OneAtATime, Pipeline} {
+		t.Run(protocol.String(), func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -32,7 +32,7 @@
 			}()
 			clock := gatekeeper.NewClock()
 			w := newWorld(Transport{}) // only to be told of ends
-			fleet := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: carrier})
+			fleet := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: protocol})
 			fleet.Attach(w)
 			execution := newExecution(1, 0, body)
 			loop.Post(func() { fleet.Place(1, listener.Addr().String(), 0); fleet.Execute(execution) })
--- a/internal/link/fake_worker_test.go
+++ b/internal/link/fake_worker_test.go
@@ -74,9 +74,9 @@
 func (w *world) Finish(*gatekeeper.Request, gatekeeper.End)      {}
 func (w *world) Gone(*gatekeeper.Request)                        {}
 
-func (w *world) Done(x *gatekeeper.Execution, o gatekeeper.Outcome) {
+func (w *world) Done(execution *gatekeeper.Execution, o gatekeeper.Outcome) {
 	o.Answer.Body = bytes.Clone(o.Answer.Body)
-	w.outcomes[x] = append(w.outcomes[x], o)
+	w.outcomes[execution] = append(w.outcomes[execution], o)
 }
 
 // turn ends a turn of the loop.
@@ -192,8 +192,8 @@
 	}
 }
 
-func newModel(carrier Carrier) model {
-	switch carrier {
+func newModel(protocol Carrier) model {
+	switch protocol {
 	case HTTP2:
 		m := &http2Model{modelState: newModelState(), bodies: map[uint32]string{}, maxID: 1 << 31}
 		m.framer = http2.NewFramer(nil, &m.in)
--- a/internal/link/fleet.go
+++ b/internal/link/fleet.go
@@ -71,7 +71,7 @@
 	reader      Reader
 	clock       *gatekeeper.Clock
 	transport   Transport
-	laneTable   *lanes.Table
+	estimator   *lanes.Table
 	workers     map[policy.Server]*workerRecord
 	dialTimeout time.Duration // for a connection to come up
 	maxIdleMS   float64       // milliseconds that a link may rest
@@ -122,7 +122,7 @@
 		dialTimeout: time.Duration(connectMost * float64(time.Millisecond)), maxIdleMS: idleMost,
 		PartMost: maxPartialMS, Settle: settleMS}
 	f.matcher, _ = r.(Matcher)
-	f.laneTable = lanes.NewTable(f.terms)
+	f.estimator = lanes.NewTable(f.terms)
 	return f
 }
 
@@ -230,10 +230,10 @@
 }
 
 // Abandon implements gatekeeper.Fleet.
-func (f *Fleet) Abandon(x *gatekeeper.Execution) (sent bool) {
-	if h, ok := x.Slot.(executionHolder); ok {
-		x.Slot = nil
-		return h.abandon(x)
+func (f *Fleet) Abandon(execution *gatekeeper.Execution) (sent bool) {
+	if h, ok := execution.Slot.(executionHolder); ok {
+		execution.Slot = nil
+		return h.abandon(execution)
 	}
 	return false
 }
--- a/internal/link/fleet_test.go
+++ b/internal/link/fleet_test.go
@@ -14,10 +14,10 @@
 )
 
 // day is a random run of one carrier.
-type carrierRun struct {
+type protocolRun struct {
 	*world
 	t          *rapid.T
-	carrier    Carrier
+	protocol   Carrier
 	pending    []*gatekeeper.Execution
 	executions []*gatekeeper.Execution
 	abandoned  map[*gatekeeper.Execution]bool
@@ -25,12 +25,12 @@
 }
 
 // ran tells whether any worker got a request whole and did not refuse it.
-func (d *carrierRun) hasRun(x *gatekeeper.Execution) bool {
-	return slices.ContainsFunc(d.everOpened, func(c *fakeConn) bool { return c.model != nil && c.model.hasRun(x.Request.Name) })
+func (d *protocolRun) hasRun(execution *gatekeeper.Execution) bool {
+	return slices.ContainsFunc(d.everOpened, func(c *fakeConn) bool { return c.model != nil && c.model.hasRun(execution.Request.Name) })
 }
 
 // check holds what has ended against the rules.
-func (d *carrierRun) checkRules() {
+func (d *protocolRun) checkRules() {
 	d.pending = slices.DeleteFunc(d.pending, func(execution *gatekeeper.Execution) bool {
 		ends := d.outcomes[execution]
 		if len(ends) == 0 {
@@ -67,7 +67,7 @@
 
 // conn draws one of the open connections that have brought no noise: where what comes
 // behind noise begins, nobody knows.
-func (d *carrierRun) drawConn() *fakeConn {
+func (d *protocolRun) drawConn() *fakeConn {
 	var sane []int
 	for i, c := range d.conns {
 		if !c.sentNoise {
@@ -81,7 +81,7 @@
 }
 
 // say has a connection bring bytes, in pieces, with nothing else in between.
-func (d *carrierRun) deliver(c *fakeConn, b []byte) {
+func (d *protocolRun) deliver(c *fakeConn, b []byte) {
 	for len(b) > 0 && !c.closed {
 		n := rapid.IntRange(1, len(b)).Draw(d.t, "piece")
 		c.endpoint.traffic(b[:n])
@@ -89,7 +89,7 @@
 	}
 }
 
-func (d *carrierRun) actions() map[string]func(*rapid.T) {
+func (d *protocolRun) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"execute": func(t *rapid.T) {
 			body := rapid.SampledFrom([]int{0, 0, 0, 10, 3000}).Draw(t, "body")
@@ -123,7 +123,7 @@
 				conn.failed(fmt.Errorf("refused"))
 				return
 			}
-			conn.model, conn.acceptBytes = newModel(d.carrier), rapid.SampledFrom([]int{0, 100, 1 << 20, 1 << 20}).Draw(t, "room")
+			conn.model, conn.acceptBytes = newModel(d.protocol), rapid.SampledFrom([]int{0, 100, 1 << 20, 1 << 20}).Draw(t, "room")
 			d.conns, d.everOpened = append(d.conns, conn), append(d.everOpened, conn)
 			conn.endpoint.opened(conn)
 			if s, ok := conn.model.(*http2Model); ok {
@@ -174,7 +174,7 @@
 				t.Skip("nothing to answer")
 			}
 			b := conn.model.answer(ids[0])
-			if d.carrier == HTTP2 { // a closed stream's frames would not decode alike twice
+			if d.protocol == HTTP2 { // a closed stream's frames would not decode alike twice
 				d.deliver(conn, b)
 				return
 			}
@@ -203,16 +203,16 @@
 // nobody is given another's answer; "never ran" only where no worker has it; what was
 // given up is not out any more.
 func TestEachExecutionEndsOnce(t *testing.T) {
-	for _, carrier := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
-		t.Run(carrier.String(), func(t *testing.T) {
+	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+		t.Run(protocol.String(), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				tr := Transport{Carrier: carrier}
-				if carrier == Batch {
+				tr := Transport{Carrier: protocol}
+				if protocol == Batch {
 					tr.Gather = rapid.SampledFrom([]float64{0, 2}).Draw(t, "gather")
 				}
-				run := &carrierRun{world: newWorld(tr), t: t, carrier: carrier, abandoned: map[*gatekeeper.Execution]bool{}}
+				run := &protocolRun{world: newWorld(tr), t: t, protocol: protocol, abandoned: map[*gatekeeper.Execution]bool{}}
 				for range 10 { // short ones may share a line
-					run.fleet.laneTable.Learn(0, 1)
+					run.fleet.estimator.Learn(0, 1)
 				}
 				run.fleet.Place(1, "a", 0)
 				t.Repeat(run.actions())
@@ -267,15 +267,15 @@
 // elsewhere, links that are older lead to what is no more. Those that were opened since,
 // before the list told of it, stay.
 func TestConnectionToFormerProcessIsNotUsed(t *testing.T) {
-	for _, carrier := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
-		t.Run(carrier.String(), func(t *testing.T) {
-			env := newWorld(Transport{Carrier: carrier})
+	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+		t.Run(protocol.String(), func(t *testing.T) {
+			env := newWorld(Transport{Carrier: protocol})
 			env.fleet.Place(1, "a", 0)
 			open := func() {
 				execution := newExecution(len(env.dials), 0, 0)
 				env.fleet.Execute(execution)
 				c := env.dials[len(env.dials)-1]
-				c.model, c.acceptBytes = newModel(carrier), 1<<20
+				c.model, c.acceptBytes = newModel(protocol), 1<<20
 				env.conns = append(env.conns, c)
 				env.fleet.Abandon(execution) // so that the link rests
 				c.endpoint.opened(c)
@@ -303,9 +303,9 @@
 // TestFailedDialToFormerAddressIsRetried: what waits is not told that the worker
 // can't be reached, but has a link opened to where it listens now.
 func TestFailedDialToFormerAddressIsRetried(t *testing.T) {
-	for _, carrier := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
-		t.Run(carrier.String(), func(t *testing.T) {
-			env := newWorld(Transport{Carrier: carrier})
+	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+		t.Run(protocol.String(), func(t *testing.T) {
+			env := newWorld(Transport{Carrier: protocol})
 			env.fleet.Place(1, "a", 0)
 			execution := newExecution(0, 0, 0)
 			env.fleet.Execute(execution)
--- a/internal/link/http2.go
+++ b/internal/link/http2.go
@@ -72,7 +72,7 @@
 // Answered implements h2.Handler.
 func (s *http2Protocol) Answered(stream *h2.Stream, message *http1.Message) {
 	fleet, sent := s.conn.fleet, stream.Tag.(*streamExecution)
-	fleet.laneTable.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
+	fleet.estimator.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
 	sent.execution.Slot = nil
 	fleet.core.Done(sent.execution, fleet.reader.Outcome(message))
 }
@@ -90,9 +90,9 @@
 }
 
 // giveUp implements speech: RST_STREAM with CANCEL tells the peer, and the link goes on.
-func (s *http2Protocol) cancel(x *gatekeeper.Execution) (sent bool, err error) {
+func (s *http2Protocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
 	s.session.Each(func(st *h2.Stream) {
-		if st.Tag.(*streamExecution).execution == x {
+		if st.Tag.(*streamExecution).execution == execution {
 			sent = st.End > 0
 			s.session.Cancel(st)
 		}
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -203,8 +203,8 @@
 }
 
 // abandon implements holder for what waits for a link.
-func (s *muxPool) abandon(x *gatekeeper.Execution) (sent bool) {
-	if i := slices.Index(s.queue, x); i >= 0 {
+func (s *muxPool) abandon(execution *gatekeeper.Execution) (sent bool) {
+	if i := slices.Index(s.queue, execution); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
 	}
 	return false
@@ -222,9 +222,9 @@
 	return t.protocol.room()
 }
 
-func (t *muxConn) send(x *gatekeeper.Execution) {
-	x.Slot = t
-	t.protocol.send(x)
+func (t *muxConn) send(execution *gatekeeper.Execution) {
+	execution.Slot = t
+	t.protocol.send(execution)
 	t.scheduleFlush()
 }
 
@@ -253,8 +253,8 @@
 
 // abandon implements holder. What tells the peer is written before this returns; where
 // it can't be, the link ends: either way the execution is no longer out.
-func (t *muxConn) abandon(x *gatekeeper.Execution) (sent bool) {
-	sent, err := t.protocol.cancel(x)
+func (t *muxConn) abandon(execution *gatekeeper.Execution) (sent bool) {
+	sent, err := t.protocol.cancel(execution)
 	if err == nil {
 		t.flush()
 		if t.isClosed || t.conn.OutboundBuffered() == 0 {
--- a/internal/link/pipeline.go
+++ b/internal/link/pipeline.go
@@ -23,7 +23,7 @@
 	outputOffset    int64 // place of text's first byte in all that was written
 	sequence        uint64
 	requests        []pipelinedRequest
-	laneEntries     []lanes.Entry // of items
+	pending         []lanes.Entry // of items
 	echoes          bool          // the worker copies the number
 	noEcho          bool          // it does not
 	closing         bool          // the last answer said that it closes the link
@@ -77,7 +77,7 @@
 	l.output = fleet.message(l.output, execution, fleet.transport.Echo, l.sequence)
 	request.endOffset = l.outputOffset + int64(len(l.output))
 	l.requests = append(l.requests, request)
-	l.laneEntries = append(l.laneEntries, lanes.Entry{Class: execution.Request.Class, Since: fleet.clock.Now()})
+	l.pending = append(l.pending, lanes.Entry{Class: execution.Request.Class, Since: fleet.clock.Now()})
 }
 
 func (l *pipelineProtocol) takeOutput() []byte {
@@ -149,11 +149,11 @@
 		fleet.loop.afterMS(settleMS, l.conn.pool.assign)
 	}
 	now := l.lastReadAt
-	fleet.laneTable.Learn(request.execution.Request.Class, now-l.laneEntries[0].Since)
+	fleet.estimator.Learn(request.execution.Request.Class, now-l.pending[0].Since)
 	l.requests = slices.Delete(l.requests, 0, 1)
-	l.laneEntries = slices.Delete(l.laneEntries, 0, 1)
-	if len(l.laneEntries) > 0 {
-		l.laneEntries[0].Since = now
+	l.pending = slices.Delete(l.pending, 0, 1)
+	if len(l.pending) > 0 {
+		l.pending[0].Since = now
 	}
 	l.closing = message.Close
 	o := fleet.reader.Outcome(message)
@@ -175,7 +175,7 @@
 	}
 	request := l.requests[i]
 	l.requests = slices.Delete(l.requests, i, i+1)
-	l.laneEntries = slices.Delete(l.laneEntries, i, i+1)
+	l.pending = slices.Delete(l.pending, i, i+1)
 	if i == len(l.requests) && request.startOffset >= l.outputOffset {
 		l.output = l.output[:request.startOffset-l.outputOffset]
 		return false, nil
@@ -201,7 +201,7 @@
 //	it stood behind a spoilt answer                         may have run
 func (l *pipelineProtocol) connLost(sentOffset int64) {
 	items := l.requests
-	l.requests, l.laneEntries = nil, nil
+	l.requests, l.pending = nil, nil
 	for _, request := range items {
 		status := policy.Reset
 		if request.endOffset > sentOffset || l.closing {
@@ -213,24 +213,24 @@
 
 // lineChooser asks the lanes which line a request may stand in.
 type pipelineChooser struct {
-	pool  *muxPool
-	lines []lanes.Line
-	conns []*muxConn
+	pool      *muxPool
+	pipelines []lanes.Line
+	conns     []*muxConn
 }
 
 func (c *pipelineChooser) choose(execution *gatekeeper.Execution) (conn *muxConn, open bool) {
 	pool := c.pool
-	c.lines, c.conns = c.lines[:0], c.conns[:0]
+	c.pipelines, c.conns = c.pipelines[:0], c.conns[:0]
 	for _, t := range pool.conns {
 		l := t.protocol.(*pipelineProtocol)
 		if t.room() > 0 {
-			c.lines = append(c.lines, lanes.Line{Entries: l.laneEntries, Most: l.maxInFlight()})
+			c.pipelines = append(c.pipelines, lanes.Line{Entries: l.pending, Most: l.maxInFlight()})
 			c.conns = append(c.conns, t)
 		}
 	}
 	f := pool.fleet
 	enoughDialing := pool.dialing >= len(pool.queue)
-	choice := f.laneTable.Choose(f.clock.Now(), execution.Request.Class, c.lines, pool.connCount < f.transport.Links && !enoughDialing, !enoughDialing)
+	choice := f.estimator.Choose(f.clock.Now(), execution.Request.Class, c.pipelines, pool.connCount < f.transport.Links && !enoughDialing, !enoughDialing)
 	if choice >= 0 {
 		return c.conns[choice], false
 	}
--- a/internal/link/serial.go
+++ b/internal/link/serial.go
@@ -156,8 +156,8 @@
 }
 
 // knows tells whether the link has carried an execution's request before.
-func (l *workerConn) hasCarried(x *gatekeeper.Execution) bool {
-	return slices.Contains(x.Request.Payload.(*Payload).carriedBy, l)
+func (l *workerConn) hasCarried(execution *gatekeeper.Execution) bool {
+	return slices.Contains(execution.Request.Payload.(*Payload).carriedBy, l)
 }
 
 // next is the execution that has waited longest.
@@ -235,8 +235,8 @@
 }
 
 // abandon implements holder for what waits for a link.
-func (s *serialPool) abandon(x *gatekeeper.Execution) (sent bool) {
-	if i := slices.Index(s.queue, x); i >= 0 {
+func (s *serialPool) abandon(execution *gatekeeper.Execution) (sent bool) {
+	if i := slices.Index(s.queue, execution); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
 	}
 	return false
@@ -244,8 +244,8 @@
 
 // abandon implements holder. The link is closed, so the execution is no longer out when
 // this returns.
-func (l *workerConn) abandon(x *gatekeeper.Execution) (sent bool) {
-	if l.execution == x {
+func (l *workerConn) abandon(execution *gatekeeper.Execution) (sent bool) {
+	if l.execution == execution {
 		l.execution = nil
 		sent = l.fullySent()
 		l.detachUpload()
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -18,20 +18,20 @@
 	Batch                     // items in a two-way stream of messages (docs/batch-protocol.md)
 )
 
-var carrierNames = [...]string{"one-at-a-time", "pipeline", "http2", "batch"}
+var protocolNames = [...]string{"one-at-a-time", "pipeline", "http2", "batch"}
 
 // String is the name that an operator's file uses.
-func (c Carrier) String() string { return carrierNames[c] }
+func (c Carrier) String() string { return protocolNames[c] }
 
 // CarrierNames lists the names that an operator's file may use.
-func CarrierNames() string { return strings.Join(carrierNames[:], ", ") }
+func CarrierNames() string { return strings.Join(protocolNames[:], ", ") }
 
 // CarrierOf is the carrier with a name; the empty name is OneAtATime.
 func CarrierOf(name string) (c Carrier, ok bool) {
 	if name == "" {
 		return OneAtATime, true
 	}
-	i := slices.Index(carrierNames[:], name)
+	i := slices.Index(protocolNames[:], name)
 	return Carrier(max(i, 0)), i >= 0
 }
 
