--- a/internal/link/batch.go
+++ b/internal/link/batch.go
@@ -11,37 +11,37 @@
 	"foxwood/policy"
 )
 
-// items speaks the batch protocol (docs/batch-protocol.md): one POST that lasts as long
-// as the link, with messages of several requests in its body's chunks, and their answers,
-// each as it is done, in the chunks of the answer's.
+// batchProtocol speaks the batch protocol (docs/batch-protocol.md). One POST lasts as long as
+// the connection. The chunks of its body carry messages with several requests each, and the
+// chunks of its response carry the responses, each as soon as it is ready.
 type batchProtocol struct {
 	conn          *muxConn
-	response      *http1.Parser // of the POST's own answer
+	response      *http1.Parser // response to the POST
 	reader        batch.Reader
-	itemParser    *http1.Parser // of an item's
-	messageErr    error         // of a message, met inside the parser
+	itemParser    *http1.Parser // responses to items
+	messageErr    error         // error in a message, found inside the parser's callback
 	lastID        uint64
-	items         []batchItem             // that are out, by number
-	waiting       []*gatekeeper.Execution // that are gathered for the next message
-	dueAt         float64                 // when that message goes out
-	timerAt       float64                 // when the timer for it rings, 0 where none is set
-	cancels       []uint64                // to be told with the next message
-	output        []byte                  // that is to be written
-	outputOffset  int64                   // place of text's first byte in all that was written
-	messageBuf    []byte                  // scratch
-	requestBuf    []byte                  // scratch
-	lastReadAt    float64                 // when something came
-	pingSentAt    float64                 // when a sign of life was asked for, 0 where none is awaited
+	items         []batchItem             // in flight, ordered by id
+	waiting       []*gatekeeper.Execution // to be sent in the next message
+	dueAt         float64                 // when the next message is due
+	timerAt       float64                 // when the timer for it expires, 0 if none is set
+	cancels       []uint64                // ids to cancel in the next message
+	output        []byte                  // to be written
+	outputOffset  int64                   // stream offset of the first byte of output
+	messageBuf    []byte                  // reused buffer
+	requestBuf    []byte                  // reused buffer
+	lastReadAt    float64                 // time of the last input, in milliseconds
+	pingSentAt    float64                 // time of the unanswered ping, 0 if there is none
 	pings         uint64
-	partialSince  float64 // when a message began that has not come whole, 0 where none has
-	workerLeaving bool    // the worker takes nothing new
-	refused       bool    // the worker does not speak this
+	partialSince  float64 // when an incomplete message began, 0 if there is none
+	workerLeaving bool    // the worker accepts no new items
+	refused       bool    // the worker does not support the protocol
 }
 
 type batchItem struct {
 	id        uint64
 	execution *gatekeeper.Execution
-	endOffset int64 // place of its message's last byte
+	endOffset int64 // stream offset of the end of its message
 	sentAt    float64
 }
 
@@ -52,9 +52,9 @@
 }
 
 func (s *batchProtocol) start() {
-	s.lastReadAt = s.conn.fleet.clock.Now()
+	s.lastReadAt = s.conn.workerConns.clock.Now()
 	s.output = fmt.Appendf(s.output, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: %s\r\nAccept: %[3]s\r\n"+
-		"Transfer-Encoding: chunked\r\n\r\n", s.conn.fleet.transport.Path, s.conn.addr, batch.ContentType)
+		"Transfer-Encoding: chunked\r\n\r\n", s.conn.workerConns.transport.Path, s.conn.addr, batch.ContentType)
 }
 
 func (s *batchProtocol) finalBytes() []byte { return nil }
@@ -67,26 +67,26 @@
 	if s.workerLeaving {
 		return 0
 	}
-	return max(s.conn.fleet.transport.Depth-s.inFlight(), 0)
+	return max(s.conn.workerConns.transport.Depth-s.inFlight(), 0)
 }
 
 func (s *batchProtocol) send(execution *gatekeeper.Execution) {
-	fleet := s.conn.fleet
-	now := fleet.clock.Now()
-	if s.inFlight() == 0 { // the silence before was nobody's
+	workerConns := s.conn.workerConns
+	now := workerConns.clock.Now()
+	if s.inFlight() == 0 { // silence on an idle connection does not count
 		s.lastReadAt = now
 	}
-	due := now + fleet.estimator.Gather(execution.Request.Class, fleet.transport.Gather, execution.Timeout)
+	due := now + workerConns.estimator.Gather(execution.Request.Class, workerConns.transport.Gather, execution.Timeout)
 	if len(s.waiting) == 0 || due < s.dueAt {
 		s.dueAt = due
 	}
 	s.waiting = append(s.waiting, execution)
 }
 
-// written implements speech: it makes a message of what has been gathered, once that is
-// due or something else has to be said.
+// takeOutput implements muxProtocol. It writes a message with the waiting items once that is
+// due, or earlier if there are items to cancel.
 func (s *batchProtocol) takeOutput() []byte {
-	if now := s.conn.fleet.clock.Now(); len(s.waiting) > 0 && now < s.dueAt && len(s.cancels) == 0 {
+	if now := s.conn.workerConns.clock.Now(); len(s.waiting) > 0 && now < s.dueAt && len(s.cancels) == 0 {
 		s.setTimer(now)
 	} else if len(s.waiting)+len(s.cancels) > 0 {
 		s.writeMessage()
@@ -97,14 +97,14 @@
 	return b
 }
 
-// arm sets a timer for the next message, unless one rings before.
+// setTimer sets a timer for the next message, unless one expires before.
 func (s *batchProtocol) setTimer(now float64) {
 	if s.timerAt > 0 && s.timerAt <= s.dueAt {
 		return
 	}
 	at := s.dueAt
 	s.timerAt = at
-	s.conn.fleet.loop.afterMS(at-now, func() {
+	s.conn.workerConns.loop.afterMS(at-now, func() {
 		if s.timerAt == at {
 			s.timerAt = 0
 			s.conn.flush()
@@ -112,14 +112,14 @@
 	})
 }
 
-// gather writes a message of all that has been gathered.
+// writeMessage writes a message with all waiting items and cancellations.
 func (s *batchProtocol) writeMessage() {
-	fleet := s.conn.fleet
-	message, now := s.messageBuf[:0], fleet.clock.Now()
+	workerConns := s.conn.workerConns
+	message, now := s.messageBuf[:0], workerConns.clock.Now()
 	first := len(s.items)
 	for _, x := range s.waiting {
 		s.lastID++
-		s.requestBuf = fleet.message(s.requestBuf[:0], x, "", 0)
+		s.requestBuf = workerConns.message(s.requestBuf[:0], x, "", 0)
 		message = batch.AppendItem(message, s.lastID, s.requestBuf)
 		s.items = append(s.items, batchItem{id: s.lastID, execution: x, sentAt: now})
 	}
@@ -131,22 +131,22 @@
 	s.cancels = s.cancels[:0]
 	s.messageBuf = message
 	s.writeChunk(message)
-	// A worker has the message whole before the end of the chunk's line has come.
+	// The worker has the whole message before the line end that follows the chunk.
 	for i := first; i < len(s.items); i++ {
 		s.items[i].endOffset = s.outputOffset + int64(len(s.output)-len(chunkEnd))
 	}
 }
 
-// chunk appends a message as a chunk of the POST's body.
+// writeChunk appends a message as a chunk of the POST's body.
 func (s *batchProtocol) writeChunk(m []byte) {
 	s.requestBuf = batch.AppendMessage(s.requestBuf[:0], m)
 	s.output = appendChunk(s.output, s.requestBuf)
 }
 
-var errBatchEnded = errors.New("the worker ended the batch")
+var errBatchEnded = errors.New("the worker ended the batch stream")
 
 func (s *batchProtocol) receive(b []byte) error {
-	s.lastReadAt, s.pingSentAt = s.conn.fleet.clock.Now(), 0
+	s.lastReadAt, s.pingSentAt = s.conn.workerConns.clock.Now(), 0
 	_, done, err := s.response.Feed(b)
 	if s.response.HeadDone() && s.response.Message().Status != 200 {
 		s.refused = true
@@ -168,20 +168,20 @@
 	return nil
 }
 
-// piece is given what comes of the answer's body.
+// bodyPiece is the parser's callback for pieces of the response body.
 func (s *batchProtocol) bodyPiece(b []byte) {
 	if s.messageErr == nil && s.response.Message().Status == 200 {
 		s.messageErr = s.reader.Feed(b, s.handleMessage)
 	}
 }
 
-// down takes a message of the worker.
+// handleMessage handles a message from the worker.
 func (s *batchProtocol) handleMessage(message *batch.Down) error {
 	for _, done := range message.Done {
 		if done.ID > s.lastID {
 			return errUnexpectedResponse
 		}
-		// one that was given up may still be answered
+		// A cancelled item may still be answered.
 		if i := slices.IndexFunc(s.items, func(item batchItem) bool { return item.id == done.ID }); i >= 0 {
 			s.itemDone(i, done)
 		}
@@ -201,33 +201,33 @@
 		never = append(never, s.waiting...)
 		s.waiting = nil
 		for _, x := range never {
-			s.conn.fleet.endUnanswered(x, policy.ConnectFailed)
+			s.conn.workerConns.endUnanswered(x, policy.ConnectFailed)
 		}
 	}
 	return nil
 }
 
-// ended gives an item its answer. A spoilt one is its own harm only: where the next
-// begins is known from the message around it.
+// itemDone completes an item. A malformed response affects only its own item, because the
+// enclosing message tells where the next one begins.
 func (s *batchProtocol) itemDone(i int, done batch.Done) {
-	fleet, execution, took := s.conn.fleet, s.items[i].execution, s.lastReadAt-s.items[i].sentAt
+	workerConns, execution, took := s.conn.workerConns, s.items[i].execution, s.lastReadAt-s.items[i].sentAt
 	s.items = slices.Delete(s.items, i, i+1)
 	if done.NeverRan {
-		fleet.endUnanswered(execution, policy.Full)
+		workerConns.endUnanswered(execution, policy.Full)
 		return
 	}
 	s.itemParser.Reset()
 	n, whole, err := s.itemParser.Feed(done.Answer)
 	if err != nil || !whole || n < len(done.Answer) {
-		fleet.endUnanswered(execution, policy.Reset)
+		workerConns.endUnanswered(execution, policy.Reset)
 		return
 	}
 	execution.Slot = nil
-	fleet.estimator.Learn(execution.Request.Class, took)
-	fleet.core.Done(execution, fleet.reader.Outcome(s.itemParser.Message()))
+	workerConns.estimator.Learn(execution.Request.Class, took)
+	workerConns.core.Done(execution, workerConns.reader.Outcome(s.itemParser.Message()))
 }
 
-// giveUp implements speech: a message tells the worker, and the link goes on.
+// cancel implements muxProtocol. A message tells the worker, and the connection stays open.
 func (s *batchProtocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
 	if i := slices.Index(s.waiting, execution); i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// lost implements speech. An item never ran whose message did not leave whole, since a
-// worker acts on whole messages only, and neither did any where the POST was refused.
+// connLost implements muxProtocol. An item never ran if its message was not fully sent,
+// because a worker acts on complete messages only, or if the POST was refused.
 func (s *batchProtocol) connLost(sentOffset int64) {
 	sent, waiting := s.items, s.waiting
 	s.items, s.waiting = nil, nil
@@ -269,9 +269,9 @@
 		if item.endOffset > sentOffset || s.refused {
 			status = policy.ConnectFailed
 		}
-		s.conn.fleet.endUnanswered(item.execution, status)
+		s.conn.workerConns.endUnanswered(item.execution, status)
 	}
 	for _, x := range waiting {
-		s.conn.fleet.endUnanswered(x, policy.ConnectFailed)
+		s.conn.workerConns.endUnanswered(x, policy.ConnectFailed)
 	}
 }
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -1,25 +1,25 @@
 package link
 
-// Budget divides the descriptors that the process may hold.
+// Budget divides the file descriptors that the process may hold between kinds of connections.
 type Budget struct {
-	Clients, Servers, Counters int // the most open at once
-	Openings                   int // server links being opened
+	Clients, Servers, Counters int // limits on connections that are open at once
+	Openings                   int // limit on worker connections that are being dialed
 }
 
 const (
-	reservedFDs       = 48 // the runtime, the loop, the listeners, standard files, discovery, a handover
-	minReservedFDs    = 28 // of which so many are open at most; the rest is for what nobody thought of
-	reservedFDDivisor = 8  // where descriptors are few, this part of them at most
-	maxDialingConns   = 24 // server links being opened, each with two descriptors for a moment
-	maxCounterConns   = 8  // of the 32 that the counter keeps
+	reservedFDs       = 48 // runtime, event loop, listeners, standard files, service discovery and handover
+	minReservedFDs    = 28 // known uses open at most this many at once; the rest of the reserve is a margin
+	reservedFDDivisor = 8  // with a low limit, at most 1/8 of it is reserved
+	maxDialingConns   = 24 // worker connections being dialed; each briefly uses two descriptors
+	maxCounterConns   = 8  // the counter service accepts 32
 
-	dialingFDDivisor = 16 // where descriptors are few, this part of them is for links being opened,
-	minDialingConns  = 6  // and so many at least
+	dialingFDDivisor = 16 // with a low limit, 1/16 of it is for connections being dialed,
+	minDialingConns  = 6  // but at least this many
 )
 
-// NewBudget divides a limit, of which so many are set aside for parts beside the loop: a
-// third of what is left after the reserve goes to server links, whose number the module's
-// bound keeps far lower, the rest to clients.
+// NewBudget divides a descriptor limit, of which aside descriptors are set aside for parts of
+// the process other than the loop. A third of what is left after the reserve goes to worker
+// connections, whose number the concurrency limit keeps far lower, and the rest to clients.
 func NewBudget(limit, aside int) *Budget {
 	openings := max(min(maxDialingConns, limit/dialingFDDivisor), minDialingConns)
 	kept := max(min(reservedFDs, limit/reservedFDDivisor), minReservedFDs)
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -10,30 +10,30 @@
 	"foxwood/internal/http1"
 )
 
-// Front understands what client links bring.
+// RequestHandler handles the requests that arrive on client connections.
 type Front interface {
-	// Handle answers a request at once with Client.Reply, or hands it to the core
-	// with the link as its caller.
+	// Handle either responds at once, with ClientConn.RespondText or ClientConn.Respond, or
+	// submits the request to a core with the connection as its responder.
 	Handle(l *Client, m *http1.Message)
 }
 
 const (
-	newConnGraceMS    = 100.0  // milliseconds
-	maxLingerMS       = 1000.0 // for a client to close after its last answer
-	maxSilentMS       = 2000.0 // from the opening to the first byte of a request
-	maxReadMS         = 2500.0 // for a request to come in: the first counts from the opening
+	newConnGraceMS    = 100.0  // age up to which a silent connection is likely to bring a request
+	maxLingerMS       = 1000.0 // for a client to close after its last response
+	maxSilentMS       = 2000.0 // from accepting a connection to its first byte
+	maxReadMS         = 2500.0 // for a request to arrive; the first one counts from accepting
 	maxIdleMS         = 5000.0 // between two requests
-	maxPauseMS        = 1000.0 // between two pieces of a request where links are short
-	maxStallMS        = 2400.0 // between two pieces of a request's body
-	minBodyBytesPerMS = 16.0   // bytes a millisecond that a body is given time for
+	maxPauseMS        = 1000.0 // between two pieces of a request, when connections are scarce
+	maxStallMS        = 2400.0 // between two pieces of a request body
+	minBodyBytesPerMS = 16.0   // slowest rate at which a body may arrive
 
-	maxRejectedBodyMS = 30000.0 // for a client to come to the end of a large body that was refused
+	maxRejectedBodyMS = 30000.0 // for the rest of a large body whose request was rejected
 
-	maxUnreadBytes  = 4 << 20 // bytes of answers that a client has not read
-	maxDroppedBytes = 1 << 20 // bytes that come behind the last answer and are dropped
+	maxUnreadBytes  = 4 << 20 // responses that a client has not read
+	maxDroppedBytes = 1 << 20 // input after the last response that is discarded
 )
 
-// backlogMost bounds what a client sends ahead of its answers.
+// maxBacklog is the limit on bytes that a client may send before it has its response.
 func (l *Client) maxBacklog() int {
 	head := http1.MaxHead
 	if l.parser.Limits != nil {
@@ -42,115 +42,117 @@
 	return head + l.parser.Holds()
 }
 
-// Client is a client link. It carries one request at a time.
+// ClientConn is a client connection. It carries one request at a time.
 type Client struct {
 	clients        *Clients
 	conn           conn
 	parser         *http1.Parser
-	upload         *upload     // of a body that flows, while its request is open
-	responseFrom   *workerConn // whose answer flows here
-	chunked        bool        // in chunks
-	headRequest    bool        // the request was a HEAD: its answer has no body
-	http10         bool        // it was of HTTP/1.0, which has no chunks
-	closeDelimited bool        // the answer that flows here ends with the link
-	lastReadAt     float64     // last bytes of a request
-	continued      bool        // they were not its first
-	bodyBytes      int         // of its body
-	takenBytes     int         // bytes that the client was seen to have taken, and when
+	upload         *upload     // streamed body of the open request
+	responseFrom   *workerConn // worker connection whose response is streamed to this client
+	chunked        bool        // the streamed response is chunked
+	headRequest    bool        // the request is a HEAD, so the response has no body
+	http10         bool        // the request is HTTP/1.0, so the response can't be chunked
+	closeDelimited bool        // the streamed response ends when the connection closes
+	lastReadAt     float64     // time of the last input, in milliseconds
+	continued      bool        // that input was not the first of its request
+	bodyBytes      int         // received bytes of the request body
+	takenBytes     int         // bytes that the client had taken when last checked, and the time of the last change
 	takenAt        float64
 	backlog        []byte
 	request        *gatekeeper.Request
-	core           *gatekeeper.Gatekeeper // that has it
+	core           *gatekeeper.Gatekeeper // core that the request was submitted to
 	busy           bool
-	lastResponse   bool // the answer that is owed is the last
+	lastResponse   bool // the connection closes after this response
 	isClosed       bool
 	inHandler      bool
-	receivedAny    bool    // a request has come in whole
-	finished       bool    // its last answer is given: what still comes is dropped
-	host           string  // the client's address, once it was asked for
-	droppedBytes   int     // bytes so far
-	finishedAt     float64 // when it was given
-	openedAt       float64 // when it was opened
-	listedAt       float64 // when it came onto its list
+	receivedAny    bool    // a complete request has been received
+	finished       bool    // the last response is written; input is discarded
+	host           string  // IP address of the client, cached by RemoteHost
+	droppedBytes   int     // discarded bytes
+	finishedAt     float64 // when finished was set
+	openedAt       float64 // when the connection was accepted
+	listedAt       float64 // when the state of its list began
 	list           *clientList
 	prev           *Client
 	next           *Client
 
-	// Value is the front's own, for as long as the link is open.
+	// UserData is for use by the RequestHandler while the connection is open.
 	Value any
 }
 
-// clientList is links of one state, the one longest in it first.
+// clientList is a list of connections in the same state, oldest entry first.
 type clientList struct{ first, last *Client }
 
-// Clients is all client links of a gatekeeper. One that is not busy with a request is
-// on one of the lists.
+// ClientConns holds all client connections of a gatekeeper. A connection without a request in
+// progress is on one of the lists.
 type Clients struct {
 	loop     *Loop
 	clock    *gatekeeper.Clock
-	front    Front
+	handler  Front
 	core     *gatekeeper.Gatekeeper
 	all      map[*Client]bool
-	newConns clientList // nothing has come on them yet
-	reading  clientList // a request is coming in
+	newConns clientList // no input received yet
+	reading  clientList // a request is being received
 	idle     clientList // between two requests
-	closing  clientList // their last answer is given
+	closing  clientList // the last response is written
 	draining bool
 	scratch  []byte
 
-	// Limits, where set, is in the place of the constants; it may be changed or replaced.
+	// Limits replaces the default limits if it is set. It may be changed or replaced at any
+	// time.
 	Limits *ClientLimits
-	// Verdict, where set, words the final answers that no worker gave.
+	// FinalResponder, if set, writes the final responses for requests that no worker answered.
 	Verdict Verdict
-	// Ended, where set, is told how a request ended that a core had taken, after its client was. The
-	// body holds only during the call.
+	// OnRequestEnded, if set, is called when a submitted request has ended, after its client
+	// got the response. e.Body is valid only during the call.
 	Ended func(l *Client, r *gatekeeper.Request, e Ending)
 }
 
-// Ending is how a request ended.
+// RequestEnding describes how a request ended.
 type Ending struct {
 	Status int
 	Body   []byte
-	Flowed bool // the answer was too large to be held
-	Left   bool // the client did not wait for one, or sent no whole request
+	Flowed bool // the response was streamed, so Body is empty
+	Left   bool // the client disconnected, or did not send the whole request
 }
 
-// ended tells how a request has ended.
+// notifyEnded calls OnRequestEnded for a submitted request.
 func (l *Client) notifyEnded(r *gatekeeper.Request, e Ending) {
 	if r != nil && l.clients.Ended != nil {
 		l.clients.Ended(l, r, e)
 	}
 }
 
-// NewClients makes the set of client links.
-func NewClients(l *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, f Front) *Clients {
-	return &Clients{loop: l, clock: clock, core: core, front: f, all: map[*Client]bool{}}
+// NewClientConns returns an empty set of client connections.
+func NewClients(l *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, handler Front) *Clients {
+	return &Clients{loop: l, clock: clock, core: core, handler: handler, all: map[*Client]bool{}}
 }
 
-// Make makes the object of a connection that was accepted.
+// NewConn returns the endpoint for an accepted connection.
 func (s *Clients) Make() *Client {
 	l := &Client{clients: s, parser: http1.Requests()}
 	l.parser.Flows = true
 	return l
 }
 
-// Drain tells clients to go elsewhere: from now on every answer ends its link.
+// Drain makes every response close its connection from now on, so that clients connect
+// elsewhere.
 func (s *Clients) Drain() { s.draining = true }
 
-// Stay takes that back.
+// CancelDrain ends the effect of Drain.
 func (s *Clients) Stay() { s.draining = false }
 
-// Draining tells whether the gatekeeper is going away.
+// Draining reports whether Drain is in effect.
 func (s *Clients) Draining() bool { return s.draining }
 
-// CloseIdle closes the links on which nothing has begun for a while. One that has
-// just been opened is about to bring a request, perhaps one that was sent again.
+// CloseIdle closes the connections that have been idle for a moment. A connection that was
+// just accepted is kept: it is about to bring a request, possibly a retried one.
 func (s *Clients) CloseIdle() {
 	s.closeOlderThan(&s.newConns, newConnGraceMS)
 	s.closeOlderThan(&s.idle, newConnGraceMS)
 }
 
-// closeOld closes the links that have been on a list for longer than so many
+// closeOlderThan closes the connections that have been on a list for more than maxAgeMS
 // milliseconds.
 func (s *Clients) closeOlderThan(list *clientList, maxAgeMS float64) {
 	now := s.clock.Now()
@@ -163,9 +165,9 @@
 	}
 }
 
-// Sweep ends links whose client does not bring a request, or does not bring it to an
-// end however slowly it goes on sending, so that they do not use the budget up; and
-// those whose client did not close them either.
+// Sweep ends connections that exceed a time limit, so that they do not use up the budget:
+// those on which no request arrives, or no request becomes complete however slowly the client
+// keeps sending, and those that the client does not close after its last response.
 func (s *Clients) Sweep() {
 	now := s.clock.Now()
 	s.closeOlderThan(&s.newConns, s.maxSilent())
@@ -174,7 +176,7 @@
 	for l := s.closing.first; l != nil; l = l.next {
 		l.halfClose()
 	}
-	for l := s.reading.first; l != nil; { // not in order: first requests count from the opening
+	for l := s.reading.first; l != nil; { // not sorted by listedAt: a first request counts from accepting
 		next := l.next
 		if l.overdue(now) {
 			l.reject(&http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come in"})
@@ -183,23 +185,24 @@
 	}
 }
 
-// overdue tells whether a request that is coming in has taken too long: its head as a
-// whole, its body from piece to piece, and by its size.
+// overdue reports whether a request takes too long to arrive. The limit is on the whole head,
+// on the pauses within the body, and on the whole body by its size.
 func (l *Client) overdue(now float64) bool {
 	s := l.clients
 	switch {
 	case !l.parser.HeadDone():
 		return now-l.listedAt > s.maxRead()
-	case s.Limits != nil: // an operator's limits bound a body's pauses alone
+	case s.Limits != nil: // configured limits bound only the pauses within a body
 		return now-l.lastReadAt > s.maxStall()
 	}
 	return now-l.lastReadAt > maxStallMS || now-l.listedAt > maxReadMS+float64(l.bodyBytes)/minBodyBytesPerMS
 }
 
-// makeRoom closes the link that is missed least: one whose last answer is given, one that
-// says nothing, one whose request has stopped coming in; then one between two requests, and
-// only then one that was just opened or a request that is still on its way. It guards slow
-// clients, who bring theirs in pieces, against a crowd of silent ones.
+// evictOne closes one connection to make room for the newest. It prefers a connection whose
+// last response is written, then a silent one, then one whose request has stopped arriving,
+// then one between two requests. Only then does it close one that was just accepted or whose
+// request is still arriving. This protects slow clients, which send requests in pieces, from a
+// large number of silent ones.
 func (s *Clients) evictOne(newest *Client) {
 	now := s.clock.Now()
 	closeIfOlder := func(l *Client, minAgeMS float64) bool {
@@ -216,8 +219,8 @@
 	_ = closeIfOlder(longestSilent, maxPauseMS) || closeIfOlder(s.idle.first, 0) || closeIfOlder(s.newConns.first, 0) || closeIfOlder(longestSilent, 0)
 }
 
-// longestPause is the link on which a request is coming in that has been silent longest, of
-// those first that have never gone on after their first piece.
+// longestSilent returns the connection with an incomplete request whose last input is oldest.
+// Requests of which only the first piece has arrived come first.
 func (s *Clients) longestSilent() *Client {
 	longest := s.reading.first
 	for l := longest; l != nil; l = l.next {
@@ -228,7 +231,8 @@
 	return longest
 }
 
-// Len is the number of open client links on which something may still be owed.
+// OpenConns returns the number of connections that may still be owed a response or have unsent
+// output.
 func (s *Clients) Len() int {
 	n := 0
 	for l := range s.all {
@@ -245,11 +249,11 @@
 	s.all[l] = true
 	l.moveTo(&s.newConns, l.openedAt)
 	if len(s.all) > s.loop.Budget.Clients {
-		s.evictOne(l) // room to accept is kept
+		s.evictOne(l) // keep room to accept the next one
 	}
 }
 
-// enter puts the link last on a list, on which it counts from a time.
+// moveTo appends the connection to a list. Its age there counts from since.
 func (l *Client) moveTo(list *clientList, since float64) {
 	l.unlist()
 	l.list, l.prev, l.listedAt = list, list.last, since
@@ -261,7 +265,7 @@
 	list.last = l
 }
 
-// leave takes the link off its list.
+// unlist removes the connection from its list.
 func (l *Client) unlist() {
 	list := l.list
 	if list == nil {
@@ -280,8 +284,8 @@
 	l.list, l.prev, l.next = nil, nil, nil
 }
 
-// begin marks that a request is coming in. The first has the time since the link was
-// opened, whatever came in between.
+// beginReading notes that a request is arriving. The time of the first request counts from
+// accepting the connection, whatever arrived in between.
 func (l *Client) beginReading() {
 	s := l.clients
 	if l.list == &s.reading {
@@ -320,7 +324,7 @@
 	l.parse(b)
 }
 
-// read takes requests out of b until one is busy. What is left waits.
+// parse reads requests from b until one is in progress. The rest is kept as backlog.
 func (l *Client) parse(b []byte) {
 	for len(b) > 0 && !l.isClosed && !l.finished {
 		n, done, err := l.parser.Feed(b)
@@ -352,17 +356,17 @@
 	l.updateList()
 }
 
-// hand gives a request to the front.
+// dispatch passes a request to the RequestHandler.
 func (l *Client) dispatch(message *http1.Message) {
 	l.unlist()
 	l.busy, l.receivedAny, l.lastResponse, l.bodyBytes = true, true, message.Close, 0
 	l.headRequest, l.http10 = string(message.Method) == http.MethodHead, message.Old
 	l.inHandler = true
-	l.clients.front.Handle(l, message)
+	l.clients.handler.Handle(l, message)
 	l.inHandler = false
 }
 
-// reject answers what can't be a request, and ends the link.
+// reject responds to invalid input and closes the connection.
 func (l *Client) reject(err error) {
 	status, reason := 400, err.Error()
 	if e, ok := err.(*http1.Error); ok {
@@ -373,16 +377,16 @@
 	l.Reply(status, "", reason+"\n")
 }
 
-// Submit hands a request to the core; this link is its caller.
+// Submit submits a request to the default core, with this connection as its responder.
 func (l *Client) Submit(r *gatekeeper.Request) { l.SubmitTo(l.clients.core, r) }
 
-// SubmitTo hands a request to one of several cores. It tells whether the core has taken it: one
-// whose name is open already is refused here, and never runs.
+// SubmitTo submits a request to the given core and reports whether the core accepted it. A
+// request whose name is already in use is rejected here and never runs.
 func (l *Client) SubmitTo(core *gatekeeper.Gatekeeper, request *gatekeeper.Request) (taken bool) {
 	l.core = core
 	request.Caller, l.request = l, request
 	if l.upload != nil {
-		request.Filling, l.upload.request = !l.upload.complete, request // it may have come whole while its front waited
+		request.Filling, l.upload.request = !l.upload.complete, request // the body may have become complete while the handler was waiting
 		request.Payload.(*Payload).Up = l.upload
 	}
 	if core.Take(request) {
@@ -393,23 +397,23 @@
 	return false
 }
 
-// Reply answers at once with a plain text. Extra is whole header lines.
+// RespondText responds with plain text. extra consists of whole header lines.
 func (l *Client) Reply(status int, extra, text string) {
 	l.respond(status, len(text), []byte("Content-Type: text/plain\r\n"+extra), []byte(text))
 }
 
-// Reject answers at once and ends the link.
+// RespondTextAndClose responds with plain text and closes the connection.
 func (l *Client) Reject(status int, text string) {
 	l.lastResponse = true
 	l.Reply(status, "", text)
 }
 
-// Served implements gatekeeper.Caller.
+// Served implements gatekeeper.Responder.
 func (l *Client) Served(_ *gatekeeper.Request, a gatekeeper.Answer) {
 	l.Answer(cmp.Or(a.Status, http.StatusOK), a.Head, a.Body)
 }
 
-// Throttled implements gatekeeper.Caller.
+// Throttled implements gatekeeper.Responder.
 func (l *Client) Throttled(r *gatekeeper.Request, retryAfter float64) {
 	if v := l.clients.Verdict; v != nil {
 		v.Throttled(l, r, retryAfter)
@@ -422,7 +426,7 @@
 	l.Reply(429, extra, "throttled\n")
 }
 
-// Failed implements gatekeeper.Caller.
+// Failed implements gatekeeper.Responder.
 func (l *Client) Failed(r *gatekeeper.Request) {
 	if v := l.clients.Verdict; v != nil {
 		v.Failed(l, r)
@@ -431,12 +435,13 @@
 	l.Reply(502, "", "failed\n")
 }
 
-// Waits tells whether the link is open and owes an answer to a request that it has read.
+// AwaitsResponse reports whether the connection is open and has a request that was neither
+// answered nor submitted.
 func (l *Client) Waits() bool { return !l.isClosed && l.busy && l.request == nil }
 
-// Answer answers at once with whole header lines and a body, such as a worker's failure
-// that is passed on. It does nothing where the answer has been given. The length of an answer
-// to a HEAD is the lines' own.
+// Respond writes a response with whole header lines and a body, for example a worker's failure
+// that is passed on. It does nothing if the response has already been written. In a response
+// to a HEAD request, any Content-Length is part of the header lines.
 func (l *Client) Answer(status int, head, body []byte) {
 	length := len(body)
 	if l.headRequest {
@@ -462,11 +467,12 @@
 	l.responseWritten(end)
 }
 
-// unstated is the length of an answer that ends with its head, for which nothing says it here.
+// lengthOmitted makes responseHead write neither Content-Length nor Transfer-Encoding. It is
+// for responses to HEAD, where the given header lines state the length.
 const lengthOmitted = -2
 
-// head begins an answer of a length, or with -1 one in chunks or, for an old client, one
-// that ends with the link.
+// responseHead appends the status line and the header. A length of -1 means a chunked response
+// or, for an HTTP/1.0 client, one that ends when the connection closes.
 func (l *Client) responseHead(status, length int, end bool, fields []byte) []byte {
 	out := append(l.clients.scratch[:0], "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
@@ -488,7 +494,7 @@
 	return append(out, "\r\n"...)
 }
 
-// answered goes on behind the last byte of an answer.
+// responseWritten continues with the next request after the last byte of a response.
 func (l *Client) responseWritten(end bool) {
 	l.busy = false
 	if l.upload != nil {
@@ -499,21 +505,21 @@
 		return
 	}
 	if end || l.conn.OutboundBuffered() > maxUnreadBytes {
-		l.finish() // also for a client that asks on and reads nothing
+		l.finish() // also for a client that keeps sending requests and reads nothing
 		return
 	}
 	l.parser.Reset()
 	if l.inHandler {
-		return // read goes on by itself
+		return // the loop in parse continues
 	}
 	b := l.backlog
 	l.backlog = nil
 	l.parse(b)
 }
 
-// finish ends a link behind its last answer. It only stops sending and drops what
-// still comes: to close with bytes unread would reset the connection, and to close
-// with bytes unsent would lose them; the client might see no answer either way.
+// finish shuts a connection down after its last response. It only stops sending and discards
+// further input. Closing with unread input would reset the connection, and closing with unsent
+// output would lose it; either way the client might not see the response.
 func (l *Client) finish() {
 	l.finished, l.finishedAt, l.backlog = true, l.clients.clock.Now(), nil
 	l.halfClose()
@@ -526,7 +532,7 @@
 	}
 }
 
-// settle puts a link that waits for its client on the list that it belongs to.
+// updateList puts a connection without a request in progress on the list for its state.
 func (l *Client) updateList() {
 	s := l.clients
 	switch {
@@ -540,7 +546,7 @@
 
 func (l *Client) write(b []byte) {
 	if !l.isClosed {
-		_, _ = send(l.conn, b) // a failed write closes the link
+		_, _ = send(l.conn, b) // a failed write closes the connection
 	}
 }
 
@@ -557,9 +563,9 @@
 	if l.upload != nil {
 		l.upload.complete = true
 	}
-	if s := l.responseFrom; s != nil {
+	if worker := l.responseFrom; worker != nil {
 		l.responseFrom = nil
-		s.clientGone()
+		worker.clientGone()
 	}
 	if r := l.request; r != nil {
 		l.request = nil
--- a/internal/link/counter.go
+++ b/internal/link/counter.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	counterShards        = 4      // a lane is one connection; fewer than the budget has
-	counterIdleMS        = 4000.0 // milliseconds: the counter closes at 10 s or earlier
-	counterLogIntervalMS = 1000.0 // milliseconds between two log lines
-	counterResponseMS    = 250.0  // milliseconds without the answer that is next in turn
-	counterPartialMS     = 20.0   // milliseconds for an answer that has begun to end
+	counterShards        = 4      // one connection each; fewer than the budget allows
+	counterIdleMS        = 4000.0 // milliseconds; the counter closes idle connections after 10 s or less
+	counterLogIntervalMS = 1000.0 // milliseconds between log messages
+	counterResponseMS    = 250.0  // milliseconds without the next response
+	counterPartialMS     = 20.0   // milliseconds for a partial response to become complete
 )
 
-// Counter holds the links to the shared counter. Calls for one name share a lane,
-// so that their answers come in the order of the calls. It implements
-// gatekeeper.Counter.
+// CounterConns holds the connections to the shared counter. Calls for the same name use the
+// same connection, so that their responses arrive in the order of the calls. It implements
+// gatekeeper.CounterClient.
 type Counter struct {
 	loop        *Loop
 	core        *gatekeeper.Gatekeeper
@@ -33,26 +33,26 @@
 	dialTimeout time.Duration
 	shards      [counterShards]counterShard
 	scratch     []byte
-	loggedAt    float64 // when the log last said that it is not reached
+	loggedAt    float64 // when the last failed dial was logged
 }
 
 type counterShard struct {
 	conn     *counterConn
-	dialing  *counterConn // being opened
-	draining *counterConn // to an address that is left, while its calls are answered
+	dialing  *counterConn // being dialed
+	draining *counterConn // to the former address, until its calls are answered
 	waiting  []*gatekeeper.Count
 }
 
-// counterLink is one connection to the counter with its calls in their order.
+// counterConn is a connection to the counter, with its calls in their order.
 type counterConn struct {
 	counter    *Counter
 	shard      *counterShard
 	addr       string
 	conn       conn
 	parser     *http1.Parser
-	calls      []pendingCall // those that have timed out too: their answers still take their turn
+	calls      []pendingCall // includes calls that have timed out, because their responses still arrive
 	lastReadAt float64
-	partial    bool // an answer has begun
+	partial    bool // a response is incomplete
 	isClosed   bool
 }
 
@@ -61,18 +61,18 @@
 	sentAt float64
 }
 
-// NewCounter makes the links to the counter at an address.
-func NewCounter(l *Loop, clock *gatekeeper.Clock, addr, path string, connectMost float64) *Counter {
+// NewCounterConns returns the connections to the counter at an address. connectMS is the
+// dial timeout in milliseconds.
+func NewCounter(l *Loop, clock *gatekeeper.Clock, addr, path string, connectMS float64) *Counter {
 	return &Counter{loop: l, clock: clock, addr: addr, path: path,
-		dialTimeout: time.Duration(connectMost * float64(time.Millisecond))}
+		dialTimeout: time.Duration(connectMS * float64(time.Millisecond))}
 }
 
-// Attach names the core that the counter reports to.
+// SetCore sets the core that results are reported to.
 func (s *Counter) Attach(core *gatekeeper.Gatekeeper) { s.core = core }
 
-// Move sends calls to another address from now on. What was called before is still
-// answered at the old one, and what comes later waits for that, so that the order
-// for each name stays.
+// SetAddress sends calls to another address from now on. Earlier calls are still answered at
+// the former address, and later calls wait for that, so that the order for each name is kept.
 func (s *Counter) Move(addr string) {
 	if s.addr == addr {
 		return
@@ -80,22 +80,22 @@
 	s.addr = addr
 	for i := range s.shards {
 		shard := &s.shards[i]
-		if l := shard.conn; l != nil {
+		if conn := shard.conn; conn != nil {
 			shard.conn = nil
-			if len(l.calls) > 0 && shard.draining == nil {
-				shard.draining = l
+			if len(conn.calls) > 0 && shard.draining == nil {
+				shard.draining = conn
 			} else {
-				s.loop.closeConn(l.conn)
+				s.loop.closeConn(conn.conn)
 			}
 		}
-		shard.dialing = nil // one that is being opened leads to the old address
+		shard.dialing = nil // a connection that is being dialed leads to the former address
 		if len(shard.waiting) > 0 {
 			s.dial(shard)
 		}
 	}
 }
 
-// Add implements gatekeeper.Counter.
+// Add implements gatekeeper.CounterClient.
 func (s *Counter) Add(call *gatekeeper.Count) {
 	shard := &s.shards[call.Name%counterShards]
 	if shard.conn != nil && shard.conn.overdue() {
@@ -117,27 +117,27 @@
 	s.loop.dial(s.addr, s.dialTimeout, l, l.dialFailed)
 }
 
-// flush writes the calls that have waited for their lane.
-func (ln *counterShard) flush() {
-	if ln.conn == nil || ln.draining != nil {
+// flush sends the calls that have waited for the connection.
+func (s *counterShard) flush() {
+	if s.conn == nil || s.draining != nil {
 		return
 	}
-	waiting := ln.waiting
-	ln.waiting = nil
-	l := ln.conn
+	waiting := s.waiting
+	s.waiting = nil
+	conn := s.conn
 	for i, call := range waiting {
-		if l.isClosed {
-			l.counter.fail(waiting[i:])
+		if conn.isClosed {
+			conn.counter.fail(waiting[i:])
 			return
 		}
-		if !call.Over() { // nobody waits for one that is: leave the counter in peace
-			l.write(call)
+		if !call.Over() { // no need to load the counter with calls that nobody waits for
+			conn.write(call)
 		}
 	}
 }
 
-// Sweep closes links that rest, before the counter does, and links that have
-// fallen silent, so that calls do not line up behind an answer that never comes.
+// Sweep closes idle connections before the counter does, and connections whose next response
+// is overdue, so that calls do not queue behind a response that never arrives.
 func (s *Counter) Sweep() {
 	now := s.clock.Now()
 	for i := range s.shards {
@@ -156,7 +156,7 @@
 
 func (l *counterConn) opened(c conn) {
 	l.conn, l.lastReadAt = c, l.counter.clock.Now()
-	if l.shard.dialing != l { // the counter moved meanwhile
+	if l.shard.dialing != l { // SetAddress was called meanwhile
 		l.counter.loop.closeConn(c)
 		return
 	}
@@ -171,21 +171,21 @@
 	l.shard.dialing = nil
 	if s := l.counter; s.clock.Now()-s.loggedAt > counterLogIntervalMS {
 		s.loggedAt = s.clock.Now()
-		slog.Warn("counter: not reached, the slices decide alone", "error", err)
+		slog.Warn("counter: connection failed, local quota shares decide alone", "error", err)
 	}
 	waiting := l.shard.waiting
 	l.shard.waiting = nil
 	l.counter.fail(waiting)
 }
 
-// silent tells whether the answer next in turn is long overdue. The counter turns calls
-// away where its line is longer than a few of its callers' patience, so an answer that
-// late does not come any more, and all calls behind it would time out.
+// overdue reports whether the next response is long overdue. The counter rejects calls when
+// its queue is longer than a few times its callers' timeout. So a response this late will not
+// arrive, and all calls behind it would time out.
 func (l *counterConn) overdue() bool {
 	return len(l.calls) > 0 && l.counter.clock.Now()-max(l.calls[0].sentAt, l.lastReadAt) > counterResponseMS
 }
 
-// awaited tells whether the answer to a call is still waited for.
+// hasWaiters reports whether any call on the connection is still waited for.
 func (l *counterConn) hasWaiters() bool {
 	return slices.ContainsFunc(l.calls, func(c pendingCall) bool { return !c.count.Over() })
 }
@@ -206,7 +206,7 @@
 	out = append(out, "\r\nContent-Length: 0\r\n\r\n"...)
 	s.scratch = out
 	l.calls = append(l.calls, pendingCall{call, s.clock.Now()})
-	_, _ = send(l.conn, out) // a failed write closes the link
+	_, _ = send(l.conn, out) // a failed write closes the connection
 }
 
 func (l *counterConn) traffic(b []byte) {
@@ -227,7 +227,7 @@
 		l.lastReadAt = l.counter.clock.Now()
 		status, total := parseCounterResponse(l.parser.Message())
 		end := l.parser.Message().Close || status == policy.Reset
-		if end && l.shard.conn == l { // what is called from now on needs another link
+		if end && l.shard.conn == l { // further calls need another connection
 			l.shard.conn = nil
 		}
 		l.parser.Reset()
@@ -238,8 +238,8 @@
 	}
 }
 
-// part sees to it that an answer that has begun ends soon. It guards against one that
-// never does, behind which all calls of the lane would time out.
+// checkPartial closes the connection if a partial response does not become complete soon.
+// Otherwise all calls on the connection would time out behind it.
 func (l *counterConn) checkPartial() {
 	if l.partial || !l.parser.Started() {
 		return
@@ -253,13 +253,13 @@
 	})
 }
 
-// counted reads an answer. A spoilt one, Reset, says that the call was added, but
-// neither to what nor where the next answer begins.
+// parseCounterResponse interprets a response. For a malformed one it returns Reset: the amount
+// may have been added, but the total and the start of the next response are unknown.
 func parseCounterResponse(m *http1.Message) (policy.Status, float64) {
 	switch m.Status {
 	case 200:
 		total, err := strconv.ParseFloat(string(bytes.TrimSpace(m.Body)), 64)
-		if err != nil || !(math.Abs(total) <= math.MaxFloat64) { // what is given back may come before what it was
+		if err != nil || !(math.Abs(total) <= math.MaxFloat64) { // a total may be negative, because a refund can arrive before the amount it refunds
 			return policy.Reset, 0
 		}
 		return policy.OK, total
@@ -279,7 +279,7 @@
 	calls := l.calls
 	l.calls = nil
 	for _, c := range calls {
-		l.counter.core.Counted(c.count, policy.Reset, 0) // it may have been added
+		l.counter.core.Counted(c.count, policy.Reset, 0) // the amount may have been added
 	}
 	if l.shard.draining == l {
 		l.shard.draining = nil
--- a/internal/link/counter_test.go
+++ b/internal/link/counter_test.go
@@ -7,8 +7,8 @@
 	"foxwood/policy"
 )
 
-// TestParseCounterResponse: a total may be below nothing, where requests were cheaper than
-// guessed. Taken for a spoilt one, it cost its link and all calls that were out on it.
+// TestParseCounterResponse includes negative totals, which occur when requests cost less than
+// estimated. Treating one as malformed closed the connection and failed all calls on it.
 func TestParseCounterResponse(t *testing.T) {
 	for _, tc := range []struct {
 		status int
--- a/internal/link/discard_unsent_test.go
+++ b/internal/link/discard_unsent_test.go
@@ -9,11 +9,11 @@
 	"foxwood/gatekeeper"
 )
 
-// TestNoBytesSentAfterConnectionCloses guards against gnet's close, which writes what is
-// still buffered after OnClose: a request that was given up with its last byte unsent, and
-// so proved to have never run, would yet arrive whole.
+// TestNoBytesSentAfterConnectionCloses checks that an abandoned request whose last byte was
+// not sent does not arrive. gnet writes what is still buffered after OnClose, so a request
+// that was reported as never run would still arrive in full.
 func TestNoBytesSentAfterConnectionCloses(t *testing.T) {
-	const body = 8 << 20 // more than the kernel takes
+	const body = 8 << 20 // more than the kernel buffers
 	for _, protocol := range []Carrier{OneAtATime, Pipeline} {
 		t.Run(protocol.String(), func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,11 +31,11 @@
 				}
 			}()
 			clock := gatekeeper.NewClock()
-			w := newWorld(Transport{}) // only to be told of ends
-			fleet := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: protocol})
-			fleet.Attach(w)
+			recorder := newWorld(Transport{}) // only to record outcomes
+			workerConns := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: protocol})
+			workerConns.Attach(recorder)
 			execution := newExecution(1, 0, body)
-			loop.Post(func() { fleet.Place(1, listener.Addr().String(), 0); fleet.Execute(execution) })
+			loop.Post(func() { workerConns.Place(1, listener.Addr().String(), 0); workerConns.Execute(execution) })
 			workerSide, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -54,9 +54,10 @@
 			}
 			for loop.Post(look); !<-buffered; loop.Post(look) {
 			}
-			// The loop is held while the worker makes room in the kernel, then gives up.
+			// The loop is blocked until the worker has made room in the kernel's buffers, and
+			// then abandons the request.
 			held, drained, sent := make(chan bool), make(chan bool), make(chan bool, 1)
-			loop.Post(func() { held <- true; <-drained; sent <- fleet.Abandon(execution) })
+			loop.Post(func() { held <- true; <-drained; sent <- workerConns.Abandon(execution) })
 			<-held
 			total := 0
 			b := make([]byte, 1<<20)
@@ -69,12 +70,12 @@
 			}
 			drained <- true
 			if <-sent {
-				t.Fatal("said to be sent whole")
+				t.Fatal("reported as fully sent")
 			}
 			_ = workerSide.SetReadDeadline(time.Now().Add(5 * time.Second))
 			rest, err := io.Copy(io.Discard, workerSide)
 			if total += int(rest); err == nil && total >= body {
-				t.Errorf("all of its %d bytes arrived", total)
+				t.Errorf("all %d bytes of the body arrived", total)
 			}
 		})
 	}
--- a/internal/link/eventloop.go
+++ b/internal/link/eventloop.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// driver is what a fleet needs of the loop that drives it.
+// eventLoop is the part of Loop that WorkerConns needs.
 type eventLoop interface {
-	// dial opens a connection and hands it to e, or calls failed.
+	// dial opens a connection and passes it to e, or calls failed.
 	dial(addr string, patience time.Duration, e endpoint, failed func(error))
-	// after calls do once so many milliseconds are over.
+	// afterMS calls fn after the given number of milliseconds.
 	afterMS(ms float64, do func())
-	// flushSoon has a link written to at the end of this event or turn; g is the link's.
+	// flushSoon calls f.flush at the end of this event or of this loop iteration. The mark
+	// belongs to the connection that f writes to.
 	flushSoon(f flusher, g *writeMark)
-	// shut closes a connection, which calls closed on its endpoint.
+	// closeConn closes a connection, which calls closed on its endpoint.
 	closeConn(c conn)
-	// leave makes a connection one that can stop reading, if it can be.
+	// makePausable turns a connection into one that can stop reading. It returns false if that
+	// is not possible.
 	makePausable(c conn, e pausableEndpoint) (*pausableConn, bool)
-	// servers is the most server links open at once.
+	// maxWorkerConns is the limit on open worker connections.
 	maxWorkerConns() int
-	// openings is the most server links being opened at once.
+	// maxDialing is the limit on worker connections that are being dialed.
 	maxDialing() int
 }
 
--- a/internal/link/fake_worker_test.go
+++ b/internal/link/fake_worker_test.go
@@ -19,10 +19,10 @@
 	"foxwood/policy"
 )
 
-// world drives a fleet without sockets: connections are objects that take as many bytes
-// as the test lets them, and what is behind them is a model of a worker.
+// world tests WorkerConns without sockets. Connections are objects that accept as many bytes
+// as the test allows, with a model of a worker behind them.
 type world struct {
-	fleet          *Fleet
+	workerConns    *Fleet
 	clock          *gatekeeper.Clock
 	dials          []*fakeConn
 	conns          []*fakeConn
@@ -41,8 +41,8 @@
 	w := &world{clock: gatekeeper.NewClock(), outcomes: map[*gatekeeper.Execution][]gatekeeper.Outcome{}}
 	w.clock.Set(1e6)
 	w.classes = []policy.Class{{Aim: 400e3, Deadline: 2e6, Repeat: policy.Safe}, {Aim: 400e3, Deadline: 2e6, Repeat: policy.Unsafe}}
-	w.fleet = NewFleet(w, w.clock, modelReader{}, 250, 5000, transport)
-	w.fleet.Attach(w)
+	w.workerConns = NewFleet(w, w.clock, modelReader{}, 250, 5000, transport)
+	w.workerConns.Attach(w)
 	return w
 }
 
@@ -66,7 +66,7 @@
 func (w *world) closeConn(c conn)                                          { c.(*fakeConn).close() }
 func (w *world) makePausable(conn, pausableEndpoint) (*pausableConn, bool) { return nil, false }
 
-// Done implements Core.
+// The methods up to ExecutionEnded implement Core.
 func (w *world) Wrote(*gatekeeper.Execution)                     {}
 func (w *world) MayLeave(*gatekeeper.Execution) bool             { return true }
 func (w *world) Progress(*gatekeeper.Execution)                  {}
@@ -79,7 +79,7 @@
 	w.outcomes[execution] = append(w.outcomes[execution], o)
 }
 
-// turn ends a turn of the loop.
+// endIteration ends an iteration of the loop.
 func (w *world) endIteration() {
 	for i := 0; i < len(w.pendingFlushes); i++ {
 		w.pendingFlushes[i].flush()
@@ -87,7 +87,7 @@
 	w.pendingFlushes = w.pendingFlushes[:0]
 }
 
-// pass lets time go by, and timers ring.
+// advance advances the clock and runs the timers that are due.
 func (w *world) advance(ms float64) {
 	w.clock.Set(w.clock.Now() + ms)
 	due := w.timers
@@ -101,18 +101,18 @@
 	}
 }
 
-// fakeConn is a connection and the worker's side of it.
+// fakeConn is a connection together with the worker's side of it.
 type fakeConn struct {
 	gnet.Conn
 	world       *world
 	endpoint    endpoint
 	failed      func(error)
 	model       model
-	unsent      []byte // written and not taken by the kernel yet
+	unsent      []byte // written, but not taken by the kernel yet
 	acceptBytes int    // bytes that the kernel takes at once
 	closed      bool
-	sentNoise   bool // it has brought noise
-	fd          int  // of a socket that is looked at in its place, 0 for none
+	sentNoise   bool // it has delivered random bytes
+	fd          int  // socket to peek at instead, 0 for none
 }
 
 func (c *fakeConn) Write(b []byte) (int, error) {
@@ -127,7 +127,7 @@
 func (c *fakeConn) OutboundBuffered() int { return len(c.unsent) }
 func (c *fakeConn) Fd() int               { return cmp.Or(c.fd, -1) }
 
-// pass lets the kernel take more of what is held.
+// accept lets the kernel take n more bytes.
 func (c *fakeConn) accept(n int) {
 	n = min(n, len(c.unsent))
 	c.model.receive(c.unsent[:n])
@@ -146,26 +146,28 @@
 // model is the worker's side of a connection.
 type model interface {
 	receive(b []byte)
-	// whole lists the ids of requests that have come whole and have no answer yet.
+	// pendingIDs lists the ids of complete requests without a response.
 	pendingIDs() []string
-	// answer gives the bytes that answer one of them.
+	// answer returns the bytes of the response to a request.
 	answer(id string) []byte
-	// refuse gives the bytes that say that it has not run, nil where there are none.
+	// refuse returns the bytes that state that a request has not run, nil if the protocol has
+	// none.
 	refuse(id string) []byte
-	// leave gives the bytes that say that nothing new is taken, nil where there are none.
+	// goAway returns the bytes that state that nothing new is accepted, nil if the protocol
+	// has none.
 	goAway() []byte
-	// told tells whether the gatekeeper has given an id up.
+	// cancelled reports whether the gatekeeper has cancelled a request.
 	cancelled(id string) bool
-	// has tells whether a request has ever come whole, and was not refused.
+	// hasRun reports whether a complete request has arrived and was not refused.
 	hasRun(id string) bool
 }
 
-// known is what every model keeps.
+// modelState is the state that all models share.
 type modelState struct {
 	pending      []string
 	ran          map[string]bool
 	cancelledIDs map[string]bool
-	wireIDs      map[string]uint64 // stream or item
+	wireIDs      map[string]uint64 // id of the stream or item
 }
 
 func newModelState() modelState {
@@ -208,7 +210,7 @@
 	return &http1Model{modelState: newModelState(), parser: http1.Requests(), sequences: map[string]string{}}
 }
 
-// lineModel is HTTP/1.1.
+// http1Model is a worker that speaks HTTP/1.1.
 type http1Model struct {
 	modelState
 	parser    *http1.Parser
@@ -232,7 +234,7 @@
 }
 
 func (m *http1Model) answer(string) []byte {
-	id := m.pending[0] // in their order
+	id := m.pending[0] // in order of arrival
 	m.endRequest(id)
 	return echoedResponse(id, m.sequences[id])
 }
@@ -244,7 +246,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", defaultEcho, turn, len(body), body)
 }
 
-// streamModel is HTTP/2.
+// http2Model is a worker that speaks HTTP/2.
 type http2Model struct {
 	modelState
 	in          bytes.Buffer
@@ -253,9 +255,9 @@
 	block       bytes.Buffer
 	enc         *hpack.Encoder
 	prefaceRead bool
-	bodies      map[uint32]string // id of a request whose body is coming
+	bodies      map[uint32]string // request ids of incomplete bodies, by stream
 	lastID      uint32
-	maxID       uint32 // after a GOAWAY: what is above is passed over
+	maxID       uint32 // after a GOAWAY, later streams are ignored
 }
 
 func (m *http2Model) receive(b []byte) {
@@ -278,21 +280,21 @@
 		}
 		switch frame := frame.(type) {
 		case *http2.MetaHeadersFrame:
-			id := ""
+			requestID := ""
 			for _, header := range frame.Fields {
 				if header.Name == "x-id" {
-					id = header.Value
+					requestID = header.Value
 				}
 			}
 			if frame.StreamID > m.maxID {
 				continue
 			}
 			m.lastID = frame.StreamID
-			m.bodies[frame.StreamID] = id
+			m.bodies[frame.StreamID] = requestID
 			if frame.StreamEnded() {
-				m.addRequest(id, uint64(frame.StreamID))
+				m.addRequest(requestID, uint64(frame.StreamID))
 			} else {
-				m.wireIDs[id] = uint64(frame.StreamID)
+				m.wireIDs[requestID] = uint64(frame.StreamID)
 			}
 		case *http2.DataFrame:
 			if frame.StreamEnded() && frame.StreamID <= m.maxID {
@@ -304,7 +306,7 @@
 	}
 }
 
-// frames gives out what do writes with a framer.
+// frames returns the frames that write writes.
 func (m *http2Model) frames(write func(f *http2.Framer)) []byte {
 	m.out.Reset()
 	write(http2.NewFramer(&m.out, nil))
@@ -330,7 +332,7 @@
 
 func (m *http2Model) goAway() []byte {
 	last := m.lastID
-	if len(m.pending) > 1 { // the newest is turned away with it
+	if len(m.pending) > 1 { // refuse the newest one too
 		id := m.pending[len(m.pending)-1]
 		last = uint32(m.wireIDs[m.pending[0]])
 		for _, o := range m.pending {
@@ -347,13 +349,13 @@
 	return m.frames(func(f *http2.Framer) { _ = f.WriteGoAway(last, http2.ErrCodeNo, nil) })
 }
 
-// itemModel is the batch protocol.
+// batchModel is a worker that speaks the batch protocol.
 type batchModel struct {
 	modelState
 	parser   *http1.Parser
 	input    []byte
 	lastID   uint64
-	maxID    uint64 // after leaving: what is above is passed over
+	maxID    uint64 // after leaving, later items are ignored
 	headSent bool
 }
 
@@ -363,23 +365,23 @@
 	}
 	for {
 		r := bytes.NewReader(m.input)
-		var up batchpb.Up
-		if protodelim.UnmarshalFrom(r, &up) != nil {
+		var message batchpb.Up
+		if protodelim.UnmarshalFrom(r, &message) != nil {
 			return
 		}
 		m.input = m.input[len(m.input)-r.Len():]
-		for _, it := range up.GetItems() {
-			p := http1.Requests()
-			if _, done, err := p.Feed(it.GetRequest()); !done {
+		for _, item := range message.GetItems() {
+			parser := http1.Requests()
+			if _, done, err := parser.Feed(item.GetRequest()); !done {
 				panic(err)
 			}
-			if it.GetId() > m.maxID {
+			if item.GetId() > m.maxID {
 				continue
 			}
-			m.lastID = it.GetId()
-			m.addRequest(string(p.Message().Get("X-Id")), it.GetId())
+			m.lastID = item.GetId()
+			m.addRequest(string(parser.Message().Get("X-Id")), item.GetId())
 		}
-		for _, id := range up.GetGiveUp() {
+		for _, id := range message.GetGiveUp() {
 			m.cancelWireID(id)
 		}
 	}
@@ -419,7 +421,7 @@
 	return m.downMessage(&batchpb.Down{Leaving: true, Last: last})
 }
 
-// modelReader reads the models' answers.
+// modelReader interprets the responses of the models.
 type modelReader struct{}
 
 func (modelReader) Left() string { return "X-Left" }
@@ -427,14 +429,14 @@
 	return gatekeeper.Outcome{Status: policy.OK, Answer: gatekeeper.Answer{Body: m.Body}}
 }
 
-// execution makes an execution whose request is named in its head.
+// newExecution returns an execution whose request carries its number as X-Id.
 func newExecution(n, class, body int) *gatekeeper.Execution {
 	id := strconv.Itoa(n)
-	p := &Payload{Head: []byte("GET /api HTTP/1.1\r\nHost: a\r\nX-Id: " + id + "\r\n")}
+	payload := &Payload{Head: []byte("GET /api HTTP/1.1\r\nHost: a\r\nX-Id: " + id + "\r\n")}
 	if body > 0 {
-		p.Head = append([]byte("POST"), p.Head[3:]...)
-		p.Head = fmt.Appendf(p.Head, "Content-Length: %d\r\n", body)
-		p.Body = bytes.Repeat([]byte("b"), body)
+		payload.Head = append([]byte("POST"), payload.Head[3:]...)
+		payload.Head = fmt.Appendf(payload.Head, "Content-Length: %d\r\n", body)
+		payload.Body = bytes.Repeat([]byte("b"), body)
 	}
-	return &gatekeeper.Execution{Request: &gatekeeper.Request{Name: id, Class: class, Payload: p}, Worker: 1, Timeout: 1000}
+	return &gatekeeper.Execution{Request: &gatekeeper.Request{Name: id, Class: class, Payload: payload}, Worker: 1, Timeout: 1000}
 }
--- a/internal/link/fleet.go
+++ b/internal/link/fleet.go
@@ -10,61 +10,64 @@
 	"foxwood/policy"
 )
 
-// Payload is a request as workers get it, built once by its front: whole header
-// lines from the request line on, without the time left, and the body.
+// Payload is a request in the form that workers receive, built once by the RequestHandler:
+// whole header lines from the request line on, without the time left, and the body.
 type Payload struct {
 	Head, Body []byte
-	Up         *upload // in the place of the body, where that flows
+	Up         *upload // replaces Body if the body is streamed
 
-	carriedBy []*workerConn // links that have carried it
+	carriedBy []*workerConn // connections that have carried the request
 }
 
-// Reader turns a worker's answer into an outcome.
+// ResponseReader interprets the responses of workers.
 type Reader interface {
 	Outcome(m *http1.Message) gatekeeper.Outcome
-	// Left names the header that tells a worker how long it is waited for.
+	// TimeLeftHeader names the request header that tells a worker how long its response is
+	// waited for.
 	Left() string
 }
 
-// Matcher is a Reader that tells by an answer's head whose it is. Only the carrier of one
-// execution at a time asks it.
+// ResponseMatcher is a ResponseReader that can tell from a response's head which request it
+// belongs to. Only HTTP1 uses it.
 type Matcher interface {
-	// Mine tells whether m answers x, or states that it answers another request. Where
-	// neither holds it is nobody's, and x is taken for one that may have run. only tells that
-	// x is all that the link has ever carried: nothing else can have been answered there.
+	// Mine reports whether m is the response to x, or carries the id of another request. If
+	// neither is true, the response can't be attributed, and x may have run. only tells that
+	// the connection has carried no other request, so that the response can't belong to one.
 	Mine(x *gatekeeper.Execution, m *http1.Message, only bool) (mine, other bool)
 }
 
-// carrier carries executions to one worker, over links of one kind. Every execution
-// that it takes ends once: with Gatekeeper.Done, or given up through its holder.
+// connPool carries executions to one worker over connections of one protocol. Every execution
+// that it takes ends exactly once: with Core.ExecutionEnded, or abandoned through its
+// executionHolder.
 type connPool interface {
-	// execute sends an execution, or keeps it until a link can take it.
+	// execute sends an execution, or queues it until a connection can take it.
 	execute(x *gatekeeper.Execution)
-	// moved tells that the worker listens elsewhere from now on, or is another process:
-	// links to what it was finish what they hold and get nothing new.
+	// addressChanged tells that the worker's address or process has changed. Existing
+	// connections finish what they carry and take nothing new.
 	addressChanged()
-	// release tells that the worker takes nothing new: what has not been sent ends as
-	// never run, and links at rest are closed.
+	// release tells that the worker takes nothing new. Unsent executions end as never run, and
+	// idle connections are closed.
 	release()
-	// sweep does what is due now and then.
+	// sweep does periodic work.
 	sweep(now float64)
-	// rested is since when the link that has rested longest does; ok is false where
-	// none rests.
+	// idleSince returns the start of the longest current idle period. ok is false if no
+	// connection is idle.
 	idleSince() (since float64, ok bool)
-	// retire closes that link.
+	// closeOldestIdle closes the connection that idleSince refers to.
 	closeOldestIdle()
-	// empty tells that there is neither a link nor an execution.
+	// empty reports whether there is neither a connection nor an execution.
 	empty() bool
 }
 
-// holder is where an execution is: a queue or a link. It is the execution's Slot.
+// executionHolder is where an execution is: a queue or a connection. It is stored in the
+// execution's TransportData.
 type executionHolder interface {
-	// abandon gives an execution up. When it returns the execution is no longer out. It
-	// tells whether the whole of it was on its way to the worker.
+	// abandon gives an execution up. When it returns, the execution is no longer in flight. It
+	// reports whether all of the execution had been sent.
 	abandon(x *gatekeeper.Execution) (sent bool)
 }
 
-// Fleet holds the server links. It implements gatekeeper.Fleet.
+// WorkerConns holds the connections to all workers. It implements gatekeeper.WorkerTransport.
 type Fleet struct {
 	loop        eventLoop
 	core        Core
@@ -73,117 +76,124 @@
 	transport   Transport
 	estimator   *lanes.Table
 	workers     map[policy.Server]*workerRecord
-	dialTimeout time.Duration // for a connection to come up
-	maxIdleMS   float64       // milliseconds that a link may rest
-	connCount   int           // open or being opened
+	dialTimeout time.Duration // for opening a connection
+	maxIdleMS   float64       // how long a connection may stay idle
+	connCount   int           // connections that are open or being dialed
 	dialing     int
 	scratch     []byte
-	matcher     Matcher // nil where the reader is none
+	matcher     Matcher // nil if reader does not implement it
 
-	// What follows may be set before the first execution, and concerns the carrier of one
-	// execution at a time. Times are in milliseconds.
+	// The following fields may be set before the first execution. They apply to HTTP1 only.
 
-	// PartMost is how long an answer that has begun may rest before it is cut off.
+	// PartialTimeoutMS is how many milliseconds an incomplete response may make no progress
+	// before its connection is closed.
 	PartMost float64
-	// Settle is how long a link rests before it is used again.
+	// SettleMS is how many milliseconds a connection rests before it is reused.
 	Settle float64
-	// KeepAlive has links rest no longer than most of the time that the worker's Keep-Alive
-	// gives them.
+	// HonorKeepAlive closes idle connections before the timeout in the worker's Keep-Alive
+	// header ends.
 	KeepAlive bool
-	// PerWorker is the most links to one worker at once, 0 for no such bound. Executions
-	// beyond wait for one.
+	// MaxConnsPerWorker is the limit on connections to one worker, 0 for none. Further
+	// executions wait for a connection.
 	PerWorker int
-	// Limits is in the place of the parser's constants for answers; nil for those.
+	// ResponseLimits replaces the parser's default limits for responses; nil keeps the
+	// defaults.
 	Limits *http1.Limits
-	// Sent, where set, is told of each execution that was written to a worker, after it was.
+	// OnSent, if set, is called after an execution has been written to a worker.
 	Sent func(x *gatekeeper.Execution)
 }
 
-// worker is one server and what carries executions to it.
+// workerRecord is the state of one worker and its connections.
 type workerRecord struct {
-	fleet       *Fleet
+	workerConns *Fleet
 	id          policy.Server
 	addr        string
-	startedAt   float64 // when its process started: an older link leads to one that has ended
-	headerLines []byte  // whole header lines that its executions carry
+	startedAt   float64 // start of the worker's process; older connections lead to a former process
+	headerLines []byte  // added to each execution
 	released    bool
 	pool        connPool
 }
 
-// takes tells whether a link that was opened at a time may carry something new.
+// accepts reports whether a connection that was dialed at the given time may carry new
+// executions.
 func (w *workerRecord) accepts(addr string, born float64) bool {
 	return !w.released && addr == w.addr && born >= w.startedAt
 }
 
-// NewFleet makes a fleet without workers. Links are retired when they have rested
-// for idleMost milliseconds.
-func NewFleet(l eventLoop, clock *gatekeeper.Clock, r Reader, connectMost, idleMost float64, t Transport) *Fleet {
-	f := &Fleet{loop: l, clock: clock, reader: r, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
-		dialTimeout: time.Duration(connectMost * float64(time.Millisecond)), maxIdleMS: idleMost,
+// NewWorkerConns returns a WorkerConns without workers. connectMS is the timeout for opening
+// a connection, idleMS the time after which idle connections are closed; both are in
+// milliseconds.
+func NewFleet(l eventLoop, clock *gatekeeper.Clock, reader Reader, connectMS, idleMS float64, t Transport) *Fleet {
+	workerConns := &Fleet{loop: l, clock: clock, reader: reader, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
+		dialTimeout: time.Duration(connectMS * float64(time.Millisecond)), maxIdleMS: idleMS,
 		PartMost: maxPartialMS, Settle: settleMS}
-	f.matcher, _ = r.(Matcher)
-	f.estimator = lanes.NewTable(f.terms)
-	return f
+	workerConns.matcher, _ = reader.(Matcher)
+	workerConns.estimator = lanes.NewTable(workerConns.terms)
+	return workerConns
 }
 
-// Core is what a fleet needs of the gatekeeper's core.
+// Core is the part of the gatekeeper core that WorkerConns needs.
 type Core interface {
-	// Done ends an execution.
+	// ExecutionEnded ends an execution.
 	Done(x *gatekeeper.Execution, o gatekeeper.Outcome)
-	// Wrote tells that the last byte of an execution has left.
+	// ExecutionSent tells that the last byte of an execution has been sent.
 	Wrote(x *gatekeeper.Execution)
-	// MayLeave tells whether an execution that has waited for a link may still be written.
+	// MaySend reports whether an execution that has waited for a connection may still be sent.
 	MayLeave(x *gatekeeper.Execution) bool
-	// Progress tells that bytes of an execution move.
+	// Progress tells that bytes of an execution are moving.
 	Progress(x *gatekeeper.Execution)
-	// Begun tells that an answer has begun to flow to its caller, Finish how that ended,
-	// and Gone that the caller left.
+	// ResponseStarted tells that a response is being streamed to its client. Later, either
+	// ResponseEnded tells how that ended, or ClientGone that the client has disconnected.
 	Begun(x *gatekeeper.Execution, o gatekeeper.Outcome)
 	Finish(r *gatekeeper.Request, how gatekeeper.End)
 	Gone(r *gatekeeper.Request)
-	// Class is the terms of a class.
+	// Class returns the settings of a request class.
 	Class(class int) policy.Class
 }
 
-// Attach names the core that the fleet reports to.
+// SetCore sets the core that outcomes are reported to.
 func (f *Fleet) Attach(core Core) { f.core = core }
 
-// terms is what a class's requests bear on a link that they share. A keyed request
-// bears it where every worker drops its repeats for as long as a repeat could come.
+// terms returns the rules by which requests of a class share a connection. Requests with an
+// idempotency key may share one if every worker discards duplicates for as long as a repeat
+// can arrive.
 func (f *Fleet) terms(class int) lanes.Terms {
 	c := f.core.Class(class)
 	share := c.Repeat == policy.Safe || c.Repeat == policy.Keyed && c.Group == policy.GroupAll && c.Window >= c.Deadline
 	return lanes.Terms{Aim: float64(c.Aim) / 1000, Share: share}
 }
 
-// Place tells where a worker that takes work listens, and when its process started.
+// Place sets the address of a worker that accepts executions, and the time when its process
+// started.
 func (f *Fleet) Place(id policy.Server, addr string, since float64) {
 	worker := f.worker(id)
 	worker.released = false
-	since = min(since, f.clock.Now()) // or links would be old from the start
+	since = min(since, f.clock.Now()) // a later start time would make new connections look old
 	if worker.addr != addr || worker.startedAt != since {
 		worker.addr, worker.startedAt = addr, since
 		worker.pool.addressChanged()
 	}
 }
 
-// Lines names whole header lines that every execution to a worker carries, before the time
-// left. They are forgotten with the worker, so each Place that follows a Release needs them
-// again. Carriers that are not of HTTP/1.1 leave them out.
+// SetHeaderLines sets whole header lines that are added to every execution for a worker,
+// before the time left. They are forgotten together with the worker, so they must be set again
+// for each Place after a Release. Only the HTTP/1.1 protocols use them.
 func (f *Fleet) Lines(id policy.Server, lines []byte) { f.worker(id).headerLines = lines }
 
-// worker is the record of a worker, made as one that takes nothing where there is none.
+// worker returns the record of a worker. If there is none, it creates one that accepts
+// nothing.
 func (f *Fleet) worker(id policy.Server) *workerRecord {
 	worker := f.workers[id]
 	if worker == nil {
-		worker = &workerRecord{fleet: f, id: id, released: true}
+		worker = &workerRecord{workerConns: f, id: id, released: true}
 		worker.pool = f.newPool(worker)
 		f.workers[id] = worker
 	}
 	return worker
 }
 
-// mine tells whether an answer that a link brings is an execution's, or another request's.
+// matches reports whether a response on a connection belongs to the execution, or to another
+// request.
 func (f *Fleet) matches(conn *workerConn, execution *gatekeeper.Execution, message *http1.Message) (mine, other bool) {
 	if f.matcher == nil {
 		return true, false
@@ -194,12 +204,12 @@
 
 func (f *Fleet) newPool(w *workerRecord) connPool {
 	if f.transport.Carrier == OneAtATime {
-		return &serialPool{worker: w, fleet: f}
+		return &serialPool{worker: w, workerConns: f}
 	}
 	return newMuxPool(w)
 }
 
-// Release implements gatekeeper.Fleet.
+// Release implements gatekeeper.WorkerTransport.
 func (f *Fleet) Release(id policy.Server) {
 	if w := f.workers[id]; w != nil {
 		w.released = true
@@ -208,18 +218,18 @@
 	}
 }
 
-// drop forgets a worker that is gone, once nothing is left of it.
+// forget removes a released worker that has no connections and executions left.
 func (f *Fleet) forget(w *workerRecord) {
 	if w.released && w.pool.empty() && f.workers[w.id] == w {
 		delete(f.workers, w.id)
 	}
 }
 
-// Execute implements gatekeeper.Fleet.
+// Execute implements gatekeeper.WorkerTransport.
 func (f *Fleet) Execute(execution *gatekeeper.Execution) {
 	worker := f.workers[execution.Worker]
 	if p, ok := execution.Request.Payload.(*Payload); ok && p.Up != nil && f.transport.Carrier != OneAtATime {
-		f.endUnanswered(execution, policy.ConnectFailed) // fronts do not hand such to other transports
+		f.endUnanswered(execution, policy.ConnectFailed) // request handlers do not stream over other protocols
 		return
 	}
 	if worker == nil {
@@ -229,7 +239,7 @@
 	worker.pool.execute(execution)
 }
 
-// Abandon implements gatekeeper.Fleet.
+// Abandon implements gatekeeper.WorkerTransport.
 func (f *Fleet) Abandon(execution *gatekeeper.Execution) (sent bool) {
 	if h, ok := execution.Slot.(executionHolder); ok {
 		execution.Slot = nil
@@ -238,13 +248,14 @@
 	return false
 }
 
-// end reports an execution that got no answer.
+// endUnanswered reports an execution that got no response.
 func (f *Fleet) endUnanswered(execution *gatekeeper.Execution, status policy.Status) {
 	execution.Slot = nil
 	f.core.Done(execution, gatekeeper.Outcome{Status: status})
 }
 
-// mayLeave tells whether an execution that has waited may be written, and ends it as one that never ran if not.
+// checkSend reports whether an execution that has waited may still be sent. If not, it ends
+// the execution as never run.
 func (f *Fleet) checkSend(execution *gatekeeper.Execution) bool {
 	if f.core.MayLeave(execution) {
 		return true
@@ -253,13 +264,13 @@
 	return false
 }
 
-// room tells whether another link may be opened, and closes one at rest for it where
-// that is what it takes.
+// canDial reports whether another connection may be opened. If the budget requires it, it
+// closes an idle connection first.
 func (f *Fleet) canDial() bool {
 	return f.dialing < f.loop.maxDialing() && (f.connCount < f.loop.maxWorkerConns() || f.closeOldestIdle())
 }
 
-// spare closes an idle link to make room for another.
+// closeOldestIdle closes the connection that has been idle longest, over all workers.
 func (f *Fleet) closeOldestIdle() bool {
 	var oldest connPool
 	since := 0.0
@@ -275,8 +286,8 @@
 	return true
 }
 
-// Sweep retires links that have rested long: a worker closes them soon after, and
-// a request written then would be lost.
+// Sweep closes connections that have been idle for long. A worker would close them soon after,
+// and a request written at that time would be lost.
 func (f *Fleet) Sweep() {
 	now := f.clock.Now()
 	for _, worker := range f.workers {
@@ -291,9 +302,9 @@
 	}
 }
 
-// cutOff sees to it that nothing more leaves by a link that ends. It guards against
-// gnet's close, which writes what is still buffered after OnClose: an execution that was
-// reported as never sent whole would yet arrive whole.
+// discardUnsent prevents that buffered output is sent on a connection that ends. gnet writes
+// what is still buffered after OnClose, so an execution that was reported as not fully sent
+// would still arrive.
 func discardUnsent(c conn) {
 	if c.OutboundBuffered() > 0 {
 		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_WR)
--- a/internal/link/fleet_test.go
+++ b/internal/link/fleet_test.go
@@ -13,7 +13,7 @@
 	"foxwood/policy"
 )
 
-// day is a random run of one carrier.
+// protocolRun is the state of a random test of one protocol.
 type protocolRun struct {
 	*world
 	t          *rapid.T
@@ -21,15 +21,15 @@
 	pending    []*gatekeeper.Execution
 	executions []*gatekeeper.Execution
 	abandoned  map[*gatekeeper.Execution]bool
-	everOpened []*fakeConn // every connection there ever was
+	everOpened []*fakeConn // every connection that was ever open
 }
 
-// ran tells whether any worker got a request whole and did not refuse it.
+// hasRun reports whether any worker received the whole request and did not refuse it.
 func (d *protocolRun) hasRun(execution *gatekeeper.Execution) bool {
 	return slices.ContainsFunc(d.everOpened, func(c *fakeConn) bool { return c.model != nil && c.model.hasRun(execution.Request.Name) })
 }
 
-// check holds what has ended against the rules.
+// checkRules checks the outcomes reported so far.
 func (d *protocolRun) checkRules() {
 	d.pending = slices.DeleteFunc(d.pending, func(execution *gatekeeper.Execution) bool {
 		ends := d.outcomes[execution]
@@ -39,11 +39,11 @@
 		switch o := ends[0]; o.Status {
 		case policy.OK:
 			if got := string(o.Answer.Body); got != "ran "+execution.Request.Name {
-				d.t.Fatalf("request %s was given %q", execution.Request.Name, got)
+				d.t.Fatalf("request %s got the response %q", execution.Request.Name, got)
 			}
 		case policy.ConnectFailed, policy.Full:
 			if d.hasRun(execution) {
-				d.t.Fatalf("request %s is said to have never run, and its worker has it", execution.Request.Name)
+				d.t.Fatalf("request %s was reported as never run, but a worker has run it", execution.Request.Name)
 			}
 		}
 		return true
@@ -53,20 +53,20 @@
 		case n > 1:
 			d.t.Fatalf("request %s ended %d times", execution.Request.Name, n)
 		case n == 1 && d.abandoned[execution]:
-			d.t.Fatalf("request %s was given up and ended", execution.Request.Name)
+			d.t.Fatalf("request %s was abandoned and also ended", execution.Request.Name)
 		}
 	}
-	for execution := range d.abandoned { // the peer knows, or the link has ended
+	for execution := range d.abandoned { // the peer must know, or the connection must be closed
 		for _, c := range d.conns {
 			if c.model.hasRun(execution.Request.Name) && slices.Contains(c.model.pendingIDs(), execution.Request.Name) && !c.model.cancelled(execution.Request.Name) {
-				d.t.Fatalf("request %s was given up and is still out", execution.Request.Name)
+				d.t.Fatalf("request %s was abandoned and is still in flight", execution.Request.Name)
 			}
 		}
 	}
 }
 
-// conn draws one of the open connections that have brought no noise: where what comes
-// behind noise begins, nobody knows.
+// drawConn draws an open connection that has not delivered random bytes. After such bytes, the
+// start of the next message would be undefined.
 func (d *protocolRun) drawConn() *fakeConn {
 	var sane []int
 	for i, c := range d.conns {
@@ -80,7 +80,7 @@
 	return d.conns[rapid.SampledFrom(sane).Draw(d.t, "conn")]
 }
 
-// say has a connection bring bytes, in pieces, with nothing else in between.
+// deliver delivers input on a connection in pieces, without other events in between.
 func (d *protocolRun) deliver(c *fakeConn, b []byte) {
 	for len(b) > 0 && !c.closed {
 		n := rapid.IntRange(1, len(b)).Draw(d.t, "piece")
@@ -95,27 +95,27 @@
 			body := rapid.SampledFrom([]int{0, 0, 0, 10, 3000}).Draw(t, "body")
 			execution := newExecution(len(d.executions), rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "class"), body)
 			d.executions, d.pending = append(d.executions, execution), append(d.pending, execution)
-			d.fleet.Execute(execution)
+			d.workerConns.Execute(execution)
 		},
 		"execute in the same turn": func(t *rapid.T) {
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
 				execution := newExecution(len(d.executions), 0, 0)
 				d.executions, d.pending = append(d.executions, execution), append(d.pending, execution)
-				d.fleet.Execute(execution)
+				d.workerConns.Execute(execution)
 			}
 		},
 		"give up": func(t *rapid.T) {
 			if len(d.pending) == 0 {
-				t.Skip("nothing is out")
+				t.Skip("nothing in flight")
 			}
 			execution := rapid.SampledFrom(d.pending).Draw(t, "which")
 			d.pending = slices.DeleteFunc(d.pending, func(o *gatekeeper.Execution) bool { return o == execution })
 			d.abandoned[execution] = true
-			d.fleet.Abandon(execution)
+			d.workerConns.Abandon(execution)
 		},
 		"come up": func(t *rapid.T) {
 			if len(d.dials) == 0 {
-				t.Skip("nothing is opened")
+				t.Skip("nothing is being dialed")
 			}
 			conn := d.dials[0]
 			d.dials = d.dials[1:]
@@ -174,7 +174,7 @@
 				t.Skip("nothing to answer")
 			}
 			b := conn.model.answer(ids[0])
-			if d.protocol == HTTP2 { // a closed stream's frames would not decode alike twice
+			if d.protocol == HTTP2 { // a header block can't be decoded twice with the same result
 				d.deliver(conn, b)
 				return
 			}
@@ -188,20 +188,20 @@
 		"break": func(*rapid.T) { d.drawConn().close() },
 		"pass": func(t *rapid.T) {
 			d.advance(rapid.SampledFrom([]float64{1, 6, 250, 1100}).Draw(t, "ms"))
-			d.fleet.Sweep()
+			d.workerConns.Sweep()
 		},
 		"move": func(t *rapid.T) {
-			d.fleet.Place(1, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to"), rapid.SampledFrom([]float64{0, 0, d.clock.Now() - 5}).Draw(t, "since"))
+			d.workerConns.Place(1, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to"), rapid.SampledFrom([]float64{0, 0, d.clock.Now() - 5}).Draw(t, "since"))
 		},
-		"release": func(*rapid.T) { d.fleet.Release(1) },
+		"release": func(*rapid.T) { d.workerConns.Release(1) },
 		"":        func(*rapid.T) { d.endIteration(); d.checkRules() },
 	}
 }
 
-// TestEachExecutionEndsOnce plays random interleavings of bytes, breaks,
-// cancels and time-outs on every carrier, and holds them against the rules: one end each;
-// nobody is given another's answer; "never ran" only where no worker has it; what was
-// given up is not out any more.
+// TestEachExecutionEndsOnce runs random sequences of input, connection losses, cancellations
+// and time-outs with each protocol. It checks that each execution ends exactly once, that it
+// never gets another request's response, that it is reported as never run only if no worker
+// has run it, and that it is no longer in flight after it was abandoned.
 func TestEachExecutionEndsOnce(t *testing.T) {
 	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
@@ -211,10 +211,10 @@
 					tr.Gather = rapid.SampledFrom([]float64{0, 2}).Draw(t, "gather")
 				}
 				run := &protocolRun{world: newWorld(tr), t: t, protocol: protocol, abandoned: map[*gatekeeper.Execution]bool{}}
-				for range 10 { // short ones may share a line
-					run.fleet.estimator.Learn(0, 1)
+				for range 10 { // lets short requests share a pipeline
+					run.workerConns.estimator.Learn(0, 1)
 				}
-				run.fleet.Place(1, "a", 0)
+				run.workerConns.Place(1, "a", 0)
 				t.Repeat(run.actions())
 				for len(run.dials) > 0 || len(run.conns) > 0 {
 					for len(run.dials) > 0 {
@@ -227,92 +227,92 @@
 					}
 					run.endIteration()
 				}
-				run.fleet.Release(1)
+				run.workerConns.Release(1)
 				run.checkRules()
 				if len(run.pending) > 0 {
 					t.Fatalf("%d executions never ended", len(run.pending))
 				}
-				if run.fleet.connCount != 0 || run.fleet.dialing != 0 {
-					t.Fatalf("%d links and %d openings are counted", run.fleet.connCount, run.fleet.dialing)
+				if run.workerConns.connCount != 0 || run.workerConns.dialing != 0 {
+					t.Fatalf("counted %d connections and %d dials, want 0 and 0", run.workerConns.connCount, run.workerConns.dialing)
 				}
 			})
 		})
 	}
 }
 
-// TestTwoIdleConnectionsWithUnreadInput guards against a crash: to close the one link at rest
-// on which something had come, with executions waiting, gave them the other links at rest
-// from inside the look for one, and the look went on behind the end of the list.
+// TestTwoIdleConnectionsWithUnreadInput guards against an index out of range. With executions
+// waiting, closing an idle connection that had unread input assigned the other idle
+// connections from within the loop over them, which then went on past the end of the list.
 func TestTwoIdleConnectionsWithUnreadInput(t *testing.T) {
 	env := newWorld(Transport{})
-	env.fleet.Place(1, "a", 0)
+	env.workerConns.Place(1, "a", 0)
 	for n := range 3 {
-		env.fleet.Execute(newExecution(n, 0, 0))
+		env.workerConns.Execute(newExecution(n, 0, 0))
 	}
 	for _, conn := range env.dials[:2] {
 		conn.model, conn.acceptBytes = newModel(OneAtATime), 1<<20
 		env.conns = append(env.conns, conn)
 		conn.endpoint.opened(conn)
 	}
-	for _, conn := range env.conns { // both come to rest; that a link is quiet can't be seen here
+	for _, conn := range env.conns { // both become idle; fakeConn has no socket, so it counts as having unread input
 		conn.endpoint.traffic(conn.model.answer(""))
 	}
 	env.advance(settleMS + 1)
 	if len(env.conns) != 0 {
-		t.Errorf("%d links that are not quiet are kept", len(env.conns))
+		t.Errorf("%d connections with unread input are still open, want 0", len(env.conns))
 	}
 }
 
-// TestConnectionToFormerProcessIsNotUsed: where a worker's process is a new one, or listens
-// elsewhere, links that are older lead to what is no more. Those that were opened since,
-// before the list told of it, stay.
+// TestConnectionToFormerProcessIsNotUsed checks that connections are closed when they lead to
+// a former address, or were opened before the worker's present process started. Connections
+// that were opened after the start, but before it was reported, stay open.
 func TestConnectionToFormerProcessIsNotUsed(t *testing.T) {
 	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
 			env := newWorld(Transport{Carrier: protocol})
-			env.fleet.Place(1, "a", 0)
+			env.workerConns.Place(1, "a", 0)
 			open := func() {
 				execution := newExecution(len(env.dials), 0, 0)
-				env.fleet.Execute(execution)
+				env.workerConns.Execute(execution)
 				c := env.dials[len(env.dials)-1]
 				c.model, c.acceptBytes = newModel(protocol), 1<<20
 				env.conns = append(env.conns, c)
-				env.fleet.Abandon(execution) // so that the link rests
+				env.workerConns.Abandon(execution) // so that the connection is idle once open
 				c.endpoint.opened(c)
 				env.endIteration()
 			}
 			open()
 			env.clock.Set(env.clock.Now() + 100)
-			env.fleet.Place(1, "a", env.clock.Now()-50)
+			env.workerConns.Place(1, "a", env.clock.Now()-50)
 			if len(env.conns) != 0 {
-				t.Error("a link to the old process is kept")
+				t.Error("connection to the former process is still open")
 			}
 			open()
-			env.fleet.Place(1, "a", env.clock.Now()-10)
+			env.workerConns.Place(1, "a", env.clock.Now()-10)
 			if len(env.conns) != 1 {
-				t.Error("a link to the new process is closed")
+				t.Error("connection to the present process is closed")
 			}
-			env.fleet.Place(1, "b", env.clock.Now()-10)
+			env.workerConns.Place(1, "b", env.clock.Now()-10)
 			if len(env.conns) != 0 {
-				t.Error("a link to the old address is kept")
+				t.Error("connection to the former address is still open")
 			}
 		})
 	}
 }
 
-// TestFailedDialToFormerAddressIsRetried: what waits is not told that the worker
-// can't be reached, but has a link opened to where it listens now.
+// TestFailedDialToFormerAddressIsRetried checks that a failed dial to a former address does
+// not fail the waiting execution, but leads to a dial to the present address.
 func TestFailedDialToFormerAddressIsRetried(t *testing.T) {
 	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
 			env := newWorld(Transport{Carrier: protocol})
-			env.fleet.Place(1, "a", 0)
+			env.workerConns.Place(1, "a", 0)
 			execution := newExecution(0, 0, 0)
-			env.fleet.Execute(execution)
-			env.fleet.Place(1, "b", 0)
+			env.workerConns.Execute(execution)
+			env.workerConns.Place(1, "b", 0)
 			env.dials[0].failed(fmt.Errorf("refused"))
 			if len(env.outcomes[execution]) != 0 || len(env.dials) != 2 {
-				t.Errorf("ended with %v, %d dials", env.outcomes[execution], len(env.dials))
+				t.Errorf("outcomes %v, %d dials; want none and 2", env.outcomes[execution], len(env.dials))
 			}
 		})
 	}
--- a/internal/link/http2.go
+++ b/internal/link/http2.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// pingAfter is how many milliseconds a link with streams may be silent before it is
-	// asked for a sign of life, and pingMost how many it has to give one.
+	// pingAfterMS is how long a connection with open streams may be silent before it is
+	// pinged, and pingTimeoutMS how long it may take to respond.
 	pingAfterMS   = 1000.0
 	pingTimeoutMS = 1000.0
 )
 
-// streams speaks HTTP/2.
+// http2Protocol speaks HTTP/2.
 type http2Protocol struct {
 	conn         *muxConn
 	session      *h2.Session
 	extraHeaders []byte
-	lastReadAt   float64 // when something came
-	pingSentAt   float64 // when a sign of life was asked for, 0 where none is awaited
+	lastReadAt   float64 // time of the last input, in milliseconds
+	pingSentAt   float64 // time of the unanswered ping, 0 if there is none
 }
 
-// streamed is an execution on its stream, whose Tag it is.
+// streamExecution is an execution on a stream. It is the stream's Tag.
 type streamExecution struct {
 	execution *gatekeeper.Execution
-	sentAt    float64 // when it was sent
+	sentAt    float64 // time of sending, in milliseconds
 }
 
 func newHTTP2Protocol(t *muxConn) muxProtocol {
 	s := &http2Protocol{conn: t}
-	s.session = h2.New(s, t.fleet.transport.Depth)
+	s.session = h2.New(s, t.workerConns.transport.Depth)
 	return s
 }
 
-func (s *http2Protocol) start() { s.lastReadAt = s.conn.fleet.clock.Now() }
+func (s *http2Protocol) start() { s.lastReadAt = s.conn.workerConns.clock.Now() }
 
 func (s *http2Protocol) finalBytes() []byte { return s.session.Out() }
 
@@ -49,35 +49,35 @@
 func (s *http2Protocol) room() int { return s.session.Room() }
 
 func (s *http2Protocol) send(execution *gatekeeper.Execution) {
-	fleet := s.conn.fleet
+	workerConns := s.conn.workerConns
 	payload := execution.Request.Payload.(*Payload)
-	s.extraHeaders = append(append(s.extraHeaders[:0], fleet.reader.Left()...), ": "...)
+	s.extraHeaders = append(append(s.extraHeaders[:0], workerConns.reader.Left()...), ": "...)
 	s.extraHeaders = append(strconv.AppendInt(s.extraHeaders, int64(max(execution.Timeout, 1)), 10), "\r\n"...)
-	now := fleet.clock.Now()
-	if s.inFlight() == 0 { // the silence before was nobody's
+	now := workerConns.clock.Now()
+	if s.inFlight() == 0 { // silence on an idle connection does not count
 		s.lastReadAt = now
 	}
-	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil { // it was not built by a front
-		fleet.endUnanswered(execution, policy.ConnectFailed)
+	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil { // the head is malformed, so it was not built by a RequestHandler
+		workerConns.endUnanswered(execution, policy.ConnectFailed)
 	}
 }
 
 func (s *http2Protocol) takeOutput() []byte { return s.session.Out() }
 
 func (s *http2Protocol) receive(b []byte) error {
-	s.lastReadAt, s.pingSentAt = s.conn.fleet.clock.Now(), 0
+	s.lastReadAt, s.pingSentAt = s.conn.workerConns.clock.Now(), 0
 	return s.session.Feed(b)
 }
 
-// Answered implements h2.Handler.
+// ResponseReceived implements h2.Handler.
 func (s *http2Protocol) Answered(stream *h2.Stream, message *http1.Message) {
-	fleet, sent := s.conn.fleet, stream.Tag.(*streamExecution)
-	fleet.estimator.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
+	workerConns, sent := s.conn.workerConns, stream.Tag.(*streamExecution)
+	workerConns.estimator.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
 	sent.execution.Slot = nil
-	fleet.core.Done(sent.execution, fleet.reader.Outcome(message))
+	workerConns.core.Done(sent.execution, workerConns.reader.Outcome(message))
 }
 
-// Ended implements h2.Handler.
+// StreamEnded implements h2.Handler.
 func (s *http2Protocol) Ended(stream *h2.Stream, why h2.Why) {
 	status := policy.Reset
 	switch why {
@@ -86,10 +86,11 @@
 	case h2.Unprocessed:
 		status = policy.ConnectFailed
 	}
-	s.conn.fleet.endUnanswered(stream.Tag.(*streamExecution).execution, status)
+	s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
 }
 
-// giveUp implements speech: RST_STREAM with CANCEL tells the peer, and the link goes on.
+// cancel implements muxProtocol. RST_STREAM with CANCEL tells the peer, and the connection
+// stays open.
 func (s *http2Protocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
 	s.session.Each(func(st *h2.Stream) {
 		if st.Tag.(*streamExecution).execution == execution {
@@ -114,9 +115,9 @@
 	return nil
 }
 
-// lost implements speech. A stream of which no byte has left never ran. What a GOAWAY or
-// REFUSED_STREAM proves has been told when it came; of all others the peer has at least
-// the header, and may have begun (RFC 9113, section 8.1).
+// connLost implements muxProtocol. A stream of which no byte was sent never ran. Proofs by
+// GOAWAY or REFUSED_STREAM were reported when they arrived. For all other streams the peer has
+// part of the header block at least, and may have begun (RFC 9113, section 8.1).
 func (s *http2Protocol) connLost(sentOffset int64) {
 	var open []*h2.Stream
 	s.session.Each(func(stream *h2.Stream) { open = append(open, stream) })
@@ -127,6 +128,6 @@
 		if stream.Start >= sentOffset {
 			status = policy.ConnectFailed
 		}
-		s.conn.fleet.endUnanswered(stream.Tag.(*streamExecution).execution, status)
+		s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
 	}
 }
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -7,32 +7,35 @@
 	"foxwood/internal/http1"
 )
 
-// ClientLimits is what an operator allows client links, in the place of the constants. A
-// field that is 0 stands for its constant, if nothing else is said. Times are in
+// ClientLimits replaces the default limits on client connections with configured ones. A field
+// that is 0 leaves its default in place, unless its comment says otherwise. Times are in
 // milliseconds.
 type ClientLimits struct {
-	HTTP *http1.Limits // bytes of a head and a body
-	// ReadMost is for a head to come in, from its first byte.
+	HTTP *http1.Limits // sizes of heads and bodies
+	// HeadTimeoutMS bounds the time from the first byte of a request's head to its last.
 	ReadMost float64
-	// RestMost is between two requests.
+	// IdleTimeoutMS bounds the time between two requests.
 	RestMost float64
-	// SilentMost is from the opening of a link to its first byte; 0 for RestMost.
+	// FirstByteTimeoutMS bounds the time from accepting a connection to its first byte; 0
+	// means IdleTimeoutMS.
 	SilentMost float64
-	// StallMost is between two pieces of a body; 0 for RestMost. A body has no other bound
-	// in time.
+	// BodyStallTimeoutMS bounds the pause between two pieces of a body; 0 means IdleTimeoutMS.
+	// There is no other time limit for a body.
 	StallMost float64
-	// KeepAlive has answers tell how long a link may rest. It is a second less than it
-	// truly may, so that no client asks on a link that is being closed.
+	// AnnounceKeepAlive adds a Keep-Alive header to responses. It states one second less than
+	// the actual idle timeout, so that clients do not send a request on a connection that is
+	// being closed.
 	KeepAlive bool
 }
 
-// Verdict words the final answers that no worker gave. Each call must answer its link
-// once, with Reply, Reject or Answer.
+// FinalResponder writes the final responses for requests that no worker answered. Each method
+// must respond to its client exactly once, with RespondText, RespondTextAndClose or Respond.
 type Verdict interface {
-	// Throttled refuses: nothing has run or will. The client may come again after so many
-	// milliseconds, 0 where none are advised.
+	// Throttled responds to a request that has not run and will not run. The client may retry
+	// after the given number of milliseconds; 0 means that no time is advised.
 	Throttled(l *Client, r *gatekeeper.Request, after float64)
-	// Failed promises nothing. r.Last is the last failure that a worker answered, if any.
+	// Failed responds to a request that may or may not have run. r.LastError is the last
+	// failure response from a worker, if there is one.
 	Failed(l *Client, r *gatekeeper.Request)
 }
 
@@ -64,8 +67,8 @@
 	return maxStallMS
 }
 
-// keepAlive is what answers tell of the time that a link may rest, in seconds; 0 for
-// nothing.
+// keepAliveSeconds returns the timeout to announce in the Keep-Alive header, or 0 for no
+// header.
 func (s *Clients) keepAliveSeconds() int64 {
 	if s.Limits == nil || !s.Limits.KeepAlive {
 		return 0
--- a/internal/link/limits_test.go
+++ b/internal/link/limits_test.go
@@ -15,24 +15,25 @@
 	"foxwood/policy"
 )
 
-// door is client links with a core and a fleet behind them, on a loop of their own.
+// testGateway is client connections with a core and worker connections, on a loop of their
+// own.
 type testGateway struct {
 	*Clients
 	loop *Loop
 	addr string
 }
 
-// Handle implements Front.
+// Handle implements RequestHandler.
 func (d *testGateway) Handle(l *Client, m *http1.Message) {
 	if string(m.Target) == "/echo" {
 		l.Answer(200, nil, m.Body)
 		return
 	}
-	p := &Payload{Head: fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n", m.Length)}
-	l.Submit(&gatekeeper.Request{Left: 5000, Units: 1, Spread: 1, Payload: p})
+	payload := &Payload{Head: fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n", m.Length)}
+	l.Submit(&gatekeeper.Request{Left: 5000, Units: 1, Spread: 1, Payload: payload})
 }
 
-// Add implements gatekeeper.Counter.
+// Add implements gatekeeper.CounterClient.
 func (d *testGateway) Add(*gatekeeper.Count) {}
 
 func newTestGateway(t *testing.T, worker string, limits *ClientLimits) *testGateway {
@@ -49,17 +50,17 @@
 	ready := make(chan bool)
 	loop.Post(func() {
 		clock := gatekeeper.NewClock()
-		fleet := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{})
-		core := gatekeeper.New(gatekeeper.Config{Clock: clock, Fleet: fleet, Counter: gateway, Seed: 1,
+		workerConns := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{})
+		core := gatekeeper.New(gatekeeper.Config{Clock: clock, Fleet: workerConns, Counter: gateway, Seed: 1,
 			Wake: func(at float64) { loop.Wake(at - clock.Now()) },
 			Settings: policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 3, Cancel: true,
 				Classes: []policy.Class{{Aim: 4e6, Deadline: 5e6, Worth: 1, Repeat: policy.Unsafe}}, Plans: []policy.Plan{{Price: 1}}}})
 		loop.OnAlarm(core.Advance)
-		fleet.Attach(core)
+		workerConns.Attach(core)
 		gateway.Clients = NewClients(loop, clock, core, gateway)
 		gateway.Limits = limits
 		if worker != "" {
-			fleet.Place(1, worker, 0)
+			workerConns.Place(1, worker, 0)
 			core.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 		}
 		loop.Every(20*time.Millisecond, gateway.Sweep)
@@ -76,7 +77,7 @@
 	return gateway
 }
 
-// say opens a link, brings text, and gives the answer.
+// exchange opens a connection, sends text and returns the response.
 func (d *testGateway) exchange(t *testing.T, text string) (*http.Response, net.Conn) {
 	t.Helper()
 	conn, err := net.Dial("tcp", d.addr)
@@ -101,15 +102,15 @@
 		text string
 		want int
 	}{
-		"in order":           {post + "100\r\n\r\n" + strings.Repeat("x", 100), 200},
-		"too long a head":    {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("x", 300) + "\r\n\r\n", 431},
-		"too long a body":    {post + "1001\r\n\r\n", 413},
-		"too slow a head":    {"GET /echo HTTP/1.1\r\n", 408},
-		"a body that stalls": {post + "3\r\n\r\nx", 408},
+		"valid":         {post + "100\r\n\r\n" + strings.Repeat("x", 100), 200},
+		"head too long": {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("x", 300) + "\r\n\r\n", 431},
+		"body too long": {post + "1001\r\n\r\n", 413},
+		"head too slow": {"GET /echo HTTP/1.1\r\n", 408},
+		"body stalls":   {post + "3\r\n\r\nx", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if response, _ := gateway.exchange(t, tc.text); response.StatusCode != tc.want || (response.StatusCode != 200) != response.Close {
-				t.Fatalf("%d, closing %v; want %d", response.StatusCode, response.Close, tc.want)
+				t.Fatalf("status %d, Connection: close %v; want status %d", response.StatusCode, response.Close, tc.want)
 			}
 		})
 	}
@@ -117,12 +118,12 @@
 	gateway.loop.Post(func() { limits.HTTP.Head = 1000; close(done) })
 	<-done
 	if response, _ := gateway.exchange(t, "GET /echo HTTP/1.1\r\nHost: a\r\nA: "+strings.Repeat("x", 300)+"\r\n\r\n"); response.StatusCode != 200 {
-		t.Fatalf("%d under a limit that was raised", response.StatusCode)
+		t.Fatalf("status %d after the limit was raised, want 200", response.StatusCode)
 	}
 }
 
-// TestSilentClientGetsIdleTimeout: it has begun nothing, and then has the whole
-// time of a head.
+// TestSilentClientGetsIdleTimeout checks that a client that has sent nothing may stay for the
+// idle timeout, and then still has the full head timeout.
 func TestSilentClientGetsIdleTimeout(t *testing.T) {
 	gateway := newTestGateway(t, "", &ClientLimits{ReadMost: 200, RestMost: 2500, KeepAlive: true})
 	conn, err := net.Dial("tcp", gateway.addr)
@@ -141,7 +142,8 @@
 	}
 }
 
-// TestStalledBodyGets502OnceForwarded: a 408 says that it never ran.
+// TestStalledBodyGets502OnceForwarded checks that a request that stalls after part of it went
+// to a worker is not answered with 408, which promises that it has not run.
 func TestStalledBodyGets502OnceForwarded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,11 +162,11 @@
 	text := "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 80000)
 	gateway := newTestGateway(t, listener.Addr().String(), &ClientLimits{RestMost: 200})
 	if response, _ := gateway.exchange(t, text); response.StatusCode != http.StatusBadGateway || !response.Close {
-		t.Fatalf("%d, closing %v", response.StatusCode, response.Close)
+		t.Fatalf("status %d, Connection: close %v; want 502, true", response.StatusCode, response.Close)
 	}
 }
 
-// wording is a verdict of its own.
+// customVerdict is a FinalResponder with its own responses.
 type customVerdict struct{}
 
 func (customVerdict) Throttled(l *Client, _ *gatekeeper.Request, _ float64) {
@@ -179,6 +181,6 @@
 	<-done
 	response, _ := gateway.exchange(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	if b, _ := io.ReadAll(response.Body); response.StatusCode != 503 || string(b) != "busy" || response.Header.Get("Retry-After") != "1" {
-		t.Fatalf("%d %q", response.StatusCode, b)
+		t.Fatalf("status %d, body %q; want 503, busy", response.StatusCode, b)
 	}
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -1,11 +1,11 @@
-// Package link holds the connections of a gatekeeper: client links, server links,
-// counter links and the discovery watch. They are objects with callbacks on one
-// gnet event loop, which also owns the core; so nothing here needs a lock.
+// Package link holds the connections of a gatekeeper to its clients, to its workers, to the
+// shared counter and to service discovery. Each is an object with callbacks on one gnet event
+// loop. The gatekeeper core runs on the same loop, so nothing here needs a lock.
 //
-// The loop has no listener of gnet's: gnet ends its engine when accept fails, as
-// it does where descriptors run out, and every request would be lost with it.
-// One goroutine accepts, one short-lived goroutine opens each new connection,
-// and both hand what they have to the loop.
+// The loop does not use gnet's listener: gnet stops its engine when accept fails, as it does
+// when the process runs out of file descriptors, and every open request would be lost.
+// Instead, one goroutine accepts connections, a short-lived goroutine dials each outgoing one,
+// and both hand the connections to the loop.
 package link
 
 import (
@@ -26,28 +26,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is what a link needs of its connection; gnet's has it.
+// conn is what an endpoint needs of its connection. gnet.Conn implements it.
 type conn interface {
 	Write([]byte) (int, error)
 	OutboundBuffered() int
 	Fd() int
 }
 
-// enrolled is a connection that gnet serves.
+// gnetConn is a connection that gnet serves.
 type gnetConn interface {
 	conn
 	Dup() (int, error)
 	SetContext(any)
 }
 
-// endpoint is the object behind one connection. Its methods run on the loop.
+// endpoint handles the events of one connection. Its methods run on the loop.
 type endpoint interface {
 	opened(c conn)
 	traffic(b []byte)
 	closed(err error)
 }
 
-// Loop is the event loop that owns everything.
+// Loop is the event loop that all connections and the gatekeeper core run on.
 type Loop struct {
 	gnet.BuiltinEventEngine
 	client         *gnet.Client
@@ -56,22 +56,22 @@
 	onAlarm        func()
 	stopped        atomic.Bool
 	iterations     iterationTracker
-	pendingFlushes []flusher // links with something to write
-	batchesWrites  bool      // there are such links at all
-	flushPosted    bool      // for the end of the turn
-	eventDepth     int       // of events
-	poller         *poller   // nil before the first flow
+	pendingFlushes []flusher // connections with buffered output
+	batchesWrites  bool      // flushSoon has been called at least once
+	flushPosted    bool      // flushAll is posted for the end of the iteration
+	eventDepth     int       // nesting of beginEvent
+	poller         *poller   // nil before the first pausable connection
 	Budget         *Budget
-	Flowing        int // bytes that all flows may hold, 0 for no limit
+	Flowing        int // limit on the bytes buffered by all pausable connections, 0 for none
 }
 
-// flusher is a link that writes what it has gathered in a turn of the loop at once.
+// flusher is a connection that buffers its output and writes it in one call.
 type flusher interface{ flush() }
 
-// NewLoop starts an event loop whose sockets stay within the budget.
+// NewLoop starts an event loop whose connections stay within the budget.
 func NewLoop(b *Budget) (*Loop, error) {
-	l := &Loop{Budget: b}
-	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes),
+	loop := &Loop{Budget: b}
+	client, err := gnet.NewClient(loop, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes),
 		gnet.WithWriteBufferCap(readBufferBytes), gnet.WithLogger(gnetLogger{}), gnet.WithLogLevel(logging.ErrorLevel))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -79,27 +79,28 @@
 	if err := client.Start(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	l.client = client
-	if err := l.registerAnchor(); err != nil {
+	loop.client = client
+	if err := loop.registerAnchor(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	l.alarm = time.AfterFunc(time.Hour, func() { l.Post(func() { l.onAlarm() }) })
-	return l, nil
+	loop.alarm = time.AfterFunc(time.Hour, func() { loop.Post(func() { loop.onAlarm() }) })
+	return loop, nil
 }
 
 const readBufferBytes = 64 << 10
 
-// anchor enrols a connection that nothing ever comes on: gnet gives its event loop out
-// with a connection only, and calls from other goroutines need it before the first.
+// registerAnchor registers a connection that never receives anything. gnet exposes its event
+// loop only through a connection, and Post needs the loop before the first real connection
+// exists.
 func (l *Loop) registerAnchor() error {
-	c, held, err := newSocketPair()
+	conn, held, err := newSocketPair()
 	if err != nil {
-		slog.Info("loop: no Unix sockets here, a datagram socket holds its place", "error", err)
-		if c, err = newDiscardSocket(); err != nil {
+		slog.Info("loop: Unix sockets not available, using a UDP socket to register the loop", "error", err)
+		if conn, err = newDiscardSocket(); err != nil {
 			return err
 		}
 	}
-	g, err := l.client.EnrollContext(c, anchorEndpoint{held})
+	g, err := l.client.EnrollContext(conn, anchorEndpoint{held})
 	if err != nil {
 		return err
 	}
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// quietPair is one end of a pair of Unix sockets, and the other.
+// newSocketPair returns the two ends of a pair of Unix sockets.
 var newSocketPair = func() (net.Conn, io.Closer, error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -120,23 +121,23 @@
 		far.Close()
 		return nil, nil, err
 	}
-	if c.RemoteAddr() == nil || c.LocalAddr() == nil { // gnet asks for both
+	if c.RemoteAddr() == nil || c.LocalAddr() == nil { // gnet requires both addresses
 		far.Close()
 		c.Close()
-		return nil, nil, errors.New("a pair of Unix sockets that tells no addresses")
+		return nil, nil, errors.New("Unix socket pair has no local or remote address")
 	}
 	return c, far, nil
 }
 
-// quietDatagrams is a socket that takes datagrams from one reserved port of this machine
-// alone, and sends none.
+// newDiscardSocket returns a UDP socket that receives from the local discard port only, and
+// sends nothing. It stands in where Unix sockets are not available.
 func newDiscardSocket() (net.Conn, error) {
 	const discard = 9
 	return net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discard})
 }
 
 type anchorEndpoint struct {
-	peer io.Closer // for the life of the loop; nil for datagrams
+	peer io.Closer // kept open while the loop runs; nil for a UDP socket
 }
 
 func (a anchorEndpoint) opened(conn)    {}
@@ -147,7 +148,7 @@
 	}
 }
 
-// Post runs do on the loop. Any goroutine may call it.
+// Post runs fn on the loop. Any goroutine may call it.
 func (l *Loop) Post(fn func()) {
 	runnable := gnet.RunnableFunc(func(context.Context) error {
 		l.beginEvent()
@@ -156,12 +157,12 @@
 		return nil
 	})
 	if err := l.events.Execute(context.Background(), runnable); err != nil && !l.stopped.Load() {
-		slog.Error("loop: call not taken", "error", err)
+		slog.Error("loop: posted call rejected", "error", err)
 	}
 }
 
-// flushSoon has a link written to when this event, or this turn of the loop, ends: see
-// turns. Must be called on the loop.
+// flushSoon calls f.flush at the end of this event or of this loop iteration, as
+// iterationTracker decides. It must be called on the loop.
 func (l *Loop) flushSoon(f flusher, mark *writeMark) {
 	l.batchesWrites = true
 	if l.iterations.markDirty(mark) {
@@ -169,7 +170,7 @@
 	}
 }
 
-// begin and end are around everything that runs on the loop; one may lie in another.
+// beginEvent and endEvent surround everything that runs on the loop. Calls may be nested.
 func (l *Loop) beginEvent() {
 	if l.eventDepth++; l.eventDepth == 1 && l.batchesWrites {
 		l.iterations.beginEvent(time.Now())
@@ -186,30 +187,31 @@
 		l.flushAll()
 	case !l.flushPosted:
 		l.flushPosted = true
-		l.Post(l.flushAll) // what is posted runs after the turn's events
+		l.Post(l.flushAll) // posted functions run after the events of this iteration
 	}
 	l.iterations.endEvent(time.Now())
 }
 
 func (l *Loop) flushAll() {
 	l.flushPosted = false
-	for i := 0; i < len(l.pendingFlushes); i++ { // a flush may make others dirty
+	for i := 0; i < len(l.pendingFlushes); i++ { // a flush may add to the list
 		l.pendingFlushes[i].flush()
 	}
 	clear(l.pendingFlushes)
 	l.pendingFlushes = l.pendingFlushes[:0]
 }
 
-// OnAlarm names what Wake calls. It must be set before the first Wake.
+// OnAlarm sets the function that is called at the time given to SetAlarm. It must be called
+// before SetAlarm.
 func (l *Loop) OnAlarm(ring func()) { l.onAlarm = ring }
 
-// Wake asks for a call of the alarm after so many milliseconds, instead of the
-// one asked for before.
+// SetAlarm schedules a call of the alarm function in ms milliseconds. It replaces the previous
+// schedule.
 func (l *Loop) Wake(ms float64) {
 	l.alarm.Reset(time.Duration(max(ms, 0) * float64(time.Millisecond)))
 }
 
-// after calls do on the loop once so many milliseconds are over.
+// afterMS calls fn on the loop after ms milliseconds.
 func (l *Loop) afterMS(ms float64, fn func()) {
 	time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
 		if !l.stopped.Load() {
@@ -218,12 +220,13 @@
 	})
 }
 
-// After calls do on the loop once so much time is over.
+// After calls fn on the loop after the given time.
 func (l *Loop) After(wait time.Duration, fn func()) {
 	l.afterMS(float64(wait)/float64(time.Millisecond), fn)
 }
 
-// Every calls do on the loop again and again.
+// Every calls fn on the loop repeatedly. The interval is from the end of one call to the start
+// of the next.
 func (l *Loop) Every(interval time.Duration, fn func()) {
 	time.AfterFunc(interval, func() {
 		if l.stopped.Load() {
@@ -236,12 +239,12 @@
 	})
 }
 
-// Stop ends the loop and closes what is still open.
+// Stop ends the loop and closes all open connections.
 func (l *Loop) Stop() error {
 	l.stopped.Store(true)
 	l.alarm.Stop()
 	err := l.client.Stop()
-	if l.poller != nil { // the loop has ended, so nobody else has it
+	if l.poller != nil { // the loop has ended, so nothing else uses the poller
 		l.poller.stop()
 	}
 	return err
@@ -283,8 +286,8 @@
 	}
 }
 
-// dial opens a connection and hands it to e, or calls failed. It belongs to a
-// connection, which serves many requests, not to a request.
+// dial opens a connection and passes it to e, or calls failed. A dial is not cancelled with a
+// request, because the connection serves many requests.
 func (l *Loop) dial(addr string, timeout time.Duration, e endpoint, failed func(error)) {
 	go func() {
 		c, err := net.DialTimeout("tcp", addr, timeout)
@@ -300,15 +303,15 @@
 // Listener accepts client connections.
 type Listener struct {
 	*net.TCPListener
-	acceptor interface{ Accept() (net.Conn, error) } // itself, but for tests
+	acceptor interface{ Accept() (net.Conn, error) } // the listener itself, except in tests
 	closing  atomic.Bool
 
 	mu     sync.Mutex
-	paused chan struct{} // closed when it goes on; nil while it does
+	paused chan struct{} // non-nil while paused; closed on resume
 }
 
-// Listen opens the one address that clients connect to. A new process may open it beside
-// one that is in service (SO_REUSEPORT): so it can start where the other hands nothing over.
+// Listen opens the address that clients connect to. It sets SO_REUSEPORT, so that a new
+// process can start beside the running one without receiving its listener.
 func Listen(addr string) (*Listener, error) {
 	shared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var inner error
@@ -324,11 +327,11 @@
 	return Inherited(ln.(*net.TCPListener)), nil
 }
 
-// Inherited is a listener that another process has opened.
+// NewListener wraps a listener that was opened by another process.
 func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, acceptor: ln} }
 
-// Accept hands every client connection to the loop, until the listener closes.
-// Running out of descriptors makes it wait, not end.
+// Accept hands each accepted connection to the loop, until the listener is closed. If file
+// descriptors run out, it waits and tries again.
 func (ln *Listener) Accept(loop *Loop, newClient func() *Client) {
 	const pause = 5 * time.Millisecond
 	for {
@@ -343,7 +346,7 @@
 			return
 		}
 		if err != nil && ln.pauseSignal() == nil {
-			slog.Warn("client link not accepted", "error", err)
+			slog.Warn("accepting client connection failed", "error", err)
 			time.Sleep(pause)
 		}
 	}
@@ -355,17 +358,18 @@
 	return ln.paused
 }
 
-// Pause leaves what comes in to another process that has the listener too.
+// Pause stops accepting, so that another process that shares the listener takes new
+// connections.
 func (ln *Listener) Pause() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	if ln.paused == nil {
 		ln.paused = make(chan struct{})
-		_ = ln.SetDeadline(time.Unix(1, 0)) // Accept returns
+		_ = ln.SetDeadline(time.Unix(1, 0)) // makes Accept return
 	}
 }
 
-// Resume accepts again.
+// Resume starts accepting again after Pause.
 func (ln *Listener) Resume() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -376,15 +380,15 @@
 	}
 }
 
-// Close stops accepting.
+// Close stops accepting and closes the listener.
 func (ln *Listener) Close() error {
 	ln.closing.Store(true)
 	err := ln.TCPListener.Close()
-	ln.Resume() // that Accept sees it
+	ln.Resume() // lets a paused Accept see that the listener is closed
 	return err
 }
 
-// quiet passes on gnet's errors and drops the rest.
+// gnetLogger forwards gnet's errors to slog and drops the rest.
 type gnetLogger struct{}
 
 func (gnetLogger) Debugf(string, ...any)          {}
--- a/internal/link/loop_start_test.go
+++ b/internal/link/loop_start_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestLoopStartsWithoutUnixSockets guards a start where the system refuses them: posted
-// calls and connections have to reach the loop as anywhere else.
+// TestLoopStartsWithoutUnixSockets checks that posted calls and connections reach the loop on
+// a system that refuses Unix sockets.
 func TestLoopStartsWithoutUnixSockets(t *testing.T) {
 	original := newSocketPair
 	t.Cleanup(func() { newSocketPair = original })
@@ -20,7 +20,7 @@
 		}
 		loop, err := NewLoop(NewBudget(200, 0))
 		if err != nil {
-			t.Fatalf("pair: %v: %v", refused, err)
+			t.Fatalf("socket pair error %v: %v", refused, err)
 		}
 		posted, opened := make(chan bool), make(chan bool)
 		loop.Post(func() { close(posted) })
@@ -32,12 +32,12 @@
 		loop.dial(listener.Addr().String(), watchDialTimeout, openedFunc(func() { close(opened) }), func(err error) { t.Error(err) })
 		<-opened
 		if err := errors.Join(listener.Close(), loop.Stop()); err != nil {
-			t.Errorf("pair: %v: %v", refused, err)
+			t.Errorf("socket pair error %v: %v", refused, err)
 		}
 	}
 }
 
-// seen is an endpoint that only tells of its opening.
+// openedFunc is an endpoint that is called when its connection opens.
 type openedFunc func()
 
 func (s openedFunc) opened(conn)    { s() }
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -9,7 +9,7 @@
 	"foxwood/gatekeeper"
 )
 
-// short is a listener that is out of descriptors at first.
+// failingListener fails its first calls of Accept as if out of file descriptors.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -25,8 +25,8 @@
 	return s.Listener.Accept()
 }
 
-// TestAcceptSurvivesDescriptorExhaustion guards against gnet's own listener, whose
-// engine ends when accept fails, and every request with it.
+// TestAcceptSurvivesDescriptorExhaustion guards against using gnet's listener, which stops the
+// engine, and with it every request, when accept fails.
 func TestAcceptSurvivesDescriptorExhaustion(t *testing.T) {
 	loop, err := NewLoop(NewBudget(200, 0))
 	if err != nil {
@@ -65,10 +65,10 @@
 	for _, limit := range []int{64, 128, 192, 256, 1024, 20000} {
 		b := NewBudget(limit, 0)
 		if b.Clients < 1 || b.Servers < 1 {
-			t.Errorf("limit %d: %+v", limit, b)
+			t.Errorf("limit %d: %+v, want at least 1 client and 1 worker connection", limit, b)
 		}
 		if most := b.Clients + b.Servers + 2*b.Openings + b.Counters + minReservedFDs; limit >= 128 && most > limit {
-			t.Errorf("limit %d is passed by %d", limit, most-limit)
+			t.Errorf("limit %d is exceeded by %d", limit, most-limit)
 		}
 	}
 }
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -8,91 +8,95 @@
 )
 
 const (
-	// waitingMost is how many executions may wait for room on a worker's links. What
-	// comes beyond is told to be too much for the worker, and has not run.
+	// maxWaiting is how many executions may wait for a connection to a worker. Further ones
+	// end as refused by a full worker, and have not run.
 	maxWaiting = 256
-	// unsentMost is how many bytes a worker may leave unread before its link gets nothing
-	// new.
+	// maxUnsentBytes is how much output a connection may have buffered before it gets no new
+	// executions.
 	maxUnsentBytes = 1 << 20
 )
 
-// speech is what is spoken on a trunk: one state machine a transport. Its methods run on
-// the loop. It reports the ends of executions to the core itself.
+// muxProtocol is a protocol that carries several executions on a connection, as a state
+// machine. Its methods run on the loop. It reports the outcome of executions to the core
+// itself.
 type muxProtocol interface {
-	// hello begins the conversation.
+	// start begins the conversation.
 	start()
-	// room is how many executions may be sent now.
+	// room returns how many executions may be sent now.
 	room() int
-	// send takes an execution, for which there is room.
+	// send sends an execution. There must be room for it.
 	send(x *gatekeeper.Execution)
-	// heard takes what has come. After an error the link ends, and farewell is the last
-	// that is said on it.
+	// receive handles input. After an error the connection is closed, and finalBytes is the
+	// last output on it.
 	receive(b []byte) error
 	finalBytes() []byte
-	// written gives out what is to be sent by now. It holds until the next call.
+	// takeOutput returns the output that is due. The slice is valid until the next call.
 	takeOutput() []byte
-	// giveUp ends an execution before its answer, and tells whether the whole of it had
-	// been sent. After an error the link ends: the peer could not be told.
+	// cancel gives up an execution before its response, and reports whether all of it had been
+	// sent. After an error the connection must be closed, because the peer could not be told.
 	cancel(x *gatekeeper.Execution) (sent bool, err error)
-	// sweep does what is due; after an error the link ends.
+	// sweep does periodic work. After an error the connection is closed.
 	sweep(now float64) error
-	// leaving tells that the peer takes nothing new on this link.
+	// peerLeaving reports that the peer accepts no new executions on this connection.
 	peerLeaving() bool
-	// out is how many executions are out.
+	// inFlight returns how many executions are in flight.
 	inFlight() int
-	// lost ends every execution that is out, by what the link's break proves of it: the
-	// first gone bytes have left, whatever comes behind them never has.
+	// connLost ends every execution in flight when the connection has broken. The first
+	// sentOffset bytes of output have been sent and nothing after them, which decides what is
+	// known of each execution.
 	connLost(gone int64)
 }
 
-// trunk is one link of a shared carrier.
+// muxConn is a connection of a muxPool.
 type muxConn struct {
 	pool         *muxPool
-	fleet        *Fleet
+	workerConns  *Fleet
 	addr         string
-	dialedAt     float64 // when its opening began
+	dialedAt     float64 // when dialing began
 	conn         conn
 	protocol     muxProtocol
 	writtenBytes int64 // bytes written to the connection
 	writing      bool
 	mark         writeMark
 	isClosed     bool
-	idleSince    float64 // at rest since
+	idleSince    float64 // start of the idle period
 }
 
-// shared is the carrier of transports that put several executions on a link.
+// muxPool holds the connections to one worker for protocols that carry several executions on a
+// connection.
 type muxPool struct {
-	worker    *workerRecord
-	fleet     *Fleet
-	conns     []*muxConn // that are up, in the order they came up
-	queue     []*gatekeeper.Execution
-	dialing   int
-	connCount int
-	// choose finds the link for an execution, or tells that another one is wanted.
+	worker      *workerRecord
+	workerConns *Fleet
+	conns       []*muxConn // open connections, in the order they opened
+	queue       []*gatekeeper.Execution
+	dialing     int
+	connCount   int
+	// choose returns the connection for an execution, or reports that another should be
+	// opened.
 	choose      func(x *gatekeeper.Execution) (to *muxConn, open bool)
-	uniform     bool // where one finds no room, no other does
+	uniform     bool // if choose finds no connection for one execution, it finds none for any
 	newProtocol func(t *muxConn) muxProtocol
 	assigning   bool
 	assignAgain bool
 }
 
 func newMuxPool(w *workerRecord) *muxPool {
-	s := &muxPool{worker: w, fleet: w.fleet}
-	s.choose, s.uniform = s.mostRoom, true
-	switch w.fleet.transport.Carrier {
+	pool := &muxPool{worker: w, workerConns: w.workerConns}
+	pool.choose, pool.uniform = pool.mostRoom, true
+	switch w.workerConns.transport.Carrier {
 	case Pipeline:
-		s.newProtocol = newPipelineProtocol
-		lines := &pipelineChooser{pool: s}
-		s.choose, s.uniform = lines.choose, false
+		pool.newProtocol = newPipelineProtocol
+		lines := &pipelineChooser{pool: pool}
+		pool.choose, pool.uniform = lines.choose, false
 	case HTTP2:
-		s.newProtocol = newHTTP2Protocol
+		pool.newProtocol = newHTTP2Protocol
 	case Batch:
-		s.newProtocol = newBatchProtocol
+		pool.newProtocol = newBatchProtocol
 	}
-	return s
+	return pool
 }
 
-// roomiest is the trunk with the most room, or whether one more is wanted.
+// mostRoom returns the connection with the most room, or reports whether to open another.
 func (s *muxPool) mostRoom(*gatekeeper.Execution) (best *muxConn, open bool) {
 	bestRoom := 0
 	for _, t := range s.conns {
@@ -100,13 +104,13 @@
 			best, bestRoom = t, n
 		}
 	}
-	depth := s.fleet.transport.Depth
-	return best, best == nil && s.connCount < s.fleet.transport.Links && s.dialing*depth < len(s.queue)
+	depth := s.workerConns.transport.Depth
+	return best, best == nil && s.connCount < s.workerConns.transport.Links && s.dialing*depth < len(s.queue)
 }
 
 func (s *muxPool) execute(execution *gatekeeper.Execution) {
 	if len(s.queue) >= maxWaiting {
-		s.fleet.endUnanswered(execution, policy.Full)
+		s.workerConns.endUnanswered(execution, policy.Full)
 		return
 	}
 	execution.Slot = s
@@ -114,8 +118,8 @@
 	s.assign()
 }
 
-// pump sends what waits where there is room, and opens links where they are wanted. An
-// end that it brings about may call it again: then it goes round once more.
+// assign sends waiting executions where there is room, and opens connections where they are
+// needed. An outcome that it causes may call it again; then it starts over.
 func (s *muxPool) assign() {
 	if s.assigning {
 		s.assignAgain = true
@@ -132,7 +136,7 @@
 				conn.send(execution)
 				continue
 			}
-			opened := open && s.fleet.canDial()
+			opened := open && s.workerConns.canDial()
 			if opened {
 				s.dial()
 			}
@@ -146,17 +150,18 @@
 }
 
 func (s *muxPool) dial() {
-	fleet := s.fleet
+	workerConns := s.workerConns
 	s.dialing++
-	fleet.dialing++
+	workerConns.dialing++
 	s.connCount++
-	fleet.connCount++
-	conn := &muxConn{pool: s, fleet: fleet, addr: s.worker.addr, dialedAt: fleet.clock.Now()}
+	workerConns.connCount++
+	conn := &muxConn{pool: s, workerConns: workerConns, addr: s.worker.addr, dialedAt: workerConns.clock.Now()}
 	conn.protocol = s.newProtocol(conn)
-	fleet.loop.dial(s.worker.addr, fleet.dialTimeout, conn, conn.dialFailed)
+	workerConns.loop.dial(s.worker.addr, workerConns.dialTimeout, conn, conn.dialFailed)
 }
 
-// moved closes the links at rest; the others do when they are through.
+// addressChanged closes idle connections; the others are closed when their executions have
+// ended.
 func (s *muxPool) addressChanged() {
 	for _, t := range slices.Clone(s.conns) {
 		t.updateIdle()
@@ -168,7 +173,7 @@
 	waiting := s.queue
 	s.queue = nil
 	for _, x := range waiting {
-		s.fleet.endUnanswered(x, policy.ConnectFailed)
+		s.workerConns.endUnanswered(x, policy.ConnectFailed)
 	}
 }
 
@@ -202,7 +207,7 @@
 	s.assign()
 }
 
-// abandon implements holder for what waits for a link.
+// abandon implements executionHolder for a queued execution.
 func (s *muxPool) abandon(execution *gatekeeper.Execution) (sent bool) {
 	if i := slices.Index(s.queue, execution); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
@@ -210,7 +215,7 @@
 	return false
 }
 
-// usable tells whether new executions may go out on the link.
+// usable reports whether the connection may carry new executions.
 func (t *muxConn) usable() bool {
 	return !t.isClosed && t.pool.worker.accepts(t.addr, t.dialedAt) && !t.protocol.peerLeaving()
 }
@@ -228,14 +233,15 @@
 	t.scheduleFlush()
 }
 
-// touch sees to it that what the speech has to say is written when this turn ends.
+// scheduleFlush makes the output of the protocol be written at the end of this event or loop
+// iteration.
 func (t *muxConn) scheduleFlush() {
 	if !t.isClosed {
-		t.fleet.loop.flushSoon(t, &t.mark)
+		t.workerConns.loop.flushSoon(t, &t.mark)
 	}
 }
 
-// flush writes what the speech has to say by now.
+// flush writes the output that is due.
 func (t *muxConn) flush() {
 	t.mark.dirty = false
 	if t.isClosed {
@@ -246,13 +252,14 @@
 		return
 	}
 	t.writing = true
-	_, _ = send(t.conn, b) // a failed write closes the link
+	_, _ = send(t.conn, b) // a failed write closes the connection
 	t.writing = false
 	t.writtenBytes += int64(len(b))
 }
 
-// abandon implements holder. What tells the peer is written before this returns; where
-// it can't be, the link ends: either way the execution is no longer out.
+// abandon implements executionHolder. The message that tells the peer is written before this
+// returns. If that is not possible, the connection is closed. Either way, the execution is no
+// longer in flight.
 func (t *muxConn) abandon(execution *gatekeeper.Execution) (sent bool) {
 	sent, err := t.protocol.cancel(execution)
 	if err == nil {
@@ -270,7 +277,7 @@
 func (t *muxConn) opened(c conn) {
 	t.conn = c
 	t.pool.dialing--
-	t.fleet.dialing--
+	t.workerConns.dialing--
 	t.pool.conns = append(t.pool.conns, t)
 	t.protocol.start()
 	t.scheduleFlush()
@@ -278,14 +285,14 @@
 	t.pool.assign()
 }
 
-// failed reports a connection that did not come up. Where no other is up or coming, what
-// waits has met a worker that could not be reached.
+// dialFailed handles a failed dial. If no other connection is open or being dialed, the worker
+// is unreachable for the waiting executions.
 func (t *muxConn) dialFailed(error) {
 	pool := t.pool
 	pool.dialing--
-	t.fleet.dialing--
+	t.workerConns.dialing--
 	t.uncount()
-	if t.addr != pool.worker.addr { // that says nothing of where the worker listens now
+	if t.addr != pool.worker.addr { // the failure says nothing about the worker's present address
 		pool.assign()
 		return
 	}
@@ -295,24 +302,25 @@
 	waiting := pool.queue
 	pool.queue = nil
 	for _, execution := range waiting {
-		t.fleet.endUnanswered(execution, policy.ConnectFailed)
+		t.workerConns.endUnanswered(execution, policy.ConnectFailed)
 	}
 }
 
-// ended takes a link out of the counts.
+// uncount removes a connection from the counts.
 func (t *muxConn) uncount() {
 	t.isClosed = true
 	t.pool.connCount--
-	t.fleet.connCount--
-	t.fleet.forget(t.pool.worker)
+	t.workerConns.connCount--
+	t.workerConns.forget(t.pool.worker)
 }
 
-// settle notes since when the link rests, and ends one that will carry nothing more.
+// updateIdle records the start of an idle period, and closes a connection that can carry
+// nothing more.
 func (t *muxConn) updateIdle() {
 	if t.isClosed || t.protocol.inFlight() > 0 {
 		return
 	}
-	t.idleSince = t.fleet.clock.Now()
+	t.idleSince = t.workerConns.clock.Now()
 	if !t.usable() {
 		t.flush()
 		t.close()
@@ -337,7 +345,7 @@
 
 func (t *muxConn) close() {
 	if !t.isClosed {
-		t.fleet.loop.closeConn(t.conn)
+		t.workerConns.loop.closeConn(t.conn)
 	}
 }
 
--- a/internal/link/pausable_conn.go
+++ b/internal/link/pausable_conn.go
@@ -7,21 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// A flow is a connection that can stop reading, which gnet's can't. Links that carry a
-// large message leave gnet for one. All flows share one epoll; one goroutine waits on it,
-// and what is ready is served on the loop.
+// gnet cannot stop reading from a connection. A connection that carries a large message is
+// therefore taken from gnet and becomes a pausableConn. All of these share one epoll instance:
+// one goroutine waits on it, and the events are handled on the loop.
 
 const (
 	readChunkBytes = 32 << 10 // bytes read at once
-	maxWindowBytes = 64 << 10 // bytes that wait on one side of a flow, where memory allows,
-	minWindowBytes = 8 << 10  // and where many flows share it
-	maxPollEvents  = 64       // connections served in a turn
+	maxWindowBytes = 64 << 10 // buffered bytes per side of a stream if memory allows,
+	minWindowBytes = 8 << 10  // and if many streams share the memory
+	maxPollEvents  = 64       // events handled per posted call
 )
 
-// flowing is an endpoint that can move to a flow.
+// pausableEndpoint is an endpoint whose connection can become a pausableConn.
 type pausableEndpoint interface {
 	endpoint
-	// drained tells that the kernel has taken all that was written.
+	// drained is called when the kernel has taken all output.
 	drained()
 }
 
@@ -29,10 +29,10 @@
 	poller       *poller
 	fd           int
 	endpoint     pausableEndpoint
-	out          []byte // that the kernel has not taken yet
+	out          []byte // output that the kernel has not taken yet
 	paused       bool   // does not read
-	events       uint32 // events that are registered
-	writtenBytes int    // bytes that the kernel has taken
+	events       uint32 // registered epoll events
+	writtenBytes int    // total bytes that the kernel has taken
 	closed       bool
 }
 
@@ -61,7 +61,7 @@
 	return n, nil
 }
 
-// push writes what the kernel takes.
+// writeNow writes as much as the kernel takes.
 func (f *pausableConn) writeNow(b []byte) (sent int, err error) {
 	for sent < len(b) {
 		n, err := unix.Write(f.fd, b[sent:])
@@ -79,7 +79,7 @@
 	return sent, nil
 }
 
-// rest stops reading, or goes on.
+// setPaused stops or resumes reading.
 func (f *pausableConn) setPaused(stop bool) {
 	if f.paused != stop && !f.closed {
 		f.paused = stop
@@ -87,7 +87,7 @@
 	}
 }
 
-// update registers the events that are wanted.
+// updateEvents registers the epoll events that are needed now.
 func (f *pausableConn) updateEvents() {
 	var wants uint32
 	if !f.paused {
@@ -103,7 +103,7 @@
 	_ = unix.EpollCtl(f.poller.fd, unix.EPOLL_CTL_MOD, f.fd, &unix.EpollEvent{Events: wants, Fd: int32(f.fd)})
 }
 
-// ready serves what epoll has told of the connection.
+// handleEvents handles the epoll events of the connection.
 func (f *pausableConn) handleEvents(events uint32, buffer []byte) {
 	if events&unix.EPOLLOUT != 0 && len(f.out) > 0 {
 		sent, err := f.writeNow(f.out)
@@ -119,7 +119,7 @@
 			f.endpoint.drained()
 		}
 	}
-	broken := events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 // told even to one that rests
+	broken := events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 // reported even while paused
 	if f.closed || !broken && (f.paused || events&unix.EPOLLIN == 0) {
 		return
 	}
@@ -138,7 +138,8 @@
 	}
 }
 
-// close ends the connection and tells its endpoint. What the kernel has not taken is lost.
+// close closes the connection and tells its endpoint. Output that the kernel has not taken is
+// lost.
 func (f *pausableConn) close(err error) {
 	if f.closed {
 		return
@@ -150,7 +151,7 @@
 	_ = unix.Close(f.fd)
 }
 
-// pump serves all flows.
+// poller waits for events of all pausable connections.
 type poller struct {
 	loop    *Loop
 	fd      int
@@ -170,9 +171,9 @@
 	return p, nil
 }
 
-// run waits for what is ready, and for the loop to have served it.
+// run waits for events, posts their handling to the loop and waits until that is done.
 func (p *poller) run() {
-	const look = 500 // milliseconds between two looks whether the loop has ended
+	const look = 500 // milliseconds between checks whether the loop has stopped
 	defer unix.Close(p.fd)
 	events := make([]unix.EpollEvent, maxPollEvents)
 	for {
@@ -200,7 +201,7 @@
 	}
 }
 
-// stop ends it once the loop has ended.
+// stop ends the poller after the loop has stopped.
 func (p *poller) stop() {
 	close(p.stopped)
 	for _, f := range p.conns {
@@ -208,7 +209,7 @@
 	}
 }
 
-// window is how many bytes may wait on one side of a flow.
+// window returns how many bytes may be buffered on one side of a stream.
 func (p *poller) window() int {
 	if p.loop.Flowing <= 0 {
 		return maxWindowBytes
@@ -216,8 +217,8 @@
 	return max(min(p.loop.Flowing/(2*max(len(p.conns), 1)), maxWindowBytes), minWindowBytes)
 }
 
-// leave takes a connection from gnet and makes it a flow, with the same endpoint. It can't
-// where gnet still has bytes to write.
+// makePausable takes a connection from gnet and turns it into a pausableConn with the same
+// endpoint. It fails if gnet still has output to write.
 func (l *Loop) makePausable(c conn, endpoint pausableEndpoint) (*pausableConn, bool) {
 	if pausable, ok := c.(*pausableConn); ok {
 		return pausable, true
@@ -249,14 +250,14 @@
 	return pausable, true
 }
 
-// left is what stays of a link at gnet when it has become a flow.
+// detachedEndpoint replaces the endpoint of a gnet connection that became a pausableConn.
 type detachedEndpoint struct{}
 
 func (detachedEndpoint) opened(conn)    {}
 func (detachedEndpoint) traffic([]byte) {}
 func (detachedEndpoint) closed(error)   {}
 
-// Waiting is how many bytes of flows wait to be written.
+// StreamUnsentBytes returns how many bytes of output pausable connections have buffered.
 func (l *Loop) Waiting() (n int) {
 	if l.poller != nil {
 		for _, f := range l.poller.conns {
@@ -266,8 +267,8 @@
 	return n
 }
 
-// Holding is how many bytes of memory flows hold: what waits to be written, and what is kept of
-// the bodies of requests.
+// StreamMemoryBytes returns the memory that pausable connections use for buffered output and
+// for request bodies.
 func (l *Loop) Holding() (n int) {
 	if l.poller != nil {
 		for _, f := range l.poller.conns {
--- a/internal/link/pipeline.go
+++ b/internal/link/pipeline.go
@@ -11,30 +11,30 @@
 	"foxwood/policy"
 )
 
-// line speaks HTTP/1.1 with several requests in a line (RFC 9112, section 9.3.2). Answers
-// have nothing but their order to tell whose they are, so each request states a number
-// that the worker copies into its answer. Until a link's first answer has shown that the
-// worker does, it carries one request at a time; where the worker does not, it stays so,
-// and rests between them as a serial link does.
+// pipelineProtocol speaks HTTP/1.1 with pipelining (RFC 9112, section 9.3.2). Only the order
+// of responses tells which request they belong to, so each request carries a sequence number
+// that the worker copies into its response. Until the first response on a connection shows
+// that the worker does so, the connection carries one request at a time. If the worker does
+// not, it stays that way and the connection rests between requests, as one of serialPool does.
 type pipelineProtocol struct {
 	conn            *muxConn
 	parser          *http1.Parser
 	output          []byte
-	outputOffset    int64 // place of text's first byte in all that was written
+	outputOffset    int64 // stream offset of the first byte of output
 	sequence        uint64
 	requests        []pipelinedRequest
-	pending         []lanes.Entry // of items
-	echoes          bool          // the worker copies the number
-	noEcho          bool          // it does not
-	closing         bool          // the last answer said that it closes the link
-	partialSequence uint64        // the turn whose answer has begun
-	lastReadAt      float64       // when something came
+	pending         []lanes.Entry // timing of requests, in the same order
+	echoes          bool          // the worker copies the sequence number
+	noEcho          bool          // the worker does not copy it
+	closing         bool          // the last response announced that the connection closes
+	partialSequence uint64        // sequence number of the request whose response is incomplete
+	lastReadAt      float64       // time of the last input, in milliseconds
 }
 
 type pipelinedRequest struct {
 	execution              *gatekeeper.Execution
 	sequence               uint64
-	startOffset, endOffset int64 // places of its bytes
+	startOffset, endOffset int64 // stream offsets of the request's bytes
 }
 
 func newPipelineProtocol(t *muxConn) muxProtocol {
@@ -49,10 +49,10 @@
 
 func (l *pipelineProtocol) inFlight() int { return len(l.requests) }
 
-// depth is how many requests the line takes.
+// maxInFlight returns how many requests the connection may carry now.
 func (l *pipelineProtocol) maxInFlight() int {
 	if l.echoes {
-		return l.conn.fleet.transport.Depth
+		return l.conn.workerConns.transport.Depth
 	}
 	return 1
 }
@@ -64,20 +64,20 @@
 	return max(l.maxInFlight()-len(l.requests), 0)
 }
 
-// settled tells whether a plain link has rested and nothing has come meanwhile: see
-// serial.take.
+// settled reports whether a connection without echo has been idle for settleMS and has no
+// unread input. See serialPool.takeIdle for the reason.
 func (l *pipelineProtocol) settled() bool {
-	return l.conn.fleet.clock.Now()-l.lastReadAt >= settleMS && noUnreadInput(l.conn.conn)
+	return l.conn.workerConns.clock.Now()-l.lastReadAt >= settleMS && noUnreadInput(l.conn.conn)
 }
 
 func (l *pipelineProtocol) send(execution *gatekeeper.Execution) {
-	fleet := l.conn.fleet
+	workerConns := l.conn.workerConns
 	l.sequence++
 	request := pipelinedRequest{execution: execution, sequence: l.sequence, startOffset: l.outputOffset + int64(len(l.output))}
-	l.output = fleet.message(l.output, execution, fleet.transport.Echo, l.sequence)
+	l.output = workerConns.message(l.output, execution, workerConns.transport.Echo, l.sequence)
 	request.endOffset = l.outputOffset + int64(len(l.output))
 	l.requests = append(l.requests, request)
-	l.pending = append(l.pending, lanes.Entry{Class: execution.Request.Class, Since: fleet.clock.Now()})
+	l.pending = append(l.pending, lanes.Entry{Class: execution.Request.Class, Since: workerConns.clock.Now()})
 }
 
 func (l *pipelineProtocol) takeOutput() []byte {
@@ -88,11 +88,11 @@
 }
 
 var (
-	errUnexpectedResponse = errors.New("an answer that nothing was asked for")
-	errWrongResponse      = errors.New("an answer to another request")
-	errPartialResponse    = errors.New("an answer has begun and does not end")
-	errCannotCancel       = errors.New("the peer can't be told to give one request up")
-	errPingTimeout        = errors.New("the peer gives no sign of life")
+	errUnexpectedResponse = errors.New("response without a request")
+	errWrongResponse      = errors.New("response belongs to another request")
+	errPartialResponse    = errors.New("incomplete response or message timed out")
+	errCannotCancel       = errors.New("the protocol cannot cancel a single request")
+	errPingTimeout        = errors.New("peer did not respond to a ping")
 )
 
 func (l *pipelineProtocol) receive(b []byte) error {
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		l.lastReadAt = l.conn.fleet.clock.Now()
+		l.lastReadAt = l.conn.workerConns.clock.Now()
 		if !done {
 			if l.parser.Started() && l.partialSequence != l.requests[0].sequence {
 				l.partialSequence = l.requests[0].sequence
@@ -120,54 +120,55 @@
 	return nil
 }
 
-// hurry ends the link where an answer has begun and nothing more comes: see server.hurry.
+// checkPartial closes the connection if a response has begun and no more of it arrives. See
+// workerConn.checkPartial for the reason.
 func (l *pipelineProtocol) checkPartial() {
 	if l.conn.isClosed || len(l.requests) == 0 || l.requests[0].sequence != l.partialSequence {
 		return
 	}
-	left := l.lastReadAt + maxPartialMS - l.conn.fleet.clock.Now()
+	left := l.lastReadAt + maxPartialMS - l.conn.workerConns.clock.Now()
 	if left <= 0 {
 		l.conn.close()
 		return
 	}
-	l.conn.fleet.loop.afterMS(left, l.checkPartial)
+	l.conn.workerConns.loop.afterMS(left, l.checkPartial)
 }
 
-// answered gives the first in line its answer. It guards against a second copy, noise or
-// a spoilt answer in the middle of a line, which would be read as the answer of the next:
-// one that does not state its request's number ends the link.
+// responseRead completes the first request in the pipeline. A duplicate or malformed response
+// in the middle of a pipeline would be taken for the response to the next request. So a
+// response that does not carry its request's sequence number closes the connection.
 func (l *pipelineProtocol) responseRead() error {
-	message, request, fleet := l.parser.Message(), l.requests[0], l.conn.fleet
-	sequence, once := message.Single(fleet.transport.Echo)
+	message, request, workerConns := l.parser.Message(), l.requests[0], l.conn.workerConns
+	sequence, once := message.Single(workerConns.transport.Echo)
 	switch {
 	case once && string(sequence) == strconv.FormatUint(request.sequence, 10):
 		l.echoes, l.noEcho = true, false
-	case message.Count(fleet.transport.Echo) > 0 || l.echoes || len(l.requests) > 1:
+	case message.Count(workerConns.transport.Echo) > 0 || l.echoes || len(l.requests) > 1:
 		return errWrongResponse
 	default:
 		l.noEcho = true
-		fleet.loop.afterMS(settleMS, l.conn.pool.assign)
+		workerConns.loop.afterMS(settleMS, l.conn.pool.assign)
 	}
 	now := l.lastReadAt
-	fleet.estimator.Learn(request.execution.Request.Class, now-l.pending[0].Since)
+	workerConns.estimator.Learn(request.execution.Request.Class, now-l.pending[0].Since)
 	l.requests = slices.Delete(l.requests, 0, 1)
 	l.pending = slices.Delete(l.pending, 0, 1)
 	if len(l.pending) > 0 {
 		l.pending[0].Since = now
 	}
 	l.closing = message.Close
-	o := fleet.reader.Outcome(message)
+	o := workerConns.reader.Outcome(message)
 	request.execution.Slot = nil
-	fleet.core.Done(request.execution, o)
+	workerConns.core.Done(request.execution, o)
 	if l.closing {
-		return errUnexpectedResponse // nothing behind this answer will be given one
+		return errUnexpectedResponse // ignore further responses after a closing one
 	}
 	l.parser.Reset()
 	return nil
 }
 
-// giveUp implements speech. HTTP/1.1 has no way to tell the peer, so the link must end,
-// unless the request is the last in line and nothing of it has been written.
+// cancel implements muxProtocol. HTTP/1.1 cannot cancel a request, so the connection must be
+// closed, unless the request is the last in the pipeline and no byte of it has been written.
 func (l *pipelineProtocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
 	i := slices.IndexFunc(l.requests, func(request pipelinedRequest) bool { return request.execution == execution })
 	if i < 0 {
@@ -185,20 +186,20 @@
 
 func (l *pipelineProtocol) sweep(float64) error { return nil }
 
-// lost implements speech.
+// connLost implements muxProtocol. This is what is known of a request when the connection
+// breaks, and the outcome that follows:
 //
-//	what is known of the request when the link breaks       what it proves
-//	its answer came whole                                   served, or what the answer says
-//	its answer had begun                                    ran
-//	its last byte had been written                          may have run
-//	it was not written to its last byte                     never ran: a server does not act on
-//	                                                        a part (RFC 9112, section 8)
-//	it stood behind an answer with "Connection: close"      never ran: a server must not process
-//	                                                        what comes after it (RFC 9112, section
-//	                                                        9.6); one that works on several at once
-//	                                                        does so only with safe requests (section
-//	                                                        9.3.2), which may run again anyway
-//	it stood behind a spoilt answer                         may have run
+//	complete response received               served, or as the response says
+//	response begun                           has run
+//	last byte written                        may have run
+//	last byte not written                    never ran: a server does not act on an
+//	                                         incomplete request (RFC 9112, section 8)
+//	behind a response with                   never ran: a server must not process later
+//	"Connection: close"                      requests (RFC 9112, section 9.6). A server that
+//	                                         processes several at once may do so only with
+//	                                         safe requests (section 9.3.2), which may be
+//	                                         repeated anyway
+//	behind a malformed response              may have run
 func (l *pipelineProtocol) connLost(sentOffset int64) {
 	items := l.requests
 	l.requests, l.pending = nil, nil
@@ -207,11 +208,11 @@
 		if request.endOffset > sentOffset || l.closing {
 			status = policy.ConnectFailed
 		}
-		l.conn.fleet.endUnanswered(request.execution, status)
+		l.conn.workerConns.endUnanswered(request.execution, status)
 	}
 }
 
-// lineChooser asks the lanes which line a request may stand in.
+// pipelineChooser uses the lanes package to choose the connection for a request.
 type pipelineChooser struct {
 	pool      *muxPool
 	pipelines []lanes.Line
@@ -228,9 +229,9 @@
 			c.conns = append(c.conns, t)
 		}
 	}
-	f := pool.fleet
+	workerConns := pool.workerConns
 	enoughDialing := pool.dialing >= len(pool.queue)
-	choice := f.estimator.Choose(f.clock.Now(), execution.Request.Class, c.pipelines, pool.connCount < f.transport.Links && !enoughDialing, !enoughDialing)
+	choice := workerConns.estimator.Choose(workerConns.clock.Now(), execution.Request.Class, c.pipelines, pool.connCount < workerConns.transport.Links && !enoughDialing, !enoughDialing)
 	if choice >= 0 {
 		return c.conns[choice], false
 	}
--- a/internal/link/sent_bytes.go
+++ b/internal/link/sent_bytes.go
@@ -9,16 +9,18 @@
 
 var sentBytes atomic.Uint64
 
-// Sent is the bytes that the links of this process have been given to send.
+// SentBytes returns the number of bytes that the connections of this process were given to
+// send.
 func Sent() uint64 { return sentBytes.Load() }
 
-// send writes to a connection and counts it.
+// send writes to a connection and counts the bytes.
 func send(c interface{ Write([]byte) (int, error) }, b []byte) (int, error) {
 	sentBytes.Add(uint64(len(b)))
 	return c.Write(b)
 }
 
-// Host is the address that the client has, without its port; empty where it is gone.
+// RemoteHost returns the IP address of the client, or an empty string if it is no longer
+// known.
 func (l *Client) Host() string {
 	if l.host == "" && l.conn != nil {
 		switch a, _ := unix.Getpeername(l.conn.Fd()); a := a.(type) {
--- a/internal/link/serial.go
+++ b/internal/link/serial.go
@@ -13,74 +13,74 @@
 	"foxwood/policy"
 )
 
-// A link rests so many milliseconds after an answer before it is used again: the end of
-// a connection closed right behind its answer takes as long to come as the answer did,
-// and a request written meanwhile is lost. A waiting execution waits for a link that
-// has rested nearly so long, and has another opened else.
+// settleMS is how long a connection rests after a response before it is reused. When a worker
+// closes the connection right after a response, the close takes as long to arrive as the
+// response did, and a request written in the meantime is lost. A waiting execution waits for a
+// connection that has at most settleWaitMS left to rest; otherwise another is dialed.
 const (
 	settleMS     = 5.0
 	settleWaitMS = 2.0
 )
 
-// keepPart is the part of the time that a worker lets a link rest in which it is used:
-// the worker's close takes its way too.
+// keepAliveFraction is the part of the worker's Keep-Alive timeout during which a connection
+// is reused. The rest allows for the time that the worker's close takes to arrive.
 const keepAliveFraction = 0.8
 
-// skipMost is how many answers to other requests a link may bring before the one that is
-// due. More are a sign of a worker that is spoilt, not late.
+// maxSkippedResponses is how many responses to other requests may precede the expected one on
+// a connection. A worker that sends more is faulty rather than late.
 const maxSkippedResponses = 4
 
-// partMost is how many milliseconds an answer that has begun may rest. Some come in
-// pieces, so it is not for the whole of it.
+// maxPartialMS is how long an incomplete response may make no progress. Some responses arrive
+// in pieces, so it does not bound the whole response.
 const maxPartialMS = 200.0
 
-// serial is the carrier of one execution at a time on a link, as the platform's
-// protocol wants it.
+// serialPool carries one execution at a time on a connection, as the platform's specification
+// requires.
 type serialPool struct {
 	worker      *workerRecord
-	fleet       *Fleet
-	idle        []*workerConn // the one used last is taken first, so that the rest can age
+	workerConns *Fleet
+	idle        []*workerConn // in order of use; the last is reused first, so that the others can expire
 	queue       []*gatekeeper.Execution
 	dialing     int
 	connCount   int
-	settling    bool // a link at rest is waited for
-	assigning   bool // open is under way
-	assignAgain bool // and was asked for again meanwhile
+	settling    bool // a timer waits for an idle connection to settle
+	assigning   bool // assignOrDial is running
+	assignAgain bool // and was called again meanwhile
 }
 
-// server is a link of a serial carrier.
+// workerConn is a connection of a serialPool.
 type workerConn struct {
-	fleet        *Fleet
+	workerConns  *Fleet
 	pool         *serialPool
 	addr         string
-	dialedAt     float64 // when its opening began
+	dialedAt     float64 // when dialing began
 	conn         conn
 	parser       *http1.Parser
 	execution    *gatekeeper.Execution
-	partialOf    *gatekeeper.Execution // whose answer has begun
-	lastPartAt   float64               // last piece of it
+	partialOf    *gatekeeper.Execution // execution whose response is incomplete
+	lastPartAt   float64               // when the last piece of that response arrived
 	writing      bool
 	isClosed     bool
-	idleSince    float64 // idle since
-	keepAliveMS  float64 // for so long at most, by the worker's word
-	hasKeepAlive bool    // it gave one
-	bodyDropped  bool    // the body of a failure was not held
-	skipped      int     // answers to other requests
-	executions   int     // executions
-
-	upload      *upload // that flows to the worker
-	uploadSent  int     // bytes of it
-	uploadDone  bool    // all of it
-	client      *Client // that the answer flows to
+	idleSince    float64 // start of the idle period
+	keepAliveMS  float64 // longest idle period, from the worker's Keep-Alive header
+	hasKeepAlive bool    // the last response had such a header
+	bodyDropped  bool    // the body of a failure response was not kept
+	skipped      int     // responses to other requests
+	executions   int     // number of executions carried
+
+	upload      *upload // streamed body of the current request
+	uploadSent  int     // offset in the body up to which it has been sent
+	uploadDone  bool    // the whole body has been sent
+	client      *Client // client that the response is streamed to
 	request     *gatekeeper.Request
-	headReadAt  float64 // when the answer's head had come
-	lastMovedAt float64 // when bytes of what flows last did
-	progressAt  float64 // when the core was last told so
-	mustClose   bool    // the link is of no further use
+	headReadAt  float64 // when the head of the response was complete
+	lastMovedAt float64 // time of the last progress of a stream
+	progressAt  float64 // when progress was last reported to the core
+	mustClose   bool    // the connection can't be reused
 }
 
 func (s *serialPool) execute(execution *gatekeeper.Execution) {
-	if l := s.takeIdle(execution, s.fleet.clock.Now()); l != nil {
+	if l := s.takeIdle(execution, s.workerConns.clock.Now()); l != nil {
 		l.start(execution)
 		return
 	}
@@ -99,8 +99,8 @@
 
 func (s *serialPool) release() {
 	s.addressChanged()
-	for len(s.queue) > 0 { // a link that comes up by now would still be given them
-		s.fleet.endUnanswered(s.dequeue(), policy.ConnectFailed)
+	for len(s.queue) > 0 { // a connection that opens now would still take them
+		s.workerConns.endUnanswered(s.dequeue(), policy.ConnectFailed)
 	}
 }
 
@@ -124,26 +124,28 @@
 	s.assignOrDial()
 }
 
-// stale tells whether the worker may be closing the link by now, by its own word; or whether it has rested
-// for longer than any may, as after a freeze of ours, before the sweep has seen it.
+// stale reports whether the connection has been idle for too long to be reused: past the
+// Keep-Alive timeout that the worker announced, or past the general limit. The latter happens
+// after the process was suspended, before the next sweep.
 func (l *workerConn) stale(now float64) bool {
 	rest := now - l.idleSince
-	return !l.isClosed && (l.hasKeepAlive && rest >= l.keepAliveMS || rest > l.fleet.maxIdleMS)
+	return !l.isClosed && (l.hasKeepAlive && rest >= l.keepAliveMS || rest > l.workerConns.maxIdleMS)
 }
 
-// take is an idle link that can be used, the one used last of them. It guards against
-// what a worker sends behind its answer: on a link used again at once that would be
-// read as the answer to the next request. So a link rests a moment first, and one on
-// which something has come by then, be it bytes or its end, is closed. A link that has
-// carried the request before is left to others: a late second copy of the refusal that it
-// had there states the same id, and would prove that it never runs while it does.
+// takeIdle takes the most recently used idle connection that can be reused, or returns nil.
+//
+// Input that a worker sends after its response would be read as the response to the next
+// request. So a connection rests first, and it is closed if data or the worker's close arrives
+// in that time. A connection that has carried the same request before is not used: a late
+// duplicate of the refusal that the request got there carries the same id, and would prove
+// that the request never ran while it is running.
 func (s *serialPool) takeIdle(execution *gatekeeper.Execution, now float64) *workerConn {
 	for i := len(s.idle) - 1; i >= 0; i-- {
-		if i >= len(s.idle) { // to close one may have had others taken
+		if i >= len(s.idle) { // closing a connection may have removed others
 			continue
 		}
 		conn := s.idle[i]
-		if now-conn.idleSince < s.fleet.Settle || conn.hasCarried(execution) {
+		if now-conn.idleSince < s.workerConns.Settle || conn.hasCarried(execution) {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
@@ -155,22 +157,24 @@
 	return nil
 }
 
-// knows tells whether the link has carried an execution's request before.
+// hasCarried reports whether the connection has carried the execution's request before.
 func (l *workerConn) hasCarried(execution *gatekeeper.Execution) bool {
 	return slices.Contains(execution.Request.Payload.(*Payload).carriedBy, l)
 }
 
-// next is the execution that has waited longest.
+// dequeue removes the execution that has waited longest.
 func (s *serialPool) dequeue() *gatekeeper.Execution {
 	x := s.queue[0]
 	s.queue = slices.Delete(s.queue, 0, 1)
 	return x
 }
 
-// open gives waiting executions the links at rest, and opens links until each of the
-// others has one on its way, as far as the budget goes. It guards against itself: to
-// close a link that is not quiet calls it again, and two such links at once had it take
-// what the inner call had taken already.
+// assignOrDial assigns idle connections to waiting executions, and dials until there is one
+// for each of the others, as far as the budget allows.
+//
+// It must not run recursively: closing a connection with unread input calls it again, and with
+// two such connections at once the outer call once used connections that the inner call had
+// already taken.
 func (s *serialPool) assignOrDial() {
 	if s.assigning {
 		s.assignAgain = true
@@ -185,25 +189,25 @@
 }
 
 func (s *serialPool) assignOnce() {
-	fleet := s.fleet
+	workerConns := s.workerConns
 	for i := 0; i < len(s.queue) && len(s.idle) > 0; {
 		execution := s.queue[i]
-		conn := s.takeIdle(execution, fleet.clock.Now())
+		conn := s.takeIdle(execution, workerConns.clock.Now())
 		if conn == nil {
 			i++
 			continue
 		}
 		s.queue = slices.DeleteFunc(s.queue, func(o *gatekeeper.Execution) bool { return o == execution })
-		if !fleet.checkSend(execution) {
+		if !workerConns.checkSend(execution) {
 			conn.makeIdle()
 			continue
 		}
 		conn.start(execution)
 	}
-	idleSoon, now := 0, fleet.clock.Now()
-	nextSettleMS := -1.0 // until the next link has rested
+	idleSoon, now := 0, workerConns.clock.Now()
+	nextSettleMS := -1.0 // time until the next idle connection has settled
 	for _, conn := range s.idle {
-		left := fleet.Settle - (now - conn.idleSince)
+		left := workerConns.Settle - (now - conn.idleSince)
 		if left <= settleWaitMS && !slices.ContainsFunc(s.queue, conn.hasCarried) {
 			idleSoon++
 		}
@@ -213,28 +217,28 @@
 	}
 	if len(s.queue) > 0 && nextSettleMS >= 0 && !s.settling {
 		s.settling = true
-		fleet.loop.afterMS(nextSettleMS, func() {
+		workerConns.loop.afterMS(nextSettleMS, func() {
 			s.settling = false
 			s.assignOrDial()
 		})
 	}
-	if len(s.queue) > 0 && fleet.PerWorker > 0 && s.connCount >= fleet.PerWorker {
+	if len(s.queue) > 0 && workerConns.PerWorker > 0 && s.connCount >= workerConns.PerWorker {
 		if i := slices.IndexFunc(s.idle, func(conn *workerConn) bool { return conn.hasCarried(s.queue[0]) }); i >= 0 {
-			s.idle[i].close() // for one that may carry it
+			s.idle[i].close() // makes room for a connection that may carry the request
 		}
 	}
-	for s.dialing+idleSoon < len(s.queue) && (fleet.PerWorker == 0 || s.connCount < fleet.PerWorker) && fleet.canDial() {
+	for s.dialing+idleSoon < len(s.queue) && (workerConns.PerWorker == 0 || s.connCount < workerConns.PerWorker) && workerConns.canDial() {
 		s.dialing++
-		fleet.dialing++
+		workerConns.dialing++
 		s.connCount++
-		fleet.connCount++
-		conn := &workerConn{fleet: fleet, pool: s, addr: s.worker.addr, dialedAt: now, parser: http1.Answers()}
-		conn.parser.Flows, conn.parser.Limits = true, fleet.Limits
-		fleet.loop.dial(s.worker.addr, fleet.dialTimeout, conn, conn.dialFailed)
+		workerConns.connCount++
+		conn := &workerConn{workerConns: workerConns, pool: s, addr: s.worker.addr, dialedAt: now, parser: http1.Answers()}
+		conn.parser.Flows, conn.parser.Limits = true, workerConns.Limits
+		workerConns.loop.dial(s.worker.addr, workerConns.dialTimeout, conn, conn.dialFailed)
 	}
 }
 
-// abandon implements holder for what waits for a link.
+// abandon implements executionHolder for a queued execution.
 func (s *serialPool) abandon(execution *gatekeeper.Execution) (sent bool) {
 	if i := slices.Index(s.queue, execution); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
@@ -242,8 +246,8 @@
 	return false
 }
 
-// abandon implements holder. The link is closed, so the execution is no longer out when
-// this returns.
+// abandon implements executionHolder. It closes the connection, so the execution is no longer
+// in flight when it returns.
 func (l *workerConn) abandon(execution *gatekeeper.Execution) (sent bool) {
 	if l.execution == execution {
 		l.execution = nil
@@ -257,9 +261,9 @@
 func (l *workerConn) opened(c conn) {
 	l.conn = c
 	l.pool.dialing--
-	l.fleet.dialing--
+	l.workerConns.dialing--
 	for l.usable() && len(l.pool.queue) > 0 {
-		if x := l.pool.dequeue(); l.fleet.checkSend(x) {
+		if x := l.pool.dequeue(); l.workerConns.checkSend(x) {
 			l.start(x)
 			return
 		}
@@ -267,51 +271,52 @@
 	l.makeIdle()
 }
 
-// unheard tells whether nothing has come on a connection that has not been read yet.
+// noUnreadInput reports whether a connection is open and has no unread input.
 func noUnreadInput(c conn) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(c.Fd(), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// usable tells whether new executions may go out on the link.
+// usable reports whether the connection may carry new executions.
 func (l *workerConn) usable() bool { return !l.isClosed && l.pool.worker.accepts(l.addr, l.dialedAt) }
 
-// failed reports a connection that did not come up.
+// dialFailed handles a failed dial.
 func (l *workerConn) dialFailed(error) {
-	fleet, pool := l.fleet, l.pool
+	workerConns, pool := l.workerConns, l.pool
 	pool.dialing--
-	fleet.dialing--
+	workerConns.dialing--
 	l.uncount()
-	if l.addr != pool.worker.addr { // that says nothing of where the worker listens now
+	if l.addr != pool.worker.addr { // the failure says nothing about the worker's present address
 		pool.assignOrDial()
 		return
 	}
 	if len(pool.queue) > pool.dialing {
-		fleet.endUnanswered(pool.dequeue(), policy.ConnectFailed)
+		workerConns.endUnanswered(pool.dequeue(), policy.ConnectFailed)
 	}
 }
 
-// ended takes a link out of the counts.
+// uncount removes a connection from the counts.
 func (l *workerConn) uncount() {
 	l.isClosed = true
 	l.pool.connCount--
-	l.fleet.connCount--
-	l.fleet.forget(l.pool.worker)
+	l.workerConns.connCount--
+	l.workerConns.forget(l.pool.worker)
 }
 
-// rest keeps the link for a later execution, or ends it where there will be none.
+// makeIdle keeps the connection for a later execution, or closes it if the worker takes no
+// more.
 func (l *workerConn) makeIdle() {
 	if !l.usable() {
 		l.close()
 		return
 	}
-	l.idleSince = l.fleet.clock.Now()
+	l.idleSince = l.workerConns.clock.Now()
 	l.pool.idle = append(l.pool.idle, l)
 	l.pool.assignOrDial()
 }
 
-// start writes an execution.
+// start sends an execution.
 func (l *workerConn) start(execution *gatekeeper.Execution) {
 	l.parser.Reset()
 	l.execution, execution.Slot, l.headReadAt, l.upload, l.bodyDropped = execution, l, 0, nil, false
@@ -322,17 +327,17 @@
 	streamed := payload.Up != nil
 	if streamed {
 		payload.Up.mayHaveSent = true
-		f, ok := l.fleet.loop.makePausable(l.conn, l)
+		pausable, ok := l.workerConns.loop.makePausable(l.conn, l)
 		if !ok {
 			l.close()
 			return
 		}
-		l.conn = f
+		l.conn = pausable
 	}
-	out := l.fleet.message(l.fleet.scratch[:0], execution, "", 0)
-	l.fleet.scratch = out
+	out := l.workerConns.message(l.workerConns.scratch[:0], execution, "", 0)
+	l.workerConns.scratch = out
 	l.writing = true
-	_, _ = send(l.conn, out) // a failed write closes the link
+	_, _ = send(l.conn, out) // a failed write closes the connection
 	l.writing = false
 	switch {
 	case l.isClosed || l.execution != execution:
@@ -342,13 +347,13 @@
 	default:
 		l.reportSent()
 	}
-	if l.fleet.Sent != nil {
-		l.fleet.Sent(execution)
+	if l.workerConns.Sent != nil {
+		l.workerConns.Sent(execution)
 	}
 }
 
-// message appends an execution as an HTTP/1.1 request. A turn is stated in the header
-// that echo names, unless that is empty.
+// message appends an execution as an HTTP/1.1 request. If echo is not empty, it names the
+// header that carries the sequence number.
 func (f *Fleet) message(out []byte, execution *gatekeeper.Execution, echo string, sequence uint64) []byte {
 	payload := execution.Request.Payload.(*Payload)
 	out = append(out, payload.Head...)
@@ -366,7 +371,7 @@
 
 func (l *workerConn) traffic(b []byte) {
 	for !l.isClosed {
-		if l.execution == nil && l.client == nil { // nothing was asked
+		if l.execution == nil && l.client == nil { // input without a request
 			l.close()
 			return
 		}
@@ -381,7 +386,7 @@
 			l.responseRead(len(b) > 0)
 			return
 		case l.execution != nil && l.parser.Started():
-			l.lastPartAt = l.fleet.clock.Now()
+			l.lastPartAt = l.workerConns.clock.Now()
 			if l.partialOf != l.execution {
 				l.partialOf = l.execution
 				l.checkPartial()
@@ -394,29 +399,31 @@
 	}
 }
 
-// hurry ends the link where an answer has begun and nothing more comes: a spoilt one
-// may claim more bytes than it has, and would be waited for as long as the client waits.
+// checkPartial closes the connection if a response has begun and no more of it arrives. A
+// malformed response may announce more bytes than it has, and would otherwise be waited for
+// until the client's deadline.
 func (l *workerConn) checkPartial() {
 	if l.isClosed || l.execution == nil || l.partialOf != l.execution {
 		return
 	}
-	left := l.lastPartAt + l.fleet.PartMost - l.fleet.clock.Now()
+	left := l.lastPartAt + l.workerConns.PartMost - l.workerConns.clock.Now()
 	if left <= 0 {
 		l.close()
 		return
 	}
-	l.fleet.loop.afterMS(left, l.checkPartial)
+	l.workerConns.loop.afterMS(left, l.checkPartial)
 }
 
-// skips passes over a whole answer that is not the one due: it states another request's id,
-// so the one due is still to come, and the link ends behind that. An answer that states
-// none at all may be anyone's, and ends the link at once. It guards against a worker's
-// late extra answer going to the client of another request.
+// skipResponse skips a complete response that belongs to another request. If the response
+// carries another request's id, the expected one is still to come, and the connection is
+// closed after it. If the response carries no id, it may belong to any request, and the
+// connection is closed at once. This keeps a worker's late extra response from going to the
+// client of another request.
 func (l *workerConn) skipResponse() bool {
 	if l.execution == nil {
 		return false
 	}
-	mine, other := l.fleet.matches(l, l.execution, l.parser.Message())
+	mine, other := l.workerConns.matches(l, l.execution, l.parser.Message())
 	if mine {
 		return false
 	}
@@ -454,45 +461,45 @@
 	l.readKeepAlive(m)
 	if m.Close || mustClose {
 		l.close()
-	} else { // The body holds until the next bytes come in.
+	} else { // The body is valid until the next input.
 		l.makeIdle()
 	}
-	l.fleet.core.Done(execution, outcome)
+	l.workerConns.core.Done(execution, outcome)
 }
 
-// ending takes an answer that is whole because its connection has properly ended.
+// endByClose completes a response that ends with the orderly close of its connection.
 func (l *workerConn) endByClose(message *http1.Message) {
 	execution := l.execution
 	l.execution = nil
 	l.uncount()
 	mine := true
 	if execution != nil {
-		mine, _ = l.fleet.matches(l, execution, message)
+		mine, _ = l.workerConns.matches(l, execution, message)
 	}
 	switch {
 	case execution == nil:
 		l.endResponse(true)
 	case !mine:
-		l.fleet.endUnanswered(execution, policy.Reset)
+		l.workerConns.endUnanswered(execution, policy.Reset)
 	default:
 		execution.Slot = nil
-		l.fleet.core.Done(execution, l.outcome(message))
+		l.workerConns.core.Done(execution, l.outcome(message))
 	}
 	l.pool.assignOrDial()
 }
 
-// outcome reads an answer. A failure whose body is not there is not one to be passed on.
+// outcome interprets a response. A failure without its body can't be passed on.
 func (l *workerConn) outcome(m *http1.Message) gatekeeper.Outcome {
-	o := l.fleet.reader.Outcome(m)
+	o := l.workerConns.reader.Outcome(m)
 	if l.bodyDropped {
 		o.Answer = gatekeeper.Answer{}
 	}
 	return o
 }
 
-// keeps takes note of how long the worker lets the link rest, in whole seconds.
+// readKeepAlive records the Keep-Alive timeout in the response, in whole seconds.
 func (l *workerConn) readKeepAlive(m *http1.Message) {
-	if l.hasKeepAlive = false; !l.fleet.KeepAlive {
+	if l.hasKeepAlive = false; !l.workerConns.KeepAlive {
 		return
 	}
 	for v := range bytes.SplitSeq(m.Get("Keep-Alive"), []byte{','}) {
@@ -506,7 +513,7 @@
 
 func (l *workerConn) close() {
 	if !l.isClosed {
-		l.fleet.loop.closeConn(l.conn)
+		l.workerConns.loop.closeConn(l.conn)
 	}
 }
 
@@ -535,5 +542,5 @@
 	if unsent {
 		status = policy.ConnectFailed
 	}
-	l.fleet.endUnanswered(execution, status)
+	l.workerConns.endUnanswered(execution, status)
 }
--- a/internal/link/streaming.go
+++ b/internal/link/streaming.go
@@ -12,45 +12,46 @@
 	"foxwood/policy"
 )
 
-// Messages that are longer than what is held: bodies of requests flow from a client link
-// to a server link, answers the other way, each through a bounded window.
+// This file streams messages that are too large to buffer: request bodies from a client
+// connection to a worker connection, and responses the other way. Each passes through a
+// bounded window.
 
 const (
-	maxBufferingMS     = 50.0   // milliseconds that an answer of unknown length is held at most
-	maxStreamStallMS   = 8000.0 // milliseconds in which nothing of a flow moves
-	stallCheckMS       = 1000.0 // milliseconds between two looks at that
-	progressIntervalMS = 50.0   // milliseconds between two words to the core that bytes move
+	maxBufferingMS     = 50.0   // time that a response of unknown length is buffered
+	maxStreamStallMS   = 8000.0 // time after which a stream without progress is closed
+	stallCheckMS       = 1000.0 // interval between checks for a stalled stream
+	progressIntervalMS = 50.0   // interval between progress reports to the core
 )
 
-// The chunks of a body (RFC 9112, section 7.1).
+// Delimiters of the chunked encoding (RFC 9112, section 7.1).
 const (
 	chunkEnd  = "\r\n"
 	lastChunk = "0\r\n\r\n"
 )
 
-// appendChunk appends bytes as a chunk.
+// appendChunk appends b as one chunk.
 func appendChunk(out, b []byte) []byte {
 	out = strconv.AppendInt(out, int64(len(b)), 16)
 	return append(append(append(out, "\r\n"...), b...), chunkEnd...)
 }
 
-// upload is the body of a request that flows.
+// upload is a streamed request body.
 type upload struct {
 	client         *Client
-	request        *gatekeeper.Request // set by Submit
+	request        *gatekeeper.Request // set by SubmitTo
 	held           []byte
-	heldOffset     int  // place in the body of the first byte that is held
-	declaredLength int  // as the head states it, -1 where only the end tells
-	complete       bool // its last byte has come
-	mayHaveSent    bool // some of the request may have left for a worker
+	heldOffset     int  // offset in the body of the first byte of held
+	declaredLength int  // from Content-Length, or -1 for a chunked body
+	complete       bool // the last byte has been received
+	mayHaveSent    bool // part of the request may have been sent to a worker
 	worker         *workerConn
 }
 
-// large begins a request whose body is longer than what is held. What has come is held,
-// so that it can be sent again as long as no more has to be taken in.
+// beginUpload starts a request whose body is too large to buffer. The received bytes stay in
+// memory, so that the request can be sent again as long as they fit in the window.
 func (l *Client) beginUpload(rest []byte) {
 	pausable, ok := l.clients.loop.makePausable(l.conn, l)
-	if !ok { // it has not read its last answer
+	if !ok { // an earlier response is not fully sent
 		l.close()
 		return
 	}
@@ -69,11 +70,11 @@
 	}
 }
 
-// fill takes more of the body.
+// feedBody parses more of the body.
 func (l *Client) feedBody(b []byte) {
 	upload := l.upload
 	n, done, err := l.parser.Feed(b)
-	if l.upload != upload { // to pass it on has ended the request
+	if l.upload != upload { // forwarding a piece has ended the request
 		return
 	}
 	if err != nil {
@@ -92,9 +93,9 @@
 	}
 }
 
-// giveUp ends a request whose body does not come to its end, and says why. Under an
-// operator's limits a 408 promises that the request has never run: where a worker may have
-// begun with it, a 502 is given, which promises nothing.
+// abortUpload ends a request whose body does not become complete, and responds with the
+// reason. With configured limits, a 408 promises that the request has not run. If a worker may
+// have begun it, the response is a 502, which promises nothing.
 func (l *Client) abortUpload(err error) {
 	if e, ok := err.(*http1.Error); ok && e.Status == http.StatusRequestTimeout &&
 		l.clients.Limits != nil && l.upload != nil && l.upload.mayHaveSent {
@@ -110,11 +111,11 @@
 	}
 }
 
-// take is given the pieces of the body.
+// appendPiece is the parser's callback for pieces of the body.
 func (u *upload) appendPiece(b []byte) { u.held = append(u.held, b...) }
 
-// pass has the worker take what it can, lets go of what there is no room for, and has the
-// client go on where there is some.
+// forward lets the worker connection send what it can, drops sent bytes that exceed the
+// window, and pauses or resumes reading from the client.
 func (u *upload) forward() {
 	if u.worker != nil {
 		u.worker.sendUpload()
@@ -126,7 +127,7 @@
 	window, unsent := pausable.poller.window(), len(u.held)
 	if u.worker != nil {
 		excess := min(len(u.held)-window, u.worker.uploadSent-u.heldOffset)
-		if excess > 0 && len(u.held) > window+readChunkBytes { // a read's worth more, so that it is not done for every one
+		if excess > 0 && len(u.held) > window+readChunkBytes { // by at least one read, to avoid copying on each call
 			u.heldOffset += excess
 			u.held = u.held[:copy(u.held, u.held[excess:])]
 			u.request.Spent = true
@@ -136,8 +137,8 @@
 	pausable.setPaused(!u.complete && unsent >= window)
 }
 
-// end detaches the body from its links when its request is over. It tells whether the
-// client still has some of it to send.
+// detach separates the body from its connections when the request has ended. It reports
+// whether the client has not sent all of it.
 func (u *upload) detach() (more bool) {
 	u.worker = nil
 	u.client.parser.Piece = func([]byte) {}
@@ -147,8 +148,8 @@
 	return !u.complete
 }
 
-// drop takes what comes behind the last answer. The rest of a large body may come to its
-// end: a client that is cut off in the middle of it might not see the answer.
+// discardInput discards input after the last response. The rest of a large body may still
+// arrive: a client that is cut off in the middle of sending might not see the response.
 func (l *Client) discardInput(n int) {
 	s, most := l.clients, maxDroppedBytes
 	if _, ok := l.conn.(*pausableConn); ok {
@@ -162,7 +163,7 @@
 	}
 }
 
-// slow tells whether the client still reads what was written, at its own pace.
+// stillReading reports whether the client is still reading its response, however slowly.
 func (l *Client) stillReading(now float64) bool {
 	pausable, ok := l.conn.(*pausableConn)
 	if !ok || len(pausable.out) == 0 {
@@ -174,20 +175,20 @@
 	return now-l.takenAt < maxStreamStallMS
 }
 
-// drained implements flowing: the client has taken all that was written.
+// drained implements pausableEndpoint: all output has been sent.
 func (l *Client) drained() {
 	if l.finished {
 		l.halfClose()
-		l.moveTo(&l.clients.closing, l.clients.clock.Now()) // now it is its client's turn
+		l.moveTo(&l.clients.closing, l.clients.clock.Now()) // from here on the time limit is for the client to close
 	}
-	if s := l.responseFrom; s != nil {
-		s.lastMovedAt = l.clients.clock.Now()
-		s.pausable().setPaused(false)
+	if worker := l.responseFrom; worker != nil {
+		worker.lastMovedAt = l.clients.clock.Now()
+		worker.pausable().setPaused(false)
 	}
 }
 
-// flowFrom starts an answer of a length, -1 where it is not known, that flows from a server
-// link. It can't where the client has not read its last answer.
+// streamFrom starts a response that is streamed from a worker connection; a length of -1 means
+// that it is unknown. It fails if an earlier response is not fully sent.
 func (l *Client) streamFrom(from *workerConn, answer gatekeeper.Answer, length int) bool {
 	if l.isClosed || !l.busy {
 		return false
@@ -203,7 +204,7 @@
 	return !l.isClosed
 }
 
-// piece passes a piece of the answer on, and tells whether there is room for another.
+// writePiece writes a piece of the response and reports whether there is room for more.
 func (l *Client) writePiece(b []byte) (room bool) {
 	if l.isClosed || len(b) == 0 {
 		return true
@@ -221,8 +222,8 @@
 	return len(f.out) < f.poller.window()
 }
 
-// over ends the answer. One that is not whole ends the link, short of its stated end or
-// without its last chunk, so that the client sees it.
+// endStream ends a streamed response. If the response is incomplete, the connection is closed
+// before the stated length is reached or without the last chunk, so that the client can tell.
 func (l *Client) endStream(whole bool) {
 	if l.isClosed || l.responseFrom == nil {
 		return
@@ -231,7 +232,7 @@
 	l.responseFrom, l.request = nil, nil
 	l.notifyEnded(r, Ending{Flowed: true})
 	if !whole {
-		if l.closeDelimited { // a proper end would make it look whole
+		if l.closeDelimited { // a normal close would make the response look complete; reset the connection
 			_ = unix.SetsockoptLinger(l.conn.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
 		l.close()
@@ -243,28 +244,28 @@
 	l.responseWritten(l.lastResponse)
 }
 
-// ---- the worker's side ----
+// The worker's side of a stream.
 
-// flow is the link's connection, once it carries something large.
+// pausable returns the connection once it has been made pausable.
 func (l *workerConn) pausable() *pausableConn { return l.conn.(*pausableConn) }
 
-// attach begins to send a body that flows.
+// beginUpload starts sending a streamed request body.
 func (l *workerConn) beginUpload(upload *upload) {
 	l.upload, l.uploadSent, l.uploadDone = upload, upload.heldOffset, false
 	upload.worker, upload.mayHaveSent = l, true
-	l.lastMovedAt = l.fleet.clock.Now()
+	l.lastMovedAt = l.workerConns.clock.Now()
 	l.checkStall(l.execution)
 	upload.forward()
 }
 
-// detach leaves the body to another attempt, if there is one.
+// detachUpload releases the body, so that another attempt can send it.
 func (l *workerConn) detachUpload() {
 	if l.upload != nil && l.upload.worker == l {
 		l.upload.worker = nil
 	}
 }
 
-// pull sends on what the worker has room for.
+// sendUpload sends as much of the body as fits in the window.
 func (l *workerConn) sendUpload() {
 	upload := l.upload
 	if upload == nil || l.isClosed || l.uploadDone {
@@ -277,8 +278,8 @@
 		l.uploadSent += len(b)
 		l.writing = true
 		if upload.declaredLength < 0 {
-			l.fleet.scratch = appendChunk(l.fleet.scratch[:0], b)
-			_, _ = send(pausable, l.fleet.scratch)
+			l.workerConns.scratch = appendChunk(l.workerConns.scratch[:0], b)
+			_, _ = send(pausable, l.workerConns.scratch)
 		} else {
 			_, _ = send(pausable, b)
 		}
@@ -301,29 +302,30 @@
 	l.reportSent()
 }
 
-// wrote tells the core once the last byte has left.
+// reportSent tells the core when the last byte of the execution has been sent.
 func (l *workerConn) reportSent() {
 	if !l.isClosed && l.execution != nil && l.fullySent() {
-		l.fleet.core.Wrote(l.execution)
+		l.workerConns.core.Wrote(l.execution)
 	}
 }
 
-// whole tells whether all of the execution has left.
+// fullySent reports whether all of the execution has been sent.
 func (l *workerConn) fullySent() bool {
 	return l.conn.OutboundBuffered() == 0 && (l.upload == nil || l.uploadDone)
 }
 
-// stir notes that bytes of the execution move.
+// noteProgress records that bytes of the execution are moving, and tells the core at
+// intervals.
 func (l *workerConn) noteProgress() {
-	now := l.fleet.clock.Now()
+	now := l.workerConns.clock.Now()
 	l.lastMovedAt = now
 	if l.execution != nil && now-l.progressAt > progressIntervalMS {
 		l.progressAt = now
-		l.fleet.core.Progress(l.execution)
+		l.workerConns.core.Progress(l.execution)
 	}
 }
 
-// drained implements flowing.
+// drained implements pausableEndpoint.
 func (l *workerConn) drained() {
 	if u := l.upload; u != nil {
 		l.noteProgress()
@@ -336,12 +338,12 @@
 	l.reportSent()
 }
 
-// look ends the link where nothing has moved on it for long: x is what it was for.
+// checkStall closes the connection if the stream for the given execution makes no progress.
 func (l *workerConn) checkStall(execution *gatekeeper.Execution) {
-	l.fleet.loop.afterMS(stallCheckMS, func() {
-		switch now := l.fleet.clock.Now(); {
+	l.workerConns.loop.afterMS(stallCheckMS, func() {
+		switch now := l.workerConns.clock.Now(); {
 		case l.isClosed || l.execution != execution && l.client == nil:
-		case l.execution == execution && (l.upload == nil || l.uploadDone): // its deadline is the core's matter
+		case l.execution == execution && (l.upload == nil || l.uploadDone): // from here on the core enforces the deadline
 		case l.upload != nil && l.execution == execution && !l.upload.complete && len(l.pausable().out) == 0 && now-l.upload.client.lastReadAt > l.upload.client.clients.maxStall():
 			l.upload.client.abortUpload(&http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come in"})
 		case now-l.lastMovedAt > maxStreamStallMS:
@@ -352,33 +354,33 @@
 	})
 }
 
-// consider has an answer flow that is too long to be held, or whose length is not known
-// and that takes its time.
+// streamResponse starts streaming the response if it is too large to buffer, or if its length
+// is unknown and it takes longer than maxBufferingMS.
 func (l *workerConn) streamResponse() {
 	if l.isClosed || l.execution == nil || l.client != nil || l.parser.Piece != nil || !l.parser.HeadDone() {
 		return
 	}
-	message, now := l.parser.Message(), l.fleet.clock.Now()
+	message, now := l.parser.Message(), l.workerConns.clock.Now()
 	if l.headReadAt == 0 {
 		l.headReadAt = now
 		if message.Length < 0 {
-			l.fleet.loop.afterMS(maxBufferingMS, l.streamResponse)
+			l.workerConns.loop.afterMS(maxBufferingMS, l.streamResponse)
 		}
 	}
 	if message.Length <= l.parser.Holds() && !l.parser.Full() && (message.Length >= 0 || now-l.headReadAt < maxBufferingMS) {
 		return
 	}
-	switch mine, otherRequest := l.fleet.matches(l, l.execution, message); {
-	case otherRequest: // it is skipped at its end
+	switch mine, otherRequest := l.workerConns.matches(l, l.execution, message); {
+	case otherRequest: // skipped once it is complete
 		l.parser.Piece = func([]byte) {}
 		return
 	case !mine:
 		l.close()
 		return
 	}
-	outcome := l.fleet.reader.Outcome(message)
+	outcome := l.workerConns.reader.Outcome(message)
 	if outcome.Status != policy.OK {
-		if message.Length <= l.parser.Holds() && !l.parser.Full() { // it may yet be passed on
+		if message.Length <= l.parser.Holds() && !l.parser.Full() { // small enough to buffer and pass on later
 			return
 		}
 		l.bodyDropped = true
@@ -389,7 +391,7 @@
 	client, ok := execution.Request.Caller.(*Client)
 	if ok {
 		var pausable *pausableConn
-		if pausable, ok = l.fleet.loop.makePausable(l.conn, l); ok {
+		if pausable, ok = l.workerConns.loop.makePausable(l.conn, l); ok {
 			l.conn = pausable
 			ok = client.streamFrom(l, outcome.Answer, message.Length)
 		}
@@ -401,7 +403,7 @@
 	whole := l.fullySent()
 	l.execution, l.partialOf, execution.Slot = nil, nil, nil
 	l.client, l.request, l.lastMovedAt = client, execution.Request, now
-	if l.upload != nil && !whole { // the worker answers what it has not read to the end
+	if l.upload != nil && !whole { // the worker responded without reading the whole request
 		l.mustClose = true
 	}
 	l.detachUpload()
@@ -409,22 +411,22 @@
 	l.parser.Piece = l.forwardPiece
 	outcome.Answer = gatekeeper.Answer{}
 	l.checkStall(execution)
-	l.fleet.core.Begun(execution, outcome)
+	l.workerConns.core.Begun(execution, outcome)
 	l.forwardPiece(l.parser.Held())
 }
 
-// pass gives a piece of the answer to the client.
+// forwardPiece passes a piece of the response to the client.
 func (l *workerConn) forwardPiece(b []byte) {
 	if l.client == nil || l.isClosed {
 		return
 	}
-	l.lastMovedAt = l.fleet.clock.Now()
+	l.lastMovedAt = l.workerConns.clock.Now()
 	if !l.client.writePiece(b) && l.client != nil {
 		l.pausable().setPaused(true)
 	}
 }
 
-// passed ends an answer that has flowed, whole or not.
+// endResponse ends a streamed response; whole tells whether it is complete.
 func (l *workerConn) endResponse(whole bool) {
 	client, request := l.client, l.request
 	l.client, l.request = nil, nil
@@ -435,14 +437,14 @@
 	if whole {
 		result = gatekeeper.Completed
 	}
-	l.fleet.core.Finish(request, result)
+	l.workerConns.core.Finish(request, result)
 	client.endStream(whole)
 }
 
-// unread ends the link because the client has left in the middle of its answer.
+// clientGone closes the connection because the client has disconnected during its response.
 func (l *workerConn) clientGone() {
 	r := l.request
 	l.client, l.request = nil, nil
-	l.fleet.core.Gone(r)
+	l.workerConns.core.Gone(r)
 	l.close()
 }
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// Carrier is a way of carrying executions to a worker.
+// Protocol is how executions are sent to a worker.
 type Carrier int
 
-// The carriers. Only the first is within the platform's protocol.
+// The protocols. Only HTTP1 is part of the platform's specification.
 const (
-	OneAtATime Carrier = iota // HTTP/1.1, one execution at a time on a link
-	Pipeline                  // HTTP/1.1, several in a line (RFC 9112, section 9.3.2)
+	OneAtATime Carrier = iota // HTTP/1.1, one execution at a time on a connection
+	Pipeline                  // HTTP/1.1 with pipelining (RFC 9112, section 9.3.2)
 	HTTP2                     // HTTP/2 in cleartext with prior knowledge (RFC 9113, section 3.3)
-	Batch                     // items in a two-way stream of messages (docs/batch-protocol.md)
+	Batch                     // items in a bidirectional stream of messages (docs/batch-protocol.md)
 )
 
 var protocolNames = [...]string{"one-at-a-time", "pipeline", "http2", "batch"}
 
-// String is the name that an operator's file uses.
+// String returns the protocol's name in the configuration file.
 func (c Carrier) String() string { return protocolNames[c] }
 
-// CarrierNames lists the names that an operator's file may use.
+// ProtocolNames lists the names that the configuration file accepts.
 func CarrierNames() string { return strings.Join(protocolNames[:], ", ") }
 
-// CarrierOf is the carrier with a name; the empty name is OneAtATime.
+// ParseProtocol returns the protocol with the given name. The empty name means HTTP1.
 func CarrierOf(name string) (c Carrier, ok bool) {
 	if name == "" {
 		return OneAtATime, true
@@ -35,25 +35,27 @@
 	return Carrier(max(i, 0)), i >= 0
 }
 
-// Transport is how the workers of a pool are spoken to. Zero values stand for the
-// defaults.
+// Transport configures the connections to the workers of a pool. Fields that are zero take
+// their defaults.
 type Transport struct {
 	Carrier Carrier
-	// Depth is the most executions in a line, of a Pipeline link, or the most streams
-	// and items out on an HTTP2 or Batch link, below what the worker allows.
+	// MaxInFlight bounds the requests in a pipeline, or the streams or items in flight on an
+	// HTTP2 or Batch connection. The worker may allow fewer.
 	Depth int
-	// Links is the most links to one worker; OneAtATime has no bound but the budget.
+	// MaxConns bounds the connections to one worker. HTTP1 is bounded by the connection budget
+	// only.
 	Links int
-	// Gather is the most milliseconds that an item waits for others: Batch only.
+	// BatchDelayMS is the longest time in milliseconds that an item waits for others to join
+	// its message. Batch only.
 	Gather float64
-	// Echo is the header that a worker copies from a request into its answer:
-	// Pipeline only. A worker that does not is sent one request at a time.
+	// EchoHeader names the header that a worker copies from a request into its response.
+	// Pipeline only. A worker that does not copy it is sent one request at a time.
 	Echo string
-	// Path is what Batch posts to.
+	// Path is the URL path of the batch endpoint. Batch only.
 	Path string
 }
 
-// What holds where an operator's file does not say.
+// Defaults for what the configuration file leaves out, and the limits of its values.
 const (
 	defaultPipelineDepth = 4
 	defaultStreams       = 64
@@ -66,28 +68,28 @@
 	maxDepth             = 1 << 10
 )
 
-// Check tells what is wrong with a transport, and names the first such.
+// Validate returns the first invalid setting as an error, or nil.
 func (t Transport) Check() error {
 	switch {
 	case t.Depth < 0 || t.Depth > maxDepth:
-		return fmt.Errorf("depth %d is not from 1 to %d", t.Depth, maxDepth)
+		return fmt.Errorf("depth must be from 1 to %d, got %d", maxDepth, t.Depth)
 	case t.Links < 0:
-		return fmt.Errorf("links %d is below 1", t.Links)
+		return fmt.Errorf("links must be at least 1, got %d", t.Links)
 	case t.Gather < 0 || t.Gather > maxGatherMS:
-		return fmt.Errorf("gather_ms %g is not from 0 to %g", t.Gather, maxGatherMS)
+		return fmt.Errorf("gather_ms must be from 0 to %g, got %g", maxGatherMS, t.Gather)
 	case t.Echo != "" && t.Carrier != Pipeline:
-		return errors.New("echo belongs to the transport pipeline")
+		return errors.New("echo is only valid for the transport pipeline")
 	case (t.Gather != 0 || t.Path != "") && t.Carrier != Batch:
 		return errors.New("gather_ms and path belong to the transport batch")
 	case t.Path != "" && t.Path[0] != '/':
-		return fmt.Errorf("path %q does not begin with a slash", t.Path)
+		return fmt.Errorf("path must begin with a slash, got %q", t.Path)
 	case t.Carrier == OneAtATime && (t.Depth != 0 || t.Links != 0):
-		return errors.New("one-at-a-time has neither depth nor links")
+		return errors.New("depth and links are not valid for the transport one-at-a-time")
 	}
 	return nil
 }
 
-// filled is the transport with its defaults.
+// withDefaults returns the transport with zero fields replaced by their defaults.
 func (t Transport) withDefaults() Transport {
 	depth, links := defaultStreams, defaultMuxConns
 	if t.Carrier == Pipeline {
