--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	watchSilenceMS    = 6000.0 // milliseconds: three of the lines that say nothing
+	watchSilenceMS    = 6000.0 // milliseconds: the time in which three empty keep-alive lines are due
 	watchRetryDelay   = 200 * time.Millisecond
-	watchDialTimeout  = time.Second // for a connection to come up
+	watchDialTimeout  = time.Second // timeout for opening the connection
 	maxWatchLineBytes = 4 << 20
 )
 
-// Watch keeps a watch on the host group open. After a break it asks anew, from
-// the version that is held by then.
+// Watch keeps a watch on the host group open. When the connection breaks, it watches again
+// from the version that is then known.
 type Watch struct {
 	loop  *Loop
 	clock *gatekeeper.Clock
@@ -28,7 +28,7 @@
 	conn  *watchConn
 
 	broken bool
-	active bool // a link is open, being opened or soon to be
+	active bool // a connection is open, being dialed or about to be dialed
 }
 
 type watchConn struct {
@@ -42,14 +42,14 @@
 	isClosed   bool
 }
 
-// NewWatch makes a watch. The path names what is asked for; every line that is
-// not empty goes to line.
+// NewWatch returns a watch that has not been started. path returns the path to request; each
+// line that is not empty is passed to line.
 func NewWatch(l *Loop, clock *gatekeeper.Clock, addr string, path func() string, line func([]byte) error) *Watch {
 	return &Watch{loop: l, clock: clock, addr: addr, path: path, line: line}
 }
 
-// Move watches at another address from now on, from the version that is held. It
-// guards against staying with an agent that is shutting down and tells nothing more.
+// SetAddress moves the watch to another address, continuing from the known version. This
+// avoids staying connected to an agent that is shutting down and sends no more updates.
 func (w *Watch) Move(addr string) {
 	if w.addr == addr {
 		return
@@ -71,7 +71,7 @@
 	w.loop.dial(w.addr, watchDialTimeout, l, l.closed)
 }
 
-// Sweep breaks a watch that has fallen silent.
+// Sweep closes the connection if nothing has arrived on it for watchSilenceMS.
 func (w *Watch) Sweep() {
 	if l := w.conn; l != nil && w.clock.Now()-l.lastReadAt > watchSilenceMS {
 		w.loop.closeConn(l.conn)
@@ -80,7 +80,7 @@
 
 func (l *watchConn) opened(c conn) {
 	l.conn, l.lastReadAt, l.watch.conn = c, l.watch.clock.Now(), l
-	if l.addr != l.watch.addr { // the watch moved meanwhile
+	if l.addr != l.watch.addr { // SetAddress was called meanwhile
 		l.watch.loop.closeConn(c)
 		return
 	}
@@ -94,7 +94,7 @@
 	case l.err == nil && err != nil:
 		l.err = err
 	case done && l.err == nil:
-		l.err = fmt.Errorf("the watch ended with status %d", l.parser.Message().Status)
+		l.err = fmt.Errorf("watch response ended, status %d", l.parser.Message().Status)
 	}
 	if l.err != nil && !l.isClosed {
 		l.watch.loop.closeConn(l.conn)
@@ -106,14 +106,14 @@
 		return
 	}
 	if st := l.parser.Message().Status; st != 200 {
-		l.err = fmt.Errorf("the watch was answered with status %d", st)
+		l.err = fmt.Errorf("watch response has status %d, want 200", st)
 		return
 	}
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
 			if l.line = append(l.line, b...); len(l.line) > maxWatchLineBytes {
-				l.err = fmt.Errorf("a line of the watch is longer than %d bytes", maxWatchLineBytes)
+				l.err = fmt.Errorf("line of the watch exceeds %d bytes", maxWatchLineBytes)
 			}
 			return
 		}
@@ -144,9 +144,9 @@
 		l.watch.Start()
 		return
 	}
-	if !l.watch.broken { // told once, until it works again
+	if !l.watch.broken { // log once per interruption
 		l.watch.broken = true
-		slog.Warn("discovery: watch broken, asking again", "error", err)
+		slog.Warn("discovery: watch interrupted, reconnecting", "error", err)
 	}
 	time.AfterFunc(watchRetryDelay, func() { l.watch.loop.Post(l.watch.Start) })
 }
--- a/internal/link/write_batching.go
+++ b/internal/link/write_batching.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// turns decides when links with something to write are written to: at the end of each
-// event, or at the end of a turn of the loop, so that all that its events made a link
-// write goes out in one system call. To ask for the end of a turn costs a system call
-// itself, so that is done only where it saves more: where the events of a turn often have
-// one link write again.
+// iterationTracker decides when buffered output is written: at the end of each event, or at
+// the end of a loop iteration, so that the output of several events to one connection goes out
+// in one system call. Posting a function to the end of an iteration costs a system call
+// itself. So it is done only where it saves more, which is where the events of an iteration
+// often write to the same connection repeatedly.
 //
-// gnet says neither where a turn begins nor where it ends; but events of one turn follow
-// each other at once, while between two turns lies a system call at the least.
+// gnet does not tell where an iteration begins or ends. Events of one iteration follow each
+// other immediately, while there is at least one system call between two iterations.
 type iterationTracker struct {
-	lastEventEnd time.Time // end of the last event
+	lastEventEnd time.Time // when the last event ended
 	iteration    uint64
 	event        uint64
-	repeats      float64 // writes of this turn to links that it had written to before
-	meanRepeats  float64 // of again, over the last turns
+	repeats      float64 // writes of this iteration to connections that it had already written to
+	meanRepeats  float64 // moving average of repeats over the last iterations
 }
 
-// mark is what turns keeps of one link.
+// writeMark is the state that iterationTracker keeps for one connection.
 type writeMark struct {
 	dirty            bool
-	iteration, event uint64 // of the last call of touch
+	iteration, event uint64 // of the last call of markDirty
 }
 
 const (
 	sameIterationGap  = 3 * time.Microsecond
 	meanGain          = 1.0 / 64
-	maxRepeatedWrites = 1.5 // writes that a turn may repeat before they are gathered
+	maxRepeatedWrites = 1.5 // average repeated writes above which batching saves system calls
 )
 
-// began notes the beginning of an event.
+// beginEvent notes the beginning of an event.
 func (t *iterationTracker) beginEvent(now time.Time) {
 	t.event++
 	if now.Sub(t.lastEventEnd) >= sameIterationGap {
@@ -40,10 +40,10 @@
 	}
 }
 
-// ended notes the end of an event.
+// endEvent notes the end of an event.
 func (t *iterationTracker) endEvent(now time.Time) { t.lastEventEnd = now }
 
-// touch notes that a link has something to write, and tells whether that is news.
+// markDirty notes that a connection has output, and reports whether it had none before.
 func (t *iterationTracker) markDirty(mark *writeMark) bool {
 	if mark.iteration == t.iteration && mark.event != t.event {
 		t.repeats++
@@ -54,5 +54,5 @@
 	return first
 }
 
-// crowded tells whether it is worth while to ask for the end of the turn.
+// worthBatching reports whether writes should wait for the end of the iteration.
 func (t *iterationTracker) worthBatching() bool { return t.meanRepeats > maxRepeatedWrites }
--- a/internal/link/write_batching_test.go
+++ b/internal/link/write_batching_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// TestWritesAreBatchedOnlyWhereItSaves plays turns of so many events, each of which
-// writes to one of so many links.
+// TestWritesAreBatchedOnlyWhereItSaves simulates iterations with a number of events, each of
+// which writes to one of a number of connections.
 func TestWritesAreBatchedOnlyWhereItSaves(t *testing.T) {
 	for name, tc := range map[string]struct {
 		events, links int
 		want          bool
 	}{
-		"one by one":                    {1, 1, false},
-		"several, each to another link": {4, 4, false},
-		"two to one link":               {2, 1, false},
-		"many to one link":              {6, 1, true},
-		"many to few links":             {9, 2, true},
+		"one by one":                          {1, 1, false},
+		"several, each to another connection": {4, 4, false},
+		"two to one connection":               {2, 1, false},
+		"many to one connection":              {6, 1, true},
+		"many to few connections":             {9, 2, true},
 	} {
 		var tracker iterationTracker
-		links := make([]writeMark, tc.links)
+		marks := make([]writeMark, tc.links)
 		now := time.Unix(0, 0)
 		for range 500 {
 			now = now.Add(time.Millisecond)
 			for e := range tc.events {
 				tracker.beginEvent(now)
-				tracker.markDirty(&links[e%tc.links])
-				tracker.markDirty(&links[e%tc.links]) // twice in an event is nothing new
+				tracker.markDirty(&marks[e%tc.links])
+				tracker.markDirty(&marks[e%tc.links]) // a second write in the same event does not count
 				now = now.Add(time.Microsecond)
 				tracker.endEvent(now)
 			}
-			for i := range links {
-				links[i].dirty = false
+			for i := range marks {
+				marks[i].dirty = false
 			}
 		}
 		if got := tracker.worthBatching(); got != tc.want {
-			t.Errorf("%s: crowded %v, mean %.2f", name, got, tracker.meanRepeats)
+			t.Errorf("%s: batching %v, want %v; mean repeats %.2f", name, got, tc.want, tracker.meanRepeats)
 		}
 	}
 }
--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -398,7 +398,7 @@
 	{corner: "answers and callers", name: "a refusal that states no id is anybody's", file: proxies + "front.go",
 		old: "notRun(m) && only:", wrong: "notRun(m) && (only || true):", tests: "TestALateRefusalProvesNothing"},
 	{corner: "answers and callers", name: "a link carries a request twice", file: "internal/link/serial.go", in: "internal/switchback",
-		old: "	return slices.Contains(x.Request.Payload.(*Payload).carriedBy, l)\n", wrong: "	return false\n", tests: "TestALateRefusalProvesNothing"},
+		old: "	return slices.Contains(execution.Request.Payload.(*Payload).carriedBy, l)\n", wrong: "	return false\n", tests: "TestALateRefusalProvesNothing"},
 	{corner: "answers and callers", name: "a link is used behind bytes that nobody asked for", file: "internal/link/serial.go", in: "internal/switchback",
 		old: "	if m.Close || mustClose {", wrong: "	if m.Close {", tests: "TestAFaultAtEachByteOfAnAnswer"},
 	{corner: "answers and callers", name: "a broken connection proves that nothing ran", file: "internal/link/serial.go", in: "internal/switchback",
@@ -424,7 +424,7 @@
 		old:   "		got <- frame{Kind: Unknown, Reason: \"the connection to \" + p.addr + \" has ended\"}\n",
 		wrong: "		got <- frame{Kind: Unavailable, Reason: \"the connection to \" + p.addr + \" has ended\"}\n", tests: "TestAFaultAtEachByteOfTheFrames"},
 	{corner: "answers and callers", name: "a link is used however long it has rested", file: "internal/link/serial.go",
-		old: " || rest > l.fleet.maxIdleMS)", wrong: ")", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
+		old: " || rest > l.workerConns.maxIdleMS)", wrong: ")", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
 	{corner: "answers and callers", name: "a link is not looked at before it is used again", file: "internal/link/serial.go",
 		old: " && conn.usable() && noUnreadInput(conn.conn) {", wrong: " && conn.usable() {", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
 }
