--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -13,8 +13,8 @@
 	"foxwood/internal/batch/batchpb"
 )
 
-// TestCodecMatchesProtobuf: what the codec writes by hand is what the
-// generated code reads, and the other way round.
+// TestCodecMatchesProtobuf checks that the handwritten codec and the generated code read each
+// other's messages.
 func TestCodecMatchesProtobuf(t *testing.T) {
 	message := AppendItem(nil, 7, []byte("GET / HTTP/1.1\r\n\r\n"))
 	message = AppendItem(message, 300, nil)
@@ -39,7 +39,7 @@
 	}
 	var got []Down
 	var reader Reader
-	for _, b := range text.Bytes() { // a byte at a time
+	for _, b := range text.Bytes() { // one byte at a time
 		if err := reader.Feed([]byte{b}, func(d *Down) error {
 			c := *d
 			c.Done = append([]Done(nil), d.Done...)
@@ -56,7 +56,7 @@
 		{Done: []Done{{ID: 7, Answer: []byte("a")}, {ID: 300, NeverRan: true}}},
 		{Pong: 9, Leaving: true, Last: 300},
 	}, got); diff != "" || reader.Started() {
-		t.Errorf("started %v; %s", reader.Started(), diff)
+		t.Errorf("message incomplete %v; messages (-want +got): %s", reader.Started(), diff)
 	}
 }
 
@@ -65,14 +65,14 @@
 		text string
 		want error
 	}{
-		"a length past the bound": {"\xff\xff\xff\x0f", ErrLong},
-		"a length without an end": {strings.Repeat("\xff", 11), ErrMalformed},
-		"a cut field":             {"\x02\x0a\x05", ErrMalformed},
-		"a tag of nothing":        {"\x01\x00", ErrMalformed},
-		"a group":                 {"\x01\x0b", ErrMalformed},
-		"a cut item":              {"\x04\x0a\x02\x12\x09", ErrMalformed},
-		"an unknown field":        {"\x02\x78\x01", nil},
-		"nothing":                 {"\x00", nil},
+		"length over the limit": {"\xff\xff\xff\x0f", ErrLong},
+		"unterminated length":   {strings.Repeat("\xff", 11), ErrMalformed},
+		"truncated field":       {"\x02\x0a\x05", ErrMalformed},
+		"field number 0":        {"\x01\x00", ErrMalformed},
+		"group":                 {"\x01\x0b", ErrMalformed},
+		"truncated item":        {"\x04\x0a\x02\x12\x09", ErrMalformed},
+		"unknown field":         {"\x02\x78\x01", nil},
+		"empty message":         {"\x00", nil},
 	} {
 		var r Reader
 		if err := r.Feed([]byte(tc.text), func(*Down) error { return nil }); !errors.Is(err, tc.want) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// FuzzFeed: a reader must not panic or hold more than a message, and must read the same
-// whatever the pieces.
+// FuzzFeed checks that a reader does not panic or buffer more than a message, and that the
+// result does not depend on the piece size.
 func FuzzFeed(f *testing.F) {
 	var text bytes.Buffer
 	_, _ = protodelim.MarshalTo(&text, &batchpb.Down{Done: []*batchpb.Done{{Id: 1, Answer: []byte("HTTP/1.1 200 OK\r\n\r\n")}}})
@@ -90,22 +90,22 @@
 	f.Add(text.Bytes(), uint8(3))
 	f.Add([]byte("\x02\x0a\x05\xff"), uint8(0))
 	f.Fuzz(func(t *testing.T, b []byte, cut uint8) {
-		read := func(piece int) (n int, err error) {
-			var r Reader
+		read := func(piece int) (count int, err error) {
+			var reader Reader
 			for rest := b; len(rest) > 0 && err == nil; {
-				k := min(piece, len(rest))
-				err = r.Feed(rest[:k], func(d *Down) error { n += 1 + len(d.Done); return nil })
-				rest = rest[k:]
-				if len(r.buffered) > MessageMost+16 {
-					t.Fatalf("holds %d bytes", len(r.buffered))
+				size := min(piece, len(rest))
+				err = reader.Feed(rest[:size], func(d *Down) error { count += 1 + len(d.Done); return nil })
+				rest = rest[size:]
+				if len(reader.buffered) > MessageMost+16 {
+					t.Fatalf("buffered %d bytes", len(reader.buffered))
 				}
 			}
-			return n, err
+			return count, err
 		}
-		n, err := read(int(cut) + 1)
-		m, other := read(len(b) + 1)
-		if n != m || (err == nil) != (other == nil) {
-			t.Fatalf("in pieces %d, %v; at once %d, %v", n, err, m, other)
+		count, err := read(int(cut) + 1)
+		countWhole, errWhole := read(len(b) + 1)
+		if count != countWhole || (err == nil) != (errWhole == nil) {
+			t.Fatalf("%d messages and results in pieces, error %v; %d at once, error %v", count, err, countWhole, errWhole)
 		}
 	})
 }
--- a/internal/batch/codec.go
+++ b/internal/batch/codec.go
@@ -1,6 +1,6 @@
-// Package batch is the batch protocol: many requests in one message, over a link that
-// both sides write to at any time (docs/batch-protocol.md). It holds the gatekeeper's
-// side as a codec without I/O, and the worker's side as an HTTP handler.
+// Package batch implements the batch protocol: several requests in one message, over a
+// connection on which both sides write at any time (docs/batch-protocol.md). It contains the
+// gatekeeper's side as a codec without I/O, and the worker's side as an HTTP handler.
 package batch
 
 import (
@@ -10,13 +10,13 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ContentType is the media type of both directions.
+// ContentType is the media type in both directions.
 const ContentType = "application/vnd.foxwood.batch"
 
-// MessageMost is the most bytes of one message. A longer one breaks the link.
+// MaxMessageBytes is the size limit of a message. A longer message ends the connection.
 const MessageMost = 2 << 20
 
-// The field numbers of batchpb/batch.proto.
+// Field numbers from batchpb/batch.proto.
 const (
 	upItems, upGiveUp, upPing                 = 1, 2, 3
 	itemID, itemRequest                       = 1, 2
@@ -35,27 +35,27 @@
 	return protowire.AppendBytes(b, request)
 }
 
-// AppendGiveUp appends the number of an item that is given up.
+// AppendCancel appends the id of an item to cancel, as a field of an Up message.
 func AppendGiveUp(b []byte, id uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, upGiveUp, protowire.VarintType), id)
 }
 
-// AppendPing appends a question for a sign of life.
+// AppendPing appends a ping, as a field of an Up message.
 func AppendPing(b []byte, n uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, upPing, protowire.VarintType), n)
 }
 
-// AppendMessage appends a message behind its length.
+// AppendMessage appends a message with its length before it.
 func AppendMessage(b, message []byte) []byte { return protowire.AppendBytes(b, message) }
 
-// Done is the end of one item.
+// ItemResult is the result of one item.
 type Done struct {
 	ID       uint64
-	Answer   []byte // a whole HTTP/1.1 answer; it holds until the next Feed
+	Answer   []byte // a complete HTTP/1.1 response; valid until the next Feed
 	NeverRan bool
 }
 
-// Down is a message of a worker.
+// WorkerMessage is a message from a worker.
 type Down struct {
 	Done    []Done
 	Pong    uint64
@@ -63,23 +63,23 @@
 	Last    uint64
 }
 
-// Reader takes the bytes of a worker's side as they come.
+// Reader parses the messages of a worker from input in arbitrary pieces.
 type Reader struct {
 	buffered []byte
 	message  Down
 }
 
-// Errors of a Reader. After one, where the next message begins is not known.
+// Errors of a Reader. After one of them, the start of the next message is unknown.
 var (
-	ErrLong      = errors.New("batch: a message past its bound")
-	ErrMalformed = errors.New("batch: a malformed message")
+	ErrLong      = errors.New("batch: message too long")
+	ErrMalformed = errors.New("batch: malformed message")
 )
 
-// Started tells whether a part of a message has come.
+// Started reports whether part of a message has arrived.
 func (r *Reader) Started() bool { return len(r.buffered) > 0 }
 
-// Feed takes bytes and calls do for each message that is whole by now. The message
-// holds during the call. An error of do ends Feed.
+// Feed parses input and calls handle for each message that is complete. The message is valid
+// during the call. Feed returns the first error of handle.
 func (r *Reader) Feed(b []byte, handle func(*Down) error) error {
 	if len(r.buffered) > 0 {
 		r.buffered = append(r.buffered, b...)
@@ -88,13 +88,13 @@
 	for len(b) > 0 {
 		size, n := protowire.ConsumeVarint(b)
 		if n < 0 {
-			if len(b) >= 10 { // a length has 10 bytes at most
+			if len(b) >= 10 { // the longest encoding of a length has 10 bytes
 				return ErrMalformed
 			}
 			break
 		}
 		if size > MessageMost {
-			return fmt.Errorf("%w: %d bytes", ErrLong, size)
+			return fmt.Errorf("%w: %d bytes, limit %d", ErrLong, size, MessageMost)
 		}
 		if uint64(len(b)-n) < size {
 			break
@@ -114,9 +114,9 @@
 	return nil
 }
 
-const maxKeptBufferBytes = 64 << 10 // bytes of room that a Reader keeps between messages
+const maxKeptBufferBytes = 64 << 10 // capacity of the buffer that is kept between messages
 
-// read reads a message over what was there. Fields that are not known are passed over.
+// read parses a message and replaces the contents of m. Unknown fields are ignored.
 func (d *Down) read(b []byte) error {
 	*d = Down{Done: d.Done[:0]}
 	return eachField(b, func(num protowire.Number, varint uint64, content []byte) error {
@@ -149,7 +149,7 @@
 	})
 }
 
-// fields calls do for each field of a message, with its number or its bytes.
+// eachField calls fn for each field of a message, with its varint or its bytes.
 func eachField(b []byte, fn func(num protowire.Number, varint uint64, content []byte) error) error {
 	for len(b) > 0 {
 		num, kind, n := protowire.ConsumeTag(b)
--- a/internal/batch/server.go
+++ b/internal/batch/server.go
@@ -15,27 +15,27 @@
 	"foxwood/internal/batch/batchpb"
 )
 
-// Handler serves the worker's side of the batch protocol over net/http: each item goes
-// to Items as a request of its own, and its answer goes back as soon as it is whole.
+// Handler serves the worker's side of the batch protocol with net/http. It passes each item to
+// ItemHandler as a request of its own, and sends the response as soon as it is complete.
 type Handler struct {
 	Items http.Handler
 }
 
-// ErrNeverRan, panicked with by a handler of items, tells that the item has not run and
-// will not.
+// ErrNeverRan is the value that an item handler panics with to state that the item has not run
+// and will not run.
 var ErrNeverRan = errors.New("batch: the item never ran")
 
-// link is one batch link on the worker's side.
+// serverConn is a batch connection on the worker's side.
 type serverConn struct {
 	controller *http.ResponseController
 	w          http.ResponseWriter
-	mu         sync.Mutex // of what is written
-	cancels    sync.Map   // number -> context.CancelFunc
+	mu         sync.Mutex // guards writes
+	cancels    sync.Map   // item id -> context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// ServeHTTP implements http.Handler. It returns when the gatekeeper ends its side, after
-// the last item.
+// ServeHTTP implements http.Handler. It returns after the gatekeeper has closed its side and
+// the last item has ended.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.Header.Get("Content-Type") != ContentType {
 		http.Error(w, "a batch link begins with a POST of "+ContentType, http.StatusUnsupportedMediaType)
@@ -59,7 +59,7 @@
 	conn.running.Wait()
 }
 
-// next takes one message.
+// handleMessage handles one message from the gatekeeper.
 func (l *serverConn) handleMessage(ctx context.Context, in *bufio.Reader, items http.Handler) error {
 	var message batchpb.Up
 	if err := (protodelim.UnmarshalOptions{MaxSize: MessageMost}).UnmarshalFrom(in, &message); err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// run serves one item. It returns nil for one whose handler gives no answer, as
-// net/http has them say with http.ErrAbortHandler.
+// serveItem serves one item. It returns nil if the handler aborts with http.ErrAbortHandler,
+// in which case there is no response.
 func serveItem(ctx context.Context, item *batchpb.Item, items http.Handler) (done *batchpb.Done) {
 	done = &batchpb.Done{Id: item.GetId()}
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(item.GetRequest())))
@@ -123,7 +123,7 @@
 	return done
 }
 
-// answer gathers what a handler writes.
+// responseRecorder collects what a handler writes.
 type responseRecorder struct {
 	header http.Header
 	status int
--- a/internal/h2/encode.go
+++ b/internal/h2/encode.go
@@ -7,15 +7,15 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// encode turns the head of an HTTP/1.1 request, and further field lines, into a header
-// block: the pseudo-headers first, Host as ":authority" (RFC 9113, section 8.3.1),
-// names in lower case.
+// encodeHeaders converts the head of an HTTP/1.1 request, and further header lines, into a
+// header block: pseudo-headers first, Host as ":authority" (RFC 9113, section 8.3.1), names in
+// lower case.
 func (s *Session) encodeHeaders(head, extra []byte) error {
 	line, rest, ok := bytes.Cut(head, crlf)
 	method, target, okMethod := bytes.Cut(line, space)
 	target, _, okTarget := bytes.Cut(target, space)
 	if !ok || !okMethod || !okTarget {
-		return errors.New("h2: a request without a request line")
+		return errors.New("h2: request has no request line")
 	}
 	s.encodeField(":method", string(method), false)
 	s.encodeField(":scheme", "http", false)
@@ -28,7 +28,7 @@
 			line, lines, _ = bytes.Cut(lines, crlf)
 			name, value, ok := bytes.Cut(line, colon)
 			if !ok {
-				return errors.New("h2: a header line without a name")
+				return errors.New("h2: header line has no colon")
 			}
 			if !bytes.EqualFold(name, host) {
 				name := string(bytes.ToLower(name))
@@ -41,14 +41,14 @@
 
 var crlf, space, colon, host = []byte("\r\n"), []byte(" "), []byte(":"), []byte("host")
 
-// put encodes a field. One whose value is another with every request is never indexed
-// (RFC 7541, section 6.2.3): it would only push out of the table what does come again.
-// A buffer takes whatever is written to it.
+// encodeField encodes a field. A field whose value differs in every request is marked
+// sensitive, so that it is never indexed (RFC 7541, section 6.2.3): it would only evict
+// reusable fields from the table. Writing to the buffer can't fail.
 func (s *Session) encodeField(name, value string, sensitive bool) {
 	_ = s.enc.WriteField(hpack.HeaderField{Name: name, Value: value, Sensitive: sensitive})
 }
 
-// find is the value of the first field line with a name.
+// findHeader returns the value of the first header line with a name.
 func findHeader(lines []byte, name string) ([]byte, bool) {
 	for len(lines) > 0 {
 		var line []byte
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -16,8 +16,8 @@
 	"foxwood/internal/http1"
 )
 
-// peer is a scripted server's side in memory: it reads what a session writes and makes
-// the bytes that a session is fed.
+// fakeServer is the server's side of a session in memory. It parses what the session writes
+// and produces the frames that the session is fed.
 type fakeServer struct {
 	t interface {
 		Helper()
@@ -25,11 +25,11 @@
 	}
 	session *Session
 	events  []string
-	output  bytes.Buffer // to be fed
+	output  bytes.Buffer // to be fed to the session
 	framer  *http2.Framer
 	block   bytes.Buffer
 	enc     *hpack.Encoder
-	written bytes.Buffer // what the session wrote
+	written bytes.Buffer // by the session
 	reader  *http2.Framer
 }
 
@@ -43,7 +43,7 @@
 	server.enc = hpack.NewEncoder(&server.block)
 	server.written.Write(server.session.Out())
 	if got := string(server.written.Next(len(http2.ClientPreface))); got != http2.ClientPreface {
-		t.Fatal("the preface is", got)
+		t.Fatal("unexpected preface:", got)
 	}
 	server.reader = http2.NewFramer(nil, &server.written)
 	server.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
@@ -55,17 +55,17 @@
 }
 
 func (p *fakeServer) Ended(s *Stream, why Why) {
-	p.events = append(p.events, fmt.Sprintf("%d: %s", s.ID, [...]string{"spoilt", "refused", "unprocessed"}[why]))
+	p.events = append(p.events, fmt.Sprintf("%d: %s", s.ID, [...]string{"failed", "refused", "unprocessed"}[why]))
 }
 
-// feed gives the session what the peer has written.
+// feed feeds the session what the server has written.
 func (p *fakeServer) feed() error {
 	b := bytes.Clone(p.output.Bytes())
 	p.output.Reset()
 	return p.session.Feed(b)
 }
 
-// settle feeds the peer's first SETTINGS.
+// sendSettings feeds the server's first SETTINGS.
 func (p *fakeServer) sendSettings(set ...http2.Setting) *fakeServer {
 	p.t.Helper()
 	_ = p.framer.WriteSettings(set...)
@@ -86,7 +86,7 @@
 	return p.session.streams[streamID]
 }
 
-// headers writes a header block, in pieces of so many bytes, 0 for one.
+// headers writes a header block in pieces of pieceBytes, or in one piece if that is 0.
 func (p *fakeServer) headers(streamID uint32, endStream bool, pieceBytes int, fields ...string) {
 	p.block.Reset()
 	for i := 0; i < len(fields); i += 2 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// wrote lists the frames that the session has written since.
+// framesWritten lists the frames that the session has written since the last call.
 func (p *fakeServer) framesWritten() []string {
 	p.written.Write(p.session.Out())
 	var all []string
@@ -161,12 +161,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{`1: 204 "" `, `3: 200 "hola" 2`}, server.events); diff != "" || server.session.Len() != 0 {
-		t.Errorf("%d open; %s", server.session.Len(), diff)
+		t.Errorf("%d streams open, want 0; events (-want +got): %s", server.session.Len(), diff)
 	}
 }
 
-// TestOnlyRefusalsProveNotRun: only REFUSED_STREAM and a GOAWAY's last stream prove that a
-// request never ran.
+// TestOnlyRefusalsProveNotRun checks that only REFUSED_STREAM and the last stream id of a
+// GOAWAY prove that a request never ran.
 func TestOnlyRefusalsProveNotRun(t *testing.T) {
 	server := newFakeServer(t, 10).sendSettings()
 	for range 5 {
@@ -179,11 +179,11 @@
 	if err := server.feed(); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{"1: refused", "3: spoilt", "9: unprocessed", `7: 200 "" `}, server.events); diff != "" {
+	if diff := cmp.Diff([]string{"1: refused", "3: failed", "9: unprocessed", `7: 200 "" `}, server.events); diff != "" {
 		t.Error(diff)
 	}
 	if server.session.Room() != 0 || !server.session.Leaving() || server.session.Len() != 1 {
-		t.Errorf("room %d, leaving %v, %d open", server.session.Room(), server.session.Leaving(), server.session.Len())
+		t.Errorf("%d streams available, going away %v, %d open; want 0, true, 1", server.session.Room(), server.session.Leaving(), server.session.Len())
 	}
 }
 
@@ -192,10 +192,10 @@
 	server.framesWritten()
 	first, second := server.open(strings.Repeat("x", 60000)), server.open(strings.Repeat("y", 30000))
 	if got := strings.Join(server.framesWritten(), "; "); strings.Count(got, "DATA 1") != 3 || !strings.Contains(got, "DATA 3 16384 false; DATA 3 9151 false") {
-		t.Errorf("at first: %s", got)
+		t.Errorf("frames before the windows are raised: %s", got)
 	}
 	if first.End != 0 || second.End != 0 {
-		t.Error("said to be sent whole")
+		t.Error("reported as fully sent")
 	}
 	_ = server.framer.WriteWindowUpdate(0, 100000)
 	_ = server.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 50000})
@@ -207,7 +207,7 @@
 		t.Error(diff)
 	}
 	if first.End == 0 || second.End == 0 {
-		t.Error("not said to be sent whole")
+		t.Error("not reported as fully sent")
 	}
 }
 
@@ -222,7 +222,7 @@
 	server.headers(1, false, 0, ":status", "200", "x-new", "in the table")
 	_ = server.framer.WriteData(1, true, []byte("late"))
 	next := server.open("")
-	server.headers(next.ID, true, 0, ":status", "200", "x-new", "in the table") // the table has it
+	server.headers(next.ID, true, 0, ":status", "200", "x-new", "in the table") // encoded as an index into the table
 	if err := server.feed(); err != nil {
 		t.Fatal(err)
 	}
@@ -231,11 +231,11 @@
 	}
 }
 
-// TestWindowsAreReplenished guards against a connection that stops for good once as many
-// bytes as its window have come.
+// TestWindowsAreReplenished guards against a connection that stalls for good after as many
+// bytes as its window.
 func TestWindowsAreReplenished(t *testing.T) {
 	server := newFakeServer(t, 10).sendSettings()
-	for range 40 { // 40 x 64 KiB are more than the connection's window
+	for range 40 { // 40 x 64 KiB exceed the connection's window
 		stream := server.open("")
 		server.headers(stream.ID, false, 0, ":status", "200")
 		for range 4 {
@@ -247,127 +247,134 @@
 		}
 	}
 	if len(server.events) != 40 {
-		t.Errorf("%d answers", len(server.events))
+		t.Errorf("%d responses, want 40", len(server.events))
 	}
 }
 
-// TestProtocolViolations: floods, breaches and what can't be read end the
-// link or the stream, and are told apart.
+// TestProtocolViolations checks that floods, violations and malformed input end the connection
+// or only the stream, as appropriate.
 func TestProtocolViolations(t *testing.T) {
-	raw := func(b ...byte) func(*fakeServer) { return func(p *fakeServer) { p.output.Write(b) } }
-	many := func(n int, do func(*fakeServer)) func(*fakeServer) {
-		return func(p *fakeServer) {
+	raw := func(b ...byte) func(*fakeServer) { return func(server *fakeServer) { server.output.Write(b) } }
+	repeat := func(n int, action func(*fakeServer)) func(*fakeServer) {
+		return func(server *fakeServer) {
 			for range n {
-				do(p)
+				action(server)
 			}
 		}
 	}
-	for name, c := range map[string]struct {
-		send func(*fakeServer)
-		link http2.ErrCode // that the link ends with
-		told []string      // of stream 1, where it goes on
+	for name, tc := range map[string]struct {
+		send       func(*fakeServer)
+		wantCode   http2.ErrCode // error that ends the connection, 0 if it stays open
+		wantEvents []string      // events of stream 1 if the connection stays open
 	}{
 		"no SETTINGS first": {raw(0, 0, 8, 6, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8), http2.ErrCodeProtocol, nil},
 		"HTTP/1.1":          {raw([]byte("HTTP/1.1 400 Bad Request\r\n")...), http2.ErrCodeFrameSize, nil},
-		"a frame too long":  {raw(0x01, 0, 0, 0, 0, 0, 0, 0, 1), http2.ErrCodeFrameSize, nil},
-		"a push": {func(p *fakeServer) {
-			_ = p.framer.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, EndHeaders: true})
+		"frame too long":    {raw(0x01, 0, 0, 0, 0, 0, 0, 0, 1), http2.ErrCodeFrameSize, nil},
+		"PUSH_PROMISE": {func(server *fakeServer) {
+			_ = server.framer.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, EndHeaders: true})
 		}, http2.ErrCodeProtocol, nil},
-		"an answer nobody asked": {func(p *fakeServer) { p.headers(5, true, 0, ":status", "200") }, http2.ErrCodeProtocol, nil},
-		"a stream of the server": {func(p *fakeServer) { p.headers(2, true, 0, ":status", "200") }, http2.ErrCodeProtocol, nil},
-		"data nobody asked":      {func(p *fakeServer) { _ = p.framer.WriteData(5, true, nil) }, http2.ErrCodeProtocol, nil},
-		"a block interrupted": {func(p *fakeServer) {
-			_ = p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
-			_ = p.framer.WritePing(false, [8]byte{})
+		"response on an unopened stream": {func(server *fakeServer) { server.headers(5, true, 0, ":status", "200") }, http2.ErrCodeProtocol, nil},
+		"server-initiated stream":        {func(server *fakeServer) { server.headers(2, true, 0, ":status", "200") }, http2.ErrCodeProtocol, nil},
+		"DATA on an unopened stream":     {func(server *fakeServer) { _ = server.framer.WriteData(5, true, nil) }, http2.ErrCodeProtocol, nil},
+		"interrupted header block": {func(server *fakeServer) {
+			_ = server.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+			_ = server.framer.WritePing(false, [8]byte{})
 		}, http2.ErrCodeProtocol, nil},
-		"a block never ended": {func(p *fakeServer) {
-			_ = p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+		"header block too long": {func(server *fakeServer) {
+			_ = server.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
 			for range 9 {
-				_ = p.framer.WriteContinuation(1, false, make([]byte, 9000))
+				_ = server.framer.WriteContinuation(1, false, make([]byte, 9000))
 			}
 		}, http2.ErrCodeEnhanceYourCalm, nil},
-		"empty CONTINUATIONs": {func(p *fakeServer) {
-			_ = p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+		"flood of empty CONTINUATION": {func(server *fakeServer) {
+			_ = server.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
 			for range 1100 {
-				_ = p.framer.WriteContinuation(1, false, nil)
+				_ = server.framer.WriteContinuation(1, false, nil)
 			}
 		}, http2.ErrCodeEnhanceYourCalm, nil},
-		"a block that can't be": {func(p *fakeServer) {
-			_ = p.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true})
+		"undecodable header block": {func(server *fakeServer) {
+			_ = server.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true})
 		}, http2.ErrCodeCompression, nil},
-		"a flood of PING":       {many(1100, func(p *fakeServer) { _ = p.framer.WritePing(false, [8]byte{}) }), http2.ErrCodeEnhanceYourCalm, nil},
-		"a flood of SETTINGS":   {many(1100, func(p *fakeServer) { _ = p.framer.WriteSettings() }), http2.ErrCodeEnhanceYourCalm, nil},
-		"a flood of RST_STREAM": {many(1100, func(p *fakeServer) { _ = p.framer.WriteRSTStream(1, http2.ErrCodeCancel) }), http2.ErrCodeEnhanceYourCalm, nil},
-		"a flood of nothing": {func(p *fakeServer) {
-			p.headers(1, false, 0, ":status", "200")
-			many(1100, func(p *fakeServer) { _ = p.framer.WriteData(1, false, nil) })(p)
+		"flood of PING":       {repeat(1100, func(server *fakeServer) { _ = server.framer.WritePing(false, [8]byte{}) }), http2.ErrCodeEnhanceYourCalm, nil},
+		"flood of SETTINGS":   {repeat(1100, func(server *fakeServer) { _ = server.framer.WriteSettings() }), http2.ErrCodeEnhanceYourCalm, nil},
+		"flood of RST_STREAM": {repeat(1100, func(server *fakeServer) { _ = server.framer.WriteRSTStream(1, http2.ErrCodeCancel) }), http2.ErrCodeEnhanceYourCalm, nil},
+		"flood of empty DATA": {func(server *fakeServer) {
+			server.headers(1, false, 0, ":status", "200")
+			repeat(1100, func(server *fakeServer) { _ = server.framer.WriteData(1, false, nil) })(server)
 		}, http2.ErrCodeEnhanceYourCalm, nil},
-		"a flood of 1xx":         {many(1100, func(p *fakeServer) { p.headers(1, false, 0, ":status", "103") }), http2.ErrCodeEnhanceYourCalm, nil},
-		"the link's window past": {many(2, func(p *fakeServer) { _ = p.framer.WriteWindowUpdate(0, 1<<31-1) }), http2.ErrCodeFlowControl, nil},
-		"a stream's window past": {func(p *fakeServer) { _ = p.framer.WriteWindowUpdate(1, 1<<31-1) }, 0, []string{"1: spoilt"}},
-		"no window at all":       {func(p *fakeServer) { _ = p.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4)) }, 0, []string{"1: spoilt"}},
-		"a list past its bound": {func(p *fakeServer) {
-			p.headers(1, true, 0, ":status", "200", "x-a", strings.Repeat("a", 9000), "x-b", strings.Repeat("b", 9000))
-		}, 0, []string{"1: spoilt"}},
-		"too many fields": {func(p *fakeServer) {
+		"flood of 1xx":               {repeat(1100, func(server *fakeServer) { server.headers(1, false, 0, ":status", "103") }), http2.ErrCodeEnhanceYourCalm, nil},
+		"connection window overflow": {repeat(2, func(server *fakeServer) { _ = server.framer.WriteWindowUpdate(0, 1<<31-1) }), http2.ErrCodeFlowControl, nil},
+		"stream window overflow":     {func(server *fakeServer) { _ = server.framer.WriteWindowUpdate(1, 1<<31-1) }, 0, []string{"1: failed"}},
+		"WINDOW_UPDATE of 0": {func(server *fakeServer) {
+			_ = server.framer.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4))
+		}, 0, []string{"1: failed"}},
+		"header list too large": {func(server *fakeServer) {
+			server.headers(1, true, 0, ":status", "200", "x-a", strings.Repeat("a", 9000), "x-b", strings.Repeat("b", 9000))
+		}, 0, []string{"1: failed"}},
+		"too many fields": {func(server *fakeServer) {
 			f := []string{":status", "200"}
 			for i := range 200 {
 				f = append(f, fmt.Sprint("x-", i), "")
 			}
-			p.headers(1, true, 0, f...)
-		}, 0, []string{"1: spoilt"}},
-		"a name with capitals":   {func(p *fakeServer) { p.headers(1, true, 0, ":status", "200", "X-Up", "1") }, 0, []string{"1: spoilt"}},
-		"a connection's field":   {func(p *fakeServer) { p.headers(1, true, 0, ":status", "200", "connection", "close") }, 0, []string{"1: spoilt"}},
-		"two statuses":           {func(p *fakeServer) { p.headers(1, true, 0, ":status", "200", ":status", "500") }, 0, []string{"1: spoilt"}},
-		"no status":              {func(p *fakeServer) { p.headers(1, true, 0, "x-a", "1") }, 0, []string{"1: spoilt"}},
-		"101":                    {func(p *fakeServer) { p.headers(1, true, 0, ":status", "101") }, 0, []string{"1: spoilt"}},
-		"an interim end":         {func(p *fakeServer) { p.headers(1, true, 0, ":status", "103") }, 0, []string{"1: spoilt"}},
-		"data before the header": {func(p *fakeServer) { _ = p.framer.WriteData(1, true, []byte("x")) }, 0, []string{"1: spoilt"}},
-		"a body shorter than told": {func(p *fakeServer) {
-			p.headers(1, false, 0, ":status", "200", "content-length", "5")
-			_ = p.framer.WriteData(1, true, []byte("x"))
-		}, 0, []string{"1: spoilt"}},
-		"a body longer than told": {func(p *fakeServer) {
-			p.headers(1, false, 0, ":status", "200", "content-length", "1")
-			_ = p.framer.WriteData(1, true, []byte("xyz"))
-		}, 0, []string{"1: spoilt"}},
-		"3 GB to come":            {func(p *fakeServer) { p.headers(1, false, 0, ":status", "200", "content-length", "2000000000") }, 0, []string{"1: spoilt"}},
-		"trailers without an end": {func(p *fakeServer) { p.headers(1, false, 0, ":status", "200"); p.headers(1, false, 0, "x", "y") }, 0, []string{"1: spoilt"}},
-		"a frame of no known kind": {func(p *fakeServer) {
-			_ = p.framer.WriteRawFrame(0xbe, 7, 1, []byte("x"))
-			p.headers(1, true, 0, ":status", "200")
+			server.headers(1, true, 0, f...)
+		}, 0, []string{"1: failed"}},
+		"upper-case header name":           {func(server *fakeServer) { server.headers(1, true, 0, ":status", "200", "X-Up", "1") }, 0, []string{"1: failed"}},
+		"connection-specific field":        {func(server *fakeServer) { server.headers(1, true, 0, ":status", "200", "connection", "close") }, 0, []string{"1: failed"}},
+		"two statuses":                     {func(server *fakeServer) { server.headers(1, true, 0, ":status", "200", ":status", "500") }, 0, []string{"1: failed"}},
+		"no status":                        {func(server *fakeServer) { server.headers(1, true, 0, "x-a", "1") }, 0, []string{"1: failed"}},
+		"101":                              {func(server *fakeServer) { server.headers(1, true, 0, ":status", "101") }, 0, []string{"1: failed"}},
+		"interim response ends the stream": {func(server *fakeServer) { server.headers(1, true, 0, ":status", "103") }, 0, []string{"1: failed"}},
+		"DATA before HEADERS":              {func(server *fakeServer) { _ = server.framer.WriteData(1, true, []byte("x")) }, 0, []string{"1: failed"}},
+		"body shorter than content-length": {func(server *fakeServer) {
+			server.headers(1, false, 0, ":status", "200", "content-length", "5")
+			_ = server.framer.WriteData(1, true, []byte("x"))
+		}, 0, []string{"1: failed"}},
+		"body longer than content-length": {func(server *fakeServer) {
+			server.headers(1, false, 0, ":status", "200", "content-length", "1")
+			_ = server.framer.WriteData(1, true, []byte("xyz"))
+		}, 0, []string{"1: failed"}},
+		"content-length over the limit": {func(server *fakeServer) {
+			server.headers(1, false, 0, ":status", "200", "content-length", "2000000000")
+		}, 0, []string{"1: failed"}},
+		"trailers without an end": {func(server *fakeServer) {
+			server.headers(1, false, 0, ":status", "200")
+			server.headers(1, false, 0, "x", "y")
+		}, 0, []string{"1: failed"}},
+		"unknown frame type": {func(server *fakeServer) {
+			_ = server.framer.WriteRawFrame(0xbe, 7, 1, []byte("x"))
+			server.headers(1, true, 0, ":status", "200")
 		}, 0, []string{`1: 200 "" `}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newFakeServer(t, 10)
+			server := newFakeServer(t, 10)
 			if name != "no SETTINGS first" && name != "HTTP/1.1" {
-				p.sendSettings()
+				server.sendSettings()
 			}
-			p.open("")
-			p.framesWritten()
-			c.send(p)
-			err := p.feed()
-			if c.link == 0 {
-				if diff := cmp.Diff(c.told, p.events); err != nil || diff != "" {
+			server.open("")
+			server.framesWritten()
+			tc.send(server)
+			err := server.feed()
+			if tc.wantCode == 0 {
+				if diff := cmp.Diff(tc.wantEvents, server.events); err != nil || diff != "" {
 					t.Fatalf("%v %s", err, diff)
 				}
 				return
 			}
 			if err == nil {
-				t.Fatal("the link goes on")
+				t.Fatal("the connection stays open")
 			}
-			if got := p.framesWritten(); len(got) != 1 || got[0] != "GOAWAY "+c.link.String() {
-				t.Errorf("%v: said %v, want %v", err, got, c.link)
+			if got := server.framesWritten(); len(got) != 1 || got[0] != "GOAWAY "+tc.wantCode.String() {
+				t.Errorf("%v: wrote %v, want a GOAWAY with %v", err, got, tc.wantCode)
 			}
-			if again := p.session.Feed([]byte("x")); !errors.Is(again, err) || p.session.Room() != 0 {
-				t.Errorf("goes on after its end: %v, room %d", again, p.session.Room())
+			if again := server.session.Feed([]byte("x")); !errors.Is(again, err) || server.session.Room() != 0 {
+				t.Errorf("after the end: error %v, %d streams available; want the same error and 0", again, server.session.Room())
 			}
 		})
 	}
 }
 
-// TestResultIsIndependentOfPieceSize: the same frames in any pieces, with streams opened
-// and given up in between, end every stream once, and the same way.
+// TestResultIsIndependentOfPieceSize checks that the same frames in any pieces, with streams
+// cancelled in between, end every stream exactly once and with the same result.
 func TestResultIsIndependentOfPieceSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		server := newFakeServer(t, 64).sendSettings()
@@ -407,41 +414,41 @@
 			got[s]++
 		}
 		if diff := cmp.Diff(want, got); diff != "" || server.session.Len() != 0 {
-			t.Fatalf("%d open; %s", server.session.Len(), diff)
+			t.Fatalf("%d streams open, want 0; events (-want +got): %s", server.session.Len(), diff)
 		}
 	})
 }
 
-// FuzzFeed feeds a session anything: it must not panic, hold without bound, or end a
-// stream twice.
+// FuzzFeed checks that arbitrary input does not make a session panic, use unbounded memory, or
+// end a stream twice.
 func FuzzFeed(f *testing.F) {
-	p := newFakeServer(f, 10)
-	_ = p.framer.WriteSettings()
-	p.headers(1, false, 4, ":status", "200", "content-length", "2")
-	_ = p.framer.WriteData(1, true, []byte("ok"))
-	_ = p.framer.WriteGoAway(1, http2.ErrCodeNo, nil)
-	f.Add(bytes.Clone(p.output.Bytes()), uint8(7))
-	_ = p.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1})
-	_ = p.framer.WriteWindowUpdate(3, 1000)
-	_ = p.framer.WriteRSTStream(3, http2.ErrCodeRefusedStream)
-	f.Add(bytes.Clone(p.output.Bytes()), uint8(1))
+	server := newFakeServer(f, 10)
+	_ = server.framer.WriteSettings()
+	server.headers(1, false, 4, ":status", "200", "content-length", "2")
+	_ = server.framer.WriteData(1, true, []byte("ok"))
+	_ = server.framer.WriteGoAway(1, http2.ErrCodeNo, nil)
+	f.Add(bytes.Clone(server.output.Bytes()), uint8(7))
+	_ = server.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1})
+	_ = server.framer.WriteWindowUpdate(3, 1000)
+	_ = server.framer.WriteRSTStream(3, http2.ErrCodeRefusedStream)
+	f.Add(bytes.Clone(server.output.Bytes()), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
-		p := newFakeServer(t, 10)
+		server := newFakeServer(t, 10)
 		for range 4 {
-			p.open(strings.Repeat("b", 70000/4))
+			server.open(strings.Repeat("b", 70000/4))
 		}
 		for len(text) > 0 {
 			size := min(int(cut)+1, len(text))
-			if p.session.Feed(text[:size]) != nil {
+			if server.session.Feed(text[:size]) != nil {
 				break
 			}
 			text = text[size:]
-			if len(p.session.in) > maxFrameBytes+frameHeaderBytes || len(p.session.headerBlock) > maxHeaderBlockBytes {
-				t.Fatalf("holds %d and %d bytes", len(p.session.in), len(p.session.headerBlock))
+			if len(server.session.in) > maxFrameBytes+frameHeaderBytes || len(server.session.headerBlock) > maxHeaderBlockBytes {
+				t.Fatalf("buffered %d bytes of frames and %d of a header block", len(server.session.in), len(server.session.headerBlock))
 			}
 		}
-		if p.session.Len()+len(p.events) != 4 {
-			t.Fatalf("%d open, ended %v", p.session.Len(), p.events)
+		if server.session.Len()+len(server.events) != 4 {
+			t.Fatalf("%d streams open, events %v; want 4 in total", server.session.Len(), server.events)
 		}
 	})
 }
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -12,10 +12,10 @@
 	"foxwood/internal/http1"
 )
 
-const frameHeaderBytes = 9 // bytes, RFC 9113, section 4.1
+const frameHeaderBytes = 9 // RFC 9113, section 4.1
 
-// Feed takes bytes as they come. After an error the connection must end, once what Out
-// still gives has been written: it holds the GOAWAY that tells the peer why.
+// Feed handles input. After an error the connection must be closed, once the output that
+// TakeOutput still returns has been written: it contains the GOAWAY that states the reason.
 func (s *Session) Feed(b []byte) error {
 	if s.failed != nil {
 		return s.failed
@@ -35,15 +35,15 @@
 		}
 		b = b[n:]
 	}
-	s.in = append(s.in[:0], b...) // the same bytes, moved to the front, where they were held
+	s.in = append(s.in[:0], b...) // copies within the same buffer if the bytes were buffered
 	if len(s.in) == 0 && cap(s.in) > maxFrameBytes {
 		s.in = nil
 	}
 	return s.failed
 }
 
-// fail ends the session, and tells the peer why. What has not been given out is dropped:
-// it would only have the peer begin what it can't answer any more.
+// fail ends the session and prepares the GOAWAY. Output that has not been taken is dropped,
+// because it could only make the peer start requests whose responses can't be received.
 func (s *Session) fail(err error) error {
 	code := http2.ErrCodeProtocol
 	var own *Error
@@ -62,32 +62,32 @@
 	return err
 }
 
-// frame takes one whole frame, and returns how many bytes it had: 0 where it is not
-// whole yet.
+// readFrame handles one complete frame and returns its size in bytes, or 0 if the frame is
+// incomplete.
 func (s *Session) readFrame(b []byte) (int, error) {
 	if len(b) < frameHeaderBytes {
 		return 0, nil
 	}
 	length := int(b[0])<<16 | int(b[1])<<8 | int(b[2])
 	if length > maxFrameBytes {
-		return 0, connError(http2.ErrCodeFrameSize, "a frame of %d bytes", length)
+		return 0, connError(http2.ErrCodeFrameSize, "frame of %d bytes exceeds %d", length, maxFrameBytes)
 	}
 	kind, flags, streamID := http2.FrameType(b[3]), http2.Flags(b[4]), binary.BigEndian.Uint32(b[5:])&maxStreamID
 	if !s.settingsReceived && (kind != http2.FrameSettings || flags.Has(http2.FlagSettingsAck)) {
-		return 0, connError(http2.ErrCodeProtocol, "the first frame is not SETTINGS") // RFC 9113, section 3.4
+		return 0, connError(http2.ErrCodeProtocol, "first frame is not SETTINGS") // RFC 9113, section 3.4
 	}
 	if len(b) < frameHeaderBytes+length {
 		return 0, nil
 	}
 	if s.headerStream != 0 && (kind != http2.FrameContinuation || streamID != s.headerStream) {
-		return 0, connError(http2.ErrCodeProtocol, "a header block is interrupted")
+		return 0, connError(http2.ErrCodeProtocol, "header block interrupted by another frame")
 	}
 	s.source.Reset(b[:frameHeaderBytes+length])
 	frame, err := s.framer.ReadFrame()
 	var streamErr http2.StreamError
 	switch {
-	case errors.As(err, &streamErr) && kind == http2.FrameHeaders: // its block would be missing from the table
-		return 0, connError(streamErr.Code, "a broken HEADERS frame")
+	case errors.As(err, &streamErr) && kind == http2.FrameHeaders: // skipping its block would corrupt the dynamic table
+		return 0, connError(streamErr.Code, "malformed HEADERS frame")
 	case errors.As(err, &streamErr):
 		if st := s.streams[streamErr.StreamID]; st != nil {
 			s.failStream(st, streamErr.Code)
@@ -102,15 +102,15 @@
 	return frameHeaderBytes + length, nil
 }
 
-// chat counts a frame that brings no answer on.
+// countUnproductive counts a frame that does not advance any response.
 func (s *Session) countUnproductive() error {
 	if s.unproductive++; s.unproductive > maxUnproductiveFrames {
-		return connError(http2.ErrCodeEnhanceYourCalm, "%d frames that bring no answer", s.unproductive)
+		return connError(http2.ErrCodeEnhanceYourCalm, "%d frames without progress of a response", s.unproductive)
 	}
 	return nil
 }
 
-// take acts on a frame.
+// handleFrame handles a frame.
 func (s *Session) handleFrame(frame http2.Frame) error {
 	switch frame := frame.(type) {
 	case *http2.DataFrame:
@@ -127,7 +127,7 @@
 		}
 		return s.handleFragment(frame.StreamID, frame.HeaderBlockFragment(), frame.HeadersEnded())
 	case *http2.PushPromiseFrame:
-		return connError(http2.ErrCodeProtocol, "a push, which is switched off")
+		return connError(http2.ErrCodeProtocol, "PUSH_PROMISE although push is disabled")
 	case *http2.RSTStreamFrame:
 		return s.handleReset(frame)
 	case *http2.SettingsFrame:
@@ -143,13 +143,14 @@
 	case *http2.WindowUpdateFrame:
 		return s.handleWindowUpdate(frame)
 	}
-	return s.countUnproductive() // other frames are passed over: RFC 9113, section 4.1
+	return s.countUnproductive() // unknown frame types are ignored: RFC 9113, section 4.1
 }
 
-// known refuses a stream that was never opened: the peer opens none.
+// checkOpened rejects a stream id that this side has not opened. The peer may not open
+// streams.
 func (s *Session) checkOpened(id uint32) error {
 	if id%2 == 0 || id >= s.nextID {
-		return connError(http2.ErrCodeProtocol, "stream %d was not opened", id)
+		return connError(http2.ErrCodeProtocol, "stream %d was never opened", id)
 	}
 	return nil
 }
@@ -163,11 +164,11 @@
 	return nil
 }
 
-// fragment takes a piece of a header block. It is decoded also for streams that have
-// ended: the dynamic table is the connection's.
+// handleFragment handles a piece of a header block. It is decoded even if the stream has
+// ended, because the dynamic table belongs to the connection.
 func (s *Session) handleFragment(streamID uint32, piece []byte, last bool) error {
 	if len(s.headerBlock)+len(piece) > maxHeaderBlockBytes {
-		return connError(http2.ErrCodeEnhanceYourCalm, "a header block of more than %d bytes", maxHeaderBlockBytes)
+		return connError(http2.ErrCodeEnhanceYourCalm, "header block exceeds %d bytes", maxHeaderBlockBytes)
 	}
 	s.headerBlock = append(s.headerBlock, piece...)
 	if !last {
@@ -175,10 +176,10 @@
 	}
 	s.headerStream = 0
 	if _, err := s.dec.Write(s.headerBlock); err != nil {
-		return connError(http2.ErrCodeCompression, "header block: %v", err)
+		return connError(http2.ErrCodeCompression, "decoding header block: %v", err)
 	}
 	if err := s.dec.Close(); err != nil {
-		return connError(http2.ErrCodeCompression, "header block: %v", err)
+		return connError(http2.ErrCodeCompression, "decoding header block: %v", err)
 	}
 	stream := s.streams[streamID]
 	if stream == nil {
@@ -187,9 +188,9 @@
 	switch {
 	case s.fieldsTooLarge:
 		s.failStream(stream, http2.ErrCodeEnhanceYourCalm)
-	case stream.headersDone && !s.headerEndsStream: // trailers end a stream: RFC 9113, section 8.1
+	case stream.headersDone && !s.headerEndsStream: // trailers must end the stream: RFC 9113, section 8.1
 		s.failStream(stream, http2.ErrCodeProtocol)
-	case stream.headersDone: // trailers are dropped
+	case stream.headersDone: // trailers are ignored
 		s.finishStream(stream)
 	default:
 		return s.handleHeaders(stream)
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// field is given each field of a header block.
+// collectField is called for each field of a header block.
 func (s *Session) collectField(field hpack.HeaderField) {
 	if s.fieldsSize += int(field.Size()); s.fieldsSize > maxHeaderListBytes || len(s.fields) >= http1.MaxFields {
 		s.fieldsTooLarge = true
@@ -206,11 +207,11 @@
 	s.fields = append(s.fields, field)
 }
 
-// head reads the header of an answer.
+// handleHeaders handles the header of a response.
 func (s *Session) handleHeaders(stream *Stream) error {
 	status, ok := readHead(s.fields, &stream.response, &stream.declaredLength)
 	switch {
-	case !ok || status == 101: // 101 is not of HTTP/2: RFC 9113, section 8.6
+	case !ok || status == 101: // 101 does not exist in HTTP/2: RFC 9113, section 8.6
 		s.failStream(stream, http2.ErrCodeProtocol)
 		return nil
 	case status < 200:
@@ -231,9 +232,9 @@
 	return nil
 }
 
-// readHead reads the fields of an answer as RFC 9113, section 8.2 and 8.3, has them: one
-// pseudo-header, ":status", before all others; names in lower case; nothing that belongs
-// to a connection.
+// readHead checks and stores the header fields of a response by RFC 9113, sections 8.2 and
+// 8.3: one pseudo-header, ":status", before all others; names in lower case; no
+// connection-specific fields.
 func readHead(fields []hpack.HeaderField, message *http1.Message, length *int) (status int, ok bool) {
 	for i, field := range fields {
 		switch {
@@ -260,7 +261,7 @@
 
 var connectionFields = []string{"connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade"}
 
-// lower tells whether a name is a token without capitals.
+// isLowerToken reports whether a name is a token without upper-case letters.
 func isLowerToken(name string) bool {
 	for _, c := range []byte(name) {
 		if c <= ' ' || c >= 0x7f || c == ':' || c >= 'A' && c <= 'Z' {
@@ -279,14 +280,14 @@
 	return true
 }
 
-// data takes a piece of an answer's body, and gives back the window it took.
+// handleData handles a piece of a response body, and replenishes the receive windows.
 func (s *Session) handleData(frame *http2.DataFrame) error {
 	if err := s.checkOpened(frame.StreamID); err != nil {
 		return err
 	}
-	n := int64(frame.Header().Length) // padding counts: RFC 9113, section 6.1
+	n := int64(frame.Header().Length) // padding counts too: RFC 9113, section 6.1
 	if s.receiveWindow -= n; s.receiveWindow < 0 {
-		return connError(http2.ErrCodeFlowControl, "more data than the connection's window")
+		return connError(http2.ErrCodeFlowControl, "DATA exceeds the connection window")
 	}
 	if s.unacknowledged += n; s.unacknowledged >= connWindowBytes/2 {
 		s.noteWriteError(s.framer.WriteWindowUpdate(0, uint32(s.unacknowledged)))
@@ -320,8 +321,8 @@
 	return nil
 }
 
-// finish gives an answer out. It guards against one whose stated length its body does
-// not have (RFC 9113, section 8.1.1).
+// finishStream delivers a response. A body that differs from its stated length fails the
+// stream (RFC 9113, section 8.1.1).
 func (s *Session) finishStream(stream *Stream) {
 	noBody := stream.response.Status == 204 || stream.response.Status == 304
 	if stream.declaredLength >= 0 && stream.declaredLength != len(stream.body) && !(noBody && len(stream.body) == 0) {
@@ -329,7 +330,7 @@
 		return
 	}
 	s.unproductive = 0
-	if stream.End == 0 { // the worker needed no more of the body: RFC 9113, section 8.1
+	if stream.End == 0 { // the worker did not need the rest of the body: RFC 9113, section 8.1
 		s.resetStream(stream, http2.ErrCodeNo)
 	} else {
 		delete(s.streams, stream.ID)
@@ -371,7 +372,7 @@
 			s.peerInitialWindow = int64(setting.Val)
 			for _, st := range s.streams {
 				if st.sendWindow += delta; st.sendWindow > maxWindowBytes {
-					return connError(http2.ErrCodeFlowControl, "a window past its bound")
+					return connError(http2.ErrCodeFlowControl, "stream window overflow")
 				}
 			}
 		case http2.SettingMaxFrameSize:
@@ -385,7 +386,8 @@
 	return nil
 }
 
-// goneAway ends the streams that the peer says it has not and will not act on.
+// handleGoAway ends the streams that the peer states it has not processed and will not
+// process.
 func (s *Session) handleGoAway(frame *http2.GoAwayFrame) {
 	s.goAwayReceived = true
 	var unprocessed []*Stream
@@ -410,7 +412,7 @@
 	increment := int64(frame.Increment)
 	if frame.StreamID == 0 {
 		if s.sendWindow += increment; s.sendWindow > maxWindowBytes {
-			return connError(http2.ErrCodeFlowControl, "the connection's window past its bound")
+			return connError(http2.ErrCodeFlowControl, "connection window overflow")
 		}
 		s.sendBlocked()
 		return nil
--- a/internal/h2/session.go
+++ b/internal/h2/session.go
@@ -1,8 +1,8 @@
-// Package h2 is the client's side of one HTTP/2 connection as a state machine: bytes in,
-// bytes out, no I/O, no clock, no goroutine. It speaks cleartext HTTP/2 with prior
-// knowledge (RFC 9113, section 3.3) and carries requests that are whole when they begin
-// to answers that are whole when they end. Frames are read and written by x/net/http2,
-// header blocks by its hpack.
+// Package h2 implements the client side of an HTTP/2 connection as a state machine without
+// I/O, clock or goroutines: the caller feeds input and takes output. It speaks cleartext
+// HTTP/2 with prior knowledge (RFC 9113, section 3.3). Requests must be complete when they are
+// sent, and responses are delivered when they are complete. Frames are read and written by
+// golang.org/x/net/http2, header blocks by its hpack package.
 package h2
 
 import (
@@ -16,90 +16,93 @@
 	"foxwood/internal/http1"
 )
 
-// The bounds of what a peer may make a session hold.
+// Limits on what a peer may make a session store, in bytes unless stated otherwise.
 const (
-	maxFrameBytes       = 16 << 10  // bytes of a frame's payload, as SETTINGS_MAX_FRAME_SIZE is at first
-	maxHeaderListBytes  = 16 << 10  // bytes of a header list, counted as RFC 9113, section 6.5.2, does
-	maxHeaderBlockBytes = 24 << 10  // bytes of a header block before it is read
-	streamWindowBytes   = 256 << 10 // bytes of an answer that may come unasked
-	connWindowBytes     = 1 << 20   // bytes of all answers that may come unasked
+	maxFrameBytes       = 16 << 10  // payload of a frame, the initial SETTINGS_MAX_FRAME_SIZE
+	maxHeaderListBytes  = 16 << 10  // header list, counted as in RFC 9113, section 6.5.2
+	maxHeaderBlockBytes = 24 << 10  // header block before it is decoded
+	streamWindowBytes   = 256 << 10 // receive window of a stream
+	connWindowBytes     = 1 << 20   // receive window of the connection
 	initialWindowBytes  = 65535     // RFC 9113, section 6.9.2
 	maxWindowBytes      = 1<<31 - 1 // RFC 9113, section 6.9.1
 	maxStreamID         = 1<<31 - 1 // RFC 9113, section 5.1.1
-	maxTableBytes       = 4096      // bytes of the dynamic tables
-	// chatterMost is how many frames that bring no answer on a peer may send before one
-	// is: PING, SETTINGS, RST_STREAM, empty DATA, CONTINUATION, PRIORITY and the like.
-	// It guards against the floods of CVE-2019-9512 to 9518 and CVE-2023-44487's kin.
+	maxTableBytes       = 4096      // size of the dynamic tables
+	// maxUnproductiveFrames is how many frames a peer may send between two responses without
+	// advancing one: PING, SETTINGS, RST_STREAM, empty DATA, CONTINUATION, PRIORITY and
+	// similar. It guards against the floods of CVE-2019-9512 to CVE-2019-9518 and attacks
+	// similar to CVE-2023-44487.
 	maxUnproductiveFrames = 1000
 )
 
-// Stream is one request and its answer.
+// Stream is a request and its response.
 type Stream struct {
 	ID  uint32
-	Tag any // the caller's own
-	// Start and End are the places in all that the session has written at which the
-	// request begins and ends; End is 0 until its last byte has been written.
+	Tag any // for use by the caller
+	// StartOffset and EndOffset are the positions of the request in the output of the session.
+	// EndOffset is 0 until the request's last byte has been written.
 	Start, End int64
 
 	response       http1.Message
-	headersDone    bool // the final header block has come
+	headersDone    bool // the final header block has arrived
 	body           []byte
-	declaredLength int // that the answer states, -1 where it does not
+	declaredLength int // from the response's content-length, or -1
 	pending        []byte
-	sendWindow     int64 // what may be sent
-	receiveWindow  int64 // what may come
+	sendWindow     int64 // bytes that may be sent
+	receiveWindow  int64 // bytes that may arrive
 }
 
-// Why tells how a stream ended without an answer, and what that proves.
+// EndReason tells how a stream ended without a response, and whether the request may have run.
 type Why int
 
-// The ends of a stream.
+// The reasons for the end of a stream.
 const (
-	// Spoilt: the answer broke the protocol's or our bounds, or the peer reset the
-	// stream: the request may have run.
+	// StreamFailed means that the response broke the protocol or exceeded a limit, or that the
+	// peer reset the stream. The request may have run.
 	Spoilt Why = iota
-	// Refused: RST_STREAM with REFUSED_STREAM (RFC 9113, section 8.7): it never ran.
+	// StreamRefused means RST_STREAM with REFUSED_STREAM (RFC 9113, section 8.7). The request
+	// never ran.
 	Refused
-	// Unprocessed: above the last stream of a GOAWAY (RFC 9113, section 6.8): it never ran.
+	// StreamUnprocessed means that the id is above the last stream id of a GOAWAY (RFC 9113,
+	// section 6.8). The request never ran.
 	Unprocessed
 )
 
-// Handler is told what becomes of streams. Calls come from inside Feed and Open; the
-// stream is forgotten by then, and the message holds only during the call.
+// Handler is notified when streams end. It is called from within Feed and OpenStream. The
+// stream is no longer open at that time, and the message is valid only during the call.
 type Handler interface {
 	Answered(s *Stream, m *http1.Message)
 	Ended(s *Stream, why Why)
 }
 
-// Session is one connection.
+// Session is the client side of one connection.
 type Session struct {
 	handler        Handler
 	out            bytes.Buffer
-	written        int64 // bytes handed out and in out
+	written        int64 // bytes of output already taken
 	in             []byte
 	framer         *http2.Framer
 	source         bytes.Reader
 	enc            *hpack.Encoder
-	block          bytes.Buffer // being sent
+	block          bytes.Buffer // header block to be sent
 	dec            *hpack.Decoder
-	headerBlock    []byte // a header block that has not come whole: a request may go out meanwhile
+	headerBlock    []byte // incomplete header block; requests may be sent in the meantime
 	fields         []hpack.HeaderField
-	fieldsSize     int  // of fields
-	fieldsTooLarge bool // the header list is past its bound
+	fieldsSize     int  // size of fields, counted as in RFC 9113, section 6.5.2
+	fieldsTooLarge bool // the header list exceeds a limit
 
 	depth             int
 	peerMaxStreams    uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
 	peerInitialWindow int64  // the peer's SETTINGS_INITIAL_WINDOW_SIZE
 	maxFrame          int
-	sendWindow        int64 // of the connection, for what is sent
-	receiveWindow     int64 // of the connection, for what comes
-	unacknowledged    int64 // of credit, not yet given back
+	sendWindow        int64 // of the connection, for sending
+	receiveWindow     int64 // of the connection, for receiving
+	unacknowledged    int64 // received bytes not yet returned by WINDOW_UPDATE
 	nextID            uint32
 	streams           map[uint32]*Stream
-	blocked           []*Stream // with a body that waits for a window, in their order
-	headerStream      uint32    // the stream of a header block that is still coming, 0 for none
-	headerEndsStream  bool      // that block's stream ends with it
-	settingsReceived  bool      // the peer's first SETTINGS has come
+	blocked           []*Stream // streams whose body waits for a window, in order
+	headerStream      uint32    // stream of an incomplete header block, 0 if there is none
+	headerEndsStream  bool      // the incomplete header block ends its stream
+	settingsReceived  bool      // the peer's first SETTINGS has arrived
 	goAwayReceived    bool
 	unproductive      int
 	pingsSent         uint64
@@ -107,36 +110,36 @@
 	failed            error
 }
 
-// New makes a session that has its preface and settings to write. depth is the most
-// streams it opens at once, below what the peer allows.
+// NewSession returns a session whose output begins with the preface and SETTINGS. depth is the
+// limit on open streams; the peer may allow fewer.
 func New(h Handler, depth int) *Session {
-	s := &Session{handler: h, depth: depth, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
+	session := &Session{handler: h, depth: depth, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
 		sendWindow: initialWindowBytes, receiveWindow: connWindowBytes, nextID: 1, streams: map[uint32]*Stream{}}
-	s.framer = http2.NewFramer(&s.out, &s.source)
-	s.framer.SetReuseFrames()
-	s.framer.SetMaxReadFrameSize(maxFrameBytes)
-	s.enc = hpack.NewEncoder(&s.block)
-	s.dec = hpack.NewDecoder(maxTableBytes, s.collectField)
-	s.dec.SetMaxStringLength(maxHeaderListBytes)
-	s.out.WriteString(http2.ClientPreface)
-	s.noteWriteError(s.framer.WriteSettings(
+	session.framer = http2.NewFramer(&session.out, &session.source)
+	session.framer.SetReuseFrames()
+	session.framer.SetMaxReadFrameSize(maxFrameBytes)
+	session.enc = hpack.NewEncoder(&session.block)
+	session.dec = hpack.NewDecoder(maxTableBytes, session.collectField)
+	session.dec.SetMaxStringLength(maxHeaderListBytes)
+	session.out.WriteString(http2.ClientPreface)
+	session.noteWriteError(session.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindowBytes},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderListBytes}))
-	s.noteWriteError(s.framer.WriteWindowUpdate(0, connWindowBytes-initialWindowBytes))
-	return s
+	session.noteWriteError(session.framer.WriteWindowUpdate(0, connWindowBytes-initialWindowBytes))
+	return session
 }
 
-// wrote keeps a framer's error: with a buffer to write to there is none but for frames
-// that are not as they may be, which this package does not write.
+// noteWriteError keeps an error of the framer. Writing to a buffer can fail only for invalid
+// frames, which this package does not write.
 func (s *Session) noteWriteError(err error) {
 	if err != nil && s.failed == nil {
 		s.failed = err
 	}
 }
 
-// Out is what is to be written to the connection. It holds until the next call of the
-// session, and is not given out again.
+// TakeOutput returns the output to be written to the connection and removes it from the
+// session. The slice is valid until the next call of the session.
 func (s *Session) Out() []byte {
 	b := s.out.Bytes()
 	s.written += int64(len(b))
@@ -144,13 +147,13 @@
 	return b
 }
 
-// at is the place in all that the session has written.
+// outputOffset returns the number of bytes that the session has written so far.
 func (s *Session) outputOffset() int64 { return s.written + int64(s.out.Len()) }
 
-// Waiting tells whether there is something to write.
+// HasOutput reports whether there is output.
 func (s *Session) Waiting() bool { return s.out.Len() > 0 }
 
-// Room is how many more streams may be opened now.
+// AvailableStreams returns how many more streams may be opened now.
 func (s *Session) Room() int {
 	if s.goAwayReceived || s.failed != nil || s.nextID > maxStreamID {
 		return 0
@@ -158,25 +161,25 @@
 	return max(min(s.depth, int(min(s.peerMaxStreams, maxWindowBytes)))-len(s.streams), 0)
 }
 
-// Leaving tells whether the peer takes no new streams any more.
+// GoingAway reports whether no new streams can be opened any more.
 func (s *Session) Leaving() bool { return s.goAwayReceived || s.nextID > maxStreamID }
 
-// Len is how many streams are open.
+// OpenStreams returns the number of open streams.
 func (s *Session) Len() int { return len(s.streams) }
 
-// Each calls do for every open stream, in no order. do may cancel it.
+// EachStream calls fn for every open stream, in no particular order. fn may cancel the stream.
 func (s *Session) Each(fn func(*Stream)) {
 	for _, st := range s.streams {
 		fn(st)
 	}
 }
 
-// Drop forgets every stream: the connection has ended.
+// DropStreams forgets every stream after the connection has ended.
 func (s *Session) Drop() { clear(s.streams) }
 
-// Open sends a request on a new stream. There must be Room. head is the request line
-// and the header fields of an HTTP/1.1 request, each line with its end; both slices
-// must stay as they are until the stream has ended.
+// OpenStream sends a request on a new stream. AvailableStreams must not be 0. head is the
+// request line and the header fields of an HTTP/1.1 request, each line with its line end;
+// extra is further header lines. head and body must not change until the stream has ended.
 func (s *Session) Open(tag any, head, extra, body []byte) error {
 	s.block.Reset()
 	if err := s.encodeHeaders(head, extra); err != nil {
@@ -203,7 +206,8 @@
 	return nil
 }
 
-// push sends what the windows allow of a stream's body, and tells whether that was all.
+// sendBody sends as much of a stream's body as the windows allow, and reports whether that was
+// all.
 func (s *Session) sendBody(stream *Stream) bool {
 	for len(stream.pending) > 0 {
 		n := min(int64(len(stream.pending)), stream.sendWindow, s.sendWindow, int64(s.maxFrame))
@@ -220,7 +224,7 @@
 	return true
 }
 
-// pushAll sends what the windows allow of every body that waits.
+// sendBlocked sends as much as the windows allow of every blocked body.
 func (s *Session) sendBlocked() {
 	blocked := s.blocked[:0]
 	for _, stream := range s.blocked {
@@ -232,8 +236,8 @@
 	s.blocked = blocked
 }
 
-// Cancel gives a stream up (RFC 9113, section 5.4.2, with CANCEL): the peer is told, and
-// the connection goes on.
+// CancelStream resets a stream with CANCEL (RFC 9113, section 5.4.2). The connection stays
+// open.
 func (s *Session) Cancel(stream *Stream) {
 	if s.streams[stream.ID] == stream {
 		s.resetStream(stream, http2.ErrCodeCancel)
@@ -245,13 +249,13 @@
 	s.noteWriteError(s.framer.WriteRSTStream(stream.ID, code))
 }
 
-// spoil resets a stream of which something came that may not.
+// failStream resets a stream after invalid input on it.
 func (s *Session) failStream(stream *Stream, code http2.ErrCode) {
 	s.resetStream(stream, code)
 	s.handler.Ended(stream, Spoilt)
 }
 
-// Ping asks the peer for a sign of life (RFC 9113, section 6.7).
+// Ping sends a PING (RFC 9113, section 6.7).
 func (s *Session) Ping() {
 	s.pingsSent++
 	var data [8]byte
@@ -259,10 +263,10 @@
 	s.noteWriteError(s.framer.WritePing(false, data))
 }
 
-// Ponged tells whether the last Ping has been answered.
+// PingAnswered reports whether the last Ping has been answered.
 func (s *Session) Ponged() bool { return s.pingsSent == s.pingsAnswered }
 
-// Error is why a connection must end.
+// Error is the reason why a connection must be closed.
 type Error struct {
 	Code   http2.ErrCode
 	Reason string
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,7 +1,6 @@
-// Package http1 reads and writes HTTP/1.1 messages for event loops. A Parser
-// takes the bytes of one connection as they come, holds one message at a time,
-// and bounds what it holds. Framing that two readers could read differently is
-// an error, never a guess.
+// Package http1 parses HTTP/1.1 messages for event loops. A Parser takes the bytes of one
+// connection as they arrive, holds one message at a time, and bounds the memory it uses.
+// Framing that two parsers could interpret differently is an error.
 package http1
 
 import (
@@ -12,31 +11,31 @@
 	"strconv"
 )
 
-// The bounds of a message.
+// Size limits of a message, in bytes unless stated otherwise.
 const (
 	MaxHead           = 16 << 10 // request or status line and all header fields
 	MaxFields         = 100
-	MaxBody           = 64 << 10 // of a request
-	MaxAnswer         = 1 << 20  // of an answer that is held whole
-	MaxLarge          = 32 << 20 // of a message that flows through
+	MaxBody           = 64 << 10 // body of a request
+	MaxAnswer         = 1 << 20  // body of a response that is buffered whole
+	MaxLarge          = 32 << 20 // body of a streamed message
 	maxChunkLineBytes = 256      // a line between chunks
 	maxTrailerBytes   = 4 << 10  // all trailers together
 
-	maxSkippedBytes = 4 // bytes of empty lines before a request
+	maxSkippedBytes = 4 // empty lines before a request
 
-	maxKeptBufferBytes = 4 << 10 // bytes of a buffer that are kept for the next message
+	maxKeptBufferBytes = 4 << 10 // capacity of a buffer that is kept for the next message
 )
 
-// Limits are bounds in the place of the constants, as an operator sets them. Many parsers
-// may share one: it is read at use, so that a change holds for connections that are open.
-// A field that is 0 stands for its constant.
+// Limits replaces the default limits with configured ones. Several parsers may share one. It
+// is read at each use, so a change applies to open connections. A field that is 0 keeps its
+// default.
 type Limits struct {
-	Head  int // bytes of a request or status line and all header fields
-	Body  int // of a body that is held whole
-	Large int // of a body that flows through
+	Head  int // bytes of the request or status line and all header fields
+	Body  int // bytes of a body that is buffered whole
+	Large int // bytes of a streamed body
 }
 
-// Error is a message that can't be taken, with the status that says so.
+// Error reports a message that is not accepted, with the HTTP status that states the reason.
 type Error struct {
 	Status int
 	Reason string
@@ -48,23 +47,23 @@
 
 type headerField struct{ name, value []byte }
 
-// Message is a whole request or answer. Its slices belong to the parser and hold
+// Message is a complete request or response. Its slices belong to the parser and are valid
 // until the next Reset.
 type Message struct {
 	Method, Target []byte // of a request
-	Status         int    // of an answer
+	Status         int    // of a response
 	Body           []byte
-	Close          bool // the connection ends after this message
-	Continue       bool // the client waits for a 100 before it sends the body
-	Length         int  // of the body as the head states it, -1 where only its end will tell
-	Large          bool // the body flows through: it is not in Body
-	Old            bool // HTTP/1.0, which has no chunks
-	Bare           bool // it answers a HEAD: the length that its head states is not its own
+	Close          bool // the connection closes after this message
+	Continue       bool // the client waits for a 100 Continue before it sends the body
+	Length         int  // of the body according to the head, or -1 if unknown until the body ends
+	Large          bool // the body is streamed and not in Body
+	Old            bool // the message is HTTP/1.0, which has no chunked encoding
+	Bare           bool // response to a HEAD request: the stated length is not that of its body
 	fields         []headerField
 }
 
-// Get is the value of a header field, nil where there is none. The name is
-// matched without regard to case.
+// Get returns the value of a header field, or nil if there is none. The name is matched
+// without regard to case.
 func (m *Message) Get(name string) []byte {
 	for i := range m.fields {
 		if EqualFold(m.fields[i].name, name) {
@@ -74,8 +73,8 @@
 	return nil
 }
 
-// Single is the value of a header field that stands in the message exactly once.
-// Two readers may take different ones of several.
+// Unique returns the value of a header field that occurs exactly once. If it occurs several
+// times, two parsers could use different values.
 func (m *Message) Single(name string) (value []byte, ok bool) {
 	for i := range m.fields {
 		if EqualFold(m.fields[i].name, name) {
@@ -88,7 +87,7 @@
 	return value, ok
 }
 
-// Count tells how often a header field stands in the message.
+// Count returns how often a header field occurs.
 func (m *Message) Count(name string) int {
 	n := 0
 	for i := range m.fields {
@@ -99,7 +98,7 @@
 	return n
 }
 
-// Each calls do for every header field, in order.
+// EachField calls fn for every header field, in order.
 func (m *Message) Each(fn func(name, value []byte)) {
 	for _, f := range m.fields {
 		fn(f.name, f.value)
@@ -115,22 +114,23 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	inBodyUntilClose // all that comes until the connection ends
+	inBodyUntilClose // the body ends when the connection closes
 	complete
 )
 
-// Parser reads the messages of one connection, one after the other.
+// Parser parses the messages of one connection, one after the other.
 type Parser struct {
-	// Piece, where set, is given the pieces of an answer's body as they come,
-	// and Body stays empty: for answers that have no end, like a watch.
+	// OnBody, if set, is called with each piece of the body as it arrives, and Message.Body
+	// stays empty. It allows responses without an end, such as a watch.
 	Piece func([]byte)
-	// Flows lets a body be longer than is held. Feed stops at what may be held, and Full
-	// tells so: the rest goes to Piece, once that is set. It also lets an answer end with
-	// its connection.
+	// StreamBody allows bodies that are larger than the buffer. Feed stops when the buffer is
+	// full, and MustStream then returns true; the rest goes to OnBody once that is set. It
+	// also allows a response that ends when the connection closes.
 	Flows bool
-	// Bare tells that the answer due is to a HEAD: it has no body, whatever its head says.
+	// HeadResponse tells that the next response is to a HEAD request. It has no body, whatever
+	// its head states.
 	Bare bool
-	// Limits, where set, is in the place of the constants.
+	// Limits replaces the default limits if it is set.
 	Limits *Limits
 
 	msg          Message
@@ -139,29 +139,29 @@
 	head         []byte
 	body         []byte
 	line         []byte
-	remaining    int  // bytes to come of the body or the chunk
-	lineStart    int  // where in head the line begins that is being read
-	http10       bool // HTTP/1.0
+	remaining    int  // bytes missing of the body or the chunk
+	lineStart    int  // offset in head of the current line
+	http10       bool // the message is HTTP/1.0
 	skippedBytes int  // bytes of empty lines before the message
-	trailerBytes int  // bytes of trailers
+	trailerBytes int  // bytes of trailers so far
 	bodyBytes    int  // bytes of the body so far
-	overflow     bool // there is more of the body than may be held
+	overflow     bool // the body exceeds the buffer
 }
 
-// Requests makes a parser of requests.
+// NewRequestParser returns a parser of requests.
 func Requests() *Parser { return &Parser{} }
 
-// Answers makes a parser of answers.
+// NewResponseParser returns a parser of responses.
 func Answers() *Parser { return &Parser{responses: true} }
 
-// Message is the message that Feed has completed, or what is there of it.
+// Message returns the message that Feed has completed, or the part of it that has arrived.
 func (p *Parser) Message() *Message { return &p.msg }
 
-// Started tells whether a part of a message has come.
+// Started reports whether part of a message has arrived.
 func (p *Parser) Started() bool { return p.state != inHead || len(p.head) > 0 }
 
-// Reset makes room for the next message. What a large one took is given back: with
-// hundreds of connections it would stay taken by those at rest.
+// Reset prepares the parser for the next message. It releases the buffers of a large message;
+// otherwise hundreds of idle connections would each keep them.
 func (p *Parser) Reset() {
 	p.msg = Message{fields: p.msg.fields[:0]}
 	p.state, p.remaining, p.lineStart, p.skippedBytes, p.trailerBytes, p.bodyBytes, p.overflow = inHead, 0, 0, 0, 0, 0, false
@@ -177,21 +177,21 @@
 	}
 }
 
-// HeadDone tells whether the head of the message has been read.
+// HeadDone reports whether the head of the message is complete.
 func (p *Parser) HeadDone() bool { return p.state != inHead }
 
-// Full tells that there is more of the body than may be held, and no Piece to give it to.
+// MustStream reports that the body exceeds the buffer and that OnBody is not set.
 func (p *Parser) Full() bool { return p.overflow && p.Piece == nil }
 
-// Held gives out what there is of the body, which the parser does not keep.
+// TakeBody returns the buffered part of the body and removes it from the parser.
 func (p *Parser) Held() []byte {
 	b := p.body
 	p.body = nil
 	return b
 }
 
-// End tells the parser that the connection has come to its proper end, and whether that
-// makes the message whole.
+// ConnectionEnded tells the parser that the peer has closed the connection in an orderly way.
+// It reports whether that completes the message.
 func (p *Parser) End() bool {
 	if p.state != inBodyUntilClose {
 		return false
@@ -201,8 +201,8 @@
 	return true
 }
 
-// Feed takes bytes up to the end of one message. It returns how many it took and
-// whether the message is whole.
+// Feed parses bytes up to the end of one message. It returns how many bytes it used and
+// whether the message is complete.
 func (p *Parser) Feed(b []byte) (taken int, done bool, err error) {
 	for p.state != complete {
 		rest := b[taken:]
@@ -222,7 +222,7 @@
 	return taken, true, nil
 }
 
-// step takes at least one byte, or finds that no more may be held.
+// step uses at least one byte, or finds that the buffer is full.
 func (p *Parser) step(b []byte) (int, error) {
 	switch p.state {
 	case inHead:
@@ -248,7 +248,7 @@
 	}
 }
 
-// take takes bytes of the body: all of them, or as many as may be held.
+// takeBody takes bytes of the body: all of them, or as many as fit in the buffer.
 func (p *Parser) takeBody(b []byte) (int, error) {
 	switch {
 	case p.tooLong(p.bodyBytes + len(b)):
@@ -256,7 +256,7 @@
 	case p.Piece != nil:
 		p.Piece(b)
 	case p.Flows && len(p.body)+len(b) > p.Holds():
-		b = b[:max(p.Holds()-len(p.body), 0)] // the limit may have come down meanwhile
+		b = b[:max(p.Holds()-len(p.body), 0)] // the limit may have been lowered meanwhile
 		p.overflow = true
 		p.body = append(p.body, b...)
 	default:
@@ -266,7 +266,7 @@
 	return len(b), nil
 }
 
-// tooLong tells whether a body of so many bytes is more than is taken.
+// tooLong reports whether a body of n bytes exceeds the limit.
 func (p *Parser) tooLong(n int) bool {
 	if p.Flows {
 		return n > p.Carries()
@@ -274,7 +274,8 @@
 	return p.Piece == nil && n > p.maxBody()
 }
 
-// most is the longest body that is taken. What a length claims is only held as it comes.
+// maxBody returns the size limit of a body that is not streamed. Memory is allocated only as
+// the body arrives, not by its stated length.
 func (p *Parser) maxBody() int {
 	if p.responses {
 		return MaxAnswer
@@ -282,7 +283,7 @@
 	return p.Holds()
 }
 
-// Holds is how many bytes of a body are held at most where it may flow.
+// MaxBuffered returns how many bytes of a body are buffered before it must be streamed.
 func (p *Parser) Holds() int {
 	if p.Limits != nil {
 		return cmp.Or(p.Limits.Body, MaxBody)
@@ -290,7 +291,7 @@
 	return MaxBody
 }
 
-// Carries is how long a body may be that flows.
+// MaxStreamed returns the size limit of a streamed body.
 func (p *Parser) Carries() int {
 	if p.Limits != nil {
 		return cmp.Or(p.Limits.Large, MaxLarge)
@@ -298,7 +299,7 @@
 	return MaxLarge
 }
 
-// heads is how long a head may be.
+// maxHead returns the size limit of a head.
 func (p *Parser) maxHead() int {
 	if p.Limits != nil {
 		return cmp.Or(p.Limits.Head, MaxHead)
@@ -306,10 +307,10 @@
 	return MaxHead
 }
 
-// takeHead gathers the bytes of one line of the head and reads it once it is whole.
-// A line that can't be one is refused as it comes: who sends noise may never end it.
+// takeHead collects one line of the head and parses it once it is complete. An invalid line is
+// rejected as early as possible, because a peer that sends random bytes may never end it.
 func (p *Parser) takeHead(b []byte) (int, error) {
-	if len(p.head) == 0 && !p.responses { // an empty line before a request is let pass
+	if len(p.head) == 0 && !p.responses { // empty lines before a request are ignored
 		if skip := len(b) - len(bytes.TrimLeft(b, "\r\n")); skip > 0 {
 			if p.skippedBytes += skip; p.skippedBytes > maxSkippedBytes {
 				return skip, badMessage("empty lines in place of a request")
@@ -348,7 +349,7 @@
 	return n, err
 }
 
-// partLine looks at more of a line whose end has not come.
+// checkPartialLine checks more bytes of an incomplete line.
 func (p *Parser) checkPartialLine(more []byte) error {
 	const start = "HTTP/1."
 	if p.responses && p.lineStart == 0 && string(p.head[:min(len(p.head), len(start))]) != start[:min(len(p.head), len(start))] {
@@ -364,7 +365,7 @@
 
 func isControl(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// field reads one line of the header.
+// readField parses a header field.
 func (p *Parser) readField(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) {
@@ -425,7 +426,7 @@
 	return isHTTP10(version)
 }
 
-// framing finds where the body ends and whether the connection lasts.
+// readFraming determines where the body ends and whether the connection stays open.
 func (p *Parser) readFraming(http10 bool) error {
 	message := &p.msg
 	chunked, length := false, -1
@@ -464,11 +465,11 @@
 	}
 	noBody := message.Bare || p.responses && (message.Status < 200 || message.Status == 204 || message.Status == 304)
 	switch {
-	case noBody && message.Status < 200 && message.Status != 101: // interim: the answer is still to come
+	case noBody && message.Status < 200 && message.Status != 101: // interim response: the final one follows
 		p.Reset()
 	case noBody, length == 0, !p.responses && !chunked && length < 0:
 		p.state, message.Length = complete, 0
-		message.Close = message.Close || p.responses && message.Status == 101 // what comes behind it is no HTTP/1.1
+		message.Close = message.Close || p.responses && message.Status == 101 // the data after it is not HTTP/1.1
 	case chunked:
 		p.state = inChunkSize
 	case p.tooLong(length):
@@ -477,13 +478,13 @@
 		p.state, p.remaining = inBody, length
 	case p.Flows:
 		p.state, message.Close = inBodyUntilClose, true
-	default: // only its connection's end would end it, and so would a worker's
+	default: // without StreamBody, a response that ends with its connection can't be told from a truncated one
 		return badMessage("an answer without a length")
 	}
 	return nil
 }
 
-// takeLine gathers one line between or behind chunks.
+// takeLine collects one line between or after chunks, and parses it once it is complete.
 func (p *Parser) takeLine(b []byte) (int, error) {
 	n := bytes.IndexByte(b, '\n') + 1
 	found := n > 0
@@ -511,7 +512,7 @@
 	switch {
 	case p.state == inTrailer && len(line) == 0:
 		p.state = complete
-	case p.state == inTrailer: // trailers are dropped
+	case p.state == inTrailer: // trailers are ignored
 	case p.state == inChunkEnd && len(line) > 0:
 		return n, badMessage("a chunk is longer than it says")
 	case p.state == inChunkEnd:
@@ -551,7 +552,7 @@
 	return len(b) > 0
 }
 
-// EqualFold compares the name of a header field, without regard to case.
+// EqualFold compares the name of a header field with a string, without regard to ASCII case.
 func EqualFold(name []byte, want string) bool {
 	if len(name) != len(want) {
 		return false
@@ -565,5 +566,5 @@
 	return true
 }
 
-// Add puts a header field behind those that the message has. The slices are kept.
+// Add appends a header field. The message keeps the slices.
 func (m *Message) Add(name, value []byte) { m.fields = append(m.fields, headerField{name, value}) }
--- a/internal/lanes/lanes.go
+++ b/internal/lanes/lanes.go
@@ -1,59 +1,60 @@
-// Package lanes decides which requests may stand behind which on a link that carries
-// several at once: behind which others on a line that is answered in order, and for how
-// long one may wait for others to go with it. It learns how long requests of each class
-// take from their answers. It does no I/O and knows no clock: times are milliseconds
-// that the caller gives.
+// Package lanes decides which requests may share a connection that carries several at once:
+// which requests may be pipelined behind others, where responses come in order, and how long a
+// request may wait for others to join its batch. It learns the response times of each class of
+// requests. It does no I/O and has no clock: times are milliseconds given by the caller.
 package lanes
 
 import "math"
 
-// Terms is what holds for a class of requests.
+// ClassTerms is the settings of a class of requests.
 type Terms struct {
-	// Aim is the milliseconds that an answer is wanted within.
+	// TargetMS is the time in milliseconds within which a response is wanted.
 	Aim float64
-	// Share tells that a request of the class may have others on its link: if the link
-	// breaks because of one of them, the rule on repeats lets it go out again.
+	// MayShare allows a request of the class to share its connection: if the connection breaks
+	// because of another request, the rules on repeats allow it to be sent again.
 	Share bool
 }
 
 const (
-	// waitPart is the part of its class's aim that a request may be expected to wait
-	// behind others. With an aim of 400 ms that is 20 ms.
+	// maxWaitFraction is the fraction of its class's target time that a request may be
+	// expected to wait behind others. With a target of 400 ms that is 20 ms.
 	maxWaitFraction = 0.05
-	// gatherPart is the part of its class's slack, what the aim leaves beyond the time it
-	// takes, that a request may wait for others to go with it.
+	// batchDelayFraction is the fraction of its slack that a request may wait for others to
+	// join its batch. The slack is the target time less the expected response time.
 	batchDelayFraction = 0.01
-	// enough is how many answers a class's times are believed after. Before, a request is
-	// expected to take as long as its aim, so that nothing stands behind it.
+	// minSamples is the number of responses after which the learned times are used. Until then
+	// a request is expected to take as long as its target time, so that nothing is pipelined
+	// behind it.
 	minSamples = 8
-	// spreads is how many mean deviations above the mean a request is expected to take.
+	// deviationFactor is how many mean deviations above the mean a request is expected to
+	// take.
 	deviationFactor = 4.0
-	// gain and spreadGain are the weights of a new time, as in RFC 6298, section 2.
+	// meanGain and deviationGain are the weights of a new sample, as in RFC 6298, section 2.
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
 )
 
-// times is what is known of how long a class takes: mean and mean deviation as RFC 6298
-// estimates round trips.
+// classTimes is the mean response time of a class and its mean deviation, estimated as RFC
+// 6298 does for round-trip times.
 type classTimes struct {
 	mean, deviation float64
 	samples         int
 }
 
-// Table holds the learned times of every class.
+// Estimator holds the learned response times of every class.
 type Table struct {
 	terms   func(class int) Terms
 	classes []classTimes
 }
 
-// NewTable makes a table of classes whose terms are asked for as they are needed: they
-// may be replaced in service.
+// NewEstimator returns an estimator without samples. It calls terms whenever it needs the
+// settings of a class, because they may be replaced while the process runs.
 func NewTable(terms func(class int) Terms) *Table { return &Table{terms: terms} }
 
-// Learn tells that a request of a class was answered so many milliseconds after the
-// link had it to itself: after it was written, or after the answer before it.
-func (t *Table) Learn(class int, ms float64) {
-	if class < 0 || !(ms >= 0) || math.IsInf(ms, 0) {
+// Observe records that a request of a class was answered ms milliseconds after it was first in
+// its pipeline: after it was written, or after the previous response.
+func (t *Table) Learn(class int, sampleMS float64) {
+	if class < 0 || !(sampleMS >= 0) || math.IsInf(sampleMS, 0) {
 		return
 	}
 	for len(t.classes) <= class {
@@ -61,14 +62,15 @@
 	}
 	learned := &t.classes[class]
 	if learned.samples++; learned.samples == 1 {
-		learned.mean, learned.deviation = ms, ms/2
+		learned.mean, learned.deviation = sampleMS, sampleMS/2
 		return
 	}
-	learned.deviation += deviationGain * (math.Abs(ms-learned.mean) - learned.deviation)
-	learned.mean += meanGain * (ms - learned.mean)
+	learned.deviation += deviationGain * (math.Abs(sampleMS-learned.mean) - learned.deviation)
+	learned.mean += meanGain * (sampleMS - learned.mean)
 }
 
-// Expect is the milliseconds that a request of a class is expected to take at most.
+// ExpectedMS returns the time in milliseconds within which a request of a class is expected to
+// be answered.
 func (t *Table) Expect(class int) float64 {
 	if class < 0 || class >= len(t.classes) || t.classes[class].samples < minSamples {
 		return t.terms(class).Aim
@@ -76,21 +78,22 @@
 	return t.classes[class].mean + deviationFactor*t.classes[class].deviation
 }
 
-// Entry is one request on a line.
+// PendingRequest is a request in a pipeline.
 type Entry struct {
 	Class int
-	Since float64 // when the link had it to itself, or was written: what is later
+	Since float64 // when it was written or became first in the pipeline, whichever is later
 }
 
-// Line is the requests on one link in the order of their answers, the first next.
+// Pipeline is the requests on one connection in the order of their responses, the next one
+// first.
 type Line struct {
 	Entries []Entry
-	Most    int // entries that it takes
+	Most    int // limit on the length of Pending
 }
 
-// Wait is the milliseconds until a line is expected to have answered all it holds. A
-// request that has taken longer than expected is expected to take as long again: the
-// longer one of a heavy tail has taken, the longer it will.
+// WaitMS returns the time in milliseconds until the pending requests are expected to be
+// answered. A request that has taken longer than expected is expected to take as long again:
+// with a heavy-tailed distribution, the remaining time grows with the time already taken.
 func (t *Table) Wait(now float64, pending []Entry) float64 {
 	sum := 0.0
 	for i, e := range pending {
@@ -107,20 +110,20 @@
 	return sum
 }
 
-// Choice is where a request goes.
+// Choice tells where a request goes.
 type Choice int
 
-// The choices. A Choice from 0 on is the number of a line.
+// The choices besides a pipeline. A Choice of 0 or more is the index of a pipeline.
 const (
-	Open   Choice = -1 - iota // a link of its own is wanted
-	Nobody                    // there is no line, nor room for one: it waits
+	Open   Choice = -1 - iota // open another connection for the request
+	Nobody                    // no pipeline is suitable and none may be opened: the request waits
 )
 
-// Choose finds the line for a request of a class: an empty one; else a new one where
-// there is room; else the one with the shortest wait that the class bears. What may not
-// share, be it the request or one on the line, has its link to itself. A request that
-// bears no line gets a link beyond the room as well, as its tail must not pay for
-// connections saved: overflow tells that it may.
+// Choose returns the pipeline for a request of a class: an empty one; else a new one if room
+// allows it; else the one with the shortest wait, if that is acceptable for the class. A
+// request that may not share, whether the new one or a pending one, has its connection to
+// itself. If no pipeline is acceptable, overflow allows a new connection beyond the room,
+// because saving connections must not cost latency in the tail.
 func (t *Table) Choose(now float64, class int, pipelines []Line, room, overflow bool) Choice {
 	best, shortest := Nobody, math.Inf(1)
 	terms := t.terms(class)
@@ -152,9 +155,9 @@
 	return true
 }
 
-// Gather is the milliseconds that a request of a class may wait for others to go with
-// it: at most most, a small part of what its aim leaves beyond the time it takes, and
-// none where its client's time is shorter than its aim.
+// BatchDelayMS returns how many milliseconds a request of a class may wait for others to join
+// its batch. That is at most most, a small fraction of the slack, and 0 if the client's
+// remaining time, left, allows no slack.
 func (t *Table) Gather(class int, most, left float64) float64 {
 	aim := t.terms(class).Aim
 	slack := min(aim, left) - t.Expect(class)
--- a/internal/lanes/lanes_test.go
+++ b/internal/lanes/lanes_test.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	quote = iota
+	instalment = iota
 	simulation
 	unsafe
 )
 
-// site is classes like the platform's: cuota wanted within 400 ms, simulacion keyed with a
-// window as long as its deadline, and one that must never run twice.
+// testTerms returns classes similar to the platform's: quote with a target of 400 ms,
+// simulation keyed with a window as long as its deadline, and one that must never run twice.
 func testTerms(class int) Terms {
 	return [...]Terms{{Aim: 400, Share: true}, {Aim: 750, Share: true}, {Aim: 400}}[class]
 }
 
-// learned is a table that has seen each class take so many milliseconds.
+// newTrainedEstimator returns an estimator that has seen each class take the given time.
 func newTrainedEstimator(ms ...float64) *Table {
 	t := NewTable(testTerms)
 	for class, m := range ms {
@@ -49,45 +49,45 @@
 		room, overflow bool
 		want           Choice
 	}{
-		"an empty line first":                   {short, quote, []Line{newPipeline(4, quote), newPipeline(4)}, true, true, 1},
-		"then a link of its own":                {short, quote, []Line{newPipeline(4, quote)}, true, true, Open},
-		"then the shortest wait":                {short, quote, []Line{newPipeline(4, quote, quote), newPipeline(4, quote)}, false, true, 1},
-		"never behind a slow one":               {short, quote, []Line{newPipeline(4, simulation)}, false, true, Open},
-		"nor where no link can be had":          {short, quote, []Line{newPipeline(4, simulation)}, false, false, Nobody},
-		"the slow one may stand behind a quick": {short, simulation, []Line{newPipeline(4, quote)}, false, true, 0},
-		"a full line takes nobody":              {short, quote, []Line{newPipeline(2, quote, quote)}, false, true, Open},
-		"one that bears no break stands alone":  {short, unsafe, []Line{newPipeline(4, quote)}, false, true, Open},
-		"and nobody stands behind it":           {short, quote, []Line{newPipeline(4, unsafe)}, false, true, Open},
-		"unknown times are not trusted":         {NewTable(testTerms), quote, []Line{newPipeline(4, quote)}, false, true, Open},
-		"a line of too many quick ones":         {newTrainedEstimator(8), quote, []Line{newPipeline(9, quote, quote, quote)}, false, true, Open},
-		"no line at all":                        {short, quote, nil, false, false, Nobody},
+		"an empty pipeline first":                       {short, instalment, []Line{newPipeline(4, instalment), newPipeline(4)}, true, true, 1},
+		"then a new connection":                         {short, instalment, []Line{newPipeline(4, instalment)}, true, true, Open},
+		"then the shortest wait":                        {short, instalment, []Line{newPipeline(4, instalment, instalment), newPipeline(4, instalment)}, false, true, 1},
+		"never behind a slow request":                   {short, instalment, []Line{newPipeline(4, simulation)}, false, true, Open},
+		"nor if no connection can be opened":            {short, instalment, []Line{newPipeline(4, simulation)}, false, false, Nobody},
+		"a slow request behind a quick one":             {short, simulation, []Line{newPipeline(4, instalment)}, false, true, 0},
+		"a full pipeline":                               {short, instalment, []Line{newPipeline(2, instalment, instalment)}, false, true, Open},
+		"an unsafe request does not share":              {short, unsafe, []Line{newPipeline(4, instalment)}, false, true, Open},
+		"nothing is pipelined behind an unsafe request": {short, instalment, []Line{newPipeline(4, unsafe)}, false, true, Open},
+		"unknown times are not trusted":                 {NewTable(testTerms), instalment, []Line{newPipeline(4, instalment)}, false, true, Open},
+		"too many quick requests pending":               {newTrainedEstimator(8), instalment, []Line{newPipeline(9, instalment, instalment, instalment)}, false, true, Open},
+		"no pipeline":                                   {short, instalment, nil, false, false, Nobody},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := tc.table.Choose(0, tc.class, tc.lines, tc.room, tc.overflow); got != tc.want {
-				t.Errorf("%d, want %d", got, tc.want)
+				t.Errorf("choice %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestOverdueRequestDoublesExpectedTime guards against lining up behind the long one
-// of a heavy tail, of whose time the mean says nothing.
+// TestOverdueRequestDoublesExpectedTime guards against pipelining behind a request from a
+// heavy tail, about whose remaining time the mean says nothing.
 func TestOverdueRequestDoublesExpectedTime(t *testing.T) {
 	estimator := newTrainedEstimator(4)
-	pending := []Entry{{Class: quote, Since: 0}}
+	pending := []Entry{{Class: instalment, Since: 0}}
 	if w := estimator.Wait(1, pending); w > 4 {
-		t.Errorf("1 ms into one of 4: %g ms", w)
+		t.Errorf("1 ms into a request of 4 ms: wait %g ms, want at most 4", w)
 	}
 	if w := estimator.Wait(300, pending); w < 300 {
-		t.Errorf("300 ms into one of 4: %g ms", w)
+		t.Errorf("300 ms into a request of 4 ms: wait %g ms, want at least 300", w)
 	}
-	if got := estimator.Choose(300, quote, []Line{{Entries: pending, Most: 4}}, false, true); got != Open {
-		t.Errorf("stands behind it: %d", got)
+	if got := estimator.Choose(300, instalment, []Line{{Entries: pending, Most: 4}}, false, true); got != Open {
+		t.Errorf("choice %d, want a new connection", got)
 	}
 }
 
-// TestVaryingClassHasLongExpectedTime: the mean alone would let others stand behind
-// a class of which every tenth takes 100 ms.
+// TestVaryingClassHasLongExpectedTime guards against using the mean alone, which would allow
+// pipelining behind a class in which every tenth request takes 100 ms.
 func TestVaryingClassHasLongExpectedTime(t *testing.T) {
 	estimator := NewTable(testTerms)
 	for i := range 200 {
@@ -95,10 +95,10 @@
 		if i%10 == 0 {
 			ms = 100
 		}
-		estimator.Learn(quote, ms)
+		estimator.Learn(instalment, ms)
 	}
-	if got := estimator.Expect(quote); got < 40 {
-		t.Errorf("expected to take %g ms", got)
+	if got := estimator.Expect(instalment); got < 40 {
+		t.Errorf("expected time %g ms, want at least 40", got)
 	}
 }
 
@@ -108,20 +108,20 @@
 		class            int
 		most, left, want float64
 	}{
-		"a part of the slack":       {quote, 20, 2000, 3.96},
-		"the stated most":           {quote, 1, 2000, 1},
-		"its client's time":         {quote, 20, 104, 1},
-		"none left":                 {quote, 20, 3, 0},
-		"a class that has no slack": {simulation, 20, 740, 0},
+		"fraction of the slack":             {instalment, 20, 2000, 3.96},
+		"configured maximum":                {instalment, 1, 2000, 1},
+		"limited by the client's time left": {instalment, 20, 104, 1},
+		"no time left":                      {instalment, 20, 3, 0},
+		"class without slack":               {simulation, 20, 740, 0},
 	} {
 		if got := estimator.Gather(tc.class, tc.most, tc.left); math.Abs(got-tc.want) > 0.05 {
-			t.Errorf("%s: %g ms, want %g", name, got, tc.want)
+			t.Errorf("%s: delay %g ms, want %g", name, got, tc.want)
 		}
 	}
 }
 
-// TestChosenLineObeysRules is the rules as properties over random tables and
-// lines.
+// TestChosenLineObeysRules checks the rules as properties over random estimators and
+// pipelines.
 func TestChosenLineObeysRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := NewTable(testTerms)
@@ -143,15 +143,15 @@
 		}
 		pipeline := pipelines[choice]
 		if len(pipeline.Entries) >= pipeline.Most {
-			t.Fatal("a full line")
+			t.Fatal("chose a full pipeline")
 		}
 		for _, e := range pipeline.Entries {
 			if !testTerms(e.Class).Share || !testTerms(class).Share {
-				t.Fatal("shared with one that must not")
+				t.Fatal("shared a connection with a request that must not share")
 			}
 		}
 		if w := estimator.Wait(now, pipeline.Entries); w > maxWaitFraction*testTerms(class).Aim {
-			t.Fatalf("a wait of %g ms", w)
+			t.Fatalf("wait of %g ms exceeds the limit", w)
 		}
 	})
 }
