--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -222,7 +222,8 @@
 	server.headers(1, false, 0, ":status", "200", "x-new", "in the table")
 	_ = server.framer.WriteData(1, true, []byte("late"))
 	next := server.open("")
-	server.headers(next.ID, true, 0, ":status", "200", "x-new", "in the table") // encoded as an index into the table
+	// Encoded as an index into the table.
+	server.headers(next.ID, true, 0, ":status", "200", "x-new", "in the table")
 	if err := server.feed(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -86,7 +86,8 @@
 	frame, err := s.framer.ReadFrame()
 	var streamErr http2.StreamError
 	switch {
-	case errors.As(err, &streamErr) && kind == http2.FrameHeaders: // skipping its block would corrupt the dynamic table
+	// After a HEADERS frame, skipping its block would corrupt the dynamic table.
+	case errors.As(err, &streamErr) && kind == http2.FrameHeaders:
 		return 0, connError(streamErr.Code, "malformed HEADERS frame")
 	case errors.As(err, &streamErr):
 		if st := s.streams[streamErr.StreamID]; st != nil {
--- a/internal/link/batch.go
+++ b/internal/link/batch.go
@@ -45,8 +45,8 @@
 	sentAt    float64
 }
 
-func newBatchProtocol(t *muxConn) muxProtocol {
-	s := &batchProtocol{conn: t, response: http1.Answers(), itemParser: http1.Answers()}
+func newBatchProtocol(conn *muxConn) muxProtocol {
+	s := &batchProtocol{conn: conn, response: http1.Answers(), itemParser: http1.Answers()}
 	s.response.Piece = s.bodyPiece
 	return s
 }
@@ -177,13 +177,13 @@
 
 // handleMessage handles a message from the worker.
 func (s *batchProtocol) handleMessage(message *batch.Down) error {
-	for _, done := range message.Done {
-		if done.ID > s.lastID {
+	for _, result := range message.Done {
+		if result.ID > s.lastID {
 			return errUnexpectedResponse
 		}
 		// A cancelled item may still be answered.
-		if i := slices.IndexFunc(s.items, func(item batchItem) bool { return item.id == done.ID }); i >= 0 {
-			s.itemDone(i, done)
+		if i := slices.IndexFunc(s.items, func(item batchItem) bool { return item.id == result.ID }); i >= 0 {
+			s.itemDone(i, result)
 		}
 		if s.conn.isClosed {
 			return errBatchEnded
@@ -191,16 +191,16 @@
 	}
 	if message.Leaving {
 		s.workerLeaving = true
-		var never []*gatekeeper.Execution
+		var neverRan []*gatekeeper.Execution
 		s.items = slices.DeleteFunc(s.items, func(item batchItem) bool {
 			if item.id > message.Last {
-				never = append(never, item.execution)
+				neverRan = append(neverRan, item.execution)
 			}
 			return item.id > message.Last
 		})
-		never = append(never, s.waiting...)
+		neverRan = append(neverRan, s.waiting...)
 		s.waiting = nil
-		for _, x := range never {
+		for _, x := range neverRan {
 			s.conn.workerConns.endUnanswered(x, policy.ConnectFailed)
 		}
 	}
@@ -209,21 +209,21 @@
 
 // itemDone completes an item. A malformed response affects only its own item, because the
 // enclosing message tells where the next one begins.
-func (s *batchProtocol) itemDone(i int, done batch.Done) {
-	workerConns, execution, took := s.conn.workerConns, s.items[i].execution, s.lastReadAt-s.items[i].sentAt
+func (s *batchProtocol) itemDone(i int, result batch.Done) {
+	workerConns, execution, elapsedMS := s.conn.workerConns, s.items[i].execution, s.lastReadAt-s.items[i].sentAt
 	s.items = slices.Delete(s.items, i, i+1)
-	if done.NeverRan {
+	if result.NeverRan {
 		workerConns.endUnanswered(execution, policy.Full)
 		return
 	}
 	s.itemParser.Reset()
-	n, whole, err := s.itemParser.Feed(done.Answer)
-	if err != nil || !whole || n < len(done.Answer) {
+	n, whole, err := s.itemParser.Feed(result.Answer)
+	if err != nil || !whole || n < len(result.Answer) {
 		workerConns.endUnanswered(execution, policy.Reset)
 		return
 	}
 	execution.Slot = nil
-	workerConns.estimator.Learn(execution.Request.Class, took)
+	workerConns.estimator.Learn(execution.Request.Class, elapsedMS)
 	workerConns.core.Done(execution, workerConns.reader.Outcome(s.itemParser.Message()))
 }
 
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -9,7 +9,7 @@
 const (
 	reservedFDs       = 48 // runtime, event loop, listeners, standard files, service discovery and handover
 	minReservedFDs    = 28 // known uses open at most this many at once; the rest of the reserve is a margin
-	reservedFDDivisor = 8  // with a low limit, at most 1/8 of it is reserved
+	reservedFDDivisor = 8  // with a low limit, 1/8 of it is reserved, but at least minReservedFDs
 	maxDialingConns   = 24 // worker connections being dialed; each briefly uses two descriptors
 	maxCounterConns   = 8  // the counter service accepts 32
 
@@ -21,8 +21,8 @@
 // the process other than the loop. A third of what is left after the reserve goes to worker
 // connections, whose number the concurrency limit keeps far lower, and the rest to clients.
 func NewBudget(limit, aside int) *Budget {
-	openings := max(min(maxDialingConns, limit/dialingFDDivisor), minDialingConns)
-	kept := max(min(reservedFDs, limit/reservedFDDivisor), minReservedFDs)
-	left := max(limit-aside-kept-2*openings-maxCounterConns, 16)
-	return &Budget{Servers: left / 3, Clients: left - left/3, Counters: maxCounterConns, Openings: openings}
+	dialing := max(min(maxDialingConns, limit/dialingFDDivisor), minDialingConns)
+	reserved := max(min(reservedFDs, limit/reservedFDDivisor), minReservedFDs)
+	available := max(limit-aside-reserved-2*dialing-maxCounterConns, 16)
+	return &Budget{Servers: available / 3, Clients: available - available/3, Counters: maxCounterConns, Openings: dialing}
 }
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -56,25 +56,26 @@
 	lastReadAt     float64     // time of the last input, in milliseconds
 	continued      bool        // that input was not the first of its request
 	bodyBytes      int         // received bytes of the request body
-	takenBytes     int         // bytes that the client had taken when last checked, and the time of the last change
-	takenAt        float64
-	backlog        []byte
-	request        *gatekeeper.Request
-	core           *gatekeeper.Gatekeeper // core that the request was submitted to
-	busy           bool
-	lastResponse   bool // the connection closes after this response
-	isClosed       bool
-	inHandler      bool
-	receivedAny    bool    // a complete request has been received
-	finished       bool    // the last response is written; input is discarded
-	host           string  // IP address of the client, cached by RemoteHost
-	droppedBytes   int     // discarded bytes
-	finishedAt     float64 // when finished was set
-	openedAt       float64 // when the connection was accepted
-	listedAt       float64 // when the state of its list began
-	list           *clientList
-	prev           *Client
-	next           *Client
+	// Bytes that the client had taken when last checked, and the time of the last change.
+	takenBytes   int
+	takenAt      float64
+	backlog      []byte
+	request      *gatekeeper.Request
+	core         *gatekeeper.Gatekeeper // core that the request was submitted to
+	busy         bool
+	lastResponse bool // the connection closes after this response
+	isClosed     bool
+	inHandler    bool
+	receivedAny  bool    // a complete request has been received
+	finished     bool    // the last response is written; input is discarded
+	host         string  // IP address of the client, cached by RemoteHost
+	droppedBytes int     // discarded bytes
+	finishedAt   float64 // when finished was set
+	openedAt     float64 // when the connection was accepted
+	listedAt     float64 // when the state of its list began
+	list         *clientList
+	prev         *Client
+	next         *Client
 
 	// UserData is for use by the RequestHandler while the connection is open.
 	Value any
@@ -124,8 +125,8 @@
 }
 
 // NewClientConns returns an empty set of client connections.
-func NewClients(l *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, handler Front) *Clients {
-	return &Clients{loop: l, clock: clock, core: core, handler: handler, all: map[*Client]bool{}}
+func NewClients(loop *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, handler Front) *Clients {
+	return &Clients{loop: loop, clock: clock, core: core, handler: handler, all: map[*Client]bool{}}
 }
 
 // NewConn returns the endpoint for an accepted connection.
@@ -386,7 +387,8 @@
 	l.core = core
 	request.Caller, l.request = l, request
 	if l.upload != nil {
-		request.Filling, l.upload.request = !l.upload.complete, request // the body may have become complete while the handler was waiting
+		// The body may have become complete while the handler was waiting.
+		request.Filling, l.upload.request = !l.upload.complete, request
 		request.Payload.(*Payload).Up = l.upload
 	}
 	if core.Take(request) {
--- a/internal/link/counter.go
+++ b/internal/link/counter.go
@@ -63,8 +63,8 @@
 
 // NewCounterConns returns the connections to the counter at an address. connectMS is the
 // dial timeout in milliseconds.
-func NewCounter(l *Loop, clock *gatekeeper.Clock, addr, path string, connectMS float64) *Counter {
-	return &Counter{loop: l, clock: clock, addr: addr, path: path,
+func NewCounter(loop *Loop, clock *gatekeeper.Clock, addr, path string, connectMS float64) *Counter {
+	return &Counter{loop: loop, clock: clock, addr: addr, path: path,
 		dialTimeout: time.Duration(connectMS * float64(time.Millisecond))}
 }
 
@@ -111,10 +111,10 @@
 	}
 }
 
-func (s *Counter) dial(ln *counterShard) {
-	l := &counterConn{counter: s, shard: ln, addr: s.addr, parser: http1.Answers()}
-	ln.dialing = l
-	s.loop.dial(s.addr, s.dialTimeout, l, l.dialFailed)
+func (s *Counter) dial(shard *counterShard) {
+	conn := &counterConn{counter: s, shard: shard, addr: s.addr, parser: http1.Answers()}
+	shard.dialing = conn
+	s.loop.dial(s.addr, s.dialTimeout, conn, conn.dialFailed)
 }
 
 // flush sends the calls that have waited for the connection.
@@ -169,8 +169,8 @@
 		return
 	}
 	l.shard.dialing = nil
-	if s := l.counter; s.clock.Now()-s.loggedAt > counterLogIntervalMS {
-		s.loggedAt = s.clock.Now()
+	if counter := l.counter; counter.clock.Now()-counter.loggedAt > counterLogIntervalMS {
+		counter.loggedAt = counter.clock.Now()
 		slog.Warn("counter: connection failed, local quota shares decide alone", "error", err)
 	}
 	waiting := l.shard.waiting
@@ -197,15 +197,15 @@
 }
 
 func (l *counterConn) write(call *gatekeeper.Count) {
-	s := l.counter
-	out := append(append(s.scratch[:0], "POST "...), s.path...)
+	counter := l.counter
+	out := append(append(counter.scratch[:0], "POST "...), counter.path...)
 	out = strconv.AppendUint(append(out, '/'), call.Name, 16)
 	out = strconv.AppendFloat(append(out, "?delta="...), call.Amount, 'f', -1, 64)
 	out = strconv.AppendInt(append(out, "&life_ms="...), int64(max(math.Ceil(call.Life), 1)), 10)
 	out = append(append(out, " HTTP/1.1\r\nHost: "...), l.addr...)
 	out = append(out, "\r\nContent-Length: 0\r\n\r\n"...)
-	s.scratch = out
-	l.calls = append(l.calls, pendingCall{call, s.clock.Now()})
+	counter.scratch = out
+	l.calls = append(l.calls, pendingCall{call, counter.clock.Now()})
 	_, _ = send(l.conn, out) // a failed write closes the connection
 }
 
@@ -245,9 +245,9 @@
 		return
 	}
 	l.partial = true
-	c := l.calls[0].count
+	call := l.calls[0].count
 	l.counter.loop.afterMS(counterPartialMS, func() {
-		if !l.isClosed && l.partial && len(l.calls) > 0 && l.calls[0].count == c {
+		if !l.isClosed && l.partial && len(l.calls) > 0 && l.calls[0].count == call {
 			l.counter.loop.closeConn(l.conn)
 		}
 	})
@@ -259,7 +259,8 @@
 	switch m.Status {
 	case 200:
 		total, err := strconv.ParseFloat(string(bytes.TrimSpace(m.Body)), 64)
-		if err != nil || !(math.Abs(total) <= math.MaxFloat64) { // a total may be negative, because a refund can arrive before the amount it refunds
+		// A total may be negative, because a refund can arrive before the amount it refunds.
+		if err != nil || !(math.Abs(total) <= math.MaxFloat64) {
 			return policy.Reset, 0
 		}
 		return policy.OK, total
--- a/internal/link/eventloop.go
+++ b/internal/link/eventloop.go
@@ -5,12 +5,12 @@
 // eventLoop is the part of Loop that WorkerConns needs.
 type eventLoop interface {
 	// dial opens a connection and passes it to e, or calls failed.
-	dial(addr string, patience time.Duration, e endpoint, failed func(error))
+	dial(addr string, timeout time.Duration, e endpoint, failed func(error))
 	// afterMS calls fn after the given number of milliseconds.
-	afterMS(ms float64, do func())
+	afterMS(ms float64, fn func())
 	// flushSoon calls f.flush at the end of this event or of this loop iteration. The mark
 	// belongs to the connection that f writes to.
-	flushSoon(f flusher, g *writeMark)
+	flushSoon(f flusher, mark *writeMark)
 	// closeConn closes a connection, which calls closed on its endpoint.
 	closeConn(c conn)
 	// makePausable turns a connection into one that can stop reading. It returns false if that
--- a/internal/link/fleet.go
+++ b/internal/link/fleet.go
@@ -116,15 +116,15 @@
 
 // accepts reports whether a connection that was dialed at the given time may carry new
 // executions.
-func (w *workerRecord) accepts(addr string, born float64) bool {
-	return !w.released && addr == w.addr && born >= w.startedAt
+func (w *workerRecord) accepts(addr string, dialedAt float64) bool {
+	return !w.released && addr == w.addr && dialedAt >= w.startedAt
 }
 
 // NewWorkerConns returns a WorkerConns without workers. connectMS is the timeout for opening
 // a connection, idleMS the time after which idle connections are closed; both are in
 // milliseconds.
-func NewFleet(l eventLoop, clock *gatekeeper.Clock, reader Reader, connectMS, idleMS float64, t Transport) *Fleet {
-	workerConns := &Fleet{loop: l, clock: clock, reader: reader, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
+func NewFleet(loop eventLoop, clock *gatekeeper.Clock, reader Reader, connectMS, idleMS float64, t Transport) *Fleet {
+	workerConns := &Fleet{loop: loop, clock: clock, reader: reader, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
 		dialTimeout: time.Duration(connectMS * float64(time.Millisecond)), maxIdleMS: idleMS,
 		PartMost: maxPartialMS, Settle: settleMS}
 	workerConns.matcher, _ = reader.(Matcher)
@@ -202,11 +202,11 @@
 	return mine, other && !mine
 }
 
-func (f *Fleet) newPool(w *workerRecord) connPool {
+func (f *Fleet) newPool(worker *workerRecord) connPool {
 	if f.transport.Carrier == OneAtATime {
-		return &serialPool{worker: w, workerConns: f}
+		return &serialPool{worker: worker, workerConns: f}
 	}
-	return newMuxPool(w)
+	return newMuxPool(worker)
 }
 
 // Release implements gatekeeper.WorkerTransport.
--- a/internal/link/fleet_test.go
+++ b/internal/link/fleet_test.go
@@ -254,7 +254,8 @@
 		env.conns = append(env.conns, conn)
 		conn.endpoint.opened(conn)
 	}
-	for _, conn := range env.conns { // both become idle; fakeConn has no socket, so it counts as having unread input
+	// Both connections become idle. Without a socket, a fakeConn counts as having unread input.
+	for _, conn := range env.conns {
 		conn.endpoint.traffic(conn.model.answer(""))
 	}
 	env.advance(settleMS + 1)
--- a/internal/link/http2.go
+++ b/internal/link/http2.go
@@ -32,9 +32,9 @@
 	sentAt    float64 // time of sending, in milliseconds
 }
 
-func newHTTP2Protocol(t *muxConn) muxProtocol {
-	s := &http2Protocol{conn: t}
-	s.session = h2.New(s, t.workerConns.transport.Depth)
+func newHTTP2Protocol(conn *muxConn) muxProtocol {
+	s := &http2Protocol{conn: conn}
+	s.session = h2.New(s, conn.workerConns.transport.Depth)
 	return s
 }
 
@@ -57,7 +57,8 @@
 	if s.inFlight() == 0 { // silence on an idle connection does not count
 		s.lastReadAt = now
 	}
-	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil { // the head is malformed, so it was not built by a RequestHandler
+	// OpenStream fails only for a malformed head, which no RequestHandler builds.
+	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil {
 		workerConns.endUnanswered(execution, policy.ConnectFailed)
 	}
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -124,7 +124,7 @@
 	if c.RemoteAddr() == nil || c.LocalAddr() == nil { // gnet requires both addresses
 		far.Close()
 		c.Close()
-		return nil, nil, errors.New("Unix socket pair has no local or remote address")
+		return nil, nil, errors.New("socket pair has no local or remote address")
 	}
 	return c, far, nil
 }
@@ -203,7 +203,7 @@
 
 // OnAlarm sets the function that is called at the time given to SetAlarm. It must be called
 // before SetAlarm.
-func (l *Loop) OnAlarm(ring func()) { l.onAlarm = ring }
+func (l *Loop) OnAlarm(fn func()) { l.onAlarm = fn }
 
 // SetAlarm schedules a call of the alarm function in ms milliseconds. It replaces the previous
 // schedule.
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -25,7 +25,7 @@
 	// room returns how many executions may be sent now.
 	room() int
 	// send sends an execution. There must be room for it.
-	send(x *gatekeeper.Execution)
+	send(execution *gatekeeper.Execution)
 	// receive handles input. After an error the connection is closed, and finalBytes is the
 	// last output on it.
 	receive(b []byte) error
@@ -34,7 +34,7 @@
 	takeOutput() []byte
 	// cancel gives up an execution before its response, and reports whether all of it had been
 	// sent. After an error the connection must be closed, because the peer could not be told.
-	cancel(x *gatekeeper.Execution) (sent bool, err error)
+	cancel(execution *gatekeeper.Execution) (sent bool, err error)
 	// sweep does periodic work. After an error the connection is closed.
 	sweep(now float64) error
 	// peerLeaving reports that the peer accepts no new executions on this connection.
@@ -44,7 +44,7 @@
 	// connLost ends every execution in flight when the connection has broken. The first
 	// sentOffset bytes of output have been sent and nothing after them, which decides what is
 	// known of each execution.
-	connLost(gone int64)
+	connLost(sentOffset int64)
 }
 
 // muxConn is a connection of a muxPool.
@@ -73,21 +73,21 @@
 	connCount   int
 	// choose returns the connection for an execution, or reports that another should be
 	// opened.
-	choose      func(x *gatekeeper.Execution) (to *muxConn, open bool)
+	choose      func(execution *gatekeeper.Execution) (conn *muxConn, open bool)
 	uniform     bool // if choose finds no connection for one execution, it finds none for any
-	newProtocol func(t *muxConn) muxProtocol
+	newProtocol func(conn *muxConn) muxProtocol
 	assigning   bool
 	assignAgain bool
 }
 
-func newMuxPool(w *workerRecord) *muxPool {
-	pool := &muxPool{worker: w, workerConns: w.workerConns}
+func newMuxPool(worker *workerRecord) *muxPool {
+	pool := &muxPool{worker: worker, workerConns: worker.workerConns}
 	pool.choose, pool.uniform = pool.mostRoom, true
-	switch w.workerConns.transport.Carrier {
+	switch worker.workerConns.transport.Carrier {
 	case Pipeline:
 		pool.newProtocol = newPipelineProtocol
-		lines := &pipelineChooser{pool: pool}
-		pool.choose, pool.uniform = lines.choose, false
+		chooser := &pipelineChooser{pool: pool}
+		pool.choose, pool.uniform = chooser.choose, false
 	case HTTP2:
 		pool.newProtocol = newHTTP2Protocol
 	case Batch:
--- a/internal/link/pausable_conn.go
+++ b/internal/link/pausable_conn.go
@@ -173,11 +173,11 @@
 
 // run waits for events, posts their handling to the loop and waits until that is done.
 func (p *poller) run() {
-	const look = 500 // milliseconds between checks whether the loop has stopped
+	const stopCheckMS = 500 // milliseconds between checks whether the loop has stopped
 	defer unix.Close(p.fd)
 	events := make([]unix.EpollEvent, maxPollEvents)
 	for {
-		n, err := unix.EpollWait(p.fd, events, look)
+		n, err := unix.EpollWait(p.fd, events, stopCheckMS)
 		if p.loop.stopped.Load() || err != nil && err != unix.EINTR {
 			return
 		}
--- a/internal/link/pipeline.go
+++ b/internal/link/pipeline.go
@@ -37,8 +37,8 @@
 	startOffset, endOffset int64 // stream offsets of the request's bytes
 }
 
-func newPipelineProtocol(t *muxConn) muxProtocol {
-	return &pipelineProtocol{conn: t, parser: http1.Answers()}
+func newPipelineProtocol(conn *muxConn) muxProtocol {
+	return &pipelineProtocol{conn: conn, parser: http1.Answers()}
 }
 
 func (l *pipelineProtocol) start() {}
@@ -126,12 +126,12 @@
 	if l.conn.isClosed || len(l.requests) == 0 || l.requests[0].sequence != l.partialSequence {
 		return
 	}
-	left := l.lastReadAt + maxPartialMS - l.conn.workerConns.clock.Now()
-	if left <= 0 {
+	remainingMS := l.lastReadAt + maxPartialMS - l.conn.workerConns.clock.Now()
+	if remainingMS <= 0 {
 		l.conn.close()
 		return
 	}
-	l.conn.workerConns.loop.afterMS(left, l.checkPartial)
+	l.conn.workerConns.loop.afterMS(remainingMS, l.checkPartial)
 }
 
 // responseRead completes the first request in the pipeline. A duplicate or malformed response
--- a/internal/link/serial.go
+++ b/internal/link/serial.go
@@ -128,8 +128,8 @@
 // Keep-Alive timeout that the worker announced, or past the general limit. The latter happens
 // after the process was suspended, before the next sweep.
 func (l *workerConn) stale(now float64) bool {
-	rest := now - l.idleSince
-	return !l.isClosed && (l.hasKeepAlive && rest >= l.keepAliveMS || rest > l.workerConns.maxIdleMS)
+	idleMS := now - l.idleSince
+	return !l.isClosed && (l.hasKeepAlive && idleMS >= l.keepAliveMS || idleMS > l.workerConns.maxIdleMS)
 }
 
 // takeIdle takes the most recently used idle connection that can be reused, or returns nil.
@@ -207,12 +207,12 @@
 	idleSoon, now := 0, workerConns.clock.Now()
 	nextSettleMS := -1.0 // time until the next idle connection has settled
 	for _, conn := range s.idle {
-		left := workerConns.Settle - (now - conn.idleSince)
-		if left <= settleWaitMS && !slices.ContainsFunc(s.queue, conn.hasCarried) {
+		remainingMS := workerConns.Settle - (now - conn.idleSince)
+		if remainingMS <= settleWaitMS && !slices.ContainsFunc(s.queue, conn.hasCarried) {
 			idleSoon++
 		}
-		if left > 0 && nextSettleMS < 0 {
-			nextSettleMS = left
+		if remainingMS > 0 && nextSettleMS < 0 {
+			nextSettleMS = remainingMS
 		}
 	}
 	if len(s.queue) > 0 && nextSettleMS >= 0 && !s.settling {
@@ -406,12 +406,12 @@
 	if l.isClosed || l.execution == nil || l.partialOf != l.execution {
 		return
 	}
-	left := l.lastPartAt + l.workerConns.PartMost - l.workerConns.clock.Now()
-	if left <= 0 {
+	remainingMS := l.lastPartAt + l.workerConns.PartMost - l.workerConns.clock.Now()
+	if remainingMS <= 0 {
 		l.close()
 		return
 	}
-	l.workerConns.loop.afterMS(left, l.checkPartial)
+	l.workerConns.loop.afterMS(remainingMS, l.checkPartial)
 }
 
 // skipResponse skips a complete response that belongs to another request. If the response
--- a/internal/link/streaming.go
+++ b/internal/link/streaming.go
@@ -127,7 +127,8 @@
 	window, unsent := pausable.poller.window(), len(u.held)
 	if u.worker != nil {
 		excess := min(len(u.held)-window, u.worker.uploadSent-u.heldOffset)
-		if excess > 0 && len(u.held) > window+readChunkBytes { // by at least one read, to avoid copying on each call
+		// The excess must be larger than one read, so that held is not copied on each call.
+		if excess > 0 && len(u.held) > window+readChunkBytes {
 			u.heldOffset += excess
 			u.held = u.held[:copy(u.held, u.held[excess:])]
 			u.request.Spent = true
@@ -142,8 +143,8 @@
 func (u *upload) detach() (more bool) {
 	u.worker = nil
 	u.client.parser.Piece = func([]byte) {}
-	if f, ok := u.client.conn.(*pausableConn); ok && !u.client.isClosed {
-		f.setPaused(false)
+	if pausable, ok := u.client.conn.(*pausableConn); ok && !u.client.isClosed {
+		pausable.setPaused(false)
 	}
 	return !u.complete
 }
@@ -151,14 +152,14 @@
 // discardInput discards input after the last response. The rest of a large body may still
 // arrive: a client that is cut off in the middle of sending might not see the response.
 func (l *Client) discardInput(n int) {
-	s, most := l.clients, maxDroppedBytes
+	s, limit := l.clients, maxDroppedBytes
 	if _, ok := l.conn.(*pausableConn); ok {
-		most = l.parser.Carries()
+		limit = l.parser.Carries()
 		if now := s.clock.Now(); now-l.finishedAt < maxRejectedBodyMS {
 			l.moveTo(&s.closing, now)
 		}
 	}
-	if l.droppedBytes += n; l.droppedBytes > most {
+	if l.droppedBytes += n; l.droppedBytes > limit {
 		l.close()
 	}
 }
@@ -179,7 +180,8 @@
 func (l *Client) drained() {
 	if l.finished {
 		l.halfClose()
-		l.moveTo(&l.clients.closing, l.clients.clock.Now()) // from here on the time limit is for the client to close
+		// From here on the time limit is for the client to close.
+		l.moveTo(&l.clients.closing, l.clients.clock.Now())
 	}
 	if worker := l.responseFrom; worker != nil {
 		worker.lastMovedAt = l.clients.clock.Now()
@@ -218,8 +220,8 @@
 	if l.isClosed {
 		return true
 	}
-	f := l.conn.(*pausableConn)
-	return len(f.out) < f.poller.window()
+	pausable := l.conn.(*pausableConn)
+	return len(pausable.out) < pausable.poller.window()
 }
 
 // endStream ends a streamed response. If the response is incomplete, the connection is closed
@@ -228,9 +230,9 @@
 	if l.isClosed || l.responseFrom == nil {
 		return
 	}
-	r := l.request
+	request := l.request
 	l.responseFrom, l.request = nil, nil
-	l.notifyEnded(r, Ending{Flowed: true})
+	l.notifyEnded(request, Ending{Flowed: true})
 	if !whole {
 		if l.closeDelimited { // a normal close would make the response look complete; reset the connection
 			_ = unix.SetsockoptLinger(l.conn.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -343,7 +345,7 @@
 	l.workerConns.loop.afterMS(stallCheckMS, func() {
 		switch now := l.workerConns.clock.Now(); {
 		case l.isClosed || l.execution != execution && l.client == nil:
-		case l.execution == execution && (l.upload == nil || l.uploadDone): // from here on the core enforces the deadline
+		case l.execution == execution && (l.upload == nil || l.uploadDone): // the core enforces the deadline from here on
 		case l.upload != nil && l.execution == execution && !l.upload.complete && len(l.pausable().out) == 0 && now-l.upload.client.lastReadAt > l.upload.client.clients.maxStall():
 			l.upload.client.abortUpload(&http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come in"})
 		case now-l.lastMovedAt > maxStreamStallMS:
@@ -443,8 +445,8 @@
 
 // clientGone closes the connection because the client has disconnected during its response.
 func (l *workerConn) clientGone() {
-	r := l.request
+	request := l.request
 	l.client, l.request = nil, nil
-	l.workerConns.core.Gone(r)
+	l.workerConns.core.Gone(request)
 	l.close()
 }
--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -44,8 +44,8 @@
 
 // NewWatch returns a watch that has not been started. path returns the path to request; each
 // line that is not empty is passed to line.
-func NewWatch(l *Loop, clock *gatekeeper.Clock, addr string, path func() string, line func([]byte) error) *Watch {
-	return &Watch{loop: l, clock: clock, addr: addr, path: path, line: line}
+func NewWatch(loop *Loop, clock *gatekeeper.Clock, addr string, path func() string, line func([]byte) error) *Watch {
+	return &Watch{loop: loop, clock: clock, addr: addr, path: path, line: line}
 }
 
 // SetAddress moves the watch to another address, continuing from the known version. This
@@ -66,15 +66,15 @@
 // Start opens the watch.
 func (w *Watch) Start() {
 	w.active = true
-	l := &watchConn{watch: w, addr: w.addr, parser: http1.Answers()}
-	l.parser.Piece = l.bodyPiece
-	w.loop.dial(w.addr, watchDialTimeout, l, l.closed)
+	conn := &watchConn{watch: w, addr: w.addr, parser: http1.Answers()}
+	conn.parser.Piece = conn.bodyPiece
+	w.loop.dial(w.addr, watchDialTimeout, conn, conn.closed)
 }
 
 // Sweep closes the connection if nothing has arrived on it for watchSilenceMS.
 func (w *Watch) Sweep() {
-	if l := w.conn; l != nil && w.clock.Now()-l.lastReadAt > watchSilenceMS {
-		w.loop.closeConn(l.conn)
+	if conn := w.conn; conn != nil && w.clock.Now()-conn.lastReadAt > watchSilenceMS {
+		w.loop.closeConn(conn.conn)
 	}
 }
 
--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -424,7 +424,7 @@
 		old:   "		got <- frame{Kind: Unknown, Reason: \"the connection to \" + p.addr + \" has ended\"}\n",
 		wrong: "		got <- frame{Kind: Unavailable, Reason: \"the connection to \" + p.addr + \" has ended\"}\n", tests: "TestAFaultAtEachByteOfTheFrames"},
 	{corner: "answers and callers", name: "a link is used however long it has rested", file: "internal/link/serial.go",
-		old: " || rest > l.workerConns.maxIdleMS)", wrong: ")", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
+		old: " || idleMS > l.workerConns.maxIdleMS)", wrong: ")", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
 	{corner: "answers and callers", name: "a link is not looked at before it is used again", file: "internal/link/serial.go",
 		old: " && conn.usable() && noUnreadInput(conn.conn) {", wrong: " && conn.usable() {", tests: "TestIdleConnectionIsCheckedBeforeReuse"},
 }
