--- a/internal/batch/codec.go
+++ b/internal/batch/codec.go
@@ -116,28 +116,28 @@
 
 const maxKeptBufferBytes = 64 << 10 // capacity of the buffer that is kept between messages
 
-// read parses a message and replaces the contents of m. Unknown fields are ignored.
+// read parses a message and replaces the contents of d. Unknown fields are ignored.
 func (d *Down) read(b []byte) error {
 	*d = Down{Done: d.Done[:0]}
 	return eachField(b, func(num protowire.Number, varint uint64, content []byte) error {
 		switch num {
 		case downDone:
-			var done Done
+			var result Done
 			err := eachField(content, func(num protowire.Number, varint uint64, content []byte) error {
 				switch num {
 				case doneID:
-					done.ID = varint
+					result.ID = varint
 				case doneAnswer:
-					done.Answer = content
+					result.Answer = content
 				case doneNeverRan:
-					done.NeverRan = varint != 0
+					result.NeverRan = varint != 0
 				}
 				return nil
 			})
 			if err != nil {
 				return err
 			}
-			d.Done = append(d.Done, done)
+			d.Done = append(d.Done, result)
 		case downPong:
 			d.Pong = varint
 		case downLeaving:
--- a/internal/batch/server.go
+++ b/internal/batch/server.go
@@ -77,9 +77,9 @@
 		go func() {
 			defer l.running.Done()
 			defer cancel()
-			done := serveItem(ctx, item, items)
-			if _, wanted := l.cancels.LoadAndDelete(item.GetId()); wanted && done != nil {
-				l.write(&batchpb.Down{Done: []*batchpb.Done{done}})
+			result := serveItem(ctx, item, items)
+			if _, wanted := l.cancels.LoadAndDelete(item.GetId()); wanted && result != nil {
+				l.write(&batchpb.Down{Done: []*batchpb.Done{result}})
 			}
 		}()
 	}
@@ -99,28 +99,28 @@
 
 // serveItem serves one item. It returns nil if the handler aborts with http.ErrAbortHandler,
 // in which case there is no response.
-func serveItem(ctx context.Context, item *batchpb.Item, items http.Handler) (done *batchpb.Done) {
-	done = &batchpb.Done{Id: item.GetId()}
+func serveItem(ctx context.Context, item *batchpb.Item, items http.Handler) (result *batchpb.Done) {
+	result = &batchpb.Done{Id: item.GetId()}
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(item.GetRequest())))
 	if err != nil {
-		done.Answer = []byte("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
-		return done
+		result.Answer = []byte("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+		return result
 	}
 	defer func() {
 		switch v := recover(); v {
 		case nil:
 		case ErrNeverRan:
-			done.Answer, done.NeverRan = nil, true
+			result.Answer, result.NeverRan = nil, true
 		case http.ErrAbortHandler:
-			done = nil
+			result = nil
 		default:
 			panic(v)
 		}
 	}()
 	recorder := &responseRecorder{header: http.Header{}, status: http.StatusOK}
 	items.ServeHTTP(recorder, request.WithContext(ctx))
-	done.Answer = recorder.message()
-	return done
+	result.Answer = recorder.message()
+	return result
 }
 
 // responseRecorder collects what a handler writes.
--- a/internal/h2/encode.go
+++ b/internal/h2/encode.go
@@ -45,7 +45,7 @@
 // sensitive, so that it is never indexed (RFC 7541, section 6.2.3): it would only evict
 // reusable fields from the table. Writing to the buffer can't fail.
 func (s *Session) encodeField(name, value string, sensitive bool) {
-	_ = s.enc.WriteField(hpack.HeaderField{Name: name, Value: value, Sensitive: sensitive})
+	_ = s.encoder.WriteField(hpack.HeaderField{Name: name, Value: value, Sensitive: sensitive})
 }
 
 // findHeader returns the value of the first header line with a name.
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -28,7 +28,7 @@
 	output  bytes.Buffer // to be fed to the session
 	framer  *http2.Framer
 	block   bytes.Buffer
-	enc     *hpack.Encoder
+	encoder *hpack.Encoder
 	written bytes.Buffer // by the session
 	reader  *http2.Framer
 }
@@ -36,11 +36,11 @@
 func newFakeServer(t interface {
 	Helper()
 	Fatal(...any)
-}, depth int) *fakeServer {
+}, maxStreams int) *fakeServer {
 	server := &fakeServer{t: t}
-	server.session = New(server, depth)
+	server.session = New(server, maxStreams)
 	server.framer = http2.NewFramer(&server.output, nil)
-	server.enc = hpack.NewEncoder(&server.block)
+	server.encoder = hpack.NewEncoder(&server.block)
 	server.written.Write(server.session.Out())
 	if got := string(server.written.Next(len(http2.ClientPreface))); got != http2.ClientPreface {
 		t.Fatal("unexpected preface:", got)
@@ -90,7 +90,7 @@
 func (p *fakeServer) headers(streamID uint32, endStream bool, pieceBytes int, fields ...string) {
 	p.block.Reset()
 	for i := 0; i < len(fields); i += 2 {
-		_ = p.enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
+		_ = p.encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 	}
 	b := bytes.Clone(p.block.Bytes())
 	if pieceBytes == 0 {
@@ -444,8 +444,8 @@
 				break
 			}
 			text = text[size:]
-			if len(server.session.in) > maxFrameBytes+frameHeaderBytes || len(server.session.headerBlock) > maxHeaderBlockBytes {
-				t.Fatalf("buffered %d bytes of frames and %d of a header block", len(server.session.in), len(server.session.headerBlock))
+			if len(server.session.input) > maxFrameBytes+frameHeaderBytes || len(server.session.headerBlock) > maxHeaderBlockBytes {
+				t.Fatalf("buffered %d bytes of frames and %d of a header block", len(server.session.input), len(server.session.headerBlock))
 			}
 		}
 		if server.session.Len()+len(server.events) != 4 {
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -20,10 +20,10 @@
 	if s.failed != nil {
 		return s.failed
 	}
-	held := len(s.in) > 0
+	held := len(s.input) > 0
 	if held {
-		s.in = append(s.in, b...)
-		b = s.in
+		s.input = append(s.input, b...)
+		b = s.input
 	}
 	for {
 		n, err := s.readFrame(b)
@@ -35,9 +35,9 @@
 		}
 		b = b[n:]
 	}
-	s.in = append(s.in[:0], b...) // copies within the same buffer if the bytes were buffered
-	if len(s.in) == 0 && cap(s.in) > maxFrameBytes {
-		s.in = nil
+	s.input = append(s.input[:0], b...) // copies within the same buffer if the bytes were buffered
+	if len(s.input) == 0 && cap(s.input) > maxFrameBytes {
+		s.input = nil
 	}
 	return s.failed
 }
@@ -56,7 +56,7 @@
 	case errors.Is(err, http2.ErrFrameTooLarge):
 		code = http2.ErrCodeFrameSize
 	}
-	s.out.Reset()
+	s.output.Reset()
 	s.noteWriteError(s.framer.WriteGoAway(0, code, nil))
 	s.failed = err
 	return err
@@ -176,10 +176,10 @@
 		return nil
 	}
 	s.headerStream = 0
-	if _, err := s.dec.Write(s.headerBlock); err != nil {
+	if _, err := s.decoder.Write(s.headerBlock); err != nil {
 		return connError(http2.ErrCodeCompression, "decoding header block: %v", err)
 	}
-	if err := s.dec.Close(); err != nil {
+	if err := s.decoder.Close(); err != nil {
 		return connError(http2.ErrCodeCompression, "decoding header block: %v", err)
 	}
 	stream := s.streams[streamID]
@@ -379,7 +379,7 @@
 		case http2.SettingMaxFrameSize:
 			s.maxFrame = int(min(setting.Val, maxFrameBytes))
 		case http2.SettingHeaderTableSize:
-			s.enc.SetMaxDynamicTableSizeLimit(min(setting.Val, maxTableBytes))
+			s.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, maxTableBytes))
 		}
 	}
 	s.noteWriteError(s.framer.WriteSettingsAck())
--- a/internal/h2/session.go
+++ b/internal/h2/session.go
@@ -77,20 +77,20 @@
 // Session is the client side of one connection.
 type Session struct {
 	handler        Handler
-	out            bytes.Buffer
+	output         bytes.Buffer
 	written        int64 // bytes of output already taken
-	in             []byte
+	input          []byte
 	framer         *http2.Framer
 	source         bytes.Reader
-	enc            *hpack.Encoder
+	encoder        *hpack.Encoder
 	block          bytes.Buffer // header block to be sent
-	dec            *hpack.Decoder
+	decoder        *hpack.Decoder
 	headerBlock    []byte // incomplete header block; requests may be sent in the meantime
 	fields         []hpack.HeaderField
 	fieldsSize     int  // size of fields, counted as in RFC 9113, section 6.5.2
 	fieldsTooLarge bool // the header list exceeds a limit
 
-	depth             int
+	maxStreams        int
 	peerMaxStreams    uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
 	peerInitialWindow int64  // the peer's SETTINGS_INITIAL_WINDOW_SIZE
 	maxFrame          int
@@ -110,18 +110,18 @@
 	failed            error
 }
 
-// NewSession returns a session whose output begins with the preface and SETTINGS. depth is the
-// limit on open streams; the peer may allow fewer.
-func New(h Handler, depth int) *Session {
-	session := &Session{handler: h, depth: depth, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
+// NewSession returns a session whose output begins with the preface and SETTINGS. maxStreams
+// is the limit on open streams; the peer may allow fewer.
+func New(handler Handler, maxStreams int) *Session {
+	session := &Session{handler: handler, maxStreams: maxStreams, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
 		sendWindow: initialWindowBytes, receiveWindow: connWindowBytes, nextID: 1, streams: map[uint32]*Stream{}}
-	session.framer = http2.NewFramer(&session.out, &session.source)
+	session.framer = http2.NewFramer(&session.output, &session.source)
 	session.framer.SetReuseFrames()
 	session.framer.SetMaxReadFrameSize(maxFrameBytes)
-	session.enc = hpack.NewEncoder(&session.block)
-	session.dec = hpack.NewDecoder(maxTableBytes, session.collectField)
-	session.dec.SetMaxStringLength(maxHeaderListBytes)
-	session.out.WriteString(http2.ClientPreface)
+	session.encoder = hpack.NewEncoder(&session.block)
+	session.decoder = hpack.NewDecoder(maxTableBytes, session.collectField)
+	session.decoder.SetMaxStringLength(maxHeaderListBytes)
+	session.output.WriteString(http2.ClientPreface)
 	session.noteWriteError(session.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindowBytes},
@@ -141,24 +141,24 @@
 // TakeOutput returns the output to be written to the connection and removes it from the
 // session. The slice is valid until the next call of the session.
 func (s *Session) Out() []byte {
-	b := s.out.Bytes()
+	b := s.output.Bytes()
 	s.written += int64(len(b))
-	s.out.Reset()
+	s.output.Reset()
 	return b
 }
 
 // outputOffset returns the number of bytes that the session has written so far.
-func (s *Session) outputOffset() int64 { return s.written + int64(s.out.Len()) }
+func (s *Session) outputOffset() int64 { return s.written + int64(s.output.Len()) }
 
 // HasOutput reports whether there is output.
-func (s *Session) Waiting() bool { return s.out.Len() > 0 }
+func (s *Session) Waiting() bool { return s.output.Len() > 0 }
 
 // AvailableStreams returns how many more streams may be opened now.
 func (s *Session) Room() int {
 	if s.goAwayReceived || s.failed != nil || s.nextID > maxStreamID {
 		return 0
 	}
-	return max(min(s.depth, int(min(s.peerMaxStreams, maxWindowBytes)))-len(s.streams), 0)
+	return max(min(s.maxStreams, int(min(s.peerMaxStreams, maxWindowBytes)))-len(s.streams), 0)
 }
 
 // GoingAway reports whether no new streams can be opened any more.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -133,7 +133,7 @@
 	// Limits replaces the default limits if it is set.
 	Limits *Limits
 
-	msg          Message
+	message      Message
 	responses    bool
 	state        parserState
 	head         []byte
@@ -155,7 +155,7 @@
 func Answers() *Parser { return &Parser{responses: true} }
 
 // Message returns the message that Feed has completed, or the part of it that has arrived.
-func (p *Parser) Message() *Message { return &p.msg }
+func (p *Parser) Message() *Message { return &p.message }
 
 // Started reports whether part of a message has arrived.
 func (p *Parser) Started() bool { return p.state != inHead || len(p.head) > 0 }
@@ -163,7 +163,7 @@
 // Reset prepares the parser for the next message. It releases the buffers of a large message;
 // otherwise hundreds of idle connections would each keep them.
 func (p *Parser) Reset() {
-	p.msg = Message{fields: p.msg.fields[:0]}
+	p.message = Message{fields: p.message.fields[:0]}
 	p.state, p.remaining, p.lineStart, p.skippedBytes, p.trailerBytes, p.bodyBytes, p.overflow = inHead, 0, 0, 0, 0, 0, false
 	if p.Flows {
 		p.Piece = nil
@@ -197,7 +197,7 @@
 		return false
 	}
 	p.state = complete
-	p.msg.Body = p.body
+	p.message.Body = p.body
 	return true
 }
 
@@ -218,7 +218,7 @@
 			return taken, false, nil
 		}
 	}
-	p.msg.Body = p.body
+	p.message.Body = p.body
 	return taken, true, nil
 }
 
@@ -375,10 +375,10 @@
 	if slices.ContainsFunc(value, isControl) {
 		return badMessage("a header value holds a control character")
 	}
-	if len(p.msg.fields) == MaxFields {
+	if len(p.message.fields) == MaxFields {
 		return &Error{Status: 431, Reason: "too many header fields"}
 	}
-	p.msg.fields = append(p.msg.fields, headerField{line[:colon], value})
+	p.message.fields = append(p.message.fields, headerField{line[:colon], value})
 	return nil
 }
 
@@ -401,7 +401,7 @@
 			return false, badMessage("the request target holds what it can't")
 		}
 	}
-	p.msg.Method, p.msg.Target = method, target
+	p.message.Method, p.message.Target = method, target
 	return isHTTP10(version)
 }
 
@@ -422,13 +422,13 @@
 	if !ok || len(code) != 3 || n < 100 {
 		return false, badMessage("the status line is malformed")
 	}
-	p.msg.Status = n
+	p.message.Status = n
 	return isHTTP10(version)
 }
 
 // readFraming determines where the body ends and whether the connection stays open.
 func (p *Parser) readFraming(http10 bool) error {
-	message := &p.msg
+	message := &p.message
 	chunked, length := false, -1
 	message.Close, message.Old, message.Bare = http10, http10, p.responses && p.Bare
 	for _, field := range message.fields {
--- a/internal/lanes/lanes.go
+++ b/internal/lanes/lanes.go
@@ -156,10 +156,10 @@
 }
 
 // BatchDelayMS returns how many milliseconds a request of a class may wait for others to join
-// its batch. That is at most most, a small fraction of the slack, and 0 if the client's
-// remaining time, left, allows no slack.
-func (t *Table) Gather(class int, most, left float64) float64 {
+// its batch. The delay is a small fraction of the slack and at most maxMS. It is 0 if
+// leftMS, the time that the client still waits, leaves no slack.
+func (t *Table) Gather(class int, maxMS, leftMS float64) float64 {
 	aim := t.terms(class).Aim
-	slack := min(aim, left) - t.Expect(class)
-	return max(min(most, slack*batchDelayFraction), 0)
+	slack := min(aim, leftMS) - t.Expect(class)
+	return max(min(maxMS, slack*batchDelayFraction), 0)
 }
--- a/internal/lanes/lanes_test.go
+++ b/internal/lanes/lanes_test.go
@@ -15,7 +15,7 @@
 	unsafe
 )
 
-// testTerms returns classes similar to the platform's: quote with a target of 400 ms,
+// testTerms returns classes similar to the platform's: instalment with a target of 400 ms,
 // simulation keyed with a window as long as its deadline, and one that must never run twice.
 func testTerms(class int) Terms {
 	return [...]Terms{{Aim: 400, Share: true}, {Aim: 750, Share: true}, {Aim: 400}}[class]
@@ -23,21 +23,21 @@
 
 // newTrainedEstimator returns an estimator that has seen each class take the given time.
 func newTrainedEstimator(ms ...float64) *Table {
-	t := NewTable(testTerms)
+	estimator := NewTable(testTerms)
 	for class, m := range ms {
 		for range 50 {
-			t.Learn(class, m)
+			estimator.Learn(class, m)
 		}
 	}
-	return t
+	return estimator
 }
 
-func newPipeline(most int, classes ...int) Line {
-	l := Line{Most: most}
+func newPipeline(maxPending int, classes ...int) Line {
+	pipeline := Line{Most: maxPending}
 	for _, c := range classes {
-		l.Entries = append(l.Entries, Entry{Class: c})
+		pipeline.Entries = append(pipeline.Entries, Entry{Class: c})
 	}
-	return l
+	return pipeline
 }
 
 func TestChooseLine(t *testing.T) {
--- a/internal/link/fake_worker_test.go
+++ b/internal/link/fake_worker_test.go
@@ -34,7 +34,7 @@
 
 type fakeTimer struct {
 	at float64
-	do func()
+	fn func()
 }
 
 func newWorld(transport Transport) *world {
@@ -94,7 +94,7 @@
 	w.timers = nil
 	for _, t := range due {
 		if t.at <= w.clock.Now() {
-			t.do()
+			t.fn()
 		} else {
 			w.timers = append(w.timers, t)
 		}
--- a/internal/scree/faults.go
+++ b/internal/scree/faults.go
@@ -267,7 +267,7 @@
 
 	// Bounds.
 	{corner: "bounds", name: "answers are read however slow their reader is", file: "internal/link/streaming.go", in: "internal/switchback",
-		old: "	return len(f.out) < f.poller.window()\n}", wrong: "	return f != nil\n}", tests: "TestASlowReaderIsWaitedFor"},
+		old: "	return len(pausable.out) < pausable.poller.window()\n}", wrong: "	return pausable != nil\n}", tests: "TestASlowReaderIsWaitedFor"},
 	{corner: "bounds", name: "bodies are read however slow their worker is", file: "internal/link/streaming.go", in: "internal/switchback",
 		old: "	pausable.setPaused(!u.complete && unsent >= window)\n", wrong: "	pausable.setPaused(false && unsent >= window)\n", tests: "TestASlowWorkerHoldsItsClientBack"},
 	{corner: "bounds", name: "a body's sent bytes are kept", file: "internal/link/streaming.go", in: "internal/switchback",
