--- a/internal/lanes/lanes_test.go
+++ b/internal/lanes/lanes_test.go
@@ -10,148 +10,148 @@
 )
 
 const (
-	cuota = iota
-	simulacion
+	instalment = iota
+	simulation
 	unsafe
 )
 
-// site is classes like the platform's: cuota wanted within 400 ms, simulacion keyed with a
-// window as long as its deadline, and one that must never run twice.
-func site(class int) Terms {
+// testTerms returns classes similar to the platform's: instalment with a target of 400 ms,
+// simulation keyed with a window as long as its deadline, and one that must never run twice.
+func testTerms(class int) Terms {
 	return [...]Terms{{Aim: 400, Share: true}, {Aim: 750, Share: true}, {Aim: 400}}[class]
 }
 
-// learned is a table that has seen each class take so many milliseconds.
-func learned(ms ...float64) *Table {
-	t := NewTable(site)
+// newTrainedEstimator returns an estimator that has seen each class take the given time.
+func newTrainedEstimator(ms ...float64) *Table {
+	estimator := NewTable(testTerms)
 	for class, m := range ms {
 		for range 50 {
-			t.Learn(class, m)
+			estimator.Learn(class, m)
 		}
 	}
-	return t
+	return estimator
 }
 
-func line(most int, classes ...int) Line {
-	l := Line{Most: most}
+func newPipeline(maxPending int, classes ...int) Line {
+	pipeline := Line{Most: maxPending}
 	for _, c := range classes {
-		l.Entries = append(l.Entries, Entry{Class: c})
+		pipeline.Entries = append(pipeline.Entries, Entry{Class: c})
 	}
-	return l
+	return pipeline
 }
 
-func TestWhoMayStandBehindWhom(t *testing.T) {
-	short := learned(4, 2000, 4)
-	for name, c := range map[string]struct {
+func TestChooseLine(t *testing.T) {
+	short := newTrainedEstimator(4, 2000, 4)
+	for name, tc := range map[string]struct {
 		table          *Table
 		class          int
 		lines          []Line
 		room, overflow bool
 		want           Choice
 	}{
-		"an empty line first":                   {short, cuota, []Line{line(4, cuota), line(4)}, true, true, 1},
-		"then a link of its own":                {short, cuota, []Line{line(4, cuota)}, true, true, Open},
-		"then the shortest wait":                {short, cuota, []Line{line(4, cuota, cuota), line(4, cuota)}, false, true, 1},
-		"never behind a slow one":               {short, cuota, []Line{line(4, simulacion)}, false, true, Open},
-		"nor where no link can be had":          {short, cuota, []Line{line(4, simulacion)}, false, false, Nobody},
-		"the slow one may stand behind a quick": {short, simulacion, []Line{line(4, cuota)}, false, true, 0},
-		"a full line takes nobody":              {short, cuota, []Line{line(2, cuota, cuota)}, false, true, Open},
-		"one that bears no break stands alone":  {short, unsafe, []Line{line(4, cuota)}, false, true, Open},
-		"and nobody stands behind it":           {short, cuota, []Line{line(4, unsafe)}, false, true, Open},
-		"unknown times are not trusted":         {NewTable(site), cuota, []Line{line(4, cuota)}, false, true, Open},
-		"a line of too many quick ones":         {learned(8), cuota, []Line{line(9, cuota, cuota, cuota)}, false, true, Open},
-		"no line at all":                        {short, cuota, nil, false, false, Nobody},
+		"an empty pipeline first":                       {short, instalment, []Line{newPipeline(4, instalment), newPipeline(4)}, true, true, 1},
+		"then a new connection":                         {short, instalment, []Line{newPipeline(4, instalment)}, true, true, Open},
+		"then the shortest wait":                        {short, instalment, []Line{newPipeline(4, instalment, instalment), newPipeline(4, instalment)}, false, true, 1},
+		"never behind a slow request":                   {short, instalment, []Line{newPipeline(4, simulation)}, false, true, Open},
+		"nor if no connection can be opened":            {short, instalment, []Line{newPipeline(4, simulation)}, false, false, Nobody},
+		"a slow request behind a quick one":             {short, simulation, []Line{newPipeline(4, instalment)}, false, true, 0},
+		"a full pipeline":                               {short, instalment, []Line{newPipeline(2, instalment, instalment)}, false, true, Open},
+		"an unsafe request does not share":              {short, unsafe, []Line{newPipeline(4, instalment)}, false, true, Open},
+		"nothing is pipelined behind an unsafe request": {short, instalment, []Line{newPipeline(4, unsafe)}, false, true, Open},
+		"unknown times are not trusted":                 {NewTable(testTerms), instalment, []Line{newPipeline(4, instalment)}, false, true, Open},
+		"too many quick requests pending":               {newTrainedEstimator(8), instalment, []Line{newPipeline(9, instalment, instalment, instalment)}, false, true, Open},
+		"no pipeline":                                   {short, instalment, nil, false, false, Nobody},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.table.Choose(0, c.class, c.lines, c.room, c.overflow); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+			if got := tc.table.Choose(0, tc.class, tc.lines, tc.room, tc.overflow); got != tc.want {
+				t.Errorf("choice %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestOneThatIsStuckIsWaitedForAsLongAgain guards against lining up behind the long one
-// of a heavy tail, of whose time the mean says nothing.
-func TestOneThatIsStuckIsWaitedForAsLongAgain(t *testing.T) {
-	table := learned(4)
-	entries := []Entry{{Class: cuota, Since: 0}}
-	if w := table.Wait(1, entries); w > 4 {
-		t.Errorf("1 ms into one of 4: %g ms", w)
+// TestOverdueRequestDoublesExpectedTime guards against pipelining behind a request from a
+// heavy tail, about whose remaining time the mean says nothing.
+func TestOverdueRequestDoublesExpectedTime(t *testing.T) {
+	estimator := newTrainedEstimator(4)
+	pending := []Entry{{Class: instalment, Since: 0}}
+	if w := estimator.Wait(1, pending); w > 4 {
+		t.Errorf("1 ms into a request of 4 ms: wait %g ms, want at most 4", w)
 	}
-	if w := table.Wait(300, entries); w < 300 {
-		t.Errorf("300 ms into one of 4: %g ms", w)
+	if w := estimator.Wait(300, pending); w < 300 {
+		t.Errorf("300 ms into a request of 4 ms: wait %g ms, want at least 300", w)
 	}
-	if got := table.Choose(300, cuota, []Line{{Entries: entries, Most: 4}}, false, true); got != Open {
-		t.Errorf("stands behind it: %d", got)
+	if got := estimator.Choose(300, instalment, []Line{{Entries: pending, Most: 4}}, false, true); got != Open {
+		t.Errorf("choice %d, want a new connection", got)
 	}
 }
 
-// TestAClassThatVariesIsExpectedToTakeLong: the mean alone would let others stand behind
-// a class of which every tenth takes 100 ms.
-func TestAClassThatVariesIsExpectedToTakeLong(t *testing.T) {
-	table := NewTable(site)
+// TestVaryingClassHasLongExpectedTime guards against using the mean alone, which would allow
+// pipelining behind a class in which every tenth request takes 100 ms.
+func TestVaryingClassHasLongExpectedTime(t *testing.T) {
+	estimator := NewTable(testTerms)
 	for i := range 200 {
 		ms := 2.0
 		if i%10 == 0 {
 			ms = 100
 		}
-		table.Learn(cuota, ms)
+		estimator.Learn(instalment, ms)
 	}
-	if got := table.Expect(cuota); got < 40 {
-		t.Errorf("expected to take %g ms", got)
+	if got := estimator.Expect(instalment); got < 40 {
+		t.Errorf("expected time %g ms, want at least 40", got)
 	}
 }
 
-func TestNobodyWaitsForOthersBeyondItsSlack(t *testing.T) {
-	table := learned(4, 740)
-	for name, c := range map[string]struct {
+func TestGatherStaysWithinSlack(t *testing.T) {
+	estimator := newTrainedEstimator(4, 740)
+	for name, tc := range map[string]struct {
 		class            int
 		most, left, want float64
 	}{
-		"a part of the slack":       {cuota, 20, 2000, 3.96},
-		"the stated most":           {cuota, 1, 2000, 1},
-		"its client's time":         {cuota, 20, 104, 1},
-		"none left":                 {cuota, 20, 3, 0},
-		"a class that has no slack": {simulacion, 20, 740, 0},
+		"fraction of the slack":             {instalment, 20, 2000, 3.96},
+		"configured maximum":                {instalment, 1, 2000, 1},
+		"limited by the client's time left": {instalment, 20, 104, 1},
+		"no time left":                      {instalment, 20, 3, 0},
+		"class without slack":               {simulation, 20, 740, 0},
 	} {
-		if got := table.Gather(c.class, c.most, c.left); math.Abs(got-c.want) > 0.05 {
-			t.Errorf("%s: %g ms, want %g", name, got, c.want)
+		if got := estimator.Gather(tc.class, tc.most, tc.left); math.Abs(got-tc.want) > 0.05 {
+			t.Errorf("%s: delay %g ms, want %g", name, got, tc.want)
 		}
 	}
 }
 
-// TestWhateverIsChosenKeepsTheRules is the rules as properties over random tables and
-// lines.
-func TestWhateverIsChosenKeepsTheRules(t *testing.T) {
+// TestChosenLineObeysRules checks the rules as properties over random estimators and
+// pipelines.
+func TestChosenLineObeysRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := NewTable(site)
+		estimator := NewTable(testTerms)
 		for range rapid.IntRange(0, 60).Draw(t, "answers") {
-			table.Learn(rapid.IntRange(0, 2).Draw(t, "of"), rapid.Float64Range(0, 3000).Draw(t, "ms"))
+			estimator.Learn(rapid.IntRange(0, 2).Draw(t, "of"), rapid.Float64Range(0, 3000).Draw(t, "ms"))
 		}
 		now := rapid.Float64Range(0, 5000).Draw(t, "now")
-		lines := make([]Line, rapid.IntRange(0, 4).Draw(t, "lines"))
-		for i := range lines {
-			lines[i].Most = rapid.IntRange(0, 4).Draw(t, "most")
-			for range rapid.IntRange(0, lines[i].Most).Draw(t, "length") {
-				lines[i].Entries = append(lines[i].Entries, Entry{Class: rapid.IntRange(0, 2).Draw(t, "class"), Since: rapid.Float64Range(0, now).Draw(t, "since")})
+		pipelines := make([]Line, rapid.IntRange(0, 4).Draw(t, "lines"))
+		for i := range pipelines {
+			pipelines[i].Most = rapid.IntRange(0, 4).Draw(t, "most")
+			for range rapid.IntRange(0, pipelines[i].Most).Draw(t, "length") {
+				pipelines[i].Entries = append(pipelines[i].Entries, Entry{Class: rapid.IntRange(0, 2).Draw(t, "class"), Since: rapid.Float64Range(0, now).Draw(t, "since")})
 			}
 		}
 		class := rapid.IntRange(0, 2).Draw(t, "class")
-		at := table.Choose(now, class, lines, rapid.Bool().Draw(t, "room"), rapid.Bool().Draw(t, "overflow"))
-		if at < 0 {
+		choice := estimator.Choose(now, class, pipelines, rapid.Bool().Draw(t, "room"), rapid.Bool().Draw(t, "overflow"))
+		if choice < 0 {
 			return
 		}
-		l := lines[at]
-		if len(l.Entries) >= l.Most {
-			t.Fatal("a full line")
+		pipeline := pipelines[choice]
+		if len(pipeline.Entries) >= pipeline.Most {
+			t.Fatal("chose a full pipeline")
 		}
-		for _, e := range l.Entries {
-			if !site(e.Class).Share || !site(class).Share {
-				t.Fatal("shared with one that must not")
+		for _, e := range pipeline.Entries {
+			if !testTerms(e.Class).Share || !testTerms(class).Share {
+				t.Fatal("shared a connection with a request that must not share")
 			}
 		}
-		if w := table.Wait(now, l.Entries); w > waitPart*site(class).Aim {
-			t.Fatalf("a wait of %g ms", w)
+		if w := estimator.Wait(now, pipeline.Entries); w > maxWaitFraction*testTerms(class).Aim {
+			t.Fatalf("wait of %g ms exceeds the limit", w)
 		}
 	})
 }
--- /dev/null
+++ b/internal/link/discard_unsent_test.go
@@ -0,0 +1,82 @@
+package link
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"foxwood/gatekeeper"
+)
+
+// TestNoBytesSentAfterConnectionCloses checks that an abandoned request whose last byte was
+// not sent does not arrive. gnet writes what is still buffered after OnClose, so a request
+// that was reported as never run would still arrive in full.
+func TestNoBytesSentAfterConnectionCloses(t *testing.T) {
+	const body = 8 << 20 // more than the kernel buffers
+	for _, protocol := range []Carrier{OneAtATime, Pipeline} {
+		t.Run(protocol.String(), func(t *testing.T) {
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer listener.Close()
+			loop, err := NewLoop(NewBudget(1024, 0))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() {
+				if err := loop.Stop(); err != nil {
+					t.Error(err)
+				}
+			}()
+			clock := gatekeeper.NewClock()
+			recorder := newWorld(Transport{}) // only to record outcomes
+			workerConns := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: protocol})
+			workerConns.Attach(recorder)
+			execution := newExecution(1, 0, body)
+			loop.Post(func() { workerConns.Place(1, listener.Addr().String(), 0); workerConns.Execute(execution) })
+			workerSide, err := listener.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer workerSide.Close()
+			buffered := make(chan bool)
+			look := func() {
+				switch at := execution.Slot.(type) {
+				case *workerConn:
+					buffered <- at.conn.OutboundBuffered() > 0
+				case *muxConn:
+					buffered <- at.conn.OutboundBuffered() > 0
+				default:
+					buffered <- false
+				}
+			}
+			for loop.Post(look); !<-buffered; loop.Post(look) {
+			}
+			// The loop is blocked until the worker has made room in the kernel's buffers, and
+			// then abandons the request.
+			held, drained, sent := make(chan bool), make(chan bool), make(chan bool, 1)
+			loop.Post(func() { held <- true; <-drained; sent <- workerConns.Abandon(execution) })
+			<-held
+			total := 0
+			b := make([]byte, 1<<20)
+			for {
+				_ = workerSide.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+				n, err := workerSide.Read(b)
+				if total += n; err != nil {
+					break
+				}
+			}
+			drained <- true
+			if <-sent {
+				t.Fatal("reported as fully sent")
+			}
+			_ = workerSide.SetReadDeadline(time.Now().Add(5 * time.Second))
+			rest, err := io.Copy(io.Discard, workerSide)
+			if total += int(rest); err == nil && total >= body {
+				t.Errorf("all %d bytes of the body arrived", total)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/link/http2.go
@@ -0,0 +1,134 @@
+package link
+
+import (
+	"slices"
+	"strconv"
+
+	"foxwood/gatekeeper"
+	"foxwood/internal/h2"
+	"foxwood/internal/http1"
+	"foxwood/policy"
+)
+
+const (
+	// pingAfterMS is how long a connection with open streams may be silent before it is
+	// pinged, and pingTimeoutMS how long it may take to respond.
+	pingAfterMS   = 1000.0
+	pingTimeoutMS = 1000.0
+)
+
+// http2Protocol speaks HTTP/2.
+type http2Protocol struct {
+	conn         *muxConn
+	session      *h2.Session
+	extraHeaders []byte
+	lastReadAt   float64 // time of the last input, in milliseconds
+	pingSentAt   float64 // time of the unanswered ping, 0 if there is none
+}
+
+// streamExecution is an execution on a stream. It is the stream's Tag.
+type streamExecution struct {
+	execution *gatekeeper.Execution
+	sentAt    float64 // time of sending, in milliseconds
+}
+
+func newHTTP2Protocol(conn *muxConn) muxProtocol {
+	s := &http2Protocol{conn: conn}
+	s.session = h2.New(s, conn.workerConns.transport.Depth)
+	return s
+}
+
+func (s *http2Protocol) start() { s.lastReadAt = s.conn.workerConns.clock.Now() }
+
+func (s *http2Protocol) finalBytes() []byte { return s.session.Out() }
+
+func (s *http2Protocol) peerLeaving() bool { return s.session.Leaving() }
+
+func (s *http2Protocol) inFlight() int { return s.session.Len() }
+
+func (s *http2Protocol) room() int { return s.session.Room() }
+
+func (s *http2Protocol) send(execution *gatekeeper.Execution) {
+	workerConns := s.conn.workerConns
+	payload := execution.Request.Payload.(*Payload)
+	s.extraHeaders = append(append(s.extraHeaders[:0], workerConns.reader.Left()...), ": "...)
+	s.extraHeaders = append(strconv.AppendInt(s.extraHeaders, int64(max(execution.Timeout, 1)), 10), "\r\n"...)
+	now := workerConns.clock.Now()
+	if s.inFlight() == 0 { // silence on an idle connection does not count
+		s.lastReadAt = now
+	}
+	// OpenStream fails only for a malformed head, which no RequestHandler builds.
+	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil {
+		workerConns.endUnanswered(execution, policy.ConnectFailed)
+	}
+}
+
+func (s *http2Protocol) takeOutput() []byte { return s.session.Out() }
+
+func (s *http2Protocol) receive(b []byte) error {
+	s.lastReadAt, s.pingSentAt = s.conn.workerConns.clock.Now(), 0
+	return s.session.Feed(b)
+}
+
+// ResponseReceived implements h2.Handler.
+func (s *http2Protocol) Answered(stream *h2.Stream, message *http1.Message) {
+	workerConns, sent := s.conn.workerConns, stream.Tag.(*streamExecution)
+	workerConns.estimator.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
+	sent.execution.Slot = nil
+	workerConns.core.Done(sent.execution, workerConns.reader.Outcome(message))
+}
+
+// StreamEnded implements h2.Handler.
+func (s *http2Protocol) Ended(stream *h2.Stream, why h2.Why) {
+	status := policy.Reset
+	switch why {
+	case h2.Refused:
+		status = policy.Full
+	case h2.Unprocessed:
+		status = policy.ConnectFailed
+	}
+	s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
+}
+
+// cancel implements muxProtocol. RST_STREAM with CANCEL tells the peer, and the connection
+// stays open.
+func (s *http2Protocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
+	s.session.Each(func(st *h2.Stream) {
+		if st.Tag.(*streamExecution).execution == execution {
+			sent = st.End > 0
+			s.session.Cancel(st)
+		}
+	})
+	return sent, nil
+}
+
+func (s *http2Protocol) sweep(now float64) error {
+	switch {
+	case s.inFlight() == 0:
+		s.pingSentAt = 0
+	case s.pingSentAt > 0 && now-s.pingSentAt > pingTimeoutMS:
+		return errPingTimeout
+	case s.pingSentAt == 0 && now-s.lastReadAt > pingAfterMS:
+		s.pingSentAt = now
+		s.session.Ping()
+		s.conn.scheduleFlush()
+	}
+	return nil
+}
+
+// connLost implements muxProtocol. A stream of which no byte was sent never ran. Proofs by
+// GOAWAY or REFUSED_STREAM were reported when they arrived. For all other streams the peer has
+// part of the header block at least, and may have begun (RFC 9113, section 8.1).
+func (s *http2Protocol) connLost(sentOffset int64) {
+	var open []*h2.Stream
+	s.session.Each(func(stream *h2.Stream) { open = append(open, stream) })
+	slices.SortFunc(open, func(a, b *h2.Stream) int { return int(a.ID) - int(b.ID) })
+	s.session.Drop()
+	for _, stream := range open {
+		status := policy.Reset
+		if stream.Start >= sentOffset {
+			status = policy.ConnectFailed
+		}
+		s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
+	}
+}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -1,11 +1,11 @@
-// Package link holds the connections of a gatekeeper: client links, server links,
-// counter links and the discovery watch. They are objects with callbacks on one
-// gnet event loop, which also owns the core; so nothing here needs a lock.
+// Package link holds the connections of a gatekeeper to its clients, to its workers, to the
+// shared counter and to service discovery. Each is an object with callbacks on one gnet event
+// loop. The gatekeeper core runs on the same loop, so nothing here needs a lock.
 //
-// The loop has no listener of gnet's: gnet ends its engine when accept fails, as
-// it does where descriptors run out, and every request would be lost with it.
-// One goroutine accepts, one short-lived goroutine opens each new connection,
-// and both hand what they have to the loop.
+// The loop does not use gnet's listener: gnet stops its engine when accept fails, as it does
+// when the process runs out of file descriptors, and every open request would be lost.
+// Instead, one goroutine accepts connections, a short-lived goroutine dials each outgoing one,
+// and both hand the connections to the loop.
 package link
 
 import (
@@ -26,80 +26,81 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is what a link needs of its connection; gnet's has it.
+// conn is what an endpoint needs of its connection. gnet.Conn implements it.
 type conn interface {
 	Write([]byte) (int, error)
 	OutboundBuffered() int
 	Fd() int
 }
 
-// enrolled is a connection that gnet serves.
-type enrolled interface {
+// gnetConn is a connection that gnet serves.
+type gnetConn interface {
 	conn
 	Dup() (int, error)
 	SetContext(any)
 }
 
-// endpoint is the object behind one connection. Its methods run on the loop.
+// endpoint handles the events of one connection. Its methods run on the loop.
 type endpoint interface {
 	opened(c conn)
 	traffic(b []byte)
 	closed(err error)
 }
 
-// Loop is the event loop that owns everything.
+// Loop is the event loop that all connections and the gatekeeper core run on.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	client  *gnet.Client
-	events  gnet.EventLoop
-	alarm   *time.Timer
-	ring    func()
-	stopped atomic.Bool
-	turns   turns
-	dirty   []flusher // links with something to write
-	gathers bool      // there are such links at all
-	asked   bool      // for the end of the turn
-	depth   int       // of events
-	pump    *pump     // nil before the first flow
-	Budget  *Budget
-	Flowing int // bytes that all flows may hold, 0 for no limit
-}
-
-// flusher is a link that writes what it has gathered in a turn of the loop at once.
+	client         *gnet.Client
+	events         gnet.EventLoop
+	alarm          *time.Timer
+	onAlarm        func()
+	stopped        atomic.Bool
+	iterations     iterationTracker
+	pendingFlushes []flusher // connections with buffered output
+	batchesWrites  bool      // flushSoon has been called at least once
+	flushPosted    bool      // flushAll is posted for the end of the iteration
+	eventDepth     int       // nesting of beginEvent
+	poller         *poller   // nil before the first pausable connection
+	Budget         *Budget
+	Flowing        int // limit on the bytes buffered by all pausable connections, 0 for none
+}
+
+// flusher is a connection that buffers its output and writes it in one call.
 type flusher interface{ flush() }
 
-// NewLoop starts an event loop whose sockets stay within the budget.
+// NewLoop starts an event loop whose connections stay within the budget.
 func NewLoop(b *Budget) (*Loop, error) {
-	l := &Loop{Budget: b}
-	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBuffer),
-		gnet.WithWriteBufferCap(readBuffer), gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.ErrorLevel))
+	loop := &Loop{Budget: b}
+	client, err := gnet.NewClient(loop, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferBytes),
+		gnet.WithWriteBufferCap(readBufferBytes), gnet.WithLogger(gnetLogger{}), gnet.WithLogLevel(logging.ErrorLevel))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	if err := client.Start(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	l.client = client
-	if err := l.anchor(); err != nil {
+	loop.client = client
+	if err := loop.registerAnchor(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	l.alarm = time.AfterFunc(time.Hour, func() { l.Post(func() { l.ring() }) })
-	return l, nil
+	loop.alarm = time.AfterFunc(time.Hour, func() { loop.Post(func() { loop.onAlarm() }) })
+	return loop, nil
 }
 
-const readBuffer = 64 << 10
+const readBufferBytes = 64 << 10
 
-// anchor enrols a connection that nothing ever comes on: gnet gives its event loop out
-// with a connection only, and calls from other goroutines need it before the first.
-func (l *Loop) anchor() error {
-	c, held, err := quietPair()
+// registerAnchor registers a connection that never receives anything. gnet exposes its event
+// loop only through a connection, and Post needs the loop before the first real connection
+// exists.
+func (l *Loop) registerAnchor() error {
+	conn, held, err := newSocketPair()
 	if err != nil {
-		slog.Info("loop: no Unix sockets here, a datagram socket holds its place", "error", err)
-		if c, err = quietDatagrams(); err != nil {
+		slog.Info("loop: Unix sockets not available, using a UDP socket to register the loop", "error", err)
+		if conn, err = newDiscardSocket(); err != nil {
 			return err
 		}
 	}
-	g, err := l.client.EnrollContext(c, anchor{held})
+	g, err := l.client.EnrollContext(conn, anchorEndpoint{held})
 	if err != nil {
 		return err
 	}
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// quietPair is one end of a pair of Unix sockets, and the other.
-var quietPair = func() (net.Conn, io.Closer, error) {
+// newSocketPair returns the two ends of a pair of Unix sockets.
+var newSocketPair = func() (net.Conn, io.Closer, error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
@@ -120,145 +121,147 @@
 		far.Close()
 		return nil, nil, err
 	}
-	if c.RemoteAddr() == nil || c.LocalAddr() == nil { // gnet asks for both
+	if c.RemoteAddr() == nil || c.LocalAddr() == nil { // gnet requires both addresses
 		far.Close()
 		c.Close()
-		return nil, nil, errors.New("a pair of Unix sockets that tells no addresses")
+		return nil, nil, errors.New("socket pair has no local or remote address")
 	}
 	return c, far, nil
 }
 
-// quietDatagrams is a socket that takes datagrams from one reserved port of this machine
-// alone, and sends none.
-func quietDatagrams() (net.Conn, error) {
+// newDiscardSocket returns a UDP socket that receives from the local discard port only, and
+// sends nothing. It stands in where Unix sockets are not available.
+func newDiscardSocket() (net.Conn, error) {
 	const discard = 9
 	return net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discard})
 }
 
-type anchor struct {
-	held io.Closer // for the life of the loop; nil for datagrams
+type anchorEndpoint struct {
+	peer io.Closer // kept open while the loop runs; nil for a UDP socket
 }
 
-func (a anchor) opened(conn)    {}
-func (a anchor) traffic([]byte) {}
-func (a anchor) closed(error) {
-	if a.held != nil {
-		_ = a.held.Close()
+func (a anchorEndpoint) opened(conn)    {}
+func (a anchorEndpoint) traffic([]byte) {}
+func (a anchorEndpoint) closed(error) {
+	if a.peer != nil {
+		_ = a.peer.Close()
 	}
 }
 
-// Post runs do on the loop. Any goroutine may call it.
-func (l *Loop) Post(do func()) {
-	run := gnet.RunnableFunc(func(context.Context) error {
-		l.begin()
-		defer l.end()
-		do()
+// Post runs fn on the loop. Any goroutine may call it.
+func (l *Loop) Post(fn func()) {
+	runnable := gnet.RunnableFunc(func(context.Context) error {
+		l.beginEvent()
+		defer l.endEvent()
+		fn()
 		return nil
 	})
-	if err := l.events.Execute(context.Background(), run); err != nil && !l.stopped.Load() {
-		slog.Error("loop: call not taken", "error", err)
+	if err := l.events.Execute(context.Background(), runnable); err != nil && !l.stopped.Load() {
+		slog.Error("loop: posted call rejected", "error", err)
 	}
 }
 
-// flushSoon has a link written to when this event, or this turn of the loop, ends: see
-// turns. Must be called on the loop.
-func (l *Loop) flushSoon(f flusher, g *mark) {
-	l.gathers = true
-	if l.turns.touch(g) {
-		l.dirty = append(l.dirty, f)
+// flushSoon calls f.flush at the end of this event or of this loop iteration, as
+// iterationTracker decides. It must be called on the loop.
+func (l *Loop) flushSoon(f flusher, mark *writeMark) {
+	l.batchesWrites = true
+	if l.iterations.markDirty(mark) {
+		l.pendingFlushes = append(l.pendingFlushes, f)
 	}
 }
 
-// begin and end are around everything that runs on the loop; one may lie in another.
-func (l *Loop) begin() {
-	if l.depth++; l.depth == 1 && l.gathers {
-		l.turns.began(time.Now())
+// beginEvent and endEvent surround everything that runs on the loop. Calls may be nested.
+func (l *Loop) beginEvent() {
+	if l.eventDepth++; l.eventDepth == 1 && l.batchesWrites {
+		l.iterations.beginEvent(time.Now())
 	}
 }
 
-func (l *Loop) end() {
-	if l.depth--; l.depth > 0 || !l.gathers {
+func (l *Loop) endEvent() {
+	if l.eventDepth--; l.eventDepth > 0 || !l.batchesWrites {
 		return
 	}
 	switch {
-	case len(l.dirty) == 0:
-	case !l.turns.crowded():
+	case len(l.pendingFlushes) == 0:
+	case !l.iterations.worthBatching():
 		l.flushAll()
-	case !l.asked:
-		l.asked = true
-		l.Post(l.flushAll) // what is posted runs after the turn's events
+	case !l.flushPosted:
+		l.flushPosted = true
+		l.Post(l.flushAll) // posted functions run after the events of this iteration
 	}
-	l.turns.ended(time.Now())
+	l.iterations.endEvent(time.Now())
 }
 
 func (l *Loop) flushAll() {
-	l.asked = false
-	for i := 0; i < len(l.dirty); i++ { // a flush may make others dirty
-		l.dirty[i].flush()
+	l.flushPosted = false
+	for i := 0; i < len(l.pendingFlushes); i++ { // a flush may add to the list
+		l.pendingFlushes[i].flush()
 	}
-	clear(l.dirty)
-	l.dirty = l.dirty[:0]
+	clear(l.pendingFlushes)
+	l.pendingFlushes = l.pendingFlushes[:0]
 }
 
-// OnAlarm names what Wake calls. It must be set before the first Wake.
-func (l *Loop) OnAlarm(ring func()) { l.ring = ring }
+// OnAlarm sets the function that is called at the time given to SetAlarm. It must be called
+// before SetAlarm.
+func (l *Loop) OnAlarm(fn func()) { l.onAlarm = fn }
 
-// Wake asks for a call of the alarm after so many milliseconds, instead of the
-// one asked for before.
-func (l *Loop) Wake(after float64) {
-	l.alarm.Reset(time.Duration(max(after, 0) * float64(time.Millisecond)))
+// SetAlarm schedules a call of the alarm function in ms milliseconds. It replaces the previous
+// schedule.
+func (l *Loop) Wake(ms float64) {
+	l.alarm.Reset(time.Duration(max(ms, 0) * float64(time.Millisecond)))
 }
 
-// after calls do on the loop once so many milliseconds are over.
-func (l *Loop) after(ms float64, do func()) {
+// afterMS calls fn on the loop after ms milliseconds.
+func (l *Loop) afterMS(ms float64, fn func()) {
 	time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
 		if !l.stopped.Load() {
-			l.Post(do)
+			l.Post(fn)
 		}
 	})
 }
 
-// After calls do on the loop once so much time is over.
-func (l *Loop) After(wait time.Duration, do func()) {
-	l.after(float64(wait)/float64(time.Millisecond), do)
+// After calls fn on the loop after the given time.
+func (l *Loop) After(wait time.Duration, fn func()) {
+	l.afterMS(float64(wait)/float64(time.Millisecond), fn)
 }
 
-// Every calls do on the loop again and again.
-func (l *Loop) Every(pace time.Duration, do func()) {
-	time.AfterFunc(pace, func() {
+// Every calls fn on the loop repeatedly. The interval is from the end of one call to the start
+// of the next.
+func (l *Loop) Every(interval time.Duration, fn func()) {
+	time.AfterFunc(interval, func() {
 		if l.stopped.Load() {
 			return
 		}
 		l.Post(func() {
-			do()
-			l.Every(pace, do)
+			fn()
+			l.Every(interval, fn)
 		})
 	})
 }
 
-// Stop ends the loop and closes what is still open.
+// Stop ends the loop and closes all open connections.
 func (l *Loop) Stop() error {
 	l.stopped.Store(true)
 	l.alarm.Stop()
 	err := l.client.Stop()
-	if l.pump != nil { // the loop has ended, so nobody else has it
-		l.pump.stop()
+	if l.poller != nil { // the loop has ended, so nothing else uses the poller
+		l.poller.stop()
 	}
 	return err
 }
 
 // OnOpen implements gnet.EventHandler.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	c.Context().(endpoint).opened(c)
 	return nil, gnet.None
 }
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	b, err := c.Next(-1)
 	if err == nil && len(b) > 0 {
 		c.Context().(endpoint).traffic(b)
@@ -268,26 +271,26 @@
 
 // OnClose implements gnet.EventHandler.
 func (l *Loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	l.begin()
-	defer l.end()
+	l.beginEvent()
+	defer l.endEvent()
 	c.Context().(endpoint).closed(err)
 	return gnet.None
 }
 
-func (l *Loop) shut(c conn) {
-	switch c := c.(type) {
-	case *flow:
-		c.close(nil)
+func (l *Loop) closeConn(conn conn) {
+	switch conn := conn.(type) {
+	case *pausableConn:
+		conn.close(nil)
 	case gnet.Conn:
-		_ = c.EventLoop().Close(c)
+		_ = conn.EventLoop().Close(conn)
 	}
 }
 
-// dial opens a connection and hands it to e, or calls failed. It belongs to a
-// connection, which serves many requests, not to a request.
-func (l *Loop) dial(addr string, patience time.Duration, e endpoint, failed func(error)) {
+// dial opens a connection and passes it to e, or calls failed. A dial is not cancelled with a
+// request, because the connection serves many requests.
+func (l *Loop) dial(addr string, timeout time.Duration, e endpoint, failed func(error)) {
 	go func() {
-		c, err := net.DialTimeout("tcp", addr, patience)
+		c, err := net.DialTimeout("tcp", addr, timeout)
 		if err == nil {
 			_, err = l.client.EnrollContext(c, e)
 		}
@@ -300,15 +303,15 @@
 // Listener accepts client connections.
 type Listener struct {
 	*net.TCPListener
-	from    interface{ Accept() (net.Conn, error) } // itself, but for tests
-	closing atomic.Bool
+	acceptor interface{ Accept() (net.Conn, error) } // the listener itself, except in tests
+	closing  atomic.Bool
 
 	mu     sync.Mutex
-	paused chan struct{} // closed when it goes on; nil while it does
+	paused chan struct{} // non-nil while paused; closed on resume
 }
 
-// Listen opens the one address that clients connect to. A new process may open it beside
-// one that is in service (SO_REUSEPORT): so it can start where the other hands nothing over.
+// Listen opens the address that clients connect to. It sets SO_REUSEPORT, so that a new
+// process can start beside the running one without receiving its listener.
 func Listen(addr string) (*Listener, error) {
 	shared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var inner error
@@ -324,48 +327,49 @@
 	return Inherited(ln.(*net.TCPListener)), nil
 }
 
-// Inherited is a listener that another process has opened.
-func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, from: ln} }
+// NewListener wraps a listener that was opened by another process.
+func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, acceptor: ln} }
 
-// Accept hands every client connection to the loop, until the listener closes.
-// Running out of descriptors makes it wait, not end.
-func (ln *Listener) Accept(l *Loop, make func() *Client) {
+// Accept hands each accepted connection to the loop, until the listener is closed. If file
+// descriptors run out, it waits and tries again.
+func (ln *Listener) Accept(loop *Loop, newClient func() *Client) {
 	const pause = 5 * time.Millisecond
 	for {
-		if wait := ln.resting(); wait != nil {
+		if wait := ln.pauseSignal(); wait != nil {
 			<-wait
 		}
-		c, err := ln.from.Accept()
+		c, err := ln.acceptor.Accept()
 		if err == nil {
-			_, err = l.client.EnrollContext(c, make())
+			_, err = loop.client.EnrollContext(c, newClient())
 		}
 		if ln.closing.Load() {
 			return
 		}
-		if err != nil && ln.resting() == nil {
-			slog.Warn("client link not accepted", "error", err)
+		if err != nil && ln.pauseSignal() == nil {
+			slog.Warn("accepting client connection failed", "error", err)
 			time.Sleep(pause)
 		}
 	}
 }
 
-func (ln *Listener) resting() chan struct{} {
+func (ln *Listener) pauseSignal() chan struct{} {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.paused
 }
 
-// Pause leaves what comes in to another process that has the listener too.
+// Pause stops accepting, so that another process that shares the listener takes new
+// connections.
 func (ln *Listener) Pause() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	if ln.paused == nil {
 		ln.paused = make(chan struct{})
-		_ = ln.SetDeadline(time.Unix(1, 0)) // Accept returns
+		_ = ln.SetDeadline(time.Unix(1, 0)) // makes Accept return
 	}
 }
 
-// Resume accepts again.
+// Resume starts accepting again after Pause.
 func (ln *Listener) Resume() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -376,19 +380,19 @@
 	}
 }
 
-// Close stops accepting.
+// Close stops accepting and closes the listener.
 func (ln *Listener) Close() error {
 	ln.closing.Store(true)
 	err := ln.TCPListener.Close()
-	ln.Resume() // that Accept sees it
+	ln.Resume() // lets a paused Accept see that the listener is closed
 	return err
 }
 
-// quiet passes on gnet's errors and drops the rest.
-type quiet struct{}
+// gnetLogger forwards gnet's errors to slog and drops the rest.
+type gnetLogger struct{}
 
-func (quiet) Debugf(string, ...any)          {}
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Warnf(string, ...any)           {}
-func (quiet) Errorf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
-func (quiet) Fatalf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
+func (gnetLogger) Debugf(string, ...any)          {}
+func (gnetLogger) Infof(string, ...any)           {}
+func (gnetLogger) Warnf(string, ...any)           {}
+func (gnetLogger) Errorf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
+func (gnetLogger) Fatalf(format string, a ...any) { slog.Error("gnet: " + fmt.Sprintf(format, a...)) }
