--- a/internal/service/capture.go
+++ b/internal/service/capture.go
@@ -12,75 +12,77 @@
 	"foxwood/policy"
 )
 
-// warmMost is the age past which nothing of an earlier life is looked at: every store is
-// full by then, or the machine was away.
-const warmMost = 5 * time.Minute
+// maxRecoveryAge is how old the end of a captured run may be for its state to be recovered.
+// After that time every quota bucket is full again anyway, or the machine was down.
+const maxRecoveryAge = 5 * time.Minute
 
-// openCapture begins a capture of this life.
-func openCapture(c config.Config, clock *gatekeeper.Clock, seed uint64) (*capture.Writer, error) {
-	o := capture.Options{Folder: c.Capture.Folder, Name: c.Name, Life: capture.Life(policy.Micros(clock.Now()*1000), seed),
-		SegmentMost: c.Capture.SegmentMB << 20, KeptMost: c.Capture.KeptMB << 20,
-		AgeMost: time.Duration(c.Capture.KeptHours * float64(time.Hour))}
+// openCapture starts the capture of this run.
+func openCapture(cfg config.Config, clock *gatekeeper.Clock, seed uint64) (*capture.Writer, error) {
+	options := capture.Options{Folder: cfg.Capture.Folder, Name: cfg.Name, Life: capture.Life(policy.Micros(clock.Now()*1000), seed),
+		SegmentMost: cfg.Capture.SegmentMB << 20, KeptMost: cfg.Capture.KeptMB << 20,
+		AgeMost: time.Duration(cfg.Capture.KeptHours * float64(time.Hour))}
 	var err error
-	if o.Key, err = captureKey(c); err != nil {
+	if options.Key, err = captureKey(cfg); err != nil {
 		return nil, err
 	}
-	return capture.NewWriter(o)
+	return capture.NewWriter(options)
 }
 
-func captureKey(c config.Config) (capture.Key, error) {
-	if c.Capture.Key == "" {
+// captureKey reads the configured encryption key. Without one it returns the zero key.
+func captureKey(cfg config.Config) (capture.Key, error) {
+	if cfg.Capture.Key == "" {
 		return capture.Key{}, nil
 	}
-	return capture.ReadKey(c.Capture.Key)
+	return capture.ReadKey(cfg.Capture.Key)
 }
 
-// earlier is what the last life of this gatekeeper knew at its end, nil where there is
-// none to go on from. Whatever is wrong with its capture is said, and the start is cold.
-func earlier(c config.Config, now time.Time) *gatekeeper.Earlier {
-	e, err := lastLife(c, now)
+// recoverState returns the state at the end of this gatekeeper's last captured run, or nil if
+// there is none to continue from. An unusable capture is logged and the start is cold.
+func recoverState(cfg config.Config, now time.Time) *gatekeeper.Earlier {
+	state, err := replayLastRun(cfg, now)
 	switch {
 	case err != nil:
-		slog.Warn("capture: cold start", "error", err)
+		slog.Warn("capture: cold start, the last run can't be replayed", "error", err)
 		return nil
-	case e == nil:
-		slog.Info("capture: cold start, no recent life is there")
+	case state == nil:
+		slog.Info("capture: cold start, there is no recent run")
 	default:
-		slog.Info("capture: warm start", "age_ms", now.UnixMilli()-e.State.Now/1000, "exact", e.Exact, "customers", len(e.State.Listed))
+		slog.Info("capture: warm start", "age_ms", now.UnixMilli()-state.State.Now/1000, "exact", state.Exact, "customers", len(state.State.Listed))
 	}
-	return e
+	return state
 }
 
-// lastLife plays the last life from its last checkpoint on: an older one only where the
-// last segments hold none.
-func lastLife(c config.Config, now time.Time) (*gatekeeper.Earlier, error) {
-	key, err := captureKey(c)
+// replayLastRun replays the last captured run from its last checkpoint on. It starts at the
+// newest segment, and goes back segment by segment until one holds a checkpoint. It returns
+// nil without an error if there is no run to recover or it ended more than maxRecoveryAge ago.
+func replayLastRun(cfg config.Config, now time.Time) (*gatekeeper.Earlier, error) {
+	key, err := captureKey(cfg)
 	if err != nil {
 		return nil, err
 	}
-	segments, err := capture.FindName(c.Capture.Folder, c.Name)
+	segments, err := capture.FindName(cfg.Capture.Folder, cfg.Name)
 	if err != nil || len(segments) == 0 {
 		return nil, err
 	}
 	last := segments[len(segments)-1]
-	for from := len(segments) - 1; from >= 0 && segments[from].Life == last.Life; from-- {
-		set := capture.NewSet(segments[from:], &key)
+	for first := len(segments) - 1; first >= 0 && segments[first].Life == last.Life; first-- {
+		set := capture.NewSet(segments[first:], &key)
 		report, err := replay.Run(set, &key, replay.Options{})
 		set.Close()
 		if err != nil {
 			return nil, err
 		}
 		if len(report.Differences) > 0 {
-			return nil, fmt.Errorf("this build decides otherwise than the last life at %d us", report.Differences[0].At)
+			return nil, fmt.Errorf("replay of the last run: expected the captured decisions, but this build decides differently at %d us", report.Differences[0].At)
 		}
-		g, ok := report.Module.(*policy.Gateway)
-		if !ok || g == nil {
+		gateway, ok := report.Module.(*policy.Gateway)
+		if !ok || gateway == nil {
 			continue
 		}
-		if now.UnixMicro()-report.Last > warmMost.Microseconds() {
+		if now.UnixMicro()-report.Last > maxRecoveryAge.Microseconds() {
 			return nil, nil
 		}
-		return &gatekeeper.Earlier{State: g.Snapshot(), Exact: report.Ended}, nil
+		return &gatekeeper.Earlier{State: gateway.Snapshot(), Exact: report.Ended}, nil
 	}
 	return nil, nil
 }
--- a/internal/service/check.go
+++ b/internal/service/check.go
@@ -10,32 +10,32 @@
 	"foxwood/internal/settings"
 )
 
-// Check reads a configuration file and the description that it names, as Run would.
-// It returns every fault found, joined, and opens no connection.
+// Check validates a configuration file and the OpenAPI description that it names, as Run
+// would. It returns all errors found, joined, and opens no connection.
 func Check(file string) error {
-	c, err := config.Read(file)
+	cfg, err := config.Read(file)
 	if err != nil {
 		return err
 	}
-	set, names, err := c.Terms()
+	policySettings, names, err := cfg.Terms()
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	var faults []error
-	if _, _, err := c.SeedBits(); err != nil {
+	if _, _, err := cfg.SeedBits(); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
-	if err := c.Check(set.Counter); err != nil {
+	if err := cfg.Check(policySettings.Counter); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
-	if c.OpenAPI == nil { // as SIGHUP would
-		return errors.Join(append(faults, settings.Check(set, names))...)
+	if cfg.OpenAPI == nil { // the same check as at SIGHUP
+		return errors.Join(append(faults, settings.Check(policySettings, names))...)
 	}
-	d, err := describe(c.OpenAPI.Description)
+	description, err := readDescription(cfg.OpenAPI.Description)
 	if err != nil {
 		return errors.Join(append(faults, err)...)
 	}
-	if _, err := openapi.NewFront(*c.OpenAPI, d, set, names, gatekeeper.NewClock()); err != nil {
+	if _, err := openapi.NewFront(*cfg.OpenAPI, description, policySettings, names, gatekeeper.NewClock()); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
 	return errors.Join(faults...)
--- a/internal/service/meet_test.go
+++ b/internal/service/concurrency_test.go
@@ -20,17 +20,17 @@
 	"foxwood/internal/xds"
 )
 
-// TestWhatRunsBesideTheLoopMeetsIt has all that runs on goroutines of its own meet the
-// loop at once, for the race detector: accept, dial, the alarm, SIGHUP with good and
-// faulty files, xDS, the capture, and at last the drain. What customers' limits, slices,
-// the in-flight count and the queue hold is the loop's, and every request is answered.
-func TestWhatRunsBesideTheLoopMeetsIt(t *testing.T) {
+// TestConcurrentAccessToEventLoop runs everything that has its own goroutine at the same time,
+// for the race detector: accept, dial, the timer, reloads of valid and invalid files, xDS, the
+// capture, and finally the drain. Only the event loop may access quotas, the in-flight count and
+// the queue, and every request must be answered.
+func TestConcurrentAccessToEventLoop(t *testing.T) {
 	const clients, each, reloads = 6, 25, 20
-	addr, _ := worker(t, func(n int, s *seen) bool {
+	addr, _ := startWorker(t, func(n int, req *workerRequest) bool {
 		if n%20 == 19 {
-			return false // a reset
+			return false // closes the connection
 		}
-		return say(served)(n, s)
+		return respondWith(okResponse)(n, req)
 	})
 	counter := listen(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
@@ -40,25 +40,25 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n9")
 		}
 	})
-	g := open(t, func(c *config.Config) {
-		c.Counter, c.Settings, c.XDS = counter, counted("50000"), "127.0.0.1:0"
+	gateway := startGateway(t, func(c *config.Config) {
+		c.Counter, c.Settings, c.XDS = counter, settingsWithCounter("50000"), "127.0.0.1:0"
 		c.Capture = &config.Capture{Folder: t.TempDir()}
 	}, addr, addr)
-	configured(t, `{}`)
+	writeConfigFile(t, `{}`)
 	file := os.Getenv("EDGE_CONFIG")
 	var asking, beside sync.WaitGroup
 	over, stop := context.WithCancel(context.Background())
 	for i := range clients {
 		asking.Go(func() {
 			for n := range each {
-				c := g.dial()
-				text := request("cuota", fmt.Sprintf("m-%d-%d", i, n), "", 900)
+				c := gateway.dial()
+				text := classRequest("cuota", fmt.Sprintf("m-%d-%d", i, n), "", 900)
 				if i%2 == 0 {
 					text = strings.Replace(text, "X-Tier: mayor", "X-Tier: basico", 1)
 				}
 				c.send(text)
-				if n%5 != 4 { // the fifth leaves at once
-					res, err := http.ReadResponse(c.r, nil)
+				if n%5 != 4 { // every fifth disconnects without reading the response
+					res, err := http.ReadResponse(c.reader, nil)
 					if err != nil || res.StatusCode != 200 && res.StatusCode != 429 && res.StatusCode != 502 {
 						t.Errorf("client %d, request %d: %v, %v", i, n, res, err)
 					}
@@ -69,14 +69,14 @@
 	}
 	beside.Go(func() {
 		for n := range reloads {
-			text := whole(fmt.Sprintf(`{"counter":%q}`, counter))
+			text := withSettings(fmt.Sprintf(`{"counter":%q}`, counter))
 			if n%2 == 1 {
-				text = whole(`{"counter":"nowhere"}`)
+				text = withSettings(`{"counter":"nowhere"}`)
 			}
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Error(err)
 			}
-			if err := g.reload(file); (err != nil) != (n%2 == 1) {
+			if err := gateway.reload(file); (err != nil) != (n%2 == 1) {
 				t.Errorf("reload %d: %v", n, err)
 			}
 		}
@@ -84,12 +84,12 @@
 	beside.Go(func() {
 		for n := 0; over.Err() == nil; n++ {
 			done := make(chan bool)
-			g.loop.Post(func() {
-				line := strings.Replace(member(1, addr), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, n%3), 1)
+			gateway.loop.Post(func() {
+				line := strings.Replace(workerEntry(1, addr), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, n%3), 1)
 				if n%2 == 1 {
 					line = strings.Replace(line, `"ready"`, `"draining"`, 1)
 				}
-				if err := g.hosts.Line([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
+				if err := gateway.hosts.Line([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
 					t.Error(err)
 				}
 				close(done)
@@ -97,7 +97,7 @@
 			<-done
 		}
 	})
-	conn, err := grpc.NewClient(g.xds.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient(gateway.xds.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,13 +117,13 @@
 	asking.Wait()
 	stop()
 	beside.Wait()
-	g.drain()
+	gateway.drain()
 	left := make(chan int)
-	g.loop.Post(func() { left <- g.core.Open() })
-	if n := next(t, left); n != 0 {
+	gateway.loop.Post(func() { left <- gateway.core.Open() })
+	if n := receive(t, left); n != 0 {
 		t.Errorf("%d requests are left after the drain", n)
 	}
-	if lost := g.capture.Stats.Lost.Load(); lost > 0 {
+	if lost := gateway.capture.Stats.Lost.Load(); lost > 0 {
 		t.Logf("the capture's queue was full: %d records are marked as a gap", lost)
 	}
 }
--- a/internal/service/idle_test.go
+++ b/internal/service/idle_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestAnIdleProcessRests: where nobody asks anything no thread polls or spins. A fleet pays
-// for what each of its gatekeepers does, and their clock is the processor time they use.
-func TestAnIdleProcessRests(t *testing.T) {
-	addr, _ := worker(t, say(served))
-	p := newSite(t, settingsText, addr).run(true)
-	before := p.used()
+// TestIdleProcessUsesLittleCPU guards against threads that poll or spin while there are no
+// requests: the CPU time of idle gatekeepers adds up over a fleet.
+func TestIdleProcessUsesLittleCPU(t *testing.T) {
+	addr, _ := startWorker(t, respondWith(okResponse))
+	proc := newDeployment(t, settingsText, addr).startProcess(true)
+	before := proc.cpuTime()
 	const span = 2 * time.Second
-	until := time.NewTimer(span) // of real time: it is what is measured
+	until := time.NewTimer(span) // real time, as CPU time is measured against it
 	<-until.C
-	used := p.used() - before
+	used := proc.cpuTime() - before
 	t.Logf("%v of processor time in %v", used, span)
 	if used > span/10 {
 		t.Errorf("an idle process used %v of processor time in %v", used, span)
 	}
-	p.stop()
+	proc.stop()
 }
--- a/internal/service/operations_test.go
+++ b/internal/service/operations_test.go
@@ -15,11 +15,11 @@
 	"foxwood/internal/config"
 )
 
-// door is a call at the operators' door.
-func (g *gate) call(path string) (int, string) {
+// adminGet sends a request to the admin server.
+func (g *testGateway) adminGet(path string) (int, string) {
 	g.t.Helper()
 	client := http.Client{Timeout: time.Second}
-	res, err := client.Get("http://" + g.door.Addr() + path)
+	res, err := client.Get("http://" + g.adminServer.Addr() + path)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -31,109 +31,110 @@
 	return res.StatusCode, string(text)
 }
 
-func withDoor(c *config.Config) { c.Control = "127.0.0.1:0" }
+func withAdminServer(c *config.Config) { c.Control = "127.0.0.1:0" }
 
-// figures publishes, and reads what the door tells, without the gauges' names in want.
-func (g *gate) figures() map[string]string {
+// readStats publishes the statistics and reads /admin/stats. The keys have no "edge." prefix.
+func (g *testGateway) readStats() map[string]string {
 	g.t.Helper()
-	g.on(g.publish)
-	_, text := g.call("/admin/stats")
+	g.runOnLoop(g.publishStats)
+	_, text := g.adminGet("/admin/stats")
 	got := map[string]string{}
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), ":")
 		if !ok || !strings.HasPrefix(name, "edge.") || got[name] != "" {
-			g.t.Errorf("line %q", line)
+			g.t.Errorf("/admin/stats: malformed or repeated line %q", line)
 		}
 		got[strings.TrimPrefix(name, "edge.")] = value
 	}
 	return got
 }
 
-// TestTheFiguresAreALedger holds the figures against scripted traffic, each of whose
-// requests ends in a known way.
-func TestTheFiguresAreALedger(t *testing.T) {
-	addr, got := worker(t, func(n int, s *seen) bool {
-		switch s.body {
+// TestStatsCountScriptedTraffic compares the statistics with scripted traffic, each request of
+// which ends in a known way.
+func TestStatsCountScriptedTraffic(t *testing.T) {
+	addr, got := startWorker(t, func(n int, req *workerRequest) bool {
+		switch req.body {
 		case "fail":
-			return say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(n, s)
+			return respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(n, req)
 		case "hang":
-			return hang(n, s)
+			return neverRespond(n, req)
 		}
-		return say(served)(n, s)
+		return respondWith(okResponse)(n, req)
 	})
-	g := open(t, withDoor, addr)
+	gateway := startGateway(t, withAdminServer, addr)
 	want := map[string]string{
 		"completed.cuota": "0|c", "rejected.cuota": "0|c", "failed.cuota": "0|c",
 		"completed.simulacion": "0|c", "rejected.simulacion": "0|c", "failed.simulacion": "0|c",
 		"upstream_requests": "0|c", "config_reloads": "0|c", "config_reload_errors": "0|c",
 		"pending": "0|g", "members": "1|g", "members_unavailable": "0|g",
 	}
-	if diff := cmp.Diff(want, g.figures()); diff != "" {
+	if diff := cmp.Diff(want, gateway.readStats()); diff != "" {
 		t.Fatalf("at the start (-want +got):\n%s", diff)
 	}
 	for range 3 {
-		g.dial().ask(cuota("mayor", 900))
+		gateway.dial().ask(cuotaRequest("mayor", 900))
 	}
-	c := g.dial()
-	for range 3 { // the third is beyond the burst
-		c.ask(cuota("basico", 900))
+	c := gateway.dial()
+	for range 3 { // the third exceeds the burst
+		c.ask(cuotaRequest("basico", 900))
 	}
-	g.dial().ask("noise\r\n\r\n") // no request of any class
+	gateway.dial().ask("noise\r\n\r\n") // not a request of any class
 	for len(got) > 0 {
 		<-got
 	}
-	g.dial().send(simulacion(1900, "hang"))
-	next(t, got)
+	gateway.dial().send(simulacionRequest(1900, "hang"))
+	receive(t, got)
 	want["completed.cuota"], want["rejected.cuota"] = "5|c", "1|c"
 	want["upstream_requests"], want["pending"] = "6|c", "1|g"
-	if diff := cmp.Diff(want, g.figures()); diff != "" {
+	if diff := cmp.Diff(want, gateway.readStats()); diff != "" {
 		t.Fatalf("after the traffic (-want +got):\n%s", diff)
 	}
 }
 
-// TestTheFiguresTellAttemptsFromRequests: one that is retried has two attempts, one whose
-// worker can't be reached has none that was written whole, and so has a body that the worker
-// breaks off in the middle; a client that leaves stands under nothing but its attempt.
-func TestTheFiguresTellAttemptsFromRequests(t *testing.T) {
+// TestStatsCountAttemptsSeparately checks upstream_requests, which counts attempts that were
+// written completely: two for a request that is retried, none if the worker can't be reached or
+// closes the connection in the middle of the body. A request whose client disconnects counts as
+// an attempt only.
+func TestStatsCountAttemptsSeparately(t *testing.T) {
 	broken := listen(t, func(c net.Conn) { _, _ = io.CopyN(io.Discard, c, 100<<10) })
 	for name, c := range map[string]struct {
 		worker string
-		answer func(n int, s *seen) bool
+		answer func(n int, req *workerRequest) bool
 		text   []byte
 		leaves bool
 		want   map[string]string
 	}{
-		"retried": {answer: func(n int, s *seen) bool {
+		"retried": {answer: func(n int, req *workerRequest) bool {
 			if n == 0 {
-				return say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(n, s)
+				return respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(n, req)
 			}
-			return say(served)(n, s)
-		}, text: []byte(cuota("mayor", 1900)), want: map[string]string{"completed.cuota": "1|c", "upstream_requests": "2|c"}},
-		"not reached": {worker: free(t), text: []byte(cuota("mayor", 1900)),
+			return respondWith(okResponse)(n, req)
+		}, text: []byte(cuotaRequest("mayor", 1900)), want: map[string]string{"completed.cuota": "1|c", "upstream_requests": "2|c"}},
+		"not reached": {worker: unusedAddress(t), text: []byte(cuotaRequest("mayor", 1900)),
 			want: map[string]string{"rejected.cuota": "1|c", "upstream_requests": "0|c"}},
-		"a broken write": {worker: broken, text: heavy("7c2d", pattern(20<<20), 0),
+		"a broken write": {worker: broken, text: requestWithBody("7c2d", testBody(20<<20), 0),
 			want: map[string]string{"rejected.simulacion": "1|c", "upstream_requests": "0|c"}},
-		"left": {answer: hang, text: []byte(cuota("mayor", 1900)), leaves: true,
+		"left": {answer: neverRespond, text: []byte(cuotaRequest("mayor", 1900)), leaves: true,
 			want: map[string]string{"completed.cuota": "0|c", "rejected.cuota": "0|c", "failed.cuota": "0|c", "upstream_requests": "1|c", "pending": "0|g"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, got := c.worker, make(chan *seen)
+			addr, got := c.worker, make(chan *workerRequest)
 			if addr == "" {
-				addr, got = worker(t, c.answer)
+				addr, got = startWorker(t, c.answer)
 			}
-			g := open(t, withDoor, addr)
-			cl := g.dial()
-			go func() { _, _ = cl.Write(c.text) }()
+			gateway := startGateway(t, withAdminServer, addr)
+			conn := gateway.dial()
+			go func() { _, _ = conn.Write(c.text) }()
 			if c.leaves {
-				next(t, got)
-				cl.Close()
-				for open, until := 1, time.Now().Add(patience); open > 0 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-					g.on(func() { open = g.core.Open() })
+				receive(t, got)
+				conn.Close()
+				for open, until := 1, time.Now().Add(testTimeout); open > 0 && time.Now().Before(until); time.Sleep(time.Millisecond) {
+					gateway.runOnLoop(func() { open = gateway.core.Open() })
 				}
 			} else {
-				cl.get()
+				conn.readResponse()
 			}
-			figures := g.figures()
+			figures := gateway.readStats()
 			for figure, want := range c.want {
 				if figures[figure] != want {
 					t.Errorf("%s is %s, want %s", figure, figures[figure], want)
@@ -143,103 +144,105 @@
 	}
 }
 
-// TestAFailedRequestStandsUnderFailed: an unsafe class's execution may have run.
-func TestAFailedRequestStandsUnderFailed(t *testing.T) {
-	addr, _ := worker(t, say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
-	g := open(t, func(c *config.Config) {
-		withDoor(c)
+// TestStatsCountFailedRequest checks that a failed request of a class without retries counts as
+// failed, not as rejected: it may have run.
+func TestStatsCountFailedRequest(t *testing.T) {
+	addr, _ := startWorker(t, respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
+	gateway := startGateway(t, func(c *config.Config) {
+		withAdminServer(c)
 		c.Settings = []byte(strings.Replace(settingsText, `"idempotent"`, `"at_most_once"`, 1))
 	}, addr)
-	if res, _ := g.dial().ask(cuota("mayor", 900)); res.StatusCode != 502 {
-		t.Fatalf("status %d", res.StatusCode)
+	if res, _ := gateway.dial().ask(cuotaRequest("mayor", 900)); res.StatusCode != 502 {
+		t.Fatalf("status %d, want 502", res.StatusCode)
 	}
-	got := g.figures()
+	got := gateway.readStats()
 	if got["failed.cuota"] != "1|c" || got["upstream_requests"] != "1|c" {
-		t.Fatalf("figures %v", got)
+		t.Fatalf("want 1 failed request and 1 attempt, got %v", got)
 	}
 }
 
-// TestSilentCallersDoNotShutTheDoor: more of them than the door holds, and a caller is
-// answered within its second, though the loop does nothing at all meanwhile.
-func TestSilentCallersDoNotShutTheDoor(t *testing.T) {
-	g := open(t, withDoor, "127.0.0.1:1")
+// TestSilentAdminConnectionsDoNotBlockOthers opens more silent connections than the admin server
+// keeps. A request must be answered within its second, although the event loop is blocked.
+func TestSilentAdminConnectionsDoNotBlockOthers(t *testing.T) {
+	gateway := startGateway(t, withAdminServer, "127.0.0.1:1")
 	held, release := make(chan bool), make(chan bool)
-	g.loop.Post(func() { held <- true; <-release })
-	next(t, held)
+	gateway.loop.Post(func() { held <- true; <-release })
+	receive(t, held)
 	defer close(release)
 	for range 40 {
-		c, err := net.Dial("tcp", g.door.Addr())
+		c, err := net.Dial("tcp", gateway.adminServer.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		_, _ = io.WriteString(c, "GET /admin")
 	}
-	if status, text := g.call("/admin/stats"); status != 200 || !strings.Contains(text, "edge.pending:0|g\n") {
-		t.Errorf("stats: %d %q", status, text)
+	if status, text := gateway.adminGet("/admin/stats"); status != 200 || !strings.Contains(text, "edge.pending:0|g\n") {
+		t.Errorf("stats: status %d %q, want 200 with edge.pending:0|g", status, text)
 	}
-	if status, _ := g.call("/admin/health"); status != 200 {
-		t.Errorf("health: %d", status)
+	if status, _ := gateway.adminGet("/admin/health"); status != 200 {
+		t.Errorf("health: status %d, want 200", status)
 	}
 }
 
-// TestTheDoorAnswersWhatItDoesNotTake as users of HTTP expect.
-func TestTheDoorAnswersWhatItDoesNotTake(t *testing.T) {
-	g := open(t, withDoor)
+// TestAdminRejectsInvalidRequests checks the HTTP status of unready, unknown, forbidden and
+// malformed requests.
+func TestAdminRejectsInvalidRequests(t *testing.T) {
+	gateway := startGateway(t, withAdminServer)
 	for text, want := range map[string]int{
 		"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n":                      503, // no worker
 		"GET /admin/else HTTP/1.1\r\nHost: a\r\n\r\n":                        404,
 		"POST /admin/stats HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n": 405,
 		"\x16\x03\x01\r\n\r\n":                                               400,
 	} {
-		c, err := net.Dial("tcp", g.door.Addr())
+		c, err := net.Dial("tcp", gateway.adminServer.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(c, text)
-		answer, _ := io.ReadAll(c) // one call a connection
+		answer, _ := io.ReadAll(c) // the server closes the connection after one request
 		if !strings.HasPrefix(string(answer), fmt.Sprintf("HTTP/1.1 %d ", want)) {
-			t.Errorf("%q: %q", text, answer)
+			t.Errorf("%q: got %q, want status %d", text, answer, want)
 		}
 	}
 }
 
-// TestWithoutControlThereIsNoDoor, and nobody counts.
-func TestWithoutControlThereIsNoDoor(t *testing.T) {
-	if g := open(t, nil); g.door != nil || g.service.figures != nil {
-		t.Fatal("there is a door")
+// TestNoAdminServerWithoutControlAddress checks that there are then no metrics either.
+func TestNoAdminServerWithoutControlAddress(t *testing.T) {
+	if gateway := startGateway(t, nil); gateway.adminServer != nil || gateway.service.metrics != nil {
+		t.Fatal("there is an admin server or metrics without a control address")
 	}
 }
 
-// TestSettingsChangeWholeOrNotAtAll: a class is added, another's terms change and a third
-// is dropped, while a request with the old terms is open; faulty files change nothing.
-func TestSettingsChangeWholeOrNotAtAll(t *testing.T) {
-	addr, got := worker(t, func(n int, s *seen) bool {
-		if s.body == "hang" {
-			_, _ = io.ReadFull(s.c, make([]byte, 1)) // until the link ends
+// TestReloadIsAtomic reloads a file that adds a class, changes another and removes a third while
+// a request of the removed class is open. Invalid files must change nothing.
+func TestReloadIsAtomic(t *testing.T) {
+	addr, got := startWorker(t, func(n int, req *workerRequest) bool {
+		if req.body == "hang" {
+			_, _ = io.ReadFull(req.conn, make([]byte, 1)) // until the connection is closed
 			return false
 		}
-		return say("HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")(n, s)
+		return respondWith("HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")(n, req)
 	})
-	g := open(t, withDoor, addr)
+	gateway := startGateway(t, withAdminServer, addr)
 	tries := func(text string) int {
 		t.Helper()
-		g.dial().ask(text)
+		gateway.dial().ask(text)
 		n := len(got)
 		for range n {
 			<-got
 		}
 		return n
 	}
-	if n := tries(cuota("mayor", 900)); n != 3 {
-		t.Fatalf("%d attempts before", n)
+	if n := tries(cuotaRequest("mayor", 900)); n != 3 {
+		t.Fatalf("%d attempts before the reload, want 3", n)
 	}
 	file := func(set string) error {
 		t.Helper()
-		configured(t, `{"name":"n0","control":"","settings":`+set+`}`)
-		return g.reload(os.Getenv("EDGE_CONFIG"))
+		writeConfigFile(t, `{"name":"n0","control":"","settings":`+set+`}`)
+		return gateway.reload(os.Getenv("EDGE_CONFIG"))
 	}
 	inForce := func(set string) string { return strings.Replace(set, `"max-attempts":3`, `"max-attempts":1`, 1) }
 	for name, set := range map[string]string{
@@ -254,120 +257,122 @@
 		"cut off":           settingsText[:200],
 	} {
 		if file(set) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the invalid file was accepted", name)
 		}
 	}
-	if n := tries(cuota("mayor", 900)); n != 3 {
-		t.Fatalf("%d attempts after faulty files", n)
+	if n := tries(cuotaRequest("mayor", 900)); n != 3 {
+		t.Fatalf("%d attempts after invalid files, want 3", n)
 	}
 
-	open := g.dial().send(simulacion(400, "hang")) // keeps its class
-	next(t, got)
+	open := gateway.dial().send(simulacionRequest(400, "hang")) // keeps its class across the reload
+	receive(t, got)
 	second := strings.NewReplacer(`"max-attempts":3`, `"max-attempts":1`, `"name":"simulacion"`, `"name":"simulacion-2"`).Replace(settingsText)
 	if err := file(second); err != nil {
 		t.Fatal(err)
 	}
-	if n := tries(cuota("mayor", 900)); n != 1 {
-		t.Errorf("%d attempts after the change", n)
+	if n := tries(cuotaRequest("mayor", 900)); n != 1 {
+		t.Errorf("%d attempts after the reload, want 1", n)
 	}
-	if n := tries(strings.NewReplacer("X-Qos: simulacion", "X-Qos: simulacion-2", "7c2d", "7c2e").Replace(simulacion(900, ""))); n != 1 {
-		t.Errorf("%d attempts of the new class", n)
+	if n := tries(strings.NewReplacer("X-Qos: simulacion", "X-Qos: simulacion-2", "7c2d", "7c2e").Replace(simulacionRequest(900, ""))); n != 1 {
+		t.Errorf("%d attempts of the new class, want 1", n)
 	}
-	if res, _ := open.get(); res.StatusCode != 429 { // its repeats are dropped everywhere: a refusal is harmless
-		t.Errorf("the open request got %d", res.StatusCode)
+	if res, _ := open.readResponse(); res.StatusCode != 429 { // workers deduplicate its retries, so it may be refused safely
+		t.Errorf("the open request got status %d, want 429", res.StatusCode)
 	}
-	figures := g.figures()
+	figures := gateway.readStats()
 	for _, name := range []string{"rejected.simulacion", "rejected.simulacion-2"} {
 		if figures[name] != "1|c" {
-			t.Errorf("%s is %q", name, figures[name])
+			t.Errorf("%s is %q, want 1|c", name, figures[name])
 		}
 	}
-	// The dropped class is taken, and counted, until its clients must have heard.
-	if res, _ := g.dial().ask(simulacion(900, "")); res.StatusCode == 400 {
-		t.Error("a class that was just dropped is refused")
+	// The removed class is accepted and counted until its clients must have learned of it.
+	if res, _ := gateway.dial().ask(simulacionRequest(900, "")); res.StatusCode == 400 {
+		t.Error("a class that was just removed is refused")
 	}
-	if n := g.figures()["rejected.simulacion"]; n != "2|c" {
-		t.Errorf("rejected.simulacion is %q with one that came late", n)
+	if n := gateway.readStats()["rejected.simulacion"]; n != "2|c" {
+		t.Errorf("rejected.simulacion is %q after a late request, want 2|c", n)
 	}
-	g.loop.Post(func() { g.platform.Replace(g.set.Classes, g.names.Classes) }) // what the loop does then
-	if res, _ := g.dial().ask(simulacion(900, "")); res.StatusCode != 400 {
-		t.Errorf("a class that is long dropped got %d", res.StatusCode)
+	gateway.loop.Post(func() { gateway.platform.Replace(gateway.policySettings.Classes, gateway.names.Classes) }) // as at the end of the grace period
+	if res, _ := gateway.dial().ask(simulacionRequest(900, "")); res.StatusCode != 400 {
+		t.Errorf("after the grace period a removed class got status %d, want 400", res.StatusCode)
 	}
 }
 
-// TestASlowClientOutlastsTheSilent: past the budget, links that say nothing go, and those
-// that have stopped in the middle of a request, before one that goes on bringing its own.
-func TestASlowClientOutlastsTheSilent(t *testing.T) {
-	addr, _ := worker(t, say(served))
-	g := open(t, func(c *config.Config) { c.Limits.Sockets = 160 }, addr)
-	slow := g.dial()
-	head := cuota("mayor", 1900)
+// TestIdleConnectionsAreEvictedBeforeSlowClient checks that beyond the budget silent connections,
+// and those that have stopped in the middle of a request, are closed before one that is still
+// sending its request slowly.
+func TestIdleConnectionsAreEvictedBeforeSlowClient(t *testing.T) {
+	addr, _ := startWorker(t, respondWith(okResponse))
+	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 160 }, addr)
+	slow := gateway.dial()
+	head := cuotaRequest("mayor", 1900)
 	const pieces = 5
 	for i := range pieces { // 2 s in all
 		slow.send(head[i*len(head)/pieces : (i+1)*len(head)/pieces])
 		if i == pieces-1 {
 			break
 		}
-		// What came later has been answered, so the piece has been read before time goes on.
-		later := g.dial()
+		// A later request has been answered, so the piece was read before the clock advances.
+		later := gateway.dial()
 		later.ask("GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n")
 		later.Close()
-		g.pass(450)
-		if i == 0 { // so far it looks like those that never go on
+		gateway.advanceClock(450)
+		if i == 0 { // so far it can't be told from those that never continue
 			continue
 		}
-		for n := range g.loop.Budget.Clients {
-			c := g.dial()
+		for n := range gateway.loop.Budget.Clients {
+			c := gateway.dial()
 			if n%2 == 0 {
-				_, _ = io.WriteString(c, "GET /api HTTP/1.1\r\nHost") // it may have had to go already
+				_, _ = io.WriteString(c, "GET /api HTTP/1.1\r\nHost") // it may have been evicted already
 			}
-			if n%3 == 0 { // asks once and stays
-				c = g.dial()
+			if n%3 == 0 { // sends one request and stays open
+				c = gateway.dial()
 				if res, _ := c.ask("GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode != 200 {
-					t.Fatalf("status %d", res.StatusCode)
+					t.Fatalf("health check: status %d, want 200", res.StatusCode)
 				}
 			}
 		}
 	}
-	if res, _ := slow.get(); res.StatusCode != 200 {
-		t.Fatalf("status %d", res.StatusCode)
+	if res, _ := slow.readResponse(); res.StatusCode != 200 {
+		t.Fatalf("the slow client got status %d, want 200", res.StatusCode)
 	}
 }
 
-// TestADrainUnderAFullTableAnswersAllThatWasTaken, however crowded it is.
-func TestADrainUnderAFullTableAnswersAllThatWasTaken(t *testing.T) {
+// TestDrainWithFullConnectionTable checks that a drain answers every accepted request although
+// all client connections of the budget are in use.
+func TestDrainWithFullConnectionTable(t *testing.T) {
 	release := make(chan bool)
-	addr, got := worker(t, func(n int, s *seen) bool { <-release; return say(served)(n, s) })
-	g := open(t, func(c *config.Config) { c.Limits.Sockets = 160 }, addr)
+	addr, got := startWorker(t, func(n int, req *workerRequest) bool { <-release; return respondWith(okResponse)(n, req) })
+	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 160 }, addr)
 	var asked []*client
-	for range 3 { // within the bound
-		asked = append(asked, g.dial().send(cuota("mayor", 1900)))
+	for range 3 { // within the concurrency limit
+		asked = append(asked, gateway.dial().send(cuotaRequest("mayor", 1900)))
 	}
 	for range asked {
-		next(t, got)
+		receive(t, got)
 	}
-	for range 2 * g.loop.Budget.Clients {
-		g.dial()
+	for range 2 * gateway.loop.Budget.Clients {
+		gateway.dial()
 	}
 	drained := make(chan bool)
-	go func() { g.drain(); close(drained) }()
-	for until := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	go func() { gateway.drain(); close(drained) }()
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var draining bool
-		g.on(func() { draining = g.clients.Draining() })
+		gateway.runOnLoop(func() { draining = gateway.clients.Draining() })
 		if draining {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("no drain")
+			t.Fatal("the drain did not start")
 		}
 	}
-	late := g.dial().send(cuota("mayor", 1900)) // taken after SIGTERM
-	next(t, got)
+	late := gateway.dial().send(cuotaRequest("mayor", 1900)) // arrives after SIGTERM
+	receive(t, got)
 	close(release)
 	for _, c := range append(asked, late) {
-		if res, _ := c.get(); res.StatusCode != 200 || !res.Close {
-			t.Errorf("status %d, close %v", res.StatusCode, res.Close)
+		if res, _ := c.readResponse(); res.StatusCode != 200 || !res.Close {
+			t.Errorf("status %d, close %v, want 200 and a close", res.StatusCode, res.Close)
 		}
 	}
-	next(t, drained)
+	receive(t, drained)
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service puts a gatekeeper together from its configuration and runs it
-// until it is told to stop.
+// Package service assembles a gatekeeper from its configuration file and runs it as a
+// process: start, reload on SIGHUP, drain on SIGTERM, and handover to a replacement process.
 package service
 
 import (
@@ -31,129 +31,131 @@
 )
 
 const (
-	sweepEvery   = 250 * time.Millisecond
-	handOffEvery = 200 * time.Millisecond
-	publishEvery = 150 * time.Millisecond
-	// lateArrivals is how long after SIGTERM requests may still come in.
-	lateArrivals = 800 * time.Millisecond
-	closeIdle    = 450 * time.Millisecond
-	drainLook    = 20 * time.Millisecond
-	counterPath  = "/v2/numbers"
-	gcPercent    = 100
-	flowPart     = 8 // of the memory is for large messages under way
-	// stillTaken is how long requests of a class that SIGHUP has dropped are taken.
-	stillTaken = 2 * time.Second
-	// restMost is the part of the workers' idle time that a server link may rest.
-	restMost = 0.5
+	sweepInterval        = 250 * time.Millisecond
+	xdsUpdateInterval    = 200 * time.Millisecond
+	statsPublishInterval = 150 * time.Millisecond
+	// minDrainDuration is how long after SIGTERM new requests are still accepted.
+	minDrainDuration      = 800 * time.Millisecond
+	idleCloseDelay        = 450 * time.Millisecond // from SIGTERM until idle client connections are closed
+	drainPollInterval     = 20 * time.Millisecond
+	counterPath           = "/v2/numbers"
+	gcPercent             = 100
+	inFlightMemoryDivisor = 8 // large messages in flight may use one part in 8 of the memory limit
+	// droppedClassGracePeriod is how long requests of a class that a reload removed are
+	// still accepted.
+	droppedClassGracePeriod = 2 * time.Second
+	// maxIdleFraction is the longest idle time of a worker connection, as a fraction of the
+	// idle timeout of the workers.
+	maxIdleFraction = 0.5
 )
 
-// environ puts what the environment says in the place of what the file says. It
-// holds for the start only: the environment of a process does not change, the file
-// may name other addresses later.
-func environ(c *config.Config) {
+// applyEnvironment overrides fields of the configuration file with environment variables.
+// It is used at the start only: the environment of a process does not change, whereas the
+// file may name other addresses at a later reload.
+func applyEnvironment(cfg *config.Config) {
 	for name, field := range map[string]*string{
-		"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery,
-		"EDGE_CONTROL": &c.Control,
+		"EDGE_NAME": &cfg.Name, "EDGE_LISTEN": &cfg.Listen, "EDGE_DISCOVERY": &cfg.Discovery,
+		"EDGE_CONTROL": &cfg.Control,
 	} {
-		if v := os.Getenv(name); v != "" {
-			*field = v
+		if value := os.Getenv(name); value != "" {
+			*field = value
 		}
 	}
 }
 
-// front is a front with what a link reads workers' answers by.
-type front interface {
+// frontend handles the requests of clients and parses the responses of workers.
+type frontend interface {
 	link.Front
 	link.Reader
 }
 
-// service is a gatekeeper and its parts.
+// service is a gatekeeper and its components.
 type service struct {
-	clock   *gatekeeper.Clock
-	loop    *link.Loop
-	core    *gatekeeper.Gatekeeper
-	clients *link.Clients
-	hosts   *platform.HostGroup
-	watch   *link.Watch
-	counter *link.Counter
-	counts  bool            // the settings allow the counter
-	api     *openapi.Front  // nil on the platform
-	xds     *xds.Server     // nil unless configured
-	capture *capture.Writer // nil unless configured
-	door    *admin.Door     // nil unless configured
-	figures *stats.Figures  // nil without a door
-	serving atomic.Bool     // as the door tells it
+	clock          *gatekeeper.Clock
+	loop           *link.Loop
+	core           *gatekeeper.Gatekeeper
+	clients        *link.Clients
+	hosts          *platform.HostGroup
+	watch          *link.Watch
+	counter        *link.Counter
+	counterEnabled bool            // whether the settings use the shared counter
+	api            *openapi.Front  // nil unless configured; platform is used then
+	xds            *xds.Server     // nil unless configured
+	capture        *capture.Writer // nil unless configured
+	adminServer    *admin.Door     // nil unless configured
+	metrics        *stats.Figures  // nil without an admin server
+	serving        atomic.Bool     // as reported by the admin server
 
-	// What SIGHUP replaces. They belong to the loop.
-	inForce  config.Config
-	set      policy.Settings
-	names    settings.Names
-	platform *platform.Front
-	retunes  int // tables of classes put in force at SIGHUP
+	// The fields below are replaced at SIGHUP. Only the event loop may access them.
+	activeConfig   config.Config
+	policySettings policy.Settings
+	names          settings.Names
+	platform       *platform.Front
+	classUpdates   int // number of class tables that reloads have applied
 
-	aside    int              // descriptors that are not the loop's
-	accepts  bool             // clients; the loop's, and so are the following
-	listener *link.Listener   // nil before
-	socket   *handover.Socket // where a new process finds this one; nil where none can
-	meeting  string           // where the two meet; empty where they do not
-	before   *handover.Peer   // the process whose place this one took, while it has not ended
-	heir     *handover.Peer   // the one that is to take, or has taken, the place of this one
-	leaving  bool             // it has
-	stopping bool             // SIGTERM has come
-	ended    bool
+	reservedDescriptors int              // file descriptors that the event loop may not use
+	accepting           bool             // clients are accepted; only the event loop may access this field and those below
+	listener            *link.Listener   // nil until clients are accepted
+	handoverSocket      *handover.Socket // for a successor to connect to; nil while none can
+	handoverPath        string           // path of the handover socket; empty if handover is disabled
+	predecessor         *handover.Peer   // the process that this one replaces, until it exits
+	successor           *handover.Peer   // the process that replaces, or has replaced, this one
+	handedOver          bool             // the successor has taken over
+	stopping            bool             // SIGTERM was received
+	closed              bool             // closeSockets has been called
 }
 
-// Run serves by a configuration file until SIGTERM, and then until what was taken is
-// answered.
+// Run starts a gatekeeper from a configuration file and serves until SIGTERM or SIGINT. It
+// returns once every accepted request has been answered.
 func Run(file string) error {
-	// Each has a channel of its own, so that a burst of one can't crowd the other out.
-	stop, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(again, syscall.SIGHUP)
-	c, err := config.Read(file)
+	// Separate channels, so that a burst of one signal can't displace the other.
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	cfg, err := config.Read(file)
 	if err != nil {
 		return err
 	}
-	environ(&c)
-	tune(c.Limits.MemoryMB)
-	before := meet(c)
-	s, err := start(c, before)
+	applyEnvironment(&cfg)
+	configureRuntime(cfg.Limits.MemoryMB)
+	predecessor := connectPredecessor(cfg)
+	s, err := start(cfg, predecessor)
 	if err != nil {
-		before.refuse()
+		predecessor.close()
 		return err
 	}
-	go func() { // also while the gatekeeper drains: what it still serves needs the counter
-		for range again {
+	go func() { // also during the drain: requests in flight still need the counter's address
+		for range reloadSignals {
 			err := s.reload(file)
 			if err != nil {
-				slog.Error("configuration not replaced, the old one holds", "error", err)
+				slog.Error("configuration not replaced, the previous one stays in force", "error", err)
 			}
-			if s.figures != nil {
-				s.loop.Post(func() { s.figures.Reloaded(err == nil) })
+			if s.metrics != nil {
+				s.loop.Post(func() { s.metrics.Reloaded(err == nil) })
 			}
 		}
 	}()
-	var signal os.Signal
+	var received os.Signal
 	select {
-	case err = <-s.serve(c, before):
+	case err = <-s.serve(cfg, predecessor):
 		if err != nil {
 			return err
 		}
-		signal = <-stop
-	case signal = <-stop: // the process in service goes on alone
+		received = <-stopSignals
+	case received = <-stopSignals: // a predecessor continues to serve by itself
 	}
-	slog.Info("draining", "name", c.Name, "signal", signal.String())
+	slog.Info("draining", "name", cfg.Name, "signal", received.String())
 	s.drain()
-	s.leave()
-	slog.Info("ended", "name", c.Name)
+	s.closeSockets()
+	slog.Info("ended", "name", cfg.Name)
 	return s.stop()
 }
 
-// stop ends the loop, and then what it has handed on.
+// stop ends the event loop, and then the admin server and the capture.
 func (s *service) stop() error {
 	err := s.loop.Stop()
-	if s.door != nil {
-		_ = s.door.Close()
+	if s.adminServer != nil {
+		_ = s.adminServer.Close()
 	}
 	if s.capture != nil {
 		s.capture.Close()
@@ -161,105 +163,105 @@
 	return err
 }
 
-// start makes the parts and sets them to work, short of taking clients.
-func start(c config.Config, before *predecessor) (*service, error) {
-	set, names, err := c.Terms()
+// start creates and starts all components, but doesn't accept clients yet.
+func start(cfg config.Config, predecessor *predecessor) (*service, error) {
+	policySettings, names, err := cfg.Terms()
 	if err != nil {
 		return nil, err
 	}
-	if err := before.agree(c, &set, &names); err != nil {
+	if err := predecessor.alignClasses(cfg, &policySettings, &names); err != nil {
 		return nil, err
 	}
-	seed, stated, err := c.SeedBits()
+	seed, seedSet, err := cfg.SeedBits()
 	if err != nil {
 		return nil, err
 	}
-	if !stated { // an operator's file need not have one
+	if !seedSet { // the seed is optional
 		seed = rand.Uint64()
 	}
 	clock := gatekeeper.NewClock()
-	s := &service{clock: clock, counts: set.Counter, inForce: c, meeting: meeting(c)}
-	if err := c.Check(s.counts); err != nil {
+	s := &service{clock: clock, counterEnabled: policySettings.Counter, activeConfig: cfg, handoverPath: handoverSocketPath(cfg)}
+	if err := cfg.Check(s.counterEnabled); err != nil {
 		return nil, err
 	}
-	s.platform = platform.NewFront(set, names, func() bool { return s.core.Ready() && !s.clients.Draining() })
-	var f front = s.platform
-	if c.OpenAPI != nil {
-		d, err := describe(c.OpenAPI.Description)
+	s.platform = platform.NewFront(policySettings, names, func() bool { return s.core.Ready() && !s.clients.Draining() })
+	var responseFrontend frontend = s.platform
+	if cfg.OpenAPI != nil {
+		description, err := readDescription(cfg.OpenAPI.Description)
 		if err != nil {
 			return nil, err
 		}
-		if s.api, err = openapi.NewFront(*c.OpenAPI, d, set, names, clock); err != nil {
+		if s.api, err = openapi.NewFront(*cfg.OpenAPI, description, policySettings, names, clock); err != nil {
 			return nil, err
 		}
-		set.Classes, names.Classes, f = s.api.Classes(), s.api.Names(), s.api
+		policySettings.Classes, names.Classes, responseFrontend = s.api.Classes(), s.api.Names(), s.api
 	}
-	s.set, s.names = set, names
-	if c.Control != "" {
-		s.aside, s.figures = admin.Descriptors, stats.New(names.Classes)
+	s.policySettings, s.names = policySettings, names
+	if cfg.Control != "" {
+		s.reservedDescriptors, s.metrics = admin.Descriptors, stats.New(names.Classes)
 	}
-	if s.loop, err = link.NewLoop(link.NewBudget(descriptors(c.Limits.Sockets), s.aside)); err != nil {
+	if s.loop, err = link.NewLoop(link.NewBudget(descriptorLimit(cfg.Limits.Sockets), s.reservedDescriptors)); err != nil {
 		return nil, err
 	}
-	s.loop.Flowing = flowing(c.Limits.MemoryMB)
-	if c.XDS != "" {
-		if s.xds, err = xds.Listen(c.XDS); err != nil {
+	s.loop.Flowing = inFlightBytes(cfg.Limits.MemoryMB)
+	if cfg.XDS != "" {
+		if s.xds, err = xds.Listen(cfg.XDS); err != nil {
 			return nil, err
 		}
 	}
-	past := before.state()
-	if c.Capture != nil {
-		if c.Capture.Warm && past == nil { // who is in service knows better than a capture
-			past = earlier(c, time.Now())
+	earlierState := predecessor.earlierState()
+	if cfg.Capture != nil {
+		if cfg.Capture.Warm && earlierState == nil { // a predecessor's state is more recent than any capture
+			earlierState = recoverState(cfg, time.Now())
 		}
-		if s.capture, err = openCapture(c, clock, seed); err != nil {
+		if s.capture, err = openCapture(cfg, clock, seed); err != nil {
 			return nil, err
 		}
 	}
-	connectMost, idleMost := float64(names.ConnectMost)/1000, float64(names.ConnIdle)/1000*restMost
-	fleet := link.NewFleet(s.loop, clock, f, connectMost, idleMost, c.Transport)
-	s.counter = link.NewCounter(s.loop, clock, c.Counter, counterPath, connectMost)
+	connectTimeoutMS, maxIdleMS := float64(names.ConnectMost)/1000, float64(names.ConnIdle)/1000*maxIdleFraction
+	fleet := link.NewFleet(s.loop, clock, responseFrontend, connectTimeoutMS, maxIdleMS, cfg.Transport)
+	s.counter = link.NewCounter(s.loop, clock, cfg.Counter, counterPath, connectTimeoutMS)
 	s.loop.OnAlarm(func() { s.core.Advance() })
-	s.on(func() {
-		made := gatekeeper.Config{
-			Settings: set, Seed: seed, Clock: clock, Fleet: fleet, Counter: s.counter,
-			Wake: func(at float64) { s.loop.Wake(at - clock.Now()) }, Earlier: past,
+	s.runOnLoop(func() {
+		gatewayConfig := gatekeeper.Config{
+			Settings: policySettings, Seed: seed, Clock: clock, Fleet: fleet, Counter: s.counter,
+			Wake: func(at float64) { s.loop.Wake(at - clock.Now()) }, Earlier: earlierState,
 		}
 		if s.capture != nil {
-			made.Recorder = s.capture
+			gatewayConfig.Recorder = s.capture
 		}
-		if s.figures != nil {
-			made.Meter = s.figures
+		if s.metrics != nil {
+			gatewayConfig.Meter = s.metrics
 		}
-		s.core = gatekeeper.New(made)
+		s.core = gatekeeper.New(gatewayConfig)
 		fleet.Attach(s.core)
 		s.counter.Attach(s.core)
-		s.clients = link.NewClients(s.loop, clock, s.core, f)
+		s.clients = link.NewClients(s.loop, clock, s.core, responseFrontend)
 		if s.api != nil {
 			s.api.Attach(s.core, s.clients.Draining)
 		}
 		s.hosts = &platform.HostGroup{Core: s.core, Fleet: fleet, Names: names}
-		s.hosts.Apply(policy.Cached, before.list(c.Known))
-		s.watch = link.NewWatch(s.loop, clock, c.Discovery, s.hosts.Path, s.hosts.Line)
-		if c.Discovery != "" {
+		s.hosts.Apply(policy.Cached, predecessor.workerList(cfg.Known))
+		s.watch = link.NewWatch(s.loop, clock, cfg.Discovery, s.hosts.Path, s.hosts.Line)
+		if cfg.Discovery != "" {
 			s.watch.Start()
 		}
-		s.loop.Every(sweepEvery, func() {
+		s.loop.Every(sweepInterval, func() {
 			s.clients.Sweep()
 			fleet.Sweep()
 			s.counter.Sweep()
 			s.watch.Sweep()
 		})
 		if s.xds != nil {
-			s.loop.Every(handOffEvery, s.handOff)
+			s.loop.Every(xdsUpdateInterval, s.publishXDS)
 		}
-		s.publish()
-		if s.figures != nil {
-			s.loop.Every(publishEvery, s.publish)
+		s.publishStats()
+		if s.metrics != nil {
+			s.loop.Every(statsPublishInterval, s.publishStats)
 		}
 	})
-	if c.Control != "" {
-		if s.door, err = admin.Listen(c.Control, s); err != nil {
+	if cfg.Control != "" {
+		if s.adminServer, err = admin.Listen(cfg.Control, s); err != nil {
 			return nil, err
 		}
 	}
@@ -272,205 +274,206 @@
 // Lines implements admin.Source.
 func (s *service) Lines() []byte {
 	if s.capture == nil {
-		return s.figures.Lines()
+		return s.metrics.Lines()
 	}
-	c := &s.capture.Stats
-	return fmt.Appendf(slices.Clone(s.figures.Lines()), "edge.capture_records:%d|c\nedge.capture_lost:%d|c\nedge.capture_errors:%d|c\nedge.capture_bytes:%d|c\n",
-		c.Records.Load(), c.Lost.Load(), c.Errors.Load(), c.Bytes.Load())
+	counters := &s.capture.Stats
+	return fmt.Appendf(slices.Clone(s.metrics.Lines()), "edge.capture_records:%d|c\nedge.capture_lost:%d|c\nedge.capture_errors:%d|c\nedge.capture_bytes:%d|c\n",
+		counters.Records.Load(), counters.Lost.Load(), counters.Errors.Load(), counters.Bytes.Load())
 }
 
-// publish gives the door a copy of the figures of this moment.
-func (s *service) publish() {
-	if s.figures == nil {
+// publishStats updates the metrics that the admin server reports.
+func (s *service) publishStats() {
+	if s.metrics == nil {
 		return
 	}
-	s.serving.Store(s.accepts && s.core.Ready() && !s.clients.Draining())
+	s.serving.Store(s.accepting && s.core.Ready() && !s.clients.Draining())
 	standings, _ := s.core.Standings()
-	avoided := 0
-	for _, x := range standings {
-		if x.Shut || x.State != policy.Ready {
-			avoided++
+	unavailable := 0
+	for _, standing := range standings {
+		if standing.Shut || standing.State != policy.Ready {
+			unavailable++
 		}
 	}
-	s.figures.Publish(stats.Gauges{Pending: s.core.Open(), Members: len(standings), Unavailable: avoided})
+	s.metrics.Publish(stats.Gauges{Pending: s.core.Open(), Members: len(standings), Unavailable: unavailable})
 }
 
-// handOff tells other proxies what the module thinks at present.
-func (s *service) handOff() {
-	set, names := s.set, s.names
+// publishXDS sends the present health and limits of the workers to proxies over xDS.
+func (s *service) publishXDS() {
+	policySettings, names := s.policySettings, s.names
 	standings, bound := s.core.Standings()
-	st := xds.State{Bound: bound, Connect: time.Duration(names.ConnectMost) * time.Microsecond, Attempts: set.MaxAttempts}
-	for _, x := range standings {
-		e := xds.Endpoint{Address: s.hosts.Address(x.Server), Standing: x}
-		if x.Zone < len(names.Zones) {
-			e.Zone = names.Zones[x.Zone]
+	state := xds.State{Bound: bound, Connect: time.Duration(names.ConnectMost) * time.Microsecond, Attempts: policySettings.MaxAttempts}
+	for _, standing := range standings {
+		endpoint := xds.Endpoint{Address: s.hosts.Address(standing.Server), Standing: standing}
+		if standing.Zone < len(names.Zones) {
+			endpoint.Zone = names.Zones[standing.Zone]
 		}
-		st.Endpoints = append(st.Endpoints, e)
+		state.Endpoints = append(state.Endpoints, endpoint)
 	}
 	if s.api != nil {
-		st.Rules = s.api.Rules()
+		state.Rules = s.api.Rules()
 	}
-	if err := s.xds.Set(st); err != nil {
-		slog.Error("xds: not handed off", "error", err)
+	if err := s.xds.Set(state); err != nil {
+		slog.Error("xds: update failed", "error", err)
 	}
 }
 
-// describe reads a description; Check and the service read it alike.
-func describe(file string) (*openapi.Description, error) {
+// readDescription reads an OpenAPI description, for Check and for the running service.
+func readDescription(file string) (*openapi.Description, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("description: %w", err)
+		return nil, fmt.Errorf("reading the OpenAPI description: %w", err)
 	}
-	d, err := openapi.Parse(text)
+	description, err := openapi.Parse(text)
 	if err != nil {
 		return nil, openapi.InFile(file, err)
 	}
-	return d, nil
+	return description, nil
 }
 
-// reload reads the configuration file and the description again, and puts in force
-// what may change while the gatekeeper runs: the addresses of discovery and the
-// counter, the classes with their terms, and the description. All of it is read and
-// checked before, and takes effect in one call on the loop; with one fault all stays as
-// it was.
+// reload reads the configuration file and the OpenAPI description again, and applies what
+// may change at run time: the addresses of discovery and the counter, the request classes
+// with their parameters, and the description. Everything is read and checked first, and
+// applied in one call on the event loop. If anything is invalid, nothing changes.
 func (s *service) reload(file string) error {
-	c, err := config.Read(file)
+	cfg, err := config.Read(file)
 	if err != nil {
 		return err
 	}
-	if err := c.Replaces(&s.inForce); err != nil { // only reload changes inForce once it runs
+	if err := cfg.Replaces(&s.activeConfig); err != nil { // once the service runs, only reload writes activeConfig
 		return err
 	}
-	set, names, err := c.Terms()
+	policySettings, names, err := cfg.Terms()
 	if err != nil {
 		return err
 	}
 	if s.api == nil {
-		err = settings.Check(set, names)
+		err = settings.Check(policySettings, names)
 	}
-	if err := errors.Join(err, c.Check(s.counts)); err != nil {
+	if err := errors.Join(err, cfg.Check(s.counterEnabled)); err != nil {
 		return err
 	}
-	var d *openapi.Description
+	var description *openapi.Description
 	if s.api != nil {
-		if c.OpenAPI == nil {
-			return errors.New("configuration: it names no description any more")
+		if cfg.OpenAPI == nil {
+			return errors.New("configuration: the openapi block is missing, but the service was started with one")
 		}
-		if d, err = describe(c.OpenAPI.Description); err != nil {
+		if description, err = readDescription(cfg.OpenAPI.Description); err != nil {
 			return err
 		}
 	}
-	s.on(func() {
-		s.inForce = c
-		if c.Discovery != "" {
-			s.watch.Move(c.Discovery)
+	s.runOnLoop(func() {
+		s.activeConfig = cfg
+		if cfg.Discovery != "" {
+			s.watch.Move(cfg.Discovery)
 		}
-		if s.counts {
-			s.counter.Move(c.Counter)
+		if s.counterEnabled {
+			s.counter.Move(cfg.Counter)
 		}
-		slog.Info("configuration replaced", "discovery", c.Discovery, "counter", c.Counter)
+		slog.Info("configuration replaced", "discovery", cfg.Discovery, "counter", cfg.Counter)
 		switch {
-		case d != nil:
-			s.api.Replace(d)
-			slog.Info("description replaced", "operations", d.Operations())
+		case description != nil:
+			s.api.Replace(description)
+			slog.Info("description replaced", "operations", description.Operations())
 			s.names.Classes = s.api.Names()
-			s.count(s.names.Classes)
+			s.renameMetricClasses(s.names.Classes)
 		default:
-			s.retune(set, names)
+			s.replaceClasses(policySettings, names)
 		}
 	})
 	return nil
 }
 
-// count has the figures go by other names of the classes, in their places.
-func (s *service) count(names []string) {
-	if s.figures != nil {
-		s.figures.Name(names)
+// renameMetricClasses sets the class names that the metrics use, by class index.
+func (s *service) renameMetricClasses(names []string) {
+	if s.metrics != nil {
+		s.metrics.Name(names)
 	}
 }
 
-// retune puts another table of classes in force. Requests under way keep the terms they
-// came with. A class that was dropped is taken for a while longer: its clients learn of
-// the change later than we do.
-func (s *service) retune(set policy.Settings, names settings.Names) {
-	settings.Place(&set, &names, s.set.Classes, s.names.Classes)
-	if slices.Equal(set.Classes, s.set.Classes) && slices.Equal(names.Classes, s.names.Classes) {
+// replaceClasses applies a new table of classes. Requests in flight keep the parameters that
+// they arrived with. Requests of a removed class are accepted for droppedClassGracePeriod,
+// because its clients learn of the change later than the gatekeeper does.
+func (s *service) replaceClasses(policySettings policy.Settings, names settings.Names) {
+	settings.Place(&policySettings, &names, s.policySettings.Classes, s.names.Classes)
+	if slices.Equal(policySettings.Classes, s.policySettings.Classes) && slices.Equal(names.Classes, s.names.Classes) {
 		return
 	}
-	taken := slices.Clone(names.Classes)
+	acceptedNames := slices.Clone(names.Classes)
 	for i, name := range s.names.Classes {
-		if taken[i] == "" {
-			taken[i] = name
+		if acceptedNames[i] == "" {
+			acceptedNames[i] = name
 		}
 	}
-	s.set.Classes, s.names.Classes, s.set.MaxAttempts = set.Classes, names.Classes, set.MaxAttempts
-	s.core.SetClasses(set.Classes)
-	s.platform.Replace(set.Classes, taken)
-	s.count(taken) // a class that was dropped counts for as long as it is taken
-	s.retunes++
-	n := s.retunes
-	s.loop.After(stillTaken, func() {
-		if n == s.retunes { // no later table
-			s.platform.Replace(set.Classes, names.Classes)
+	s.policySettings.Classes, s.names.Classes, s.policySettings.MaxAttempts = policySettings.Classes, names.Classes, policySettings.MaxAttempts
+	s.core.SetClasses(policySettings.Classes)
+	s.platform.Replace(policySettings.Classes, acceptedNames)
+	s.renameMetricClasses(acceptedNames) // a removed class is counted for as long as its requests are accepted
+	s.classUpdates++
+	update := s.classUpdates
+	s.loop.After(droppedClassGracePeriod, func() {
+		if update == s.classUpdates { // no later reload has replaced the table
+			s.platform.Replace(policySettings.Classes, names.Classes)
 		}
 	})
 	slog.Info("classes replaced", "classes", slices.DeleteFunc(slices.Clone(names.Classes), func(name string) bool { return name == "" }),
-		"attempts", set.MaxAttempts)
+		"attempts", policySettings.MaxAttempts)
 }
 
-// drain answers everything that still comes in while clients are told to go, and
-// returns once nothing can be owed any more.
+// drain asks clients to close their connections, and answers the requests that still arrive.
+// It returns once no request and no client connection is left and minDrainDuration has passed.
 func (s *service) drain() {
-	began := time.Now()
-	s.on(func() {
+	started := time.Now()
+	s.runOnLoop(func() {
 		s.stopping = true
 		s.clients.Drain()
 	})
-	time.Sleep(closeIdle)
+	time.Sleep(idleCloseDelay)
 	for {
-		var left int
-		s.on(func() {
+		var remaining int
+		s.runOnLoop(func() {
 			s.clients.CloseIdle()
-			left = s.core.Open() + s.clients.Len()
+			remaining = s.core.Open() + s.clients.Len()
 		})
-		if left == 0 && time.Since(began) > lateArrivals {
+		if remaining == 0 && time.Since(started) > minDrainDuration {
 			return
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// descriptors is the number the process may hold: what it is told, or what the
-// system allows where that is less.
-func descriptors(told int) int {
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
-		return told
-	}
-	if allowed := int(min(lim.Cur, 1<<20)); told <= 0 || allowed < told {
+// descriptorLimit returns how many file descriptors the process may use: the configured
+// number, or the system's limit if that is lower or nothing is configured.
+func descriptorLimit(configured int) int {
+	var systemLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &systemLimit); err != nil {
+		return configured
+	}
+	if allowed := int(min(systemLimit.Cur, 1<<20)); configured <= 0 || allowed < configured {
 		return allowed
 	}
-	return told
+	return configured
 }
 
-// tune sets the runtime for one core and little memory. Two Ps, though the core is
-// one: while the loop waits in its system call, the alarm and the diallers find the
-// other free. With one P a trouble day of 50 s took 1.8 and 1.9 s of CPU a
-// gatekeeper, with two 1.0 to 1.5 s.
+// configureRuntime sets the Go runtime for one core and little memory.
 //
-// What lives is 3 to 4 MB and what is allocated a quarter of a MB a second, so a
-// collection every quarter of a minute costs nothing to speak of. With a percentage of
-// 400 the first came at 16 MB, a minute after the start, and memory only grew till then.
-func tune(memoryMB int) {
+// GOMAXPROCS is 2 although there is one core: while the event loop waits in its system call,
+// the timer and the dialing goroutines find the other P free. In a 50 s run with failing
+// workers a gatekeeper used 1.8 and 1.9 s of CPU with one P, and 1.0 to 1.5 s with two.
+//
+// The live heap is 3 to 4 MB and 0.25 MB are allocated per second, so a collection every 15 s
+// costs little. With a GC percentage of 400 the first collection came at 16 MB, a minute after
+// the start, and memory only grew until then.
+func configureRuntime(memoryMB int) {
 	runtime.GOMAXPROCS(2)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(memoryGoal(memoryMB))
+		debug.SetMemoryLimit(runtimeMemoryLimit(memoryMB))
 	}
 	debug.SetGCPercent(gcPercent)
 }
 
-// flowing is how many bytes of large messages may be under way at once.
-func flowing(memoryMB int) int { return memoryMB << 20 / flowPart }
+// inFlightBytes returns how many bytes of large messages may be buffered at once.
+func inFlightBytes(memoryMB int) int { return memoryMB << 20 / inFlightMemoryDivisor }
 
-// memoryGoal is the part of the limit that the runtime may use.
-func memoryGoal(memoryMB int) int64 { return int64(memoryMB) << 20 * 3 / 4 }
+// runtimeMemoryLimit returns the part of the memory limit, in bytes, that the Go runtime may
+// use: three quarters.
+func runtimeMemoryLimit(memoryMB int) int64 { return int64(memoryMB) << 20 * 3 / 4 }
--- a/internal/service/transports_test.go
+++ b/internal/service/transports_test.go
@@ -17,113 +17,118 @@
 	"foxwood/internal/link"
 )
 
-const echo = "X-Link-Turn"
+// echoHeader is the header in which emulated workers return the turn of a request on its
+// connection.
+const echoHeader = "X-Link-Turn"
 
-// carriers is every way to speak to workers.
-var carriers = []link.Carrier{link.OneAtATime, link.Pipeline, link.HTTP2, link.Batch}
+// allCarriers is every transport to workers.
+var allCarriers = []link.Carrier{link.OneAtATime, link.Pipeline, link.HTTP2, link.Batch}
 
-// eachCarrier runs a test on a gatekeeper before emulated workers, for every carrier.
-func eachCarrier(t *testing.T, workers int, c emulator.Config, test func(t *testing.T, g *gate, ws []*emulator.Worker)) {
-	for _, carrier := range carriers {
+// eachCarrier runs a test for every transport, with a gatekeeper in front of emulated workers.
+func eachCarrier(t *testing.T, workers int, base emulator.Config, test func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker)) {
+	for _, carrier := range allCarriers {
 		t.Run(carrier.String(), func(t *testing.T) {
-			conf := c
-			conf.Ledger, conf.Echo = emulator.NewLedger(), echo
-			var ws []*emulator.Worker
+			workerConfig := base
+			workerConfig.Ledger, workerConfig.Echo = emulator.NewLedger(), echoHeader
+			var emulated []*emulator.Worker
 			var addrs []string
 			for range workers {
-				w, err := emulator.Start("127.0.0.1:0", conf)
+				w, err := emulator.Start("127.0.0.1:0", workerConfig)
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(w.Stop)
-				ws, addrs = append(ws, w), append(addrs, w.Addr())
+				emulated, addrs = append(emulated, w), append(addrs, w.Addr())
 			}
-			g := open(t, func(c *config.Config) { c.Transport = link.Transport{Carrier: carrier} }, addrs...)
-			test(t, g, ws)
+			gateway := startGateway(t, func(base *config.Config) { base.Transport = link.Transport{Carrier: carrier} }, addrs...)
+			test(t, gateway, emulated)
 		})
 	}
 }
 
-// asked is one request and what became of it.
-type asked struct {
-	id, key string
-	status  int
-	body    string
-	took    time.Duration
+// clientResult is a request and its response.
+type clientResult struct {
+	id, key  string
+	status   int
+	body     string
+	duration time.Duration
 }
 
-// request is a request of a class under an id of its own.
-func request(class string, id, key string, leftMS int) string {
+// classRequest returns a request of a class with a trace id.
+func classRequest(class string, id, idempotencyKey string, timeoutMS int) string {
 	if class == "cuota" {
 		return fmt.Sprintf("GET /api?class=cuota HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: %s\r\nX-Qos: cuota\r\nX-Tier: mayor\r\n"+
-			"X-Api-Key: 00000000b4d65521\r\nX-Expires-In-Ms: %d\r\nX-Call-Terms: units=2,spread=1,first=0\r\n\r\n", id, leftMS)
+			"X-Api-Key: 00000000b4d65521\r\nX-Expires-In-Ms: %d\r\nX-Call-Terms: units=2,spread=1,first=0\r\n\r\n", id, timeoutMS)
 	}
 	return fmt.Sprintf("POST /api?class=%s HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: %s\r\nX-Qos: %[1]s\r\nX-Tier: mayor\r\n"+
 		"X-Api-Key: 00000000b4d65521\r\nX-Expires-In-Ms: %[3]d\r\nIdempotency-Key: %[4]s\r\nContent-Length: 7\r\n"+
-		"X-Call-Terms: units=2,spread=1,first=0\r\n\r\nmonto=1", class, id, leftMS, key)
+		"X-Call-Terms: units=2,spread=1,first=0\r\n\r\nmonto=1", class, id, timeoutMS, idempotencyKey)
 }
 
-// ask sends a request on a connection of its own and reads its one answer.
-func (g *gate) ask(class string, n, leftMS int) asked {
-	a := asked{id: fmt.Sprintf("%s-%d", class, n), key: fmt.Sprintf("key-%d", n)}
-	c := g.dial()
-	defer c.Close()
-	began := time.Now()
-	res, body := c.ask(request(class, a.id, a.key, leftMS))
-	a.status, a.body, a.took = res.StatusCode, body, time.Since(began)
-	return a
+// ask sends a request over a new connection and reads its response.
+func (g *testGateway) ask(class string, n, leftMS int) clientResult {
+	result := clientResult{id: fmt.Sprintf("%s-%d", class, n), key: fmt.Sprintf("key-%d", n)}
+	conn := g.dial()
+	defer conn.Close()
+	started := time.Now()
+	response, body := conn.ask(classRequest(class, result.id, result.key, leftMS))
+	result.status, result.body, result.duration = response.StatusCode, body, time.Since(started)
+	return result
 }
 
-// together asks many at once.
-func (g *gate) together(class string, from, n, leftMS int) []asked {
-	all := make([]asked, n)
-	var wait sync.WaitGroup
+// askConcurrently sends n requests at once.
+func (g *testGateway) askConcurrently(class string, firstID, n, leftMS int) []clientResult {
+	results := make([]clientResult, n)
+	var clients sync.WaitGroup
 	for i := range n {
-		wait.Go(func() { all[i] = g.ask(class, from+i, leftMS) })
+		clients.Go(func() { results[i] = g.ask(class, firstID+i, leftMS) })
 	}
-	wait.Wait()
-	return all
+	clients.Wait()
+	return results
 }
 
-// own checks that a served request got the answer made for it.
-func own(t *testing.T, all []asked) (served int) {
+// checkResponses checks that each request got its own response or an expected error status, and
+// returns how many were served.
+func checkResponses(t *testing.T, results []clientResult) (served int) {
 	t.Helper()
-	for _, a := range all {
-		switch a.status {
+	for _, result := range results {
+		switch result.status {
 		case http.StatusOK:
 			served++
-			if a.body != "ran "+a.id+"\n" {
-				t.Errorf("%s was given %q", a.id, a.body)
+			if result.body != "ran "+result.id+"\n" {
+				t.Errorf("%s got the response %q", result.id, result.body)
 			}
 		case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable:
 		default:
-			t.Errorf("%s: status %d", a.id, a.status)
+			t.Errorf("%s: unexpected status %d", result.id, result.status)
 		}
 	}
 	return served
 }
 
-// once checks that no key ran twice.
-func once(t *testing.T, l *emulator.Ledger) {
+// checkKeysRanOnce checks that no idempotency key was executed twice.
+func checkKeysRanOnce(t *testing.T, ledger *emulator.Ledger) {
 	t.Helper()
-	for key, n := range l.KeysRun() {
+	for key, n := range ledger.KeysRun() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
 }
 
-func TestEveryCarrierServesEachItsOwn(t *testing.T) {
+// TestEachRequestGetsItsOwnResponse sends concurrent requests of both classes: all must be
+// served, each executed once.
+func TestEachRequestGetsItsOwnResponse(t *testing.T) {
 	eachCarrier(t, 2, emulator.Config{Cores: 4, Default: emulator.Service{Mean: 2 * time.Millisecond}},
-		func(t *testing.T, g *gate, ws []*emulator.Worker) {
+		func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 			for round := range 4 {
-				all := append(g.together("cuota", round*100, 8, 1900), g.together("simulacion", round*100+50, 4, 1900)...)
-				if n := own(t, all); n < len(all) {
+				all := append(gateway.askConcurrently("cuota", round*100, 8, 1900), gateway.askConcurrently("simulacion", round*100+50, 4, 1900)...)
+				if n := checkResponses(t, all); n < len(all) {
 					t.Errorf("round %d: %d of %d served", round, n, len(all))
 				}
 			}
-			once(t, ws[0].Ledger)
-			for id, n := range ws[0].Ledger.Ran() {
+			checkKeysRanOnce(t, emulated[0].Ledger)
+			for id, n := range emulated[0].Ledger.Ran() {
 				if n != 1 {
 					t.Errorf("%s ran %d times", id, n)
 				}
@@ -131,40 +136,40 @@
 		})
 }
 
-// TestASlowOneHoldsUpNobody: several long simulaciones are out, and cuotas asked
-// meanwhile keep their time on every carrier.
-func TestASlowOneHoldsUpNobody(t *testing.T) {
+// TestSlowRequestsDoNotDelayOthers guards against head-of-line blocking on every transport: while
+// several long simulacion requests are in flight, cuota requests must not wait for them.
+func TestSlowRequestsDoNotDelayOthers(t *testing.T) {
 	const slow = 1200 * time.Millisecond
-	conf := emulator.Config{Cores: 16, Window: 5 * time.Second, Classes: map[string]emulator.Service{
+	workerConfig := emulator.Config{Cores: 16, Window: 5 * time.Second, Classes: map[string]emulator.Service{
 		"cuota": {Mean: 2 * time.Millisecond}, "simulacion": {Mean: slow}}}
-	eachCarrier(t, 1, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
-		for i := range 30 { // so that the carrier knows how long a cuota takes
-			g.ask("cuota", i, 1900)
+	eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
+		for i := range 30 { // so that the transport learns how long a cuota request takes
+			gateway.ask("cuota", i, 1900)
 		}
-		done := make(chan []asked, 1)
-		go func() { done <- g.together("simulacion", 0, 3, 1900) }()
-		until(t, func() bool { return ws[0].Holding() == 3 })
+		done := make(chan []clientResult, 1)
+		go func() { done <- gateway.askConcurrently("simulacion", 0, 3, 1900) }()
+		waitForState(t, func() bool { return emulated[0].Holding() == 3 })
 		for round := range 8 {
-			for _, a := range g.together("cuota", 100+10*round, 4, 1900) {
-				if a.status != http.StatusOK || a.took > slow/3 {
-					t.Errorf("%s: status %d after %v", a.id, a.status, a.took)
+			for _, a := range gateway.askConcurrently("cuota", 100+10*round, 4, 1900) {
+				if a.status != http.StatusOK || a.duration > slow/3 {
+					t.Errorf("%s: status %d after %v", a.id, a.status, a.duration)
 				}
 			}
 		}
-		own(t, next(t, done))
+		checkResponses(t, receive(t, done))
 	})
 }
 
-// TestWhateverAWorkerDoesEachIsAnsweredOnce injects resets, stalls, errors, closes and
-// spoilt answers among requests of both classes: each gets one final answer, its own, and
-// no key runs twice.
-func TestWhateverAWorkerDoesEachIsAnsweredOnce(t *testing.T) {
+// TestWorkerFaultsGiveOneResponsePerRequest injects resets, stalls, errors, closed connections and
+// invalid responses among requests of both classes. Each request must get one response, its own,
+// and no idempotency key may run twice.
+func TestWorkerFaultsGiveOneResponsePerRequest(t *testing.T) {
 	for name, fault := range map[string]emulator.Fault{
 		"reset before it ran": emulator.ResetBefore, "reset after it ran": emulator.ResetAfter, "stall": emulator.Stall,
 		"error": emulator.ErrorAfter, "turned away": emulator.TurnAway, "noise": emulator.NoiseAfter,
 		"twice": emulator.TwiceAfter, "close": emulator.CloseAfter,
 	} {
-		conf := emulator.Config{Cores: 8, Window: 5 * time.Second, Default: emulator.Service{Mean: 2 * time.Millisecond, CV: 0.5},
+		workerConfig := emulator.Config{Cores: 8, Window: 5 * time.Second, Default: emulator.Service{Mean: 2 * time.Millisecond, CV: 0.5},
 			Fault: func(a emulator.Arrival) emulator.Fault {
 				if a.N > 20 && a.N%7 == 0 {
 					return fault
@@ -173,178 +178,177 @@
 			}}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			eachCarrier(t, 2, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
+			eachCarrier(t, 2, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 				served, asked := 0, 0
 				for round := range 8 {
-					all := append(g.together("cuota", 100*round, 8, 600), g.together("simulacion", 100*round+50, 4, 600)...)
-					served += own(t, all)
+					all := append(gateway.askConcurrently("cuota", 100*round, 8, 600), gateway.askConcurrently("simulacion", 100*round+50, 4, 600)...)
+					served += checkResponses(t, all)
 					asked += len(all)
 				}
 				if served < asked/2 {
-					t.Errorf("%d of %d served", served, asked)
+					t.Errorf("%d of %d served, want at least half", served, asked)
 				}
-				once(t, ws[0].Ledger)
-				if ws[0].Ledger.Totals().Faults == 0 {
-					t.Error("no fault was met")
+				checkKeysRanOnce(t, emulated[0].Ledger)
+				if emulated[0].Ledger.Totals().Faults == 0 {
+					t.Error("no fault was injected")
 				}
 			})
 		})
 	}
 }
 
-// TestAWorkerThatVanishesLeavesNobodyWaiting: a worker stops with a line, a batch or
-// streams of requests on it, for good.
-func TestAWorkerThatVanishesLeavesNobodyWaiting(t *testing.T) {
-	conf := emulator.Config{Cores: 2, Window: 5 * time.Second, Default: emulator.Service{Mean: 10 * time.Millisecond},
+// TestVanishedWorkerLeavesNoRequestOpen has a worker stop responding for good while it has
+// pipelined requests, a batch or streams in flight.
+func TestVanishedWorkerLeavesNoRequestOpen(t *testing.T) {
+	workerConfig := emulator.Config{Cores: 2, Window: 5 * time.Second, Default: emulator.Service{Mean: 10 * time.Millisecond},
 		Fault: func(a emulator.Arrival) emulator.Fault {
 			if a.N == 25 {
 				return emulator.VanishBefore
 			}
 			return emulator.None
 		}}
-	eachCarrier(t, 2, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
+	eachCarrier(t, 2, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 		for round := range 6 {
-			all := append(g.together("cuota", 100*round, 12, 1500), g.together("simulacion", 100*round+50, 4, 1500)...)
-			own(t, all)
+			all := append(gateway.askConcurrently("cuota", 100*round, 12, 1500), gateway.askConcurrently("simulacion", 100*round+50, 4, 1500)...)
+			checkResponses(t, all)
 		}
-		once(t, ws[0].Ledger)
+		checkKeysRanOnce(t, emulated[0].Ledger)
 	})
 }
 
-// TestADrainToldMidLineLosesNothing: a worker is told to drain with requests out to it on
-// a shared link. Those are answered; what comes after goes elsewhere.
-func TestADrainToldMidLineLosesNothing(t *testing.T) {
-	conf := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: 150 * time.Millisecond}}
-	eachCarrier(t, 2, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
-		done := make(chan []asked, 1)
-		go func() { done <- g.together("cuota", 0, 12, 1900) }()
-		until(t, func() bool { return ws[0].Holding() > 0 && ws[1].Holding() > 0 })
+// TestWorkerDrainLosesNoRequestInFlight marks a worker as draining while it has requests in flight
+// on a shared connection. Those must be answered; later ones must go to the other worker.
+func TestWorkerDrainLosesNoRequestInFlight(t *testing.T) {
+	workerConfig := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: 150 * time.Millisecond}}
+	eachCarrier(t, 2, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
+		done := make(chan []clientResult, 1)
+		go func() { done <- gateway.askConcurrently("cuota", 0, 12, 1900) }()
+		waitForState(t, func() bool { return emulated[0].Holding() > 0 && emulated[1].Holding() > 0 })
 		told := make(chan error)
-		g.loop.Post(func() {
-			line := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[%s]}`, draining(member(0, ws[0].Addr())))
-			told <- g.hosts.Line([]byte(line))
+		gateway.loop.Post(func() {
+			line := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[%s]}`, drainingEntry(workerEntry(0, emulated[0].Addr())))
+			told <- gateway.hosts.Line([]byte(line))
 		})
-		if err := next(t, told); err != nil {
+		if err := receive(t, told); err != nil {
 			t.Fatal(err)
 		}
-		all := next(t, done)
-		if n := own(t, all); n < len(all) {
+		all := receive(t, done)
+		if n := checkResponses(t, all); n < len(all) {
 			t.Errorf("%d of %d served", n, len(all))
 		}
-		after := g.together("cuota", 100, 4, 1900)
-		if n := own(t, after); n < len(after) {
-			t.Errorf("%d of %d served after it", n, len(after))
+		after := gateway.askConcurrently("cuota", 100, 4, 1900)
+		if n := checkResponses(t, after); n < len(after) {
+			t.Errorf("%d of %d served after the drain began", n, len(after))
 		}
-		until(t, func() bool { open, _ := ws[0].Conns(); return open == 0 })
+		waitForState(t, func() bool { open, _ := emulated[0].Conns(); return open == 0 })
 	})
 }
 
-// draining is a line of the list for a worker that drains.
-func draining(member string) string {
+// drainingEntry changes an entry of the worker list to a draining worker.
+func drainingEntry(member string) string {
 	return strings.Replace(member, `"lifecycle":"ready"`, `"lifecycle":"draining"`, 1)
 }
 
-// until waits for a state of an emulated worker, which has no events for it.
-func until(t *testing.T, reached func() bool) {
+// waitForState polls until an emulated worker, which reports no events, reaches a state.
+func waitForState(t *testing.T, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !reached(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatal("what was waited for did not come")
+	for deadline := time.Now().Add(testTimeout); !reached(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("the state was not reached within %v", testTimeout)
 		}
 	}
 }
 
-// TestABreakWithinARequestLeavesOneAnswer: a worker resets its connections after so many
-// bytes: within the preface, the first head, a body, or behind it. The other worker is
-// well. Each request gets one answer, nothing runs twice, and what the well one served is
-// served.
-func TestABreakWithinARequestLeavesOneAnswer(t *testing.T) {
+// TestConnectionResetDuringRequest has one of two workers reset its connections after a number of
+// bytes: within the preface, the first header, a body, or after it. Each request must get one
+// response, none may run twice, and some must be served by the healthy worker.
+func TestConnectionResetDuringRequest(t *testing.T) {
 	const bodyMost = 60000
 	for _, after := range []int{1, 40, 150, 1000, 30000, 70000} {
-		conf := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: time.Millisecond}}
-		eachCarrier(t, 1, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
+		workerConfig := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: time.Millisecond}}
+		eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 			cut := listen(t, func(c net.Conn) {
 				_, _ = io.ReadFull(c, make([]byte, after))
 				_ = c.(*net.TCPConn).SetLinger(0)
 			})
 			told := make(chan error)
-			g.loop.Post(func() {
-				line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s,%s]}`, member(0, ws[0].Addr()), member(1, cut))
-				told <- g.hosts.Line([]byte(line))
+			gateway.loop.Post(func() {
+				line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s,%s]}`, workerEntry(0, emulated[0].Addr()), workerEntry(1, cut))
+				told <- gateway.hosts.Line([]byte(line))
 			})
-			if err := next(t, told); err != nil {
+			if err := receive(t, told); err != nil {
 				t.Fatal(err)
 			}
 			served := 0
 			for n := range 12 {
-				c := g.dial()
+				c := gateway.dial()
 				id := fmt.Sprintf("big-%d", n)
 				body := strings.Repeat("m", bodyMost)
-				text := strings.Replace(request("simulacion", id, id, 1500), "Content-Length: 7", fmt.Sprintf("Content-Length: %d", bodyMost), 1)
+				text := strings.Replace(classRequest("simulacion", id, id, 1500), "Content-Length: 7", fmt.Sprintf("Content-Length: %d", bodyMost), 1)
 				res, got := c.ask(strings.TrimSuffix(text, "monto=1") + body)
 				if res.StatusCode == http.StatusOK {
 					if served++; got != "ran "+id+"\n" {
-						t.Errorf("%s was given %q", id, got)
+						t.Errorf("%s got the response %q", id, got)
 					}
 				}
 				c.Close()
 			}
 			if served == 0 {
-				t.Error("nothing was served")
+				t.Error("no request was served")
 			}
-			once(t, ws[0].Ledger)
+			checkKeysRanOnce(t, emulated[0].Ledger)
 		})
 	}
 }
 
-// TestFewerStreamsThanRequests: a worker allows few streams at once. What finds no room
-// waits for one, on two links at most, and nobody is turned away for it.
-func TestFewerStreamsThanRequests(t *testing.T) {
+// TestRequestsWaitForHTTP2Streams checks a worker that allows few streams per connection: requests
+// beyond that wait for a stream, on at most two connections, and none is rejected.
+func TestRequestsWaitForHTTP2Streams(t *testing.T) {
 	const streams = 3
 	var most, now atomic.Int64
-	conf := emulator.Config{Cores: 16, MaxStreams: streams, Window: 5 * time.Second, Default: emulator.Service{Mean: 20 * time.Millisecond},
-		Fault: func(emulator.Arrival) emulator.Fault { // called as each comes in
+	workerConfig := emulator.Config{Cores: 16, MaxStreams: streams, Window: 5 * time.Second, Default: emulator.Service{Mean: 20 * time.Millisecond},
+		Fault: func(emulator.Arrival) emulator.Fault { // called when a request arrives
 			n := now.Add(1)
-			time.AfterFunc(15*time.Millisecond, func() { now.Add(-1) }) // before it can be answered
+			time.AfterFunc(15*time.Millisecond, func() { now.Add(-1) }) // earlier than its response
 			for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
 			}
 			return emulator.None
 		}}
-	w, err := emulator.Start("127.0.0.1:0", conf)
+	w, err := emulator.Start("127.0.0.1:0", workerConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Stop)
-	g := open(t, func(c *config.Config) { c.Transport = link.Transport{Carrier: link.HTTP2} }, w.Addr())
+	gateway := startGateway(t, func(c *config.Config) { c.Transport = link.Transport{Carrier: link.HTTP2} }, w.Addr())
 	for round := range 5 {
-		all := g.together("cuota", 100*round, 5, 1900)
-		if n := own(t, all); n < len(all) {
+		all := gateway.askConcurrently("cuota", 100*round, 5, 1900)
+		if n := checkResponses(t, all); n < len(all) {
 			t.Errorf("round %d: %d of %d served", round, n, len(all))
 		}
 	}
 	if _, ever := w.Conns(); ever > 2 {
-		t.Errorf("%d links", ever)
+		t.Errorf("%d connections were opened, want at most 2", ever)
 	}
 	if most.Load() > 2*streams {
-		t.Errorf("%d requests at once over two links of %d streams", most.Load(), streams)
+		t.Errorf("%d requests at once over two connections of %d streams", most.Load(), streams)
 	}
 }
 
-// TestSIGTERMFinishesWhatIsOutOnEveryCarrier: a gatekeeper that drains answers all that it
-// has taken, whatever carries it.
-func TestSIGTERMFinishesWhatIsOutOnEveryCarrier(t *testing.T) {
-	conf := emulator.Config{Cores: 16, Window: 5 * time.Second, Default: emulator.Service{Mean: 200 * time.Millisecond}}
-	eachCarrier(t, 1, conf, func(t *testing.T, g *gate, ws []*emulator.Worker) {
+// TestDrainAnswersRequestsInFlight checks for every transport that a draining gatekeeper answers
+// all requests in flight.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
+	workerConfig := emulator.Config{Cores: 16, Window: 5 * time.Second, Default: emulator.Service{Mean: 200 * time.Millisecond}}
+	eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 		t.Parallel()
-		done := make(chan []asked, 1)
-		go func() { done <- g.together("cuota", 0, 4, 1900) }()
-		until(t, func() bool { return ws[0].Holding() == 4 })
+		done := make(chan []clientResult, 1)
+		go func() { done <- gateway.askConcurrently("cuota", 0, 4, 1900) }()
+		waitForState(t, func() bool { return emulated[0].Holding() == 4 })
 		drained := make(chan bool, 1)
-		go func() { g.drain(); drained <- true }()
-		all := next(t, done)
-		if n := own(t, all); n < len(all) {
+		go func() { gateway.drain(); drained <- true }()
+		all := receive(t, done)
+		if n := checkResponses(t, all); n < len(all) {
 			t.Errorf("%d of %d served", n, len(all))
 		}
-		next(t, drained)
+		receive(t, drained)
 	})
 }
