--- a/cmd/foxwood/main.go
+++ b/cmd/foxwood/main.go
@@ -1,5 +1,5 @@
-// Command foxwood is a gatekeeper and the tools around it. Without arguments it runs
-// by the configuration that EDGE_CONFIG names.
+// Command foxwood is a load balancer, called the gatekeeper, and its tools. Without arguments it
+// serves with the configuration file that EDGE_CONFIG names.
 package main
 
 import (
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' door: an address of its own, at which a gatekeeper tells
-// whether it can serve and how it has served. It never waits for the loop.
+// Package admin is the HTTP server for operators. At an address of its own it reports whether a
+// gatekeeper can serve, and its statistics. It never waits for the event loop.
 package admin
 
 import (
@@ -17,87 +17,87 @@
 )
 
 const (
-	// Descriptors is how many the door may hold: its listener, its callers, and one that
-	// has been accepted and takes the place of another.
-	Descriptors = callersMost + 2
-	callersMost = 8
+	// Descriptors is how many file descriptors the server uses at most: the listener, the
+	// connections, and one that was just accepted and displaces another.
+	Descriptors    = maxConnections + 2
+	maxConnections = 8
 
-	patience = 3 * time.Second // for a whole call, from its connection to its answer
-	headMost = 4 << 10
+	requestTimeout = 3 * time.Second // from the connection to the end of the response
+	maxHeaderBytes = 4 << 10
 )
 
-// Source is what the door tells. Its methods are called by any goroutine and may not block.
+// Source is what the server reports. Its methods are called by any goroutine and must not block.
 type Source interface {
-	Serving() bool // clients may come
-	Lines() []byte // the figures, one a line
+	Serving() bool // whether clients are accepted
+	Lines() []byte // the statistics, one per line
 }
 
-// Door serves operators.
+// Door is the server for operators.
 type Door struct {
 	listener net.Listener
 	server   http.Server
 
-	mu      sync.Mutex
-	callers []net.Conn // the one that connected first comes first
+	mu          sync.Mutex
+	connections []net.Conn // the oldest first
 }
 
-// Listen opens the door at an address.
-func Listen(addr string, s Source) (*Door, error) {
-	ln, err := net.Listen("tcp", addr)
+// Listen starts the server at an address.
+func Listen(addr string, source Source) (*Door, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("control: admin server: %w", err)
 	}
-	d := &Door{listener: ln}
+	door := &Door{listener: listener}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, _ *http.Request) {
-		if s.Serving() {
-			answer(w, http.StatusOK, []byte("ok\n"))
+		if source.Serving() {
+			respond(w, http.StatusOK, []byte("ok\n"))
 		} else {
-			answer(w, http.StatusServiceUnavailable, []byte("not serving\n"))
+			respond(w, http.StatusServiceUnavailable, []byte("not serving\n"))
 		}
 	})
 	mux.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, http.StatusOK, s.Lines())
+		respond(w, http.StatusOK, source.Lines())
 	})
-	d.server = http.Server{Handler: mux, ReadTimeout: patience, WriteTimeout: patience, MaxHeaderBytes: headMost,
-		ErrorLog: log.New(io.Discard, "", 0), ConnState: d.state, DisableGeneralOptionsHandler: true}
-	d.server.SetKeepAlivesEnabled(false) // one call a connection
+	door.server = http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: log.New(io.Discard, "", 0), ConnState: door.trackConnection, DisableGeneralOptionsHandler: true}
+	door.server.SetKeepAlivesEnabled(false) // one request per connection
 	go func() {
-		if err := d.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			slog.Error("control: door shut", "error", err)
+		if err := door.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			slog.Error("control: admin server stopped", "error", err)
 		}
 	}()
-	return d, nil
+	return door, nil
 }
 
-func answer(w http.ResponseWriter, status int, text []byte) {
-	h := w.Header()
-	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set("Cache-Control", "no-store")
-	h.Set("Content-Length", strconv.Itoa(len(text)))
-	w.WriteHeader(status)
-	_, _ = w.Write(text)
+func respond(writer http.ResponseWriter, status int, text []byte) {
+	header := writer.Header()
+	header.Set("Content-Type", "text/plain; charset=utf-8")
+	header.Set("Cache-Control", "no-store")
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	writer.WriteHeader(status)
+	_, _ = writer.Write(text)
 }
 
-// state keeps the list of callers. It guards against callers that connect and say nothing:
-// past the bound the one that has been there longest goes, so that a new one is heard.
-func (d *Door) state(c net.Conn, s http.ConnState) {
+// trackConnection keeps the list of open connections. Beyond maxConnections it closes the
+// oldest, so that clients that connect and send nothing can't keep others out.
+func (d *Door) trackConnection(conn net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch s {
+	switch state {
 	case http.StateNew:
-		d.callers = append(d.callers, c)
-		if len(d.callers) > callersMost {
-			_ = d.callers[0].Close() // its own goroutine reports the rest
-			d.callers = d.callers[1:]
+		d.connections = append(d.connections, conn)
+		if len(d.connections) > maxConnections {
+			_ = d.connections[0].Close() // the HTTP server then reports StateClosed for it
+			d.connections = d.connections[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
-		d.callers = slices.DeleteFunc(d.callers, func(o net.Conn) bool { return o == c })
+		d.connections = slices.DeleteFunc(d.connections, func(o net.Conn) bool { return o == conn })
 	}
 }
 
-// Addr is where the door is.
+// Addr returns the address of the server.
 func (d *Door) Addr() string { return d.listener.Addr().String() }
 
-// Close shuts the door and ends its calls.
+// Close stops the server and closes its connections.
 func (d *Door) Close() error { return d.server.Close() }
--- a/internal/command/capture.go
+++ b/internal/command/capture.go
@@ -19,11 +19,12 @@
 	"foxwood/policy"
 )
 
-// keyFlag adds the flag that names a capture's key.
+// keyFlag adds the flag for the file with the key of a capture.
 func keyFlag(c *cobra.Command, file *string) {
-	c.Flags().StringVar(file, "key", "", "file with the key that the capture was made with")
+	c.Flags().StringVar(file, "key", "", "file with the key of the capture")
 }
 
+// readKey reads a key file. Without one it returns the zero key.
 func readKey(file string) (capture.Key, error) {
 	if file == "" {
 		return capture.Key{}, nil
@@ -31,7 +32,7 @@
 	return capture.ReadKey(file)
 }
 
-// openSet finds the segments at some paths.
+// openSet opens the capture segments at the given paths.
 func openSet(paths []string, keyFile string) (*capture.Set, []capture.Segment, *capture.Key, error) {
 	key, err := readKey(keyFile)
 	if err != nil {
@@ -42,17 +43,17 @@
 		return nil, nil, nil, err
 	}
 	if len(segments) == 0 {
-		return nil, nil, nil, errors.New("no segment of a capture is there")
+		return nil, nil, nil, fmt.Errorf("expected at least one capture segment at %s, found none", strings.Join(paths, ", "))
 	}
 	return capture.NewSet(segments, &key), segments, &key, nil
 }
 
 func newCapture() *cobra.Command {
-	group := &cobra.Command{Use: "capture", Short: "Look at captures of what a gatekeeper was told and decided"}
+	group := &cobra.Command{Use: "capture", Short: "Work with captures of a gatekeeper's inputs and decisions"}
 	var keyFile string
 	verify := &cobra.Command{
 		Use:   "verify PATH...",
-		Short: "Read captures through and say what is damaged, altered, cut or missing",
+		Short: "Read captures and report what is damaged, altered, truncated or missing",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, _, _, err := openSet(args, keyFile)
@@ -81,7 +82,7 @@
 	keyFlag(verify, &keyFile)
 	inspect := &cobra.Command{
 		Use:   "inspect PATH...",
-		Short: "List the segments of captures and what they hold",
+		Short: "List the segments of captures and count their records",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, segments, _, err := openSet(args, keyFile)
@@ -92,7 +93,7 @@
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "file\tlife\tsegment\tbytes\tfirst record")
 			for _, s := range segments {
-				fmt.Fprintf(w, "%s\t%016x\t%d\t%d\t%s\n", s.File, s.Life, s.N, s.Size, clock(s.First))
+				fmt.Fprintf(w, "%s\t%016x\t%d\t%d\t%s\n", s.File, s.Life, s.N, s.Size, formatTime(s.First))
 			}
 			counts := map[capturepb.Kind]int{}
 			err = set.Each(func(r *capturepb.Record) { counts[r.GetKind()]++ }, func(err error) { fmt.Fprintln(w, err) })
@@ -101,7 +102,7 @@
 				return err
 			}
 			fmt.Fprintln(w, "\nkind\trecords")
-			for _, kind := range kinds() {
+			for _, kind := range recordKinds() {
 				if n := counts[kind]; n > 0 {
 					fmt.Fprintf(w, "%s\t%d\n", kind, n)
 				}
@@ -114,9 +115,9 @@
 	return group
 }
 
-// openMerged opens one capture for each argument: NAME=PATH, or a path that is its own name.
+// openMerged opens one capture per argument, NAME=PATH or just PATH, and merges them.
 func openMerged(args []string, keyFile string) (*replay.Merged, *capture.Key, func(), error) {
-	var all []replay.Named
+	var captures []replay.Named
 	var sets []*capture.Set
 	closeAll := func() {
 		for _, s := range sets {
@@ -129,43 +130,43 @@
 		if !ok {
 			path = arg
 		}
-		set, _, k, err := openSet([]string{path}, keyFile)
+		set, _, setKey, err := openSet([]string{path}, keyFile)
 		if err != nil {
 			closeAll()
 			return nil, nil, nil, err
 		}
-		key = k
+		key = setKey
 		sets = append(sets, set)
-		all = append(all, replay.Named{Name: name, From: set})
+		captures = append(captures, replay.Named{Name: name, From: set})
 	}
-	return replay.Merge(all...), key, closeAll, nil
+	return replay.Merge(captures...), key, closeAll, nil
 }
 
 func newMerge() *cobra.Command {
 	var keyFile string
 	c := &cobra.Command{
 		Use:   "merge [NAME=]PATH...",
-		Short: "Print several gatekeepers' captures in one order, by the clock that they share",
+		Short: "Print the captures of several gatekeepers, ordered by their common clock",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			m, key, done, err := openMerged(args, keyFile)
+			merged, key, closeAll, err := openMerged(args, keyFile)
 			if err != nil {
 				return err
 			}
-			defer done()
-			dec := capture.NewDecoder(key)
+			defer closeAll()
+			decoder := capture.NewDecoder(key)
 			for {
-				name, r, at, err := m.Next()
+				name, record, at, err := merged.Next()
 				switch {
 				case errors.Is(err, io.EOF):
-					for _, n := range m.Notes {
+					for _, n := range merged.Notes {
 						fmt.Fprintln(c.ErrOrStderr(), "note:", n)
 					}
 					return nil
 				case err != nil:
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", clock(at), name, replay.Describe(r, dec))
+				fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", formatTime(at), name, replay.Describe(record, decoder))
 			}
 		},
 	}
@@ -177,30 +178,30 @@
 	var keyFile string
 	c := &cobra.Command{
 		Use:   "audit [NAME=]PATH...",
-		Short: "Sum up units sent on per customer over several gatekeepers, against quota and ceiling",
+		Short: "Sum up the units of each customer over several gatekeepers, against quota and ceiling",
 		Long: "audit merges the captures of all gatekeepers and reports, for each customer, the units that\n" +
-			"were sent on and how far, at the worst moment, they went beyond the quota's and the ceiling's\n" +
-			"rate and burst. It exits with 1 where a ceiling was passed by more than its slack.",
+			"were forwarded and by how much they exceeded the rate and burst of the quota and the ceiling\n" +
+			"at the worst moment. It exits with 1 if a ceiling was exceeded by more than its slack.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			m, key, done, err := openMerged(args, keyFile)
+			merged, key, closeAll, err := openMerged(args, keyFile)
 			if err != nil {
 				return err
 			}
-			defer done()
-			all, err := replay.Audit(m, key)
+			defer closeAll()
+			accounts, err := replay.Audit(merged, key)
 			if err != nil {
 				return err
 			}
-			for _, n := range m.Notes {
+			for _, n := range merged.Notes {
 				fmt.Fprintln(c.ErrOrStderr(), "note:", n)
 			}
-			if err := replay.WriteAccounts(c.OutOrStdout(), all); err != nil {
+			if err := replay.WriteAccounts(c.OutOrStdout(), accounts); err != nil {
 				return err
 			}
-			for _, a := range all {
-				if a.HasCeiling && a.OverCeiling > a.CeilingSlack {
-					return fmt.Errorf("customer %016x passed its ceiling by %.2f units", a.Customer, a.OverCeiling)
+			for _, account := range accounts {
+				if account.HasCeiling && account.OverCeiling > account.CeilingSlack {
+					return fmt.Errorf("customer %016x exceeded its ceiling by %.2f units", account.Customer, account.OverCeiling)
 				}
 			}
 			return nil
@@ -210,8 +211,8 @@
 	return c
 }
 
-// kinds are the kinds of record, in the order of their numbers.
-func kinds() []capturepb.Kind {
+// recordKinds returns the kinds of records, ordered by number.
+func recordKinds() []capturepb.Kind {
 	var all []capturepb.Kind
 	values := capturepb.Kind(0).Descriptor().Values()
 	for i := range values.Len() {
@@ -220,8 +221,8 @@
 	return all
 }
 
-// clock writes a time of the module as a person reads it.
-func clock(at policy.Micros) string {
+// formatTime formats a time of the decision module as RFC 3339 in UTC, or "-" if it is 0.
+func formatTime(at policy.Micros) string {
 	if at == 0 {
 		return "-"
 	}
@@ -233,10 +234,10 @@
 	var quiet bool
 	c := &cobra.Command{
 		Use:   "replay PATH...",
-		Short: "Play captures to the decision module and compare what it decides",
-		Long: "replay tells the decision module of this build what a capture says another was told, and\n" +
-			"prints the decisions. It exits with 1 at the first that differs from the recorded one, and\n" +
-			"says which call it was. What follows a gap is not played.",
+		Short: "Replay captures with the decision module of this build and compare its decisions",
+		Long: "replay feeds the captured inputs to the decision module of this build and prints its\n" +
+			"decisions. At the first one that differs from the capture it reports the call and exits\n" +
+			"with 1. Records after a gap are not replayed.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, _, key, err := openSet(args, keyFile)
@@ -244,64 +245,65 @@
 				return err
 			}
 			defer set.Close()
-			bar := newProgress(c.ErrOrStderr(), against == "" && !quiet, set.Read)
+			progressBar := newProgress(c.ErrOrStderr(), against == "" && !quiet, set.Read)
 			if against != "" {
-				return compare(c.OutOrStdout(), set, key, against, chart, bar)
+				return compareSettings(c.OutOrStdout(), set, key, against, chart, progressBar)
 			}
 			if chart != "" {
-				return usageError{errors.New("--chart is of --against")}
+				return usageError{errors.New("--chart needs --against")}
 			}
-			o := replay.Options{Stop: func() bool { bar.step(); return false }}
-			if o.Request = replay.Number(request); o.Request == 0 {
-				o.Name = request
+			options := replay.Options{Stop: func() bool { progressBar.step(); return false }}
+			if options.Request = replay.Number(request); options.Request == 0 {
+				options.Name = request
 			}
 			if !quiet {
-				o.Log = c.OutOrStdout()
+				options.Log = c.OutOrStdout()
 			}
 			if until != "" {
-				at, err := time.Parse(time.RFC3339Nano, until)
+				stopTime, err := time.Parse(time.RFC3339Nano, until)
 				if err != nil {
 					return usageError{fmt.Errorf("--until: %w", err)}
 				}
-				o.Until = at.UnixMicro()
+				options.Until = stopTime.UnixMicro()
 			}
-			report, err := replay.Run(set, key, o)
-			bar.end()
+			report, err := replay.Run(set, key, options)
+			progressBar.clear()
 			if err != nil {
 				return err
 			}
-			e := c.ErrOrStderr()
+			stderr := c.ErrOrStderr()
 			for _, n := range report.Notes {
-				fmt.Fprintln(e, "note:", n)
+				fmt.Fprintln(stderr, "note:", n)
 			}
-			fmt.Fprintf(e, "%d lives, %d calls, %d decisions, from %s to %s\n", report.Lives, report.Calls, report.Decisions,
-				clock(report.First), clock(report.Last))
+			fmt.Fprintf(stderr, "%d lives, %d calls, %d decisions, from %s to %s\n", report.Lives, report.Calls, report.Decisions,
+				formatTime(report.First), formatTime(report.Last))
 			for _, d := range report.Differences {
-				fmt.Fprintf(e, "at %s, %s\n  recorded: %q\n  decided:  %q\n", clock(d.At), d.Call, d.Want, d.Got)
+				fmt.Fprintf(stderr, "at %s, %s\n  recorded: %q\n  decided:  %q\n", formatTime(d.At), d.Call, d.Want, d.Got)
 			}
 			if len(report.Differences) > 0 {
-				return errors.New("the replay differs from what was recorded")
+				return errors.New("the replay differs from the capture")
 			}
 			return nil
 		},
 	}
 	keyFlag(c, &keyFile)
-	c.Flags().StringVar(&against, "against", "", "configuration whose settings are compared with the recorded ones, on the same inputs; \"recorded\" compares this build by the recorded ones")
-	c.Flags().StringVar(&chart, "chart", "", "SVG file to draw what --against finds into")
-	c.Flags().StringVar(&until, "until", "", "time to stop at, as 2026-12-01T13:00:00.5Z")
-	c.Flags().StringVar(&request, "request", "", "only decisions on the request with this name (X-Trace-Id) or number")
-	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "print no decisions")
+	c.Flags().StringVar(&against, "against", "", "configuration whose settings are compared with the recorded ones, on the same inputs; \"recorded\" uses the recorded settings, to compare this build with the recording one")
+	c.Flags().StringVar(&chart, "chart", "", "SVG file for a chart of the --against comparison")
+	c.Flags().StringVar(&until, "until", "", "time to stop at, such as 2026-12-01T13:00:00.5Z")
+	c.Flags().StringVar(&request, "request", "", "print only decisions on the request with this name (X-Trace-Id) or number")
+	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "don't print decisions")
 	return c
 }
 
-// recorded, in the place of a configuration, stands for the settings in the capture: what is
-// compared is then this build with the one that recorded.
-const recorded = "recorded"
+// recordedSettings is the value of --against for the settings in the capture. It compares the
+// decisions of this build with those of the build that made the capture.
+const recordedSettings = "recorded"
 
-// compare plays a capture by the settings of a configuration.
-func compare(to io.Writer, set *capture.Set, key *capture.Key, file, chart string, bar *progress) error {
+// compareSettings replays a capture with the settings of a configuration file, and writes how the
+// results differ.
+func compareSettings(out io.Writer, set *capture.Set, key *capture.Key, file, chart string, progressBar *progress) error {
 	var other policy.Settings
-	if file != recorded {
+	if file != recordedSettings {
 		c, err := config.Read(file)
 		if err != nil {
 			return err
@@ -310,40 +312,40 @@
 			return err
 		}
 	}
-	a, err := replay.Compare(set, key, func(s policy.Settings, seed uint64) gatekeeper.Module {
-		if file == recorded {
+	comparison, err := replay.Compare(set, key, func(s policy.Settings, seed uint64) gatekeeper.Module {
+		if file == recordedSettings {
 			return policy.New(s, seed)
 		}
-		if len(other.Classes) == 0 { // a description's classes are not of the settings
+		if len(other.Classes) == 0 { // with an OpenAPI description the settings have no classes
 			other.Classes = s.Classes
 		}
 		return policy.New(other, seed)
-	}, bar.step)
-	bar.end()
+	}, progressBar.step)
+	progressBar.clear()
 	if err != nil {
 		return err
 	}
 	if chart != "" {
-		f, err := os.Create(chart)
+		chartFile, err := os.Create(chart)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		if err := a.Chart(f); err != nil {
+		defer chartFile.Close()
+		if err := comparison.Chart(chartFile); err != nil {
 			return err
 		}
 	}
-	return a.Write(to)
+	return comparison.Write(out)
 }
 
 func newExplain() *cobra.Command {
 	var keyFile, request string
 	c := &cobra.Command{
 		Use:   "explain PATH... --request ID",
-		Short: "Say why a request was refused, failed or sent where it was",
-		Long: "explain plays a capture up to a request and says in words and figures what it met and what\n" +
-			"became of it. ID is the name that the front has for the request (on the platform its\n" +
-			"X-Trace-Id) or its number in the decision log of foxwood replay.",
+		Short: "Explain why a request was refused, failed or sent to a certain worker",
+		Long: "explain replays a capture up to a request, and describes the state that the request met and\n" +
+			"how it ended. ID is the name of the request (on the platform its X-Trace-Id) or its number in\n" +
+			"the decision log of foxwood replay.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if request == "" {
@@ -369,7 +371,7 @@
 	var keyFile, from, until, out string
 	c := &cobra.Command{
 		Use:   "cut PATH... --from TIME --until TIME --out FOLDER",
-		Short: "Copy a part of a capture that can be played by itself",
+		Short: "Copy a part of a capture that can be replayed by itself",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			begin, err := time.Parse(time.RFC3339Nano, from)
@@ -394,8 +396,8 @@
 		},
 	}
 	keyFlag(c, &keyFile)
-	c.Flags().StringVar(&from, "from", "", "time from which on decisions are wanted, as 2026-12-01T13:00:00Z")
-	c.Flags().StringVar(&until, "until", "", "time up to which")
+	c.Flags().StringVar(&from, "from", "", "first time of the part, such as 2026-12-01T13:00:00Z")
+	c.Flags().StringVar(&until, "until", "", "last time of the part")
 	c.Flags().StringVar(&out, "out", ".", "folder to write the part to")
 	return c
 }
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -12,17 +12,17 @@
 func newCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [FILE]",
-		Short: "Read a configuration and the description it names, and say every fault",
-		Long: "check reads a configuration (the file that EDGE_CONFIG names where none is given) and the\n" +
-			"description that it names, and says every fault with file and line on standard error. It exits\n" +
-			"with 0 where there is none, with 1 else. It opens no connection.",
+		Short: "Validate a configuration and the OpenAPI description that it names",
+		Long: "check reads a configuration (by default the file that EDGE_CONFIG names) and the OpenAPI\n" +
+			"description that it names, and prints every fault with file and line on standard error. It\n" +
+			"exits with 0 if there is none, otherwise with 1. It opens no connection.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			file := named("")
+			file := configPath("")
 			if len(args) == 1 {
 				file = args[0]
 			}
-			found := flatten(service.Check(file))
+			found := flattenErrors(service.Check(file))
 			for _, err := range found {
 				fmt.Fprintln(c.ErrOrStderr(), err)
 			}
@@ -35,8 +35,8 @@
 	}
 }
 
-// flatten lists the errors that were joined.
-func flatten(err error) []error {
+// flattenErrors lists the errors that were joined, at any depth.
+func flattenErrors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		if err == nil {
@@ -46,7 +46,7 @@
 	}
 	var all []error
 	for _, e := range joined.Unwrap() {
-		all = append(all, flatten(e)...)
+		all = append(all, flattenErrors(e)...)
 	}
 	return all
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestTheExitStatusTellsWhoseFaultItIs guards what scripts go by: 1 where the work
-// failed, 2 where the call was wrong.
-func TestTheExitStatusTellsWhoseFaultItIs(t *testing.T) {
+// TestExitStatus guards the exit statuses that scripts rely on: 1 if a command failed, 2 if its
+// arguments are wrong.
+func TestExitStatus(t *testing.T) {
 	faulty := filepath.Join(t.TempDir(), "faulty.yaml")
 	text, err := os.ReadFile("../../deploy/calculadora.yaml")
 	if err != nil {
@@ -35,20 +35,20 @@
 		status int
 		says   []string
 	}{
-		"help":             {[]string{"--help"}, ok, []string{"run", "check", "import", "version"}},
-		"version":          {[]string{"version"}, ok, []string{"foxwood, commit"}},
-		"no configuration": {nil, failed, []string{"EDGE_CONFIG"}},
-		"no such command":  {[]string{"serve"}, usage, []string{"serve", "--help"}},
-		"no such flag":     {[]string{"run", "--fast"}, usage, []string{"--fast"}},
-		"no such log":      {[]string{"version", "--log", "xml"}, usage, []string{"neither text nor json"}},
-		"no upstream":      {[]string{"import", "nginx", "f"}, usage, []string{"--upstream"}},
-		"no such trouble":  {[]string{"emulate", "counter", "--trouble", "10s:slow=3"}, usage, []string{"a duration"}},
-		"a kept capture":   {[]string{"capture", "verify", kept}, ok, []string{"records"}},
-		"one that was cut": {[]string{"capture", "verify", "../replay/testdata/kept/killed-within-a-block"}, failed, []string{"ends without its end block"}},
-		"one by its name":  {[]string{"replay", kept, "--request", "simulacion-10"}, ok, []string{"named request=", `"simulacion-10"`, "class=1", "  send request=", "lives"}},
-		"other settings":   {[]string{"replay", kept, "--against", "recorded", "--chart", chart}, ok, []string{"requests", "refused: recorded"}},
-		"a chart of none":  {[]string{"replay", kept, "--chart", chart}, usage, []string{"--against"}},
-		"two faults":       {[]string{"check", conf}, failed, []string{"faulty.yaml:13: GET /cuota", "faulty.yaml:22: POST /simulacion", "2 faults"}},
+		"help":             {[]string{"--help"}, exitOK, []string{"run", "check", "import", "version"}},
+		"version":          {[]string{"version"}, exitOK, []string{"foxwood, commit"}},
+		"no configuration": {nil, exitFailed, []string{"EDGE_CONFIG"}},
+		"no such command":  {[]string{"serve"}, exitUsage, []string{"serve", "--help"}},
+		"no such flag":     {[]string{"run", "--fast"}, exitUsage, []string{"--fast"}},
+		"no such log":      {[]string{"version", "--log", "xml"}, exitUsage, []string{"neither text nor json"}},
+		"no upstream":      {[]string{"import", "nginx", "f"}, exitUsage, []string{"--upstream"}},
+		"no such trouble":  {[]string{"emulate", "counter", "--trouble", "10s:slow=3"}, exitUsage, []string{"a duration"}},
+		"a kept capture":   {[]string{"capture", "verify", kept}, exitOK, []string{"records"}},
+		"one that was cut": {[]string{"capture", "verify", "../replay/testdata/kept/killed-within-a-block"}, exitFailed, []string{"ends without its end block"}},
+		"one by its name":  {[]string{"replay", kept, "--request", "simulacion-10"}, exitOK, []string{"named request=", `"simulacion-10"`, "class=1", "  send request=", "lives"}},
+		"other settings":   {[]string{"replay", kept, "--against", "recorded", "--chart", chart}, exitOK, []string{"requests", "refused: recorded"}},
+		"a chart of none":  {[]string{"replay", kept, "--chart", chart}, exitUsage, []string{"--against"}},
+		"two faults":       {[]string{"check", conf}, exitFailed, []string{"faulty.yaml:13: GET /cuota", "faulty.yaml:22: POST /simulacion", "2 faults"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -57,7 +57,7 @@
 			}
 			for _, s := range c.says {
 				if !strings.Contains(out.String(), s) {
-					t.Errorf("%q is not in\n%s", s, out.String())
+					t.Errorf("%q is missing in\n%s", s, out.String())
 				}
 			}
 		})
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -16,66 +16,66 @@
 )
 
 func newEmulate() *cobra.Command {
-	group := &cobra.Command{Use: "emulate", Short: "Stand in for what a gatekeeper works with"}
-	var c emulator.Config
+	group := &cobra.Command{Use: "emulate", Short: "Emulate the services that a gatekeeper uses"}
+	var workerConfig emulator.Config
 	var listen string
 	var classes []string
 	var stallEvery, resetEvery, count int
 	worker := &cobra.Command{
 		Use:   "worker",
 		Short: "A worker: cores, a queue, service times by class, injected faults, a ledger",
-		Long: "A stand-in for a worker. It serves HTTP/1.1 (pipelined too), HTTP/2 in cleartext and batch\n" +
-			"links at /batch. The class of a request is the query parameter class of its path. On SIGTERM\n" +
-			"or SIGINT it prints its ledger as JSON and ends.",
+		Long: "An emulated worker. It serves HTTP/1.1 (also pipelined), HTTP/2 in cleartext and batch\n" +
+			"connections at /batch. The class of a request is the query parameter class of its path. On\n" +
+			"SIGTERM or SIGINT it prints its ledger as JSON and exits.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
-			if c.Classes, err = services(classes); err != nil {
+			if workerConfig.Classes, err = parseServices(classes); err != nil {
 				return usageError{err}
 			}
-			c.Default = emulator.Service{Mean: 5 * time.Millisecond}
-			c.Fault = every(stallEvery, resetEvery)
+			workerConfig.Default = emulator.Service{Mean: 5 * time.Millisecond}
+			workerConfig.Fault = periodicFaults(stallEvery, resetEvery)
 			stop := make(chan os.Signal, 1)
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-			c.Ledger = emulator.NewLedger()
+			workerConfig.Ledger = emulator.NewLedger()
 			connections := 0
-			var all []*emulator.Worker
+			var workers []*emulator.Worker
 			for range count {
-				w, err := emulator.Start(listen, c)
+				w, err := emulator.Start(listen, workerConfig)
 				if err != nil {
 					return err
 				}
-				c.Seed++
-				all = append(all, w)
+				workerConfig.Seed++
+				workers = append(workers, w)
 				fmt.Fprintf(cmd.OutOrStdout(), "worker at %s\n", w.Addr())
 			}
 			<-stop
-			for _, w := range all {
+			for _, w := range workers {
 				w.Stop()
-				_, ever := w.Conns()
-				connections += ever
+				_, opened := w.Conns()
+				connections += opened
 			}
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(struct {
 				emulator.Totals
 				Connections int `json:"connections"`
-			}{c.Ledger.Totals(), connections})
+			}{workerConfig.Ledger.Totals(), connections})
 		},
 	}
-	f := worker.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:0", "address to serve at")
-	f.IntVar(&count, "workers", 1, "how many, with one ledger and one memory of keys; more than one want a free port")
-	f.IntVar(&c.Cores, "cores", 2, "requests that run at once")
-	f.IntVar(&c.Queue, "queue", 64, "requests that wait for a core; beyond them it answers 503")
-	f.StringArrayVar(&classes, "service", nil, "service time of a class, as cuota=4ms or cuota=60ms/0.7 with a coefficient of variation")
-	f.DurationVar(&c.Window, "window", time.Second, "how long repeats of a key are dropped")
-	f.DurationVar(&c.ColdFor, "cold-for", 0, "how long after its start it is slower")
-	f.Float64Var(&c.ColdFactor, "cold-factor", 4, "how much slower at first")
-	f.StringVar(&c.Echo, "echo", "X-Link-Turn", "header that is copied into answers; empty for none")
-	f.BoolVar(&c.Reports, "reports", false, "answers hold load reports")
-	f.IntVar(&c.MaxStreams, "streams", 0, "HTTP/2 streams at once; 0 for the library's own")
-	f.Uint64Var(&c.Seed, "seed", 1, "of the service times")
-	f.IntVar(&stallEvery, "stall-every", 0, "let every so many-th request wait for good")
-	f.IntVar(&resetEvery, "reset-every", 0, "reset the connection of every so many-th request after it ran")
+	flags := worker.Flags()
+	flags.StringVar(&listen, "listen", "127.0.0.1:0", "address to serve at")
+	flags.IntVar(&count, "workers", 1, "number of workers, with a common ledger and common idempotency keys; for more than one the port must be 0")
+	flags.IntVar(&workerConfig.Cores, "cores", 2, "requests that are executed at once")
+	flags.IntVar(&workerConfig.Queue, "queue", 64, "requests that may wait for a core; others get status 503")
+	flags.StringArrayVar(&classes, "service", nil, "service time of a class, such as cuota=4ms, or cuota=60ms/0.7 with a coefficient of variation")
+	flags.DurationVar(&workerConfig.Window, "window", time.Second, "how long requests are deduplicated by their key")
+	flags.DurationVar(&workerConfig.ColdFor, "cold-for", 0, "how long the worker is slower after its start")
+	flags.Float64Var(&workerConfig.ColdFactor, "cold-factor", 4, "how many times slower it is at the start")
+	flags.StringVar(&workerConfig.Echo, "echo", "X-Link-Turn", "header that is copied into responses; empty for none")
+	flags.BoolVar(&workerConfig.Reports, "reports", false, "send load reports in responses")
+	flags.IntVar(&workerConfig.MaxStreams, "streams", 0, "HTTP/2 streams at once; 0 for the default of the library")
+	flags.Uint64Var(&workerConfig.Seed, "seed", 1, "seed of the service times")
+	flags.IntVar(&stallEvery, "stall-every", 0, "never respond to every N-th request; 0 for none")
+	flags.IntVar(&resetEvery, "reset-every", 0, "reset the connection of every N-th request after its execution; 0 for none")
 	group.AddCommand(worker, newEmulateCounter())
 	return group
 }
@@ -87,85 +87,86 @@
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "counter",
-		Short: "A counter: numbers by name, served in turn, with troubles on a time line",
-		Long: "A stand-in for the shared counter. A trouble is AT+FOR:KIND=VALUE, counted from the start:\n" +
-			"slow=TIMES, late=TIME, lose=N (every so many-th addition is acknowledged and not made),\n" +
-			"silent=PART, spoilt=PART, down, split=sum or split=keep (what counts when the sides, one for\n" +
-			"each of two addresses, rejoin); and AT:replace by one that holds nothing, AT:restore=AGE from\n" +
-			"a snapshot of that age. On SIGTERM or SIGINT it prints its counts as JSON and ends.",
+		Short: "A counter: numbers by name, served in order, with failures at given times",
+		Long: "An emulated shared counter. A failure is AT+FOR:KIND=VALUE, with AT counted from the start:\n" +
+			"slow=FACTOR, late=TIME, lose=N (every N-th addition is acknowledged but not made),\n" +
+			"silent=FRACTION, spoilt=FRACTION (invalid responses), down, split=sum or split=keep (how the\n" +
+			"values of the two sides, one for each of two addresses, are merged afterwards); and\n" +
+			"AT:replace by an empty counter, AT:restore=AGE from a snapshot of that age. On SIGTERM or\n" +
+			"SIGINT it prints its counts as JSON and exits.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(listen) == 0 || len(listen) > 2 || !(perSecond > 0) {
-				return usageError{fmt.Errorf("one or two of --listen, and --per-second over 0")}
+				return usageError{fmt.Errorf("expected one or two --listen and a --per-second above 0, got %d and %g", len(listen), perSecond)}
 			}
 			var events []emulator.CounterEvent
 			for _, text := range troubles {
-				e, err := emulator.ParseCounterEvent(text)
+				event, err := emulator.ParseCounterEvent(text)
 				if err != nil {
 					return usageError{err}
 				}
-				events = append(events, e)
+				events = append(events, event)
 			}
 			counter := emulator.NewCounter(emulator.CounterConfig{Each: 1000 / perSecond, Queue: float64(queue) / float64(time.Millisecond), Seed: seed})
-			s, err := emulator.ServeCounter(counter, listen...)
+			server, err := emulator.ServeCounter(counter, listen...)
 			if err != nil {
 				return err
 			}
-			for _, addr := range s.Addrs() {
+			for _, addr := range server.Addrs() {
 				fmt.Fprintf(cmd.OutOrStdout(), "counter at %s\n", addr)
 			}
 			stop, end := make(chan os.Signal, 1), make(chan struct{})
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-			go s.Play(emulator.Moments(events), end)
+			go server.Play(emulator.Moments(events), end)
 			<-stop
 			close(end)
-			s.Stop()
+			server.Stop()
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(struct {
 				Calls int `json:"calls"`
 				Made  int `json:"made"`
 			}{counter.Calls, counter.Made})
 		},
 	}
-	f := c.Flags()
-	f.StringArrayVar(&listen, "listen", []string{"127.0.0.1:0"}, "address to serve at; a second one is that of the other side in a split")
-	f.StringArrayVar(&troubles, "trouble", nil, "a trouble, as 10s+5s:slow=3")
-	f.Float64Var(&perSecond, "per-second", 2000, "calls that it serves a second, in turn")
-	f.DurationVar(&queue, "queue", 100*time.Millisecond, "how long its line may be; beyond it answers 503")
-	f.Uint64Var(&seed, "seed", 1, "of the troubles that come by chance")
+	flags := c.Flags()
+	flags.StringArrayVar(&listen, "listen", []string{"127.0.0.1:0"}, "address to serve at; a second one is for the other side of a split")
+	flags.StringArrayVar(&troubles, "trouble", nil, "a failure, such as 10s+5s:slow=3")
+	flags.Float64Var(&perSecond, "per-second", 2000, "calls served per second, one after the other")
+	flags.DurationVar(&queue, "queue", 100*time.Millisecond, "longest time in the queue; calls beyond that get status 503")
+	flags.Uint64Var(&seed, "seed", 1, "seed of the random failures")
 	return c
 }
 
-// services reads service times: CLASS=MEAN or CLASS=MEAN/CV.
-func services(texts []string) (map[string]emulator.Service, error) {
-	all := map[string]emulator.Service{}
+// parseServices parses service times: CLASS=MEAN or CLASS=MEAN/CV.
+func parseServices(texts []string) (map[string]emulator.Service, error) {
+	services := map[string]emulator.Service{}
 	for _, text := range texts {
 		name, value, ok := strings.Cut(text, "=")
 		mean, cv, varies := strings.Cut(value, "/")
-		s := emulator.Service{}
+		service := emulator.Service{}
 		var err error
-		if s.Mean, err = time.ParseDuration(mean); err != nil || !ok || s.Mean <= 0 {
+		if service.Mean, err = time.ParseDuration(mean); err != nil || !ok || service.Mean <= 0 {
 			return nil, fmt.Errorf("--service %q is not CLASS=MEAN or CLASS=MEAN/CV", text)
 		}
 		if varies {
-			if s.CV, err = strconv.ParseFloat(cv, 64); err != nil || !(s.CV >= 0) {
-				return nil, fmt.Errorf("--service %q: %q is no coefficient of variation", text, cv)
+			if service.CV, err = strconv.ParseFloat(cv, 64); err != nil || !(service.CV >= 0) {
+				return nil, fmt.Errorf("--service %q: expected a coefficient of variation of at least 0, got %q", text, cv)
 			}
 		}
-		all[name] = s
+		services[name] = service
 	}
-	return all, nil
+	return services, nil
 }
 
-// every injects faults at fixed places among a worker's requests.
-func every(stall, reset int) func(emulator.Arrival) emulator.Fault {
-	if stall <= 0 && reset <= 0 {
+// periodicFaults injects faults into every N-th request: a stall or a reset. 0 means none.
+func periodicFaults(stallEvery, resetEvery int) func(emulator.Arrival) emulator.Fault {
+	if stallEvery <= 0 && resetEvery <= 0 {
 		return nil
 	}
 	return func(a emulator.Arrival) emulator.Fault {
 		switch n := a.N + 1; {
-		case stall > 0 && n%stall == 0:
+		case stallEvery > 0 && n%stallEvery == 0:
 			return emulator.Stall
-		case reset > 0 && n%reset == 0:
+		case resetEvery > 0 && n%resetEvery == 0:
 			return emulator.ResetAfter
 		}
 		return emulator.None
--- a/internal/command/import.go
+++ b/internal/command/import.go
@@ -13,12 +13,12 @@
 )
 
 func newImport() *cobra.Command {
-	group := &cobra.Command{Use: "import", Short: "Take over another program's configuration"}
+	group := &cobra.Command{Use: "import", Short: "Convert the configuration of another program"}
 	var upstream, out string
 	c := &cobra.Command{
 		Use:   "nginx NGINX.CONF",
-		Short: "Turn an upstream and the locations that pass to it into a description and a list of workers",
-		Args:  exactly(1, "one nginx configuration"),
+		Short: "Convert an upstream and the locations that proxy to it to an OpenAPI description and a worker list",
+		Args:  exactArgs(1, "one nginx configuration"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if upstream == "" {
 				return usageError{errors.New("--upstream is missing")}
@@ -36,24 +36,24 @@
 	return group
 }
 
-// importNginx writes what a configuration gives, and returns what could not be kept.
+// importNginx writes description.json and workers.json, and returns notes on what was not converted.
 func importNginx(file, upstream, out string) (notes []string, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	im, err := nginx.Read(string(text), upstream)
+	result, err := nginx.Read(string(text), upstream)
 	if err != nil {
 		return nil, err
 	}
-	for name, v := range map[string]any{"description.json": im.Description, "workers.json": im} {
-		b, err := json.MarshalIndent(v, "", "  ")
+	for name, value := range map[string]any{"description.json": result.Description, "workers.json": result} {
+		encoded, err := json.MarshalIndent(value, "", "  ")
 		if err != nil {
-			return im.Notes, fmt.Errorf("%s: %w", name, err)
+			return result.Notes, fmt.Errorf("%s: %w", name, err)
 		}
-		if err := os.WriteFile(filepath.Join(out, name), append(b, '\n'), 0o644); err != nil {
-			return im.Notes, err
+		if err := os.WriteFile(filepath.Join(out, name), append(encoded, '\n'), 0o644); err != nil {
+			return result.Notes, err
 		}
 	}
-	return im.Notes, nil
+	return result.Notes, nil
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -15,89 +15,90 @@
 	"foxwood/internal/load"
 )
 
-// errBehind makes a run fail whose figures are not the gatekeeper's alone.
-var errBehind = errors.New("the generator fell behind its own plan")
+// errBehindSchedule fails a run in which the generator sent requests late: its results don't
+// depend on the gatekeeper alone.
+var errBehindSchedule = errors.New("the load generator fell behind its schedule")
 
 func newLoad() *cobra.Command {
-	p := load.Plan{}
+	plan := load.Plan{}
 	var classes []string
 	var arrivals string
 	var deadline time.Duration
 	var units float64
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send open-loop load to gatekeepers and tell latencies from the intended send times",
-		Long: "load sends requests in the platform's form at times that do not depend on answers, and counts\n" +
-			"latency from the time at which each was meant to be sent. It exits with 1 where it could not\n" +
-			"keep to its own plan: the figures of such a run are the generator's too.",
+		Short: "Send open-loop load to gatekeepers and measure latencies from the intended send times",
+		Long: "load sends requests in the platform's form at times that do not depend on responses, and\n" +
+			"measures latency from the time at which each was meant to be sent. It exits with 1 if it could\n" +
+			"not keep to its schedule: the results then depend on the generator too.",
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if p.Classes, err = mix(classes, deadline, units); err != nil {
+			if plan.Classes, err = parseClasses(classes, deadline, units); err != nil {
 				return usageError{err}
 			}
 			switch arrivals {
 			case "poisson", "constant":
-				p.Poisson = arrivals == "poisson"
+				plan.Poisson = arrivals == "poisson"
 			default:
 				return usageError{fmt.Errorf("--arrivals %q is neither poisson nor constant", arrivals)}
 			}
-			if err := p.Check(); err != nil {
+			if err := plan.Check(); err != nil {
 				return usageError{err}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			r, err := load.Run(ctx, p)
+			report, err := load.Run(ctx, plan)
 			if err != nil {
 				return err
 			}
-			if err := r.Write(c.OutOrStdout()); err != nil {
+			if err := report.Write(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if r.Behind {
-				return errBehind
+			if report.Behind {
+				return errBehindSchedule
 			}
 			return nil
 		},
 	}
-	f := c.Flags()
-	f.StringSliceVar(&p.Targets, "target", []string{"127.0.0.1:8080"}, "addresses of gatekeepers, taken in turn")
-	f.Float64Var(&p.Rate, "rate", 100, "requests a second, over all targets")
-	f.StringVar(&arrivals, "arrivals", "poisson", "gaps between requests: poisson or constant")
-	f.DurationVar(&p.For, "for", 10*time.Second, "how long")
-	f.DurationVar(&p.Settle, "settle", 0, "of the beginning that is sent but not counted")
-	f.StringArrayVar(&classes, "class", []string{"cuota=1"}, "a class and its part: cuota=4, or simulacion=1/keyed for POST with a key")
-	f.DurationVar(&deadline, "deadline", 2*time.Second, "what clients wait")
-	f.Float64Var(&units, "units", 1, "units of a request")
-	f.StringVar(&p.PlanName, "plan", "mayor", "plan of the customers")
-	f.IntVar(&p.Customers, "customers", 10, "customers that the requests are spread over")
-	f.IntVar(&p.Body, "body", 64, "bytes of a POST's body")
-	f.Uint64Var(&p.Seed, "seed", 1, "of the arrivals")
+	flags := c.Flags()
+	flags.StringSliceVar(&plan.Targets, "target", []string{"127.0.0.1:8080"}, "addresses of gatekeepers, used in turn")
+	flags.Float64Var(&plan.Rate, "rate", 100, "requests per second, over all targets")
+	flags.StringVar(&arrivals, "arrivals", "poisson", "arrival process: poisson or constant")
+	flags.DurationVar(&plan.For, "for", 10*time.Second, "duration of the load")
+	flags.DurationVar(&plan.Settle, "settle", 0, "warm-up time, in which requests are sent but not counted")
+	flags.StringArrayVar(&classes, "class", []string{"cuota=1"}, "a class and its share: cuota=4, or simulacion=1/keyed for POST with an idempotency key")
+	flags.DurationVar(&deadline, "deadline", 2*time.Second, "how long clients wait")
+	flags.Float64Var(&units, "units", 1, "units per request")
+	flags.StringVar(&plan.PlanName, "plan", "mayor", "plan of the customers")
+	flags.IntVar(&plan.Customers, "customers", 10, "number of customers")
+	flags.IntVar(&plan.Body, "body", 64, "bytes in the body of a POST")
+	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the arrivals")
 	return c
 }
 
-// mix reads classes: NAME=PART or NAME=PART/keyed.
-func mix(texts []string, deadline time.Duration, units float64) ([]load.Class, error) {
-	var all []load.Class
+// parseClasses parses classes: NAME=PART or NAME=PART/keyed.
+func parseClasses(texts []string, deadline time.Duration, units float64) ([]load.Class, error) {
+	var classes []load.Class
 	for _, text := range texts {
 		name, value, ok := strings.Cut(text, "=")
 		part, kind, _ := strings.Cut(value, "/")
-		c := load.Class{Name: name, Method: "GET", Deadline: deadline, Units: units}
+		class := load.Class{Name: name, Method: "GET", Deadline: deadline, Units: units}
 		var err error
-		if c.Part, err = strconv.ParseFloat(part, 64); err != nil || !ok {
+		if class.Part, err = strconv.ParseFloat(part, 64); err != nil || !ok {
 			return nil, fmt.Errorf("--class %q is not NAME=PART or NAME=PART/keyed", text)
 		}
 		switch kind {
 		case "":
 		case "keyed":
-			c.Method = "POST"
+			class.Method = "POST"
 		default:
-			return nil, fmt.Errorf("--class %q: %q is not keyed", text, kind)
+			return nil, fmt.Errorf("--class %q: expected \"keyed\" after the slash, got %q", text, kind)
 		}
-		all = append(all, c)
+		classes = append(classes, class)
 	}
-	if len(all) == 0 {
-		return nil, errors.New("no --class is given")
+	if len(classes) == 0 {
+		return nil, errors.New("expected at least one --class, got none")
 	}
-	return all, nil
+	return classes, nil
 }
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -16,59 +16,59 @@
 )
 
 func newMeasure() *cobra.Command {
-	group := &cobra.Command{Use: "measure", Short: "Measure the program on this machine"}
-	o := trial.Options{Progress: os.Stderr}
+	group := &cobra.Command{Use: "measure", Short: "Run benchmarks on this machine"}
+	options := trial.Options{Progress: os.Stderr}
 	var fleets []string
-	var out string
+	var outFile string
 	transports := &cobra.Command{
 		Use:   "transports",
 		Short: "Compare the transports to workers with each other and with Go's ReverseProxy",
 		Long: "transports starts emulated workers, a gatekeeper for each transport and a ReverseProxy as\n" +
-			"processes of their own, plays the same open-loop arrivals to each in turn, and prints a table\n" +
-			"in Markdown. It wants the machine to itself.",
+			"separate processes, sends the same open-loop arrivals to each in turn, and prints a table in\n" +
+			"Markdown. Nothing else should run on the machine.",
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, f := range trial.Fleets() {
 				if slices.Contains(fleets, f.Name) {
-					o.Fleets = append(o.Fleets, f)
+					options.Fleets = append(options.Fleets, f)
 				}
 			}
-			if len(o.Fleets) < len(fleets) || o.Runs < 1 {
-				return usageError{fmt.Errorf("--fleet %s or --runs %d can't be", strings.Join(fleets, ","), o.Runs)}
+			if len(options.Fleets) < len(fleets) || options.Runs < 1 {
+				return usageError{fmt.Errorf("expected known values of --fleet and --runs of at least 1, got %s and %d", strings.Join(fleets, ","), options.Runs)}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			table, err := trial.Transports(ctx, o)
+			table, err := trial.Transports(ctx, options)
 			if err != nil {
 				return err
 			}
-			var to io.Writer = c.OutOrStdout()
-			if out != "" {
-				file, err := os.Create(out)
+			var output io.Writer = c.OutOrStdout()
+			if outFile != "" {
+				file, err := os.Create(outFile)
 				if err != nil {
 					return err
 				}
 				defer file.Close()
-				to = file
+				output = file
 			}
-			return table.Write(to)
+			return table.Write(output)
 		},
 	}
 	f := transports.Flags()
 	f.StringSliceVar(&fleets, "fleet", []string{"short", "site"}, "service times: short, site")
-	f.StringSliceVar(&o.Transports, "transport", []string{"one-at-a-time", "pipeline", "http2", "batch", "ReverseProxy"}, "what is compared")
-	f.Float64SliceVar(&o.Loads, "load", []float64{0.5, 0.9, 1}, "parts of the fleet's capacity")
-	f.IntVar(&o.Runs, "runs", 10, "how often each is played")
-	f.DurationVar(&o.For, "for", 4*time.Second, "how long a run is")
-	f.DurationVar(&o.Settle, "settle", time.Second, "of it, not counted")
-	f.Uint64Var(&o.Seed, "seed", 1, "of the arrivals, one more in each run")
-	f.StringVar(&out, "out", "", "file to write the table to; standard output without")
+	f.StringSliceVar(&options.Transports, "transport", []string{"one-at-a-time", "pipeline", "http2", "batch", "ReverseProxy"}, "transports to compare")
+	f.Float64SliceVar(&options.Loads, "load", []float64{0.5, 0.9, 1}, "load as fractions of the fleet's capacity")
+	f.IntVar(&options.Runs, "runs", 10, "runs of each case")
+	f.DurationVar(&options.For, "for", 4*time.Second, "duration of a run")
+	f.DurationVar(&options.Settle, "settle", time.Second, "warm-up part of each run, which is not counted")
+	f.Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals, increased by 1 for each further run")
+	f.StringVar(&outFile, "out", "", "file to write the table to (default: standard output)")
 
 	var listen string
 	var workers []string
 	proxy := &cobra.Command{
 		Use:    "proxy",
-		Short:  "The baseline: Go's ReverseProxy before some workers",
+		Short:  "The baseline: Go's ReverseProxy in front of workers",
 		Hidden: true,
 		Args:   noArgs,
 		RunE:   func(*cobra.Command, []string) error { return trial.Proxy(listen, workers) },
@@ -80,47 +80,47 @@
 }
 
 func newMeasureCounter() *cobra.Command {
-	var o trial.Counters
+	var options trial.Counters
 	c := &cobra.Command{
 		Use:   "counter",
-		Short: "What several gatekeepers hold banks to while their counter is in trouble, in simulated time",
+		Short: "Simulate how well several gatekeepers enforce quotas while their counter fails",
 		Args:  noArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return o.Write(c.OutOrStdout()) },
+		RunE:  func(c *cobra.Command, _ []string) error { return options.Write(c.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&o.Gates, "gatekeepers", 4, "how many; a ceiling that is thin for so many is leased from the counter")
-	c.Flags().IntVar(&o.Runs, "runs", 200, "how often each trouble is played")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the first run, one more in each")
+	c.Flags().IntVar(&options.Gates, "gatekeepers", 4, "number of gatekeepers; a ceiling that is small for their number is leased from the counter")
+	c.Flags().IntVar(&options.Runs, "runs", 200, "runs of each failure")
+	c.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the first run, increased by 1 for each further run")
 	return c
 }
 
 func newMeasureCapture() *cobra.Command {
-	o := trial.Options{Progress: os.Stderr, Loads: []float64{0.5}, Fleets: trial.Fleets()[:1]}
-	e := trial.Events{Runs: 15, Requests: 100000}
+	options := trial.Options{Progress: os.Stderr, Loads: []float64{0.5}, Fleets: trial.Fleets()[:1]}
+	events := trial.Events{Runs: 15, Requests: 100000}
 	var lives int
 	c := &cobra.Command{
 		Use:   "capture",
-		Short: "What a capture costs a gatekeeper, and what a replay of it does",
+		Short: "Measure the cost of a capture for a gatekeeper, and the speed of its replay",
 		Args:  noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			if err := trial.Captures(ctx, o, c.OutOrStdout()); err != nil {
+			if err := trial.Captures(ctx, options, c.OutOrStdout()); err != nil {
 				return err
 			}
-			e.Seed = o.Seed
-			if err := e.Write(c.OutOrStdout()); err != nil {
+			events.Seed = options.Seed
+			if err := events.Write(c.OutOrStdout()); err != nil {
 				return err
 			}
-			r := trial.Restarts{Lives: lives, Seed: o.Seed, Down: 300}
-			return r.Write(c.OutOrStdout())
+			restarts := trial.Restarts{Lives: lives, Seed: options.Seed, Down: 300}
+			return restarts.Write(c.OutOrStdout())
 		},
 	}
-	f := c.Flags()
-	f.IntVar(&o.Runs, "runs", 10, "how often each is played")
-	f.IntVar(&e.Large, "large", 2500000, "requests of the capture that some are explained from")
-	f.IntVar(&lives, "lives", 200, "restarts that are simulated, cold and warm each")
-	f.DurationVar(&o.For, "for", 4*time.Second, "how long a run is")
-	f.DurationVar(&o.Settle, "settle", time.Second, "of it, not counted")
-	f.Uint64Var(&o.Seed, "seed", 1, "of the arrivals, one more in each run")
+	flags := c.Flags()
+	flags.IntVar(&options.Runs, "runs", 10, "runs of each case")
+	flags.IntVar(&events.Large, "large", 2500000, "requests in the capture from which requests are explained")
+	flags.IntVar(&lives, "lives", 200, "simulated restarts, both cold and warm")
+	flags.DurationVar(&options.For, "for", 4*time.Second, "duration of a run")
+	flags.DurationVar(&options.Settle, "settle", time.Second, "warm-up part of each run, which is not counted")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals, increased by 1 for each further run")
 	return c
 }
--- a/internal/command/progress.go
+++ b/internal/command/progress.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	progressWide  = 40
-	progressEvery = 100 * time.Millisecond
-	progressLooks = 1024 // calls between two looks at the time
+	barWidth       = 40 // characters
+	redrawInterval = 100 * time.Millisecond
+	callsPerCheck  = 1024 // calls of step between two checks of the time
 )
 
-// progress is a bar on a terminal. A nil one is none.
+// progress is a progress bar on a terminal. A nil *progress shows nothing.
 type progress struct {
-	to    io.Writer
-	read  func() (n, of int64)
-	now   func() time.Time
-	calls int
-	shown time.Time
+	out       io.Writer
+	position  func() (n, of int64)
+	now       func() time.Time
+	calls     int
+	lastShown time.Time
 }
 
-// newProgress makes a bar where standard error is a terminal and what is printed does not
-// go to it as well.
-func newProgress(stderr io.Writer, prints bool, read func() (n, of int64)) *progress {
-	if !terminal(stderr) || prints && terminal(os.Stdout) {
+// newProgress returns a bar if standard error is a terminal and the command doesn't print to a
+// terminal as well. Otherwise it returns nil.
+func newProgress(stderr io.Writer, printsToStdout bool, position func() (n, of int64)) *progress {
+	if !isTerminal(stderr) || printsToStdout && isTerminal(os.Stdout) {
 		return nil
 	}
-	return &progress{to: stderr, read: read, now: time.Now}
+	return &progress{out: stderr, position: position, now: time.Now}
 }
 
-func terminal(w io.Writer) bool {
+// isTerminal reports whether a writer is a character device.
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -41,26 +42,26 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// step is called with each record.
+// step is called for each record. It redraws the bar at most once per redrawInterval.
 func (p *progress) step() {
 	if p == nil {
 		return
 	}
-	if p.calls++; p.calls%progressLooks != 1 {
+	if p.calls++; p.calls%callsPerCheck != 1 {
 		return
 	}
-	if now := p.now(); now.Sub(p.shown) >= progressEvery {
-		p.shown = now
-		n, of := p.read()
+	if now := p.now(); now.Sub(p.lastShown) >= redrawInterval {
+		p.lastShown = now
+		n, of := p.position()
 		part := min(float64(n)/float64(max(of, 1)), 1)
-		full := int(part * progressWide)
-		fmt.Fprintf(p.to, "\r[%s%s] %3.0f%%", strings.Repeat("=", full), strings.Repeat(" ", progressWide-full), 100*part)
+		full := int(part * barWidth)
+		fmt.Fprintf(p.out, "\r[%s%s] %3.0f%%", strings.Repeat("=", full), strings.Repeat(" ", barWidth-full), 100*part)
 	}
 }
 
-// end wipes the bar.
-func (p *progress) end() {
-	if p != nil && !p.shown.IsZero() {
-		fmt.Fprintf(p.to, "\r%s\r", strings.Repeat(" ", progressWide+7))
+// clear erases the bar.
+func (p *progress) clear() {
+	if p != nil && !p.lastShown.IsZero() {
+		fmt.Fprintf(p.out, "\r%s\r", strings.Repeat(" ", barWidth+7))
 	}
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,4 +1,4 @@
-// Package command is foxwood's command line.
+// Package command is the command line of foxwood.
 package command
 
 import (
@@ -14,81 +14,82 @@
 	"foxwood/internal/service"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
-	ok     = 0
-	failed = 1 // what was asked for could not be done
-	usage  = 2 // it was not asked for properly
+	exitOK     = 0
+	exitFailed = 1 // the command could not do its work
+	exitUsage  = 2 // the arguments are wrong
 )
 
-// usageError is an error in the words of the call.
+// usageError is an error in the arguments.
 type usageError struct{ error }
 
-// Main runs the command that the arguments name, and returns the exit status.
+// Main runs the command given by the arguments, and returns the exit status.
 func Main(args []string, stdout, stderr io.Writer) int {
 	root := newRoot(stderr)
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	err := root.Execute()
-	var wrong usageError
+	var usageErr usageError
 	switch {
 	case err == nil:
-		return ok
-	case errors.As(err, &wrong):
+		return exitOK
+	case errors.As(err, &usageErr):
 		fmt.Fprintf(stderr, "foxwood: %v\nTry 'foxwood --help'.\n", err)
-		return usage
+		return exitUsage
 	default:
 		fmt.Fprintf(stderr, "foxwood: %v\n", err)
-		return failed
+		return exitFailed
 	}
 }
 
 func newRoot(stderr io.Writer) *cobra.Command {
-	var form, file string
+	var logFormat, configFile string
 	root := &cobra.Command{
 		Use:   "foxwood",
-		Short: "A gatekeeper before a fleet of workers",
-		Long: "foxwood stands before a fleet of workers, holds every customer to its quota, lets requests\n" +
-			"go by worth, and gives each request exactly one final answer. Without a command it runs by\n" +
-			"the file that EDGE_CONFIG names.",
+		Short: "A load balancer for a fleet of workers",
+		Long: "foxwood forwards requests to a fleet of workers, enforces each customer's quota, prefers\n" +
+			"requests of higher worth, and gives each request exactly one final response. Without a\n" +
+			"command it serves with the configuration file that EDGE_CONFIG names.",
 		Args:          noArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			switch form {
+			switch logFormat {
 			case "text":
 				slog.SetDefault(slog.New(slog.NewTextHandler(stderr, nil)))
 			case "json":
 				slog.SetDefault(slog.New(slog.NewJSONHandler(stderr, nil)))
 			default:
-				return usageError{fmt.Errorf("--log %q is neither text nor json", form)}
+				return usageError{fmt.Errorf("--log %q is neither text nor json", logFormat)}
 			}
 			return nil
 		},
 		RunE: func(*cobra.Command, []string) error { return service.Run(os.Getenv("EDGE_CONFIG")) },
 	}
-	root.PersistentFlags().StringVar(&form, "log", "text", "form of the log on standard error: text or json")
+	root.PersistentFlags().StringVar(&logFormat, "log", "text", "format of the log on standard error: text or json")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	run := &cobra.Command{
 		Use:   "run",
-		Short: "Serve by a configuration file, until SIGTERM has been answered to the end",
+		Short: "Serve with a configuration file until SIGTERM, and then drain",
 		Args:  noArgs,
-		RunE:  func(*cobra.Command, []string) error { return service.Run(named(file)) },
+		RunE:  func(*cobra.Command, []string) error { return service.Run(configPath(configFile)) },
 	}
-	run.Flags().StringVarP(&file, "config", "c", "", "configuration, .hcl or JSON (default: what EDGE_CONFIG names)")
+	run.Flags().StringVarP(&configFile, "config", "c", "", "configuration file, .hcl or JSON (default: the file that EDGE_CONFIG names)")
 	root.AddCommand(run, newCapture(), newCheck(), newEmulate(), newExplain(), newImport(), newLoad(), newMeasure(), newReplay(), newVersion())
 	return root
 }
 
-// named is the configuration file: the one given, or else the one EDGE_CONFIG names.
-func named(file string) string {
+// configPath returns the given configuration file, or else the one that EDGE_CONFIG names.
+func configPath(file string) string {
 	if file == "" {
 		return os.Getenv("EDGE_CONFIG")
 	}
 	return file
 }
 
+// noArgs rejects positional arguments.
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unknown command %q for %q", args[0], c.CommandPath())}
@@ -96,11 +97,11 @@
 	return nil
 }
 
-// exactly takes n arguments.
-func exactly(n int, what string) cobra.PositionalArgs {
+// exactArgs accepts exactly n positional arguments.
+func exactArgs(n int, description string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
-			return usageError{fmt.Errorf("%s wants %s", c.CommandPath(), what)}
+			return usageError{fmt.Errorf("%s: expected %s, got %d arguments", c.CommandPath(), description, len(args))}
 		}
 		return nil
 	}
@@ -109,18 +110,18 @@
 func newVersion() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Say what was built, and from which commit",
+		Short: "Print the version: the commit that was built",
 		Args:  noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			info, found := debug.ReadBuildInfo()
 			if !found {
-				return errors.New("the program holds no build information")
+				return errors.New("the program has no build information")
 			}
-			said := map[string]string{"vcs.revision": "unknown", "vcs.modified": "false"}
+			settings := map[string]string{"vcs.revision": "unknown", "vcs.modified": "false"}
 			for _, s := range info.Settings {
-				said[s.Key] = s.Value
+				settings[s.Key] = s.Value
 			}
-			fmt.Fprintf(c.OutOrStdout(), "foxwood, commit %s (modified: %s), %s\n", said["vcs.revision"], said["vcs.modified"], info.GoVersion)
+			fmt.Fprintf(c.OutOrStdout(), "foxwood, commit %s (modified: %s), %s\n", settings["vcs.revision"], settings["vcs.modified"], info.GoVersion)
 			return nil
 		},
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads what a gatekeeper is told: the platform's JSON file, an
-// operator's JSON file, and an operator's HCL file. All three give the same Config;
-// what is at fault is said with its file and line.
+// Package config reads the configuration of a gatekeeper: the platform's JSON file, an
+// operator's JSON file or an operator's HCL file. All three give a Config. Errors name the
+// file and the line.
 package config
 
 import (
@@ -22,82 +22,84 @@
 	"foxwood/policy"
 )
 
-// Limits is what the process may hold.
+// Limits is the resource limits of the process.
 type Limits struct {
-	MemoryMB int `json:"memory_mb" hcl:"memory_mb,optional"`
-	Sockets  int `json:"sockets" hcl:"sockets,optional"`
+	MemoryMB int `json:"memory_mb" hcl:"memory_mb,optional"` // unlimited if 0
+	Sockets  int `json:"sockets" hcl:"sockets,optional"`     // file descriptors; the system's limit if 0
 }
 
-// Config is a gatekeeper's configuration.
+// Config is the configuration of a gatekeeper.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"` // 64 bits in hexadecimal digits; drawn anew where empty
+	Seed      string `json:"seed"` // 64 bits in hexadecimal digits; random if empty
 	Limits    Limits `json:"limits"`
 	Counter   string `json:"counter"`
-	// Control is the address of the operators' door; there is none if empty.
+	// Control is the address of the admin server; there is none if it is empty.
 	Control string        `json:"control"`
 	Known   platform.List `json:"known"`
-	// Settings is the settings object as the simulator gives it. An HCL file states
-	// the same in blocks, and leaves it empty.
+	// Settings is the settings object in the platform's form. It is empty for an HCL file,
+	// which has blocks instead.
 	Settings json.RawMessage `json:"settings"`
 
-	// OpenAPI is not on the platform: an operator's file sets the front up by it.
+	// OpenAPI configures the OpenAPI frontend. It is nil on the platform.
 	OpenAPI *openapi.Config `json:"openapi"`
-	// XDS is the address to hand decisions off at; nothing is served if empty.
+	// XDS is the address of the xDS server; there is none if it is empty.
 	XDS string `json:"xds"`
-	// Transport is how the workers are spoken to: one at a time, unless an HCL file
-	// says otherwise.
+	// Transport is the transport to workers. Only an HCL file can set it; the default is one
+	// request at a time per connection.
 	Transport link.Transport `json:"-"`
 
-	// Capture is where what the module is told is kept; nothing is where it is nil.
+	// Capture configures the capture of the decision module's inputs; there is none if it is
+	// nil.
 	Capture *Capture `json:"-"`
 
-	terms *terms // of an HCL file
-	keys  keys   // of a JSON file
+	hclTerms *policyTerms // of an HCL file
+	jsonKeys keyTree      // of a JSON file
 }
 
-// Capture is how captures are kept.
+// Capture configures where and how long captures are kept.
 type Capture struct {
 	Folder    string  `hcl:"folder"`
-	Key       string  `hcl:"key,optional"` // file with the key; ids stand as they are without
+	Key       string  `hcl:"key,optional"` // file with the key that hides ids; without it they are stored unchanged
 	SegmentMB int64   `hcl:"segment_mb,optional"`
 	KeptMB    int64   `hcl:"kept_mb,optional"`
 	KeptHours float64 `hcl:"kept_hours,optional"`
-	Warm      bool    `hcl:"warm,optional"` // a start goes on from what the last life knew
+	Warm      bool    `hcl:"warm,optional"` // a start recovers the state at the end of the last run
 }
 
-// terms is what an HCL file says in the place of the settings object.
-type terms struct {
-	set   policy.Settings
-	names settings.Names
+// policyTerms is the settings from an HCL file, in place of the settings object.
+type policyTerms struct {
+	settings policy.Settings
+	names    settings.Names
 }
 
-// Terms is the settings for the decision module, and the names that go with them.
+// Terms returns the settings of the decision module, and the names of classes, plans and zones
+// that belong to them.
 func (c *Config) Terms() (policy.Settings, settings.Names, error) {
-	if c.terms != nil {
-		return c.terms.set, c.terms.names, nil
+	if c.hclTerms != nil {
+		return c.hclTerms.settings, c.hclTerms.names, nil
 	}
 	return settings.Parse(c.Settings)
 }
 
-// SeedBits is the seed as a number; ok is false where none is stated.
+// SeedBits returns the seed as a number; ok is false if there is none.
 func (c *Config) SeedBits() (seed uint64, ok bool, err error) {
 	if c.Seed == "" {
 		return 0, false, nil
 	}
 	if seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return 0, false, fmt.Errorf("configuration: seed: %w", err)
+		return 0, false, fmt.Errorf("configuration: seed: expected 64 bits in hexadecimal digits: %w", err)
 	}
 	return seed, true, nil
 }
 
-// Read reads a configuration file: HCL where its name ends in .hcl, JSON else. The
-// error joins every fault found, each with file and line.
+// Read reads a configuration file: HCL if its name ends in .hcl, otherwise JSON. The error
+// joins all errors found, each with file and line.
 func Read(file string) (Config, error) {
 	if file == "" {
-		return Config{}, errors.New("configuration: no file is named: give --config FILE, or set EDGE_CONFIG")
+		return Config{}, errors.New("configuration: no file given: use --config FILE or set EDGE_CONFIG")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -106,97 +108,99 @@
 	if strings.EqualFold(filepath.Ext(file), ".hcl") {
 		return parseHCL(file, text)
 	}
-	var c Config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("configuration: %s: %w", place(file, text, err), err)
+	var cfg Config
+	if err := json.Unmarshal(text, &cfg); err != nil {
+		return cfg, fmt.Errorf("configuration: %s: %w", errorPosition(file, text, err), err)
 	}
-	var shape any
-	_ = json.Unmarshal(text, &shape) // it has just been read
-	c.keys = keysOf(shape)
-	return c, nil
+	var decoded any
+	_ = json.Unmarshal(text, &decoded) // can't fail, the text was decoded above
+	cfg.jsonKeys = keyTreeOf(decoded)
+	return cfg, nil
 }
 
-// Replaces refuses a file in the place of the one in force that lacks what that has: it
-// was cut short or written by hand in haste, and half of it must not take effect.
+// Replaces returns an error if the configuration lacks keys that the active one has. Such a
+// file was truncated or edited by mistake, and must not take effect partly.
 func (c *Config) Replaces(inForce *Config) error {
-	if lacks := inForce.keys.without(c.keys, ""); len(lacks) > 0 {
-		return fmt.Errorf("configuration: the file in force has %s, the new one does not", strings.Join(lacks, ", "))
+	if missing := inForce.jsonKeys.missingFrom(c.jsonKeys, ""); len(missing) > 0 {
+		return fmt.Errorf("configuration: the new file lacks keys of the active one: %s", strings.Join(missing, ", "))
 	}
 	return nil
 }
 
-// keys is the shape of a JSON text: the keys of an object, each with the shape behind it.
-// Behind a list's key stands what all its elements have in common.
-type keys map[string]keys
+// keyTree is the keys of a JSON object, each with the keys of its value. For a list these are
+// the keys that all its elements have.
+type keyTree map[string]keyTree
 
-// optional keys may go: the platform's page says that they may be absent, or an operator
-// sets a part up by them.
-var optional = map[string]bool{"aim-stretch": true, "known": true, "control": true, "openapi": true, "xds": true, "seed": true}
+// optionalKeys may be missing in a new file: the platform's documentation makes them optional,
+// or an operator uses them to enable a component.
+var optionalKeys = map[string]bool{"aim-stretch": true, "known": true, "control": true, "openapi": true, "xds": true, "seed": true}
 
-func keysOf(v any) keys {
-	switch v := v.(type) {
+// keyTreeOf returns the keys of a decoded JSON value.
+func keyTreeOf(value any) keyTree {
+	switch value := value.(type) {
 	case map[string]any:
-		k := keys{}
-		for name, in := range v {
-			k[name] = keysOf(in)
+		tree := keyTree{}
+		for name, child := range value {
+			tree[name] = keyTreeOf(child)
 		}
-		return k
+		return tree
 	case []any:
-		var common keys
-		for i, in := range v {
-			k := keysOf(in)
+		var common keyTree
+		for i, child := range value {
+			tree := keyTreeOf(child)
 			if i == 0 {
-				common = k
+				common = tree
 			}
-			maps.DeleteFunc(common, func(name string, _ keys) bool { _, ok := k[name]; return !ok })
+			maps.DeleteFunc(common, func(name string, _ keyTree) bool { _, ok := tree[name]; return !ok })
 		}
 		return common
 	}
 	return nil
 }
 
-// without lists the paths of the keys that other lacks.
-func (k keys) without(other keys, path string) (lacks []string) {
+// missingFrom lists the paths of the keys that other lacks, except optional ones.
+func (k keyTree) missingFrom(other keyTree, path string) (missing []string) {
 	for _, name := range slices.Sorted(maps.Keys(k)) {
-		in, ok := other[name]
+		child, ok := other[name]
 		switch {
-		case optional[name]:
+		case optionalKeys[name]:
 		case !ok:
-			lacks = append(lacks, path+name)
+			missing = append(missing, path+name)
 		default:
-			lacks = append(lacks, k[name].without(in, path+name+".")...)
+			missing = append(missing, k[name].missingFrom(child, path+name+".")...)
 		}
 	}
-	return lacks
+	return missing
 }
 
-// place names the line of a JSON text that an error is about, as far as it tells.
-func place(file string, text []byte, err error) string {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+// errorPosition returns the file and, if the error tells it, the line of a JSON error.
+func errorPosition(file string, text []byte, err error) string {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	var offset int64
 	switch {
-	case errors.As(err, &syntax):
-		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	default:
 		return file
 	}
 	return fmt.Sprintf("%s:%d", file, 1+strings.Count(string(text[:min(offset, int64(len(text)))]), "\n"))
 }
 
-// Check refuses a configuration whose other parties can't be reached as it names them.
-func (c *Config) Check(counts bool) error {
-	if counts && c.Counter == "" {
-		return errors.New("configuration: the settings allow a counter, but none is named")
+// Check returns an error if the address of the counter, of discovery or of the admin server
+// can't be resolved, or if the settings use a counter that has no address.
+func (c *Config) Check(counterEnabled bool) error {
+	if counterEnabled && c.Counter == "" {
+		return errors.New("configuration: the settings use a counter, but its address is missing")
 	}
-	for _, other := range [...]struct{ name, addr string }{{"counter", c.Counter}, {"discovery", c.Discovery}, {"control", c.Control}} {
-		if other.addr == "" {
+	for _, party := range [...]struct{ name, addr string }{{"counter", c.Counter}, {"discovery", c.Discovery}, {"control", c.Control}} {
+		if party.addr == "" {
 			continue
 		}
-		if _, err := net.ResolveTCPAddr("tcp", other.addr); err != nil {
-			return fmt.Errorf("configuration: %s: %w", other.name, err)
+		if _, err := net.ResolveTCPAddr("tcp", party.addr); err != nil {
+			return fmt.Errorf("configuration: %s: %w", party.name, err)
 		}
 	}
 	return nil
--- a/internal/config/hcl.go
+++ b/internal/config/hcl.go
@@ -17,24 +17,24 @@
 	"foxwood/policy"
 )
 
-// file is an operator's HCL file. Times are in milliseconds, rates in units a second.
-type file struct {
+// hclFile is an operator's HCL file. Times are in milliseconds, rates in units per second.
+type hclFile struct {
 	Name      string          `hcl:"name"`
 	Listen    string          `hcl:"listen"`
 	Seed      string          `hcl:"seed,optional"`
 	Discovery string          `hcl:"discovery,optional"`
 	Counter   *counterBlock   `hcl:"counter,block"`
 	XDS       string          `hcl:"xds,optional"`
-	Control   string          `hcl:"control,optional"` // the operators' door
-	Zone      string          `hcl:"zone,optional"`    // the gatekeeper's own
+	Control   string          `hcl:"control,optional"` // address of the admin server
+	Zone      string          `hcl:"zone,optional"`    // the zone of the gatekeeper
 	Limits    *Limits         `hcl:"limits,block"`
 	OpenAPI   *openapi.Config `hcl:"openapi,block"`
 	Siblings  *siblingsBlock  `hcl:"gatekeepers,block"`
 	Attempts  *attemptsBlock  `hcl:"attempts,block"`
 	Cold      *coldBlock      `hcl:"cold,block"`
-	Reports   []string        `hcl:"load_reports,optional"` // fields of workers' load reports
-	Settles   bool            `hcl:"settles,optional"`      // answers tell the true units
-	Largest   float64         `hcl:"largest,optional"`      // most units of a request
+	Reports   []string        `hcl:"load_reports,optional"` // fields of the workers' load reports
+	Settles   bool            `hcl:"settles,optional"`      // responses carry the actual units
+	Largest   float64         `hcl:"largest,optional"`      // maximum units of a request
 	Tick      float64         `hcl:"tick_ms,optional"`
 	Plans     []planBlock     `hcl:"plan,block"`
 	Classes   []classBlock    `hcl:"class,block"`
@@ -115,178 +115,180 @@
 	Range hcl.Range `hcl:",def_range"`
 }
 
-// faults gathers what is wrong with a file.
-type faults struct{ list []error }
+// errorList collects the errors of a file.
+type errorList struct{ errs []error }
 
-func (f *faults) at(r hcl.Range, format string, a ...any) {
-	f.list = append(f.list, fmt.Errorf("%s:%d: %s", r.Filename, r.Start.Line, fmt.Sprintf(format, a...)))
+func (f *errorList) add(r hcl.Range, format string, a ...any) {
+	f.errs = append(f.errs, fmt.Errorf("%s:%d: %s", r.Filename, r.Start.Line, fmt.Sprintf(format, a...)))
 }
 
-// parseHCL reads an operator's HCL file. Keys that it does not know are faults.
+// parseHCL parses an operator's HCL file. Unknown keys are errors.
 func parseHCL(name string, text []byte) (Config, error) {
-	var f file
-	var bad faults
+	var parsed hclFile
+	var errs errorList
 	body, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if !diags.HasErrors() {
-		diags = append(diags, gohcl.DecodeBody(body.Body, nil, &f)...)
+		diags = append(diags, gohcl.DecodeBody(body.Body, nil, &parsed)...)
 	}
-	for _, d := range diags {
-		if d.Severity == hcl.DiagError {
-			r := hcl.Range{Filename: name}
-			if d.Subject != nil {
-				r = *d.Subject
+	for _, diag := range diags {
+		if diag.Severity == hcl.DiagError {
+			position := hcl.Range{Filename: name}
+			if diag.Subject != nil {
+				position = *diag.Subject
 			}
-			bad.at(r, "%s: %s", d.Summary, d.Detail)
+			errs.add(position, "%s: %s", diag.Summary, diag.Detail)
 		}
 	}
-	if len(bad.list) > 0 {
-		return Config{}, errors.Join(bad.list...)
+	if len(errs.errs) > 0 {
+		return Config{}, errors.Join(errs.errs...)
 	}
-	c := Config{Name: f.Name, Listen: f.Listen, Seed: f.Seed, Discovery: f.Discovery, XDS: f.XDS, Control: f.Control, OpenAPI: f.OpenAPI, Capture: f.Capture}
-	if f.Limits != nil {
-		c.Limits = *f.Limits
+	cfg := Config{Name: parsed.Name, Listen: parsed.Listen, Seed: parsed.Seed, Discovery: parsed.Discovery, XDS: parsed.XDS, Control: parsed.Control, OpenAPI: parsed.OpenAPI, Capture: parsed.Capture}
+	if parsed.Limits != nil {
+		cfg.Limits = *parsed.Limits
 	}
-	if f.Counter != nil {
-		c.Counter = f.Counter.Address
+	if parsed.Counter != nil {
+		cfg.Counter = parsed.Counter.Address
 	}
-	c.terms = f.terms(&bad)
-	f.pool(&c, &bad)
-	if err := errors.Join(bad.list...); err != nil {
+	cfg.hclTerms = parsed.policyTerms(&errs)
+	parsed.addPool(&cfg, &errs)
+	if err := errors.Join(errs.errs...); err != nil {
 		return Config{}, err
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// micros turns a file's milliseconds into the module's time.
-func micros(ms float64) policy.Micros { return policy.Micros(ms * 1000) }
+// microseconds converts milliseconds to the time unit of the decision module.
+func microseconds(ms float64) policy.Micros { return policy.Micros(ms * 1000) }
 
 const (
-	defaultTick    = 10.0
-	defaultConnect = 250.0
-	defaultIdle    = 10000.0
-	defaultTries   = 3
+	defaultTickMS      = 10.0
+	defaultConnectMS   = 250.0
+	defaultIdleMS      = 10000.0
+	defaultMaxAttempts = 3
 )
 
-func (f *file) terms(bad *faults) *terms {
-	s := policy.Settings{Gateways: 1, Tick: micros(or(f.Tick, defaultTick)), Cancel: true, MaxAttempts: defaultTries,
+// policyTerms converts the blocks of the file to settings. The pool is added by addPool.
+func (f *hclFile) policyTerms(errs *errorList) *policyTerms {
+	settings := policy.Settings{Gateways: 1, Tick: microseconds(orDefault(f.Tick, defaultTickMS)), Cancel: true, MaxAttempts: defaultMaxAttempts,
 		RetryAfter: true, InlineLoad: f.Reports, Settles: f.Settles, Largest: f.Largest}
 	if g := f.Siblings; g != nil {
-		s.Gateways, s.Self = g.Count, g.Self
+		settings.Gateways, settings.Self = g.Count, g.Self
 	}
 	if a := f.Attempts; a != nil {
-		s.MaxAttempts = a.Most
+		settings.MaxAttempts = a.Most
 	}
 	if c := f.Cold; c != nil {
-		s.ColdShare, s.ColdFor, s.FallMultiple, s.FallWindow = c.Share, micros(c.For), c.Multiple, micros(c.Window)
+		settings.ColdShare, settings.ColdFor, settings.FallMultiple, settings.FallWindow = c.Share, microseconds(c.For), c.Multiple, microseconds(c.Window)
 	}
 	if c := f.Counter; c != nil {
-		s.Counter, s.CounterTimeout = true, micros(c.Timeout)
+		settings.Counter, settings.CounterTimeout = true, microseconds(c.Timeout)
 	}
-	t := &terms{set: s}
-	for _, p := range f.Plans {
-		if slices.Contains(t.names.Plans, p.Name) {
-			bad.at(p.Range, "plan %q stands twice", p.Name)
+	terms := &policyTerms{settings: settings}
+	for _, plan := range f.Plans {
+		if slices.Contains(terms.names.Plans, plan.Name) {
+			errs.add(plan.Range, "plan %q is defined twice", plan.Name)
 		}
-		if p.Rate < 0 || p.Burst < 0 || p.Price < 0 {
-			bad.at(p.Range, "plan %q: a rate, burst or price below 0", p.Name)
+		if plan.Rate < 0 || plan.Burst < 0 || plan.Price < 0 {
+			errs.add(plan.Range, "plan %q: rate, burst and price must not be below 0", plan.Name)
 		}
-		t.names.Plans = append(t.names.Plans, p.Name)
-		t.set.Plans = append(t.set.Plans, policy.Plan{Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price,
-			OverCost: p.OverCost, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack})
+		terms.names.Plans = append(terms.names.Plans, plan.Name)
+		terms.settings.Plans = append(terms.settings.Plans, policy.Plan{Rate: plan.Rate, Burst: plan.Burst, Open: plan.Open, Price: plan.Price,
+			OverCost: plan.OverCost, CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
 	}
 	for _, c := range f.Classes {
-		f.class(t, c, bad)
+		f.addClass(terms, c, errs)
 	}
 	if len(f.Plans) == 0 {
-		bad.at(hcl.Range{Filename: "configuration"}, "no plan is stated")
+		errs.add(hcl.Range{Filename: "configuration"}, "no plan: expected at least one plan block")
 	}
-	return t
+	return terms
 }
 
-// repeats is the words of a class for the module's terms.
-var (
-	repeats = map[string]policy.Repeat{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-)
+// repeatByName maps the values of a class's repeat key to retry classes.
+var repeatByName = map[string]policy.Repeat{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 
-func (f *file) class(t *terms, c classBlock, bad *faults) {
-	repeat, ok := repeats[c.Repeat]
+// addClass validates a class block and adds it to the settings.
+func (f *hclFile) addClass(terms *policyTerms, block classBlock, errs *errorList) {
+	repeat, ok := repeatByName[block.Repeat]
 	if !ok {
-		bad.at(c.Range, "class %q: repeat %q is not safe, keyed or unsafe", c.Name, c.Repeat)
+		errs.add(block.Range, "class %q: repeat %q is not safe, keyed or unsafe", block.Name, block.Repeat)
 	}
-	group, ok := settings.Groups[c.Group]
+	group, ok := settings.Groups[block.Group]
 	if !ok {
-		bad.at(c.Range, "class %q: group %q is not all, zone or cell", c.Name, c.Group)
+		errs.add(block.Range, "class %q: group %q is not all, zone or cell", block.Name, block.Group)
 	}
-	if repeat == policy.Keyed && c.Window <= 0 {
-		bad.at(c.Range, "class %q is keyed and states no window_ms", c.Name)
+	if repeat == policy.Keyed && block.Window <= 0 {
+		errs.add(block.Range, "class %q is keyed and states no window_ms", block.Name)
 	}
-	if c.Aim <= 0 || c.Deadline < c.Aim {
-		bad.at(c.Range, "class %q: aim_ms must be above 0 and at most deadline_ms", c.Name)
+	if block.Aim <= 0 || block.Deadline < block.Aim {
+		errs.add(block.Range, "class %q: aim_ms must be above 0 and at most deadline_ms", block.Name)
 	}
-	if slices.Contains(t.names.Classes, c.Name) {
-		bad.at(c.Range, "class %q stands twice", c.Name)
+	if slices.Contains(terms.names.Classes, block.Name) {
+		errs.add(block.Range, "class %q is defined twice", block.Name)
 	}
-	t.names.Classes = append(t.names.Classes, c.Name)
-	t.set.Classes = append(t.set.Classes, policy.Class{Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-		Window: micros(c.Window), Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Repeat: repeat, Group: group})
+	terms.names.Classes = append(terms.names.Classes, block.Name)
+	terms.settings.Classes = append(terms.settings.Classes, policy.Class{Aim: microseconds(block.Aim), Deadline: microseconds(block.Deadline),
+		Window: microseconds(block.Window), Worth: orDefault(block.Worth, 1), LateWorth: block.LateWorth, Repeat: repeat, Group: group})
 }
 
-// pool takes the one pool that a gatekeeper has so far: its workers, and how they are
-// spoken to.
-func (f *file) pool(c *Config, bad *faults) {
+// addPool applies the pool block: the workers and the transport to them. So far a gatekeeper
+// has exactly one pool.
+func (f *hclFile) addPool(cfg *Config, errs *errorList) {
 	if len(f.Pools) == 0 {
-		bad.at(hcl.Range{Filename: "configuration"}, "no pool of workers is stated")
+		errs.add(hcl.Range{Filename: "configuration"}, "no pool of workers: expected one pool block")
 		return
 	}
-	for _, p := range f.Pools[1:] {
-		bad.at(p.Range, "pool %q: a gatekeeper has one pool", p.Name)
+	for _, pool := range f.Pools[1:] {
+		errs.add(pool.Range, "pool %q: a gatekeeper has one pool", pool.Name)
 	}
-	p := f.Pools[0]
-	names := &c.terms.names
-	names.ConnectMost, names.ConnIdle = micros(or(p.Connect, defaultConnect)), micros(or(p.Idle, defaultIdle))
-	kind, ok := link.CarrierOf(p.Transport)
+	pool := f.Pools[0]
+	names := &cfg.hclTerms.names
+	names.ConnectMost, names.ConnIdle = microseconds(orDefault(pool.Connect, defaultConnectMS)), microseconds(orDefault(pool.Idle, defaultIdleMS))
+	carrier, ok := link.CarrierOf(pool.Transport)
 	if !ok {
-		bad.at(p.Range, "pool %q: transport %q is not one of %s", p.Name, p.Transport, link.CarrierNames())
+		errs.add(pool.Range, "pool %q: transport %q is not one of %s", pool.Name, pool.Transport, link.CarrierNames())
 	}
-	c.Transport = link.Transport{Carrier: kind, Depth: p.Depth, Links: p.Links, Gather: p.Gather, Echo: p.Echo, Path: p.Path}
-	if err := c.Transport.Check(); err != nil {
-		bad.at(p.Range, "pool %q: %v", p.Name, err)
+	cfg.Transport = link.Transport{Carrier: carrier, Depth: pool.Depth, Links: pool.Links, Gather: pool.Gather, Echo: pool.Echo, Path: pool.Path}
+	if err := cfg.Transport.Check(); err != nil {
+		errs.add(pool.Range, "pool %q: %v", pool.Name, err)
 	}
-	if len(p.Workers) == 0 && f.Discovery == "" {
-		bad.at(p.Range, "pool %q: neither a worker nor a discovery is stated", p.Name)
+	if len(pool.Workers) == 0 && f.Discovery == "" {
+		errs.add(pool.Range, "pool %q: expected a worker block or a discovery address", pool.Name)
 	}
-	c.Known.Generation, c.Known.Reset = 1, true
+	cfg.Known.Generation, cfg.Known.Reset = 1, true
 	seen := map[string]bool{}
-	for _, w := range p.Workers {
-		if _, err := net.ResolveTCPAddr("tcp", w.Address); err != nil {
-			bad.at(w.Range, "worker %q: %v", w.ID, err)
+	for _, worker := range pool.Workers {
+		if _, err := net.ResolveTCPAddr("tcp", worker.Address); err != nil {
+			errs.add(worker.Range, "worker %q: %v", worker.ID, err)
 		}
-		if seen[w.ID] {
-			bad.at(w.Range, "worker %q stands twice", w.ID)
+		if seen[worker.ID] {
+			errs.add(worker.Range, "worker %q is defined twice", worker.ID)
 		}
-		seen[w.ID] = true
-		names.Zones = with(names.Zones, w.Zone)
-		c.terms.set.Weights = c.terms.set.Weights || w.Weight != 0
-		c.Known.Instances = append(c.Known.Instances, w.instance())
+		seen[worker.ID] = true
+		names.Zones = appendUnique(names.Zones, worker.Zone)
+		cfg.hclTerms.settings.Weights = cfg.hclTerms.settings.Weights || worker.Weight != 0
+		cfg.Known.Instances = append(cfg.Known.Instances, worker.instance())
 	}
-	c.terms.set.Zone = max(slices.Index(names.Zones, f.Zone), 0)
+	cfg.hclTerms.settings.Zone = max(slices.Index(names.Zones, f.Zone), 0)
 }
 
-func with(list []string, s string) []string {
-	if slices.Contains(list, s) {
+// appendUnique appends a value unless the list has it.
+func appendUnique(list []string, value string) []string {
+	if slices.Contains(list, value) {
 		return list
 	}
-	return append(list, s)
+	return append(list, value)
 }
 
-func or(v, instead float64) float64 {
-	if v == 0 {
-		return instead
+// orDefault returns the fallback if value is 0.
+func orDefault(value, fallback float64) float64 {
+	if value == 0 {
+		return fallback
 	}
-	return v
+	return value
 }
 
 func (w *workerBlock) instance() platform.Instance {
 	return platform.Instance{ID: w.ID, Addr: w.Address, Zone: w.Zone, Cell: w.Cell,
-		Lifecycle: "ready", Weight: or(w.Weight, 1)}
+		Lifecycle: "ready", Weight: orDefault(w.Weight, 1)}
 }
--- a/internal/handover/encoding_test.go
+++ b/internal/handover/encoding_test.go
@@ -7,7 +7,8 @@
 	"foxwood/internal/testing/encoding"
 )
 
-// The process that takes over may be of another release than the one that hands over.
+// TestMessagesKeepTheirEncoding guards the encoding of handover messages: the two processes may
+// be of different releases.
 func TestMessagesKeepTheirEncoding(t *testing.T) {
 	encoding.Check[message](t, "message", json.Marshal, json.Unmarshal)
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,6 @@
-// Package handover lets a new process of a gatekeeper take the place of the one in
-// service. The two meet at a Unix socket: the old one hands over its listener and what it
-// knows, and until it has ended each tells the other what it draws.
+// Package handover replaces a running gatekeeper process by a new one without interruption.
+// The new process connects to a Unix socket of the old one, which sends its listener and its
+// state. Until the old process has ended, each reports its quota draws to the other.
 package handover
 
 import (
@@ -21,76 +21,79 @@
 	"foxwood/policy"
 )
 
-// Version is of the words that are spoken here. Processes of different ones do not hand
-// over.
+// Version is the version of the handover protocol. Processes with different versions don't
+// hand over.
 const Version = 1
 
 const (
-	frameMost  = 32 << 20
-	drawsMost  = 4096 // that wait to be written; a peer that far behind is lost
-	pathMost   = 104  // bytes that a Unix socket's address has room for
-	helloMost  = time.Second
-	writeMost  = time.Second
-	socketMode = 0o600
+	maxFrameBytes      = 32 << 20
+	maxQueuedMessages  = 4096        // messages waiting to be written; beyond them the connection is closed
+	maxSocketPathBytes = 104         // limit of the operating system for the address of a Unix socket
+	helloTimeout       = time.Second // from a connection until its hello has been read
+	writeTimeout       = time.Second // for one message; an offer has twice as long
+	socketMode         = 0o600
 )
 
-// Offer is what the old process hands over beside its listener.
+// Offer is what the old process hands over together with its listener.
 type Offer struct {
-	Version int
-	State   policy.Snapshot
-	List    platform.List
-	Classes []string // names of the classes in force, by their places
+	Version int             // of the protocol
+	State   policy.Snapshot // state of the decision module
+	List    platform.List   `json:"List"`    // workers
+	Classes []string        `json:"Classes"` // names of the active request classes, by their index
 }
 
-// message is one frame: four bytes of length and JSON. Exactly one field is set.
+// message is the content of a frame, which has four bytes of length and the message as JSON.
+// Exactly one field is set.
 type message struct {
-	Hello int          `json:"hello,omitempty"` // the new process's version
-	Offer *Offer       `json:"offer,omitempty"` // the listener comes with it
+	Hello int          `json:"hello,omitempty"` // protocol version of the new process
+	Offer *Offer       `json:"offer,omitempty"` // the descriptor of the listener comes with it
 	Ready bool         `json:"ready,omitempty"` // the new process can serve
-	Go    bool         `json:"go,omitempty"`    // the old one accepts no more
-	Draw  *policy.Draw `json:"draw,omitempty"`
+	Go    bool         `json:"go,omitempty"`    // the old process has stopped accepting
+	Draw  *policy.Draw `json:"draw,omitempty"`  // a quota draw of the sender
 }
 
-// Events is what a process does on what its peer says. They come one after the other, on
-// a goroutine of the peer's.
+// Events handles the messages of the other process. Its methods are called one at a time, by
+// Peer.Run.
 type Events interface {
-	// Ready tells the old process that the new one can serve.
+	// Ready is called in the old process when the new one can serve.
 	Ready(p *Peer)
-	// Go tells the new process that it alone accepts.
+	// Go is called in the new process when the old one has stopped accepting.
 	Go(p *Peer)
-	// Drew tells what the other process has drawn.
+	// Drew is called with each quota draw of the other process.
 	Drew(p *Peer, d policy.Draw)
-	// Lost tells that the other process has gone, or makes no sense.
+	// Lost is called once, when the connection has ended or an invalid message has arrived.
 	Lost(p *Peer, err error)
 }
 
-// Peer is the other process.
+// Peer is a connection to the other process.
 type Peer struct {
 	conn  *net.UnixConn
-	out   chan message
+	queue chan message
 	close sync.Once
-	over  chan struct{}
+	done  chan struct{}
 }
 
-// Path is where the processes for a clients' address meet, under a folder.
-func Path(dir, listen string) string {
+// Path returns the path of the handover socket in a directory, for processes that serve the
+// same listen address.
+func Path(dir, listenAddr string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r == '/' || r == 0 {
 			return '_'
 		}
 		return r
-	}, listen)
+	}, listenAddr)
 	return filepath.Join(dir, "foxwood-"+clean+".sock")
 }
 
-var errPeer = errors.New("handover: the peer does not speak as it should")
+var errProtocol = errors.New("handover: protocol error")
 
-// Meet calls the process in service and takes what it offers. It fails where nobody is
-// there, or does not answer whole and in time; then the start is an ordinary one.
-func Meet(path string, patience time.Duration) (p *Peer, o *Offer, ln *net.TCPListener, err error) {
-	until := time.Now().Add(patience)
-	d := net.Dialer{Deadline: until}
-	c, err := d.Dial("unix", path)
+// Meet connects to the running process and receives its offer. It fails if there is no such
+// process, or if its offer is invalid, incomplete or late. The caller then starts without a
+// handover.
+func Meet(path string, timeout time.Duration) (peer *Peer, offer *Offer, listener *net.TCPListener, err error) {
+	deadline := time.Now().Add(timeout)
+	dialer := net.Dialer{Deadline: deadline}
+	c, err := dialer.Dial("unix", path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -100,16 +103,16 @@
 			conn.Close()
 		}
 	}()
-	if err := trusted(conn); err != nil {
+	if err := checkPeerUser(conn); err != nil {
 		return nil, nil, nil, err
 	}
-	_ = conn.SetDeadline(until)
-	if err := write(conn, message{Hello: Version}, -1); err != nil {
+	_ = conn.SetDeadline(deadline)
+	if err := writeFrame(conn, message{Hello: Version}, -1); err != nil {
 		return nil, nil, nil, err
 	}
-	m, fd, err := read(conn)
-	if err == nil && (m.Offer == nil || m.Offer.Version != Version || fd < 0) {
-		err = errPeer
+	msg, fd, err := readFrame(conn)
+	if err == nil && (msg.Offer == nil || msg.Offer.Version != Version || fd < 0) {
+		err = fmt.Errorf("%w: expected an offer of version %d with a listener, got another message", errProtocol, Version)
 	}
 	if err != nil {
 		if fd >= 0 {
@@ -119,56 +122,57 @@
 	}
 	file := os.NewFile(uintptr(fd), "listener")
 	defer file.Close()
-	l, err := net.FileListener(file)
+	inherited, err := net.FileListener(file)
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("handover: listener: %w", err)
 	}
-	ln, ok := l.(*net.TCPListener)
+	listener, ok := inherited.(*net.TCPListener)
 	if !ok {
-		l.Close()
-		return nil, nil, nil, errPeer
+		inherited.Close()
+		return nil, nil, nil, fmt.Errorf("%w: expected a TCP listener, got %T", errProtocol, inherited)
 	}
 	_ = conn.SetDeadline(time.Time{})
-	return newPeer(conn), m.Offer, ln, nil
+	return newPeer(conn), msg.Offer, listener, nil
 }
 
-// trusted refuses a peer of another user: whoever has the socket gets the clients.
-func trusted(c *net.UnixConn) error {
-	raw, err := c.SyscallConn()
+// checkPeerUser rejects a peer of another user, since the peer gets or gives the listener for
+// clients.
+func checkPeerUser(conn *net.UnixConn) error {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var cred *syscall.Ucred
-	var inner error
+	var credentials *syscall.Ucred
+	var sockoptErr error
 	if err := raw.Control(func(fd uintptr) {
-		cred, inner = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		credentials, sockoptErr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	}); err != nil {
 		return err
 	}
-	if inner != nil {
-		return inner
+	if sockoptErr != nil {
+		return sockoptErr
 	}
-	if int(cred.Uid) != os.Getuid() {
-		return fmt.Errorf("handover: the peer is of user %d", cred.Uid)
+	if int(credentials.Uid) != os.Getuid() {
+		return fmt.Errorf("handover: the peer runs as user %d, expected user %d", credentials.Uid, os.Getuid())
 	}
 	return nil
 }
 
-func newPeer(c *net.UnixConn) *Peer {
-	p := &Peer{conn: c, out: make(chan message, drawsMost), over: make(chan struct{})}
-	go p.write()
+func newPeer(conn *net.UnixConn) *Peer {
+	p := &Peer{conn: conn, queue: make(chan message, maxQueuedMessages), done: make(chan struct{})}
+	go p.writeLoop()
 	return p
 }
 
-// write sends what is told, in its order.
-func (p *Peer) write() {
+// writeLoop writes the queued messages in their order.
+func (p *Peer) writeLoop() {
 	for {
 		select {
-		case <-p.over:
+		case <-p.done:
 			return
-		case m := <-p.out:
-			_ = p.conn.SetWriteDeadline(time.Now().Add(writeMost))
-			if write(p.conn, m, -1) != nil {
+		case msg := <-p.queue:
+			_ = p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if writeFrame(p.conn, msg, -1) != nil {
 				p.Close()
 				return
 			}
@@ -176,119 +180,124 @@
 	}
 }
 
-// Run hears the peer until it is lost.
-func (p *Peer) Run(e Events) {
+// Run reads messages and passes them to events until the connection ends.
+func (p *Peer) Run(events Events) {
 	for {
-		m, fd, err := read(p.conn)
+		msg, fd, err := readFrame(p.conn)
 		if fd >= 0 {
 			_ = syscall.Close(fd)
 		}
 		switch {
 		case err != nil:
 			p.Close()
-			e.Lost(p, err)
+			events.Lost(p, err)
 			return
-		case m.Ready:
-			e.Ready(p)
-		case m.Go:
-			e.Go(p)
-		case m.Draw != nil:
-			e.Drew(p, *m.Draw)
+		case msg.Ready:
+			events.Ready(p)
+		case msg.Go:
+			events.Go(p)
+		case msg.Draw != nil:
+			events.Drew(p, *msg.Draw)
 		default:
 			p.Close()
-			e.Lost(p, errPeer)
+			events.Lost(p, fmt.Errorf("%w: expected ready, go or draw, got another message", errProtocol))
 			return
 		}
 	}
 }
 
-// tell never blocks. A peer that takes nothing more is lost.
-func (p *Peer) tell(m message) {
+// send queues a message and never blocks. If the queue is full the connection is closed.
+func (p *Peer) send(msg message) {
 	select {
-	case p.out <- m:
-	case <-p.over:
+	case p.queue <- msg:
+	case <-p.done:
 	default:
 		p.Close()
 	}
 }
 
-// Ready, Go and Draw tell the peer so. Any goroutine may call them.
-func (p *Peer) Ready()             { p.tell(message{Ready: true}) }
-func (p *Peer) Go()                { p.tell(message{Go: true}) }
-func (p *Peer) Draw(d policy.Draw) { p.tell(message{Draw: &d}) }
+// Ready tells the old process that this one can serve. Any goroutine may call it.
+func (p *Peer) Ready() { p.send(message{Ready: true}) }
 
-// Close ends the meeting.
+// Go tells the new process that this one has stopped accepting. Any goroutine may call it.
+func (p *Peer) Go() { p.send(message{Go: true}) }
+
+// Draw reports a quota draw to the other process. Any goroutine may call it.
+func (p *Peer) Draw(d policy.Draw) { p.send(message{Draw: &d}) }
+
+// Close closes the connection. It may be called more than once.
 func (p *Peer) Close() {
-	p.close.Do(func() { close(p.over); p.conn.Close() })
+	p.close.Do(func() { close(p.done); p.conn.Close() })
 }
 
-// Socket is where the process in service waits for a new one.
+// Socket is the handover socket, at which a running process waits for a new one.
 type Socket struct {
-	ln   *net.UnixListener
-	path string
+	listener *net.UnixListener
+	path     string
 }
 
-// Wait opens the socket, in the place of one that is stale or another process's. Each new
-// process that says hello is given to meet, on a goroutine of its own.
-func Wait(path string, meet func(*Meeting)) (*Socket, error) {
-	if len(path) > pathMost {
-		return nil, fmt.Errorf("handover: %s is longer than a socket's address may be", path)
+// Wait opens the handover socket. It replaces a socket that is stale or belongs to another
+// process. onConnect is called for each new process that has sent a valid hello, one at a
+// time.
+func Wait(path string, onConnect func(*Meeting)) (*Socket, error) {
+	if len(path) > maxSocketPathBytes {
+		return nil, fmt.Errorf("handover: socket path %s has %d bytes, expected at most %d", path, len(path), maxSocketPathBytes)
 	}
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid()) // put in place whole
-	_ = os.Remove(fresh)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid()) // renamed below, so that the path never leads to a half-made socket
+	_ = os.Remove(tempPath)
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then it may be another's
-	if err := errors.Join(os.Chmod(fresh, socketMode), os.Rename(fresh, path)); err != nil {
-		ln.Close()
-		_ = os.Remove(fresh)
+	listener.SetUnlinkOnClose(false) // at that time the path may belong to another process
+	if err := errors.Join(os.Chmod(tempPath, socketMode), os.Rename(tempPath, path)); err != nil {
+		listener.Close()
+		_ = os.Remove(tempPath)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s := &Socket{ln: ln, path: path}
-	go s.accept(meet)
+	s := &Socket{listener: listener, path: path}
+	go s.accept(onConnect)
 	return s, nil
 }
 
-// accept hears one caller at a time, so that silent ones cost one descriptor.
-func (s *Socket) accept(meet func(*Meeting)) {
+// accept handles one connection at a time, so that silent ones take up one descriptor at most.
+func (s *Socket) accept(onConnect func(*Meeting)) {
 	for {
-		c, err := s.ln.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		_ = c.SetDeadline(time.Now().Add(helloMost))
-		m, fd, err := read(c)
+		_ = conn.SetDeadline(time.Now().Add(helloTimeout))
+		msg, fd, err := readFrame(conn)
 		if fd >= 0 {
 			_ = syscall.Close(fd)
 		}
-		if err != nil || m.Hello != Version || trusted(c) != nil {
-			c.Close()
+		if err != nil || msg.Hello != Version || checkPeerUser(conn) != nil {
+			conn.Close()
 			continue
 		}
-		meet(&Meeting{conn: c})
+		onConnect(&Meeting{conn: conn})
 	}
 }
 
-// Close stops waiting. The socket's name stays: a new process may have put its own there.
-func (s *Socket) Close() { s.ln.Close() }
+// Close stops listening. The socket file stays: it may be the one of a newer process already.
+func (s *Socket) Close() { s.listener.Close() }
 
-// Meeting is a new process that waits for an offer.
+// Meeting is a connection from a new process that waits for an offer.
 type Meeting struct{ conn *net.UnixConn }
 
-// Offer hands over the listener, which stays open here, and what is known.
-func (m *Meeting) Offer(o Offer, ln *net.TCPListener) (*Peer, error) {
-	o.Version = Version
-	raw, err := ln.SyscallConn()
+// Offer sends the state and the listener, which also stays open in this process.
+func (m *Meeting) Offer(offer Offer, listener *net.TCPListener) (*Peer, error) {
+	offer.Version = Version
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		m.conn.Close()
 		return nil, err
 	}
-	_ = m.conn.SetDeadline(time.Now().Add(2 * writeMost))
-	var inner error
-	err = raw.Control(func(fd uintptr) { inner = write(m.conn, message{Offer: &o}, int(fd)) })
-	if err = errors.Join(err, inner); err != nil {
+	_ = m.conn.SetDeadline(time.Now().Add(2 * writeTimeout))
+	var writeErr error
+	err = raw.Control(func(fd uintptr) { writeErr = writeFrame(m.conn, message{Offer: &offer}, int(fd)) })
+	if err = errors.Join(err, writeErr); err != nil {
 		m.conn.Close()
 		return nil, err
 	}
@@ -296,43 +305,44 @@
 	return newPeer(m.conn), nil
 }
 
-// write sends a frame, with a descriptor unless that is below 0.
-func write(c *net.UnixConn, m message, fd int) error {
-	text, err := json.Marshal(m)
+// writeFrame writes a message, with a file descriptor unless fd is negative.
+func writeFrame(conn *net.UnixConn, msg message, fd int) error {
+	body, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
-	if len(text) > frameMost {
-		return fmt.Errorf("handover: a message of %d bytes", len(text))
+	if len(body) > maxFrameBytes {
+		return fmt.Errorf("handover: the message has %d bytes, expected at most %d", len(body), maxFrameBytes)
 	}
-	head := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
+	header := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	var rights []byte
 	if fd >= 0 {
 		rights = syscall.UnixRights(fd)
 	}
-	if n, _, err := c.WriteMsgUnix(head, rights, nil); err != nil || n < len(head) {
+	if n, _, err := conn.WriteMsgUnix(header, rights, nil); err != nil || n < len(header) {
 		return errors.Join(io.ErrShortWrite, err)
 	}
-	_, err = c.Write(text)
+	_, err = conn.Write(body)
 	return err
 }
 
-// read takes a frame, and the descriptor that came with it, or -1.
-func read(c *net.UnixConn) (m message, fd int, err error) {
+// readFrame reads a message, and the file descriptor that came with it, or -1. The caller
+// owns the descriptor, also if there is an error.
+func readFrame(conn *net.UnixConn) (msg message, fd int, err error) {
 	fd = -1
-	var head [4]byte
+	var header [4]byte
 	rights := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, _, _, err := c.ReadMsgUnix(head[:], rights)
+	n, oobn, _, _, err := conn.ReadMsgUnix(header[:], rights)
 	if oobn > 0 {
-		if parts, perr := syscall.ParseSocketControlMessage(rights[:oobn]); perr == nil {
-			for _, part := range parts {
-				if fds, ferr := syscall.ParseUnixRights(&part); ferr == nil {
-					for _, one := range fds {
+		if controls, parseErr := syscall.ParseSocketControlMessage(rights[:oobn]); parseErr == nil {
+			for _, control := range controls {
+				if fds, rightsErr := syscall.ParseUnixRights(&control); rightsErr == nil {
+					for _, received := range fds {
 						if fd >= 0 {
-							_ = syscall.Close(one)
+							_ = syscall.Close(received)
 							continue
 						}
-						fd = one
+						fd = received
 						syscall.CloseOnExec(fd)
 					}
 				}
@@ -340,25 +350,25 @@
 		}
 	}
 	if err != nil {
-		return m, fd, err
+		return msg, fd, err
 	}
 	if n == 0 {
-		return m, fd, io.EOF
+		return msg, fd, io.EOF
 	}
-	if _, err := io.ReadFull(c, head[n:]); err != nil {
-		return m, fd, err
+	if _, err := io.ReadFull(conn, header[n:]); err != nil {
+		return msg, fd, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > frameMost {
-		return m, fd, errPeer
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxFrameBytes {
+		return msg, fd, fmt.Errorf("%w: expected a frame of at most %d bytes, got %d", errProtocol, maxFrameBytes, size)
 	}
-	text, err := io.ReadAll(io.LimitReader(c, int64(size))) // grows with what comes, not with what is claimed
+	body, err := io.ReadAll(io.LimitReader(conn, int64(size))) // allocates for the bytes received, not for the claimed size
 	if err != nil {
-		return m, fd, err
+		return msg, fd, err
 	}
-	if len(text) < int(size) {
-		return m, fd, io.ErrUnexpectedEOF
+	if len(body) < int(size) {
+		return msg, fd, io.ErrUnexpectedEOF
 	}
-	err = json.Unmarshal(text, &m)
-	return m, fd, err
+	err = json.Unmarshal(body, &msg)
+	return msg, fd, err
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,26 +17,27 @@
 	"foxwood/policy"
 )
 
-const patience = 5 * time.Second
+// testTimeout is how long a test waits for an event that must happen.
+const testTimeout = 5 * time.Second
 
-// heard notes what a peer says.
-type heard struct{ said chan string }
+// recordedEvents records the events of a peer by name.
+type recordedEvents struct{ names chan string }
 
-func (h heard) Ready(*Peer)                 { h.said <- "ready" }
-func (h heard) Go(*Peer)                    { h.said <- "go" }
-func (h heard) Drew(_ *Peer, d policy.Draw) { h.said <- "drew " + string(rune('0'+d.Plan)) }
-func (h heard) Lost(*Peer, error)           { h.said <- "lost" }
+func (h recordedEvents) Ready(*Peer)                 { h.names <- "ready" }
+func (h recordedEvents) Go(*Peer)                    { h.names <- "go" }
+func (h recordedEvents) Drew(_ *Peer, d policy.Draw) { h.names <- "drew " + string(rune('0'+d.Plan)) }
+func (h recordedEvents) Lost(*Peer, error)           { h.names <- "lost" }
 
-func (h heard) expect(t *testing.T, want ...string) {
+func (h recordedEvents) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
 		select {
-		case got := <-h.said:
+		case got := <-h.names:
 			if got != w {
-				t.Fatalf("heard %q in place of %q", got, w)
+				t.Fatalf("got event %q, want event %q", got, w)
 			}
-		case <-time.After(patience):
-			t.Fatalf("%q was not heard", w)
+		case <-time.After(testTimeout):
+			t.Fatalf("no event %q within %v", w, testTimeout)
 		}
 	}
 }
@@ -51,62 +52,63 @@
 	return ln.(*net.TCPListener)
 }
 
-// TestAMeetingGoesFromHelloToGo, with the state, the list and the listener, and draws of
-// both sides in their order.
-func TestAMeetingGoesFromHelloToGo(t *testing.T) {
+// TestHandoverProtocol covers a whole handover: the offer with state, worker list and listener,
+// and the quota draws of both sides in their order.
+func TestHandoverProtocol(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:8000")
 	ln := listen(t, nil)
 	sent := Offer{State: policy.Snapshot{Version: policy.SnapshotVersion, Bound: 7},
 		List: platform.List{Generation: 9, Instances: []platform.Instance{{ID: "s-1", Addr: "127.0.0.1:1"}}}, Classes: []string{"a"}}
-	old, fresh := heard{make(chan string, 10)}, heard{make(chan string, 10)}
+	oldEvents, newEvents := recordedEvents{make(chan string, 10)}, recordedEvents{make(chan string, 10)}
 	peers := make(chan *Peer, 1)
 	socket, err := Wait(path, func(m *Meeting) {
-		p, err := m.Offer(sent, ln)
+		newPeer, err := m.Offer(sent, ln)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		peers <- p
-		p.Run(old)
+		peers <- newPeer
+		newPeer.Run(oldEvents)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	p, got, theirs, err := Meet(path, patience)
+	newPeer, got, received, err := Meet(path, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer theirs.Close()
+	defer received.Close()
 	sent.Version = Version
 	if diff := cmp.Diff(&sent, got); diff != "" {
 		t.Fatalf("offer (-sent +got):\n%s", diff)
 	}
-	go p.Run(fresh)
-	before := <-peers
-	before.Draw(policy.Draw{Plan: 1})
-	p.Ready()
-	p.Draw(policy.Draw{Plan: 2})
-	old.expect(t, "ready", "drew 2")
-	before.Go()
-	before.Draw(policy.Draw{Plan: 3})
-	fresh.expect(t, "drew 1", "go", "drew 3")
+	go newPeer.Run(newEvents)
+	oldPeer := <-peers
+	oldPeer.Draw(policy.Draw{Plan: 1})
+	newPeer.Ready()
+	newPeer.Draw(policy.Draw{Plan: 2})
+	oldEvents.expect(t, "ready", "drew 2")
+	oldPeer.Go()
+	oldPeer.Draw(policy.Draw{Plan: 3})
+	newEvents.expect(t, "drew 1", "go", "drew 3")
 
-	ln.Close() // the queue is the other's now
+	ln.Close() // the accept queue belongs to the new process now
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := theirs.Accept(); err != nil {
+	if _, err := received.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	p.Close()
-	old.expect(t, "lost")
+	newPeer.Close()
+	oldEvents.expect(t, "lost")
 }
 
-// TestMeetFailsInTime where nobody is there, or nobody who answers as they should.
-func TestMeetFailsInTime(t *testing.T) {
+// TestConnectFailsInTime checks that a stale socket, and a peer that is silent or sends an
+// invalid offer, delay the start of a new process only briefly.
+func TestConnectFailsInTime(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn){
 		"nobody":       nil,
 		"silence":      func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
@@ -123,7 +125,7 @@
 			}
 			if serve == nil {
 				ln.(*net.UnixListener).SetUnlinkOnClose(false)
-				ln.Close() // the socket is stale
+				ln.Close() // leaves a stale socket
 			} else {
 				defer ln.Close()
 				go func() {
@@ -135,17 +137,18 @@
 			}
 			began := time.Now()
 			if _, _, _, err := Meet(path, 200*time.Millisecond); err == nil {
-				t.Fatal("met")
+				t.Fatal("the handover succeeded")
 			}
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("after %v", took)
+				t.Errorf("failed after %v, want at most 1 s", took)
 			}
 		})
 	}
 }
 
-// TestSilentCallersKeepNobodyOut, nor do those that speak another version.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+// TestSilentConnectionsDoNotBlockHandover checks that a new process gets its offer although
+// other connections were closed without a hello or have another protocol version.
+func TestSilentConnectionsDoNotBlockHandover(t *testing.T) {
 	path := Path(t.TempDir(), "a")
 	ln := listen(t, nil)
 	socket, err := Wait(path, func(m *Meeting) { _, _ = m.Offer(Offer{}, ln) })
@@ -165,18 +168,19 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	if err := write(other, message{Hello: Version + 1}, -1); err != nil {
+	if err := writeFrame(other, message{Hello: Version + 1}, -1); err != nil {
 		t.Fatal(err)
 	}
-	_, _, theirs, err := Meet(path, patience)
+	_, _, theirs, err := Meet(path, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	theirs.Close()
 }
 
-// TestASocketIsTakenOverWhole: the name always leads to one that is waited at.
-func TestASocketIsTakenOverWhole(t *testing.T) {
+// TestSocketIsReplacedAtomically checks that a second socket at the same path replaces the first
+// and leaves no other file.
+func TestSocketIsReplacedAtomically(t *testing.T) {
 	path := Path(t.TempDir(), "a")
 	met := make(chan int, 2)
 	for i := range 2 {
@@ -186,28 +190,29 @@
 		}
 		defer s.Close()
 	}
-	_, _, _, _ = Meet(path, patience)
+	_, _, _, _ = Meet(path, testTimeout)
 	if got := <-met; got != 1 {
-		t.Fatal("the first was met")
+		t.Fatalf("socket %d got the connection, want the second", got)
 	}
 	if left, err := os.ReadDir(filepath.Dir(path)); err != nil || len(left) != 1 {
-		t.Fatalf("%v %v", left, err)
+		t.Fatalf("want one file in the directory, got %v, %v", left, err)
 	}
 }
 
-// TestOneQueueLosesNothing measures what a closing listener does to connections that wait
-// to be accepted: with a queue of each process's own (SO_REUSEPORT) its own are reset, with
-// one that both have none is.
-func TestOneQueueLosesNothing(t *testing.T) {
+// TestSharedListenerLosesNoConnection is why the listener itself is handed over. It counts the
+// connections waiting to be accepted that are lost when one of two listeners closes. With
+// SO_REUSEPORT each process has its own queue, and those in the closed one are reset; with a
+// shared queue none is lost.
+func TestSharedListenerLosesNoConnection(t *testing.T) {
 	const callers = 64
-	shared := func(_, _ string, c syscall.RawConn) error {
+	reusePort := func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}
-	lost := func(second func(first *net.TCPListener) *net.TCPListener) (n int) {
-		first := listen(t, shared)
+	lost := func(second func(first *net.TCPListener) *net.TCPListener) (failures int) {
+		first := listen(t, reusePort)
 		other := second(first)
 		defer other.Close()
-		var all []net.Conn
+		var conns []net.Conn
 		for range callers {
 			c, err := net.Dial("tcp", first.Addr().String())
 			if err != nil {
@@ -215,7 +220,7 @@
 			}
 			defer c.Close()
 			_, _ = c.Write([]byte("x"))
-			all = append(all, c)
+			conns = append(conns, c)
 		}
 		first.Close()
 		go func() {
@@ -228,22 +233,22 @@
 				c.Close()
 			}
 		}()
-		for _, c := range all {
-			_ = c.SetDeadline(time.Now().Add(patience))
+		for _, c := range conns {
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := c.Read(make([]byte, 1)); err != nil {
-				n++
+				failures++
 			}
 		}
-		return n
+		return failures
 	}
-	own := lost(func(first *net.TCPListener) *net.TCPListener {
-		ln, err := (&net.ListenConfig{Control: shared}).Listen(context.Background(), "tcp", first.Addr().String())
+	separateQueues := lost(func(first *net.TCPListener) *net.TCPListener {
+		ln, err := (&net.ListenConfig{Control: reusePort}).Listen(context.Background(), "tcp", first.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		return ln.(*net.TCPListener)
 	})
-	one := lost(func(first *net.TCPListener) *net.TCPListener {
+	oneQueue := lost(func(first *net.TCPListener) *net.TCPListener {
 		file, err := first.File()
 		if err != nil {
 			t.Fatal(err)
@@ -255,8 +260,8 @@
 		}
 		return ln.(*net.TCPListener)
 	})
-	t.Logf("of %d connections that wait: %d are reset with SO_REUSEPORT, %d with one queue", callers, own, one)
-	if one != 0 {
-		t.Errorf("%d were lost from one queue", one)
+	t.Logf("of %d waiting connections: %d are reset with SO_REUSEPORT, %d with a shared queue", callers, separateQueues, oneQueue)
+	if oneQueue != 0 {
+		t.Errorf("%d connections were lost from the shared queue", oneQueue)
 	}
 }
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -11,7 +11,8 @@
 	"foxwood/internal/platform"
 )
 
-const conf = `
+// testConfig is a configuration with two upstreams and locations of every kind.
+const testConfig = `
 events {}
 http {
     upstream calc {
@@ -45,8 +46,8 @@
     }
 }`
 
-func TestUpstreamAndLocationsBecomeWorkersAndADescription(t *testing.T) {
-	im, err := Read(conf, "calc")
+func TestImportUpstreamAndLocations(t *testing.T) {
+	result, err := Read(testConfig, "calc")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,14 +55,14 @@
 		{ID: "127.0.0.1:9001", Addr: "127.0.0.1:9001", Lifecycle: "ready", Weight: 3},
 		{ID: "127.0.0.1:9002", Addr: "127.0.0.1:9002", Lifecycle: "draining", Weight: 1},
 	}
-	if diff := cmp.Diff(want, im.Known.Instances); diff != "" {
+	if diff := cmp.Diff(want, result.Known.Instances); diff != "" {
 		t.Error(diff)
 	}
 	limits := map[string]any{"conn-idle-us": int64(30e6), "connect-timeout-us": int64(250e3), "max-attempts": 3}
-	if diff := cmp.Diff(limits, im.Limits); diff != "" {
+	if diff := cmp.Diff(limits, result.Limits); diff != "" {
 		t.Error(diff)
 	}
-	text, err := json.Marshal(im.Description)
+	text, err := json.Marshal(result.Description)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,34 +73,34 @@
 	if d.Operations() != 2 {
 		t.Errorf("%d operations of %s", d.Operations(), text)
 	}
-	notes := strings.Join(im.Notes, "\n")
+	notes := strings.Join(result.Notes, "\n")
 	for _, said := range []string{"least_conn", "max_fails", "9003: a backup", "/simulacion: a prefix", "~ ^/viejo", "/reescrito: proxy_pass rewrites"} {
 		if !strings.Contains(notes, said) {
-			t.Errorf("nothing is said of %s in:\n%s", said, notes)
+			t.Errorf("no note on %s in:\n%s", said, notes)
 		}
 	}
 }
 
-// TestALocationWithoutACostIsRefusedByTheDescription: nginx states none, and none
-// is guessed.
-func TestALocationWithoutACostIsRefusedByTheDescription(t *testing.T) {
-	im, err := Read(strings.Replace(conf, `"units": 2, `, "", 1), "calc")
+// TestLocationWithoutCostIsRejected checks that a location without units is noted, and that the
+// imported description is rejected until they are added: nginx has no cost, and none is guessed.
+func TestLocationWithoutCostIsRejected(t *testing.T) {
+	result, err := Read(strings.Replace(testConfig, `"units": 2, `, "", 1), "calc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(im.Description)
+	text, err := json.Marshal(result.Description)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := openapi.Parse(text); err == nil || !strings.Contains(err.Error(), `operation "get-cuota" states no cost`) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one on the missing cost", err)
 	}
-	if !strings.Contains(strings.Join(im.Notes, "\n"), "location /cuota: no cost is stated") {
-		t.Errorf("notes %q", im.Notes)
+	if !strings.Contains(strings.Join(result.Notes, "\n"), "location /cuota: no cost is stated") {
+		t.Errorf("no note on the missing cost in %q", result.Notes)
 	}
 }
 
-func TestWhatCannotBeReadIsAnError(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, upstream string }{
 		"no such upstream": {"", "", "nada"},
 		"a broken weight":  {"weight=3", "weight=x", "calc"},
@@ -107,8 +108,8 @@
 		"broken terms":     {`{"units": 2,`, `{"units": ,`, "calc"},
 		"a broken block":   {"events {}", "events {", "calc"},
 	} {
-		if _, err := Read(strings.Replace(conf, c.from, c.to, 1), c.upstream); err == nil {
-			t.Errorf("%s was taken", name)
+		if _, err := Read(strings.Replace(testConfig, c.from, c.to, 1), c.upstream); err == nil {
+			t.Errorf("%s: the invalid configuration was accepted", name)
 		}
 	}
 }
--- a/internal/openapi/description.go
+++ b/internal/openapi/description.go
@@ -1,6 +1,5 @@
-// Package openapi takes routes, request classes, unit guesses and retry classes
-// from an OpenAPI description, in place of settings written by hand, and is the
-// front that serves them.
+// Package openapi derives routes, request classes, estimated units and retry classes from an
+// OpenAPI description, in place of settings written by hand, and serves requests by them.
 package openapi
 
 import (
@@ -17,49 +16,48 @@
 	"foxwood/policy"
 )
 
-// Extension is the key under which an operation states its terms. A document may
-// hold one too, with what holds for all its operations; units never come from
-// there.
+// Extension is the key of the OpenAPI extension with the Terms of an operation. A document may
+// have one too, with defaults for all its operations. Units and class have no default.
 const Extension = "x-foxwood"
 
 // Terms is the value of Extension.
 type Terms struct {
-	Units      float64 `json:"units"`       // what a request draws from its customer's quota
-	Class      string  `json:"class"`       // operations may share one; the operationId if absent
-	Worth      float64 `json:"worth"`       // of one request, 1 if absent
-	LateWorth  float64 `json:"late-worth"`  // the part of it that an answer past the aim earns
-	AimMS      float64 `json:"aim-ms"`      // wanted within
-	DeadlineMS float64 `json:"deadline-ms"` // what a client waits at most
-	Repeat     string  `json:"repeat"`      // safe, keyed or unsafe; by the method if absent
-	WindowMS   float64 `json:"window-ms"`   // keyed: how long workers drop repeats
-	Group      string  `json:"group"`       // keyed: which workers do: all, zone or cell
+	Units      float64 `json:"units"`       // what a request draws from its customer's quota; required
+	Class      string  `json:"class"`       // class name, which operations may share; the operationId if absent
+	Worth      float64 `json:"worth"`       // priority of a request; 1 if absent
+	LateWorth  float64 `json:"late-worth"`  // the fraction of it that a response later than AimMS is worth
+	AimMS      float64 `json:"aim-ms"`      // target response time
+	DeadlineMS float64 `json:"deadline-ms"` // how long a client waits at most
+	Repeat     string  `json:"repeat"`      // retry class: safe, keyed or unsafe; depends on the method if absent
+	WindowMS   float64 `json:"window-ms"`   // keyed: how long workers deduplicate by the idempotency key
+	Group      string  `json:"group"`       // keyed: which workers share these keys: all, zone or cell
 }
 
-// class is a request class by name.
+// class is a named request class.
 type class struct {
 	name  string
 	terms policy.Class
 }
 
-// route is one operation.
+// route is the path and method of an operation.
 type route struct {
 	method   string
 	segments []string // "" matches any one segment
-	class    int      // in the description's own order
+	class    int      // index in Description.classes
 	units    float64
 }
 
-// Description is a document that has been read and found complete.
+// Description is a validated OpenAPI description.
 type Description struct {
 	classes []class
-	routes  []route // the most literal first
+	routes  []route // those with the fewest parameters first
 }
 
-// keyHeader carries the key of a request whose repeats workers drop.
+// keyHeader is the header with the key by which workers deduplicate a request.
 const keyHeader = "Idempotency-Key"
 
-// Parse reads a description. It is refused as a whole where one operation states
-// no cost or terms that can't be kept: a guess would be spent on quotas.
+// Parse reads a description. If an operation has no units or invalid terms, the whole description
+// is rejected: guessed units would be charged to quotas.
 func Parse(text []byte) (*Description, error) {
 	loader := openapi3.NewLoader()
 	doc, err := loader.LoadFromData(text)
@@ -69,63 +67,64 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		return nil, fmt.Errorf("description: %w", err)
 	}
-	common := Terms{Worth: 1, Group: "all"}
-	if err := read(doc.Extensions, &common); err != nil {
+	defaults := Terms{Worth: 1, Group: "all"}
+	if err := decodeExtension(doc.Extensions, &defaults); err != nil {
 		return nil, fmt.Errorf("description: %w", err)
 	}
-	if common.Units != 0 || common.Class != "" {
-		return nil, fmt.Errorf("description: %s of the document states units or a class; only operations may", Extension)
+	if defaults.Units != 0 || defaults.Class != "" {
+		return nil, fmt.Errorf("description: %s of the document has units or a class; only operations may have them", Extension)
 	}
 	base, err := basePath(doc)
 	if err != nil {
 		return nil, err
 	}
-	d := &Description{}
+	description := &Description{}
 	var faults []error
 	for _, path := range doc.Paths.InMatchingOrder() {
 		operations := doc.Paths.Value(path).Operations()
 		methods := make([]string, 0, len(operations))
-		for m := range operations {
-			methods = append(methods, m)
+		for method := range operations {
+			methods = append(methods, method)
 		}
 		slices.Sort(methods)
-		for _, m := range methods {
-			if err := d.add(m, base+path, operations[m], common); err != nil {
-				faults = append(faults, &Fault{Line: lineOf(text, m, path), err: fmt.Errorf("%s %s: %w", m, path, err)})
+		for _, method := range methods {
+			if err := description.addOperation(method, base+path, operations[method], defaults); err != nil {
+				faults = append(faults, &Fault{Line: operationLine(text, method, path), err: fmt.Errorf("%s %s: %w", method, path, err)})
 			}
 		}
 	}
 	if err := errors.Join(faults...); err != nil {
-		return nil, fmt.Errorf("description refused: %w", err)
+		return nil, fmt.Errorf("description rejected: %w", err)
 	}
-	if len(d.routes) == 0 {
-		return nil, errors.New("description refused: it has no operation")
+	if len(description.routes) == 0 {
+		return nil, errors.New("description rejected: expected at least one operation, got none")
 	}
-	return d, nil
+	return description, nil
 }
 
-// Operations is the number of operations.
+// Operations returns the number of operations.
 func (d *Description) Operations() int { return len(d.routes) }
 
-// read decodes the extension over what t holds already.
-func read(extensions map[string]any, t *Terms) error {
-	v, ok := extensions[Extension]
+// decodeExtension decodes the extension into terms. Fields that it doesn't have keep their
+// values.
+func decodeExtension(extensions map[string]any, terms *Terms) error {
+	value, ok := extensions[Extension]
 	if !ok {
 		return nil
 	}
-	text, err := json.Marshal(v)
+	text, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("%s: %w", Extension, err)
 	}
-	dec := json.NewDecoder(strings.NewReader(string(text)))
-	dec.DisallowUnknownFields() // a misspelt term would silently not hold
-	if err := dec.Decode(t); err != nil {
+	decoder := json.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields() // a misspelt field would otherwise be ignored
+	if err := decoder.Decode(terms); err != nil {
 		return fmt.Errorf("%s: %w", Extension, err)
 	}
 	return nil
 }
 
-// basePath is the path of the first server, before every route.
+// basePath returns the path of the first server, which precedes every route.
 func basePath(doc *openapi3.T) (string, error) {
 	if len(doc.Servers) == 0 {
 		return "", nil
@@ -137,105 +136,107 @@
 	return strings.TrimRight(u.Path, "/"), nil
 }
 
-func (d *Description) add(method, path string, op *openapi3.Operation, t Terms) error {
-	t.Class = op.OperationID
-	if err := read(op.Extensions, &t); err != nil {
+// addOperation validates an operation and adds its route and class.
+func (d *Description) addOperation(method, path string, operation *openapi3.Operation, terms Terms) error {
+	terms.Class = operation.OperationID
+	if err := decodeExtension(operation.Extensions, &terms); err != nil {
 		return err
 	}
-	if !(t.Units > 0) {
-		return fmt.Errorf("operation %q states no cost: %s.units must be above 0", op.OperationID, Extension)
+	if !(terms.Units > 0) {
+		return fmt.Errorf("operation %q states no cost: %s.units must be above 0", operation.OperationID, Extension)
 	}
 	if method == "HEAD" || method == "CONNECT" || method == "TRACE" {
-		return fmt.Errorf("operation %q: method %s is not served", op.OperationID, method)
+		return fmt.Errorf("operation %q: method %s is not supported", operation.OperationID, method)
 	}
-	if t.Class == "" {
-		t.Class = method + " " + path
+	if terms.Class == "" {
+		terms.Class = method + " " + path
 	}
-	c, err := t.class(method, op)
+	policyClass, err := terms.policyClass(method, operation)
 	if err != nil {
-		return fmt.Errorf("operation %q: %w", op.OperationID, err)
+		return fmt.Errorf("operation %q: %w", operation.OperationID, err)
 	}
-	i := slices.IndexFunc(d.classes, func(x class) bool { return x.name == t.Class })
-	if i < 0 {
-		i = len(d.classes)
-		d.classes = append(d.classes, class{t.Class, c})
-	} else if d.classes[i].terms != c {
-		return fmt.Errorf("operation %q: class %q has other terms elsewhere", op.OperationID, t.Class)
+	index := slices.IndexFunc(d.classes, func(x class) bool { return x.name == terms.Class })
+	if index < 0 {
+		index = len(d.classes)
+		d.classes = append(d.classes, class{terms.Class, policyClass})
+	} else if d.classes[index].terms != policyClass {
+		return fmt.Errorf("operation %q: class %q has other terms elsewhere, expected the same for all its operations", operation.OperationID, terms.Class)
 	}
-	r := route{method: method, class: i, units: t.Units}
-	for _, s := range split(path) {
-		if strings.Contains(s, "{") {
-			if s[0] != '{' || strings.IndexByte(s, '}') != len(s)-1 {
-				return fmt.Errorf("operation %q: a parameter must fill its path segment", op.OperationID)
+	added := route{method: method, class: index, units: terms.Units}
+	for _, segment := range pathSegments(path) {
+		if strings.Contains(segment, "{") {
+			if segment[0] != '{' || strings.IndexByte(segment, '}') != len(segment)-1 {
+				return fmt.Errorf("operation %q: a parameter must fill its path segment", operation.OperationID)
 			}
-			s = ""
+			segment = ""
 		}
-		r.segments = append(r.segments, s)
+		added.segments = append(added.segments, segment)
 	}
-	d.routes = append(d.routes, r)
+	d.routes = append(d.routes, added)
 	return nil
 }
 
-func (t Terms) class(method string, op *openapi3.Operation) (policy.Class, error) {
+// policyClass validates the terms and converts them to a class of the decision module.
+func (t Terms) policyClass(method string, operation *openapi3.Operation) (policy.Class, error) {
 	micros := func(ms float64) policy.Micros { return policy.Micros(ms * 1000) }
-	c := policy.Class{Aim: micros(t.AimMS), Deadline: micros(t.DeadlineMS), Window: micros(t.WindowMS),
+	result := policy.Class{Aim: micros(t.AimMS), Deadline: micros(t.DeadlineMS), Window: micros(t.WindowMS),
 		Worth: t.Worth, LateWorth: t.LateWorth}
-	if c.Aim <= 0 || c.Deadline < c.Aim {
-		return c, errors.New("aim-ms must be above 0 and deadline-ms not below it")
+	if result.Aim <= 0 || result.Deadline < result.Aim {
+		return result, errors.New("aim-ms must be above 0 and deadline-ms not below it")
 	}
 	if !(t.Worth > 0) || !(t.LateWorth >= 0 && t.LateWorth <= 1) {
-		return c, errors.New("worth must be above 0 and late-worth from 0 to 1")
+		return result, errors.New("worth must be above 0 and late-worth from 0 to 1")
 	}
 	repeat := t.Repeat
 	if repeat == "" {
-		repeat = byMethod(method, op)
+		repeat = defaultRepeat(method, operation)
 	}
 	switch repeat {
 	case "safe":
-		c.Repeat = policy.Safe
+		result.Repeat = policy.Safe
 	case "unsafe":
-		c.Repeat = policy.Unsafe
+		result.Repeat = policy.Unsafe
 	case "keyed":
-		c.Repeat = policy.Keyed
-		if c.Window <= 0 {
-			return c, errors.New("keyed without window-ms: how long repeats are dropped must be stated")
+		result.Repeat = policy.Keyed
+		if result.Window <= 0 {
+			return result, errors.New("keyed without window-ms: how long repeats are dropped must be stated")
 		}
 	default:
-		return c, fmt.Errorf("repeat %q is not safe, keyed or unsafe", repeat)
+		return result, fmt.Errorf("repeat %q is not safe, keyed or unsafe", repeat)
 	}
 	switch t.Group {
 	case "all":
-		c.Group = policy.GroupAll
+		result.Group = policy.GroupAll
 	case "zone":
-		c.Group = policy.GroupZone
+		result.Group = policy.GroupZone
 	case "cell":
-		c.Group = policy.GroupCell
+		result.Group = policy.GroupCell
 	default:
-		return c, fmt.Errorf("group %q is not all, zone or cell", t.Group)
+		return result, fmt.Errorf("group %q is not all, zone or cell", t.Group)
 	}
-	return c, nil
+	return result, nil
 }
 
-// byMethod is the retry class of an operation that names none: HTTP's idempotent
-// methods are safe; others are unsafe, or keyed where they require a key.
-func byMethod(method string, op *openapi3.Operation) string {
+// defaultRepeat returns the retry class of an operation without one: safe for idempotent HTTP
+// methods, keyed for others that require an idempotency key, and unsafe for the rest.
+func defaultRepeat(method string, operation *openapi3.Operation) string {
 	switch method {
 	case "GET", "PUT", "DELETE", "OPTIONS":
 		return "safe"
 	}
-	if p := op.Parameters.GetByInAndName("header", keyHeader); p != nil && p.Required {
+	if p := operation.Parameters.GetByInAndName("header", keyHeader); p != nil && p.Required {
 		return "keyed"
 	}
 	return "unsafe"
 }
 
-func split(path string) []string { return strings.Split(strings.Trim(path, "/"), "/") }
+func pathSegments(path string) []string { return strings.Split(strings.Trim(path, "/"), "/") }
 
-// find looks a request up. Where the path is known under other methods, allowed
-// names those.
+// find returns the route of a request, or nil. If the path only has other methods, allowed lists
+// those.
 func (d *Description) find(method, path string) (r *route, allowed []string) {
 	for i := range d.routes {
-		if !d.routes[i].fits(path) {
+		if !d.routes[i].matches(path) {
 			continue
 		}
 		if d.routes[i].method == method {
@@ -246,7 +247,8 @@
 	return nil, allowed
 }
 
-func (r *route) fits(path string) bool {
+// matches reports whether a path matches the segments of the route.
+func (r *route) matches(path string) bool {
 	path = strings.Trim(path, "/")
 	for i, want := range r.segments {
 		got, rest, more := strings.Cut(path, "/")
@@ -258,14 +260,14 @@
 	return true
 }
 
-// Rule is how a route is to be served by a proxy that has no module of its own.
+// Rule is a route with its class, for proxies that are configured over xDS.
 type Rule struct {
 	Method   string
 	Segments []string // of the path; an empty one is a parameter
 	Terms    policy.Class
 }
 
-// Rules lists the routes, the most literal first.
+// Rules lists the routes, those with the fewest parameters first.
 func (d *Description) Rules() []Rule {
 	rules := make([]Rule, len(d.routes))
 	for i, r := range d.routes {
--- a/internal/openapi/front.go
+++ b/internal/openapi/front.go
@@ -15,89 +15,90 @@
 	"foxwood/policy"
 )
 
-// Config is how an operator sets the front up.
+// Config is the configuration of the frontend.
 type Config struct {
-	// Description is a file, read again at SIGHUP.
+	// Description is the file with the OpenAPI description. It is read again at SIGHUP.
 	Description string `json:"description" hcl:"description"`
-	// CustomerHead is the header that names the customer.
+	// CustomerHead is the name of the header that identifies the customer.
 	CustomerHead string `json:"customer" hcl:"customer"`
-	// Plans is the plan of each customer.
+	// Plans maps customers to names of plans.
 	Plans map[string]string `json:"plans" hcl:"plans,optional"`
-	// DefaultPlan is that of other customers; they are refused if it is empty.
+	// DefaultPlan is the plan of other customers, who are rejected if it is empty.
 	DefaultPlan string `json:"default-plan" hcl:"default_plan,optional"`
-	// DeadlineHead is the header with the milliseconds a client waits.
+	// DeadlineHead is the name of the header that says how many milliseconds the client waits.
 	DeadlineHead string `json:"deadline" hcl:"deadline,optional"`
 }
 
-// Core is what the front needs of the gatekeeper.
+// Core is the part of the gatekeeper that the frontend uses.
 type Core interface {
 	SetClasses(classes []policy.Class)
 	Ready() bool
 }
 
-// Front serves the operations of a description.
+// Front is the frontend that serves the operations of a description. Only the event loop may
+// call its methods after Attach.
 type Front struct {
-	config   Config
-	plans    []string
-	gateways int
-	fields   []string
-	largest  float64
-	clock    *gatekeeper.Clock
-	core     Core
-	draining func() bool
+	config     Config
+	plans      []string
+	gateways   int
+	loadFields []string
+	maxUnits   float64
+	clock      *gatekeeper.Clock
+	core       Core
+	draining   func() bool
 
-	now    *Description
-	places []int // class of the description -> place in the core's table
-	table  []place
-	keys   map[uint64]kept
-	order  []expiry // of keys, by time
-	head   []byte
+	description  *Description
+	classIndex   []int // by class of the description: index in table
+	table        []tableEntry
+	keys         map[uint64]keyEntry
+	expiries     []expiry // of the entries in keys, ordered by time
+	headerBuffer []byte
 }
 
-// place is one line of the core's table of classes. Lines are kept until nothing
-// that was taken under them can come back.
-type place struct {
+// tableEntry is an entry of the core's table of classes. An unused entry is kept until no request
+// that was accepted under it can be repeated.
+type tableEntry struct {
 	class
-	used  bool
-	until float64 // when unused: not given to another class before
+	inUse         bool
+	reservedUntil float64 // if not in use: time in ms from which another class may use it
 }
 
-// kept is the terms that the first request with a key was taken under.
-type kept struct {
-	place int
-	until float64
+// keyEntry is the class under which the first request with an idempotency key was accepted.
+type keyEntry struct {
+	classIndex int
+	expires    float64
 }
 
+// expiry is the time in ms at which an idempotency key expires.
 type expiry struct {
 	key uint64
 	at  float64
 }
 
-// NewFront makes a front from a description. The classes for the core's settings
-// come from Classes.
-func NewFront(c Config, d *Description, s policy.Settings, n settings.Names, clock *gatekeeper.Clock) (*Front, error) {
-	if c.CustomerHead == "" {
-		return nil, fmt.Errorf("openapi: no header names the customer")
+// NewFront returns a frontend for a description. Use Classes for the settings of the core.
+func NewFront(config Config, description *Description, policySettings policy.Settings, names settings.Names, clock *gatekeeper.Clock) (*Front, error) {
+	if config.CustomerHead == "" {
+		return nil, fmt.Errorf("openapi: expected the name of the header that identifies the customer, got none")
 	}
-	f := &Front{config: c, plans: n.Plans, gateways: max(s.Gateways, 1), fields: s.InlineLoad, largest: s.Largest, clock: clock,
-		keys: map[uint64]kept{}}
-	for customer, plan := range c.Plans {
-		if f.plan(plan) < 0 {
+	f := &Front{config: config, plans: names.Plans, gateways: max(policySettings.Gateways, 1), loadFields: policySettings.InlineLoad, maxUnits: policySettings.Largest, clock: clock,
+		keys: map[uint64]keyEntry{}}
+	for customer, plan := range config.Plans {
+		if f.planIndex(plan) < 0 {
 			return nil, fmt.Errorf("openapi: customer %q has plan %q, which the settings do not have", customer, plan)
 		}
 	}
-	if c.DefaultPlan != "" && f.plan(c.DefaultPlan) < 0 {
-		return nil, fmt.Errorf("openapi: the settings do not have plan %q", c.DefaultPlan)
+	if config.DefaultPlan != "" && f.planIndex(config.DefaultPlan) < 0 {
+		return nil, fmt.Errorf("openapi: the settings do not have plan %q", config.DefaultPlan)
 	}
-	f.adopt(d)
+	f.assignClasses(description)
 	return f, nil
 }
 
-// Attach names the core that requests go to; draining tells whether clients
-// should go elsewhere.
+// Attach sets the core that requests are passed to. draining reports whether clients should use
+// another gatekeeper; the health check fails then.
 func (f *Front) Attach(core Core, draining func() bool) { f.core, f.draining = core, draining }
 
-// Classes is the core's table of classes.
+// Classes returns the table of classes for the core.
 func (f *Front) Classes() []policy.Class {
 	classes := make([]policy.Class, len(f.table))
 	for i := range f.table {
@@ -106,8 +107,8 @@
 	return classes
 }
 
-// Names is how the classes of that table are called, those too that are in force only for
-// what was taken under them.
+// Names returns the names of the classes in that table, including classes that only apply to
+// requests accepted earlier.
 func (f *Front) Names() []string {
 	names := make([]string, len(f.table))
 	for i := range f.table {
@@ -116,53 +117,55 @@
 	return names
 }
 
-// Replace puts a new description in force. It has been parsed whole, so it takes
-// effect whole.
+// Replace applies a new description.
 func (f *Front) Replace(d *Description) {
-	f.adopt(d)
+	f.assignClasses(d)
 	f.core.SetClasses(f.Classes())
 }
 
-// Rules lists the routes in force.
-func (f *Front) Rules() []Rule { return f.now.Rules() }
+// Rules lists the active routes.
+func (f *Front) Rules() []Rule { return f.description.Rules() }
 
-// adopt gives each class of a description its place. A class whose terms change
-// gets another place, so that what was taken before keeps its own.
-func (f *Front) adopt(d *Description) {
+// assignClasses assigns each class of a description an entry in the table. A class whose terms
+// have changed gets another entry, so that requests accepted earlier keep their terms.
+func (f *Front) assignClasses(description *Description) {
 	now := f.clock.Now()
 	for i := range f.table {
-		if p := &f.table[i]; p.used {
-			p.used = false
-			p.until = now + float64(p.terms.Deadline+p.terms.Window)/1000
+		if entry := &f.table[i]; entry.inUse {
+			entry.inUse = false
+			entry.reservedUntil = now + float64(entry.terms.Deadline+entry.terms.Window)/1000
 		}
 	}
-	f.now, f.places = d, nil
-	for _, c := range d.classes {
-		f.places = append(f.places, f.placeFor(c, now))
+	f.description, f.classIndex = description, nil
+	for _, c := range description.classes {
+		f.classIndex = append(f.classIndex, f.entryFor(c, now))
 	}
 }
 
-func (f *Front) placeFor(c class, now float64) int {
+// entryFor returns the index of the entry for a class: the one with the same terms, or else a free
+// or new one.
+func (f *Front) entryFor(c class, now float64) int {
 	free := -1
 	for i := range f.table {
-		p := &f.table[i]
-		if p.class == c && !p.used {
-			p.used = true
+		entry := &f.table[i]
+		if entry.class == c && !entry.inUse {
+			entry.inUse = true
 			return i
 		}
-		if !p.used && p.until < now && free < 0 {
+		if !entry.inUse && entry.reservedUntil < now && free < 0 {
 			free = i
 		}
 	}
 	if free < 0 {
 		free = len(f.table)
-		f.table = append(f.table, place{})
+		f.table = append(f.table, tableEntry{})
 	}
-	f.table[free] = place{class: c, used: true}
+	f.table[free] = tableEntry{class: c, inUse: true}
 	return free
 }
 
-func (f *Front) plan(name string) int {
+// planIndex returns the index of a plan, or -1.
+func (f *Front) planIndex(name string) int {
 	for i, p := range f.plans {
 		if p == name {
 			return i
@@ -172,46 +175,46 @@
 }
 
 // Handle implements link.Front.
-func (f *Front) Handle(l *link.Client, m *http1.Message) {
-	path, _, _ := strings.Cut(string(m.Target), "?")
+func (f *Front) Handle(client *link.Client, message *http1.Message) {
+	path, _, _ := strings.Cut(string(message.Target), "?")
 	if path == platform.PathReady || path == platform.PathLive {
-		platform.Health(l, m, f.core.Ready() && !f.draining())
+		platform.Health(client, message, f.core.Ready() && !f.draining())
 		return
 	}
-	if m.Large { // operations' bodies are held whole
-		l.Reject(413, "the body is too long\n")
+	if message.Large { // bodies of operations are buffered as a whole
+		client.Reject(413, "the body is too long\n")
 		return
 	}
-	r, refusal := f.Request(m)
+	request, refusal := f.Request(message)
 	if refusal != nil {
-		l.Reply(refusal.Status, refusal.Head, refusal.Text+"\n")
+		client.Reply(refusal.Status, refusal.Head, refusal.Text+"\n")
 		return
 	}
-	l.Submit(r)
+	client.Submit(request)
 }
 
-// Refusal is an answer given without the core.
+// Refusal is a response that the frontend gives without the core.
 type Refusal struct {
 	Status     int
 	Head, Text string
 }
 
-// Request finds a request's operation and gives it its terms.
-func (f *Front) Request(m *http1.Message) (*gatekeeper.Request, *Refusal) {
-	path, _, _ := strings.Cut(string(m.Target), "?")
-	op, allowed := f.now.find(string(m.Method), path)
+// Request finds the operation of a message and returns a request with its terms, or a refusal.
+func (f *Front) Request(message *http1.Message) (*gatekeeper.Request, *Refusal) {
+	path, _, _ := strings.Cut(string(message.Target), "?")
+	operation, allowed := f.description.find(string(message.Method), path)
 	switch {
-	case op == nil && allowed != nil:
+	case operation == nil && allowed != nil:
 		return nil, &Refusal{405, "Allow: " + strings.Join(allowed, ", ") + "\r\n", "the path has no such method"}
-	case op == nil:
+	case operation == nil:
 		return nil, &Refusal{404, "", "the description has no such path"}
 	}
 	for _, name := range [...]string{f.config.CustomerHead, f.config.DeadlineHead, keyHeader} {
-		if name != "" && m.Count(name) > 1 { // it could mean one thing here and another at a worker
+		if name != "" && message.Count(name) > 1 { // gatekeeper and worker could use different ones
 			return nil, &Refusal{400, "", name + " stands twice"}
 		}
 	}
-	customer := string(m.Get(f.config.CustomerHead))
+	customer := string(message.Get(f.config.CustomerHead))
 	if customer == "" {
 		return nil, &Refusal{401, "", f.config.CustomerHead + " is missing"}
 	}
@@ -219,52 +222,53 @@
 	if !ok {
 		name = f.config.DefaultPlan
 	}
-	plan := f.plan(name)
+	plan := f.planIndex(name)
 	if plan < 0 {
 		return nil, &Refusal{403, "", "the customer has no plan"}
 	}
-	at := f.places[op.class]
-	if f.table[at].terms.Repeat == policy.Keyed {
-		key := m.Get(keyHeader)
+	classIndex := f.classIndex[operation.class]
+	if f.table[classIndex].terms.Repeat == policy.Keyed {
+		key := message.Get(keyHeader)
 		if len(key) == 0 {
 			return nil, &Refusal{400, "", keyHeader + " is missing"}
 		}
-		at = f.keep(hash(customer, string(key)), at)
+		classIndex = f.classForKey(hash(customer, string(key)), classIndex)
 	}
-	terms := f.table[at].terms
-	left := float64(terms.Deadline) / 1000
-	if v := m.Get(f.config.DeadlineHead); f.config.DeadlineHead != "" && v != nil {
-		ms, err := strconv.ParseUint(string(v), 10, 31)
+	terms := f.table[classIndex].terms
+	timeoutMS := float64(terms.Deadline) / 1000
+	if value := message.Get(f.config.DeadlineHead); f.config.DeadlineHead != "" && value != nil {
+		ms, err := strconv.ParseUint(string(value), 10, 31)
 		if err != nil {
 			return nil, &Refusal{400, "", f.config.DeadlineHead + " is not a number of milliseconds"}
 		}
-		left = min(left, float64(ms))
+		timeoutMS = min(timeoutMS, float64(ms))
 	}
-	return &gatekeeper.Request{Class: at, Plan: plan, Customer: hash(customer), Left: left, Units: op.units,
-		Spread: f.gateways, Payload: f.payload(m)}, nil
+	return &gatekeeper.Request{Class: classIndex, Plan: plan, Customer: hash(customer), Left: timeoutMS, Units: operation.units,
+		Spread: f.gateways, Payload: f.payload(message)}, nil
 }
 
-// keep is the place of a keyed request: that of the first with its key for as long
-// as workers may still drop repeats of it. It guards against a replaced
-// description that would let a repeat run again on terms the first did not have.
-func (f *Front) keep(key uint64, at int) int {
+// classForKey returns the class index of a request with an idempotency key: that of the first
+// request with this key, for as long as workers may still deduplicate it. Otherwise a request
+// repeated after a change of the description could run again under other terms.
+func (f *Front) classForKey(key uint64, index int) int {
 	now := f.clock.Now()
-	for len(f.order) > 0 && f.order[0].at <= now {
-		if k := f.keys[f.order[0].key]; k.until <= now {
-			delete(f.keys, f.order[0].key)
+	for len(f.expiries) > 0 && f.expiries[0].at <= now {
+		if entry := f.keys[f.expiries[0].key]; entry.expires <= now {
+			delete(f.keys, f.expiries[0].key)
 		}
-		f.order = f.order[1:]
+		f.expiries = f.expiries[1:]
 	}
-	if k, ok := f.keys[key]; ok {
-		return k.place
+	if entry, ok := f.keys[key]; ok {
+		return entry.classIndex
 	}
-	terms := f.table[at].terms
+	terms := f.table[index].terms
 	until := now + float64(terms.Deadline+terms.Window)/1000
-	f.keys[key] = kept{at, until}
-	f.order = append(f.order, expiry{key, until})
-	return at
+	f.keys[key] = keyEntry{index, until}
+	f.expiries = append(f.expiries, expiry{key, until})
+	return index
 }
 
+// hash returns a 64-bit FNV-1a hash of the parts.
 func hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -274,15 +278,15 @@
 	return h.Sum64()
 }
 
-// hops are the header fields that end at the next connection, or that the links
-// write themselves.
-var hops = [...]string{"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
+// hopByHopHeaders are the header fields that are not passed on: they apply to one connection
+// only, or the connections write them.
+var hopByHopHeaders = [...]string{"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
 	"upgrade", "content-length", "expect"}
 
-// endToEnd appends the header fields that pass a proxy.
-func (f *Front) endToEnd(b []byte, m *http1.Message) []byte {
-	m.Each(func(name, value []byte) {
-		for _, h := range hops {
+// appendEndToEnd appends the header fields that a proxy passes on.
+func (f *Front) appendEndToEnd(b []byte, message *http1.Message) []byte {
+	message.Each(func(name, value []byte) {
+		for _, h := range hopByHopHeaders {
 			if strings.EqualFold(string(name), h) {
 				return
 			}
@@ -296,16 +300,17 @@
 	return b
 }
 
-func (f *Front) payload(m *http1.Message) *link.Payload {
-	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\n", m.Method, m.Target)
-	b = f.endToEnd(b, m)
-	if len(m.Body) > 0 || string(m.Method) == "POST" || string(m.Method) == "PUT" {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(m.Body))
+// payload returns the message to send to a worker.
+func (f *Front) payload(message *http1.Message) *link.Payload {
+	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\n", message.Method, message.Target)
+	b = f.appendEndToEnd(b, message)
+	if len(message.Body) > 0 || string(message.Method) == "POST" || string(message.Method) == "PUT" {
+		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(message.Body))
 	}
-	return &link.Payload{Head: b, Body: bytes.Clone(m.Body)}
+	return &link.Payload{Head: b, Body: bytes.Clone(message.Body)}
 }
 
-// Left implements link.Reader.
+// Left implements link.Reader: it returns the header for the time left to the deadline.
 func (f *Front) Left() string {
 	if f.config.DeadlineHead != "" {
 		return f.config.DeadlineHead
@@ -313,17 +318,16 @@
 	return platform.HeadLeft
 }
 
-// Outcome implements link.Reader. Whatever a worker answers below 500 is its own
-// word on the request and passes to the client.
-func (f *Front) Outcome(m *http1.Message) gatekeeper.Outcome {
-	o := gatekeeper.Outcome{Status: policy.Failed, Load: platform.Load(m, f.fields)}
+// Outcome implements link.Reader. Responses with a status below 500 are passed to the client.
+func (f *Front) Outcome(message *http1.Message) gatekeeper.Outcome {
+	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: platform.Load(message, f.loadFields)}
 	switch {
-	case m.Status < 500:
-		f.head = f.endToEnd(f.head[:0], m)
-		o.Status, o.Units = policy.OK, platform.Units(m, f.largest)
-		o.Answer = gatekeeper.Answer{Status: m.Status, Head: f.head, Body: m.Body}
-	case platform.NeverRan(m):
-		o.Status = policy.Full
+	case message.Status < 500:
+		f.headerBuffer = f.appendEndToEnd(f.headerBuffer[:0], message)
+		outcome.Status, outcome.Units = policy.OK, platform.Units(message, f.maxUnits)
+		outcome.Answer = gatekeeper.Answer{Status: message.Status, Head: f.headerBuffer, Body: message.Body}
+	case platform.NeverRan(message):
+		outcome.Status = policy.Full
 	}
-	return o
+	return outcome
 }
--- a/internal/openapi/openapi_test.go
+++ b/internal/openapi/openapi_test.go
@@ -13,9 +13,10 @@
 	"foxwood/policy"
 )
 
-// describeWith is a description of the two calculators. Operations are given as
-// their terms; an empty one leaves an operation without any.
-func describeWith(cuota, simulacion, more string) string {
+// descriptionWith returns a description with the operations cuota, maxima and simulacion. cuota and
+// simulacion are the terms of these operations, which have none if the text is empty; more is
+// added to the paths.
+func descriptionWith(cuota, simulacion, more string) string {
 	term := func(v string) string {
 		if v == "" {
 			return ""
@@ -47,15 +48,16 @@
 	return d
 }
 
-func TestADescriptionGivesRoutesClassesUnitsAndRetryClass(t *testing.T) {
-	d := parse(t, describeWith(cuotaTerms, simulacionTerms, ""))
+// TestParseDescription checks the classes and routes of a description.
+func TestParseDescription(t *testing.T) {
+	description := parse(t, descriptionWith(cuotaTerms, simulacionTerms, ""))
 	want := map[string]policy.Class{
 		"cuota":      {Aim: 400e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe},
 		"maxima":     {Aim: 100e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe},
 		"simulacion": {Aim: 750e3, Deadline: 2e6, Window: 1e6, Worth: 2, Repeat: policy.Keyed},
 	}
 	got := map[string]policy.Class{}
-	for _, c := range d.classes {
+	for _, c := range description.classes {
 		got[c.name] = c.terms
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -72,10 +74,10 @@
 		"DELETE /v1/simulacion": "[POST]",
 	} {
 		method, path, _ := strings.Cut(request, " ")
-		r, allowed := d.find(method, path)
+		r, allowed := description.find(method, path)
 		got := fmt.Sprint(allowed)
 		if r != nil {
-			got = fmt.Sprint(d.classes[r.class].name, " ", r.units)
+			got = fmt.Sprint(description.classes[r.class].name, " ", r.units)
 		}
 		if got != want {
 			t.Errorf("%s: %s, want %s", request, got, want)
@@ -83,8 +85,9 @@
 	}
 }
 
-// TestWhatCannotBeKeptIsRefusedAtLoad: a cost that is not stated is not guessed.
-func TestWhatCannotBeKeptIsRefusedAtLoad(t *testing.T) {
+// TestParseRejectsIncompleteTerms checks that missing or invalid terms are errors, and that missing
+// units are not guessed.
+func TestParseRejectsIncompleteTerms(t *testing.T) {
 	for name, c := range map[string]struct{ cuota, simulacion, more, says string }{
 		"no cost":            {``, simulacionTerms, ``, `operation "cuota" states no cost`},
 		"terms without cost": {cuotaTerms, `{"aim-ms":750}`, ``, `operation "simulacion" states no cost`},
@@ -98,7 +101,7 @@
 		"not a description": {cuotaTerms, simulacionTerms, `,"/x":{"get":{}}`, `responses`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse([]byte(describeWith(c.cuota, c.simulacion, c.more)))
+			_, err := Parse([]byte(descriptionWith(c.cuota, c.simulacion, c.more)))
 			if err == nil || !strings.Contains(err.Error(), c.says) {
 				t.Fatalf("error %v, want one that says %s", err, c.says)
 			}
@@ -113,17 +116,17 @@
 		Plans: []policy.Plan{{Rate: 3, Burst: 6, Price: 1}, {Rate: 300, Burst: 300, Price: 1.6}}}
 }
 
-func newFront(t *testing.T, d *Description, clock *gatekeeper.Clock) *Front {
+func newTestFront(t *testing.T, description *Description, clock *gatekeeper.Clock) *Front {
 	t.Helper()
-	f, err := NewFront(Config{CustomerHead: "X-Banco", Plans: map[string]string{"sur": "mayor"}, DefaultPlan: "basico",
-		DeadlineHead: "X-Deadline"}, d, someSettings(nil), names, clock)
+	front, err := NewFront(Config{CustomerHead: "X-Banco", Plans: map[string]string{"sur": "mayor"}, DefaultPlan: "basico",
+		DeadlineHead: "X-Deadline"}, description, someSettings(nil), names, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return front
 }
 
-// message reads a request as a client link does.
+// message parses a request like a client connection does.
 func message(t *testing.T, method, target string, heads ...string) *http1.Message {
 	t.Helper()
 	p := http1.Requests()
@@ -134,102 +137,106 @@
 	return p.Message()
 }
 
-// record is a gatekeeper that writes down every decision.
-type record struct {
+// decisionRecorder is a gatekeeper that records its decisions.
+type decisionRecorder struct {
 	*gatekeeper.Gatekeeper
-	clock *gatekeeper.Clock
-	out   []*gatekeeper.Execution
-	did   []string
-	names map[*gatekeeper.Request]int
+	clock      *gatekeeper.Clock
+	executions []*gatekeeper.Execution
+	decisions  []string
+	numbers    map[*gatekeeper.Request]int
 }
 
-func newRecord(classes []policy.Class, clock *gatekeeper.Clock) *record {
-	r := &record{clock: clock, names: map[*gatekeeper.Request]int{}}
+func newDecisionRecorder(classes []policy.Class, clock *gatekeeper.Clock) *decisionRecorder {
+	r := &decisionRecorder{clock: clock, numbers: map[*gatekeeper.Request]int{}}
 	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: someSettings(classes), Seed: 5, Clock: clock, Fleet: r,
 		Counter: r, Wake: func(float64) {}})
 	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	return r
 }
 
-func (r *record) note(q *gatekeeper.Request, f string, a ...any) {
-	r.did = append(r.did, fmt.Sprintf("%.0f: request %d ", r.clock.Now(), r.names[q])+fmt.Sprintf(f, a...))
+func (r *decisionRecorder) record(request *gatekeeper.Request, format string, a ...any) {
+	r.decisions = append(r.decisions, fmt.Sprintf("%.0f: request %d ", r.clock.Now(), r.numbers[request])+fmt.Sprintf(format, a...))
 }
-func (r *record) Execute(x *gatekeeper.Execution) {
-	r.out = append(r.out, x)
-	r.note(x.Request, "to %d for %.3f", x.Worker, x.Timeout)
+func (r *decisionRecorder) Execute(x *gatekeeper.Execution) {
+	r.executions = append(r.executions, x)
+	r.record(x.Request, "to %d for %.3f", x.Worker, x.Timeout)
 }
-func (r *record) Abandon(x *gatekeeper.Execution) bool              { r.note(x.Request, "abandoned"); return true }
-func (r *record) Release(policy.Server)                             {}
-func (r *record) Add(*gatekeeper.Count)                             {}
-func (r *record) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.note(q, "served") }
-func (r *record) Throttled(q *gatekeeper.Request, after float64)    { r.note(q, "throttled %.3f", after) }
-func (r *record) Failed(q *gatekeeper.Request)                      { r.note(q, "failed") }
+func (r *decisionRecorder) Abandon(x *gatekeeper.Execution) bool {
+	r.record(x.Request, "abandoned")
+	return true
+}
+func (r *decisionRecorder) Release(policy.Server)                             {}
+func (r *decisionRecorder) Add(*gatekeeper.Count)                             {}
+func (r *decisionRecorder) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.record(q, "served") }
+func (r *decisionRecorder) Throttled(q *gatekeeper.Request, after float64) {
+	r.record(q, "throttled %.3f", after)
+}
+func (r *decisionRecorder) Failed(q *gatekeeper.Request) { r.record(q, "failed") }
 
-func (r *record) take(q *gatekeeper.Request, n int) {
-	q.Caller, r.names[q] = r, n
-	r.Take(q)
+func (r *decisionRecorder) submit(request *gatekeeper.Request, n int) {
+	request.Caller, r.numbers[request] = r, n
+	r.Take(request)
 }
 
-// TestAnAlteredDescriptionDecidesAsHandWrittenSettings loads one description,
-// alters it under load, and compares every decision with those of a gatekeeper
-// whose classes and units are written by hand.
-func TestAnAlteredDescriptionDecidesAsHandWrittenSettings(t *testing.T) {
+// TestReplacedDescriptionDecidesLikeSettings changes a description under load, and compares all
+// decisions with those of a gatekeeper that has the same classes and units in its settings.
+func TestReplacedDescriptionDecidesLikeSettings(t *testing.T) {
 	clock := gatekeeper.NewClock()
 	clock.Set(1e6)
-	f := newFront(t, parse(t, describeWith(cuotaTerms, simulacionTerms, "")), clock)
-	described := newRecord(f.Classes(), clock)
-	f.Attach(described, func() bool { return false })
+	front := newTestFront(t, parse(t, descriptionWith(cuotaTerms, simulacionTerms, "")), clock)
+	described := newDecisionRecorder(front.Classes(), clock)
+	front.Attach(described, func() bool { return false })
 
 	maxima := policy.Class{Aim: 100e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe}
 	cuota := policy.Class{Aim: 400e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe}
 	simulacion := policy.Class{Aim: 750e3, Deadline: 2e6, Window: 1e6, Worth: 2, Repeat: policy.Keyed}
-	dearer := policy.Class{Aim: 500e3, Deadline: 2e6, Window: 3e6, Worth: 5, Repeat: policy.Keyed}
-	// a hand-written table has the same order, and the changed class stands behind
+	changed := policy.Class{Aim: 500e3, Deadline: 2e6, Window: 3e6, Worth: 5, Repeat: policy.Keyed}
+	// The hand-written table has the same order, and the changed class is appended.
 	table := []policy.Class{simulacion, maxima, cuota}
-	if diff := cmp.Diff(table, f.Classes()); diff != "" {
+	if diff := cmp.Diff(table, front.Classes()); diff != "" {
 		t.Fatal(diff)
 	}
-	written := newRecord(table, clock)
-	places := map[string]int{"simulacion": 0, "maxima": 1, "cuota": 2}
+	written := newDecisionRecorder(table, clock)
+	classIndex := map[string]int{"simulacion": 0, "maxima": 1, "cuota": 2}
 	units := map[string]float64{"maxima": 1, "simulacion": 3, "cuota": 2}
 	targets := map[string]string{"maxima": "/v1/cuota/maxima", "simulacion": "/v1/simulacion", "cuota": "/v1/cuota/36"}
 
-	ops, customers := []string{"cuota", "simulacion", "maxima", "simulacion"}, []string{"sur", "este", "oeste"}
+	operations, customers := []string{"cuota", "simulacion", "maxima", "simulacion"}, []string{"sur", "este", "oeste"}
 	for n := range 600 {
-		if n == 300 { // simulacion is altered while some are under way and held
-			f.Replace(parse(t, describeWith(cuotaTerms, `{"units":4,"aim-ms":500,"worth":5,"window-ms":3000}`, "")))
-			written.SetClasses(append(table, dearer))
-			places["simulacion"], units["simulacion"] = 3, 4
+		if n == 300 { // change simulacion while some of its requests are in flight or queued
+			front.Replace(parse(t, descriptionWith(cuotaTerms, `{"units":4,"aim-ms":500,"worth":5,"window-ms":3000}`, "")))
+			written.SetClasses(append(table, changed))
+			classIndex["simulacion"], units["simulacion"] = 3, 4
 		}
-		op, customer := ops[n%4], customers[n%3]
+		operation, customer := operations[n%4], customers[n%3]
 		plan := 0
 		if customer == "sur" {
 			plan = 1
 		}
 		method := "GET"
 		heads := []string{"X-Banco: " + customer, "X-Deadline: 1500"}
-		if op == "simulacion" {
+		if operation == "simulacion" {
 			method = "POST"
 			heads = append(heads, fmt.Sprintf("Idempotency-Key: %d", n))
 		}
-		q, refusal := f.Request(message(t, method, targets[op], heads...))
+		request, refusal := front.Request(message(t, method, targets[operation], heads...))
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		described.take(q, n)
-		written.take(&gatekeeper.Request{Class: places[op], Plan: plan, Customer: hash(customer), Left: 1500,
-			Units: units[op], Spread: 1}, n)
+		described.submit(request, n)
+		written.submit(&gatekeeper.Request{Class: classIndex[operation], Plan: plan, Customer: hash(customer), Left: 1500,
+			Units: units[operation], Spread: 1}, n)
 		clock.Set(clock.Now() + 7)
-		for _, r := range []*record{described, written} {
-			r.Advance()
-			for n%8 == 0 && len(r.out) > 4 { // workers answer in spells, so that requests are held between
-				x := r.out[0]
-				r.out = r.out[1:]
-				st := policy.OK
-				if r.names[x.Request]%9 == 0 {
-					st = policy.Reset
+		for _, recorder := range []*decisionRecorder{described, written} {
+			recorder.Advance()
+			for n%8 == 0 && len(recorder.executions) > 4 { // workers respond in bursts, so that requests queue in between
+				execution := recorder.executions[0]
+				recorder.executions = recorder.executions[1:]
+				status := policy.OK
+				if recorder.numbers[execution.Request]%9 == 0 {
+					status = policy.Reset
 				}
-				r.Done(x, gatekeeper.Outcome{Status: st, Units: 2})
+				recorder.Done(execution, gatekeeper.Outcome{Status: status, Units: 2})
 			}
 		}
 	}
@@ -238,76 +245,75 @@
 		described.Advance()
 		written.Advance()
 	}
-	if diff := cmp.Diff(written.did, described.did); diff != "" {
-		t.Fatalf("(-by hand +described):\n%s", diff)
+	if diff := cmp.Diff(written.decisions, described.decisions); diff != "" {
+		t.Fatalf("decisions (-settings +description):\n%s", diff)
 	}
-	all := strings.Join(described.did, "\n")
+	all := strings.Join(described.decisions, "\n")
 	for _, kind := range []string{"served", "throttled", "abandoned"} {
 		if !strings.Contains(all, kind) {
-			t.Errorf("the load shows nothing %s", kind)
+			t.Errorf("the load had no request that was %s", kind)
 		}
 	}
 }
 
-// TestAReplacementLeavesAKeyItsTerms guards against a new description reopening
-// the repeats of a keyed request: they go by the terms the first was taken under.
-func TestAReplacementLeavesAKeyItsTerms(t *testing.T) {
+// TestRetryKeepsTermsOfFirstRequest guards against a new description that lets a keyed request run
+// again: a repetition must use the terms under which the first was accepted.
+func TestRetryKeepsTermsOfFirstRequest(t *testing.T) {
 	clock := gatekeeper.NewClock()
 	clock.Set(1e6)
-	f := newFront(t, parse(t, describeWith(cuotaTerms, simulacionTerms, "")), clock)
-	core := newRecord(f.Classes(), clock)
-	f.Attach(core, func() bool { return false })
+	front := newTestFront(t, parse(t, descriptionWith(cuotaTerms, simulacionTerms, "")), clock)
+	core := newDecisionRecorder(front.Classes(), clock)
+	front.Attach(core, func() bool { return false })
 	ask := func(key string) policy.Class {
-		q, refusal := f.Request(message(t, "POST", "/v1/simulacion", "X-Banco: sur", "Idempotency-Key: "+key))
+		q, refusal := front.Request(message(t, "POST", "/v1/simulacion", "X-Banco: sur", "Idempotency-Key: "+key))
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		return f.table[q.Class].terms
+		return front.table[q.Class].terms
 	}
 	first := ask("k")
-	f.Replace(parse(t, describeWith(cuotaTerms, `{"units":3,"aim-ms":750,"worth":2,"window-ms":60000}`, "")))
+	front.Replace(parse(t, descriptionWith(cuotaTerms, `{"units":3,"aim-ms":750,"worth":2,"window-ms":60000}`, "")))
 	if again := ask("k"); again != first {
-		t.Errorf("the repeat got %+v", again)
+		t.Errorf("the repetition got %+v, want %+v", again, first)
 	}
 	if other := ask("other"); other.Window != 60e6 {
-		t.Errorf("a new request got %+v", other)
+		t.Errorf("a new key got %+v, want the new window", other)
 	}
-	clock.Set(clock.Now() + 3001) // the deadline and the window are over
+	clock.Set(clock.Now() + 3001) // the deadline and the window have passed
 	if later := ask("k"); later.Window != 60e6 {
-		t.Errorf("when its time is over the key got %+v", later)
+		t.Errorf("the expired key got %+v, want the new window", later)
 	}
-	if len(f.keys) != 2 {
-		t.Errorf("%d keys are kept", len(f.keys))
+	if len(front.keys) != 2 {
+		t.Errorf("%d keys are kept, want 2", len(front.keys))
 	}
 }
 
-// TestPlacesAreKeptAndTakenAgain guards against a table that grows with every
-// replacement.
-func TestPlacesAreKeptAndTakenAgain(t *testing.T) {
+// TestClassTableEntriesAreReused guards against a table that grows with every new description.
+func TestClassTableEntriesAreReused(t *testing.T) {
 	clock := gatekeeper.NewClock()
 	clock.Set(1e6)
-	d := describeWith(cuotaTerms, simulacionTerms, "")
-	f := newFront(t, parse(t, d), clock)
-	f.Attach(newRecord(f.Classes(), clock), func() bool { return false })
-	other := describeWith(`{"units":2,"aim-ms":300}`, simulacionTerms, "")
+	description := descriptionWith(cuotaTerms, simulacionTerms, "")
+	front := newTestFront(t, parse(t, description), clock)
+	front.Attach(newDecisionRecorder(front.Classes(), clock), func() bool { return false })
+	other := descriptionWith(`{"units":2,"aim-ms":300}`, simulacionTerms, "")
 	for range 5 {
-		f.Replace(parse(t, other))
-		f.Replace(parse(t, d))
+		front.Replace(parse(t, other))
+		front.Replace(parse(t, description))
 	}
-	if n := len(f.Classes()); n != 4 {
-		t.Fatalf("%d places for 4 sets of terms", n)
+	if n := len(front.Classes()); n != 4 {
+		t.Fatalf("%d entries for 4 different classes, want 4", n)
 	}
-	f.Replace(parse(t, other))
+	front.Replace(parse(t, other))
 	clock.Set(clock.Now() + 5000)
-	f.Replace(parse(t, describeWith(`{"units":2,"aim-ms":200}`, simulacionTerms, "")))
-	if n := len(f.Classes()); n != 4 {
-		t.Fatalf("%d places, though one had come free", n)
+	front.Replace(parse(t, descriptionWith(`{"units":2,"aim-ms":200}`, simulacionTerms, "")))
+	if n := len(front.Classes()); n != 4 {
+		t.Fatalf("%d entries although one was free, want 4", n)
 	}
 }
 
-func TestRequestsThatTheDescriptionDoesNotCover(t *testing.T) {
+func TestUnmatchedRequestsAreRejected(t *testing.T) {
 	clock := gatekeeper.NewClock()
-	f := newFront(t, parse(t, describeWith(cuotaTerms, simulacionTerms, "")), clock)
+	front := newTestFront(t, parse(t, descriptionWith(cuotaTerms, simulacionTerms, "")), clock)
 	for name, c := range map[string]struct {
 		method, target string
 		heads          []string
@@ -322,8 +328,8 @@
 		"two deadlines": {"GET", "/v1/cuota/1", []string{"X-Banco: sur", "X-Deadline: 5", "X-Deadline: 9"}, 400},
 		"no deadline":   {"GET", "/v1/cuota/1", []string{"X-Banco: sur", "X-Deadline: soon"}, 400},
 	} {
-		if _, refusal := f.Request(message(t, c.method, c.target, c.heads...)); refusal == nil || refusal.Status != c.want {
-			t.Errorf("%s: %+v, want %d", name, refusal, c.want)
+		if _, refusal := front.Request(message(t, c.method, c.target, c.heads...)); refusal == nil || refusal.Status != c.want {
+			t.Errorf("%s: got %+v, want status %d", name, refusal, c.want)
 		}
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats keeps a gatekeeper's figures. The loop counts and publishes; any
-// goroutine may read what was published last.
+// Package stats keeps the statistics of a gatekeeper and formats them as StatsD lines. The event
+// loop counts and publishes; any goroutine may read what was published last.
 package stats
 
 import (
@@ -10,35 +10,35 @@
 	"foxwood/gatekeeper"
 )
 
-// Gauges is what holds at the moment of a publication.
+// Gauges is the values at the time of a publication.
 type Gauges struct {
-	Pending     int // requests taken and not ended
+	Pending     int // requests accepted and not ended
 	Members     int // workers in the list
-	Unavailable int // of them, those that are avoided now
+	Unavailable int // workers in the list that get no requests at present
 }
 
-// Figures is the counts of one process, from 0. Its methods belong to the loop, but for
-// Lines.
+// Figures is the counters of one process, which start at 0. Only the event loop may call its
+// methods, except Lines.
 type Figures struct {
-	places   []*class // by the number of a class in force
-	all      []*class // in the order they were first named
-	attempts uint64
-	reloads  uint64
-	refused  uint64 // files at SIGHUP
-	lines    atomic.Pointer[[]byte]
+	byIndex         []*class // by the index of an active class
+	classes         []*class // all classes, in the order in which they were first named
+	attempts        uint64
+	reloads         uint64
+	rejectedReloads uint64 // configuration files rejected at SIGHUP
+	lines           atomic.Pointer[[]byte]
 }
 
-// class is the counts of one class. It outlives its place in the table: requests that
-// came with it may end after it was dropped.
+// class is the counters of one request class. It is kept when the class is removed from the
+// table, because requests of the class may end after that.
 type class struct {
-	name string
-	ends [3]uint64 // by gatekeeper.End
+	name   string
+	counts [3]uint64 // by gatekeeper.End
 }
 
 // Ended implements gatekeeper.Tally.
-func (c *class) Ended(how gatekeeper.End) { c.ends[how]++ }
+func (c *class) Ended(how gatekeeper.End) { c.counts[how]++ }
 
-// New makes figures of 0 for classes by their names.
+// New returns counters of 0 for the named classes.
 func New(names []string) *Figures {
 	f := &Figures{}
 	f.Name(names)
@@ -46,29 +46,31 @@
 	return f
 }
 
-// Name says how the classes in force are called from now on. An empty name is none.
+// Name sets the names of the active classes, by their index. An empty name means that there is
+// no class with that index.
 func (f *Figures) Name(names []string) {
-	f.places = make([]*class, len(names))
+	f.byIndex = make([]*class, len(names))
 	for i, name := range names {
 		if name != "" {
-			f.places[i] = f.named(clean(name))
+			f.byIndex[i] = f.classNamed(sanitizeName(name))
 		}
 	}
 }
 
-func (f *Figures) named(name string) *class {
-	for _, c := range f.all {
+// classNamed returns the counters of a class, which it creates at the first call.
+func (f *Figures) classNamed(name string) *class {
+	for _, c := range f.classes {
 		if c.name == name {
 			return c
 		}
 	}
 	c := &class{name: name}
-	f.all = append(f.all, c)
+	f.classes = append(f.classes, c)
 	return c
 }
 
-// clean replaces what StatsD sets its fields apart by.
-func clean(name string) string {
+// sanitizeName replaces the characters that separate fields in a StatsD line.
+func sanitizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == ':' || r == '|' || r == '@' || r == '#' {
 			return '_'
@@ -79,52 +81,52 @@
 
 // Class implements gatekeeper.Meter.
 func (f *Figures) Class(i int) gatekeeper.Tally {
-	if i < 0 || i >= len(f.places) || f.places[i] == nil {
+	if i < 0 || i >= len(f.byIndex) || f.byIndex[i] == nil {
 		return nil
 	}
-	return f.places[i]
+	return f.byIndex[i]
 }
 
 // Wrote implements gatekeeper.Meter.
 func (f *Figures) Wrote() { f.attempts++ }
 
-// Reloaded counts a file at SIGHUP.
-func (f *Figures) Reloaded(taken bool) {
-	if taken {
+// Reloaded counts a configuration file that was applied or rejected at SIGHUP.
+func (f *Figures) Reloaded(accepted bool) {
+	if accepted {
 		f.reloads++
 	} else {
-		f.refused++
+		f.rejectedReloads++
 	}
 }
 
-// names of what a request ends as, by gatekeeper.End.
-var ends = [3]string{"completed", "rejected", "failed"}
+// endNames is the names of the ways in which a request ends, by gatekeeper.End.
+var endNames = [3]string{"completed", "rejected", "failed"}
 
-// Publish makes a copy of this moment for Lines.
+// Publish formats the present counters and gauges for Lines.
 func (f *Figures) Publish(g Gauges) {
-	b := make([]byte, 0, 64*(3*len(f.all)+6))
-	line := func(name, of string, v uint64, kind string) {
-		b = append(append(b, "edge."...), name...)
-		if of != "" {
-			b = append(append(b, '.'), of...)
+	text := make([]byte, 0, 64*(3*len(f.classes)+6))
+	line := func(name, class string, value uint64, kind string) {
+		text = append(append(text, "edge."...), name...)
+		if class != "" {
+			text = append(append(text, '.'), class...)
 		}
-		b = strconv.AppendUint(append(b, ':'), v, 10)
-		b = append(append(append(b, '|'), kind...), '\n')
+		text = strconv.AppendUint(append(text, ':'), value, 10)
+		text = append(append(append(text, '|'), kind...), '\n')
 	}
-	for _, c := range f.all {
-		for how, name := range ends {
-			line(name, c.name, c.ends[how], "c")
+	for _, c := range f.classes {
+		for how, name := range endNames {
+			line(name, c.name, c.counts[how], "c")
 		}
 	}
 	line("upstream_requests", "", f.attempts, "c")
 	line("config_reloads", "", f.reloads, "c")
-	line("config_reload_errors", "", f.refused, "c")
+	line("config_reload_errors", "", f.rejectedReloads, "c")
 	line("pending", "", uint64(max(g.Pending, 0)), "g")
 	line("members", "", uint64(max(g.Members, 0)), "g")
 	line("members_unavailable", "", uint64(max(g.Unavailable, 0)), "g")
-	f.lines.Store(&b)
+	f.lines.Store(&text)
 }
 
-// Lines is what was published last, as StatsD lines. Any goroutine may call it; the text
-// must not be changed.
+// Lines returns what was published last, as StatsD lines. Any goroutine may call it. The
+// caller must not change the text.
 func (f *Figures) Lines() []byte { return *f.lines.Load() }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,7 +1,7 @@
-// Package xds hands the decision module's standing to other proxies as xDS
-// resources: one cluster, its endpoints with health and weights, and the routes of
-// a description with their time limits and retries. It runs gRPC's goroutines
-// beside the event loop, and only where it is configured.
+// Package xds publishes the state of the decision module to other proxies as xDS resources: a
+// cluster, its endpoints with health and weights, and the routes of an OpenAPI description with
+// their timeouts and retry policies. Its gRPC server has goroutines of its own beside the event
+// loop, and only runs if it is configured.
 package xds
 
 import (
@@ -35,82 +35,83 @@
 	"foxwood/policy"
 )
 
-// Names of the resources.
+// Cluster and Routes are the names of the cluster and of the route configuration.
 const (
 	Cluster = "foxwood-workers"
 	Routes  = "foxwood-routes"
 )
 
-// weights run from 1 to this; coarse, so that small moves are not told.
-const weightSteps = 20
+// maxWeight is the largest weight of an endpoint; the smallest is 1. The range is coarse, so that
+// small changes are not published.
+const maxWeight = 20
 
-// Endpoint is one worker as it is handed off.
+// Endpoint is the published state of a worker.
 type Endpoint struct {
 	Address string
 	Zone    string
 	policy.Standing
 }
 
-// State is all that is handed off.
+// State is everything that is published.
 type State struct {
 	Endpoints []Endpoint
-	Bound     float64 // executions out at once
+	Bound     float64 // maximum of concurrent requests to all workers
 	Rules     []openapi.Rule
-	Connect   time.Duration // for a connection to come up
-	Attempts  int           // of a request at most
+	Connect   time.Duration // timeout for new connections
+	Attempts  int           // maximum per request
 }
 
-// Server serves aggregated discovery to any proxy that asks.
+// Server is an aggregated discovery service (ADS) for any proxy.
 type Server struct {
-	cache   cachev3.SnapshotCache
-	grpc    *grpc.Server
-	listen  net.Listener
-	version int
-	last    []proto.Message
+	cache     cachev3.SnapshotCache
+	grpc      *grpc.Server
+	listener  net.Listener
+	version   int
+	published []proto.Message
 }
 
-// anyNode gives all proxies the same.
-type anyNode struct{}
+// singleNode makes all proxies get the same snapshot.
+type singleNode struct{}
 
-func (anyNode) ID(*corev3.Node) string { return "all" }
+func (singleNode) ID(*corev3.Node) string { return "all" }
 
-// Listen starts to serve at an address.
+// Listen starts a server at an address.
 func Listen(addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("xds: %w", err)
 	}
-	s := &Server{cache: cachev3.NewSnapshotCache(true, anyNode{}, nil), grpc: grpc.NewServer(), listen: ln}
-	seen := serverv3.CallbackFuncs{StreamRequestFunc: func(_ int64, r *discoveryv3.DiscoveryRequest) error {
+	s := &Server{cache: cachev3.NewSnapshotCache(true, singleNode{}, nil), grpc: grpc.NewServer(), listener: ln}
+	callbacks := serverv3.CallbackFuncs{StreamRequestFunc: func(_ int64, r *discoveryv3.DiscoveryRequest) error {
 		if d := r.GetErrorDetail(); d != nil {
-			slog.Warn("xds: refused by a proxy", "node", r.GetNode().GetId(), "type", r.GetTypeUrl(), "reason", d.GetMessage())
+			slog.Warn("xds: update rejected by a proxy", "node", r.GetNode().GetId(), "type", r.GetTypeUrl(), "reason", d.GetMessage())
 		}
 		return nil
 	}}
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s.grpc, serverv3.NewServer(context.Background(), s.cache, seen))
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s.grpc, serverv3.NewServer(context.Background(), s.cache, callbacks))
 	go func() {
 		if err := s.grpc.Serve(ln); err != nil {
-			slog.Error("xds: server ended", "error", err)
+			slog.Error("xds: server stopped", "error", err)
 		}
 	}()
 	return s, nil
 }
 
-// Addr is where the server listens.
-func (s *Server) Addr() string { return s.listen.Addr().String() }
+// Addr returns the address of the server.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Stop ends all streams.
+// Stop stops the server and ends all streams.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// Set hands a state off. Proxies are told only where something has changed.
-func (s *Server) Set(st State) error {
-	all := []proto.Message{cluster(st), assignment(st), routes(st)}
-	if slices.EqualFunc(all, s.last, proto.Equal) {
+// Set publishes a state. Proxies get an update only if a resource has changed.
+func (s *Server) Set(state State) error {
+	resources := []proto.Message{clusterResource(state), endpointResource(state), routeResource(state)}
+	if slices.EqualFunc(resources, s.published, proto.Equal) {
 		return nil
 	}
 	s.version++
 	snapshot, err := cachev3.NewSnapshot(strconv.Itoa(s.version), map[resource.Type][]types.Resource{
-		resource.ClusterType: {all[0]}, resource.EndpointType: {all[1]}, resource.RouteType: {all[2]},
+		resource.ClusterType: {resources[0]}, resource.EndpointType: {resources[1]}, resource.RouteType: {resources[2]},
 	})
 	if err != nil {
 		return fmt.Errorf("xds: %w", err)
@@ -118,49 +119,50 @@
 	if err := s.cache.SetSnapshot(context.Background(), "all", snapshot); err != nil {
 		return fmt.Errorf("xds: %w", err)
 	}
-	s.last = all
+	s.published = resources
 	return nil
 }
 
-func cluster(st State) proto.Message {
+// clusterResource returns the cluster of all workers, with its circuit breaker.
+func clusterResource(state State) proto.Message {
 	ads := &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
 		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}
-	bound := wrapperspb.UInt32(uint32(max(math.Ceil(st.Bound), 1)))
+	limit := wrapperspb.UInt32(uint32(max(math.Ceil(state.Bound), 1)))
 	return &clusterv3.Cluster{
 		Name:                 Cluster,
-		ConnectTimeout:       durationpb.New(st.Connect),
+		ConnectTimeout:       durationpb.New(state.Connect),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: ads},
 		LbPolicy:             clusterv3.Cluster_LEAST_REQUEST,
 		CircuitBreakers: &clusterv3.CircuitBreakers{Thresholds: []*clusterv3.CircuitBreakers_Thresholds{
-			{MaxRequests: bound, MaxConnections: bound},
+			{MaxRequests: limit, MaxConnections: limit},
 		}},
 	}
 }
 
-// assignment states each worker's health and weight, by zone.
-func assignment(st State) proto.Message {
-	most := 0.0
-	for _, e := range st.Endpoints {
-		most = max(most, e.Part)
+// endpointResource returns the health and weight of each worker, by zone.
+func endpointResource(state State) proto.Message {
+	maxShare := 0.0
+	for _, endpoint := range state.Endpoints {
+		maxShare = max(maxShare, endpoint.Part)
 	}
 	zones := map[string]*endpointv3.LocalityLbEndpoints{}
-	a := &endpointv3.ClusterLoadAssignment{ClusterName: Cluster}
-	for _, e := range st.Endpoints {
-		host, port, err := net.SplitHostPort(e.Address)
+	result := &endpointv3.ClusterLoadAssignment{ClusterName: Cluster}
+	for _, endpoint := range state.Endpoints {
+		host, port, err := net.SplitHostPort(endpoint.Address)
 		n, err2 := strconv.ParseUint(port, 10, 16)
 		if err != nil || err2 != nil {
-			continue // not placed yet
+			continue // the worker has no address yet
 		}
-		z := zones[e.Zone]
-		if z == nil {
-			z = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: e.Zone}}
-			zones[e.Zone] = z
-			a.Endpoints = append(a.Endpoints, z)
+		zone := zones[endpoint.Zone]
+		if zone == nil {
+			zone = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: endpoint.Zone}}
+			zones[endpoint.Zone] = zone
+			result.Endpoints = append(result.Endpoints, zone)
 		}
-		weight := max(math.Round(e.Part/max(most, 1e-9)*weightSteps), 1)
-		z.LbEndpoints = append(z.LbEndpoints, &endpointv3.LbEndpoint{
-			HealthStatus:        health(e.Standing),
+		weight := max(math.Round(endpoint.Part/max(maxShare, 1e-9)*maxWeight), 1)
+		zone.LbEndpoints = append(zone.LbEndpoints, &endpointv3.LbEndpoint{
+			HealthStatus:        healthStatus(endpoint.Standing),
 			LoadBalancingWeight: wrapperspb.UInt32(uint32(weight)),
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
 				Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
@@ -169,13 +171,13 @@
 			}},
 		})
 	}
-	for _, z := range a.Endpoints {
-		z.LoadBalancingWeight = wrapperspb.UInt32(uint32(len(z.LbEndpoints)))
+	for _, zone := range result.Endpoints {
+		zone.LoadBalancingWeight = wrapperspb.UInt32(uint32(len(zone.LbEndpoints)))
 	}
-	return a
+	return result
 }
 
-func health(s policy.Standing) corev3.HealthStatus {
+func healthStatus(s policy.Standing) corev3.HealthStatus {
 	switch {
 	case s.State == policy.Draining:
 		return corev3.HealthStatus_DRAINING
@@ -185,58 +187,59 @@
 	return corev3.HealthStatus_HEALTHY
 }
 
-func routes(st State) proto.Message {
+// routeResource returns the routes of the OpenAPI description.
+func routeResource(state State) proto.Message {
 	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
-	for _, r := range st.Rules {
+	for _, r := range state.Rules {
 		host.Routes = append(host.Routes, &routev3.Route{
-			Match: match(r),
+			Match: routeMatch(r),
 			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
 				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Cluster},
 				Timeout:          durationpb.New(time.Duration(r.Terms.Deadline) * time.Microsecond),
-				RetryPolicy:      retries(r.Terms, st.Attempts),
+				RetryPolicy:      retryPolicy(r.Terms, state.Attempts),
 			}},
 		})
 	}
 	return &routev3.RouteConfiguration{Name: Routes, VirtualHosts: []*routev3.VirtualHost{host}}
 }
 
-func match(r openapi.Rule) *routev3.RouteMatch {
-	m := &routev3.RouteMatch{Headers: []*routev3.HeaderMatcher{{
+func routeMatch(rule openapi.Rule) *routev3.RouteMatch {
+	result := &routev3.RouteMatch{Headers: []*routev3.HeaderMatcher{{
 		Name: ":method",
 		HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{StringMatch: &matcherv3.StringMatcher{
-			MatchPattern: &matcherv3.StringMatcher_Exact{Exact: r.Method}}},
+			MatchPattern: &matcherv3.StringMatcher_Exact{Exact: rule.Method}}},
 	}}}
-	if !slices.Contains(r.Segments, "") {
-		m.PathSpecifier = &routev3.RouteMatch_Path{Path: "/" + strings.Join(r.Segments, "/")}
-		return m
+	if !slices.Contains(rule.Segments, "") {
+		result.PathSpecifier = &routev3.RouteMatch_Path{Path: "/" + strings.Join(rule.Segments, "/")}
+		return result
 	}
 	pattern := ""
-	for _, s := range r.Segments {
+	for _, s := range rule.Segments {
 		if s == "" {
 			pattern += "/[^/]+"
 		} else {
 			pattern += "/" + regexp.QuoteMeta(s)
 		}
 	}
-	m.PathSpecifier = &routev3.RouteMatch_SafeRegex{SafeRegex: &matcherv3.RegexMatcher{Regex: pattern}}
-	return m
+	result.PathSpecifier = &routev3.RouteMatch_SafeRegex{SafeRegex: &matcherv3.RegexMatcher{Regex: pattern}}
+	return result
 }
 
-// retries states a retry class. A proxy sees neither groups of workers nor windows,
-// so a keyed class is repeated only where every worker drops repeats, and only with
-// a time-out of each try that leaves all of them inside the window.
-func retries(c policy.Class, attempts int) *routev3.RetryPolicy {
+// retryPolicy returns the retry policy for a class. A proxy knows neither the groups of workers nor
+// the deduplication window. So a keyed class is retried only if all workers share its keys, and with
+// a timeout per try that keeps all tries within the window.
+func retryPolicy(class policy.Class, attempts int) *routev3.RetryPolicy {
 	if attempts <= 1 {
 		return nil
 	}
-	p := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream", NumRetries: wrapperspb.UInt32(uint32(attempts - 1))}
+	result := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream", NumRetries: wrapperspb.UInt32(uint32(attempts - 1))}
 	const all = "connect-failure,refused-stream,reset,gateway-error"
 	switch {
-	case c.Repeat == policy.Safe:
-		p.RetryOn = all
-	case c.Repeat == policy.Keyed && c.Group == policy.GroupAll:
-		p.RetryOn = all
-		p.PerTryTimeout = durationpb.New(time.Duration(c.Window) * time.Microsecond / time.Duration(attempts))
+	case class.Repeat == policy.Safe:
+		result.RetryOn = all
+	case class.Repeat == policy.Keyed && class.Group == policy.GroupAll:
+		result.RetryOn = all
+		result.PerTryTimeout = durationpb.New(time.Duration(class.Window) * time.Microsecond / time.Duration(attempts))
 	}
-	return p
+	return result
 }
