--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -20,8 +20,7 @@
 	"foxwood/policy"
 )
 
-// proxy is a stand-in for a proxy: one aggregated discovery stream, which takes
-// what it is told.
+// proxy is the client side of an aggregated discovery stream.
 type proxy struct {
 	t      *testing.T
 	stream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
@@ -43,12 +42,12 @@
 	return &proxy{t, stream}
 }
 
-// ask subscribes, or acknowledges the answer given before.
-func (p *proxy) ask(kind, name string, before *discoveryv3.DiscoveryResponse) {
+// ask subscribes to resources, or acknowledges the previous response.
+func (p *proxy) ask(typeURL, name string, previous *discoveryv3.DiscoveryResponse) {
 	p.t.Helper()
-	r := &discoveryv3.DiscoveryRequest{TypeUrl: kind, Node: &corev3.Node{Id: "stand-in"},
-		VersionInfo: before.GetVersionInfo(), ResponseNonce: before.GetNonce()}
-	if name != "" { // without a name all are asked for
+	r := &discoveryv3.DiscoveryRequest{TypeUrl: typeURL, Node: &corev3.Node{Id: "stand-in"},
+		VersionInfo: previous.GetVersionInfo(), ResponseNonce: previous.GetNonce()}
+	if name != "" { // without a name the subscription is for all resources
 		r.ResourceNames = []string{name}
 	}
 	if err := p.stream.Send(r); err != nil {
@@ -56,14 +55,15 @@
 	}
 }
 
-func (p *proxy) get(into proto.Message) *discoveryv3.DiscoveryResponse {
+// receive reads a response with one resource.
+func (p *proxy) receive(into proto.Message) *discoveryv3.DiscoveryResponse {
 	p.t.Helper()
 	res, err := p.stream.Recv()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	if len(res.GetResources()) != 1 {
-		p.t.Fatalf("%d resources", len(res.GetResources()))
+		p.t.Fatalf("got %d resources, want 1", len(res.GetResources()))
 	}
 	if err := res.GetResources()[0].UnmarshalTo(into); err != nil {
 		p.t.Fatal(err)
@@ -71,7 +71,8 @@
 	return res
 }
 
-func state() State {
+// testState returns a state with two healthy workers and an unhealthy one.
+func testState() State {
 	return State{
 		Endpoints: []Endpoint{
 			{Address: "127.0.0.1:9001", Zone: "norte", Standing: policy.Standing{Server: 1, State: policy.Ready, Part: 1}},
@@ -87,88 +88,88 @@
 	}
 }
 
-// told is an endpoint as a proxy sees it.
-type told struct {
+// endpointView is an endpoint as a proxy receives it.
+type endpointView struct {
 	Port   uint32
 	Zone   string
 	Health string
 	Weight uint32
 }
 
-func endpoints(a *endpointv3.ClusterLoadAssignment) (list []told) {
+func endpoints(a *endpointv3.ClusterLoadAssignment) (list []endpointView) {
 	for _, z := range a.GetEndpoints() {
 		for _, e := range z.GetLbEndpoints() {
-			list = append(list, told{e.GetEndpoint().GetAddress().GetSocketAddress().GetPortValue(),
+			list = append(list, endpointView{e.GetEndpoint().GetAddress().GetSocketAddress().GetPortValue(),
 				z.GetLocality().GetZone(), e.GetHealthStatus().String(), e.GetLoadBalancingWeight().GetValue()})
 		}
 	}
 	return list
 }
 
-func TestAProxyIsToldOfTheModulesStandingAndOfItsChanges(t *testing.T) {
-	s, err := Listen("127.0.0.1:0")
+func TestProxyReceivesStateAndChanges(t *testing.T) {
+	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Stop)
-	st := state()
-	if err := s.Set(st); err != nil {
+	t.Cleanup(server.Stop)
+	state := testState()
+	if err := server.Set(state); err != nil {
 		t.Fatal(err)
 	}
-	p := newProxy(t, s.Addr())
-	var c clusterv3.Cluster
-	p.ask(resource.ClusterType, "", nil)
-	p.ask(resource.ClusterType, "", p.get(&c))
-	if most := c.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue(); c.GetName() != Cluster || most != 25 {
-		t.Errorf("cluster %s with at most %d requests", c.GetName(), most)
-	}
-	var a endpointv3.ClusterLoadAssignment
-	p.ask(resource.EndpointType, Cluster, nil)
-	first := p.get(&a)
-	want := []told{{9001, "norte", "HEALTHY", 20}, {9002, "norte", "HEALTHY", 10}, {9003, "sur", "UNHEALTHY", 1}}
-	if diff := cmp.Diff(want, endpoints(&a)); diff != "" {
+	client := newProxy(t, server.Addr())
+	var cluster clusterv3.Cluster
+	client.ask(resource.ClusterType, "", nil)
+	client.ask(resource.ClusterType, "", client.receive(&cluster))
+	if most := cluster.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue(); cluster.GetName() != Cluster || most != 25 {
+		t.Errorf("got cluster %s with at most %d requests, want at most 25", cluster.GetName(), most)
+	}
+	var assignment endpointv3.ClusterLoadAssignment
+	client.ask(resource.EndpointType, Cluster, nil)
+	first := client.receive(&assignment)
+	want := []endpointView{{9001, "norte", "HEALTHY", 20}, {9002, "norte", "HEALTHY", 10}, {9003, "sur", "UNHEALTHY", 1}}
+	if diff := cmp.Diff(want, endpoints(&assignment)); diff != "" {
 		t.Error(diff)
 	}
-	p.ask(resource.EndpointType, Cluster, first)
+	client.ask(resource.EndpointType, Cluster, first)
 
-	if err := s.Set(st); err != nil { // nothing new, so nothing is told
+	if err := server.Set(state); err != nil { // no change, so no update
 		t.Fatal(err)
 	}
-	st.Endpoints[0].State = policy.Draining
-	if err := s.Set(st); err != nil {
+	state.Endpoints[0].State = policy.Draining
+	if err := server.Set(state); err != nil {
 		t.Fatal(err)
 	}
-	for { // the cluster may be told again first, under the new version
-		res, err := p.stream.Recv()
+	for { // the cluster may be sent again first, with the new version
+		res, err := client.stream.Recv()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res.GetTypeUrl() != resource.EndpointType {
 			continue
 		}
-		if err := res.GetResources()[0].UnmarshalTo(&a); err != nil {
+		if err := res.GetResources()[0].UnmarshalTo(&assignment); err != nil {
 			t.Fatal(err)
 		}
-		if res.GetVersionInfo() != "2" || endpoints(&a)[0].Health != "DRAINING" {
-			t.Errorf("version %s: %+v", res.GetVersionInfo(), endpoints(&a))
+		if res.GetVersionInfo() != "2" || endpoints(&assignment)[0].Health != "DRAINING" {
+			t.Errorf("want version 2 with the first endpoint draining, got version %s: %+v", res.GetVersionInfo(), endpoints(&assignment))
 		}
 		return
 	}
 }
 
-// TestRoutesCarryTimeLimitsAndRetryClasses: what may not run twice is repeated only
-// where it surely has not run.
-func TestRoutesCarryTimeLimitsAndRetryClasses(t *testing.T) {
-	r := routes(state()).(*routev3.RouteConfiguration)
-	if err := r.ValidateAll(); err != nil {
+// TestRoutesHaveTimeoutsAndRetryPolicies checks that a class which must not run twice is retried only
+// if the request can't have run.
+func TestRoutesHaveTimeoutsAndRetryPolicies(t *testing.T) {
+	config := routeResource(testState()).(*routev3.RouteConfiguration)
+	if err := config.ValidateAll(); err != nil {
 		t.Fatal(err)
 	}
 	type rule struct{ Path, On, PerTry string }
 	var got []rule
-	for _, x := range r.GetVirtualHosts()[0].GetRoutes() {
-		p := x.GetRoute().GetRetryPolicy()
-		path := x.GetMatch().GetPath() + x.GetMatch().GetSafeRegex().GetRegex()
-		got = append(got, rule{path, p.GetRetryOn(), p.GetPerTryTimeout().AsDuration().String()})
+	for _, route := range config.GetVirtualHosts()[0].GetRoutes() {
+		retry := route.GetRoute().GetRetryPolicy()
+		path := route.GetMatch().GetPath() + route.GetMatch().GetSafeRegex().GetRegex()
+		got = append(got, rule{path, retry.GetRetryOn(), retry.GetPerTryTimeout().AsDuration().String()})
 	}
 	const never, all = "connect-failure,refused-stream", "connect-failure,refused-stream,reset,gateway-error"
 	want := []rule{{"/simulacion", all, "333.333333ms"}, {"/alta", never, "0s"}, {"/cuota/[^/]+", all, "0s"}}
