--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -76,19 +76,19 @@
 		file, text string
 		want       []string
 	}{
-		"JSON cut short":  {"c.json", "{\n\"name\":\"a\",\n", []string{"c.json:3: unexpected end"}},
-		"JSON wrong kind": {"c.json", "{\n\"name\":\"a\",\n\"listen\":7}", []string{"c.json:3: json: cannot unmarshal number"}},
+		"truncated JSON":  {"c.json", "{\n\"name\":\"a\",\n", []string{"c.json:3: unexpected end"}},
+		"wrong JSON type": {"c.json", "{\n\"name\":\"a\",\n\"listen\":7}", []string{"c.json:3: json: cannot unmarshal number"}},
 		"unknown key":     {"c.hcl", minimalHCL + "listne = 1\npool \"x\" {\n" + worker, []string{"c.hcl:8: Unsupported argument"}},
-		"no end":          {"c.hcl", minimalHCL + "pool \"x\" {\n", []string{"c.hcl:8: Unclosed configuration block"}},
+		"unclosed block":  {"c.hcl", minimalHCL + "pool \"x\" {\n", []string{"c.hcl:8: Unclosed configuration block"}},
 		"no pool":         {"c.hcl", minimalHCL, []string{"no pool of workers"}},
 		"several at once": {"c.hcl", minimalHCL + "pool \"x\" {\n  transport = \"carrier-pigeon\"\n" + worker +
 			"class \"k\" {\n  aim_ms = 5\n  deadline_ms = 2\n  repeat = \"twice\"\n}\npool \"y\" {\n}\n",
 			[]string{`c.hcl:8: pool "x": transport "carrier-pigeon"`, `c.hcl:14: class "k": repeat "twice"`, `c.hcl:14: class "k": aim_ms`, `c.hcl:19: pool "y": a gatekeeper has one pool`}},
-		"gather of a line": {"c.hcl", minimalHCL + "pool \"x\" {\n  transport = \"pipeline\"\n  gather_ms = 1\n" + worker, []string{"c.hcl:8", "belong to the transport batch"}},
-		"keyed, no window": {"c.hcl", minimalHCL + "class \"k\" {\n  aim_ms = 1\n  deadline_ms = 2\n  repeat = \"keyed\"\n}\npool \"x\" {\n" + worker, []string{`c.hcl:8: class "k" is keyed and states no window_ms`}},
-		"keys that are gone": {"c.hcl", minimalHCL + "attempts {\n  most = 3\n  retry_after_most_ms = 1\n}\npool \"x\" {\n  worker \"w\" {\n    address = \"127.0.0.1:1\"\n    kind = \"k\"\n  }\n}\n",
+		"gather for a pipeline": {"c.hcl", minimalHCL + "pool \"x\" {\n  transport = \"pipeline\"\n  gather_ms = 1\n" + worker, []string{"c.hcl:8", "belong to the transport batch"}},
+		"keyed, no window":      {"c.hcl", minimalHCL + "class \"k\" {\n  aim_ms = 1\n  deadline_ms = 2\n  repeat = \"keyed\"\n}\npool \"x\" {\n" + worker, []string{`c.hcl:8: class "k" is keyed and states no window_ms`}},
+		"removed keys": {"c.hcl", minimalHCL + "attempts {\n  most = 3\n  retry_after_most_ms = 1\n}\npool \"x\" {\n  worker \"w\" {\n    address = \"127.0.0.1:1\"\n    kind = \"k\"\n  }\n}\n",
 			[]string{`c.hcl:10: Unsupported argument`, `c.hcl:15: Unsupported argument`}},
-		"address of nobody": {"c.hcl", minimalHCL + "pool \"x\" {\n  worker \"w\" {\n    address = \"nowhere\"\n  }\n}\n", []string{`c.hcl:9: worker "w"`}},
+		"invalid address": {"c.hcl", minimalHCL + "pool \"x\" {\n  worker \"w\" {\n    address = \"nowhere\"\n  }\n}\n", []string{`c.hcl:9: worker "w"`}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := readText(t, c.file, c.text)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -57,12 +57,12 @@
 func TestHandoverProtocol(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:8000")
 	ln := listen(t, nil)
-	sent := Offer{State: policy.Snapshot{Version: policy.SnapshotVersion, Bound: 7},
+	offer := Offer{State: policy.Snapshot{Version: policy.SnapshotVersion, Bound: 7},
 		List: platform.List{Generation: 9, Instances: []platform.Instance{{ID: "s-1", Addr: "127.0.0.1:1"}}}, Classes: []string{"a"}}
 	oldEvents, newEvents := recordedEvents{make(chan string, 10)}, recordedEvents{make(chan string, 10)}
 	peers := make(chan *Peer, 1)
 	socket, err := Wait(path, func(m *Meeting) {
-		newPeer, err := m.Offer(sent, ln)
+		newPeer, err := m.Offer(offer, ln)
 		if err != nil {
 			t.Error(err)
 			return
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	defer received.Close()
-	sent.Version = Version
-	if diff := cmp.Diff(&sent, got); diff != "" {
+	offer.Version = Version
+	if diff := cmp.Diff(&offer, got); diff != "" {
 		t.Fatalf("offer (-sent +got):\n%s", diff)
 	}
 	go newPeer.Run(newEvents)
@@ -171,31 +171,31 @@
 	if err := writeFrame(other, message{Hello: Version + 1}, -1); err != nil {
 		t.Fatal(err)
 	}
-	_, _, theirs, err := Meet(path, testTimeout)
+	_, _, received, err := Meet(path, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	theirs.Close()
+	received.Close()
 }
 
 // TestSocketIsReplacedAtomically checks that a second socket at the same path replaces the first
 // and leaves no other file.
 func TestSocketIsReplacedAtomically(t *testing.T) {
 	path := Path(t.TempDir(), "a")
-	met := make(chan int, 2)
+	connected := make(chan int, 2)
 	for i := range 2 {
-		s, err := Wait(path, func(m *Meeting) { met <- i; m.conn.Close() })
+		s, err := Wait(path, func(m *Meeting) { connected <- i; m.conn.Close() })
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 	}
 	_, _, _, _ = Meet(path, testTimeout)
-	if got := <-met; got != 1 {
+	if got := <-connected; got != 1 {
 		t.Fatalf("socket %d got the connection, want the second", got)
 	}
-	if left, err := os.ReadDir(filepath.Dir(path)); err != nil || len(left) != 1 {
-		t.Fatalf("want one file in the directory, got %v, %v", left, err)
+	if files, err := os.ReadDir(filepath.Dir(path)); err != nil || len(files) != 1 {
+		t.Fatalf("want one file in the directory, got %v, %v", files, err)
 	}
 }
 
--- a/internal/openapi/openapi_test.go
+++ b/internal/openapi/openapi_test.go
@@ -147,11 +147,11 @@
 }
 
 func newDecisionRecorder(classes []policy.Class, clock *gatekeeper.Clock) *decisionRecorder {
-	r := &decisionRecorder{clock: clock, numbers: map[*gatekeeper.Request]int{}}
-	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: someSettings(classes), Seed: 5, Clock: clock, Fleet: r,
-		Counter: r, Wake: func(float64) {}})
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
-	return r
+	recorder := &decisionRecorder{clock: clock, numbers: map[*gatekeeper.Request]int{}}
+	recorder.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: someSettings(classes), Seed: 5, Clock: clock, Fleet: recorder,
+		Counter: recorder, Wake: func(float64) {}})
+	recorder.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	return recorder
 }
 
 func (r *decisionRecorder) record(request *gatekeeper.Request, format string, a ...any) {
@@ -196,7 +196,7 @@
 	if diff := cmp.Diff(table, front.Classes()); diff != "" {
 		t.Fatal(diff)
 	}
-	written := newDecisionRecorder(table, clock)
+	reference := newDecisionRecorder(table, clock)
 	classIndex := map[string]int{"simulacion": 0, "maxima": 1, "cuota": 2}
 	units := map[string]float64{"maxima": 1, "simulacion": 3, "cuota": 2}
 	targets := map[string]string{"maxima": "/v1/cuota/maxima", "simulacion": "/v1/simulacion", "cuota": "/v1/cuota/36"}
@@ -205,7 +205,7 @@
 	for n := range 600 {
 		if n == 300 { // change simulacion while some of its requests are in flight or queued
 			front.Replace(parse(t, descriptionWith(cuotaTerms, `{"units":4,"aim-ms":500,"worth":5,"window-ms":3000}`, "")))
-			written.SetClasses(append(table, changed))
+			reference.SetClasses(append(table, changed))
 			classIndex["simulacion"], units["simulacion"] = 3, 4
 		}
 		operation, customer := operations[n%4], customers[n%3]
@@ -224,10 +224,10 @@
 			t.Fatal(refusal)
 		}
 		described.submit(request, n)
-		written.submit(&gatekeeper.Request{Class: classIndex[operation], Plan: plan, Customer: hash(customer), Left: 1500,
+		reference.submit(&gatekeeper.Request{Class: classIndex[operation], Plan: plan, Customer: hash(customer), Left: 1500,
 			Units: units[operation], Spread: 1}, n)
 		clock.Set(clock.Now() + 7)
-		for _, recorder := range []*decisionRecorder{described, written} {
+		for _, recorder := range []*decisionRecorder{described, reference} {
 			recorder.Advance()
 			for n%8 == 0 && len(recorder.executions) > 4 { // workers respond in bursts, so that requests queue in between
 				execution := recorder.executions[0]
@@ -243,9 +243,9 @@
 	for range 300 {
 		clock.Set(clock.Now() + 10)
 		described.Advance()
-		written.Advance()
+		reference.Advance()
 	}
-	if diff := cmp.Diff(written.decisions, described.decisions); diff != "" {
+	if diff := cmp.Diff(reference.decisions, described.decisions); diff != "" {
 		t.Fatalf("decisions (-settings +description):\n%s", diff)
 	}
 	all := strings.Join(described.decisions, "\n")
--- a/internal/service/capture_test.go
+++ b/internal/service/capture_test.go
@@ -49,9 +49,9 @@
 		for len(got) > 0 {
 			<-got
 		}
-		leaver := gateway.dial().send(strings.Replace(classRequest("cuota", "leaver", "", 1900), "class=cuota", "class=hang", 1))
+		disconnecting := gateway.dial().send(strings.Replace(classRequest("cuota", "leaver", "", 1900), "class=cuota", "class=hang", 1))
 		receive(t, got)
-		leaver.Close()
+		disconnecting.Close()
 		gateway.ask("simulacion", 1, 900)
 		gateway.setOnlyWorker(addr)
 		writeConfigFile(t, withSettings(`{"name":"n0"}`))
@@ -84,16 +84,16 @@
 	if err != nil || len(report.Differences) > 0 || len(report.Notes) > 0 || report.Decisions < 10 {
 		t.Fatalf("replay: want no difference, no note and at least 10 decisions, got %+v, %v", report, err)
 	}
-	var said bytes.Buffer
-	if err := replay.Explain(&said, set(), &key, refused); err != nil {
+	var explanation bytes.Buffer
+	if err := replay.Explain(&explanation, set(), &key, refused); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{refused, "2 units", "bucket", "refused, to come back after", "beyond its quota"} {
-		if !strings.Contains(said.String(), want) {
-			t.Errorf("%q is missing in the explanation\n%s", want, said.String())
+		if !strings.Contains(explanation.String(), want) {
+			t.Errorf("%q is missing in the explanation\n%s", want, explanation.String())
 		}
 	}
-	if err := replay.Explain(&said, set(), &key, "nobody"); err == nil {
+	if err := replay.Explain(&explanation, set(), &key, "nobody"); err == nil {
 		t.Error("Explain accepts a trace id that was never captured")
 	}
 }
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -46,10 +46,10 @@
 	}, addr, addr)
 	writeConfigFile(t, `{}`)
 	file := os.Getenv("EDGE_CONFIG")
-	var asking, beside sync.WaitGroup
-	over, stop := context.WithCancel(context.Background())
+	var clientsDone, background sync.WaitGroup
+	ctx, stop := context.WithCancel(context.Background())
 	for i := range clients {
-		asking.Go(func() {
+		clientsDone.Go(func() {
 			for n := range each {
 				c := gateway.dial()
 				text := classRequest("cuota", fmt.Sprintf("m-%d-%d", i, n), "", 900)
@@ -67,7 +67,7 @@
 			}
 		})
 	}
-	beside.Go(func() {
+	background.Go(func() {
 		for n := range reloads {
 			text := withSettings(fmt.Sprintf(`{"counter":%q}`, counter))
 			if n%2 == 1 {
@@ -81,8 +81,8 @@
 			}
 		}
 	})
-	beside.Go(func() {
-		for n := 0; over.Err() == nil; n++ {
+	background.Go(func() {
+		for n := 0; ctx.Err() == nil; n++ {
 			done := make(chan bool)
 			gateway.loop.Post(func() {
 				line := strings.Replace(workerEntry(1, addr), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, n%3), 1)
@@ -102,21 +102,21 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	beside.Go(func() {
-		stream, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(over)
-		ask := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
+	background.Go(func() {
+		stream, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
+		request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
 		for err == nil {
 			var res *discoveryv3.DiscoveryResponse
-			if err = stream.Send(ask); err == nil {
+			if err = stream.Send(request); err == nil {
 				if res, err = stream.Recv(); err == nil {
-					ask.VersionInfo, ask.ResponseNonce = res.GetVersionInfo(), res.GetNonce()
+					request.VersionInfo, request.ResponseNonce = res.GetVersionInfo(), res.GetNonce()
 				}
 			}
 		}
 	})
-	asking.Wait()
+	clientsDone.Wait()
 	stop()
-	beside.Wait()
+	background.Wait()
 	gateway.drain()
 	left := make(chan int)
 	gateway.loop.Post(func() { left <- gateway.core.Open() })
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -211,7 +211,7 @@
 
 // offerHandover sends the state and the listener to a new process. This process continues to
 // serve until the new one is ready.
-func (s *service) offerHandover(request *handover.Meeting) {
+func (s *service) offerHandover(connection *handover.Meeting) {
 	var offer handover.Offer
 	var listener *link.Listener
 	pendingDraws, overflowed := make(chan policy.Draw, maxPendingDraws), false // drawn before the offer was sent
@@ -230,7 +230,7 @@
 			}
 		})}
 	})
-	peer, err := request.Offer(offer, listener.TCPListener)
+	peer, err := connection.Offer(offer, listener.TCPListener)
 	if err != nil {
 		slog.Warn("handover: offer failed, continuing to serve", "error", err)
 		s.runOnLoop(s.divideResources)
--- a/internal/service/handover_test.go
+++ b/internal/service/handover_test.go
@@ -491,9 +491,9 @@
 	successor.signal(syscall.SIGKILL) // leaves a stale handover socket
 	<-successor.exited
 	last := site.startProcess(true)
-	after := site.startTraffic()
-	after.waitServed(t, 50)
-	after.stopAndCheck(t, 50)
+	secondLoad := site.startTraffic()
+	secondLoad.waitServed(t, 50)
+	secondLoad.stopAndCheck(t, 50)
 	last.stop()
 }
 
@@ -575,8 +575,8 @@
 			c.Close()
 		}
 	}
-	if most := rate*time.Since(began).Seconds() + units; float64(drew) > most {
-		t.Errorf("%d units were served, want at most %.1f", drew, most)
+	if maxUnits := rate*time.Since(began).Seconds() + units; float64(drew) > maxUnits {
+		t.Errorf("%d units were served, want at most %.1f", drew, maxUnits)
 	}
 	for _, p := range []*process{current, successor} {
 		p.signal(syscall.SIGTERM)
--- a/internal/service/large_body_test.go
+++ b/internal/service/large_body_test.go
@@ -61,7 +61,7 @@
 			}
 			_, _ = io.WriteString(c, "0\r\nTrailer: t\r\n\r\n")
 		},
-		"to the end of the link": func(c net.Conn) {
+		"until the connection closes": func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			_, _ = c.Write(body)
 			c.Close()
@@ -109,15 +109,15 @@
 			if _, err := io.ReadFull(res.Body, first); err != nil || string(first) != "first" {
 				t.Fatalf("got %q, %v, want the first bytes of the body", first, err)
 			}
-			if p := gateway.readStats()["pending"]; p != "1|g" {
-				t.Errorf("pending is %q, want 1|g", p)
+			if pending := gateway.readStats()["pending"]; pending != "1|g" {
+				t.Errorf("pending is %q, want 1|g", pending)
 			}
 			release <- true
 			if _, err := io.ReadAll(res.Body); err == nil {
 				t.Fatal("a broken response was passed as a complete one")
 			}
-			if f := gateway.readStats(); f["failed.cuota"] != "1|c" || f["upstream_requests"] != "1|c" {
-				t.Errorf("want 1 failed request and 1 attempt, got %v", f)
+			if stats := gateway.readStats(); stats["failed.cuota"] != "1|c" || stats["upstream_requests"] != "1|c" {
+				t.Errorf("want 1 failed request and 1 attempt, got %v", stats)
 			}
 		})
 	}
@@ -126,15 +126,15 @@
 // TestHTTP10ClientGetsNoChunks checks that an HTTP/1.0 client gets a response of unknown length
 // up to the end of the connection, and that a broken response doesn't end like a complete one.
 func TestHTTP10ClientGetsNoChunks(t *testing.T) {
-	for name, whole := range map[string]bool{"whole": true, "broken": false} {
+	for name, complete := range map[string]bool{"whole": true, "broken": false} {
 		t.Run(name, func(t *testing.T) {
 			body := testBody(300 << 10)
 			addr, _ := startWorker(t, func(_ int, req *workerRequest) bool {
 				fmt.Fprintf(req.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
-				if whole {
+				if complete {
 					_, _ = io.WriteString(req.conn, "0\r\n\r\n")
 				}
-				return whole
+				return complete
 			})
 			c := startGateway(t, nil, addr).dial()
 			c.send(strings.Replace(cuotaRequest("mayor", 900), "HTTP/1.1", "HTTP/1.0", 1))
@@ -143,8 +143,8 @@
 				t.Fatalf("got %v, %v, want a response that is not chunked", res, err)
 			}
 			got, err := io.ReadAll(res.Body)
-			if whole != (err == nil) || whole && !bytes.Equal(got, body) {
-				t.Fatalf("complete=%v: got %d of %d bytes, %v", whole, len(got), len(body), err)
+			if complete != (err == nil) || complete && !bytes.Equal(got, body) {
+				t.Fatalf("complete=%v: got %d of %d bytes, %v", complete, len(got), len(body), err)
 			}
 		})
 	}
@@ -173,10 +173,10 @@
 		}
 		readers = append(readers, c)
 	}
-	held := make(chan int, 1)
-	gateway.loop.Post(func() { held <- gateway.loop.Waiting() })
-	if n, most := receive(t, held), gateway.loop.Flowing+clients*(128<<10); n > most {
-		t.Errorf("%d bytes are buffered, want at most %d", n, most)
+	buffered := make(chan int, 1)
+	gateway.loop.Post(func() { buffered <- gateway.loop.Waiting() })
+	if n, maxBuffered := receive(t, buffered), gateway.loop.Flowing+clients*(128<<10); n > maxBuffered {
+		t.Errorf("%d bytes are buffered, want at most %d", n, maxBuffered)
 	}
 	if len(written) > 0 {
 		t.Error("a whole response was read from the worker before its client read any of it")
@@ -215,9 +215,9 @@
 		t.Error("the whole body was read from the client before the worker read any of it")
 	case <-time.After(300 * time.Millisecond):
 	}
-	held := make(chan int, 1)
-	gateway.loop.Post(func() { held <- gateway.loop.Waiting() })
-	if n := receive(t, held); n > 1<<20 {
+	buffered := make(chan int, 1)
+	gateway.loop.Post(func() { buffered <- gateway.loop.Waiting() })
+	if n := receive(t, buffered); n > 1<<20 {
 		t.Errorf("%d bytes are buffered, want at most %d", n, 1<<20)
 	}
 	close(begin)
@@ -234,12 +234,12 @@
 // body are no longer buffered: the second attempt would miss a part. A body that is still
 // buffered as a whole is sent again.
 func TestRetryNeedsWholeBufferedBody(t *testing.T) {
-	for name, c := range map[string]struct{ size, attempts, status int }{
+	for name, test := range map[string]struct{ size, attempts, status int }{
 		"held":  {70 << 10, 2, 200},
 		"spent": {8 << 20, 1, 429},
 	} {
 		t.Run(name, func(t *testing.T) {
-			whole := testBody(c.size)
+			whole := testBody(test.size)
 			addr, got := startWorker(t, func(n int, req *workerRequest) bool {
 				if n == 0 {
 					return false // the request may have run
@@ -251,11 +251,11 @@
 			conn := gateway.dial()
 			go func() { _, _ = conn.Write(requestWithBody("7c2d", whole, 0)) }()
 			res, _ := conn.readResponse()
-			if res.StatusCode != c.status {
-				t.Errorf("status %d, want %d", res.StatusCode, c.status)
+			if res.StatusCode != test.status {
+				t.Errorf("status %d, want %d", res.StatusCode, test.status)
 			}
-			if n := len(got); n != c.attempts {
-				t.Errorf("%d attempts, want %d", n, c.attempts)
+			if n := len(got); n != test.attempts {
+				t.Errorf("%d attempts, want %d", n, test.attempts)
 			}
 		})
 	}
@@ -281,10 +281,10 @@
 // TestStalledBodyTimesOut checks that a request whose body stops arriving gets status 408, and
 // that its attempt at the worker ends.
 func TestStalledBodyTimesOut(t *testing.T) {
-	ended := make(chan int64, 1)
+	received := make(chan int64, 1)
 	addr := listen(t, func(conn net.Conn) {
 		n, _ := io.Copy(io.Discard, conn)
-		ended <- n
+		received <- n
 	})
 	gateway := startGateway(t, nil, addr)
 	conn := gateway.dial()
@@ -292,7 +292,7 @@
 	if res, _ := conn.readResponse(); res.StatusCode != 408 {
 		t.Errorf("status %d, want 408", res.StatusCode)
 	}
-	if n := receive(t, ended); n < 200<<10 {
+	if n := receive(t, received); n < 200<<10 {
 		t.Errorf("the worker got %d bytes, want at least %d", n, 200<<10)
 	}
 }
--- a/internal/service/operations_test.go
+++ b/internal/service/operations_test.go
@@ -96,8 +96,8 @@
 // closes the connection in the middle of the body. A request whose client disconnects counts as
 // an attempt only.
 func TestStatsCountAttemptsSeparately(t *testing.T) {
-	broken := listen(t, func(c net.Conn) { _, _ = io.CopyN(io.Discard, c, 100<<10) })
-	for name, c := range map[string]struct {
+	broken := listen(t, func(conn net.Conn) { _, _ = io.CopyN(io.Discard, conn, 100<<10) })
+	for name, test := range map[string]struct {
 		worker string
 		answer func(n int, req *workerRequest) bool
 		text   []byte
@@ -114,18 +114,18 @@
 			want: map[string]string{"rejected.cuota": "1|c", "upstream_requests": "0|c"}},
 		"a broken write": {worker: broken, text: requestWithBody("7c2d", testBody(20<<20), 0),
 			want: map[string]string{"rejected.simulacion": "1|c", "upstream_requests": "0|c"}},
-		"left": {answer: neverRespond, text: []byte(cuotaRequest("mayor", 1900)), leaves: true,
+		"client disconnects": {answer: neverRespond, text: []byte(cuotaRequest("mayor", 1900)), leaves: true,
 			want: map[string]string{"completed.cuota": "0|c", "rejected.cuota": "0|c", "failed.cuota": "0|c", "upstream_requests": "1|c", "pending": "0|g"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, got := c.worker, make(chan *workerRequest)
+			addr, got := test.worker, make(chan *workerRequest)
 			if addr == "" {
-				addr, got = startWorker(t, c.answer)
+				addr, got = startWorker(t, test.answer)
 			}
 			gateway := startGateway(t, withAdminServer, addr)
 			conn := gateway.dial()
-			go func() { _, _ = conn.Write(c.text) }()
-			if c.leaves {
+			go func() { _, _ = conn.Write(test.text) }()
+			if test.leaves {
 				receive(t, got)
 				conn.Close()
 				for open, until := 1, time.Now().Add(testTimeout); open > 0 && time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -134,10 +134,10 @@
 			} else {
 				conn.readResponse()
 			}
-			figures := gateway.readStats()
-			for figure, want := range c.want {
-				if figures[figure] != want {
-					t.Errorf("%s is %s, want %s", figure, figures[figure], want)
+			stats := gateway.readStats()
+			for metric, want := range test.want {
+				if stats[metric] != want {
+					t.Errorf("%s is %s, want %s", metric, stats[metric], want)
 				}
 			}
 		})
@@ -227,7 +227,7 @@
 		return respondWith("HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")(n, req)
 	})
 	gateway := startGateway(t, withAdminServer, addr)
-	tries := func(text string) int {
+	countAttempts := func(text string) int {
 		t.Helper()
 		gateway.dial().ask(text)
 		n := len(got)
@@ -236,53 +236,53 @@
 		}
 		return n
 	}
-	if n := tries(cuotaRequest("mayor", 900)); n != 3 {
+	if n := countAttempts(cuotaRequest("mayor", 900)); n != 3 {
 		t.Fatalf("%d attempts before the reload, want 3", n)
 	}
-	file := func(set string) error {
+	reloadWith := func(set string) error {
 		t.Helper()
 		writeConfigFile(t, `{"name":"n0","control":"","settings":`+set+`}`)
 		return gateway.reload(os.Getenv("EDGE_CONFIG"))
 	}
-	inForce := func(set string) string { return strings.Replace(set, `"max-attempts":3`, `"max-attempts":1`, 1) }
+	oneAttempt := func(set string) string { return strings.Replace(set, `"max-attempts":3`, `"max-attempts":1`, 1) }
 	for name, set := range map[string]string{
-		"no deadline":       strings.Replace(inForce(settingsText), `"deadline-us":2000000,`, ``, 1),
-		"a deadline of 0":   strings.Replace(inForce(settingsText), `"deadline-us":2000000`, `"deadline-us":0`, 1),
-		"attempts below 0":  strings.Replace(settingsText, `"max-attempts":3`, `"max-attempts":-1`, 1),
-		"no attempts":       strings.Replace(settingsText, `"max-attempts":3,`, ``, 1),
-		"a class twice":     strings.Replace(inForce(settingsText), `"simulacion"`, `"cuota"`, 1),
-		"a class no name":   strings.Replace(inForce(settingsText), `"simulacion"`, `""`, 1),
-		"no classes":        `{"limits":{"max-attempts":1}}`,
-		"an unknown effect": strings.Replace(inForce(settingsText), `"idempotent"`, `"sometimes"`, 1),
-		"cut off":           settingsText[:200],
+		"no deadline":          strings.Replace(oneAttempt(settingsText), `"deadline-us":2000000,`, ``, 1),
+		"a deadline of 0":      strings.Replace(oneAttempt(settingsText), `"deadline-us":2000000`, `"deadline-us":0`, 1),
+		"attempts below 0":     strings.Replace(settingsText, `"max-attempts":3`, `"max-attempts":-1`, 1),
+		"no attempts":          strings.Replace(settingsText, `"max-attempts":3,`, ``, 1),
+		"a class twice":        strings.Replace(oneAttempt(settingsText), `"simulacion"`, `"cuota"`, 1),
+		"a class without name": strings.Replace(oneAttempt(settingsText), `"simulacion"`, `""`, 1),
+		"no classes":           `{"limits":{"max-attempts":1}}`,
+		"an unknown repeat":    strings.Replace(oneAttempt(settingsText), `"idempotent"`, `"sometimes"`, 1),
+		"truncated":            settingsText[:200],
 	} {
-		if file(set) == nil {
+		if reloadWith(set) == nil {
 			t.Errorf("%s: the invalid file was accepted", name)
 		}
 	}
-	if n := tries(cuotaRequest("mayor", 900)); n != 3 {
+	if n := countAttempts(cuotaRequest("mayor", 900)); n != 3 {
 		t.Fatalf("%d attempts after invalid files, want 3", n)
 	}
 
-	open := gateway.dial().send(simulacionRequest(400, "hang")) // keeps its class across the reload
+	openRequest := gateway.dial().send(simulacionRequest(400, "hang")) // keeps its class across the reload
 	receive(t, got)
 	second := strings.NewReplacer(`"max-attempts":3`, `"max-attempts":1`, `"name":"simulacion"`, `"name":"simulacion-2"`).Replace(settingsText)
-	if err := file(second); err != nil {
+	if err := reloadWith(second); err != nil {
 		t.Fatal(err)
 	}
-	if n := tries(cuotaRequest("mayor", 900)); n != 1 {
+	if n := countAttempts(cuotaRequest("mayor", 900)); n != 1 {
 		t.Errorf("%d attempts after the reload, want 1", n)
 	}
-	if n := tries(strings.NewReplacer("X-Qos: simulacion", "X-Qos: simulacion-2", "7c2d", "7c2e").Replace(simulacionRequest(900, ""))); n != 1 {
+	if n := countAttempts(strings.NewReplacer("X-Qos: simulacion", "X-Qos: simulacion-2", "7c2d", "7c2e").Replace(simulacionRequest(900, ""))); n != 1 {
 		t.Errorf("%d attempts of the new class, want 1", n)
 	}
-	if res, _ := open.readResponse(); res.StatusCode != 429 { // workers deduplicate its retries, so it may be refused safely
+	if res, _ := openRequest.readResponse(); res.StatusCode != 429 { // workers deduplicate its retries, so it may be refused safely
 		t.Errorf("the open request got status %d, want 429", res.StatusCode)
 	}
-	figures := gateway.readStats()
+	stats := gateway.readStats()
 	for _, name := range []string{"rejected.simulacion", "rejected.simulacion-2"} {
-		if figures[name] != "1|c" {
-			t.Errorf("%s is %q, want 1|c", name, figures[name])
+		if stats[name] != "1|c" {
+			t.Errorf("%s is %q, want 1|c", name, stats[name])
 		}
 	}
 	// The removed class is accepted and counted until its clients must have learned of it.
--- a/internal/service/regression_captures_test.go
+++ b/internal/service/regression_captures_test.go
@@ -86,16 +86,16 @@
 // by classes of one single worth. The request was queued at a priority rank that no longer
 // existed, which once crashed the gatekeeper.
 func classesReplacedWhileHeld(t *testing.T, folder string) {
-	came, release := make(chan bool, 10), make(chan bool)
+	arrived, release := make(chan bool, 10), make(chan bool)
 	gateway := startEmulated(t, folder, 1, emulator.Config{Fault: func(a emulator.Arrival) emulator.Fault {
-		if came <- true; a.N == 0 {
+		if arrived <- true; a.N == 0 {
 			<-release
 			return emulator.TurnAway
 		}
 		return emulator.None
 	}}, nil)
 	c := gateway.dial().send(classRequest("cuota", "s-1", "", 1900))
-	receive(t, came)
+	receive(t, arrived)
 	done := make(chan bool)
 	gateway.loop.Post(func() {
 		classes := append(gateway.policySettings.Classes[:0:0], gateway.policySettings.Classes...)
@@ -157,12 +157,12 @@
 		go func() { _, _ = c.Write(requestWithBody(fmt.Sprint(size), testBody(size), 0)) }()
 		c.readResponse()
 	}
-	stops := gateway.dial()
-	_, _ = stops.Write(requestWithBody("7c2d", testBody(1<<20), 0)[:300<<10])
-	leaves := gateway.dial()
-	_, _ = leaves.Write(requestWithBody("7c2e", testBody(1<<20), 0)[:200<<10])
-	leaves.Close()
-	if res, _ := stops.readResponse(); res.StatusCode != http.StatusRequestTimeout {
+	stalled := gateway.dial()
+	_, _ = stalled.Write(requestWithBody("7c2d", testBody(1<<20), 0)[:300<<10])
+	disconnecting := gateway.dial()
+	_, _ = disconnecting.Write(requestWithBody("7c2e", testBody(1<<20), 0)[:200<<10])
+	disconnecting.Close()
+	if res, _ := stalled.readResponse(); res.StatusCode != http.StatusRequestTimeout {
 		t.Errorf("a stalled body got status %d, want 408", res.StatusCode)
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -185,7 +185,7 @@
 		return nil, err
 	}
 	s.platform = platform.NewFront(policySettings, names, func() bool { return s.core.Ready() && !s.clients.Draining() })
-	var responseFrontend frontend = s.platform
+	var activeFrontend frontend = s.platform
 	if cfg.OpenAPI != nil {
 		description, err := readDescription(cfg.OpenAPI.Description)
 		if err != nil {
@@ -194,7 +194,7 @@
 		if s.api, err = openapi.NewFront(*cfg.OpenAPI, description, policySettings, names, clock); err != nil {
 			return nil, err
 		}
-		policySettings.Classes, names.Classes, responseFrontend = s.api.Classes(), s.api.Names(), s.api
+		policySettings.Classes, names.Classes, activeFrontend = s.api.Classes(), s.api.Names(), s.api
 	}
 	s.policySettings, s.names = policySettings, names
 	if cfg.Control != "" {
@@ -219,7 +219,7 @@
 		}
 	}
 	connectTimeoutMS, maxIdleMS := float64(names.ConnectMost)/1000, float64(names.ConnIdle)/1000*maxIdleFraction
-	fleet := link.NewFleet(s.loop, clock, responseFrontend, connectTimeoutMS, maxIdleMS, cfg.Transport)
+	fleet := link.NewFleet(s.loop, clock, activeFrontend, connectTimeoutMS, maxIdleMS, cfg.Transport)
 	s.counter = link.NewCounter(s.loop, clock, cfg.Counter, counterPath, connectTimeoutMS)
 	s.loop.OnAlarm(func() { s.core.Advance() })
 	s.runOnLoop(func() {
@@ -236,7 +236,7 @@
 		s.core = gatekeeper.New(gatewayConfig)
 		fleet.Attach(s.core)
 		s.counter.Attach(s.core)
-		s.clients = link.NewClients(s.loop, clock, s.core, responseFrontend)
+		s.clients = link.NewClients(s.loop, clock, s.core, activeFrontend)
 		if s.api != nil {
 			s.api.Attach(s.core, s.clients.Draining)
 		}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -99,7 +99,7 @@
 	for name, surplus := range map[string]func(net.Conn){
 		"a second copy":  func(c net.Conn) { _, _ = io.WriteString(c, okResponse) },
 		"noise":          func(c net.Conn) { _, _ = io.WriteString(c, "\x8a\x01") },
-		"the end of it":  func(c net.Conn) { c.Close() },
+		"a close":        func(c net.Conn) { c.Close() },
 		"a bad response": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -153,12 +153,12 @@
 func TestFailedExecutionIsRetried(t *testing.T) {
 	drop := func(int, *workerRequest) bool { return false }
 	for name, first := range map[string]func(int, *workerRequest) bool{
-		"a broken link":       drop,
-		"an error":            respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"),
-		"turned away":         respondWith("HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
-		"an answer cut short": respondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhol"),
-		"no HTTP at all":      respondWith("SSH-2.0\r\n\r\n"),
-		"an answer without end": func(n int, req *workerRequest) bool {
+		"a closed connection":  drop,
+		"an error":             respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"),
+		"rejected by worker":   respondWith("HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
+		"a truncated response": respondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhol"),
+		"no HTTP at all":       respondWith("SSH-2.0\r\n\r\n"),
+		"a stalled response": func(n int, req *workerRequest) bool {
 			return respondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhol")(n, req) && neverRespond(n, req)
 		},
 	} {
@@ -206,33 +206,33 @@
 		want int
 		ends bool
 	}{
-		"noise":              {"\x16\x03\x01\x02\r\n\r\n", 400, true},
-		"two lengths":        {"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400, true},
-		"a long body":        {"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 33554433\r\n\r\n", 413, true},
-		"a long head":        {"GET /api HTTP/1.1\r\nA: " + strings.Repeat("x", 20000), 431, true},
-		"an unknown path":    {strings.Replace(good, "/api", "/nada", 1), 404, false},
-		"an unknown class":   {strings.Replace(good, "cuota", "otra", 1), 400, true},
-		"an unknown plan":    {strings.Replace(good, "mayor", "otro", 1), 400, true},
-		"no deadline":        {strings.Replace(good, "X-Expires", "X-Expired", 1), 400, true},
-		"a broken deadline":  {strings.Replace(good, ": 900", ": -1", 1), 400, true},
-		"a short key":        {strings.Replace(good, "00000000b4", "b4", 1), 400, true},
-		"no id":              {strings.Replace(good, "X-Trace", "X-Trage", 1), 400, true},
-		"no terms":           {strings.Replace(good, "units=2,", "", 1), 400, true},
-		"units are NaN":      {strings.Replace(good, "units=2", "units=NaN", 1), 400, true},
-		"hexadecimal units":  {strings.Replace(good, "units=2", "units=0x1p1", 1), 400, true},
-		"no units":           {strings.Replace(good, "units=2", "units=0", 1), 400, true},
-		"too many units":     {strings.Replace(good, "units=2", "units=6.5", 1), 400, true},
-		"a term twice":       {strings.Replace(good, "units=2", "units=2,units=1", 1), 400, true},
-		"an empty set":       {strings.Replace(good, "spread=1", "spread=0", 1), 400, true},
-		"too large a set":    {strings.Replace(good, "spread=1", "spread=2", 1), 400, true},
-		"a fractional first": {strings.Replace(good, "first=0", "first=0.5", 1), 400, true},
-		"first out of range": {strings.Replace(good, "first=0", "first=1", 1), 400, true},
-		"no time":            {strings.Replace(good, ": 900", ": 0", 1), 400, true},
-		"a key too large":    {strings.Replace(good, "00000000b4", "00000002b4", 1), 400, true},
-		"two plans":          {strings.Replace(good, "X-Tier", "X-Tier: basico\r\nX-Tier", 1), 400, true},
-		"two ids":            {strings.Replace(good, "X-Trace", "X-Trace-Id: 1\r\nX-Trace", 1), 400, true},
-		"the wrong method":   {strings.Replace(good, "GET", "POST", 1), 400, true},
-		"no repeat key":      {strings.Replace(simulacionRequest(900, ""), "Idempotency-Key", "Idempotency-No", 1), 400, true},
+		"noise":               {"\x16\x03\x01\x02\r\n\r\n", 400, true},
+		"two lengths":         {"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", 400, true},
+		"a long body":         {"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 33554433\r\n\r\n", 413, true},
+		"a long head":         {"GET /api HTTP/1.1\r\nA: " + strings.Repeat("x", 20000), 431, true},
+		"an unknown path":     {strings.Replace(good, "/api", "/nada", 1), 404, false},
+		"an unknown class":    {strings.Replace(good, "cuota", "otra", 1), 400, true},
+		"an unknown plan":     {strings.Replace(good, "mayor", "otro", 1), 400, true},
+		"no deadline":         {strings.Replace(good, "X-Expires", "X-Expired", 1), 400, true},
+		"a negative deadline": {strings.Replace(good, ": 900", ": -1", 1), 400, true},
+		"a short key":         {strings.Replace(good, "00000000b4", "b4", 1), 400, true},
+		"no id":               {strings.Replace(good, "X-Trace", "X-Trage", 1), 400, true},
+		"no terms":            {strings.Replace(good, "units=2,", "", 1), 400, true},
+		"units are NaN":       {strings.Replace(good, "units=2", "units=NaN", 1), 400, true},
+		"hexadecimal units":   {strings.Replace(good, "units=2", "units=0x1p1", 1), 400, true},
+		"no units":            {strings.Replace(good, "units=2", "units=0", 1), 400, true},
+		"too many units":      {strings.Replace(good, "units=2", "units=6.5", 1), 400, true},
+		"a term twice":        {strings.Replace(good, "units=2", "units=2,units=1", 1), 400, true},
+		"a spread of 0":       {strings.Replace(good, "spread=1", "spread=0", 1), 400, true},
+		"spread too large":    {strings.Replace(good, "spread=1", "spread=2", 1), 400, true},
+		"a fractional first":  {strings.Replace(good, "first=0", "first=0.5", 1), 400, true},
+		"first out of range":  {strings.Replace(good, "first=0", "first=1", 1), 400, true},
+		"no time":             {strings.Replace(good, ": 900", ": 0", 1), 400, true},
+		"a key too large":     {strings.Replace(good, "00000000b4", "00000002b4", 1), 400, true},
+		"two plans":           {strings.Replace(good, "X-Tier", "X-Tier: basico\r\nX-Tier", 1), 400, true},
+		"two ids":             {strings.Replace(good, "X-Trace", "X-Trace-Id: 1\r\nX-Trace", 1), 400, true},
+		"the wrong method":    {strings.Replace(good, "GET", "POST", 1), 400, true},
+		"no idempotency key":  {strings.Replace(simulacionRequest(900, ""), "Idempotency-Key", "Idempotency-No", 1), 400, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := gateway.dial()
@@ -272,16 +272,16 @@
 func TestIdlestClientConnectionIsEvicted(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
 	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 100 }, addr)
-	var all []*client
+	var conns []*client
 	for range gateway.loop.Budget.Clients + 2 {
 		c := gateway.dial()
 		if res, _ := c.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
-		all = append(all, c)
+		conns = append(conns, c)
 	}
-	all[0].waitClosed()
-	if res, _ := all[len(all)-1].ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
+	conns[0].waitClosed()
+	if res, _ := conns[len(conns)-1].ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 		t.Fatalf("the newest connection got status %d, want 200", res.StatusCode)
 	}
 }
@@ -305,24 +305,24 @@
 func TestSilentAndSlowConnectionsTimeOut(t *testing.T) {
 	const live = "GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"
 	gateway := startGateway(t, nil)
-	silent, lines, slow, resting := gateway.dial(), gateway.dial().send("\r\n"), gateway.dial().send("GET /api HTTP/1.1\r\n"), gateway.dial()
-	later := func(by float64) {
-		if res, _ := resting.ask(live); res.StatusCode != 200 { // connections are accepted in their order
+	silent, emptyLine, slow, active := gateway.dial(), gateway.dial().send("\r\n"), gateway.dial().send("GET /api HTTP/1.1\r\n"), gateway.dial()
+	advance := func(by float64) {
+		if res, _ := active.ask(live); res.StatusCode != 200 { // connections are accepted in their order
 			t.Fatalf("health check: status %d, want 200", res.StatusCode)
 		}
 		gateway.advanceClock(by)
 	}
-	later(2000)
+	advance(2000)
 	slow.send("Host: a\r\n") // doesn't extend the time limit
-	later(600)
+	advance(600)
 	silent.waitClosed()
-	lines.waitClosed()
+	emptyLine.waitClosed()
 	if res, _ := slow.readResponse(); res.StatusCode != 408 {
 		t.Errorf("an incomplete request got status %d, want 408", res.StatusCode)
 	}
 	slow.waitClosed()
-	later(5100)
-	resting.waitClosed()
+	advance(5100)
+	active.waitClosed()
 }
 
 // TestSilentConnectionsAreEvictedFirst checks that hundreds of connections that send nothing
@@ -330,11 +330,11 @@
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
 	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 100 }, addr)
-	usual := gateway.dial()
-	if res, _ := usual.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
+	regular := gateway.dial()
+	if res, _ := regular.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 		t.Fatalf("status %d, want 200", res.StatusCode)
 	}
-	old := gateway.dial()
+	silent := gateway.dial()
 	if res, _ := gateway.dial().ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 { // connections are accepted in their order
 		t.Fatalf("status %d, want 200", res.StatusCode)
 	}
@@ -342,8 +342,8 @@
 	for range gateway.loop.Budget.Clients - 2 {
 		gateway.dial()
 	}
-	old.waitClosed()
-	if res, _ := usual.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
+	silent.waitClosed()
+	if res, _ := regular.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 		t.Fatalf("status %d, want 200", res.StatusCode)
 	}
 }
@@ -351,20 +351,20 @@
 // TestLastResponseIsSentWholeBeforeClose guards against losing the part of the last response that
 // the socket didn't accept at once.
 func TestLastResponseIsSentWholeBeforeClose(t *testing.T) {
-	const many = 100 // more than the buffers between gatekeeper and client hold
-	big := strings.Repeat("x", 64<<10)
-	addr, got := startWorker(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n"+big))
+	const requests = 100 // more than the buffers between gatekeeper and client hold
+	responseBody := strings.Repeat("x", 64<<10)
+	addr, got := startWorker(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n"+responseBody))
 	c := startGateway(t, nil, addr).dial()
-	for range many - 1 {
+	for range requests - 1 {
 		c.send(cuotaRequest("mayor", 1900))
 	}
 	c.send(strings.Replace(cuotaRequest("mayor", 1900), "Host", "Connection: close\r\nHost", 1))
-	for range many {
+	for range requests {
 		receive(t, got)
 	}
-	for n := range many {
-		if _, body := c.readResponse(); body != big {
-			t.Fatalf("answer %d has %d bytes of %d", n, len(body), len(big))
+	for n := range requests {
+		if _, body := c.readResponse(); body != responseBody {
+			t.Fatalf("answer %d has %d bytes of %d", n, len(body), len(responseBody))
 		}
 	}
 	c.waitClosed()
@@ -469,13 +469,13 @@
 // connection has none relative to them: two goroutines read from the two connections.
 func TestReloadChangesCounterAddress(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	calls, left, release := make(chan string, 10), make(chan string, 10), make(chan bool)
+	calls, closed, release := make(chan string, 10), make(chan string, 10), make(chan bool)
 	counter := func(name string) string {
 		return listen(t, func(c net.Conn) {
 			r := bufio.NewReader(c)
 			for {
 				if _, err := http.ReadRequest(r); err != nil {
-					left <- name
+					closed <- name
 					return
 				}
 				calls <- name
@@ -489,7 +489,7 @@
 	}
 	first, second := counter("first"), counter("second")
 	gateway := startGateway(t, func(c *config.Config) { c.Counter = first; c.Settings = settingsWithCounter("1500000") }, addr)
-	one, two := gateway.dial().send(cuotaRequest("basico", 2000)), gateway.dial()
+	firstClient, secondClient := gateway.dial().send(cuotaRequest("basico", 2000)), gateway.dial()
 	if got := receive(t, calls); got != "first" {
 		t.Fatalf("the %s counter was called, want the first", got)
 	}
@@ -497,17 +497,17 @@
 	if err := gateway.reload(os.Getenv("EDGE_CONFIG")); err != nil {
 		t.Fatal(err)
 	}
-	two.send(cuotaRequest("basico", 2000))
+	secondClient.send(cuotaRequest("basico", 2000))
 	release <- true
 	for _, want := range []string{"first answers", "second"} {
 		if got := receive(t, calls); got != want {
 			t.Fatalf("got event %q, want %q", got, want)
 		}
 	}
-	if got := receive(t, left); got != "first" {
+	if got := receive(t, closed); got != "first" {
 		t.Fatalf("the connection to the %s counter was closed, want that to the first", got)
 	}
-	for _, c := range []*client{one, two} {
+	for _, c := range []*client{firstClient, secondClient} {
 		if res, _ := c.readResponse(); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
@@ -564,21 +564,21 @@
 // follows on the old one can't be trusted.
 func TestInvalidCounterResponseClosesConnection(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	for name, spoilt := range map[string]string{
-		"noise for a number": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nx1y",
-		"not a number":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN",
-		"beyond all numbers": "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n-Inf",
-		"no such status":     "HTTP/1.1 299 OK\r\nContent-Length: 1\r\n\r\n1",
-		"nothing":            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-		"no HTTP":            "\x16\x03\x01",
-		"no end":             "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1",
+	for name, invalid := range map[string]string{
+		"noise for a number":   "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nx1y",
+		"not a number":         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN",
+		"an infinite number":   "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n-Inf",
+		"an unexpected status": "HTTP/1.1 299 OK\r\nContent-Length: 1\r\n\r\n1",
+		"nothing":              "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+		"no HTTP":              "\x16\x03\x01",
+		"no end":               "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1",
 	} {
 		t.Run(name, func(t *testing.T) {
-			links := make(chan int, 10)
+			connections := make(chan int, 10)
 			var opened atomic.Int32
 			counter := listen(t, func(c net.Conn) {
 				n := int(opened.Add(1))
-				links <- n
+				connections <- n
 				r := bufio.NewReader(c)
 				for i := 0; ; i++ {
 					if _, err := http.ReadRequest(r); err != nil {
@@ -586,21 +586,21 @@
 					}
 					text := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n0"
 					if n == 1 {
-						text = spoilt
+						text = invalid
 					}
 					fmt.Fprint(c, text)
 				}
 			})
 			c := startGateway(t, func(c *config.Config) { c.Counter, c.Settings = counter, settingsWithCounter("1500000") }, addr).dial()
-			begun := time.Now()
+			started := time.Now()
 			for want := 1; want <= 2; want++ {
 				if res, _ := c.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
 					t.Fatalf("status %d, want 200", res.StatusCode)
 				}
-				if time.Since(begun) > time.Second { // the time limit of counter calls is 1.5 s
+				if time.Since(started) > time.Second { // the time limit of counter calls is 1.5 s
 					t.Fatal("the call waited for its time limit")
 				}
-				if got := receive(t, links); got != want {
+				if got := receive(t, connections); got != want {
 					t.Fatalf("connection %d was used, want %d", got, want)
 				}
 			}
@@ -612,17 +612,17 @@
 // is long overdue.
 func TestSilentCounterConnectionIsReplaced(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	links := make(chan int, 10)
+	connections := make(chan int, 10)
 	var opened atomic.Int32
 	counter := listen(t, func(c net.Conn) {
-		own := int(opened.Add(1))
-		links <- own
+		number := int(opened.Add(1))
+		connections <- number
 		r := bufio.NewReader(c)
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			if own > 1 {
+			if number > 1 {
 				fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n0")
 			}
 		}
@@ -633,7 +633,7 @@
 		if res, _ := c.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
-		if got := receive(t, links); got != want {
+		if got := receive(t, connections); got != want {
 			t.Fatalf("connection %d was used, want %d", got, want)
 		}
 		gateway.advanceClock(300)
@@ -670,15 +670,15 @@
 	}
 	busy.send(cuotaRequest("mayor", 1900))
 	receive(t, got)
-	over := make(chan bool)
-	go func() { gateway.drain(); close(over) }()
+	drained := make(chan bool)
+	go func() { gateway.drain(); close(drained) }()
 	idle.waitClosed()
 	late := gateway.dial()
 	if res, _ := late.ask(cuotaRequest("mayor", 1900)); res.StatusCode != 200 || !res.Close {
 		t.Fatalf("a late request got status %d, close %v, want 200 and a close", res.StatusCode, res.Close)
 	}
 	select {
-	case <-over:
+	case <-drained:
 		t.Fatal("the drain ended before an accepted request was answered")
 	default:
 	}
@@ -686,7 +686,7 @@
 	if res, _ := busy.readResponse(); res.StatusCode != 200 || !res.Close {
 		t.Fatalf("the request in flight got status %d, close %v, want 200 and a close", res.StatusCode, res.Close)
 	}
-	receive(t, over)
+	receive(t, drained)
 }
 
 // TestDuplicateIDOfOpenRequestIsRejected guards against two open requests with one id: workers
@@ -758,8 +758,8 @@
 	}
 	write(string(description))
 	// Without the rate ceiling: its bucket is empty in a gatekeeper that has just started.
-	plain := strings.Replace(string(text), `"ceiling-rate": 35, `, "", 1)
-	writeConfigFile(t, strings.Replace(plain, "deploy/calculadora.yaml", file, 1))
+	configText := strings.Replace(string(text), `"ceiling-rate": 35, `, "", 1)
+	writeConfigFile(t, strings.Replace(configText, "deploy/calculadora.yaml", file, 1))
 	folder := t.TempDir()
 	t.Cleanup(func() { // after the gatekeeper has stopped: the replay covers the new description too
 		if report, kinds := replayCapture(t, folder, capture.Key{}); !report.Ended || kinds[capturepb.Kind_CLASSES] != 1 {
@@ -767,7 +767,7 @@
 		}
 	})
 	gateway := startGateway(t, func(c *config.Config) {
-		if err := json.Unmarshal([]byte(plain), c); err != nil {
+		if err := json.Unmarshal([]byte(configText), c); err != nil {
 			t.Fatal(err)
 		}
 		c.Known.Instances = c.Known.Instances[:1]
@@ -812,8 +812,8 @@
 	if err := gateway.reload(os.Getenv("EDGE_CONFIG")); err != nil {
 		t.Error(err)
 	}
-	if old, now := ask("/v1/cuota?monto=1", "banco-sur", 2000), ask("/v1/nueva?monto=1", "banco-sur", 2000); old.StatusCode != 404 || now.StatusCode != 201 {
-		t.Errorf("after the reload the old path gives status %d, the new one %d, want 404 and 201", old.StatusCode, now.StatusCode)
+	if former, renamed := ask("/v1/cuota?monto=1", "banco-sur", 2000), ask("/v1/nueva?monto=1", "banco-sur", 2000); former.StatusCode != 404 || renamed.StatusCode != 201 {
+		t.Errorf("after the reload the old path gives status %d, the new one %d, want 404 and 201", former.StatusCode, renamed.StatusCode)
 	}
 	release <- true
 	if res, _ := slow.readResponse(); res.StatusCode != 201 {
@@ -844,23 +844,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
+	request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
 	for _, want := range []corev3.HealthStatus{corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING} {
-		if err := stream.Send(ask); err != nil {
+		if err := stream.Send(request); err != nil {
 			t.Fatal(err)
 		}
 		res, err := stream.Recv()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a endpointv3.ClusterLoadAssignment
-		if err := res.GetResources()[0].UnmarshalTo(&a); err != nil {
+		var assignment endpointv3.ClusterLoadAssignment
+		if err := res.GetResources()[0].UnmarshalTo(&assignment); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.GetEndpoints()[0].GetLbEndpoints()[0].GetHealthStatus(); got != want {
+		if got := assignment.GetEndpoints()[0].GetLbEndpoints()[0].GetHealthStatus(); got != want {
 			t.Fatalf("got health status %v, want %v", got, want)
 		}
-		ask.VersionInfo, ask.ResponseNonce = res.GetVersionInfo(), res.GetNonce()
+		request.VersionInfo, request.ResponseNonce = res.GetVersionInfo(), res.GetNonce()
 		gateway.loop.Post(func() {
 			line := strings.Replace(workerEntry(0, addr), `"ready"`, `"draining"`, 1)
 			if err := gateway.hosts.Line([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
--- a/internal/service/transports_test.go
+++ b/internal/service/transports_test.go
@@ -167,7 +167,7 @@
 	for name, fault := range map[string]emulator.Fault{
 		"reset before it ran": emulator.ResetBefore, "reset after it ran": emulator.ResetAfter, "stall": emulator.Stall,
 		"error": emulator.ErrorAfter, "turned away": emulator.TurnAway, "noise": emulator.NoiseAfter,
-		"twice": emulator.TwiceAfter, "close": emulator.CloseAfter,
+		"duplicate response": emulator.TwiceAfter, "close": emulator.CloseAfter,
 	} {
 		workerConfig := emulator.Config{Cores: 8, Window: 5 * time.Second, Default: emulator.Service{Mean: 2 * time.Millisecond, CV: 0.5},
 			Fault: func(a emulator.Arrival) emulator.Fault {
@@ -224,21 +224,21 @@
 		done := make(chan []clientResult, 1)
 		go func() { done <- gateway.askConcurrently("cuota", 0, 12, 1900) }()
 		waitForState(t, func() bool { return emulated[0].Holding() > 0 && emulated[1].Holding() > 0 })
-		told := make(chan error)
+		applied := make(chan error)
 		gateway.loop.Post(func() {
 			line := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[%s]}`, drainingEntry(workerEntry(0, emulated[0].Addr())))
-			told <- gateway.hosts.Line([]byte(line))
+			applied <- gateway.hosts.Line([]byte(line))
 		})
-		if err := receive(t, told); err != nil {
+		if err := receive(t, applied); err != nil {
 			t.Fatal(err)
 		}
 		all := receive(t, done)
 		if n := checkResponses(t, all); n < len(all) {
 			t.Errorf("%d of %d served", n, len(all))
 		}
-		after := gateway.askConcurrently("cuota", 100, 4, 1900)
-		if n := checkResponses(t, after); n < len(after) {
-			t.Errorf("%d of %d served after the drain began", n, len(after))
+		later := gateway.askConcurrently("cuota", 100, 4, 1900)
+		if n := checkResponses(t, later); n < len(later) {
+			t.Errorf("%d of %d served after the drain began", n, len(later))
 		}
 		waitForState(t, func() bool { open, _ := emulated[0].Conns(); return open == 0 })
 	})
@@ -264,19 +264,19 @@
 // response, none may run twice, and some must be served by the healthy worker.
 func TestConnectionResetDuringRequest(t *testing.T) {
 	const bodyMost = 60000
-	for _, after := range []int{1, 40, 150, 1000, 30000, 70000} {
+	for _, resetAfter := range []int{1, 40, 150, 1000, 30000, 70000} {
 		workerConfig := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: time.Millisecond}}
 		eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
-			cut := listen(t, func(c net.Conn) {
-				_, _ = io.ReadFull(c, make([]byte, after))
+			resetting := listen(t, func(c net.Conn) {
+				_, _ = io.ReadFull(c, make([]byte, resetAfter))
 				_ = c.(*net.TCPConn).SetLinger(0)
 			})
-			told := make(chan error)
+			applied := make(chan error)
 			gateway.loop.Post(func() {
-				line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s,%s]}`, workerEntry(0, emulated[0].Addr()), workerEntry(1, cut))
-				told <- gateway.hosts.Line([]byte(line))
+				line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s,%s]}`, workerEntry(0, emulated[0].Addr()), workerEntry(1, resetting))
+				applied <- gateway.hosts.Line([]byte(line))
 			})
-			if err := receive(t, told); err != nil {
+			if err := receive(t, applied); err != nil {
 				t.Fatal(err)
 			}
 			served := 0
@@ -305,12 +305,12 @@
 // beyond that wait for a stream, on at most two connections, and none is rejected.
 func TestRequestsWaitForHTTP2Streams(t *testing.T) {
 	const streams = 3
-	var most, now atomic.Int64
+	var maxStreams, current atomic.Int64
 	workerConfig := emulator.Config{Cores: 16, MaxStreams: streams, Window: 5 * time.Second, Default: emulator.Service{Mean: 20 * time.Millisecond},
 		Fault: func(emulator.Arrival) emulator.Fault { // called when a request arrives
-			n := now.Add(1)
-			time.AfterFunc(15*time.Millisecond, func() { now.Add(-1) }) // earlier than its response
-			for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+			n := current.Add(1)
+			time.AfterFunc(15*time.Millisecond, func() { current.Add(-1) }) // earlier than its response
+			for m := maxStreams.Load(); n > m && !maxStreams.CompareAndSwap(m, n); m = maxStreams.Load() {
 			}
 			return emulator.None
 		}}
@@ -326,11 +326,11 @@
 			t.Errorf("round %d: %d of %d served", round, n, len(all))
 		}
 	}
-	if _, ever := w.Conns(); ever > 2 {
-		t.Errorf("%d connections were opened, want at most 2", ever)
+	if _, opened := w.Conns(); opened > 2 {
+		t.Errorf("%d connections were opened, want at most 2", opened)
 	}
-	if most.Load() > 2*streams {
-		t.Errorf("%d requests at once over two connections of %d streams", most.Load(), streams)
+	if maxStreams.Load() > 2*streams {
+		t.Errorf("%d requests at once over two connections of %d streams", maxStreams.Load(), streams)
 	}
 }
 
