--- a/internal/command/capture.go
+++ b/internal/command/capture.go
@@ -20,8 +20,8 @@
 )
 
 // keyFlag adds the flag for the file with the key of a capture.
-func keyFlag(c *cobra.Command, file *string) {
-	c.Flags().StringVar(file, "key", "", "file with the key of the capture")
+func keyFlag(cmd *cobra.Command, file *string) {
+	cmd.Flags().StringVar(file, "key", "", "file with the key of the capture")
 }
 
 // readKey reads a key file. Without one it returns the zero key.
@@ -55,7 +55,7 @@
 		Use:   "verify PATH...",
 		Short: "Read captures and report what is damaged, altered, truncated or missing",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			set, _, _, err := openSet(args, keyFile)
 			if err != nil {
 				return err
@@ -68,12 +68,12 @@
 					err = fmt.Errorf("%s: %w", set.Current().File, err)
 				}
 				found++
-				fmt.Fprintln(c.ErrOrStderr(), err)
+				fmt.Fprintln(cmd.ErrOrStderr(), err)
 			})
 			if err != nil {
 				return err
 			}
-			if fmt.Fprintf(c.OutOrStdout(), "%d records\n", set.Records()); found > 0 {
+			if fmt.Fprintf(cmd.OutOrStdout(), "%d records\n", set.Records()); found > 0 {
 				return fmt.Errorf("%d faults", found)
 			}
 			return nil
@@ -84,13 +84,13 @@
 		Use:   "inspect PATH...",
 		Short: "List the segments of captures and count their records",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			set, segments, _, err := openSet(args, keyFile)
 			if err != nil {
 				return err
 			}
 			defer set.Close()
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "file\tlife\tsegment\tbytes\tfirst record")
 			for _, s := range segments {
 				fmt.Fprintf(w, "%s\t%016x\t%d\t%d\t%s\n", s.File, s.Life, s.N, s.Size, formatTime(s.First))
@@ -144,11 +144,11 @@
 
 func newMerge() *cobra.Command {
 	var keyFile string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "merge [NAME=]PATH...",
 		Short: "Print the captures of several gatekeepers, ordered by their common clock",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			merged, key, closeAll, err := openMerged(args, keyFile)
 			if err != nil {
 				return err
@@ -160,30 +160,30 @@
 				switch {
 				case errors.Is(err, io.EOF):
 					for _, n := range merged.Notes {
-						fmt.Fprintln(c.ErrOrStderr(), "note:", n)
+						fmt.Fprintln(cmd.ErrOrStderr(), "note:", n)
 					}
 					return nil
 				case err != nil:
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", formatTime(at), name, replay.Describe(record, decoder))
+				fmt.Fprintf(cmd.OutOrStdout(), "%s %s %s\n", formatTime(at), name, replay.Describe(record, decoder))
 			}
 		},
 	}
-	keyFlag(c, &keyFile)
-	return c
+	keyFlag(cmd, &keyFile)
+	return cmd
 }
 
 func newAudit() *cobra.Command {
 	var keyFile string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "audit [NAME=]PATH...",
 		Short: "Sum up the units of each customer over several gatekeepers, against quota and ceiling",
 		Long: "audit merges the captures of all gatekeepers and reports, for each customer, the units that\n" +
 			"were forwarded and by how much they exceeded the rate and burst of the quota and the ceiling\n" +
 			"at the worst moment. It exits with 1 if a ceiling was exceeded by more than its slack.",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			merged, key, closeAll, err := openMerged(args, keyFile)
 			if err != nil {
 				return err
@@ -194,9 +194,9 @@
 				return err
 			}
 			for _, n := range merged.Notes {
-				fmt.Fprintln(c.ErrOrStderr(), "note:", n)
+				fmt.Fprintln(cmd.ErrOrStderr(), "note:", n)
 			}
-			if err := replay.WriteAccounts(c.OutOrStdout(), accounts); err != nil {
+			if err := replay.WriteAccounts(cmd.OutOrStdout(), accounts); err != nil {
 				return err
 			}
 			for _, account := range accounts {
@@ -207,8 +207,8 @@
 			return nil
 		},
 	}
-	keyFlag(c, &keyFile)
-	return c
+	keyFlag(cmd, &keyFile)
+	return cmd
 }
 
 // recordKinds returns the kinds of records, ordered by number.
@@ -232,22 +232,22 @@
 func newReplay() *cobra.Command {
 	var keyFile, until, against, chart, request string
 	var quiet bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "replay PATH...",
 		Short: "Replay captures with the decision module of this build and compare its decisions",
 		Long: "replay feeds the captured inputs to the decision module of this build and prints its\n" +
 			"decisions. At the first one that differs from the capture it reports the call and exits\n" +
 			"with 1. Records after a gap are not replayed.",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			set, _, key, err := openSet(args, keyFile)
 			if err != nil {
 				return err
 			}
 			defer set.Close()
-			progressBar := newProgress(c.ErrOrStderr(), against == "" && !quiet, set.Read)
+			progressBar := newProgress(cmd.ErrOrStderr(), against == "" && !quiet, set.Read)
 			if against != "" {
-				return compareSettings(c.OutOrStdout(), set, key, against, chart, progressBar)
+				return compareSettings(cmd.OutOrStdout(), set, key, against, chart, progressBar)
 			}
 			if chart != "" {
 				return usageError{errors.New("--chart needs --against")}
@@ -257,7 +257,7 @@
 				options.Name = request
 			}
 			if !quiet {
-				options.Log = c.OutOrStdout()
+				options.Log = cmd.OutOrStdout()
 			}
 			if until != "" {
 				stopTime, err := time.Parse(time.RFC3339Nano, until)
@@ -271,7 +271,7 @@
 			if err != nil {
 				return err
 			}
-			stderr := c.ErrOrStderr()
+			stderr := cmd.ErrOrStderr()
 			for _, n := range report.Notes {
 				fmt.Fprintln(stderr, "note:", n)
 			}
@@ -286,13 +286,13 @@
 			return nil
 		},
 	}
-	keyFlag(c, &keyFile)
-	c.Flags().StringVar(&against, "against", "", "configuration whose settings are compared with the recorded ones, on the same inputs; \"recorded\" uses the recorded settings, to compare this build with the recording one")
-	c.Flags().StringVar(&chart, "chart", "", "SVG file for a chart of the --against comparison")
-	c.Flags().StringVar(&until, "until", "", "time to stop at, such as 2026-12-01T13:00:00.5Z")
-	c.Flags().StringVar(&request, "request", "", "print only decisions on the request with this name (X-Trace-Id) or number")
-	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "don't print decisions")
-	return c
+	keyFlag(cmd, &keyFile)
+	cmd.Flags().StringVar(&against, "against", "", "configuration whose settings are compared with the recorded ones, on the same inputs; \"recorded\" uses the recorded settings, to compare this build with the recording one")
+	cmd.Flags().StringVar(&chart, "chart", "", "SVG file for a chart of the --against comparison")
+	cmd.Flags().StringVar(&until, "until", "", "time to stop at, such as 2026-12-01T13:00:00.5Z")
+	cmd.Flags().StringVar(&request, "request", "", "print only decisions on the request with this name (X-Trace-Id) or number")
+	cmd.Flags().BoolVarP(&quiet, "quiet", "q", false, "don't print decisions")
+	return cmd
 }
 
 // recordedSettings is the value of --against for the settings in the capture. It compares the
@@ -340,14 +340,14 @@
 
 func newExplain() *cobra.Command {
 	var keyFile, request string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "explain PATH... --request ID",
 		Short: "Explain why a request was refused, failed or sent to a certain worker",
 		Long: "explain replays a capture up to a request, and describes the state that the request met and\n" +
 			"how it ended. ID is the name of the request (on the platform its X-Trace-Id) or its number in\n" +
 			"the decision log of foxwood replay.",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			if request == "" {
 				return usageError{errors.New("--request is missing")}
 			}
@@ -359,21 +359,21 @@
 			if p, ok := capture.Locate(segments, request); ok {
 				set.Skip(p)
 			}
-			return replay.Explain(c.OutOrStdout(), set, key, request)
+			return replay.Explain(cmd.OutOrStdout(), set, key, request)
 		},
 	}
-	keyFlag(c, &keyFile)
-	c.Flags().StringVar(&request, "request", "", "name or number of the request")
-	return c
+	keyFlag(cmd, &keyFile)
+	cmd.Flags().StringVar(&request, "request", "", "name or number of the request")
+	return cmd
 }
 
 func newCut() *cobra.Command {
 	var keyFile, from, until, out string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "cut PATH... --from TIME --until TIME --out FOLDER",
 		Short: "Copy a part of a capture that can be replayed by itself",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			begin, err := time.Parse(time.RFC3339Nano, from)
 			if err != nil {
 				return usageError{fmt.Errorf("--from: %w", err)}
@@ -391,13 +391,13 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d records\n", n)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d records\n", n)
 			return nil
 		},
 	}
-	keyFlag(c, &keyFile)
-	c.Flags().StringVar(&from, "from", "", "first time of the part, such as 2026-12-01T13:00:00Z")
-	c.Flags().StringVar(&until, "until", "", "last time of the part")
-	c.Flags().StringVar(&out, "out", ".", "folder to write the part to")
-	return c
+	keyFlag(cmd, &keyFile)
+	cmd.Flags().StringVar(&from, "from", "", "first time of the part, such as 2026-12-01T13:00:00Z")
+	cmd.Flags().StringVar(&until, "until", "", "last time of the part")
+	cmd.Flags().StringVar(&out, "out", ".", "folder to write the part to")
+	return cmd
 }
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -17,19 +17,19 @@
 			"description that it names, and prints every fault with file and line on standard error. It\n" +
 			"exits with 0 if there is none, otherwise with 1. It opens no connection.",
 		Args: cobra.MaximumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			file := configPath("")
 			if len(args) == 1 {
 				file = args[0]
 			}
 			found := flattenErrors(service.Check(file))
 			for _, err := range found {
-				fmt.Fprintln(c.ErrOrStderr(), err)
+				fmt.Fprintln(cmd.ErrOrStderr(), err)
 			}
 			if len(found) > 0 {
 				return fmt.Errorf("%s: %d faults", file, len(found))
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: no fault\n", file)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: no fault\n", file)
 			return nil
 		},
 	}
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -85,7 +85,7 @@
 	var perSecond float64
 	var queue time.Duration
 	var seed uint64
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "counter",
 		Short: "A counter: numbers by name, served in order, with failures at given times",
 		Long: "An emulated shared counter. A failure is AT+FOR:KIND=VALUE, with AT counted from the start:\n" +
@@ -127,13 +127,13 @@
 			}{counter.Calls, counter.Made})
 		},
 	}
-	flags := c.Flags()
+	flags := cmd.Flags()
 	flags.StringArrayVar(&listen, "listen", []string{"127.0.0.1:0"}, "address to serve at; a second one is for the other side of a split")
 	flags.StringArrayVar(&troubles, "trouble", nil, "a failure, such as 10s+5s:slow=3")
 	flags.Float64Var(&perSecond, "per-second", 2000, "calls served per second, one after the other")
 	flags.DurationVar(&queue, "queue", 100*time.Millisecond, "longest time in the queue; calls beyond that get status 503")
 	flags.Uint64Var(&seed, "seed", 1, "seed of the random failures")
-	return c
+	return cmd
 }
 
 // parseServices parses service times: CLASS=MEAN or CLASS=MEAN/CV.
--- a/internal/command/import.go
+++ b/internal/command/import.go
@@ -15,24 +15,24 @@
 func newImport() *cobra.Command {
 	group := &cobra.Command{Use: "import", Short: "Convert the configuration of another program"}
 	var upstream, out string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "nginx NGINX.CONF",
 		Short: "Convert an upstream and the locations that proxy to it to an OpenAPI description and a worker list",
 		Args:  exactArgs(1, "one nginx configuration"),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			if upstream == "" {
 				return usageError{errors.New("--upstream is missing")}
 			}
 			notes, err := importNginx(args[0], upstream, out)
 			for _, n := range notes {
-				fmt.Fprintln(c.ErrOrStderr(), "note:", n)
+				fmt.Fprintln(cmd.ErrOrStderr(), "note:", n)
 			}
 			return err
 		},
 	}
-	c.Flags().StringVar(&upstream, "upstream", "", "name of the upstream to import")
-	c.Flags().StringVar(&out, "out", ".", "folder to write description.json and workers.json to")
-	group.AddCommand(c)
+	cmd.Flags().StringVar(&upstream, "upstream", "", "name of the upstream to import")
+	cmd.Flags().StringVar(&out, "out", ".", "folder to write description.json and workers.json to")
+	group.AddCommand(cmd)
 	return group
 }
 
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -25,14 +25,14 @@
 	var arrivals string
 	var deadline time.Duration
 	var units float64
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "load",
 		Short: "Send open-loop load to gatekeepers and measure latencies from the intended send times",
 		Long: "load sends requests in the platform's form at times that do not depend on responses, and\n" +
 			"measures latency from the time at which each was meant to be sent. It exits with 1 if it could\n" +
 			"not keep to its schedule: the results then depend on the generator too.",
 		Args: noArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
 			if plan.Classes, err = parseClasses(classes, deadline, units); err != nil {
 				return usageError{err}
@@ -46,13 +46,13 @@
 			if err := plan.Check(); err != nil {
 				return usageError{err}
 			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			report, err := load.Run(ctx, plan)
 			if err != nil {
 				return err
 			}
-			if err := report.Write(c.OutOrStdout()); err != nil {
+			if err := report.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			if report.Behind {
@@ -61,7 +61,7 @@
 			return nil
 		},
 	}
-	flags := c.Flags()
+	flags := cmd.Flags()
 	flags.StringSliceVar(&plan.Targets, "target", []string{"127.0.0.1:8080"}, "addresses of gatekeepers, used in turn")
 	flags.Float64Var(&plan.Rate, "rate", 100, "requests per second, over all targets")
 	flags.StringVar(&arrivals, "arrivals", "poisson", "arrival process: poisson or constant")
@@ -74,7 +74,7 @@
 	flags.IntVar(&plan.Customers, "customers", 10, "number of customers")
 	flags.IntVar(&plan.Body, "body", 64, "bytes in the body of a POST")
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the arrivals")
-	return c
+	return cmd
 }
 
 // parseClasses parses classes: NAME=PART or NAME=PART/keyed.
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -27,7 +27,7 @@
 			"separate processes, sends the same open-loop arrivals to each in turn, and prints a table in\n" +
 			"Markdown. Nothing else should run on the machine.",
 		Args: noArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, f := range trial.Fleets() {
 				if slices.Contains(fleets, f.Name) {
 					options.Fleets = append(options.Fleets, f)
@@ -36,13 +36,13 @@
 			if len(options.Fleets) < len(fleets) || options.Runs < 1 {
 				return usageError{fmt.Errorf("expected known values of --fleet and --runs of at least 1, got %s and %d", strings.Join(fleets, ","), options.Runs)}
 			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			table, err := trial.Transports(ctx, options)
 			if err != nil {
 				return err
 			}
-			var output io.Writer = c.OutOrStdout()
+			var output io.Writer = cmd.OutOrStdout()
 			if outFile != "" {
 				file, err := os.Create(outFile)
 				if err != nil {
@@ -81,46 +81,46 @@
 
 func newMeasureCounter() *cobra.Command {
 	var options trial.Counters
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "counter",
 		Short: "Simulate how well several gatekeepers enforce quotas while their counter fails",
 		Args:  noArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.Write(c.OutOrStdout()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.Write(cmd.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&options.Gates, "gatekeepers", 4, "number of gatekeepers; a ceiling that is small for their number is leased from the counter")
-	c.Flags().IntVar(&options.Runs, "runs", 200, "runs of each failure")
-	c.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the first run, increased by 1 for each further run")
-	return c
+	cmd.Flags().IntVar(&options.Gates, "gatekeepers", 4, "number of gatekeepers; a ceiling that is small for their number is leased from the counter")
+	cmd.Flags().IntVar(&options.Runs, "runs", 200, "runs of each failure")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the first run, increased by 1 for each further run")
+	return cmd
 }
 
 func newMeasureCapture() *cobra.Command {
 	options := trial.Options{Progress: os.Stderr, Loads: []float64{0.5}, Fleets: trial.Fleets()[:1]}
 	events := trial.Events{Runs: 15, Requests: 100000}
 	var lives int
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "capture",
 		Short: "Measure the cost of a capture for a gatekeeper, and the speed of its replay",
 		Args:  noArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			if err := trial.Captures(ctx, options, c.OutOrStdout()); err != nil {
+			if err := trial.Captures(ctx, options, cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			events.Seed = options.Seed
-			if err := events.Write(c.OutOrStdout()); err != nil {
+			if err := events.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			restarts := trial.Restarts{Lives: lives, Seed: options.Seed, Down: 300}
-			return restarts.Write(c.OutOrStdout())
+			return restarts.Write(cmd.OutOrStdout())
 		},
 	}
-	flags := c.Flags()
+	flags := cmd.Flags()
 	flags.IntVar(&options.Runs, "runs", 10, "runs of each case")
 	flags.IntVar(&events.Large, "large", 2500000, "requests in the capture from which requests are explained")
 	flags.IntVar(&lives, "lives", 200, "simulated restarts, both cold and warm")
 	flags.DurationVar(&options.For, "for", 4*time.Second, "duration of a run")
 	flags.DurationVar(&options.Settle, "settle", time.Second, "warm-up part of each run, which is not counted")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals, increased by 1 for each further run")
-	return c
+	return cmd
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -90,18 +90,18 @@
 }
 
 // noArgs rejects positional arguments.
-func noArgs(c *cobra.Command, args []string) error {
+func noArgs(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("unknown command %q for %q", args[0], c.CommandPath())}
+		return usageError{fmt.Errorf("unknown command %q for %q", args[0], cmd.CommandPath())}
 	}
 	return nil
 }
 
 // exactArgs accepts exactly n positional arguments.
 func exactArgs(n int, description string) cobra.PositionalArgs {
-	return func(c *cobra.Command, args []string) error {
+	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != n {
-			return usageError{fmt.Errorf("%s: expected %s, got %d arguments", c.CommandPath(), description, len(args))}
+			return usageError{fmt.Errorf("%s: expected %s, got %d arguments", cmd.CommandPath(), description, len(args))}
 		}
 		return nil
 	}
@@ -112,7 +112,7 @@
 		Use:   "version",
 		Short: "Print the version: the commit that was built",
 		Args:  noArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			info, found := debug.ReadBuildInfo()
 			if !found {
 				return errors.New("the program has no build information")
@@ -121,7 +121,7 @@
 			for _, s := range info.Settings {
 				settings[s.Key] = s.Value
 			}
-			fmt.Fprintf(c.OutOrStdout(), "foxwood, commit %s (modified: %s), %s\n", settings["vcs.revision"], settings["vcs.modified"], info.GoVersion)
+			fmt.Fprintf(cmd.OutOrStdout(), "foxwood, commit %s (modified: %s), %s\n", settings["vcs.revision"], settings["vcs.modified"], info.GoVersion)
 			return nil
 		},
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -94,11 +94,11 @@
 	newEvents.expect(t, "drew 1", "go", "drew 3")
 
 	ln.Close() // the accept queue belongs to the new process now
-	c, err := net.Dial("tcp", ln.Addr().String())
+	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	if _, err := received.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -157,11 +157,11 @@
 	}
 	defer socket.Close()
 	for range 2 {
-		c, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Close()
+		conn.Close()
 	}
 	other, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -214,23 +214,23 @@
 		defer other.Close()
 		var conns []net.Conn
 		for range callers {
-			c, err := net.Dial("tcp", first.Addr().String())
+			conn, err := net.Dial("tcp", first.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			_, _ = c.Write([]byte("x"))
-			conns = append(conns, c)
+			defer conn.Close()
+			_, _ = conn.Write([]byte("x"))
+			conns = append(conns, conn)
 		}
 		first.Close()
 		go func() {
 			for {
-				c, err := other.Accept()
+				conn, err := other.Accept()
 				if err != nil {
 					return
 				}
-				_, _ = io.Copy(c, io.LimitReader(c, 1))
-				c.Close()
+				_, _ = io.Copy(conn, io.LimitReader(conn, 1))
+				conn.Close()
 			}
 		}()
 		for _, c := range conns {
--- a/internal/service/capture_test.go
+++ b/internal/service/capture_test.go
@@ -41,8 +41,8 @@
 		for n := range 4 {
 			text := strings.Replace(classRequest("cuota", fmt.Sprintf("basico-%d", n), "", 900), "X-Tier: mayor", "X-Tier: basico", 1)
 			text = strings.Replace(text, "00000000b4d65521", "0000000000000077", 1) // another customer than the one of the other requests
-			c := gateway.dial()
-			if res, _ := c.ask(text); res.StatusCode == http.StatusTooManyRequests && refused == "" {
+			conn := gateway.dial()
+			if res, _ := conn.ask(text); res.StatusCode == http.StatusTooManyRequests && refused == "" {
 				refused = fmt.Sprintf("basico-%d", n)
 			}
 		}
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -51,19 +51,19 @@
 	for i := range clients {
 		clientsDone.Go(func() {
 			for n := range each {
-				c := gateway.dial()
+				conn := gateway.dial()
 				text := classRequest("cuota", fmt.Sprintf("m-%d-%d", i, n), "", 900)
 				if i%2 == 0 {
 					text = strings.Replace(text, "X-Tier: mayor", "X-Tier: basico", 1)
 				}
-				c.send(text)
+				conn.send(text)
 				if n%5 != 4 { // every fifth disconnects without reading the response
-					res, err := http.ReadResponse(c.reader, nil)
+					res, err := http.ReadResponse(conn.reader, nil)
 					if err != nil || res.StatusCode != 200 && res.StatusCode != 429 && res.StatusCode != 502 {
 						t.Errorf("client %d, request %d: %v, %v", i, n, res, err)
 					}
 				}
-				c.Close()
+				conn.Close()
 			}
 		})
 	}
--- a/internal/service/handover_test.go
+++ b/internal/service/handover_test.go
@@ -120,8 +120,8 @@
 
 // healthStatus returns the status of the health check, or 0 if it can't be reached.
 func (p *process) healthStatus() int {
-	c := http.Client{Timeout: time.Second}
-	res, err := c.Get("http://" + p.control + "/admin/health")
+	httpClient := http.Client{Timeout: time.Second}
+	res, err := httpClient.Get("http://" + p.control + "/admin/health")
 	if err != nil {
 		return 0
 	}
@@ -349,11 +349,11 @@
 	site := newDeploymentWithWorkers(t, settingsText)
 	current := site.startProcess(true)
 	for range 5 { // idle connections, which the process must close
-		c, err := net.Dial("tcp", site.listen)
+		conn, err := net.Dial("tcp", site.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 	}
 	load := site.startTraffic()
 	load.waitServed(t, 20)
@@ -392,8 +392,8 @@
 // stat returns a value from the process's /admin/stats, or "" if it is missing.
 func (p *process) stat(name string) string {
 	p.t.Helper()
-	c := http.Client{Timeout: time.Second}
-	res, err := c.Get("http://" + p.control + "/admin/stats")
+	httpClient := http.Client{Timeout: time.Second}
+	res, err := httpClient.Get("http://" + p.control + "/admin/stats")
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -540,16 +540,16 @@
 	time.Sleep(time.Second) // the bucket of the ceiling starts empty
 	var kept []net.Conn
 	for range 30 {
-		c, err := net.Dial("tcp", site.listen)
+		conn, err := net.Dial("tcp", site.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_, _ = io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
+		defer conn.Close()
+		_, _ = io.WriteString(conn, "GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+		if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 			t.Fatal(err)
 		}
-		kept = append(kept, c)
+		kept = append(kept, conn)
 	}
 	time.Sleep(500 * time.Millisecond) // the bucket has 15 units by now
 	successor := site.startProcess(true)
@@ -606,11 +606,11 @@
 			defer ln.Close()
 			go func() {
 				for {
-					c, err := ln.Accept()
+					conn, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					go func() { defer c.Close(); serve(c) }()
+					go func() { defer conn.Close(); serve(conn) }()
 				}
 			}()
 			proc := site.startProcess(true)
--- a/internal/service/large_body_test.go
+++ b/internal/service/large_body_test.go
@@ -70,10 +70,10 @@
 		t.Run(name, func(t *testing.T) {
 			addr, got := startWorker(t, func(_ int, req *workerRequest) bool { answer(req.conn); return true })
 			gateway := startGateway(t, nil, addr)
-			c := gateway.dial()
+			conn := gateway.dial()
 			for i, chunk := range []int{0, 50000} {
-				go func() { _, _ = c.Write(requestWithBody(fmt.Sprintf("7c%d", i), body, chunk)) }()
-				res, text := c.readResponse()
+				go func() { _, _ = conn.Write(requestWithBody(fmt.Sprintf("7c%d", i), body, chunk)) }()
+				res, text := conn.readResponse()
 				if res.StatusCode != 200 || text != string(body) {
 					t.Fatalf("got status %d with %d bytes, want 200 with the %d bytes sent", res.StatusCode, len(text), len(body))
 				}
@@ -100,8 +100,8 @@
 				return false // closes the connection within the response
 			})
 			gateway := startGateway(t, withAdminServer, addr)
-			c := gateway.dial().send(cuotaRequest("mayor", 900))
-			res, err := http.ReadResponse(c.reader, nil)
+			conn := gateway.dial().send(cuotaRequest("mayor", 900))
+			res, err := http.ReadResponse(conn.reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -136,9 +136,9 @@
 				}
 				return complete
 			})
-			c := startGateway(t, nil, addr).dial()
-			c.send(strings.Replace(cuotaRequest("mayor", 900), "HTTP/1.1", "HTTP/1.0", 1))
-			res, err := http.ReadResponse(c.reader, nil)
+			conn := startGateway(t, nil, addr).dial()
+			conn.send(strings.Replace(cuotaRequest("mayor", 900), "HTTP/1.1", "HTTP/1.0", 1))
+			res, err := http.ReadResponse(conn.reader, nil)
 			if err != nil || len(res.TransferEncoding) > 0 {
 				t.Fatalf("got %v, %v, want a response that is not chunked", res, err)
 			}
@@ -166,12 +166,12 @@
 	gateway.advanceClock(0) // stops the clock: the throughput of the machine is not under test
 	var readers []*client
 	for range clients {
-		c := gateway.dial().send(cuotaRequest("mayor", 1900))
-		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-		if _, err := c.reader.Peek(100); err != nil {
+		conn := gateway.dial().send(cuotaRequest("mayor", 1900))
+		_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
+		if _, err := conn.reader.Peek(100); err != nil {
 			t.Fatal(err)
 		}
-		readers = append(readers, c)
+		readers = append(readers, conn)
 	}
 	buffered := make(chan int, 1)
 	gateway.loop.Post(func() { buffered <- gateway.loop.Waiting() })
@@ -207,9 +207,9 @@
 	})
 	gateway := startGateway(t, func(c *config.Config) { c.Limits.MemoryMB = 32 }, addr)
 	gateway.advanceClock(0) // stops the clock: the throughput of the machine is not under test
-	c := gateway.dial()
+	conn := gateway.dial()
 	sent := make(chan bool)
-	go func() { _, _ = c.Write(requestWithBody("7c2d", testBody(size), 0)); close(sent) }()
+	go func() { _, _ = conn.Write(requestWithBody("7c2d", testBody(size), 0)); close(sent) }()
 	select {
 	case <-sent:
 		t.Error("the whole body was read from the client before the worker read any of it")
@@ -221,8 +221,8 @@
 		t.Errorf("%d bytes are buffered, want at most %d", n, 1<<20)
 	}
 	close(begin)
-	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-	if res, _ := c.readResponse(); res.StatusCode != 200 {
+	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
+	if res, _ := conn.readResponse(); res.StatusCode != 200 {
 		t.Fatalf("status %d, want 200", res.StatusCode)
 	}
 	if n := <-got; n != size {
@@ -301,10 +301,10 @@
 // would read as the start of the next response.
 func TestHeadResponseHasNoBody(t *testing.T) {
 	gateway := startGateway(t, nil)
-	c := gateway.dial()
+	conn := gateway.dial()
 	for range 2 { // the second response would be read from the first one's body
-		c.send("HEAD /health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-		res, err := http.ReadResponse(c.reader, &http.Request{Method: "HEAD"})
+		conn.send("HEAD /health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+		res, err := http.ReadResponse(conn.reader, &http.Request{Method: "HEAD"})
 		if err != nil || res.StatusCode != 200 {
 			t.Fatalf("got %v, %v, want status 200", res, err)
 		}
--- a/internal/service/operations_test.go
+++ b/internal/service/operations_test.go
@@ -74,9 +74,9 @@
 	for range 3 {
 		gateway.dial().ask(cuotaRequest("mayor", 900))
 	}
-	c := gateway.dial()
+	conn := gateway.dial()
 	for range 3 { // the third exceeds the burst
-		c.ask(cuotaRequest("basico", 900))
+		conn.ask(cuotaRequest("basico", 900))
 	}
 	gateway.dial().ask("noise\r\n\r\n") // not a request of any class
 	for len(got) > 0 {
@@ -170,12 +170,12 @@
 	receive(t, held)
 	defer close(release)
 	for range 40 {
-		c, err := net.Dial("tcp", gateway.adminServer.Addr())
+		conn, err := net.Dial("tcp", gateway.adminServer.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_, _ = io.WriteString(c, "GET /admin")
+		defer conn.Close()
+		_, _ = io.WriteString(conn, "GET /admin")
 	}
 	if status, text := gateway.adminGet("/admin/stats"); status != 200 || !strings.Contains(text, "edge.pending:0|g\n") {
 		t.Errorf("stats: status %d %q, want 200 with edge.pending:0|g", status, text)
@@ -195,14 +195,14 @@
 		"POST /admin/stats HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n": 405,
 		"\x16\x03\x01\r\n\r\n":                                               400,
 	} {
-		c, err := net.Dial("tcp", gateway.adminServer.Addr())
+		conn, err := net.Dial("tcp", gateway.adminServer.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(testTimeout))
-		_, _ = io.WriteString(c, text)
-		answer, _ := io.ReadAll(c) // the server closes the connection after one request
+		defer conn.Close()
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		_, _ = io.WriteString(conn, text)
+		answer, _ := io.ReadAll(conn) // the server closes the connection after one request
 		if !strings.HasPrefix(string(answer), fmt.Sprintf("HTTP/1.1 %d ", want)) {
 			t.Errorf("%q: got %q, want status %d", text, answer, want)
 		}
@@ -321,13 +321,13 @@
 			continue
 		}
 		for n := range gateway.loop.Budget.Clients {
-			c := gateway.dial()
+			conn := gateway.dial()
 			if n%2 == 0 {
-				_, _ = io.WriteString(c, "GET /api HTTP/1.1\r\nHost") // it may have been evicted already
+				_, _ = io.WriteString(conn, "GET /api HTTP/1.1\r\nHost") // it may have been evicted already
 			}
 			if n%3 == 0 { // sends one request and stays open
-				c = gateway.dial()
-				if res, _ := c.ask("GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode != 200 {
+				conn = gateway.dial()
+				if res, _ := conn.ask("GET /health/live HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode != 200 {
 					t.Fatalf("health check: status %d, want 200", res.StatusCode)
 				}
 			}
--- a/internal/service/regression_captures_test.go
+++ b/internal/service/regression_captures_test.go
@@ -94,7 +94,7 @@
 		}
 		return emulator.None
 	}}, nil)
-	c := gateway.dial().send(classRequest("cuota", "s-1", "", 1900))
+	conn := gateway.dial().send(classRequest("cuota", "s-1", "", 1900))
 	receive(t, arrived)
 	done := make(chan bool)
 	gateway.loop.Post(func() {
@@ -108,7 +108,7 @@
 	})
 	receive(t, done)
 	release <- true
-	c.readResponse()
+	conn.readResponse()
 	gateway.ask("cuota", 2, 900)
 }
 
@@ -129,9 +129,9 @@
 		c.Counter, c.Settings = counter, settingsWithCounter("30000")
 	})
 	for i := range 30 {
-		c := gateway.dial()
-		c.ask(strings.Replace(classRequest("cuota", fmt.Sprintf("c-%d", i), "", 900), "X-Tier: mayor", "X-Tier: basico", 1))
-		c.Close()
+		conn := gateway.dial()
+		conn.ask(strings.Replace(classRequest("cuota", fmt.Sprintf("c-%d", i), "", 900), "X-Tier: mayor", "X-Tier: basico", 1))
+		conn.Close()
 	}
 }
 
@@ -153,9 +153,9 @@
 	addr, _ := startWorker(t, respondWith(okResponse))
 	gateway := startGateway(t, func(c *config.Config) { c.Capture = &config.Capture{Folder: folder} }, addr)
 	for _, size := range []int{70 << 10, 1 << 20} {
-		c := gateway.dial()
-		go func() { _, _ = c.Write(requestWithBody(fmt.Sprint(size), testBody(size), 0)) }()
-		c.readResponse()
+		conn := gateway.dial()
+		go func() { _, _ = conn.Write(requestWithBody(fmt.Sprint(size), testBody(size), 0)) }()
+		conn.readResponse()
 	}
 	stalled := gateway.dial()
 	_, _ = stalled.Write(requestWithBody("7c2d", testBody(1<<20), 0)[:300<<10])
@@ -175,13 +175,13 @@
 	first := site.startProcess(true)
 	ask := func(n int) {
 		for range n {
-			c, err := net.Dial("tcp", site.listen)
+			conn, err := net.Dial("tcp", site.listen)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = c.Write([]byte(cuotaRequest("mayor", 900)))
-			_, _ = c.Read(make([]byte, 4096))
-			c.Close()
+			_, _ = conn.Write([]byte(cuotaRequest("mayor", 900)))
+			_, _ = conn.Read(make([]byte, 4096))
+			conn.Close()
 		}
 	}
 	waitUntil(t, "no second block was written", func() bool {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -35,9 +35,9 @@
 func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	addr, got := startWorker(t, respondWith(okResponse))
 	gateway := startGateway(t, nil, addr)
-	c := gateway.dial()
+	conn := gateway.dial()
 	for range 2 {
-		res, body := c.ask(simulacionRequest(900, "monto=1"))
+		res, body := conn.ask(simulacionRequest(900, "monto=1"))
 		if res.StatusCode != 200 || body != "hola\n" {
 			t.Fatalf("got status %d %q, want 200 with the worker's body", res.StatusCode, body)
 		}
@@ -66,13 +66,13 @@
 
 func TestCustomerOverQuotaIsThrottled(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	c := startGateway(t, nil, addr).dial()
+	conn := startGateway(t, nil, addr).dial()
 	for range 2 { // two requests of 2 units are the burst of 4
-		if res, _ := c.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
+		if res, _ := conn.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
 			t.Fatalf("within the quota: status %d, want 200", res.StatusCode)
 		}
 	}
-	res, _ := c.ask(cuotaRequest("basico", 900))
+	res, _ := conn.ask(cuotaRequest("basico", 900))
 	if res.StatusCode != 429 || res.Header.Get("Retry-After") == "" {
 		t.Fatalf("over the quota: status %d, Retry-After %q, want 429 with a Retry-After", res.StatusCode, res.Header.Get("Retry-After"))
 	}
@@ -110,18 +110,18 @@
 				return respondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsuya")(n, req)
 			})
 			gateway := startGateway(t, nil, addr)
-			c := gateway.dial()
-			if res, _ := c.ask(simulacionRequest(900, "")); res.StatusCode != 200 {
+			conn := gateway.dial()
+			if res, _ := conn.ask(simulacionRequest(900, "")); res.StatusCode != 200 {
 				t.Fatalf("status %d, want 200", res.StatusCode)
 			}
 			first := receive(t, got)
 			held, release := make(chan bool), make(chan bool)
 			gateway.loop.Post(func() { gateway.clock.Set(gateway.clock.Now() + 10); held <- true; <-release })
 			receive(t, held)
-			c.send(simulacionRequest(900, "")) // the event loop handles this first
+			conn.send(simulacionRequest(900, "")) // the event loop handles this first
 			surplus(first.conn)
 			release <- true
-			if res, body := c.readResponse(); res.StatusCode != 200 || body != "suya" {
+			if res, body := conn.readResponse(); res.StatusCode != 200 || body != "suya" {
 				t.Errorf("got status %d %q, want 200 with the second response", res.StatusCode, body)
 			}
 			if n := len(got); n != 1 {
@@ -187,9 +187,9 @@
 	}
 	ln.Close()
 	addr, _ := startWorker(t, respondWith(okResponse))
-	c := startGateway(t, nil, ln.Addr().String(), addr).dial()
+	conn := startGateway(t, nil, ln.Addr().String(), addr).dial()
 	for range 8 {
-		if res, _ := c.ask(simulacionRequest(900, "")); res.StatusCode != 200 {
+		if res, _ := conn.ask(simulacionRequest(900, "")); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
 	}
@@ -274,11 +274,11 @@
 	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 100 }, addr)
 	var conns []*client
 	for range gateway.loop.Budget.Clients + 2 {
-		c := gateway.dial()
-		if res, _ := c.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
+		conn := gateway.dial()
+		if res, _ := conn.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
-		conns = append(conns, c)
+		conns = append(conns, conn)
 	}
 	conns[0].waitClosed()
 	if res, _ := conns[len(conns)-1].ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
@@ -290,14 +290,14 @@
 // rejection: that would reset it, and the client might never see the response.
 func TestResponseReachesClientThatIsStillSending(t *testing.T) {
 	gateway := startGateway(t, nil)
-	c := gateway.dial().send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\n")
+	conn := gateway.dial().send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\n")
 	for range 9 {
-		c.send(strings.Repeat("x", 100000))
+		conn.send(strings.Repeat("x", 100000))
 	}
-	if res, _ := c.readResponse(); res.StatusCode != 400 { // the request has no class
+	if res, _ := conn.readResponse(); res.StatusCode != 400 { // the request has no class
 		t.Fatalf("status %d, want 400", res.StatusCode)
 	}
-	c.waitClosed()
+	conn.waitClosed()
 }
 
 // TestSilentAndSlowConnectionsTimeOut guards the connection budget against clients that send
@@ -354,20 +354,20 @@
 	const requests = 100 // more than the buffers between gatekeeper and client hold
 	responseBody := strings.Repeat("x", 64<<10)
 	addr, got := startWorker(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n"+responseBody))
-	c := startGateway(t, nil, addr).dial()
+	conn := startGateway(t, nil, addr).dial()
 	for range requests - 1 {
-		c.send(cuotaRequest("mayor", 1900))
+		conn.send(cuotaRequest("mayor", 1900))
 	}
-	c.send(strings.Replace(cuotaRequest("mayor", 1900), "Host", "Connection: close\r\nHost", 1))
+	conn.send(strings.Replace(cuotaRequest("mayor", 1900), "Host", "Connection: close\r\nHost", 1))
 	for range requests {
 		receive(t, got)
 	}
 	for n := range requests {
-		if _, body := c.readResponse(); body != responseBody {
+		if _, body := conn.readResponse(); body != responseBody {
 			t.Fatalf("answer %d has %d bytes of %d", n, len(body), len(responseBody))
 		}
 	}
-	c.waitClosed()
+	conn.waitClosed()
 }
 
 // TestDiscoveryResumesFromHeldGeneration guards against losing changes that are made while the
@@ -547,15 +547,15 @@
 		c.Counter, c.Settings = counter, settingsWithCounter("50000")
 	})
 	gateway.setOnlyWorker(addr)
-	c := gateway.dial()
-	if res, _ := c.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
+	conn := gateway.dial()
+	if res, _ := conn.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
 		t.Fatalf("without a response the local share of the quota decides: status %d, want 200", res.StatusCode)
 	}
 	if call := receive(t, calls); !strings.HasPrefix(call, "/v2/numbers/") || !strings.Contains(call, "?delta=2&life_ms=") {
 		t.Fatalf("got call %s, want a draw of 2 units", call)
 	}
 	release <- true
-	if res, _ := c.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
+	if res, _ := conn.ask(cuotaRequest("basico", 900)); res.StatusCode != 200 {
 		t.Fatalf("the second call got the response of the first: status %d, want 200", res.StatusCode)
 	}
 }
@@ -591,10 +591,10 @@
 					fmt.Fprint(c, text)
 				}
 			})
-			c := startGateway(t, func(c *config.Config) { c.Counter, c.Settings = counter, settingsWithCounter("1500000") }, addr).dial()
+			conn := startGateway(t, func(c *config.Config) { c.Counter, c.Settings = counter, settingsWithCounter("1500000") }, addr).dial()
 			started := time.Now()
 			for want := 1; want <= 2; want++ {
-				if res, _ := c.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
+				if res, _ := conn.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
 					t.Fatalf("status %d, want 200", res.StatusCode)
 				}
 				if time.Since(started) > time.Second { // the time limit of counter calls is 1.5 s
@@ -628,9 +628,9 @@
 		}
 	})
 	gateway := startGateway(t, func(c *config.Config) { c.Counter, c.Settings = counter, settingsWithCounter("50000") }, addr)
-	c := gateway.dial()
+	conn := gateway.dial()
 	for want := 1; want <= 2; want++ {
-		if res, _ := c.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
+		if res, _ := conn.ask(cuotaRequest("basico", 2000)); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
 		if got := receive(t, connections); got != want {
@@ -717,9 +717,9 @@
 // flight at a time.
 func TestPipelinedClientRequestsAreServedInTurn(t *testing.T) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	c := startGateway(t, nil, addr).dial().send(strings.Repeat(cuotaRequest("mayor", 900), 3))
+	conn := startGateway(t, nil, addr).dial().send(strings.Repeat(cuotaRequest("mayor", 900), 3))
 	for range 3 {
-		if res, _ := c.readResponse(); res.StatusCode != 200 {
+		if res, _ := conn.readResponse(); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
 		}
 	}
--- a/internal/service/transports_test.go
+++ b/internal/service/transports_test.go
@@ -281,17 +281,17 @@
 			}
 			served := 0
 			for n := range 12 {
-				c := gateway.dial()
+				conn := gateway.dial()
 				id := fmt.Sprintf("big-%d", n)
 				body := strings.Repeat("m", bodyMost)
 				text := strings.Replace(classRequest("simulacion", id, id, 1500), "Content-Length: 7", fmt.Sprintf("Content-Length: %d", bodyMost), 1)
-				res, got := c.ask(strings.TrimSuffix(text, "monto=1") + body)
+				res, got := conn.ask(strings.TrimSuffix(text, "monto=1") + body)
 				if res.StatusCode == http.StatusOK {
 					if served++; got != "ran "+id+"\n" {
 						t.Errorf("%s got the response %q", id, got)
 					}
 				}
-				c.Close()
+				conn.Close()
 			}
 			if served == 0 {
 				t.Error("no request was served")
