--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -33,19 +33,19 @@
 }
 
 // writeCapture writes a capture of n requests and their refusals, and returns its files.
-func writeCapture(t testing.TB, o Options, n int) []string {
+func writeCapture(t testing.TB, o WriterOptions, n int) []string {
 	t.Helper()
 	if o.Folder == "" {
 		o.Folder = t.TempDir()
 	}
-	o.Name, o.Patient = "n0", true
+	o.Name, o.WaitForDisk = "n0", true
 	w, err := NewWriter(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Began(1e6, policy.Settings{Gateways: 2, Plans: []policy.Plan{{Rate: 1.4}}}, 0x1f)
+	w.Started(1e6, policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{Rate: 1.4}}}, 0x1f)
 	for i := range n {
-		w.Requested(1e6+policy.Micros(i), policy.Request{ID: uint32(i), Customer: 0xb4d65521, Units: 2, Left: 1e6})
+		w.RequestReceived(1e6+policy.Micros(i), policy.Request{ID: uint32(i), Customer: 0xb4d65521, Units: 2, TimeLeft: 1e6})
 		w.Refuse(uint32(i), 5000)
 	}
 	w.Close()
@@ -76,7 +76,7 @@
 
 func TestReaderReturnsWrittenRecords(t *testing.T) {
 	key := testKey(t, 7)
-	files := writeCapture(t, Options{Key: key, Life: 9}, 3)
+	files := writeCapture(t, WriterOptions{Key: key, RunID: 9}, 3)
 	f, err := os.Open(files[0])
 	if err != nil {
 		t.Fatal(err)
@@ -123,26 +123,26 @@
 func TestStateRecordsEncryptIDs(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
-	w, err := NewWriter(Options{Folder: folder, Name: "n0", Life: 1, Key: key, Patient: true, CheckpointEvery: time.Second})
+	w, err := NewWriter(WriterOptions{Folder: folder, Name: "n0", RunID: 1, Key: key, WaitForDisk: true, CheckpointEvery: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	const customer, name = 3033945377, 8117723306643105
-	state := policy.Snapshot{Version: policy.SnapshotVersion, Clients: []policy.CustomerRecord{{Key: customer}}, Draws: []policy.DrawRecord{{Name: name}}}
-	w.Began(1e6, policy.Settings{}, 1)
-	w.Recovered(1e6, state, true)
+	state := policy.Snapshot{Version: policy.SnapshotVersion, Customers: []policy.CustomerRecord{{Key: customer}}, PendingCalls: []policy.PendingCallRecord{{Name: name}}}
+	w.Started(1e6, policy.Settings{}, 1)
+	w.StateRecovered(1e6, state, true)
 	for at := range policy.Micros(3) {
-		w.Checkpoint(1e6+at*2e6, func() policy.Snapshot { return state })
+		w.OfferCheckpoint(1e6+at*2e6, func() policy.Snapshot { return state })
 	}
 	w.Close()
-	if state.Clients[0].Key != customer || state.Draws[0].Name != name {
+	if state.Customers[0].Key != customer || state.PendingCalls[0].Name != name {
 		t.Error("the recorder changed the state that it was given")
 	}
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := NewSet(segments, &key)
+	set := NewMultiReader(segments, &key)
 	defer set.Close()
 	d, states := NewDecoder(&key), 0
 	for {
@@ -179,7 +179,7 @@
 // small capture. Records before the fault may be read, but reading must end with an error.
 func TestEveryChangedByteAndTruncationIsDetected(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, WriterOptions{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 // and a change with a correct checksum give different errors.
 func TestReaderDistinguishesFaults(t *testing.T) {
 	key := testKey(t, 7)
-	text, err := os.ReadFile(writeCapture(t, Options{Key: key}, 4)[0])
+	text, err := os.ReadFile(writeCapture(t, WriterOptions{Key: key}, 4)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,11 +235,11 @@
 		"another key":     {text, testKey(t, 8), ErrKey},
 		"no key":          {text, Key{}, ErrKey},
 		"a later version": {change(len(magic)+1, 4), key, ErrVersion},
-		"another file":    {[]byte("PK\x03\x04 and so on, for as long as a head is at the least, which is 60 bytes"), key, ErrNotOne},
+		"another file":    {[]byte("PK\x03\x04 and so on, for as long as a head is at the least, which is 60 bytes"), key, ErrNotCapture},
 		"damage":          {change(at+blockHeaderSize+3, 1), key, ErrDamaged},
 		"a forged block":  {forged(), key, ErrAltered},
-		"no end":          {text[:len(text)-blockHeaderSize], key, ErrUnended},
-		"truncated end":   {text[:len(text)-5], key, ErrUnended},
+		"no end":          {text[:len(text)-blockHeaderSize], key, ErrTruncated},
+		"truncated end":   {text[:len(text)-5], key, ErrTruncated},
 	} {
 		if _, err := readCapture(c.text, c.key); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
@@ -293,16 +293,16 @@
 // that a missing segment is reported.
 func TestSegmentsAreReadInSequence(t *testing.T) {
 	key := testKey(t, 7)
-	files := writeCapture(t, Options{Key: key, SegmentMost: 1}, 9000)
+	files := writeCapture(t, WriterOptions{Key: key, SegmentBytes: 1}, 9000)
 	if len(files) < 3 {
 		t.Fatalf("%d segments, want at least 3", len(files))
 	}
 	all := func(files []string) (int, error) {
-		segments, err := Find(files...)
+		segments, err := FindSegments(files...)
 		if err != nil {
 			return 0, err
 		}
-		s := NewSet(segments, &key)
+		s := NewMultiReader(segments, &key)
 		defer s.Close()
 		for {
 			if _, _, err := s.Next(); err != nil {
@@ -313,8 +313,8 @@
 	if n, err := all(files); !errors.Is(err, io.EOF) || n != 18001 {
 		t.Errorf("%d records, error %v; want 18001 records", n, err)
 	}
-	if _, err := all(append(files[:1:1], files[2:]...)); !errors.Is(err, ErrSequence) {
-		t.Errorf("without the second segment: error %v, want %v", err, ErrSequence)
+	if _, err := all(append(files[:1:1], files[2:]...)); !errors.Is(err, ErrMissingSegment) {
+		t.Errorf("without the second segment: error %v, want %v", err, ErrMissingSegment)
 	}
 	if err := os.Rename(files[1], files[1]+".x"); err != nil {
 		t.Fatal(err)
@@ -323,7 +323,7 @@
 
 func TestOldSegmentsAreRemoved(t *testing.T) {
 	folder := t.TempDir()
-	files := writeCapture(t, Options{Folder: folder, SegmentMost: 4000, KeptMost: 20000}, 60000)
+	files := writeCapture(t, WriterOptions{Folder: folder, SegmentBytes: 4000, MaxTotalBytes: 20000}, 60000)
 	sum := int64(0)
 	for _, f := range files {
 		info, err := os.Stat(f)
@@ -344,7 +344,7 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w, err := newBlockWriter(Options{Folder: folder, Name: "n0", SegmentMost: 1})
+	w, err := newBlockWriter(WriterOptions{Folder: folder, Name: "n0", SegmentBytes: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -368,13 +368,13 @@
 	w.retryAt = w.retryAt.Add(-2 * retryInterval)
 	w.write(block)
 	w.endSegment()
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewSet(segments, &w.options.Key)
+	s := NewMultiReader(segments, &w.options.Key)
 	defer s.Close()
-	var gap *Gap
+	var gap *GapError
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 1 {
 		t.Fatalf("error %v, want a gap of 1 record", err)
 	}
@@ -387,7 +387,7 @@
 // counted as lost, and that the records written once there is room again follow a gap.
 func TestCaptureContinuesAfterDiskWasFull(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(WriterOptions{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -410,13 +410,13 @@
 	w.retryAt = w.retryAt.Add(-2 * retryInterval)
 	w.write(block)
 	w.endSegment()
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil || len(segments) != 2 {
 		t.Fatal(segments, err)
 	}
-	s := NewSet(segments[1:], &w.options.Key)
+	s := NewMultiReader(segments[1:], &w.options.Key)
 	defer s.Close()
-	var gap *Gap
+	var gap *GapError
 	if _, _, err := s.Next(); !errors.As(err, &gap) || gap.Lost != 2 {
 		t.Errorf("error %v, want a gap of 2 records", err)
 	}
@@ -430,34 +430,34 @@
 // reported as gaps.
 func TestSlowDiskDoesNotBlockEventLoop(t *testing.T) {
 	folder := t.TempDir()
-	w, err := newBlockWriter(Options{Folder: folder, Name: "n0"})
+	w, err := newBlockWriter(WriterOptions{Folder: folder, Name: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Encoder = newEncoder(w, &w.options.Key)
 	const blocks = 3 * queueLength
 	for n := range blocks {
-		w.Encoder.Gone(policy.Micros(1e6+2*n*maxBlockAge), 1)
-		w.Encoder.Gone(policy.Micros(1e6+(2*n+1)*maxBlockAge), 2) // completes the block, as it is maxBlockAge later
+		w.Encoder.ClientGone(policy.Micros(1e6+2*n*maxBlockAge), 1)
+		w.Encoder.ClientGone(policy.Micros(1e6+(2*n+1)*maxBlockAge), 2) // completes the block, as it is maxBlockAge later
 	}
 	if held := len(w.queue); held != queueLength || w.Stats.Lost.Load() != 2*(blocks-queueLength) {
 		t.Fatalf("%d blocks queued, %d records lost; want %d and %d", held, w.Stats.Lost.Load(), queueLength, 2*(blocks-queueLength))
 	}
 	go w.run() // the disk works again
-	for w.Encoder.Gone(2e9, 9); len(w.queue) > 0; {
+	for w.Encoder.ClientGone(2e9, 9); len(w.queue) > 0; {
 		runtime.Gosched()
 	}
 	w.Close()
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewSet(segments, &w.options.Key)
+	s := NewMultiReader(segments, &w.options.Key)
 	defer s.Close()
 	lost := 0
 	for {
 		_, _, err := s.Next()
-		var gap *Gap
+		var gap *GapError
 		if errors.As(err, &gap) {
 			lost += int(gap.Lost)
 		} else if err != nil {
@@ -486,7 +486,7 @@
 	to := &fullSink{}
 	e := newEncoder(to, &Key{})
 	for i := range 100 {
-		e.Rang(policy.Micros(1e6+i*10000), 0)
+		e.TimerExpired(policy.Micros(1e6+i*10000), 0)
 	}
 	if to.records < 75 {
 		t.Errorf("%d of 100 records of one second were passed on, want at least 75", to.records)
@@ -496,7 +496,7 @@
 // FuzzRead checks that a reader does not panic on malformed input, nor return more records
 // than the input has bytes.
 func FuzzRead(f *testing.F) {
-	text, err := os.ReadFile(writeCapture(f, Options{}, 4)[0])
+	text, err := os.ReadFile(writeCapture(f, WriterOptions{}, 4)[0])
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -514,33 +514,33 @@
 func TestLocateFindsRequestByName(t *testing.T) {
 	key := testKey(t, 7)
 	folder := t.TempDir()
-	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, SegmentMost: 5000, CheckpointEvery: 100 * time.Millisecond})
+	w, err := NewWriter(WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", Key: key, RunID: 1, SegmentBytes: 5000, CheckpointEvery: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := policy.New(policy.Settings{Gateways: 1}, 1)
-	w.Began(1e6, policy.Settings{Gateways: 1}, 1)
+	g := policy.New(policy.Settings{GatewayCount: 1}, 1)
+	w.Started(1e6, policy.Settings{GatewayCount: 1}, 1)
 	for i := range 8000 {
 		now := policy.Micros(1e6 + i*1000)
-		w.Checkpoint(now, g.Snapshot)
-		w.Named(uint32(i), fmt.Sprintf("name-%d", i))
-		w.Requested(now, policy.Request{ID: uint32(i), Customer: uint64(i % 3)})
+		w.OfferCheckpoint(now, g.Snapshot)
+		w.RequestNamed(uint32(i), fmt.Sprintf("name-%d", i))
+		w.RequestReceived(now, policy.Request{ID: uint32(i), Customer: uint64(i % 3)})
 	}
 	w.Close()
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil || len(segments) < 3 {
 		t.Fatal(len(segments), err)
 	}
-	if _, ok := Locate(segments, "nobody"); ok {
+	if _, ok := LocateRequest(segments, "nobody"); ok {
 		t.Error("found a name that is not in the capture")
 	}
 	for _, n := range []int{0, 1, 3999, 7999} {
-		p, ok := Locate(segments, fmt.Sprintf("name-%d", n))
+		p, ok := LocateRequest(segments, fmt.Sprintf("name-%d", n))
 		if !ok {
 			t.Fatalf("name-%d was not found", n)
 		}
-		s := NewSet(segments, &key)
-		s.Skip(p)
+		s := NewMultiReader(segments, &key)
+		s.StartAt(p)
 		first, _, err := s.Next()
 		if err != nil || first.GetKind() != capturepb.Kind_CHECKPOINT && first.GetKind() != capturepb.Kind_BEGAN {
 			t.Fatalf("name-%d: first record %v, error %v; want a checkpoint or the start of a run", n, first.GetKind(), err)
@@ -571,23 +571,23 @@
 func TestCutOutWritesAReplayableCapture(t *testing.T) {
 	key := testKey(t, 7)
 	folder, to := t.TempDir(), t.TempDir()
-	w, err := NewWriter(Options{Patient: true, Folder: folder, Name: "n0", Key: key, Life: 1, CheckpointEvery: 100 * time.Millisecond})
+	w, err := NewWriter(WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", Key: key, RunID: 1, CheckpointEvery: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := policy.New(policy.Settings{Gateways: 1}, 1)
-	w.Began(1e6, policy.Settings{Gateways: 1}, 1)
+	g := policy.New(policy.Settings{GatewayCount: 1}, 1)
+	w.Started(1e6, policy.Settings{GatewayCount: 1}, 1)
 	for i := range 3000 {
 		now := policy.Micros(1e6 + i*1000)
-		w.Checkpoint(now, g.Snapshot)
-		w.Gone(now, uint32(i))
+		w.OfferCheckpoint(now, g.Snapshot)
+		w.ClientGone(now, uint32(i))
 	}
 	w.Close()
-	segments, err := Find(folder)
+	segments, err := FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := CutOut(segments, &key, 1e6+1500*1000, 1e6+1700*1000, to)
+	n, err := Extract(segments, &key, 1e6+1500*1000, 1e6+1700*1000, to)
 	if err != nil || n < 200 || n > 400 {
 		t.Fatalf("%d records, error %v; want 200 to 400 records", n, err)
 	}
@@ -602,7 +602,7 @@
 	if got, err := readCapture(text, key); err != nil || got != n {
 		t.Errorf("read %d records, error %v; want %d", got, err, n)
 	}
-	if _, err := CutOut(segments[:1], &key, 5, 6, t.TempDir()); err != nil {
+	if _, err := Extract(segments[:1], &key, 5, 6, t.TempDir()); err != nil {
 		t.Errorf("a part before the start of the capture: %v", err)
 	}
 }
--- a/capture/decode.go
+++ b/capture/decode.go
@@ -31,31 +31,33 @@
 	return d.key.decryptState(s), nil
 }
 
-// Beside returns the quota draw of a BESIDE record.
-func (d *Decoder) Beside(r *capturepb.Record) policy.Draw {
-	return policy.Draw{Customer: d.key.decryptID(r.GetCustomer(), customerTweak), Plan: int(r.GetPlan()), Spread: int(r.GetSpread()),
-		Units: r.GetUnits(), Settles: r.GetSettles(), Server: policy.Server(r.GetServer())}
+// PeerDraw returns the quota draw of a BESIDE record.
+func (d *Decoder) PeerDraw(r *capturepb.Record) policy.PeerDraw {
+	return policy.PeerDraw{Customer: d.key.decryptID(r.GetCustomer(), customerTweak), Plan: int(r.GetPlan()), GatewayCount: int(r.GetSpread()),
+		Units: r.GetUnits(), Settlement: r.GetSettles(), Server: policy.Server(r.GetServer())}
 }
 
 // Request returns the request of a REQUESTED record.
 func (d *Decoder) Request(r *capturepb.Record) policy.Request {
 	return policy.Request{ID: r.GetId(), Class: int(r.GetClass()), Plan: int(r.GetPlan()),
-		Customer: d.key.decryptID(r.GetCustomer(), customerTweak), Left: r.GetLeft(), Units: r.GetUnits(),
-		Spread: int(r.GetSpread()), Again: r.GetAgain(), Filling: r.GetFilling()}
+		Customer: d.key.decryptID(r.GetCustomer(), customerTweak), TimeLeft: r.GetLeft(), Units: r.GetUnits(),
+		GatewayCount: int(r.GetSpread()), IsRetry: r.GetAgain(), BodyPending: r.GetFilling()}
 }
 
 // Outcome returns the outcome of an ENDED record.
 func (*Decoder) Outcome(r *capturepb.Record) policy.Outcome {
 	return policy.Outcome{ID: r.GetId(), Latency: r.GetLatency(), Terminal: r.GetTerminal(), Status: policy.Status(r.GetStatus()),
-		Settled: r.GetSettled(), Used: int(r.GetUsed()), Attempt: int(r.GetAttempt()), Server: policy.Server(r.GetServer()),
-		Load: r.GetLoad()}
+		ActualUnits: r.GetSettled(), QuotaUsed: int(r.GetUsed()), Attempt: int(r.GetAttempt()), Server: policy.Server(r.GetServer()),
+		LoadReport: r.GetLoad()}
 }
 
-// Name returns the counter name of a COUNT or COUNTED record.
-func (d *Decoder) Name(r *capturepb.Record) uint64 { return d.key.decryptID(r.GetName(), counterTweak) }
+// CounterName returns the counter name of a COUNT or COUNTED record.
+func (d *Decoder) CounterName(r *capturepb.Record) uint64 {
+	return d.key.decryptID(r.GetName(), counterTweak)
+}
 
-// Entries returns the workers of a LISTED record.
-func (*Decoder) Entries(r *capturepb.Record) []policy.Entry {
+// Workers returns the workers of a LISTED record.
+func (*Decoder) Workers(r *capturepb.Record) []policy.Entry {
 	all := make([]policy.Entry, 0, len(r.GetEntries()))
 	for _, e := range r.GetEntries() {
 		all = append(all, policy.Entry{Server: policy.Server(e.GetServer()), State: policy.State(e.GetState()), Weight: e.GetWeight(),
--- a/capture/encode.go
+++ b/capture/encode.go
@@ -69,7 +69,7 @@
 
 // encryptID encrypts an id. It caches the results, since encrypting takes microseconds.
 func (e *Encoder) encryptID(id uint64, tweak byte) uint64 {
-	if !e.key.Set() {
+	if !e.key.IsSet() {
 		return id
 	}
 	cache := e.encryptedIDs[tweak]
@@ -159,8 +159,8 @@
 	e.putBytes(fSettings, b)
 }
 
-// Began implements gatekeeper.Recorder.
-func (e *Encoder) Began(now policy.Micros, s policy.Settings, seed uint64) {
+// Started implements gatekeeper.Recorder.
+func (e *Encoder) Started(now policy.Micros, s policy.Settings, seed uint64) {
 	e.beginCall(now, capturepb.Kind_BEGAN)
 	e.putJSON(s)
 	e.putUint(fSeed, seed)
@@ -168,8 +168,8 @@
 	e.endRecord()
 }
 
-// Requested implements gatekeeper.Recorder.
-func (e *Encoder) Requested(now policy.Micros, r policy.Request) {
+// RequestReceived implements gatekeeper.Recorder.
+func (e *Encoder) RequestReceived(now policy.Micros, r policy.Request) {
 	e.beginCall(now, capturepb.Kind_REQUESTED)
 	e.putUint(fID, uint64(r.ID))
 	e.putUint(fClass, uint64(int64(r.Class)))
@@ -183,16 +183,16 @@
 		e.customerBlocks[customer] = e.blockCount
 		e.block.customers = append(e.block.customers, indexHashOfID(customer))
 	}
-	e.putInt(fLeft, r.Left)
+	e.putInt(fLeft, r.TimeLeft)
 	e.putFloat(fUnits, r.Units)
-	e.putUint(fSpread, uint64(int64(r.Spread)))
-	e.putBool(fAgain, r.Again)
-	e.putBool(fFilling, r.Filling)
+	e.putUint(fSpread, uint64(int64(r.GatewayCount)))
+	e.putBool(fAgain, r.IsRetry)
+	e.putBool(fFilling, r.BodyPending)
 	e.endRecord()
 }
 
-// Named implements gatekeeper.Recorder.
-func (e *Encoder) Named(id uint32, name string) {
+// RequestNamed implements gatekeeper.Recorder.
+func (e *Encoder) RequestNamed(id uint32, name string) {
 	e.beginRecord(capturepb.Kind_NAMED)
 	e.putUint(fID, uint64(id))
 	e.record = protowire.AppendString(protowire.AppendTag(e.record, fText, protowire.BytesType), name)
@@ -200,15 +200,15 @@
 	e.endRecord()
 }
 
-// Gone implements gatekeeper.Recorder.
-func (e *Encoder) Gone(now policy.Micros, id uint32) {
+// ClientGone implements gatekeeper.Recorder.
+func (e *Encoder) ClientGone(now policy.Micros, id uint32) {
 	e.beginCall(now, capturepb.Kind_GONE)
 	e.putUint(fID, uint64(id))
 	e.endRecord()
 }
 
-// Ended implements gatekeeper.Recorder.
-func (e *Encoder) Ended(now policy.Micros, o policy.Outcome) {
+// ExecutionEnded implements gatekeeper.Recorder.
+func (e *Encoder) ExecutionEnded(now policy.Micros, o policy.Outcome) {
 	e.beginCall(now, capturepb.Kind_ENDED)
 	e.putUint(fID, uint64(o.ID))
 	e.putFixed64(fServer, uint64(o.Server))
@@ -216,11 +216,11 @@
 	e.putUint(fStatus, uint64(o.Status))
 	e.putInt(fLatency, o.Latency)
 	e.putBool(fTerminal, o.Terminal)
-	e.putFloat(fSettled, o.Settled)
-	e.putUint(fUsed, uint64(int64(o.Used)))
-	if len(o.Load) > 0 {
+	e.putFloat(fSettled, o.ActualUnits)
+	e.putUint(fUsed, uint64(int64(o.QuotaUsed)))
+	if len(o.LoadReport) > 0 {
 		e.nested = e.nested[:0]
-		for _, v := range o.Load {
+		for _, v := range o.LoadReport {
 			e.nested = protowire.AppendFixed32(e.nested, math.Float32bits(v))
 		}
 		e.putBytes(fLoad, e.nested)
@@ -228,8 +228,8 @@
 	e.endRecord()
 }
 
-// Counted implements gatekeeper.Recorder.
-func (e *Encoder) Counted(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64) {
+// CounterCallEnded implements gatekeeper.Recorder.
+func (e *Encoder) CounterCallEnded(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64) {
 	e.beginCall(now, capturepb.Kind_COUNTED)
 	e.putUint(fStatus, uint64(status))
 	e.putInt(fSpan, delay)
@@ -238,8 +238,8 @@
 	e.endRecord()
 }
 
-// Listed implements gatekeeper.Recorder.
-func (e *Encoder) Listed(now policy.Micros, kind policy.ListKind, entries []policy.Entry) {
+// WorkersUpdated implements gatekeeper.Recorder.
+func (e *Encoder) WorkersUpdated(now policy.Micros, kind policy.ListKind, entries []policy.Entry) {
 	e.beginCall(now, capturepb.Kind_LISTED)
 	e.putUint(fList, uint64(kind))
 	record := e.record
@@ -258,63 +258,63 @@
 	e.endRecord()
 }
 
-// Classes implements gatekeeper.Recorder.
-func (e *Encoder) Classes(now policy.Micros, classes []policy.Class) {
+// ClassesReplaced implements gatekeeper.Recorder.
+func (e *Encoder) ClassesReplaced(now policy.Micros, classes []policy.Class) {
 	e.beginCall(now, capturepb.Kind_CLASSES)
 	e.putJSON(policy.Settings{Classes: classes})
 	e.endRecord()
 }
 
-// Filled implements gatekeeper.Recorder.
-func (e *Encoder) Filled(now policy.Micros, id uint32) {
+// BodyReceived implements gatekeeper.Recorder.
+func (e *Encoder) BodyReceived(now policy.Micros, id uint32) {
 	e.beginCall(now, capturepb.Kind_FILLED)
 	e.putUint(fID, uint64(id))
 	e.endRecord()
 }
 
-// Progressed implements gatekeeper.Recorder.
-func (e *Encoder) Progressed(now policy.Micros, server policy.Server) {
+// WorkerProgressed implements gatekeeper.Recorder.
+func (e *Encoder) WorkerProgressed(now policy.Micros, server policy.Server) {
 	e.beginCall(now, capturepb.Kind_PROGRESSED)
 	e.putFixed64(fServer, uint64(server))
 	e.endRecord()
 }
 
-// Joined implements gatekeeper.Recorder.
-func (e *Encoder) Joined(now, born policy.Micros) {
+// PeerJoined implements gatekeeper.Recorder.
+func (e *Encoder) PeerJoined(now, born policy.Micros) {
 	e.beginCall(now, capturepb.Kind_JOINED)
 	e.putUint(fAt, uint64(born))
 	e.endRecord()
 }
 
-// Beside implements gatekeeper.Recorder.
-func (e *Encoder) Beside(now policy.Micros, d policy.Draw) {
+// PeerDrew implements gatekeeper.Recorder.
+func (e *Encoder) PeerDrew(now policy.Micros, d policy.PeerDraw) {
 	e.beginCall(now, capturepb.Kind_BESIDE)
 	e.putUint(fPlan, uint64(int64(d.Plan)))
 	e.putFixed64(fCustomer, e.encryptID(d.Customer, customerTweak))
 	e.putFloat(fUnits, d.Units)
-	e.putUint(fSpread, uint64(int64(d.Spread)))
+	e.putUint(fSpread, uint64(int64(d.GatewayCount)))
 	e.putFixed64(fServer, uint64(d.Server))
-	e.putBool(fSettles, d.Settles)
+	e.putBool(fSettles, d.Settlement)
 	e.endRecord()
 }
 
-// Rang implements gatekeeper.Recorder.
-func (e *Encoder) Rang(now policy.Micros, token uint64) {
+// TimerExpired implements gatekeeper.Recorder.
+func (e *Encoder) TimerExpired(now policy.Micros, token uint64) {
 	e.beginCall(now, capturepb.Kind_RANG)
 	e.putUint(fToken, token)
 	e.endRecord()
 }
 
-// Recovered implements gatekeeper.Recorder.
-func (e *Encoder) Recovered(now policy.Micros, s policy.Snapshot, exact bool) {
+// StateRecovered implements gatekeeper.Recorder.
+func (e *Encoder) StateRecovered(now policy.Micros, s policy.Snapshot, exact bool) {
 	e.beginCall(now, capturepb.Kind_RECOVERED)
 	e.putJSON(e.key.encryptState(s))
 	e.putBool(fAgain, exact)
 	e.endRecord()
 }
 
-// Checkpoint implements gatekeeper.Recorder.
-func (e *Encoder) Checkpoint(now policy.Micros, take func() policy.Snapshot) {
+// OfferCheckpoint implements gatekeeper.Recorder.
+func (e *Encoder) OfferCheckpoint(now policy.Micros, take func() policy.Snapshot) {
 	if !e.sink.checkpointDue(now) {
 		return
 	}
--- a/capture/extract.go
+++ b/capture/extract.go
@@ -12,20 +12,20 @@
 	"foxwood/policy"
 )
 
-// ErrNothing reports that the requested part of a capture holds no record from which a
+// ErrNoReplayStart reports that the requested part of a capture holds no record from which a
 // replay can start.
-var ErrNothing = errors.New("the requested part holds neither a checkpoint nor the start of a process, so it can't be replayed")
+var ErrNoReplayStart = errors.New("the requested part holds neither a checkpoint nor the start of a process, so it can't be replayed")
 
-// CutOut copies the records from one time to another into a new capture in a folder,
+// Extract copies the records from one time to another into a new capture in a folder,
 // under the same key. So that the copy can be replayed, it starts at the last checkpoint
 // or process start at or before the time from; if there is none, at the first one after
 // it. It returns the number of records copied.
-func CutOut(segments []Segment, key *Key, from, until policy.Micros, folder string) (int, error) {
+func Extract(segments []Segment, key *Key, from, until policy.Micros, folder string) (int, error) {
 	start, err := startIndex(segments, key, from)
 	if err != nil {
 		return 0, err
 	}
-	writer, err := newBlockWriter(Options{Folder: folder, Name: "cut", Life: segments[0].Life, Key: *key})
+	writer, err := newBlockWriter(WriterOptions{Folder: folder, Name: "cut", RunID: segments[0].RunID, Key: *key})
 	if err != nil {
 		return 0, err
 	}
@@ -37,13 +37,13 @@
 			block = pendingBlock{}
 		}
 	}
-	set := NewSet(segments, key)
+	set := NewMultiReader(segments, key)
 	defer set.Close()
 	records := 0
 	for index := 0; ; index++ {
 		record, at, err := set.Next()
-		var gap *Gap
-		var truncated *Cut
+		var gap *GapError
+		var truncated *TruncatedError
 		switch {
 		case errors.As(err, &gap):
 			index--
@@ -92,13 +92,13 @@
 
 // startIndex returns the index of the record to start with.
 func startIndex(segments []Segment, key *Key, from policy.Micros) (int, error) {
-	set := NewSet(segments, key)
+	set := NewMultiReader(segments, key)
 	defer set.Close()
 	start := -1
 	for index := 0; ; index++ {
 		record, at, err := set.Next()
-		var gap *Gap
-		var truncated *Cut
+		var gap *GapError
+		var truncated *TruncatedError
 		switch {
 		case errors.As(err, &gap), errors.As(err, &truncated):
 			index--
@@ -108,7 +108,7 @@
 		}
 		if err != nil || at > from && start >= 0 {
 			if start < 0 {
-				return 0, ErrNothing
+				return 0, ErrNoReplayStart
 			}
 			return start, nil
 		}
--- a/capture/format.go
+++ b/capture/format.go
@@ -44,12 +44,12 @@
 	ErrDamaged = errors.New("damaged")
 	// ErrAltered reports a wrong MAC: blocks were changed, removed or reordered.
 	ErrAltered = errors.New("altered or cut")
-	// ErrUnended reports a segment without its end block, such as one whose gatekeeper crashed.
-	ErrUnended = errors.New("ends without its end block")
-	// ErrNotOne reports a file that is not a capture.
-	ErrNotOne = errors.New("not a capture")
-	// ErrSequence reports a segment that is missing between two others.
-	ErrSequence = errors.New("not the next segment of the capture")
+	// ErrTruncated reports a segment without its end block, such as one whose gatekeeper crashed.
+	ErrTruncated = errors.New("ends without its end block")
+	// ErrNotCapture reports a file that is not a capture.
+	ErrNotCapture = errors.New("not a capture")
+	// ErrMissingSegment reports a segment that is missing between two others.
+	ErrMissingSegment = errors.New("not the next segment of the capture")
 )
 
 // segmentHeader is the header of a segment.
@@ -73,7 +73,7 @@
 // parse decodes the header of a segment, without its MAC.
 func (h *segmentHeader) parse(b []byte) error {
 	if len(b) < segmentHeaderSize || string(b[:len(magic)]) != magic {
-		return ErrNotOne
+		return ErrNotCapture
 	}
 	b = b[len(magic):]
 	if v := string(b[:len(version)]); v < oldestVersion || v > version {
--- a/capture/index.go
+++ b/capture/index.go
@@ -138,17 +138,17 @@
 	return x, nil
 }
 
-// Place is a block of a segment at which reading can start.
-type Place struct {
+// Position is a block of a segment at which reading can start.
+type Position struct {
 	Segment        int   // index in the list of segments
 	Offset         int64 // bytes from the start of the segment, 0 for the segment's start
 	previousOffset int64 // offset of the previous block, 0 if it is the first
 }
 
-// Locate finds where a replay has to start to reach the request with a name: at the last
+// LocateRequest finds where a replay has to start to reach the request with a name: at the last
 // checkpoint, or start of a run, before it. ok is false if no index lists the name;
 // segments without an index may still hold it.
-func Locate(segments []Segment, name string) (p Place, ok bool) {
+func LocateRequest(segments []Segment, name string) (p Position, ok bool) {
 	indexes := make([]*Index, len(segments))
 	for i := len(segments) - 1; i >= 0; i-- {
 		index, err := ReadIndex(segments[i].File)
@@ -160,34 +160,34 @@
 		if len(blocks) == 0 {
 			continue
 		}
-		for at, block := i, blocks[0]; at >= 0 && segments[at].Life == segments[i].Life; at-- {
+		for at, block := i, blocks[0]; at >= 0 && segments[at].RunID == segments[i].RunID; at-- {
 			if indexes[at] == nil {
 				if indexes[at], err = ReadIndex(segments[at].File); err != nil {
-					return Place{Segment: at}, true
+					return Position{Segment: at}, true
 				}
 			}
 			if c := indexes[at].checkpointBefore(block); c >= 0 {
-				p := Place{Segment: at, Offset: indexes[at].pb.GetBlocks()[c].GetOffset()}
+				p := Position{Segment: at, Offset: indexes[at].pb.GetBlocks()[c].GetOffset()}
 				if c > 0 {
 					p.previousOffset = indexes[at].pb.GetBlocks()[c-1].GetOffset()
 				}
 				return p, true
 			}
-			if segments[at].N == 1 {
-				return Place{Segment: at}, true
+			if segments[at].Number == 1 {
+				return Position{Segment: at}, true
 			}
 			block = 1 << 30
 		}
 	}
-	return Place{}, false
+	return Position{}, false
 }
 
-// Skip makes a Set start at a place instead of at the start of its first segment.
-func (s *Set) Skip(p Place) { s.current, s.start = p.Segment, p }
+// StartAt makes a Set start at a place instead of at the start of its first segment.
+func (s *MultiReader) StartAt(p Position) { s.current, s.start = p.Segment, p }
 
 // seek moves a reader that has read its segment's header to a block. The block is
 // verified against the MAC of the block before it, which is read for this purpose.
-func (r *Reader) seek(f *os.File, p Place) error {
+func (r *Reader) seek(f *os.File, p Position) error {
 	if p.previousOffset > 0 {
 		encoded := make([]byte, blockHeaderSize)
 		if _, err := f.ReadAt(encoded, p.previousOffset); err != nil {
--- a/capture/key.go
+++ b/capture/key.go
@@ -74,8 +74,8 @@
 	return NewKey(secret)
 }
 
-// Set reports whether k is a key, and not the zero Key.
-func (k *Key) Set() bool { return k.idKey != nil }
+// IsSet reports whether k is a key, and not the zero Key.
+func (k *Key) IsSet() bool { return k.idKey != nil }
 
 // mac returns the MAC of a block or a segment's header, chained to the previous MAC.
 func (k *Key) mac(previousMAC []byte, parts ...[]byte) []byte {
@@ -104,7 +104,7 @@
 // encryptID encrypts an id with a keyed permutation of 64-bit values, a Feistel network
 // (M. Luby and C. Rackoff, 1988). Without a key it returns the id unchanged.
 func (k *Key) encryptID(id uint64, tweak byte) uint64 {
-	if !k.Set() {
+	if !k.IsSet() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
@@ -116,7 +116,7 @@
 
 // decryptID decrypts an id that encryptID encrypted.
 func (k *Key) decryptID(id uint64, tweak byte) uint64 {
-	if !k.Set() {
+	if !k.IsSet() {
 		return id
 	}
 	l, r := uint32(id>>32), uint32(id)
@@ -135,15 +135,15 @@
 // mapIDs returns a copy of a state with its customer ids and counter names replaced by those
 // that replace returns.
 func (k *Key) mapIDs(s policy.Snapshot, replace func(uint64, byte) uint64) policy.Snapshot {
-	if !k.Set() {
+	if !k.IsSet() {
 		return s
 	}
-	s.Clients, s.Draws = slices.Clone(s.Clients), slices.Clone(s.Draws)
-	for i := range s.Clients {
-		s.Clients[i].Key = replace(s.Clients[i].Key, customerTweak)
+	s.Customers, s.PendingCalls = slices.Clone(s.Customers), slices.Clone(s.PendingCalls)
+	for i := range s.Customers {
+		s.Customers[i].Key = replace(s.Customers[i].Key, customerTweak)
 	}
-	for i := range s.Draws {
-		s.Draws[i].Name = replace(s.Draws[i].Name, counterTweak)
+	for i := range s.PendingCalls {
+		s.PendingCalls[i].Name = replace(s.PendingCalls[i].Name, counterTweak)
 	}
 	return s
 }
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -16,8 +16,8 @@
 
 // Reader reads one segment. It verifies every block before it returns a record of it.
 type Reader struct {
-	Life    uint64 // id of the run
-	Segment uint32 // number of the segment in its run, from 1
+	RunID         uint64 // id of the run
+	SegmentNumber uint32 // number of the segment in its run, from 1
 
 	input        *bufio.Reader
 	key          *Key
@@ -32,11 +32,11 @@
 	ended        bool
 }
 
-// Gap is an error that reports records lost before the next one.
-type Gap struct{ Lost uint32 }
+// GapError is an error that reports records lost before the next one.
+type GapError struct{ Lost uint32 }
 
 // Error implements error.
-func (g *Gap) Error() string { return fmt.Sprintf("%d records were lost before this one", g.Lost) }
+func (g *GapError) Error() string { return fmt.Sprintf("%d records were lost before this one", g.Lost) }
 
 // NewReader starts to read a segment. previousMAC is the last MAC of the previous segment of the
 // same run. It is nil if that segment is not available: the MAC in the segment's header is
@@ -48,7 +48,7 @@
 		if n >= len(magic) && string(encoded[:len(magic)]) == magic {
 			return nil, fmt.Errorf("segment header has %d bytes, want %d: %w", n, len(encoded), ErrDamaged)
 		}
-		return nil, ErrNotOne
+		return nil, ErrNotCapture
 	}
 	var header segmentHeader
 	if err := header.parse(encoded); err != nil {
@@ -57,7 +57,7 @@
 	if header.fingerprint != key.fingerprint {
 		return nil, ErrKey
 	}
-	r.Life, r.Segment = header.runID, header.number
+	r.RunID, r.SegmentNumber = header.runID, header.number
 	r.mac = encoded[segmentHeaderSize:]
 	if string(key.mac(nil, encoded[:segmentHeaderSize])) != string(r.mac) {
 		return nil, fmt.Errorf("MAC of the segment header: %w", ErrAltered)
@@ -79,8 +79,8 @@
 // Close releases the reader's decompressor. It does not close the underlying io.Reader.
 func (r *Reader) Close() { r.decompressor.Close() }
 
-// Link returns the MAC of the last block read, with which the next segment starts.
-func (r *Reader) Link() []byte { return r.mac }
+// LastMAC returns the MAC of the last block read, with which the next segment starts.
+func (r *Reader) LastMAC() []byte { return r.mac }
 
 // Records returns the number of records returned so far.
 func (r *Reader) Records() int { return r.records }
@@ -121,9 +121,9 @@
 	encoded := make([]byte, blockHeaderSize)
 	switch n, err := io.ReadFull(r.input, encoded); {
 	case n == 0 && errors.Is(err, io.EOF):
-		return r.fail("end of the file", ErrUnended)
+		return r.fail("end of the file", ErrTruncated)
 	case err != nil:
-		return r.fail(fmt.Sprintf("block header has %d bytes, want %d", n, blockHeaderSize), ErrUnended)
+		return r.fail(fmt.Sprintf("block header has %d bytes, want %d", n, blockHeaderSize), ErrTruncated)
 	}
 	var header blockHeader
 	header.parse(encoded)
@@ -132,7 +132,7 @@
 	}
 	payload := make([]byte, header.payloadSize)
 	if n, err := io.ReadFull(r.input, payload); err != nil {
-		return r.fail(fmt.Sprintf("block has %d bytes, want %d", blockHeaderSize+n, blockHeaderSize+int(header.payloadSize)), ErrUnended)
+		return r.fail(fmt.Sprintf("block has %d bytes, want %d", blockHeaderSize+n, blockHeaderSize+int(header.payloadSize)), ErrTruncated)
 	}
 	if checksum(header.authenticated, payload) != header.checksum {
 		return r.fail("checksum of a block does not match", ErrDamaged)
@@ -159,7 +159,7 @@
 	}
 	r.offset += int64(blockHeaderSize) + int64(header.payloadSize)
 	if header.lost > 0 {
-		return &Gap{header.lost}
+		return &GapError{header.lost}
 	}
 	return nil
 }
--- a/capture/segments.go
+++ b/capture/segments.go
@@ -15,18 +15,18 @@
 
 // Segment is one file of a capture.
 type Segment struct {
-	File  string
-	Life  uint64                // id of the run
-	N     uint32                // number of the segment in its run, from 1
-	Print [fingerprintSize]byte // fingerprint of the key
-	First policy.Micros         // time of its first record, 0 if it has none
-	Size  int64                 // bytes
+	File           string
+	RunID          uint64                // id of the run
+	Number         uint32                // number of the segment in its run, from 1
+	KeyFingerprint [fingerprintSize]byte // fingerprint of the key
+	FirstRecord    policy.Micros         // time of its first record, 0 if it has none
+	Size           int64                 // bytes
 }
 
-// Find lists the segments at some paths, each a file or a folder, ordered by the start of
+// FindSegments lists the segments at some paths, each a file or a folder, ordered by the start of
 // their run and by their number. A file that is not a capture is an error, but files in a
 // folder whose names don't have the suffix of a segment are ignored.
-func Find(paths ...string) ([]Segment, error) {
+func FindSegments(paths ...string) ([]Segment, error) {
 	var all []Segment
 	for _, p := range paths {
 		info, err := os.Stat(p)
@@ -49,19 +49,19 @@
 	}
 	runStart := map[uint64]policy.Micros{}
 	for _, s := range all {
-		if at, ok := runStart[s.Life]; !ok || s.First > 0 && s.First < at {
-			runStart[s.Life] = s.First
+		if at, ok := runStart[s.RunID]; !ok || s.FirstRecord > 0 && s.FirstRecord < at {
+			runStart[s.RunID] = s.FirstRecord
 		}
 	}
 	slices.SortFunc(all, func(a, b Segment) int {
-		return cmp.Or(cmp.Compare(runStart[a.Life], runStart[b.Life]), cmp.Compare(a.Life, b.Life), cmp.Compare(a.N, b.N))
+		return cmp.Or(cmp.Compare(runStart[a.RunID], runStart[b.RunID]), cmp.Compare(a.RunID, b.RunID), cmp.Compare(a.Number, b.Number))
 	})
 	return all, nil
 }
 
-// FindName lists the segments of one gatekeeper in a folder. It ignores files without a
+// FindSegmentsOf lists the segments of one gatekeeper in a folder. It ignores files without a
 // readable segment header, since a crash may leave such files.
-func FindName(folder, name string) ([]Segment, error) {
+func FindSegmentsOf(folder, name string) ([]Segment, error) {
 	files, err := filepath.Glob(filepath.Join(folder, name+"-*"+segmentSuffix))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -72,7 +72,7 @@
 			readable = append(readable, f)
 		}
 	}
-	return Find(readable...)
+	return FindSegments(readable...)
 }
 
 // readSegment reads the header of a segment and the time of its first block.
@@ -85,17 +85,17 @@
 	encoded := make([]byte, segmentHeaderSize+macSize+blockHeaderSize)
 	n, err := io.ReadFull(f, encoded)
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
-		return Segment{}, ErrNotOne
+		return Segment{}, ErrNotCapture
 	}
 	var header segmentHeader
 	if err := header.parse(encoded[:n]); err != nil {
 		return Segment{}, err
 	}
-	s := Segment{File: file, Life: header.runID, N: header.number, Print: header.fingerprint}
+	s := Segment{File: file, RunID: header.runID, Number: header.number, KeyFingerprint: header.fingerprint}
 	if n == len(encoded) {
 		var first blockHeader
 		first.parse(encoded[segmentHeaderSize+macSize:])
-		s.First = first.first
+		s.FirstRecord = first.first
 	}
 	if info, err := f.Stat(); err == nil {
 		s.Size = info.Size()
@@ -103,8 +103,8 @@
 	return s, nil
 }
 
-// Set reads a list of segments as one capture.
-type Set struct {
+// MultiReader reads a list of segments as one capture.
+type MultiReader struct {
 	key         *Key
 	segments    []Segment
 	file        *os.File
@@ -112,20 +112,22 @@
 	current     int    // index of the current segment
 	previousMAC []byte // last MAC of the previous segment, nil if that segment could not be read to its end
 	records     int
-	start       Place // where to start, if Skip has set it
+	start       Position // where to start, if Skip has set it
 }
 
-// NewSet creates a Set that reads segments in the given order, which should be that of Find.
-func NewSet(segments []Segment, key *Key) *Set { return &Set{key: key, segments: segments} }
+// NewMultiReader creates a Set that reads segments in the given order, which should be that of Find.
+func NewMultiReader(segments []Segment, key *Key) *MultiReader {
+	return &MultiReader{key: key, segments: segments}
+}
 
 // Current returns the segment that is being read.
-func (s *Set) Current() Segment { return s.segments[min(s.current, len(s.segments)-1)] }
+func (s *MultiReader) Current() Segment { return s.segments[min(s.current, len(s.segments)-1)] }
 
 // Records returns the number of records returned so far.
-func (s *Set) Records() int { return s.records }
+func (s *MultiReader) Records() int { return s.records }
 
-// Read returns how many bytes of the segments have been read, and how many there are.
-func (s *Set) Read() (done, total int64) {
+// Progress returns how many bytes of the segments have been read, and how many there are.
+func (s *MultiReader) Progress() (done, total int64) {
 	for i, seg := range s.segments {
 		if i < s.current {
 			done += seg.Size
@@ -139,7 +141,7 @@
 }
 
 // Close closes the segment that is being read.
-func (s *Set) Close() {
+func (s *MultiReader) Close() {
 	if s.reader != nil {
 		s.reader.Close()
 		_ = s.file.Close()
@@ -147,22 +149,22 @@
 	}
 }
 
-// Cut is an error that reports a segment without its end block: its gatekeeper crashed, or
+// TruncatedError is an error that reports a segment without its end block: its gatekeeper crashed, or
 // the file was truncated. The segments after it can still be read.
-type Cut struct {
+type TruncatedError struct {
 	File string
 	Err  error
 }
 
 // Error implements error.
-func (c *Cut) Error() string { return c.File + ": " + c.Err.Error() }
+func (c *TruncatedError) Error() string { return c.File + ": " + c.Err.Error() }
 
 // Unwrap returns the underlying error.
-func (c *Cut) Unwrap() error { return c.Err }
+func (c *TruncatedError) Unwrap() error { return c.Err }
 
 // Next returns the next record of all segments, like Reader.Next. It returns a *Cut once for
 // each truncated segment and a *Gap once for each gap, and io.EOF after the last segment.
-func (s *Set) Next() (*capturepb.Record, policy.Micros, error) {
+func (s *MultiReader) Next() (*capturepb.Record, policy.Micros, error) {
 	for {
 		if s.reader == nil {
 			if s.current >= len(s.segments) {
@@ -173,7 +175,7 @@
 			}
 		}
 		r, at, err := s.reader.Next()
-		var gap *Gap
+		var gap *GapError
 		switch {
 		case err == nil:
 			s.records++
@@ -181,15 +183,15 @@
 		case errors.As(err, &gap):
 			return nil, 0, err
 		}
-		file, link := s.segments[s.current].File, s.reader.Link()
+		file, link := s.segments[s.current].File, s.reader.LastMAC()
 		s.Close()
 		s.current++
 		if s.previousMAC = link; errors.Is(err, io.EOF) {
 			continue
 		}
 		s.previousMAC = nil // the MAC of the segment's last, incomplete block is not known
-		if errors.Is(err, ErrUnended) {
-			return nil, 0, &Cut{file, err}
+		if errors.Is(err, ErrTruncated) {
+			return nil, 0, &TruncatedError{file, err}
 		}
 		return nil, 0, fmt.Errorf("%s: %w", file, err)
 	}
@@ -197,11 +199,11 @@
 
 // Each calls record with every record, and fault with every *Cut and *Gap. It returns nil at
 // the end of the capture, or the first error after which nothing more can be read.
-func (s *Set) Each(record func(*capturepb.Record), problem func(error)) error {
+func (s *MultiReader) Each(record func(*capturepb.Record), problem func(error)) error {
 	for {
 		r, _, err := s.Next()
-		var gap *Gap
-		var cut *Cut
+		var gap *GapError
+		var cut *TruncatedError
 		switch {
 		case err == nil:
 			record(r)
@@ -217,12 +219,12 @@
 
 // openNext opens the next segment. If the previous one belongs to the same run, it checks that
 // none is missing between the two.
-func (s *Set) openNext() error {
+func (s *MultiReader) openNext() error {
 	seg := s.segments[s.current]
 	var previousMAC []byte
-	if s.current > s.start.Segment && s.segments[s.current-1].Life == seg.Life {
-		if s.segments[s.current-1].N+1 != seg.N {
-			return fmt.Errorf("%s: segment %d follows segment %d: %w", seg.File, seg.N, s.segments[s.current-1].N, ErrSequence)
+	if s.current > s.start.Segment && s.segments[s.current-1].RunID == seg.RunID {
+		if s.segments[s.current-1].Number+1 != seg.Number {
+			return fmt.Errorf("%s: segment %d follows segment %d: %w", seg.File, seg.Number, s.segments[s.current-1].Number, ErrMissingSegment)
 		}
 		previousMAC = s.previousMAC
 	}
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -18,24 +18,24 @@
 	"foxwood/policy"
 )
 
-// Options holds the settings of a Writer.
-type Options struct {
+// WriterOptions holds the settings of a Writer.
+type WriterOptions struct {
 	Folder string
 	Name   string // the gatekeeper's name
-	Life   uint64 // id of the run, see the function Life
+	RunID  uint64 // id of the run, see the function Life
 	Key    Key
-	// SegmentMost is the size in bytes at which a segment is ended, 64 MiB if zero. KeptMost
+	// SegmentBytes is the size in bytes at which a segment is ended, 64 MiB if zero. KeptMost
 	// is the total size in bytes of all segments of this name in the folder, above which the
 	// oldest are removed, 1 GiB if zero.
-	SegmentMost, KeptMost int64
-	// AgeMost is how long a segment is kept; zero keeps it without a time limit.
-	AgeMost time.Duration
+	SegmentBytes, MaxTotalBytes int64
+	// MaxAge is how long a segment is kept; zero keeps it without a time limit.
+	MaxAge time.Duration
 	// CheckpointEvery is the interval of checkpoints, 30 s if zero. Each new segment gets
 	// a checkpoint soon after its start as well.
 	CheckpointEvery time.Duration
-	// Patient makes the encoder wait for the disk instead of dropping blocks. It is meant for
+	// WaitForDisk makes the encoder wait for the disk instead of dropping blocks. It is meant for
 	// simulated time, which stops while the encoder waits.
-	Patient bool
+	WaitForDisk bool
 }
 
 const (
@@ -59,7 +59,7 @@
 	*Encoder
 	Stats Stats
 
-	options         Options
+	options         WriterOptions
 	queue           chan pendingBlock
 	freeBuffers     chan []byte // buffers for reuse
 	done            chan struct{}
@@ -80,7 +80,7 @@
 }
 
 // NewWriter starts a capture in an existing folder.
-func NewWriter(o Options) (*Writer, error) {
+func NewWriter(o WriterOptions) (*Writer, error) {
 	w, err := newBlockWriter(o)
 	if err != nil {
 		return nil, err
@@ -92,12 +92,12 @@
 
 // newBlockWriter starts a capture without a goroutine and an Encoder: the caller writes
 // blocks by calling write.
-func newBlockWriter(o Options) (*Writer, error) {
-	if o.SegmentMost <= 0 {
-		o.SegmentMost = defaultSegmentBytes
+func newBlockWriter(o WriterOptions) (*Writer, error) {
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = defaultSegmentBytes
 	}
-	if o.KeptMost <= 0 {
-		o.KeptMost = defaultTotalBytes
+	if o.MaxTotalBytes <= 0 {
+		o.MaxTotalBytes = defaultTotalBytes
 	}
 	if o.CheckpointEvery <= 0 {
 		o.CheckpointEvery = defaultCheckpointEvery
@@ -127,7 +127,7 @@
 // records as a gap before the next block that is queued.
 func (w *Writer) submit(b pendingBlock) []byte {
 	w.Stats.Records.Add(uint64(b.records))
-	if w.options.Patient {
+	if w.options.WaitForDisk {
 		w.queue <- b
 		return make([]byte, 0, maxBlockBytes+maxBlockBytes/8)
 	}
@@ -163,7 +163,7 @@
 // submitCheckpoint implements blockSink. It drops the checkpoint if the queue is full. This
 // is not a gap, since the records around it are complete.
 func (w *Writer) submitCheckpoint(b pendingBlock) {
-	if w.options.Patient {
+	if w.options.WaitForDisk {
 		w.queue <- b
 		return
 	}
@@ -231,7 +231,7 @@
 	w.Stats.Bytes.Add(uint64(len(out)))
 	// A checkpoint does not end a segment: each new segment gets one, so checkpoints larger
 	// than SegmentMost would start one segment after the other.
-	if b.checkpoint == nil && w.size >= w.options.SegmentMost {
+	if b.checkpoint == nil && w.size >= w.options.SegmentBytes {
 		if w.endSegment(); w.startSegment() != nil {
 			w.retryAt = time.Now().Add(retryInterval)
 		}
@@ -291,13 +291,13 @@
 // startSegment starts a new segment and removes old ones.
 func (w *Writer) startSegment() error {
 	o := &w.options
-	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.Life, w.segment+1, segmentSuffix))
+	file := filepath.Join(o.Folder, fmt.Sprintf("%s-%016x-%06d%s", o.Name, o.RunID, w.segment+1, segmentSuffix))
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
 	w.segment++
-	header := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.Life, number: w.segment, previousMAC: [macSize]byte(w.mac)}
+	header := segmentHeader{fingerprint: o.Key.fingerprint, runID: o.RunID, number: w.segment, previousMAC: [macSize]byte(w.mac)}
 	encoded := header.append(nil)
 	mac := o.Key.mac(nil, encoded)
 	if _, err := f.Write(append(encoded, mac...)); err != nil {
@@ -339,8 +339,8 @@
 		return strings.Compare(a.file, b.file)
 	})
 	for _, segment := range oldSegments {
-		expired := o.AgeMost > 0 && time.Since(segment.at) > o.AgeMost
-		if !expired && total+o.SegmentMost <= o.KeptMost {
+		expired := o.MaxAge > 0 && time.Since(segment.at) > o.MaxAge
+		if !expired && total+o.SegmentBytes <= o.MaxTotalBytes {
 			return
 		}
 		if err := os.Remove(segment.file); err != nil {
@@ -351,8 +351,8 @@
 	}
 }
 
-// Life returns the id of a run, made from its start time and the gatekeeper's seed.
-func Life(now policy.Micros, seed uint64) uint64 {
+// NewRunID returns the id of a run, made from its start time and the gatekeeper's seed.
+func NewRunID(now policy.Micros, seed uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
 	return uint64(now)<<12 ^ uint64(checksum(nil, b[:])>>52)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -26,7 +26,7 @@
 type adapter struct {
 	gateways map[int]*policy.Gateway // by the simulator's number
 	current  int                     // the instance that the next records are for, -1 if none was named in the frame
-	reply    wire.Reply
+	reply    wire.ActionFrame
 }
 
 // serve answers each frame read from in with one written to out, until in ends.
@@ -55,7 +55,7 @@
 
 // handleFrame passes the records of one frame to their instances.
 func (a *adapter) handleFrame(frame []byte) error {
-	b, err := wire.NewBatch(frame)
+	b, err := wire.NewEventFrame(frame)
 	if err != nil {
 		return err
 	}
@@ -66,18 +66,18 @@
 			return fmt.Errorf("record %d, code %d: %w", i, code, err)
 		}
 	}
-	if b.Rest() > 0 {
-		return fmt.Errorf("frame has %d bytes after its last record, want none", b.Rest())
+	if b.Remaining() > 0 {
+		return fmt.Errorf("frame has %d bytes after its last record, want none", b.Remaining())
 	}
 	return nil
 }
 
 // handleRecord reads one record and calls the instance that it is for. A panic of the decision
 // module is reported as a DIE action.
-func (a *adapter) handleRecord(b *wire.Batch, code uint8) error {
+func (a *adapter) handleRecord(b *wire.EventFrame, code uint8) error {
 	if code == wire.CodeOn {
 		a.current = int(b.U16())
-		a.reply.On(a.current)
+		a.reply.SelectInstance(a.current)
 		return b.Err()
 	}
 	if a.current < 0 && b.Err() == nil {
@@ -101,8 +101,8 @@
 
 // decodeCall decodes a record and returns the call of the decision module that it requires, or
 // nil if it requires none.
-func (a *adapter) decodeCall(b *wire.Batch, code uint8) (func(*policy.Gateway), error) {
-	now, host := b.Clock, &a.reply
+func (a *adapter) decodeCall(b *wire.EventFrame, code uint8) (func(*policy.Gateway), error) {
+	now, host := b.Time, &a.reply
 	var call func(*policy.Gateway)
 	switch code {
 	case wire.CodeBorn:
@@ -127,7 +127,7 @@
 		return nil, nil
 	case wire.CodeAdded:
 		name, delay, status, total := b.Added()
-		call = func(g *policy.Gateway) { g.Counted(now, host, name, delay, status, total) }
+		call = func(g *policy.Gateway) { g.CounterResult(now, host, name, delay, status, total) }
 	case wire.CodeGone:
 		id := b.U32()
 		call = func(g *policy.Gateway) { g.ClientGone(now, host, id) }
--- a/cmd/bothy/main.go
+++ b/cmd/bothy/main.go
@@ -20,26 +20,26 @@
 	var shedding snowline.Options
 	var probesPerSecond float64
 	os.Exit(cli.Main(cli.Program{Name: "bothy", Summary: "Keep sessions, workers and duties, and answer outside callers",
-		Flags: func(flags *flag.FlagSet) {
-			shedding.Bothies(flags)
+		DefineFlags: func(flags *flag.FlagSet) {
+			shedding.ControlFlags(flags)
 			flags.Float64Var(&probesPerSecond, "probes", 0, "workers that are new or cold to probe each second, where this bothy polls the list; at most 20")
 		},
-		Check: func() error {
+		CheckFlags: func() error {
 			if probesPerSecond < 0 || probesPerSecond > 20 {
 				return errors.Join(shedding.Check(), fmt.Errorf("-probes: %g is not from 0 to 20", probesPerSecond))
 			}
 			return shedding.Check()
 		},
-		Make: func(settings *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
+		NewRunner: func(settings *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			var duties []string
 			if shedding.On {
-				duties = append(duties, bothy.DutyLevel)
+				duties = append(duties, bothy.DutyShedding)
 			}
 			registry := bothy.New(settings, log, duties...)
 			if shedding.On {
-				registry.Shed(shedding)
+				registry.EnableShedding(shedding)
 			}
-			registry.Probe(probesPerSecond)
+			registry.SetProbeRate(probesPerSecond)
 			return registry, nil
 		}}))
 }
--- a/cmd/cairn/main.go
+++ b/cmd/cairn/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	os.Exit(cli.Main(cli.Program{Name: "cairn", Summary: "Keep what operators have ordered, on disk",
-		Make: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
+		NewRunner: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			return store.New(set, log)
 		}}))
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -51,9 +51,9 @@
 	defer cancel()
 	exitCode := 0
 	for i := range *seeds {
-		scenario := soak.Draw(*seed+uint64(i), size, *steps)
+		scenario := soak.RandomScenario(*seed+uint64(i), size, *steps)
 		if *rolling > 0 {
-			scenario = soak.Rolling(*seed+uint64(i), size, rollingRounds, *rolling)
+			scenario = soak.RollingRestartScenario(*seed+uint64(i), size, rollingRounds, *rolling)
 		}
 		code, err := runScenario(ctx, scenario, programDir, *reportDir, *memoryMB<<20, *keepLogs)
 		if err != nil {
@@ -74,7 +74,7 @@
 		return 2, err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(workDir)) }()
-	run, err := soak.Play(ctx, scenario, soak.Options{Programs: programs, Dir: workDir, Network: soak.Network(), Log: os.Stdout, Memory: memoryLimit})
+	run, err := soak.RunScenario(ctx, scenario, soak.Options{ProgramDir: programs, WorkDir: workDir, LoopbackPrefix: soak.LoopbackPrefix(), Timeline: os.Stdout, MaxMemoryBytes: memoryLimit})
 	failed := err != nil
 	report := fmt.Sprintf("%s%v\n", scenario, err)
 	if !failed {
--- a/cmd/switchback/main.go
+++ b/cmd/switchback/main.go
@@ -17,21 +17,21 @@
 	var shed snowline.Options
 	var outlierReports, mirroring bool
 	os.Exit(cli.Main(cli.Program{Name: "switchback", Summary: "Forward clients' requests to workers",
-		Flags: func(f *flag.FlagSet) {
-			shed.Gatekeepers(f)
+		DefineFlags: func(f *flag.FlagSet) {
+			shed.GatekeeperFlags(f)
 			f.BoolVar(&outlierReports, "bulletin", false, "eject outlier workers by the reports of all gatekeepers of the zone")
 			f.BoolVar(&mirroring, "shadow", false, "mirror traffic where a mirroring rule says so")
-		}, Check: shed.Check,
-		Make: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
+		}, CheckFlags: shed.Check,
+		NewRunner: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			p, err := switchback.New(set, log)
 			if err == nil && shed.On {
-				p.Shed(switchback.ShedAlike)
+				p.EnableShedding(switchback.ShedByCluster)
 			}
 			if err == nil && outlierReports {
-				p.Bulletin()
+				p.EnableOutlierReports()
 			}
 			if err == nil && mirroring {
-				p.Shadow()
+				p.EnableMirroring()
 			}
 			return p, err
 		}}))
--- a/gatekeeper/clock.go
+++ b/gatekeeper/clock.go
@@ -32,10 +32,10 @@
 	return c
 }
 
-// NewSteadyClock creates a clock that starts at the given time in milliseconds and
+// NewMonotonicClock creates a clock that starts at the given time in milliseconds and
 // follows only the system's monotonic clock. It suits callers that need no common time
 // of day and must not be affected by adjustments of the wall clock.
-func NewSteadyClock(at float64) *Clock {
+func NewMonotonicClock(at float64) *Clock {
 	start := time.Now()
 	c := &Clock{readSystem: func() (wall, _ float64) {
 		running := float64(time.Since(start)) / 1e6
--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -16,9 +16,9 @@
 	"foxwood/policy"
 )
 
-// Caller receives the final answer to a request. It gets exactly one, or none if
-// Gatekeeper.Gone reported before that the client has disconnected.
-type Caller interface {
+// Responder receives the final answer to a request. It gets exactly one, or none if
+// Gatekeeper.ClientGone reported before that the client has disconnected.
+type Responder interface {
 	// Served delivers a worker's answer. The answer is valid only during the call.
 	Served(r *Request, answer Answer)
 	// Throttled reports a refusal. The request has not run, so the client may safely
@@ -30,14 +30,14 @@
 
 // Answer is a worker's response to an execution.
 type Answer struct {
-	Status int    // status code of the protocol, 0 for the default success code
-	Head   []byte // complete header lines to pass on
-	Body   []byte
+	Status      int    // status code of the protocol, 0 for the default success code
+	HeaderLines []byte // complete header lines to pass on
+	Body        []byte
 }
 
-// Fleet sends executions to the workers. It reports the end of each with
-// Gatekeeper.Done, unless the gatekeeper has abandoned it.
-type Fleet interface {
+// WorkerTransport sends executions to the workers. It reports the end of each with
+// Gatekeeper.ExecutionEnded, unless the gatekeeper has abandoned it.
+type WorkerTransport interface {
 	Execute(x *Execution)
 	// Abandon stops an execution immediately, so that a later one cannot overlap it.
 	// It reports whether the whole execution had been sent to the worker.
@@ -46,40 +46,40 @@
 	Release(id policy.Server)
 }
 
-// Counter sends calls to the shared counter, those of one name in order. It reports
-// the end of each call with Gatekeeper.Counted.
-type Counter interface {
-	Add(c *Count)
+// CounterClient sends calls to the shared counter, those of one name in order. It reports
+// the end of each call with Gatekeeper.CounterCallEnded.
+type CounterClient interface {
+	Add(c *CounterCall)
 }
 
 // Request is a request of a client. The front end fills in the exported fields.
 type Request struct {
-	Name        string // the client's name for the request, if any; unique among open requests
-	Class, Plan int
-	Customer    uint64
-	Left        float64 // milliseconds that the client is still willing to wait
-	Units       float64 // estimated cost, in the units that rate limits count
-	Spread      int     // number of gatekeepers that the customer's requests are spread over
-	Again       bool    // marked by the client as a retry
-	Caller      Caller
-	Payload     any // what the transports send; the core does not inspect it
-	// Filling is set while the end of the request's body has not arrived yet. The
+	Name            string // the client's name for the request, if any; unique among open requests
+	Class, Plan     int
+	Customer        uint64
+	TimeLeft        float64 // milliseconds that the client is still willing to wait
+	EstimatedUnits  float64 // estimated cost, in the units that rate limits count
+	GatekeeperCount int     // number of gatekeepers that the customer's requests are spread over
+	IsRetry         bool    // marked by the client as a retry
+	Responder       Responder
+	Payload         any // what the transports send; the core does not inspect it
+	// BodyPending is set while the end of the request's body has not arrived yet. The
 	// deadlines of the request and of its executions count from the arrival of its last byte.
-	Filling bool
-	// Spent is set once the request can't be sent again because part of its body is no
+	BodyPending bool
+	// NotReplayable is set once the request can't be sent again because part of its body is no
 	// longer buffered.
-	Spent bool
-	// Homes is a bit set of the regions whose workers may serve the request; 0 allows all.
-	Homes uint64
-	// Last is the latest error response of a worker, for a caller that passes it on. It is
+	NotReplayable bool
+	// Regions is a bit set of the regions whose workers may serve the request; 0 allows all.
+	Regions uint64
+	// LastError is the latest error response of a worker, for a caller that passes it on. It is
 	// nil if there was none or if its body exceeded the size limit.
-	Last *Answer
-	// Ran reports that an ended execution may have run on its worker.
-	Ran bool
+	LastError *Answer
+	// MayHaveRun reports that an ended execution may have run on its worker.
+	MayHaveRun bool
 
 	id             uint32
 	deadline       float64
-	tally          Tally // of its class, nil if the class is not counted
+	tally          ClassMetrics // of its class, nil if the class is not counted
 	executions     []*Execution
 	openExecutions int // number of executions whose outcome the decision module does not have yet
 	closed         bool
@@ -87,10 +87,10 @@
 
 // Execution is one attempt of a request on a worker.
 type Execution struct {
-	Request *Request
-	Worker  policy.Server
-	Timeout float64 // milliseconds
-	Slot    any     // reserved for the Fleet
+	Request       *Request
+	Worker        policy.Server
+	Timeout       float64 // milliseconds
+	TransportData any     // reserved for the Fleet
 
 	attempt int     // index of the attempt, from 0
 	started float64 // clock time in milliseconds
@@ -100,40 +100,40 @@
 	bodyPending bool // it was started before the request's last byte had arrived
 }
 
-// End is how a request ended for its client.
-type End int
+// RequestResult is how a request ended for its client.
+type RequestResult int
 
 // The possible values of End.
 const (
-	Completed End = iota // a worker's answer was passed on
-	Rejected             // refused without having run
-	Failed               // failed, possibly after having run
+	Completed RequestResult = iota // a worker's answer was passed on
+	Rejected                       // refused without having run
+	Failed                         // failed, possibly after having run
 )
 
-// Tally counts how the requests of one class ended.
-type Tally interface{ Ended(end End) }
+// ClassMetrics counts how the requests of one class ended.
+type ClassMetrics interface{ RequestEnded(end RequestResult) }
 
-// Meter counts requests and execution attempts.
-type Meter interface {
+// Metrics counts requests and execution attempts.
+type Metrics interface {
 	// Class returns the tally of a class, or nil if the class is not counted.
-	Class(class int) Tally
-	// Wrote counts an attempt that was completely written to a worker.
-	Wrote()
+	Class(class int) ClassMetrics
+	// AttemptSent counts an attempt that was completely written to a worker.
+	AttemptSent()
 }
 
 // Outcome is how an execution ended.
 type Outcome struct {
 	Status policy.Status
-	Answer Answer    // the worker's answer; an error with a status code is kept as Request.Last
+	Answer Answer    // the worker's answer; an error with a status code is kept as Request.LastError
 	Units  float64   // actual cost in units, 0 if the worker did not report it
 	Load   []float32 // load report, in the order of the settings' report fields
 }
 
-// Count is one call to the shared counter, which adds Amount to the counter Name.
-type Count struct {
+// CounterCall is one call to the shared counter, which adds Amount to the counter Name.
+type CounterCall struct {
 	Name   uint64
 	Amount float64
-	Life   float64 // time to live of a counter that the call creates, in milliseconds
+	TTL    float64 // time to live of a counter that the call creates, in milliseconds
 
 	started float64 // clock time in milliseconds
 	ended   bool
@@ -146,21 +146,21 @@
 type Gatekeeper struct {
 	clock         *Clock
 	module        Module
-	fleet         Fleet
-	counter       Counter
+	fleet         WorkerTransport
+	counter       CounterClient
 	requestWakeUp func(at float64)
 
 	requests        map[uint32]*Request
 	openNames       map[string]bool // names of the open requests that have one
 	lastID          uint32
-	pendingCalls    map[uint64][]*Count // calls not yet reported to the module, by counter name, in the order of their start
+	pendingCalls    map[uint64][]*CounterCall // calls not yet reported to the module, by counter name, in the order of their start
 	timers          timers
 	wakeUpAt        float64 // time of the latest wake-up that was requested, 0 for none
 	counterTimeout  float64 // timeout of counter calls in milliseconds
 	classes         []policy.Class
 	recorder        Recorder
-	meter           Meter
-	reportDraw      func(policy.Draw)      // reports quota draws to another process of this gatekeeper; nil if there is none
+	meter           Metrics
+	reportDraw      func(policy.PeerDraw)  // reports quota draws to another process of this gatekeeper; nil if there is none
 	drawnInSnapshot map[uint32]bool        // requests whose draws the other process knows from the handover snapshot
 	deciding        bool                   // an event is being passed to the module
 	queuedEvents    []func()               // events that arrived during a decision
@@ -171,45 +171,45 @@
 
 // Config holds the settings and collaborators of a Gatekeeper.
 type Config struct {
-	Settings policy.Settings
-	Seed     uint64
-	Clock    *Clock
-	Fleet    Fleet
-	Counter  Counter
-	Wake     func(at float64) // requests a call of Advance at a clock time in milliseconds
+	Settings      policy.Settings
+	Seed          uint64
+	Clock         *Clock
+	Workers       WorkerTransport
+	Counter       CounterClient
+	RequestWakeUp func(at float64) // requests a call of Advance at a clock time in milliseconds
 	// Recorder, if set, receives all calls into and out of the decision module.
 	Recorder Recorder
 	// Meter, if set, counts requests and attempts.
-	Meter Meter
+	Metrics Metrics
 	// Earlier, if set, is the last known state of the previous process of this gatekeeper.
-	Earlier *Earlier
+	Previous *PreviousProcess
 }
 
-// Earlier is the last known state of the previous process of a gatekeeper.
-type Earlier struct {
-	State policy.Snapshot
-	Exact bool // State is complete: nothing that the process decided is missing
-	Still bool // the process keeps running in parallel until it is told to stop
+// PreviousProcess is the last known state of the previous process of a gatekeeper.
+type PreviousProcess struct {
+	State        policy.Snapshot
+	Complete     bool // State is complete: nothing that the process decided is missing
+	StillRunning bool // the process keeps running in parallel until it is told to stop
 }
 
 // New creates a gatekeeper and starts its decision module.
 func New(c Config) *Gatekeeper {
 	g := &Gatekeeper{
-		clock: c.Clock, module: newModule(c), fleet: c.Fleet, counter: c.Counter, requestWakeUp: c.Wake,
-		requests: map[uint32]*Request{}, openNames: map[string]bool{}, workers: map[policy.Server]bool{}, pendingCalls: map[uint64][]*Count{},
-		counterTimeout: millis(c.Settings.CounterTimeout), classes: c.Settings.Classes, recorder: c.Recorder, meter: c.Meter,
-		slowStart: c.Settings.ColdSends != nil,
+		clock: c.Clock, module: newModule(c), fleet: c.Workers, counter: c.Counter, requestWakeUp: c.RequestWakeUp,
+		requests: map[uint32]*Request{}, openNames: map[string]bool{}, workers: map[policy.Server]bool{}, pendingCalls: map[uint64][]*CounterCall{},
+		counterTimeout: millis(c.Settings.CounterTimeout), classes: c.Settings.Classes, recorder: c.Recorder, meter: c.Metrics,
+		slowStart: c.Settings.MaxColdSends != nil,
 	}
 	if g.counterTimeout <= 0 {
 		g.counterTimeout = 50 // milliseconds, for settings without a timeout
 	}
 	g.dispatch(func(now policy.Micros) { g.module.Start(now, g) })
-	if e := c.Earlier; e != nil {
+	if e := c.Previous; e != nil {
 		g.dispatch(func(now policy.Micros) {
 			e.State.Now = min(e.State.Now, now) // the other process's clock may be slightly ahead
-			g.module.Recover(now, g, e.State, e.Exact)
-			if e.Still {
-				g.module.Joined(e.State)
+			g.module.Recover(now, g, e.State, e.Complete)
+			if e.StillRunning {
+				g.module.InheritStart(e.State)
 			}
 		})
 	}
@@ -257,10 +257,10 @@
 	}
 }
 
-// Take accepts a request, whose caller will get one final answer. It returns false,
+// Submit accepts a request, whose caller will get one final answer. It returns false,
 // and does not accept the request, if an open request has the same name: workers would
 // mistake the two for one request that is sent twice.
-func (g *Gatekeeper) Take(r *Request) bool {
+func (g *Gatekeeper) Submit(r *Request) bool {
 	if r.Name != "" {
 		if g.openNames[r.Name] {
 			return false
@@ -270,7 +270,7 @@
 	if g.meter != nil {
 		r.tally = g.meter.Class(r.Class)
 	}
-	r.deadline = g.clock.Now() + r.Left
+	r.deadline = g.clock.Now() + r.TimeLeft
 	g.lastID++
 	for g.requests[g.lastID] != nil {
 		g.lastID++
@@ -278,7 +278,7 @@
 	r.id = g.lastID
 	g.requests[r.id] = r
 	if g.recorder != nil && r.Name != "" {
-		g.recorder.Named(r.id, r.Name)
+		g.recorder.RequestNamed(r.id, r.Name)
 	}
 	g.dispatch(func(now policy.Micros) {
 		if r.closed { // the client disconnected while the event was queued
@@ -286,15 +286,15 @@
 		}
 		left := micros(r.deadline - g.clock.Now())
 		g.module.Request(now, g, policy.Request{
-			ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Left: left,
-			Units: r.Units, Spread: r.Spread, Again: r.Again, Filling: r.Filling, Homes: r.Homes,
+			ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer, TimeLeft: left,
+			Units: r.EstimatedUnits, GatewayCount: r.GatekeeperCount, IsRetry: r.IsRetry, BodyPending: r.BodyPending, Regions: r.Regions,
 		})
 	})
 	return true
 }
 
-// Gone reports that a request's client has disconnected. The request gets no answer.
-func (g *Gatekeeper) Gone(r *Request) {
+// ClientGone reports that a request's client has disconnected. The request gets no answer.
+func (g *Gatekeeper) ClientGone(r *Request) {
 	if r.closed {
 		return
 	}
@@ -302,8 +302,8 @@
 	g.dispatch(func(now policy.Micros) { g.module.ClientGone(now, g, r.id) })
 }
 
-// Open returns the number of requests without a final answer.
-func (g *Gatekeeper) Open() int {
+// OpenRequests returns the number of requests without a final answer.
+func (g *Gatekeeper) OpenRequests() int {
 	n := 0
 	for _, r := range g.requests {
 		if !r.closed {
@@ -313,17 +313,17 @@
 	return n
 }
 
-// Done reports the outcome of an execution. Further outcomes of it are ignored.
-func (g *Gatekeeper) Done(x *Execution, o Outcome) {
+// ExecutionEnded reports the outcome of an execution. Further outcomes of it are ignored.
+func (g *Gatekeeper) ExecutionEnded(x *Execution, o Outcome) {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	if o.Status != policy.ConnectFailed && o.Status != policy.Cancelled && o.Status != policy.Moot {
-		g.Wrote(x)
+	if o.Status != policy.ConnectFailed && o.Status != policy.Cancelled && o.Status != policy.NotSent {
+		g.ExecutionSent(x)
 	}
 	r := x.Request
-	r.Ran = r.Ran || o.Status != policy.Full && o.Status != policy.ConnectFailed && o.Status != policy.Moot
+	r.MayHaveRun = r.MayHaveRun || o.Status != policy.Full && o.Status != policy.ConnectFailed && o.Status != policy.NotSent
 	served := o.Status == policy.OK
 	if o.Status == policy.Failed && o.Answer.Status != 0 {
 		r.keepError(o.Answer)
@@ -332,26 +332,26 @@
 	if served && !r.closed {
 		g.reportSettlement(x, o)
 		g.complete(r, Completed)
-		r.Caller.Served(r, o.Answer)
+		r.Responder.Served(r, o.Answer)
 	}
 	g.reportOutcome(x, o, over)
 }
 
-// maxErrorBody is the longest body, in bytes, of an error response that Request.Last keeps.
+// maxErrorBody is the longest body, in bytes, of an error response that Request.LastError keeps.
 const maxErrorBody = 64 << 10
 
 // keepError stores a copy of an error response, which is valid only during the call.
 func (r *Request) keepError(a Answer) {
-	if r.Last = nil; len(a.Body) <= maxErrorBody {
-		r.Last = &Answer{Status: a.Status, Head: slices.Clone(a.Head), Body: slices.Clone(a.Body)}
+	if r.LastError = nil; len(a.Body) <= maxErrorBody {
+		r.LastError = &Answer{Status: a.Status, HeaderLines: slices.Clone(a.HeaderLines), Body: slices.Clone(a.Body)}
 	}
 }
 
-// Counted reports the result of a counter call. The result of a call that has timed out
+// CounterCallEnded reports the result of a counter call. The result of a call that has timed out
 // is ignored. Results are passed to the module in the order in which the calls of a
 // counter name were started, since it can't tell these calls apart: the result of a call
 // that fails immediately is held back until all earlier calls have ended.
-func (g *Gatekeeper) Counted(c *Count, status policy.Status, total float64) {
+func (g *Gatekeeper) CounterCallEnded(c *CounterCall, status policy.Status, total float64) {
 	if c.ended {
 		return
 	}
@@ -362,15 +362,15 @@
 			delete(g.pendingCalls, c.Name)
 		}
 		g.dispatch(func(now policy.Micros) {
-			g.module.Counted(now, g, first.Name, first.latency, first.status, first.total)
+			g.module.CounterResult(now, g, first.Name, first.latency, first.status, first.total)
 		})
 	}
 }
 
-// Workers updates the worker list, with a full list or with changes to it.
-func (g *Gatekeeper) Workers(kind policy.ListKind, entries []policy.Entry) {
+// UpdateWorkers updates the worker list, with a full list or with changes to it.
+func (g *Gatekeeper) UpdateWorkers(kind policy.ListKind, entries []policy.Entry) {
 	before := maps.Clone(g.workers)
-	if kind != policy.Delta {
+	if kind != policy.ListDelta {
 		g.workers = map[policy.Server]bool{}
 	}
 	for _, e := range entries {
@@ -411,67 +411,67 @@
 	return g.classes[class]
 }
 
-// Hand makes a snapshot for another process of this gatekeeper that will run in
+// StartHandover makes a snapshot for another process of this gatekeeper that will run in
 // parallel with this one, and passes all further quota draws to report.
-func (g *Gatekeeper) Hand(report func(policy.Draw)) policy.Snapshot {
+func (g *Gatekeeper) StartHandover(report func(policy.PeerDraw)) policy.Snapshot {
 	s := g.module.Snapshot()
 	g.drawnInSnapshot = map[uint32]bool{}
-	for _, id := range s.Handed() {
+	for _, id := range s.PrepareHandover() {
 		g.drawnInSnapshot[id] = true
 	}
 	g.reportDraw = report
 	return s
 }
 
-// Tell passes all further quota draws to report. If report is nil, it stops doing so.
-func (g *Gatekeeper) Tell(report func(policy.Draw)) {
+// ReportDraws passes all further quota draws to report. If report is nil, it stops doing so.
+func (g *Gatekeeper) ReportDraws(report func(policy.PeerDraw)) {
 	if g.reportDraw = report; report == nil {
 		g.drawnInSnapshot = nil
 	}
 }
 
-// Beside records a quota draw of another process of this gatekeeper.
-func (g *Gatekeeper) Beside(d policy.Draw) {
-	g.dispatch(func(now policy.Micros) { g.module.Beside(now, d) })
+// RecordPeerDraw records a quota draw of another process of this gatekeeper.
+func (g *Gatekeeper) RecordPeerDraw(d policy.PeerDraw) {
+	g.dispatch(func(now policy.Micros) { g.module.RecordPeerDraw(now, d) })
 }
 
 // reportExecutionDraw reports an execution that starts to the other process of this
 // gatekeeper. Only the first execution of a request draws units.
 func (g *Gatekeeper) reportExecutionDraw(r *Request, x *Execution) {
-	d := policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Server: x.Worker}
+	d := policy.PeerDraw{Customer: r.Customer, Plan: r.Plan, GatewayCount: r.GatekeeperCount, Server: x.Worker}
 	if x.attempt == 0 && !g.drawnInSnapshot[r.id] {
-		d.Units = r.Units
+		d.Units = r.EstimatedUnits
 	}
 	g.reportDraw(d)
 }
 
 // Standings returns the decision module's view of each worker, and how many
 // executions it allows at the same time.
-func (g *Gatekeeper) Standings() ([]policy.Standing, float64) {
-	return g.module.Standings(micros(g.clock.Now()))
+func (g *Gatekeeper) Standings() ([]policy.ServerStatus, float64) {
+	return g.module.ServerStatuses(micros(g.clock.Now()))
 }
 
 // Sightings returns what the decision module has observed of workers since the last call.
-func (g *Gatekeeper) Sightings() []policy.Sighting {
-	return g.module.Sightings(micros(g.clock.Now()))
+func (g *Gatekeeper) Sightings() []policy.Observation {
+	return g.module.TakeObservations(micros(g.clock.Now()))
 }
 
 // Believe passes the decision module what the zone's gatekeepers assume about workers.
-func (g *Gatekeeper) Believe(beliefs map[policy.Server]policy.Belief) {
-	g.dispatch(func(now policy.Micros) { g.module.Believe(now, g, beliefs) })
+func (g *Gatekeeper) Believe(beliefs map[policy.Server]policy.Verdict) {
+	g.dispatch(func(now policy.Micros) { g.module.SetVerdicts(now, g, beliefs) })
 }
 
 // Ready reports whether at least one worker is ready.
 func (g *Gatekeeper) Ready() bool {
-	ready, _ := g.Size()
+	ready, _ := g.WorkerCounts()
 	return ready > 0
 }
 
 // Load returns the decision module's current amount of work.
 func (g *Gatekeeper) Load() policy.Load { return g.module.Load() }
 
-// Size returns how many workers are ready and how many are listed.
-func (g *Gatekeeper) Size() (ready, listed int) {
+// WorkerCounts returns how many workers are ready and how many are listed.
+func (g *Gatekeeper) WorkerCounts() (ready, listed int) {
 	for _, r := range g.workers {
 		if r {
 			ready++
@@ -480,8 +480,8 @@
 	return ready, len(g.workers)
 }
 
-// Advance processes all timers that are due.
-func (g *Gatekeeper) Advance() {
+// RunDueTimers processes all timers that are due.
+func (g *Gatekeeper) RunDueTimers() {
 	g.wakeUpAt = 0
 	now := g.clock.Now()
 	for {
@@ -493,7 +493,7 @@
 		case t.execution != nil:
 			g.expire(t.execution)
 		case t.counterCall != nil:
-			g.Counted(t.counterCall, policy.Timeout, 0)
+			g.CounterCallEnded(t.counterCall, policy.Timeout, 0)
 		default:
 			g.dispatch(func(now policy.Micros) { g.module.Timer(now, g, t.token) })
 		}
@@ -511,12 +511,12 @@
 	if g.fleet.Abandon(x) {
 		status = policy.Timeout
 	}
-	g.Done(x, Outcome{Status: status})
+	g.ExecutionEnded(x, Outcome{Status: status})
 }
 
-// Wrote reports that the last byte of an execution has been written to its worker.
+// ExecutionSent reports that the last byte of an execution has been written to its worker.
 // Transports that can't observe this need not call it, since an outcome implies it.
-func (g *Gatekeeper) Wrote(x *Execution) {
+func (g *Gatekeeper) ExecutionSent(x *Execution) {
 	if x.written {
 		return
 	}
@@ -525,32 +525,32 @@
 		x.started = g.clock.Now()
 	}
 	if g.meter != nil {
-		g.meter.Wrote()
+		g.meter.AttemptSent()
 	}
 	if g.slowStart {
-		g.dispatch(func(now policy.Micros) { g.module.Left(now, x.Request.id, x.attempt) })
+		g.dispatch(func(now policy.Micros) { g.module.AttemptSent(now, x.Request.id, x.attempt) })
 	}
 }
 
-// MayLeave reports whether an execution that waited for a connection may still be
+// MaySend reports whether an execution that waited for a connection may still be
 // written to its worker.
-func (g *Gatekeeper) MayLeave(x *Execution) bool {
-	return !g.slowStart || g.module.MayLeave(micros(g.clock.Now()), x.Request.id, x.attempt)
+func (g *Gatekeeper) MaySend(x *Execution) bool {
+	return !g.slowStart || g.module.MaySend(micros(g.clock.Now()), x.Request.id, x.attempt)
 }
 
-// Filled reports that the last byte of a request has arrived, after the request was accepted.
-func (g *Gatekeeper) Filled(r *Request) {
-	if r.closed || !r.Filling {
+// BodyReceived reports that the last byte of a request has arrived, after the request was accepted.
+func (g *Gatekeeper) BodyReceived(r *Request) {
+	if r.closed || !r.BodyPending {
 		return
 	}
-	r.Filling = false
-	r.deadline = g.clock.Now() + r.Left
+	r.BodyPending = false
+	r.deadline = g.clock.Now() + r.TimeLeft
 	for _, x := range r.executions {
 		if !x.ended {
 			g.timers.push(timer{due: r.deadline, execution: x})
 		}
 	}
-	g.dispatch(func(now policy.Micros) { g.module.Filled(now, r.id) })
+	g.dispatch(func(now policy.Micros) { g.module.BodyReceived(now, r.id) })
 }
 
 // Progress reports that bytes of an execution were sent or received.
@@ -560,21 +560,21 @@
 	}
 }
 
-// Begun reports that a worker's answer, of which o holds the head, is being streamed to
+// ResponseStarted reports that a worker's answer, of which o holds the head, is being streamed to
 // the caller. From now on no other execution can serve the request, so the decision
 // module gets the outcome of this one as final. Finish must follow.
-func (g *Gatekeeper) Begun(x *Execution, o Outcome) {
+func (g *Gatekeeper) ResponseStarted(x *Execution, o Outcome) {
 	if x.ended || x.Request.closed {
 		return
 	}
 	g.reportSettlement(x, o)
 	x.ended = true
-	g.Wrote(x)
+	g.ExecutionSent(x)
 	g.reportOutcome(x, o, true)
 }
 
-// Finish ends a request whose answer was streamed, completely or not.
-func (g *Gatekeeper) Finish(r *Request, end End) {
+// ResponseEnded ends a request whose answer was streamed, completely or not.
+func (g *Gatekeeper) ResponseEnded(r *Request, end RequestResult) {
 	if !r.closed {
 		g.complete(r, end)
 	}
@@ -584,7 +584,7 @@
 // served request to the other process of this gatekeeper.
 func (g *Gatekeeper) reportSettlement(x *Execution, o Outcome) {
 	if r := x.Request; g.reportDraw != nil && o.Units > 0 {
-		g.reportDraw(policy.Draw{Customer: r.Customer, Plan: r.Plan, Spread: r.Spread, Units: o.Units - r.Units, Settles: true})
+		g.reportDraw(policy.PeerDraw{Customer: r.Customer, Plan: r.Plan, GatewayCount: r.GatekeeperCount, Units: o.Units - r.EstimatedUnits, Settlement: true})
 	}
 }
 
@@ -593,8 +593,8 @@
 	r, latency := x.Request, micros(g.clock.Now()-x.started)
 	g.dispatch(func(now policy.Micros) {
 		g.module.Outcome(now, g, policy.Outcome{
-			ID: r.id, Latency: latency, Terminal: over || r.closed, Spent: r.Spent, Status: o.Status, Settled: o.Units,
-			Attempt: x.attempt, Server: x.Worker, Load: o.Load,
+			ID: r.id, Latency: latency, Terminal: over || r.closed, BodyConsumed: r.NotReplayable, Status: o.Status, ActualUnits: o.Units,
+			Attempt: x.attempt, Server: x.Worker, LoadReport: o.Load,
 		})
 		r.openExecutions--
 		g.removeIfUnused(r)
@@ -603,9 +603,9 @@
 
 // complete counts how a request ended and closes it. Every request that gets a final answer
 // passes through here.
-func (g *Gatekeeper) complete(r *Request, end End) {
+func (g *Gatekeeper) complete(r *Request, end RequestResult) {
 	if r.tally != nil {
-		r.tally.Ended(end)
+		r.tally.RequestEnded(end)
 	}
 	g.closeRequest(r)
 }
@@ -637,7 +637,7 @@
 	}
 	r.executions = append(r.executions, x)
 	r.openExecutions++
-	if x.bodyPending = r.Filling; !x.bodyPending { // otherwise Filled sets the timer
+	if x.bodyPending = r.BodyPending; !x.bodyPending { // otherwise Filled sets the timer
 		g.timers.push(timer{due: x.started + x.Timeout, execution: x})
 	}
 	if g.reportDraw != nil {
@@ -650,7 +650,7 @@
 func (g *Gatekeeper) Refuse(id uint32, retryAfter policy.Micros) {
 	if r := g.requests[id]; r != nil && !r.closed {
 		g.complete(r, Rejected)
-		r.Caller.Throttled(r, millis(retryAfter))
+		r.Responder.Throttled(r, millis(retryAfter))
 	}
 }
 
@@ -658,7 +658,7 @@
 func (g *Gatekeeper) Fail(id uint32) {
 	if r := g.requests[id]; r != nil && !r.closed {
 		g.complete(r, Failed)
-		r.Caller.Failed(r)
+		r.Responder.Failed(r)
 	}
 }
 
@@ -670,9 +670,9 @@
 	}
 	x := r.executions[attempt]
 	if g.fleet.Abandon(x) {
-		g.Wrote(x)
+		g.ExecutionSent(x)
 	}
-	g.Done(x, Outcome{Status: policy.Cancelled})
+	g.ExecutionEnded(x, Outcome{Status: policy.Cancelled})
 }
 
 // Timer implements policy.Host. It sets a timer of the decision module.
@@ -682,11 +682,11 @@
 
 // Count implements policy.Host. It starts a call to the shared counter.
 func (g *Gatekeeper) Count(name uint64, amount float64, ttl policy.Micros) {
-	c := &Count{Name: name, Amount: amount, Life: millis(ttl), started: g.clock.Now()}
+	c := &CounterCall{Name: name, Amount: amount, TTL: millis(ttl), started: g.clock.Now()}
 	g.pendingCalls[name] = append(g.pendingCalls[name], c)
 	g.timers.push(timer{due: c.started + g.counterTimeout, counterCall: c})
 	g.counter.Add(c)
 }
 
-// Over reports whether the call has ended, by its result or by its timeout.
-func (c *Count) Over() bool { return c.ended }
+// IsOver reports whether the call has ended, by its result or by its timeout.
+func (c *CounterCall) IsOver() bool { return c.ended }
--- a/gatekeeper/gatekeeper_test.go
+++ b/gatekeeper/gatekeeper_test.go
@@ -14,7 +14,7 @@
 	*Gatekeeper
 	clock         *Clock
 	executions    []*Execution
-	calls         []*Count
+	calls         []*CounterCall
 	log           []string
 	abandonResult bool // the result of Abandon
 }
@@ -25,7 +25,7 @@
 	return r.abandonResult
 }
 func (r *harness) Release(id policy.Server)    { r.record("release %d", id) }
-func (r *harness) Add(c *Count)                { r.calls = append(r.calls, c) }
+func (r *harness) Add(c *CounterCall)          { r.calls = append(r.calls, c) }
 func (r *harness) record(f string, a ...any)   { r.log = append(r.log, fmt.Sprintf(f, a...)) }
 func (r *harness) Served(*Request, Answer)     { r.record("served") }
 func (r *harness) Throttled(*Request, float64) { r.record("throttled") }
@@ -33,10 +33,10 @@
 
 func newHarness(t *testing.T, change func(*policy.Settings)) *harness {
 	t.Helper()
-	s := policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true,
+	s := policy.Settings{GatewayCount: 1, ClockTick: 4000, MaxAttempts: 3, CanCancel: true, SendRetryAfter: true,
 		Classes: []policy.Class{
-			{Aim: 400e3, Deadline: 2e6, Worth: 1, Repeat: policy.Safe},
-			{Aim: 400e3, Deadline: 2e6, Worth: 1, Repeat: policy.Unsafe},
+			{LatencyTarget: 400e3, Deadline: 2e6, Value: 1, Repeat: policy.RepeatSafe},
+			{LatencyTarget: 400e3, Deadline: 2e6, Value: 1, Repeat: policy.RepeatUnsafe},
 		},
 		Plans: []policy.Plan{{Rate: 100, Burst: 100, Price: 1}}}
 	if change != nil {
@@ -44,18 +44,18 @@
 	}
 	r := &harness{clock: NewClock(), abandonResult: true}
 	r.clock.Set(1e6)
-	r.Gatekeeper = New(Config{Settings: s, Seed: 1, Clock: r.clock, Fleet: r, Counter: r, Wake: func(float64) {}})
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	r.Gatekeeper = New(Config{Settings: s, Seed: 1, Clock: r.clock, Workers: r, Counter: r, RequestWakeUp: func(float64) {}})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	return r
 }
 
 func (r *harness) submit(class int) *Request {
-	q := &Request{Class: class, Left: 1000, Units: 1, Spread: 1, Caller: r}
-	r.Take(q)
+	q := &Request{Class: class, TimeLeft: 1000, EstimatedUnits: 1, GatekeeperCount: 1, Responder: r}
+	r.Submit(q)
 	return q
 }
 
-func (r *harness) advance(ms float64) { r.clock.Set(r.clock.Now() + ms); r.Advance() }
+func (r *harness) advance(ms float64) { r.clock.Set(r.clock.Now() + ms); r.RunDueTimers() }
 
 func (r *harness) expect(t *testing.T, want ...string) {
 	t.Helper()
@@ -71,29 +71,29 @@
 		want  []string
 	}{
 		"duplicate answer": {0, func(r *harness, _ *Request) {
-			r.Done(r.executions[0], Outcome{Status: policy.OK})
-			r.Done(r.executions[0], Outcome{Status: policy.OK})
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.OK})
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.OK})
 		}, []string{"served"}},
 		"answer after the timeout": {1, func(r *harness, _ *Request) {
 			r.advance(1001)
-			r.Done(r.executions[0], Outcome{Status: policy.OK})
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.OK})
 		}, []string{"abandon 0", "failed"}},
 		"error of a request that must not be repeated": {1, func(r *harness, _ *Request) {
-			r.Done(r.executions[0], Outcome{Status: policy.Failed})
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.Failed})
 		}, []string{"failed"}},
 		"refused by one worker, served by another": {1, func(r *harness, _ *Request) {
-			r.Done(r.executions[0], Outcome{Status: policy.Full})
-			r.Done(r.executions[1], Outcome{Status: policy.OK})
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.Full})
+			r.ExecutionEnded(r.executions[1], Outcome{Status: policy.OK})
 		}, []string{"served"}},
 		"client disconnects": {0, func(r *harness, q *Request) {
-			r.Gone(q)
-			r.Gone(q)
-			r.Done(r.executions[0], Outcome{Status: policy.OK})
+			r.ClientGone(q)
+			r.ClientGone(q)
+			r.ExecutionEnded(r.executions[0], Outcome{Status: policy.OK})
 			r.advance(2000)
 		}, []string{"abandon 0"}},
 		"errors of all three attempts": {0, func(r *harness, _ *Request) {
 			for i := range 3 {
-				r.Done(r.executions[i], Outcome{Status: policy.Failed})
+				r.ExecutionEnded(r.executions[i], Outcome{Status: policy.Failed})
 			}
 		}, []string{"throttled"}},
 	} {
@@ -101,8 +101,8 @@
 			r := newHarness(t, nil)
 			c.act(r, r.submit(c.class))
 			r.expect(t, c.want...)
-			if r.Open() != 0 || len(r.requests) != 0 {
-				t.Fatalf("%d requests left in the table, %d open; want none", len(r.requests), r.Open())
+			if r.OpenRequests() != 0 || len(r.requests) != 0 {
+				t.Fatalf("%d requests left in the table, %d open; want none", len(r.requests), r.OpenRequests())
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 	if len(r.executions) != 1 {
 		t.Fatalf("%d executions while the first is open, want 1", len(r.executions))
 	}
-	r.Done(r.executions[0], Outcome{Status: policy.Reset})
+	r.ExecutionEnded(r.executions[0], Outcome{Status: policy.Reset})
 	if len(r.executions) != 2 {
 		t.Fatalf("%d executions of a repeatable request after a connection reset, want 2", len(r.executions))
 	}
@@ -156,26 +156,26 @@
 
 func (e *fullFleet) Execute(x *Execution) {
 	e.attempts++
-	e.Done(x, Outcome{Status: policy.Full})
+	e.ExecutionEnded(x, Outcome{Status: policy.Full})
 }
 
 // TestLateCounterResultIsIgnored checks that the decision module does not get the result
 // of a counter call whose timeout it was told of before.
 func TestLateCounterResultIsIgnored(t *testing.T) {
 	r := newHarness(t, func(s *policy.Settings) {
-		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
-		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
+		s.HasCounter, s.CounterTimeout, s.MaxUnits = true, 50e3, 6
+		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverrunCost: 1}
 	})
 	r.submit(0)
 	if len(r.calls) != 1 {
 		t.Fatalf("%d counter calls for a plan with too low a rate to decide locally, want 1", len(r.calls))
 	}
 	r.advance(51)
-	if !r.calls[0].Over() {
+	if !r.calls[0].IsOver() {
 		t.Fatal("the call has not timed out after 51 ms, with a timeout of 50 ms")
 	}
 	before := len(r.log)
-	r.Counted(r.calls[0], policy.OK, 1)
+	r.CounterCallEnded(r.calls[0], policy.OK, 1)
 	if len(r.log) != before {
 		t.Fatalf("the late result caused calls: %q", r.log[before:])
 	}
@@ -186,8 +186,8 @@
 func TestNoWakeUpForEndedExecutions(t *testing.T) {
 	r := newHarness(t, nil)
 	var woken []float64
-	r.Take(&Request{Left: 998.5, Units: 1, Spread: 1, Caller: r}) // a deadline that is not at a tick of 4 ms
-	r.Done(r.executions[0], Outcome{Status: policy.OK})
+	r.Submit(&Request{TimeLeft: 998.5, EstimatedUnits: 1, GatekeeperCount: 1, Responder: r}) // a deadline that is not at a tick of 4 ms
+	r.ExecutionEnded(r.executions[0], Outcome{Status: policy.OK})
 	r.requestWakeUp = func(at float64) { woken = append(woken, at) }
 	for len(r.timers.heap) > 0 && r.clock.Now() < 1e6+3000 {
 		r.advance(r.timers.heap[0].due - r.clock.Now())
@@ -201,12 +201,12 @@
 
 func TestRemovedWorkerIsReleased(t *testing.T) {
 	r := newHarness(t, nil)
-	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}})
+	r.UpdateWorkers(policy.ListDelta, []policy.Entry{{Server: 1, State: policy.Draining}})
 	r.expect(t, "release 1")
 	if !r.Ready() {
 		t.Fatal("not ready with one ready worker")
 	}
-	r.Workers(policy.Delta, []policy.Entry{{Server: 2, State: policy.Gone}})
+	r.UpdateWorkers(policy.ListDelta, []policy.Entry{{Server: 2, State: policy.Gone}})
 	r.expect(t, "release 1", "release 2")
 	if r.Ready() {
 		t.Fatal("ready without workers")
@@ -251,41 +251,41 @@
 // answered then failed to connect to the new one, and ended before the call ahead of it.
 func TestCounterResultsOfANameKeepTheirOrder(t *testing.T) {
 	r := newHarness(t, func(s *policy.Settings) {
-		s.Counter, s.CounterTimeout, s.Largest = true, 50e3, 6
-		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverCost: 1}
+		s.HasCounter, s.CounterTimeout, s.MaxUnits = true, 50e3, 6
+		s.Plans[0] = policy.Plan{Rate: 5, Burst: 5, Price: 1, OverrunCost: 1}
 	})
 	r.submit(0)
 	r.submit(0)
 	if len(r.calls) != 2 || r.calls[0].Name != r.calls[1].Name {
 		t.Fatalf("%d counter calls for two requests of one customer, want 2 of the same name", len(r.calls))
 	}
-	r.Counted(r.calls[1], policy.ConnectFailed, 0)
+	r.CounterCallEnded(r.calls[1], policy.ConnectFailed, 0)
 	if len(r.executions) != 0 {
 		t.Fatal("the result of the second call was used for the first")
 	}
-	r.Counted(r.calls[0], policy.OK, 0)
+	r.CounterCallEnded(r.calls[0], policy.OK, 0)
 	if len(r.executions) != 2 {
 		t.Fatalf("%d of 2 requests were sent to a worker", len(r.executions))
 	}
 }
 
-// TestLastErrorResponseIsKept checks that Request.Last holds a copy of a worker's error
+// TestLastErrorResponseIsKept checks that Request.LastError holds a copy of a worker's error
 // response, but neither a refusal nor a response above the size limit.
 func TestLastErrorResponseIsKept(t *testing.T) {
 	r := newHarness(t, nil)
 	q := r.submit(0)
 	body := []byte("broken")
-	r.Done(r.executions[0], Outcome{Status: policy.Full, Answer: Answer{Status: 503}})
-	if q.Last != nil {
+	r.ExecutionEnded(r.executions[0], Outcome{Status: policy.Full, Answer: Answer{Status: 503}})
+	if q.LastError != nil {
 		t.Fatal("a refusal was kept")
 	}
-	r.Done(r.executions[1], Outcome{Status: policy.Failed, Answer: Answer{Status: 500, Head: []byte("A: b\r\n"), Body: body}})
+	r.ExecutionEnded(r.executions[1], Outcome{Status: policy.Failed, Answer: Answer{Status: 500, HeaderLines: []byte("A: b\r\n"), Body: body}})
 	copy(body, "xxxxxx")
-	if q.Last == nil || q.Last.Status != 500 || string(q.Last.Head) != "A: b\r\n" || string(q.Last.Body) != "broken" {
-		t.Fatalf("kept %v, want the error response with status 500", q.Last)
+	if q.LastError == nil || q.LastError.Status != 500 || string(q.LastError.HeaderLines) != "A: b\r\n" || string(q.LastError.Body) != "broken" {
+		t.Fatalf("kept %v, want the error response with status 500", q.LastError)
 	}
 	q.keepError(Answer{Status: 500, Body: make([]byte, maxErrorBody+1)})
-	if q.Last != nil {
+	if q.LastError != nil {
 		t.Fatalf("a body of %d bytes was kept", maxErrorBody+1)
 	}
 }
@@ -294,7 +294,7 @@
 // of a request: one whose only allowed region has no worker waits and is then refused.
 func TestRequestIsNotSentOutsideItsRegions(t *testing.T) {
 	r := newHarness(t, nil)
-	r.Take(&Request{Left: 1000, Units: 1, Spread: 1, Caller: r, Homes: 1 << 4})
+	r.Submit(&Request{TimeLeft: 1000, EstimatedUnits: 1, GatekeeperCount: 1, Responder: r, Regions: 1 << 4})
 	r.advance(1000)
 	if len(r.executions) != 0 {
 		t.Fatal("the request was sent to a worker of another region")
--- a/gatekeeper/membership.go
+++ b/gatekeeper/membership.go
@@ -2,21 +2,21 @@
 
 import "foxwood/policy"
 
-// Among informs the decision module how many gatekeepers there are, and which index
+// SetMembership informs the decision module how many gatekeepers there are, and which index
 // this one has among them.
-func (g *Gatekeeper) Among(self, gatekeepers int) {
+func (g *Gatekeeper) SetMembership(self, gatekeepers int) {
 	if m, ok := g.module.(interface {
-		Among(now policy.Micros, host policy.Host, self, gateways int)
+		SetGateways(now policy.Micros, host policy.Host, self, gateways int)
 	}); ok {
-		g.dispatch(func(now policy.Micros) { m.Among(now, g, self, gatekeepers) })
+		g.dispatch(func(now policy.Micros) { m.SetGateways(now, g, self, gatekeepers) })
 	}
 }
 
-// Stand informs the decision module of this gatekeeper's rank among those of its zone.
-func (g *Gatekeeper) Stand(ring policy.Ring) {
+// SetZoneRank informs the decision module of this gatekeeper's rank among those of its zone.
+func (g *Gatekeeper) SetZoneRank(ring policy.RingPlace) {
 	if m, ok := g.module.(interface {
-		Stand(now policy.Micros, host policy.Host, ring policy.Ring)
+		SetRingPlace(now policy.Micros, host policy.Host, ring policy.RingPlace)
 	}); ok {
-		g.dispatch(func(now policy.Micros) { m.Stand(now, g, ring) })
+		g.dispatch(func(now policy.Micros) { m.SetRingPlace(now, g, ring) })
 	}
 }
--- a/gatekeeper/memory_growth_test.go
+++ b/gatekeeper/memory_growth_test.go
@@ -13,21 +13,21 @@
 // not be larger than after one.
 func TestMemoryIsBoundedForOneTimeCustomersAndWorkers(t *testing.T) {
 	r := newHarness(t, func(s *policy.Settings) {
-		s.Gateways, s.Counter, s.CounterTimeout, s.Largest, s.Settles = 80, true, 50e3, 6, true
-		s.Plans = []policy.Plan{{Rate: 2, Burst: 12, Price: 1, OverCost: 1}}
-		s.ColdShare, s.ColdFor, s.FallMultiple, s.FallWindow = 0.2, 10e6, 3, 1500e3
+		s.GatewayCount, s.HasCounter, s.CounterTimeout, s.MaxUnits, s.SettlesUnits = 80, true, 50e3, 6, true
+		s.Plans = []policy.Plan{{Rate: 2, Burst: 12, Price: 1, OverrunCost: 1}}
+		s.ColdCapacity, s.ColdDuration, s.OverloadMultiple, s.OverloadWindow = 0.2, 10e6, 3, 1500e3
 	})
 	totals := map[uint64]float64{}
 	customer, worker := uint64(0), policy.Server(2)
 	tableSizes := func() map[string]int {
 		s := r.module.Snapshot()
 		return map[string]int{"requests": len(r.requests), "names": len(r.openNames), "timers": len(r.timers.heap), "counts": len(r.pendingCalls),
-			"workers": len(r.workers), "customers": len(s.Clients), "servers": len(s.Servers), "draws": len(s.Draws)}
+			"workers": len(r.workers), "customers": len(s.Customers), "servers": len(s.Servers), "draws": len(s.PendingCalls)}
 	}
 	runHour := func() {
 		for halfSecond := range 7200 {
 			customer++
-			r.Take(&Request{Customer: customer, Left: 1000, Units: 2, Spread: 60, Caller: r, Name: strconv.FormatUint(customer, 16)})
+			r.Submit(&Request{Customer: customer, TimeLeft: 1000, EstimatedUnits: 2, GatekeeperCount: 60, Responder: r, Name: strconv.FormatUint(customer, 16)})
 			for ms := 0; ms < 500; ms += 50 {
 				r.advance(50)
 				for len(r.calls) > 0 {
@@ -37,17 +37,17 @@
 					if halfSecond%5 == 0 { // some counter calls get no answer
 						continue
 					}
-					r.Counted(c, policy.OK, totals[c.Name])
+					r.CounterCallEnded(c, policy.OK, totals[c.Name])
 				}
 				for _, x := range r.executions {
-					r.Done(x, Outcome{Status: policy.OK, Units: 3})
+					r.ExecutionEnded(x, Outcome{Status: policy.OK, Units: 3})
 				}
 				r.executions, r.log = r.executions[:0], r.log[:0]
 			}
 			if halfSecond%120 == 0 {
 				old := worker - 1
 				worker++
-				r.Workers(policy.Delta, []policy.Entry{{Server: worker, State: policy.Ready, ReadyAt: micros(r.clock.Now())},
+				r.UpdateWorkers(policy.ListDelta, []policy.Entry{{Server: worker, State: policy.Ready, ReadyAt: micros(r.clock.Now())},
 					{Server: old, State: policy.Gone}})
 			}
 		}
--- a/gatekeeper/recorder.go
+++ b/gatekeeper/recorder.go
@@ -8,41 +8,41 @@
 // must not block.
 type Recorder interface {
 	policy.Host
-	// Began records the module's start, with its settings and the seed of its random numbers.
-	Began(now policy.Micros, s policy.Settings, seed uint64)
-	// Named records the front end's name for a request, just before Requested. The module
+	// Started records the module's start, with its settings and the seed of its random numbers.
+	Started(now policy.Micros, s policy.Settings, seed uint64)
+	// RequestNamed records the front end's name for a request, just before Requested. The module
 	// itself does not get the name.
-	Named(id uint32, name string)
-	// Requested records a new request.
-	Requested(now policy.Micros, r policy.Request)
-	// Gone records that a request's client has disconnected.
-	Gone(now policy.Micros, id uint32)
-	// Ended records the outcome of an execution.
-	Ended(now policy.Micros, o policy.Outcome)
-	// Counted records the result of a counter call.
-	Counted(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64)
-	// Listed records a worker list, or changes to it.
-	Listed(now policy.Micros, kind policy.ListKind, entries []policy.Entry)
-	// Classes records a table of classes that replaces the previous one.
-	Classes(now policy.Micros, classes []policy.Class)
-	// Filled records that the last byte of a request has arrived.
-	Filled(now policy.Micros, id uint32)
-	// Progressed records that bytes of an open execution were sent to or received from a worker.
-	Progressed(now policy.Micros, worker policy.Server)
-	// Joined records that another process of this gatekeeper runs in parallel, and when that
+	RequestNamed(id uint32, name string)
+	// RequestReceived records a new request.
+	RequestReceived(now policy.Micros, r policy.Request)
+	// ClientGone records that a request's client has disconnected.
+	ClientGone(now policy.Micros, id uint32)
+	// ExecutionEnded records the outcome of an execution.
+	ExecutionEnded(now policy.Micros, o policy.Outcome)
+	// CounterCallEnded records the result of a counter call.
+	CounterCallEnded(now policy.Micros, name uint64, delay policy.Micros, status policy.Status, total float64)
+	// WorkersUpdated records a worker list, or changes to it.
+	WorkersUpdated(now policy.Micros, kind policy.ListKind, entries []policy.Entry)
+	// ClassesReplaced records a table of classes that replaces the previous one.
+	ClassesReplaced(now policy.Micros, classes []policy.Class)
+	// BodyReceived records that the last byte of a request has arrived.
+	BodyReceived(now policy.Micros, id uint32)
+	// WorkerProgressed records that bytes of an open execution were sent to or received from a worker.
+	WorkerProgressed(now policy.Micros, worker policy.Server)
+	// PeerJoined records that another process of this gatekeeper runs in parallel, and when that
 	// process was started.
-	Joined(now, born policy.Micros)
-	// Beside records a quota draw of that process.
-	Beside(now policy.Micros, d policy.Draw)
-	// Rang records that a timer has expired.
-	Rang(now policy.Micros, token uint64)
-	// Recovered records that the module takes over the state of the previous process; exact
+	PeerJoined(now, born policy.Micros)
+	// PeerDrew records a quota draw of that process.
+	PeerDrew(now policy.Micros, d policy.PeerDraw)
+	// TimerExpired records that a timer has expired.
+	TimerExpired(now policy.Micros, token uint64)
+	// StateRecovered records that the module takes over the state of the previous process; exact
 	// means that the state is complete.
-	Recovered(now policy.Micros, state policy.Snapshot, exact bool)
-	// Checkpoint offers the module's complete state before each recorded call except Start,
+	StateRecovered(now policy.Micros, state policy.Snapshot, exact bool)
+	// OfferCheckpoint offers the module's complete state before each recorded call except Start,
 	// Recover and Joined. Calling take costs time on the event loop, so a Recorder should do
 	// so only at intervals.
-	Checkpoint(now policy.Micros, take func() policy.Snapshot)
+	OfferCheckpoint(now policy.Micros, take func() policy.Snapshot)
 }
 
 // Module is the decision module as the core calls it. It is implemented by *policy.Gateway.
@@ -51,24 +51,24 @@
 	Request(now policy.Micros, host policy.Host, r policy.Request)
 	ClientGone(now policy.Micros, host policy.Host, id uint32)
 	Outcome(now policy.Micros, host policy.Host, o policy.Outcome)
-	Counted(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64)
+	CounterResult(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64)
 	Servers(now policy.Micros, host policy.Host, kind policy.ListKind, entries []policy.Entry)
 	SetClasses(now policy.Micros, host policy.Host, classes []policy.Class)
 	Timer(now policy.Micros, host policy.Host, token uint64)
 	Recover(now policy.Micros, host policy.Host, state policy.Snapshot, exact bool)
-	Standings(now policy.Micros) ([]policy.Standing, float64)
+	ServerStatuses(now policy.Micros) ([]policy.ServerStatus, float64)
 	Snapshot() policy.Snapshot
-	Joined(state policy.Snapshot)
-	Beside(now policy.Micros, d policy.Draw)
-	Filled(now policy.Micros, id uint32)
+	InheritStart(state policy.Snapshot)
+	RecordPeerDraw(now policy.Micros, d policy.PeerDraw)
+	BodyReceived(now policy.Micros, id uint32)
 	Progress(now policy.Micros, worker policy.Server)
 	// The calls below are not recorded: they matter only to the system as a whole, and
 	// not to the replay of one module.
-	Left(now policy.Micros, id uint32, attempt int)
-	MayLeave(now policy.Micros, id uint32, attempt int) bool
+	AttemptSent(now policy.Micros, id uint32, attempt int)
+	MaySend(now policy.Micros, id uint32, attempt int) bool
 	Load() policy.Load
-	Sightings(now policy.Micros) []policy.Sighting
-	Believe(now policy.Micros, host policy.Host, beliefs map[policy.Server]policy.Belief)
+	TakeObservations(now policy.Micros) []policy.Observation
+	SetVerdicts(now policy.Micros, host policy.Host, beliefs map[policy.Server]policy.Verdict)
 }
 
 // recordedModule is a decision module that passes all calls of the module, and all calls
@@ -96,78 +96,78 @@
 }
 
 func (m *recordedModule) Start(now policy.Micros, host policy.Host) {
-	m.recorder.Began(now, m.settings, m.seed)
+	m.recorder.Started(now, m.settings, m.seed)
 	m.Gateway.Start(now, m.wrap(host))
 }
 
 func (m *recordedModule) Request(now policy.Micros, host policy.Host, r policy.Request) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Requested(now, r)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.RequestReceived(now, r)
 	m.Gateway.Request(now, m.wrap(host), r)
 }
 
 func (m *recordedModule) ClientGone(now policy.Micros, host policy.Host, id uint32) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Gone(now, id)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.ClientGone(now, id)
 	m.Gateway.ClientGone(now, m.wrap(host), id)
 }
 
 func (m *recordedModule) Outcome(now policy.Micros, host policy.Host, o policy.Outcome) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Ended(now, o)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.ExecutionEnded(now, o)
 	m.Gateway.Outcome(now, m.wrap(host), o)
 }
 
-func (m *recordedModule) Counted(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Counted(now, name, delay, status, total)
-	m.Gateway.Counted(now, m.wrap(host), name, delay, status, total)
+func (m *recordedModule) CounterResult(now policy.Micros, host policy.Host, name uint64, delay policy.Micros, status policy.Status, total float64) {
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.CounterCallEnded(now, name, delay, status, total)
+	m.Gateway.CounterResult(now, m.wrap(host), name, delay, status, total)
 }
 
 func (m *recordedModule) Servers(now policy.Micros, host policy.Host, kind policy.ListKind, entries []policy.Entry) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Listed(now, kind, entries)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.WorkersUpdated(now, kind, entries)
 	m.Gateway.Servers(now, m.wrap(host), kind, entries)
 }
 
 func (m *recordedModule) SetClasses(now policy.Micros, host policy.Host, classes []policy.Class) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Classes(now, classes)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.ClassesReplaced(now, classes)
 	m.Gateway.SetClasses(now, m.wrap(host), classes)
 }
 
 func (m *recordedModule) Timer(now policy.Micros, host policy.Host, token uint64) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Rang(now, token)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.TimerExpired(now, token)
 	m.Gateway.Timer(now, m.wrap(host), token)
 }
 
 func (m *recordedModule) Recover(now policy.Micros, host policy.Host, state policy.Snapshot, exact bool) {
-	m.recorder.Recovered(now, state, exact)
+	m.recorder.StateRecovered(now, state, exact)
 	m.Gateway.Recover(now, m.wrap(host), state, exact)
 }
 
-func (m *recordedModule) Filled(now policy.Micros, id uint32) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Filled(now, id)
-	m.Gateway.Filled(now, id)
+func (m *recordedModule) BodyReceived(now policy.Micros, id uint32) {
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.BodyReceived(now, id)
+	m.Gateway.BodyReceived(now, id)
 }
 
 func (m *recordedModule) Progress(now policy.Micros, worker policy.Server) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Progressed(now, worker)
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.WorkerProgressed(now, worker)
 	m.Gateway.Progress(now, worker)
 }
 
-func (m *recordedModule) Joined(state policy.Snapshot) {
-	m.recorder.Joined(state.Now, state.Born)
-	m.Gateway.Joined(state)
+func (m *recordedModule) InheritStart(state policy.Snapshot) {
+	m.recorder.PeerJoined(state.Now, state.StartedAt)
+	m.Gateway.InheritStart(state)
 }
 
-func (m *recordedModule) Beside(now policy.Micros, d policy.Draw) {
-	m.recorder.Checkpoint(now, m.snapshot)
-	m.recorder.Beside(now, d)
-	m.Gateway.Beside(now, d)
+func (m *recordedModule) RecordPeerDraw(now policy.Micros, d policy.PeerDraw) {
+	m.recorder.OfferCheckpoint(now, m.snapshot)
+	m.recorder.PeerDrew(now, d)
+	m.Gateway.RecordPeerDraw(now, d)
 }
 
 // recordingHost is a host that passes each call to a recorder before the actual host.
--- a/gatekeeper/timers.go
+++ b/gatekeeper/timers.go
@@ -6,7 +6,7 @@
 	due         float64 // clock time in milliseconds
 	sequence    uint64  // timers for the same time expire in the order in which they were set
 	execution   *Execution
-	counterCall *Count
+	counterCall *CounterCall
 	token       uint64 // the decision module's token, if execution and counterCall are nil
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// Descriptors is how many file descriptors the server uses at most: the listener, the
+	// MaxDescriptors is how many file descriptors the server uses at most: the listener, the
 	// connections, and one that was just accepted and displaces another.
-	Descriptors    = maxConnections + 2
+	MaxDescriptors = maxConnections + 2
 	maxConnections = 8
 
 	requestTimeout = 3 * time.Second // from the connection to the end of the response
 	maxHeaderBytes = 4 << 10
 )
 
-// Source is what the server reports. Its methods are called by any goroutine and must not block.
-type Source interface {
-	Serving() bool // whether clients are accepted
-	Lines() []byte // the statistics, one per line
+// StatusSource is what the server reports. Its methods are called by any goroutine and must not block.
+type StatusSource interface {
+	Serving() bool      // whether clients are accepted
+	StatsLines() []byte // the statistics, one per line
 }
 
-// Door is the server for operators.
-type Door struct {
+// Server is the server for operators.
+type Server struct {
 	listener net.Listener
 	server   http.Server
 
@@ -42,12 +42,12 @@
 }
 
 // Listen starts the server at an address.
-func Listen(addr string, source Source) (*Door, error) {
+func Listen(addr string, source StatusSource) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("control: admin server: %w", err)
 	}
-	door := &Door{listener: listener}
+	door := &Server{listener: listener}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, _ *http.Request) {
 		if source.Serving() {
@@ -57,7 +57,7 @@
 		}
 	})
 	mux.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
-		respond(w, http.StatusOK, source.Lines())
+		respond(w, http.StatusOK, source.StatsLines())
 	})
 	door.server = http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: log.New(io.Discard, "", 0), ConnState: door.trackConnection, DisableGeneralOptionsHandler: true}
@@ -81,7 +81,7 @@
 
 // trackConnection keeps the list of open connections. Beyond maxConnections it closes the
 // oldest, so that clients that connect and send nothing can't keep others out.
-func (d *Door) trackConnection(conn net.Conn, state http.ConnState) {
+func (d *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch state {
@@ -97,7 +97,7 @@
 }
 
 // Addr returns the address of the server.
-func (d *Door) Addr() string { return d.listener.Addr().String() }
+func (d *Server) Addr() string { return d.listener.Addr().String() }
 
 // Close stops the server and closes its connections.
-func (d *Door) Close() error { return d.server.Close() }
+func (d *Server) Close() error { return d.server.Close() }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -18,7 +18,7 @@
 func TestCodecMatchesProtobuf(t *testing.T) {
 	message := AppendItem(nil, 7, []byte("GET / HTTP/1.1\r\n\r\n"))
 	message = AppendItem(message, 300, nil)
-	message = AppendPing(AppendGiveUp(AppendGiveUp(message, 5), 6), 9)
+	message = AppendPing(AppendCancel(AppendCancel(message, 5), 6), 9)
 	var up batchpb.Up
 	if err := protodelim.UnmarshalFrom(bytes.NewReader(AppendMessage(nil, message)), &up); err != nil {
 		t.Fatal(err)
@@ -37,14 +37,14 @@
 			t.Fatal(err)
 		}
 	}
-	var got []Down
+	var got []WorkerMessage
 	var reader Reader
 	for _, b := range text.Bytes() { // one byte at a time
-		if err := reader.Feed([]byte{b}, func(d *Down) error {
+		if err := reader.Feed([]byte{b}, func(d *WorkerMessage) error {
 			c := *d
-			c.Done = append([]Done(nil), d.Done...)
-			for i := range c.Done {
-				c.Done[i].Answer = bytes.Clone(c.Done[i].Answer)
+			c.Results = append([]ItemResult(nil), d.Results...)
+			for i := range c.Results {
+				c.Results[i].Response = bytes.Clone(c.Results[i].Response)
 			}
 			got = append(got, c)
 			return nil
@@ -52,9 +52,9 @@
 			t.Fatal(err)
 		}
 	}
-	if diff := cmp.Diff([]Down{
-		{Done: []Done{{ID: 7, Answer: []byte("a")}, {ID: 300, NeverRan: true}}},
-		{Pong: 9, Leaving: true, Last: 300},
+	if diff := cmp.Diff([]WorkerMessage{
+		{Results: []ItemResult{{ID: 7, Response: []byte("a")}, {ID: 300, NeverRan: true}}},
+		{Pong: 9, GoingAway: true, LastAccepted: 300},
 	}, got); diff != "" || reader.Started() {
 		t.Errorf("message incomplete %v; messages (-want +got): %s", reader.Started(), diff)
 	}
@@ -65,7 +65,7 @@
 		text string
 		want error
 	}{
-		"length over the limit": {"\xff\xff\xff\x0f", ErrLong},
+		"length over the limit": {"\xff\xff\xff\x0f", ErrMessageTooLong},
 		"unterminated length":   {strings.Repeat("\xff", 11), ErrMalformed},
 		"truncated field":       {"\x02\x0a\x05", ErrMalformed},
 		"field number 0":        {"\x01\x00", ErrMalformed},
@@ -75,7 +75,7 @@
 		"empty message":         {"\x00", nil},
 	} {
 		var r Reader
-		if err := r.Feed([]byte(tc.text), func(*Down) error { return nil }); !errors.Is(err, tc.want) {
+		if err := r.Feed([]byte(tc.text), func(*WorkerMessage) error { return nil }); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", name, err, tc.want)
 		}
 	}
@@ -94,9 +94,9 @@
 			var reader Reader
 			for rest := b; len(rest) > 0 && err == nil; {
 				size := min(piece, len(rest))
-				err = reader.Feed(rest[:size], func(d *Down) error { count += 1 + len(d.Done); return nil })
+				err = reader.Feed(rest[:size], func(d *WorkerMessage) error { count += 1 + len(d.Results); return nil })
 				rest = rest[size:]
-				if len(reader.buffered) > MessageMost+16 {
+				if len(reader.buffered) > MaxMessageBytes+16 {
 					t.Fatalf("buffered %d bytes", len(reader.buffered))
 				}
 			}
--- a/internal/batch/codec.go
+++ b/internal/batch/codec.go
@@ -14,7 +14,7 @@
 const ContentType = "application/vnd.foxwood.batch"
 
 // MaxMessageBytes is the size limit of a message. A longer message ends the connection.
-const MessageMost = 2 << 20
+const MaxMessageBytes = 2 << 20
 
 // Field numbers from batchpb/batch.proto.
 const (
@@ -36,7 +36,7 @@
 }
 
 // AppendCancel appends the id of an item to cancel, as a field of an Up message.
-func AppendGiveUp(b []byte, id uint64) []byte {
+func AppendCancel(b []byte, id uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, upGiveUp, protowire.VarintType), id)
 }
 
@@ -49,30 +49,30 @@
 func AppendMessage(b, message []byte) []byte { return protowire.AppendBytes(b, message) }
 
 // ItemResult is the result of one item.
-type Done struct {
+type ItemResult struct {
 	ID       uint64
-	Answer   []byte // a complete HTTP/1.1 response; valid until the next Feed
+	Response []byte // a complete HTTP/1.1 response; valid until the next Feed
 	NeverRan bool
 }
 
 // WorkerMessage is a message from a worker.
-type Down struct {
-	Done    []Done
-	Pong    uint64
-	Leaving bool
-	Last    uint64
+type WorkerMessage struct {
+	Results      []ItemResult
+	Pong         uint64
+	GoingAway    bool
+	LastAccepted uint64
 }
 
 // Reader parses the messages of a worker from input in arbitrary pieces.
 type Reader struct {
 	buffered []byte
-	message  Down
+	message  WorkerMessage
 }
 
 // Errors of a Reader. After one of them, the start of the next message is unknown.
 var (
-	ErrLong      = errors.New("batch: message too long")
-	ErrMalformed = errors.New("batch: malformed message")
+	ErrMessageTooLong = errors.New("batch: message too long")
+	ErrMalformed      = errors.New("batch: malformed message")
 )
 
 // Started reports whether part of a message has arrived.
@@ -80,7 +80,7 @@
 
 // Feed parses input and calls handle for each message that is complete. The message is valid
 // during the call. Feed returns the first error of handle.
-func (r *Reader) Feed(b []byte, handle func(*Down) error) error {
+func (r *Reader) Feed(b []byte, handle func(*WorkerMessage) error) error {
 	if len(r.buffered) > 0 {
 		r.buffered = append(r.buffered, b...)
 		b = r.buffered
@@ -93,8 +93,8 @@
 			}
 			break
 		}
-		if size > MessageMost {
-			return fmt.Errorf("%w: %d bytes, limit %d", ErrLong, size, MessageMost)
+		if size > MaxMessageBytes {
+			return fmt.Errorf("%w: %d bytes, limit %d", ErrMessageTooLong, size, MaxMessageBytes)
 		}
 		if uint64(len(b)-n) < size {
 			break
@@ -117,18 +117,18 @@
 const maxKeptBufferBytes = 64 << 10 // capacity of the buffer that is kept between messages
 
 // read parses a message and replaces the contents of d. Unknown fields are ignored.
-func (d *Down) read(b []byte) error {
-	*d = Down{Done: d.Done[:0]}
+func (d *WorkerMessage) read(b []byte) error {
+	*d = WorkerMessage{Results: d.Results[:0]}
 	return eachField(b, func(num protowire.Number, varint uint64, content []byte) error {
 		switch num {
 		case downDone:
-			var result Done
+			var result ItemResult
 			err := eachField(content, func(num protowire.Number, varint uint64, content []byte) error {
 				switch num {
 				case doneID:
 					result.ID = varint
 				case doneAnswer:
-					result.Answer = content
+					result.Response = content
 				case doneNeverRan:
 					result.NeverRan = varint != 0
 				}
@@ -137,13 +137,13 @@
 			if err != nil {
 				return err
 			}
-			d.Done = append(d.Done, result)
+			d.Results = append(d.Results, result)
 		case downPong:
 			d.Pong = varint
 		case downLeaving:
-			d.Leaving = varint != 0
+			d.GoingAway = varint != 0
 		case downLast:
-			d.Last = varint
+			d.LastAccepted = varint
 		}
 		return nil
 	})
--- a/internal/batch/server.go
+++ b/internal/batch/server.go
@@ -18,7 +18,7 @@
 // Handler serves the worker's side of the batch protocol with net/http. It passes each item to
 // ItemHandler as a request of its own, and sends the response as soon as it is complete.
 type Handler struct {
-	Items http.Handler
+	ItemHandler http.Handler
 }
 
 // ErrNeverRan is the value that an item handler panics with to state that the item has not run
@@ -53,7 +53,7 @@
 	_ = conn.controller.Flush()
 	ctx, cancel := context.WithCancel(r.Context())
 	in := bufio.NewReader(r.Body)
-	for conn.handleMessage(ctx, in, h.Items) == nil {
+	for conn.handleMessage(ctx, in, h.ItemHandler) == nil {
 	}
 	cancel()
 	conn.running.Wait()
@@ -62,7 +62,7 @@
 // handleMessage handles one message from the gatekeeper.
 func (l *serverConn) handleMessage(ctx context.Context, in *bufio.Reader, items http.Handler) error {
 	var message batchpb.Up
-	if err := (protodelim.UnmarshalOptions{MaxSize: MessageMost}).UnmarshalFrom(in, &message); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: MaxMessageBytes}).UnmarshalFrom(in, &message); err != nil {
 		return err
 	}
 	for _, id := range message.GetGiveUp() {
--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -15,52 +15,52 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "FOXWOOD_BOOT"
+// EnvVariable is the environment variable that holds the path of the settings file.
+const EnvVariable = "FOXWOOD_BOOT"
 
 // Settings are the settings of a process. Unknown fields of the file are ignored.
 type Settings struct {
-	Station       string            `toml:"station"` // name of the node
-	Role          string            `toml:"role"`
-	Grade         string            `toml:"grade"`
-	Carries       []string          `toml:"carries"`
-	IP            string            `toml:"ip"`
-	Zone          string            `toml:"zone"`
-	Region        string            `toml:"region"`
-	InnerDocks    []int             `toml:"innerDocks"`    // first and last of the ports for calls between processes
-	FirstStations []string          `toml:"firstStations"` // addresses of the seed nodes
-	FirstRun      bool              `toml:"firstRun"`      // the deployment starts for the first time
-	Counted       bool              `toml:"counted"`
-	ArchiveDir    string            `toml:"archiveDir"` // folder for stored state
-	ReportS       float64           `toml:"reportS"`
-	Clauses       []string          `toml:"clauses"`
-	TimeBounds    []string          `toml:"timeBounds"` // NAME=VALUE each, see Bounds
-	EditionMode   string            `toml:"editionMode"`
-	Metrics       string            `toml:"metrics"` // PORT/PATH at which to serve metrics; empty for none
-	Zones         map[string]string `toml:"zones"`   // region of each zone
-	Gates         Gates             `toml:"gates"`
-	SizeLimits    SizeLimits        `toml:"sizeLimits"`
-	Tolerance     Tolerance         `toml:"tolerance"`
-	CarrierAPI    CarrierAPI        `toml:"carrierApi"`
+	Node           string            `toml:"station"` // name of the node
+	Role           string            `toml:"role"`
+	Grade          string            `toml:"grade"`
+	Carries        []string          `toml:"carries"`
+	IP             string            `toml:"ip"`
+	Zone           string            `toml:"zone"`
+	Region         string            `toml:"region"`
+	InnerPorts     []int             `toml:"innerDocks"`    // first and last of the ports for calls between processes
+	SeedNodes      []string          `toml:"firstStations"` // addresses of the seed nodes
+	FirstRun       bool              `toml:"firstRun"`      // the deployment starts for the first time
+	Counted        bool              `toml:"counted"`
+	DataDir        string            `toml:"archiveDir"` // folder for stored state
+	ReportS        float64           `toml:"reportS"`
+	Clauses        []string          `toml:"clauses"`
+	TimeBounds     []string          `toml:"timeBounds"` // NAME=VALUE each, see Bounds
+	VersionMode    string            `toml:"editionMode"`
+	Metrics        string            `toml:"metrics"` // PORT/PATH at which to serve metrics; empty for none
+	Zones          map[string]string `toml:"zones"`   // region of each zone
+	Addresses      ServiceAddresses  `toml:"gates"`
+	ResourceLimits ResourceLimits    `toml:"sizeLimits"`
+	Tolerance      Tolerance         `toml:"tolerance"`
+	PlatformAPI    PlatformAPI       `toml:"carrierApi"`
 
 	Bounds Bounds `toml:"-"` // parsed from TimeBounds
 }
 
-// Gates are the addresses at which a process serves external clients.
-type Gates struct {
-	Counter       string `toml:"counter"`
-	Readiness     string `toml:"readiness"`
-	ControlDesk   string `toml:"controlDesk"`
-	DirectoryDesk string `toml:"directoryDesk"`
+// ServiceAddresses are the addresses at which a process serves external clients.
+type ServiceAddresses struct {
+	Clients   string `toml:"counter"`
+	Readiness string `toml:"readiness"`
+	Control   string `toml:"controlDesk"`
+	Resolver  string `toml:"directoryDesk"`
 }
 
-// SizeLimits are the resources of the machine that the process may use.
-type SizeLimits struct {
-	CPUShare float64 `toml:"cpuShare"` // cores
-	MemoryMB int     `toml:"memoryMb"`
-	Handles  int     `toml:"handles"`  // file descriptors
-	LineMbps float64 `toml:"lineMbps"` // network bandwidth
-	DiskMB   float64 `toml:"diskMb"`
+// ResourceLimits are the resources of the machine that the process may use.
+type ResourceLimits struct {
+	CPUCores     float64 `toml:"cpuShare"` // cores
+	MemoryMB     int     `toml:"memoryMb"`
+	MaxOpenFiles int     `toml:"handles"`  // file descriptors
+	NetworkMbps  float64 `toml:"lineMbps"` // network bandwidth
+	DiskMB       float64 `toml:"diskMb"`
 }
 
 // Tolerance is the number of machines, zones and regions that may fail at the same time.
@@ -70,8 +70,8 @@
 	Regions  int `toml:"regions"`
 }
 
-// CarrierAPI is the API in which the platform lists workers.
-type CarrierAPI struct {
+// PlatformAPI is the API in which the platform lists workers.
+type PlatformAPI struct {
 	Address  string  `toml:"address"`
 	RatePerS float64 `toml:"ratePerS"`
 	DelayS   float64 `toml:"delayS"`
@@ -84,7 +84,7 @@
 	SyncS           float64
 	DrainS          float64
 	GraceS          float64 // duration of a graceful shutdown
-	EditionS        float64
+	VersionS        float64
 	RevertSlackS    float64
 	RevocationFinal bool    // API keys may be accepted only under a lease of RevokeS
 	RevokeS         float64 // duration of the lease, from when the configuration was last confirmed as current
@@ -94,8 +94,8 @@
 	QuotaWindowS    float64
 	QuotaExcess     float64 // part by which a quota may be exceeded in a window of QuotaWindowS
 	QuotaSlack      float64 // requests in a window that are allowed beyond QuotaExcess
-	ColdExcess      float64 // factor by which a worker's slow start rate may be exceeded
-	ColdSlack       float64 // requests that are allowed beyond ColdExcess
+	SlowStartExcess float64 // factor by which a worker's slow start rate may be exceeded
+	SlowStartSlack  float64 // requests that are allowed beyond ColdExcess
 	EvacuateS       float64
 	RecoveryS       float64
 	TTLMaxS         float64 // maximum validity of an answer with the addresses of gatekeepers
@@ -103,33 +103,33 @@
 
 // defaultBounds apply where the file does not set a bound.
 var defaultBounds = Bounds{
-	ContactS: 5, ReceiptS: 8, SyncS: 4, DrainS: 2.5, GraceS: 6, EditionS: 2.5, RevertSlackS: 0.25, RevokeS: 5,
+	ContactS: 5, ReceiptS: 8, SyncS: 4, DrainS: 2.5, GraceS: 6, VersionS: 2.5, RevertSlackS: 0.25, RevokeS: 5,
 	RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 20, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 10,
-	ColdExcess: 1.5, ColdSlack: 5, EvacuateS: 5, RecoveryS: 15, TTLMaxS: 5,
+	SlowStartExcess: 1.5, SlowStartSlack: 5, EvacuateS: 5, RecoveryS: 15, TTLMaxS: 5,
 }
 
 // byName returns the numeric bounds by their names in the file.
 func (b *Bounds) byName() map[string]*float64 {
 	return map[string]*float64{
 		"contactS": &b.ContactS, "receiptS": &b.ReceiptS, "syncS": &b.SyncS, "drainS": &b.DrainS, "graceS": &b.GraceS,
-		"editionS": &b.EditionS, "revertSlackS": &b.RevertSlackS, "revokeS": &b.RevokeS, "retryRatio": &b.RetryRatio,
+		"editionS": &b.VersionS, "revertSlackS": &b.RevertSlackS, "revokeS": &b.RevokeS, "retryRatio": &b.RetryRatio,
 		"retryWindowS": &b.RetryWindowS, "retrySlack": &b.RetrySlack, "quotaWindowS": &b.QuotaWindowS,
-		"quotaExcess": &b.QuotaExcess, "quotaSlack": &b.QuotaSlack, "coldExcess": &b.ColdExcess,
-		"coldSlack": &b.ColdSlack, "evacuateS": &b.EvacuateS, "recoveryS": &b.RecoveryS, "ttl_max_s": &b.TTLMaxS,
+		"quotaExcess": &b.QuotaExcess, "quotaSlack": &b.QuotaSlack, "coldExcess": &b.SlowStartExcess,
+		"coldSlack": &b.SlowStartSlack, "evacuateS": &b.EvacuateS, "recoveryS": &b.RecoveryS, "ttl_max_s": &b.TTLMaxS,
 	}
 }
 
 // Read reads the settings file that the environment variable names.
 func Read() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(EnvVariable)
 	if path == "" {
-		return nil, fmt.Errorf("settings: environment variable %s is not set, expected the path of the settings file", Variable)
+		return nil, fmt.Errorf("settings: environment variable %s is not set, expected the path of the settings file", EnvVariable)
 	}
-	return File(path)
+	return ReadFile(path)
 }
 
-// File reads and checks a settings file.
-func File(path string) (*Settings, error) {
+// ReadFile reads and checks a settings file.
+func ReadFile(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -151,7 +151,7 @@
 	addFault := func(field, format string, host ...any) {
 		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, host...)))
 	}
-	if settings.Station == "" {
+	if settings.Node == "" {
 		addFault("station", "is missing")
 	}
 	if net.ParseIP(settings.IP).To4() == nil {
@@ -160,19 +160,19 @@
 	if settings.Zone == "" {
 		addFault("zone", "is missing")
 	}
-	if len(settings.InnerDocks) != 2 || settings.InnerDocks[0] <= 0 || settings.InnerDocks[1] < settings.InnerDocks[0]+1 || settings.InnerDocks[1] > 65535 {
-		addFault("innerDocks", "%v is not a range of two ports or more", settings.InnerDocks)
+	if len(settings.InnerPorts) != 2 || settings.InnerPorts[0] <= 0 || settings.InnerPorts[1] < settings.InnerPorts[0]+1 || settings.InnerPorts[1] > 65535 {
+		addFault("innerDocks", "%v is not a range of two ports or more", settings.InnerPorts)
 	}
-	if len(settings.FirstStations) == 0 {
+	if len(settings.SeedNodes) == 0 {
 		addFault("firstStations", "is empty, expected at least one address")
 	}
-	for i, host := range settings.FirstStations {
+	for i, host := range settings.SeedNodes {
 		if _, _, err := net.SplitHostPort(host); err != nil {
 			addFault(fmt.Sprintf("firstStations[%d]", i), "%q is not an address with a port", host)
 		}
 	}
-	if settings.SizeLimits.MemoryMB < 0 || settings.SizeLimits.Handles < 0 {
-		addFault("sizeLimits", "memoryMb is %d and handles is %d, expected no negative number", settings.SizeLimits.MemoryMB, settings.SizeLimits.Handles)
+	if settings.ResourceLimits.MemoryMB < 0 || settings.ResourceLimits.MaxOpenFiles < 0 {
+		addFault("sizeLimits", "memoryMb is %d and handles is %d, expected no negative number", settings.ResourceLimits.MemoryMB, settings.ResourceLimits.MaxOpenFiles)
 	}
 	boundsByName := settings.Bounds.byName()
 	for i, pair := range settings.TimeBounds {
@@ -205,20 +205,20 @@
 	return settings, errors.Join(faults...)
 }
 
-// Inner returns the address for calls between processes of a program on this machine, by its number.
-func (s *Settings) Inner(program int) string { return s.At(s.IP, program) }
+// InnerAddress returns the address for calls between processes of a program on this machine, by its number.
+func (s *Settings) InnerAddress(program int) string { return s.InnerAddressOf(s.IP, program) }
 
-// At returns the address for calls between processes of a program on the machine with the IP.
-func (s *Settings) At(ip string, program int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.InnerDocks[0]+program))
+// InnerAddressOf returns the address for calls between processes of a program on the machine with the IP.
+func (s *Settings) InnerAddressOf(ip string, program int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.InnerPorts[0]+program))
 }
 
-// Seeds returns the addresses for calls between processes of a program on the seed nodes.
-func (s *Settings) Seeds(program int) []string {
-	seeds := make([]string, 0, len(s.FirstStations))
-	for _, address := range s.FirstStations {
+// SeedAddresses returns the addresses for calls between processes of a program on the seed nodes.
+func (s *Settings) SeedAddresses(program int) []string {
+	seeds := make([]string, 0, len(s.SeedNodes))
+	for _, address := range s.SeedNodes {
 		host, _, _ := net.SplitHostPort(address)
-		seeds = append(seeds, s.At(host, program))
+		seeds = append(seeds, s.InnerAddressOf(host, program))
 	}
 	return seeds
 }
--- a/internal/bootconfig/bootconfig_test.go
+++ b/internal/bootconfig/bootconfig_test.go
@@ -44,8 +44,8 @@
 	assert.Equal(t, settings.Bounds.RevokeS, 4.0)
 	assert.Equal(t, settings.Bounds.RevocationFinal, true)
 	assert.Equal(t, settings.Bounds.RetryRatio, defaultBounds.RetryRatio, "a bound that the file does not set")
-	assert.Equal(t, settings.Inner(1), "10.1.0.25:7461")
-	assert.DeepEqual(t, settings.Seeds(0), []string{"10.1.0.25:7460", "10.3.0.36:7460"})
+	assert.Equal(t, settings.InnerAddress(1), "10.1.0.25:7461")
+	assert.DeepEqual(t, settings.SeedAddresses(0), []string{"10.1.0.25:7460", "10.3.0.36:7460"})
 	assert.Equal(t, settings.RegionOf("b"), "s")
 	assert.Equal(t, settings.RegionOf("c"), "c")
 }
--- a/internal/bothy/coldstartsim_test.go
+++ b/internal/bothy/coldstartsim_test.go
@@ -61,7 +61,7 @@
 }
 
 type simRegistry struct {
-	*Bothy
+	*Registry
 	addr      string
 	isolated  bool // cut off from the other core machines
 	partition int  // its side while the core is partitioned
@@ -111,7 +111,7 @@
 	isolated    bool                  // cut off from all registries
 	frozenUntil float64
 	cache       *configcache.Cache
-	peers       waymark.Crowd
+	peers       waymark.MemberView
 	lease       slowstart.Lease
 	gateway     *policy.Gateway
 	requests    uint32
@@ -127,26 +127,26 @@
 
 func newSimWorld(t *testing.T, seed uint64, fault simFault) *simWorld {
 	w := &simWorld{t: t, fault: fault, random: rand.New(rand.NewPCG(seed, 7)), now: 100, workers: map[policy.Server]*simWorker{}}
-	var machines []cairn.Ident
+	var machines []cairn.MachineID
 	var addrs []string
 	for i := range 4 {
 		addrs = append(addrs, fmt.Sprintf("10.%d.0.1:7460", i+1))
-		machines = append(machines, cairn.Ident{Addr: fmt.Sprintf("10.%d.0.1:7461", i+1), Disk: "first"})
+		machines = append(machines, cairn.MachineID{Addr: fmt.Sprintf("10.%d.0.1:7461", i+1), Disk: "first"})
 	}
 	parsed, err := timetable.Parse([]byte(configuration))
 	assert.NilError(t, err)
 	for i := range 4 {
-		settings := &bootconfig.Settings{Station: fmt.Sprint("sorting-", i), IP: fmt.Sprintf("10.%d.0.1", i+1), InnerDocks: []int{7460, 7475},
-			Zone: fmt.Sprint("z", i), Region: fmt.Sprint("r", i/2), FirstRun: true, FirstStations: []string{"10.1.0.1:80", "10.2.0.1:80", "10.3.0.1:80"},
+		settings := &bootconfig.Settings{Node: fmt.Sprint("sorting-", i), IP: fmt.Sprintf("10.%d.0.1", i+1), InnerPorts: []int{7460, 7475},
+			Zone: fmt.Sprint("z", i), Region: fmt.Sprint("r", i/2), FirstRun: true, SeedNodes: []string{"10.1.0.1:80", "10.2.0.1:80", "10.3.0.1:80"},
 			Bounds: bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
 		registry := New(settings, zerolog.Nop())
 		registry.clock = func() float64 { return w.now }
 		registry.sessions = membership.New(addrs[i], uint64(i+1), w.now, sessionTimeoutMs)
 		registry.election = election.New(addrs[i], uint64(i+1), w.now, dutyLeaseMs, true, dutyEndpoints, dutyQuota)
-		registry.view = cairn.View{No: 1, Chain: machines, Core: machines, Epoch: 1, Seats: 4}
+		registry.view = cairn.View{Number: 1, Chain: machines, Core: machines, Epoch: 1, Seats: 4}
 		registry.configuration = parsed
 		registry.updateRegistries()
-		w.registries = append(w.registries, &simRegistry{Bothy: registry, addr: addrs[i]})
+		w.registries = append(w.registries, &simRegistry{Registry: registry, addr: addrs[i]})
 	}
 	for i := range 8 {
 		w.restartWorker(&simWorker{zone: fmt.Sprint("z", i%4)}, 0)
@@ -194,12 +194,12 @@
 func (g *simGatekeeper) restart() {
 	world := g.world
 	world.lastID++
-	g.incarnation, g.heartbeats, g.cache, g.peers = uint64(world.lastID), 0, configcache.New(), waymark.Crowd{}
+	g.incarnation, g.heartbeats, g.cache, g.peers = uint64(world.lastID), 0, configcache.New(), waymark.MemberView{}
 	g.lease = slowstart.Lease{}
 	g.attempts, g.timers = map[uint32]int{}, nil
-	g.gateway = policy.New(policy.Settings{Gateways: 9, Self: int(g.incarnation), Tick: 1000, MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, Turns: true,
-		Classes: []policy.Class{{Aim: 300e3, Deadline: 2e6, Worth: 1, LateWorth: 1, Repeat: policy.Safe}}, Plans: []policy.Plan{{Price: 1}},
-		Step: 20e3, Bound: policy.BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, ColdSends: g.coldLimit}, g.incarnation)
+	g.gateway = policy.New(policy.Settings{GatewayCount: 9, Index: int(g.incarnation), ClockTick: 1000, MaxAttempts: 1, CanCancel: true, SendRetryAfter: true, MaxUnits: 1, Rotate: true,
+		Classes: []policy.Class{{LatencyTarget: 300e3, Deadline: 2e6, Value: 1, LateValue: 1, Repeat: policy.RepeatSafe}}, Plans: []policy.Plan{{Price: 1}},
+		TickInterval: 20e3, LimitTerms: policy.LimitTerms{GrowBelow: 0.8, CutAbove: 1, GrowKnee: 3, CutKnee: 5}, MaxColdSends: g.coldLimit}, g.incarnation)
 	g.gateway.Start(micros(world.now), g)
 }
 
@@ -210,10 +210,10 @@
 		return -1
 	}
 	if g.world.fault == divideByMemberList {
-		share := slowstart.Part{Index: g.peers.Place, Count: g.peers.Count}
-		return slowstart.Grant{Current: share}.Sends(coldRequestBudgetPerSecond, uint64(server))
+		share := slowstart.Share{Index: g.peers.MemberIndex, Count: g.peers.MemberCount}
+		return slowstart.Grant{Current: share}.RequestsPerSecond(coldRequestBudgetPerSecond, uint64(server))
 	}
-	return g.lease.Sends(g.world.now, coldRequestBudgetPerSecond, uint64(server))
+	return g.lease.RequestsPerSecond(g.world.now, coldRequestBudgetPerSecond, uint64(server))
 }
 
 // Send implements policy.Host. One request in five waits for a connection.
@@ -226,7 +226,7 @@
 	world.requests = append(world.requests, &simRequest{gatekeeper: g, incarnation: g.incarnation, request: id, worker: to, attempt: g.attempts[id], dueAt: world.now + delayMs})
 	g.attempts[id]++
 	if world.fault == countAtDecision {
-		g.gateway.Left(micros(world.now), id, g.attempts[id]-1)
+		g.gateway.AttemptSent(micros(world.now), id, g.attempts[id]-1)
 	}
 }
 
@@ -252,20 +252,20 @@
 		return
 	}
 	g.heartbeats++
-	heartbeat := waymark.Sign{Member: membership.Member{Station: g.node, Zone: g.zone, Region: "r0", Life: g.incarnation, Turn: g.heartbeats, Inner: g.node + ":1", Ready: true},
-		Crowd: g.peers.Mark}
-	g.cache.Question(&heartbeat)
+	heartbeat := waymark.SessionRequest{Member: membership.Member{Node: g.node, Zone: g.zone, Region: "r0", Incarnation: g.incarnation, Sequence: g.heartbeats, PeerAddr: g.node + ":1", Ready: true},
+		MembersChecksum: g.peers.Checksum}
+	g.cache.FillHeartbeat(&heartbeat)
 	answer, err := registries[0].handleHeartbeat(g.world.t.Context(), heartbeat)
 	assert.NilError(g.world.t, err)
 	if answer.Stale && len(registries) > 1 {
 		g.heartbeats++
-		heartbeat.Member.Turn = g.heartbeats
+		heartbeat.Member.Sequence = g.heartbeats
 		_, _ = registries[1].handleHeartbeat(g.world.t.Context(), heartbeat) // it uses another registry for a while, and comes back here later
 	}
-	g.cache.Hear(g.world.now, &answer)
-	g.cache.Stock(g.world.now, answer.Parts)
-	if answer.Crowd != nil && answer.Crowd.Place >= 0 {
-		g.peers = *answer.Crowd
+	g.cache.ApplyAnswer(g.world.now, &answer)
+	g.cache.AddParts(g.world.now, answer.Endpoints)
+	if answer.Members != nil && answer.Members.MemberIndex >= 0 {
+		g.peers = *answer.Members
 	}
 	g.updateServers()
 }
@@ -283,9 +283,9 @@
 		return
 	}
 	g.allocations++
-	answer, err := g.world.registries[i].allocate(waymark.Draw{Station: g.node, Life: g.incarnation, Turn: g.allocations})
+	answer, err := g.world.registries[i].allocate(waymark.AllocationRequest{Node: g.node, Incarnation: g.incarnation, Sequence: g.allocations})
 	if err == nil {
-		g.lease.Take(answer.SlowStart, g.world.now, answer.Lease)
+		g.lease.Renew(answer.SlowStart, g.world.now, answer.LeaseMS)
 	}
 }
 
@@ -294,8 +294,8 @@
 	var entries []policy.Entry
 	for _, worker := range g.cache.Workers(g.world.now, "a") {
 		entry := policy.Entry{Server: serverOf(worker.ID), State: policy.Ready}
-		if worker.Cold > 0 {
-			entry.ColdUntil = micros(g.world.now + worker.Cold)
+		if worker.SlowStartLeftMS > 0 {
+			entry.ColdUntil = micros(g.world.now + worker.SlowStartLeftMS)
 		}
 		entries = append(entries, entry)
 	}
@@ -310,7 +310,7 @@
 	}
 	var list []waymark.Worker
 	for _, worker := range w.lists[i].list {
-		worker.Cold = max(w.lists[i].coldUntil[worker.ID]-w.now, 0)
+		worker.SlowStartLeftMS = max(w.lists[i].coldUntil[worker.ID]-w.now, 0)
 		list = append(list, worker)
 	}
 	return list
@@ -323,7 +323,7 @@
 		if w.now < worker.downUntil {
 			continue
 		}
-		list.list = append(list.list, waymark.Worker{ID: worker.id, Destination: "a", Addr: worker.id + ":80", Zone: worker.zone, Berths: 2})
+		list.list = append(list.list, waymark.Worker{ID: worker.id, Destination: "a", Addr: worker.id + ":80", Zone: worker.zone, Slots: 2})
 		list.coldUntil[worker.id] = worker.coldUntil
 	}
 	w.lists = append(w.lists, list)
@@ -345,7 +345,7 @@
 	registry.applyDutyChanges(output)
 	for _, message := range output.Send {
 		if receiver := w.registryAt(message.To); w.connected(registry, receiver) {
-			w.stepElection(receiver, election.Event{Kind: election.Heard, Message: message})
+			w.stepElection(receiver, election.Event{Kind: election.Received, Message: message})
 		}
 	}
 }
@@ -367,7 +367,7 @@
 		}
 		if reachable > 2 {
 			registry.tailConfirmedAt = w.now // the tail has answered
-			registry.election.Electorate(w.now, w.now, registry.core, 1, 0)
+			registry.election.SetElectorate(w.now, w.now, registry.core, 1, 0)
 		}
 		if isDue(w.now, 50, phase) {
 			w.stepElection(registry, election.Event{Kind: election.Tick})
@@ -377,7 +377,7 @@
 				if !w.connected(registry, receiver) {
 					continue
 				}
-				receiver.receiveReport(registry.addr, registry.settings.Zone, registry.sessions.Tell(w.now))
+				receiver.receiveReport(registry.addr, registry.settings.Zone, registry.sessions.FullReport(w.now))
 				if changes := receiver.endpoints.since(w.now, registry.endpoints.version); changes != nil && receiver.endpoints.version > registry.endpoints.version {
 					registry.endpoints.merge(w.now, changes)
 				}
@@ -399,11 +399,11 @@
 		case request.incarnation != request.gatekeeper.incarnation:
 		case !request.gatekeeper.running() || w.now < request.dueAt:
 			w.requests = append(w.requests, request)
-		case !request.sent && w.fault != countAtDecision && !request.gatekeeper.gateway.MayLeave(micros(w.now), request.request, request.attempt):
-			request.gatekeeper.gateway.Outcome(micros(w.now), request.gatekeeper, policy.Outcome{ID: request.request, Attempt: request.attempt, Status: policy.Moot, Server: request.worker})
+		case !request.sent && w.fault != countAtDecision && !request.gatekeeper.gateway.MaySend(micros(w.now), request.request, request.attempt):
+			request.gatekeeper.gateway.Outcome(micros(w.now), request.gatekeeper, policy.Outcome{ID: request.request, Attempt: request.attempt, Status: policy.NotSent, Server: request.worker})
 		case !request.sent:
 			request.sent, request.dueAt = true, w.now+simServiceMs
-			request.gatekeeper.gateway.Left(micros(w.now), request.request, request.attempt)
+			request.gatekeeper.gateway.AttemptSent(micros(w.now), request.request, request.attempt)
 			w.countArrival(request.worker)
 			w.requests = append(w.requests, request)
 		default:
@@ -453,7 +453,7 @@
 		if isDue(w.now, simRequestMs, phase) {
 			gatekeeper.requests++
 			gatekeeper.attempts[gatekeeper.requests] = 0
-			gatekeeper.gateway.Request(micros(w.now), gatekeeper, policy.Request{ID: gatekeeper.requests, Customer: 1, Left: 2e6, Units: 1})
+			gatekeeper.gateway.Request(micros(w.now), gatekeeper, policy.Request{ID: gatekeeper.requests, Customer: 1, TimeLeft: 2e6, Units: 1})
 		}
 	}
 }
--- a/internal/bothy/controlcost_test.go
+++ b/internal/bothy/controlcost_test.go
@@ -37,12 +37,12 @@
 type costGatekeeper struct {
 	member         membership.Member
 	cache          *configcache.Cache
-	peers          waymark.Crowd
+	peers          waymark.MemberView
 	cores          uint64
 	edition        uint64
 	registry       int // index of its registry
 	sequence       uint64
-	allocations    map[string]quota.Slice
+	allocations    map[string]quota.Allocation
 	leaseEnd       float64
 	heartbeatAt    float64
 	allocationAt   float64
@@ -54,7 +54,7 @@
 type costRun struct {
 	now            float64
 	workers        map[string]waymark.Worker
-	registries     []*Bothy
+	registries     []*Registry
 	received, sent []int // bytes of each registry
 	cpu            []time.Duration
 	gatekeepers    []*costGatekeeper
@@ -80,15 +80,15 @@
 		}
 		registry := New(settings, zerolog.Nop())
 		registry.clock = func() float64 { return c.now }
-		registry.sessions = membership.New(settings.Inner(registryPort), uint64(i+1), 0, sessionTimeoutMs)
-		registry.election.Remember(nil, 0)
+		registry.sessions = membership.New(settings.InnerAddress(registryPort), uint64(i+1), 0, sessionTimeoutMs)
+		registry.election.RestoreElectorate(nil, 0)
 		c.registries = append(c.registries, registry)
 	}
 	for _, registry := range c.registries {
 		for _, other := range c.registries {
 			if other != registry {
-				registry.peers[other.settings.Inner(registryPort)] = rpc.NewPeer(other.settings.Inner(registryPort))
-				registry.peerZones[other.settings.Inner(registryPort)] = other.settings.Zone
+				registry.peers[other.settings.InnerAddress(registryPort)] = rpc.NewPeer(other.settings.InnerAddress(registryPort))
+				registry.peerZones[other.settings.InnerAddress(registryPort)] = other.settings.Zone
 			}
 		}
 		registry.updateCoreMachines()
@@ -96,12 +96,12 @@
 	c.received, c.sent, c.cpu = make([]int, costRegistryCount), make([]int, costRegistryCount), make([]time.Duration, costRegistryCount)
 	for i := range gatekeepers {
 		zone := i % costZoneCount
-		gatekeeper := &costGatekeeper{cache: configcache.New(), registry: i % costRegistryCount, allocations: map[string]quota.Slice{}, heartbeatAt: float64(i%50) * 10,
-			allocationAt: 3000 + float64(i*7%50)*10, member: membership.Member{Station: fmt.Sprintf("counter-z%d-%d", zone, i/costZoneCount), Zone: fmt.Sprint("z", zone),
-				Region: fmt.Sprint("r", zone%2), Life: uint64(i) + 1<<60, Counter: fmt.Sprintf("10.%d.0.%d:8206", zone+1, i/costZoneCount+20),
-				Inner: fmt.Sprintf("10.%d.0.%d:7460", zone+1, i/costZoneCount+20), Ready: true}}
+		gatekeeper := &costGatekeeper{cache: configcache.New(), registry: i % costRegistryCount, allocations: map[string]quota.Allocation{}, heartbeatAt: float64(i%50) * 10,
+			allocationAt: 3000 + float64(i*7%50)*10, member: membership.Member{Node: fmt.Sprintf("counter-z%d-%d", zone, i/costZoneCount), Zone: fmt.Sprint("z", zone),
+				Region: fmt.Sprint("r", zone%2), Incarnation: uint64(i) + 1<<60, ClientAddr: fmt.Sprintf("10.%d.0.%d:8206", zone+1, i/costZoneCount+20),
+				PeerAddr: fmt.Sprintf("10.%d.0.%d:7460", zone+1, i/costZoneCount+20), Ready: true}}
 		c.gatekeepers = append(c.gatekeepers, gatekeeper)
-		c.gatekeeperAt[gatekeeper.member.Inner] = gatekeeper
+		c.gatekeeperAt[gatekeeper.member.PeerAddr] = gatekeeper
 	}
 	for i := range workers {
 		c.setWorker(i, false)
@@ -114,14 +114,14 @@
 // setWorker puts a worker onto the platform's list.
 func (c *costRun) setWorker(i int, closing bool) {
 	worker := waymark.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("huvo", i%3), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/200, i%200),
-		Zone: fmt.Sprint("z", i%costZoneCount), Edition: "v1", Berths: 2, Closing: closing}
+		Zone: fmt.Sprint("z", i%costZoneCount), Version: "v1", Slots: 2, Draining: closing}
 	c.workers[worker.ID] = worker
 }
 
 // configure gives all registries a configuration whose quotas are proportional to the fleet.
 func (c *costRun) configure(edition uint64, gatekeepers int) {
 	document := fmt.Sprintf(`{"edition":%q,"courses":{"columns":["name","domain","streetPrefix","kind","deadlineS","targetS","priority","tries","destination"],"rows":[`,
-		timetable.FormatEdition(edition))
+		timetable.FormatVersion(edition))
 	for i := range costRouteCount {
 		document += fmt.Sprintf(`%s["r-%d-%d","h%d.example","/p%d/","safe",2,0.3,1,2,"huvo%d"]`, []string{",", ""}[boolToInt(i == 0)], i, edition, i%7, i, i%3)
 	}
@@ -132,10 +132,10 @@
 	}
 	document += `]}}`
 	for _, registry := range c.registries {
-		registry.applyState(cairn.State{Edition: edition, Body: []byte(document), Last: cairn.Stamp{Seq: edition}})
+		registry.applyState(cairn.State{Edition: edition, Body: []byte(document), Last: cairn.LogPosition{Seq: edition}})
 	}
-	for name, limit := range quota.Limited(c.registries[0].configuration) {
-		c.smallQuotas[name] = quota.Thin(limit, quota.BoundsOf(&c.registries[0].settings.Bounds), gatekeepers)
+	for name, limit := range quota.LimitedTenants(c.registries[0].configuration) {
+		c.smallQuotas[name] = quota.IsSmall(limit, quota.BoundsOf(&c.registries[0].settings.Bounds), gatekeepers)
 	}
 }
 
@@ -158,7 +158,7 @@
 		return
 	}
 	for i, registry := range c.registries[1:] {
-		request := waymark.AskRoster{Have: registry.endpoints.version}
+		request := waymark.EndpointListRequest{HeldVersion: registry.endpoints.version}
 		changes, _ := first.handleEndpointsRequest(context.Background(), request)
 		c.countRegistryCall(i+1, 0, request, changes)
 		registry.endpoints.merge(c.now, &changes)
@@ -170,14 +170,14 @@
 
 // countRegistryCall counts the bytes of a call between two registries.
 func (c *costRun) countRegistryCall(from, to int, request, answer any) {
-	requestBytes, answerBytes := rpc.Size(request, true), rpc.Size(answer, false)
+	requestBytes, answerBytes := rpc.FrameSize(request, true), rpc.FrameSize(answer, false)
 	c.sent[from], c.received[to], c.sent[to], c.received[from] = c.sent[from]+requestBytes, c.received[to]+requestBytes, c.sent[to]+answerBytes, c.received[from]+answerBytes
 	c.bytesByCall["core"] += requestBytes + answerBytes
 }
 
 // countCall counts the bytes of a gatekeeper's call to its registry.
 func (c *costRun) countCall(gatekeeper *costGatekeeper, request, answer any, name string) {
-	requestBytes, answerBytes := rpc.Size(request, true), rpc.Size(answer, false)
+	requestBytes, answerBytes := rpc.FrameSize(request, true), rpc.FrameSize(answer, false)
 	gatekeeper.sent, c.received[gatekeeper.registry], c.sent[gatekeeper.registry], gatekeeper.received = gatekeeper.sent+requestBytes, c.received[gatekeeper.registry]+requestBytes, c.sent[gatekeeper.registry]+answerBytes, gatekeeper.received+answerBytes
 	c.bytesByCall[name] += requestBytes + answerBytes
 }
@@ -201,12 +201,12 @@
 func (c *costRun) sendHeartbeat(gatekeeper *costGatekeeper) {
 	registry := c.registries[gatekeeper.registry]
 	gatekeeper.sequence++
-	gatekeeper.member.Turn = gatekeeper.sequence
-	heartbeat := waymark.Sign{Member: gatekeeper.member, Crowd: gatekeeper.peers.Mark, Cores: gatekeeper.cores, Wait: 500}
-	var answer waymark.Signed
-	c.measureCPU(&gatekeeper.cpu, func() { gatekeeper.cache.Question(&heartbeat) })
+	gatekeeper.member.Sequence = gatekeeper.sequence
+	heartbeat := waymark.SessionRequest{Member: gatekeeper.member, MembersChecksum: gatekeeper.peers.Checksum, RegistriesChecksum: gatekeeper.cores, WaitMS: 500}
+	var answer waymark.SessionResponse
+	c.measureCPU(&gatekeeper.cpu, func() { gatekeeper.cache.FillHeartbeat(&heartbeat) })
 	c.measureCPU(&c.cpu[gatekeeper.registry], func() {
-		registry.sessions.Sign(c.now, heartbeat.Member)
+		registry.sessions.Heartbeat(c.now, heartbeat.Member)
 		registry.updateMembers()
 		registry.tailConfirmedAt = c.now
 		answer, _ = registry.heartbeatAnswer(heartbeat, c.now)
@@ -218,68 +218,68 @@
 }
 
 // applyAnswer applies a heartbeat's answer, and requests missing data from zone homes.
-func (c *costRun) applyAnswer(gatekeeper *costGatekeeper, answer *waymark.Signed) {
-	gatekeeper.cache.Hear(c.now, answer)
-	if len(answer.Body) > 0 && answer.Edition > gatekeeper.edition {
-		gatekeeper.cache.Body(answer.Edition, answer.Body)
+func (c *costRun) applyAnswer(gatekeeper *costGatekeeper, answer *waymark.SessionResponse) {
+	gatekeeper.cache.ApplyAnswer(c.now, answer)
+	if len(answer.Config) > 0 && answer.ConfigVersion > gatekeeper.edition {
+		gatekeeper.cache.SetConfiguration(answer.ConfigVersion, answer.Config)
 	}
-	if answer.CoresNow != 0 {
-		gatekeeper.cores = answer.CoresNow
+	if answer.RegistriesChecksum != 0 {
+		gatekeeper.cores = answer.RegistriesChecksum
 	}
-	if answer.Crowd != nil {
-		gatekeeper.peers = *answer.Crowd
+	if answer.Members != nil {
+		gatekeeper.peers = *answer.Members
 	}
-	requests, _ := gatekeeper.cache.Plan(c.now, configcache.Zone{Name: gatekeeper.member.Zone, Self: gatekeeper.member.Inner, Ready: true, Near: gatekeeper.peers.Peers[:len(gatekeeper.peers.Near)]})
+	requests, _ := gatekeeper.cache.PlanRequests(c.now, configcache.ZonePeers{Name: gatekeeper.member.Zone, Self: gatekeeper.member.PeerAddr, SelfReady: true, Peers: gatekeeper.peers.Peers[:len(gatekeeper.peers.ZonePeerIndexes)]})
 	for address, request := range requests {
 		owner := c.gatekeeperAt[address]
 		if c.fullLists {
-			request.Have = nil
+			request.HeldVersions = nil
 		}
-		var ownerAnswer waymark.Subscribed
-		if owner.cache.Has(&request) {
-			ownerAnswer = owner.cache.Give(c.now, &request)
+		var ownerAnswer waymark.SubscribeResponse
+		if owner.cache.CanAnswer(&request) {
+			ownerAnswer = owner.cache.Answer(c.now, &request)
 		}
-		requestBytes, answerBytes := rpc.Size(request, true), rpc.Size(ownerAnswer, false)
+		requestBytes, answerBytes := rpc.FrameSize(request, true), rpc.FrameSize(ownerAnswer, false)
 		gatekeeper.sent, owner.received, owner.sent, gatekeeper.received = gatekeeper.sent+requestBytes, owner.received+requestBytes, owner.sent+answerBytes, gatekeeper.received+answerBytes
 		c.bytesByCall["homes"] += requestBytes + answerBytes
-		gatekeeper.cache.Stock(c.now, ownerAnswer.Parts)
-		if len(ownerAnswer.Body) > 0 {
-			gatekeeper.cache.Body(answer.Edition, ownerAnswer.Body)
+		gatekeeper.cache.AddParts(c.now, ownerAnswer.Endpoints)
+		if len(ownerAnswer.Config) > 0 {
+			gatekeeper.cache.SetConfiguration(answer.ConfigVersion, ownerAnswer.Config)
 		}
-		gatekeeper.cache.Asked(c.now, address, &request, nil)
+		gatekeeper.cache.RecordAnswer(c.now, address, &request, nil)
 	}
 }
 
 // requestAllocation simulates an allocation request; the first registry holds the duty.
 func (c *costRun) requestAllocation(gatekeeper *costGatekeeper) {
 	gatekeeper.sequence++
-	request := waymark.Draw{Station: gatekeeper.member.Station, Life: gatekeeper.member.Life, Turn: gatekeeper.sequence, Demand: map[string]float32{}, Holding: waymark.Pack(gatekeeper.allocations),
+	request := waymark.AllocationRequest{Node: gatekeeper.member.Node, Incarnation: gatekeeper.member.Incarnation, Sequence: gatekeeper.sequence, Demand: map[string]float32{}, Holding: waymark.EncodeSlices(gatekeeper.allocations),
 		LeaseLeft: max(gatekeeper.leaseEnd-c.now, 0)}
 	for name := range c.smallQuotas {
-		switch owner := membership.HomeAmong(append(gatekeeper.peers.Peers[:len(gatekeeper.peers.Peers):len(gatekeeper.peers.Peers)], gatekeeper.member.Inner), "", name); {
+		switch owner := membership.OwnerAmong(append(gatekeeper.peers.Peers[:len(gatekeeper.peers.Peers):len(gatekeeper.peers.Peers)], gatekeeper.member.PeerAddr), "", name); {
 		case !c.smallQuotas[name]:
 			request.Demand[name] = 3.7
-		case owner == gatekeeper.member.Inner:
+		case owner == gatekeeper.member.PeerAddr:
 			request.Demand[name] = 0.5
 		}
 	}
 	holder := c.registries[0]
-	var answer waymark.Drawn
+	var answer waymark.AllocationResponse
 	c.measureCPU(&c.cpu[0], func() {
 		demand := quota.Demand{}
 		for name, waiting := range request.Demand {
 			demand[name] = float64(waiting)
 		}
-		allocations := holder.allocator.Ask(c.now, memberID(request.Station, request.Life), request.Turn, demand, waymark.Unpack(request.Holding), request.LeaseLeft)
-		answer = waymark.Drawn{Slices: waymark.Pack(allocations), Lease: allocationLeaseMs}
+		allocations := holder.allocator.Allocate(c.now, memberID(request.Node, request.Incarnation), request.Sequence, demand, waymark.DecodeSlices(request.Holding), request.LeaseLeft)
+		answer = waymark.AllocationResponse{Slices: waymark.EncodeSlices(allocations), LeaseMS: allocationLeaseMs}
 	})
 	c.countCall(gatekeeper, request, answer, "draw")
 	if gatekeeper.registry != 0 {
-		request.Passed = true
+		request.Forwarded = true
 		c.countRegistryCall(gatekeeper.registry, 0, request, answer)
 	}
-	for name, allocation := range waymark.Unpack(answer.Slices) {
-		if allocation != (quota.Slice{}) {
+	for name, allocation := range waymark.DecodeSlices(answer.Slices) {
+		if allocation != (quota.Allocation{}) {
 			gatekeeper.allocations[name] = allocation
 		}
 	}
@@ -289,25 +289,25 @@
 // gossip simulates one gossip round between all registries.
 func (c *costRun) gossip() {
 	for i, registry := range c.registries {
-		var brief, full membership.Page
+		var brief, full membership.Report
 		var contentHash uint64
 		c.measureCPU(&c.cpu[i], func() {
-			contentHash = registry.sessions.Mark(c.now)
-			brief, full = registry.sessions.Brief(c.now), registry.sessions.Tell(c.now)
+			contentHash = registry.sessions.ContentHash(c.now)
+			brief, full = registry.sessions.BriefReport(c.now), registry.sessions.FullReport(c.now)
 		})
 		for j, receiver := range c.registries {
 			if i == j {
 				continue
 			}
-			message := waymark.Gossip{From: registry.settings.Inner(registryPort), Zone: registry.settings.Zone, Page: full, Roster: registry.endpoints.version}
-			key := receiver.settings.Inner(registryPort)
+			message := waymark.Gossip{From: registry.settings.InnerAddress(registryPort), Zone: registry.settings.Zone, Page: full, EndpointsVersion: registry.endpoints.version}
+			key := receiver.settings.InnerAddress(registryPort)
 			if last := registry.reported[key]; last.contentHash == contentHash && c.now-last.sentAt < fullReportIntervalMs {
 				message.Page = brief
 			} else {
 				registry.reported[key] = fullReport{contentHash: contentHash, sentAt: c.now}
 			}
 			c.measureCPU(&c.cpu[j], func() { receiver.receiveReport(message.From, message.Zone, message.Page) })
-			c.countRegistryCall(i, j, message, waymark.Heard{Roster: receiver.endpoints.version, Life: receiver.incarnation})
+			c.countRegistryCall(i, j, message, waymark.GossipResponse{EndpointsVersion: receiver.endpoints.version, Incarnation: receiver.incarnation})
 		}
 	}
 }
@@ -392,7 +392,7 @@
 	}
 	for _, gatekeeper := range large.gatekeepers {
 		assert.Equal(t, len(gatekeeper.cache.Workers(large.now, "huvo0")), 47)
-		assert.Equal(t, gatekeeper.peers.Count, 40)
+		assert.Equal(t, gatekeeper.peers.MemberCount, 40)
 		assert.Equal(t, gatekeeper.cache.Edition(), uint64(1))
 	}
 }
--- a/internal/bothy/electorate.go
+++ b/internal/bothy/electorate.go
@@ -45,8 +45,8 @@
 
 // storeElectorate writes an electorate to the disk. If the write fails the registry goes on: only a
 // restart that finds an older electorate has to wait longer before it votes.
-func (b *Bothy) storeElectorate(ids []string, epoch uint64) {
-	err := b.electorateWrites.write(b.settings.ArchiveDir, ids, epoch)
+func (b *Registry) storeElectorate(ids []string, epoch uint64) {
+	err := b.electorateWrites.write(b.settings.DataDir, ids, epoch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	writes := &b.electorateWrites
--- a/internal/bothy/electorate_test.go
+++ b/internal/bothy/electorate_test.go
@@ -55,9 +55,9 @@
 func TestFirstStartCountsOnce(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "disk")
 	for start := range 2 {
-		registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerDocks: []int{7001, 7002}, FirstRun: true, ArchiveDir: dir}, zerolog.Nop())
-		output := registry.election.Step(registry.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Ballot, From: "x", Duty: dutyQuota, Term: 1, Life: 1}})
-		assert.Equal(t, output.Send[0].Yes, start == 0)
+		registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerPorts: []int{7001, 7002}, FirstRun: true, DataDir: dir}, zerolog.Nop())
+		output := registry.election.Step(registry.now(), election.Event{Kind: election.Received, Message: election.Message{Kind: election.Ballot, From: "x", Duty: dutyQuota, Term: 1, Incarnation: 1}})
+		assert.Equal(t, output.Send[0].Granted, start == 0)
 	}
 }
 
@@ -66,7 +66,7 @@
 func TestElectorateWriteIsRetried(t *testing.T) {
 	var log bytes.Buffer
 	self := "127.0.0.1:7001"
-	registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerDocks: []int{7000, 7002}, FirstRun: true, ArchiveDir: t.TempDir()}, zerolog.New(&log))
+	registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerPorts: []int{7000, 7002}, FirstRun: true, DataDir: t.TempDir()}, zerolog.New(&log))
 	now := 0.0
 	registry.clock = func() float64 { return now }
 	registry.election = election.New(self, 1, now, dutyLeaseMs, true, dutyQuota)
@@ -83,7 +83,7 @@
 	runUntil := func(ms float64) { // with a step every 100 ms
 		for ; now < ms; now += 100 {
 			registry.mu.Lock()
-			registry.election.Electorate(now, now, []string{self}, 1, 0)
+			registry.election.SetElectorate(now, now, []string{self}, 1, 0)
 			registry.mu.Unlock()
 			registry.stepElection(t.Context())
 		}
@@ -97,11 +97,11 @@
 		}
 	}
 	hasElectorate := func() bool {
-		ids, _ := registry.election.Settled(now)
+		ids, _ := registry.election.SoleElectorate(now)
 		return len(ids) > 0
 	}
 	for now = 0; !hasElectorate(); now += 100 {
-		registry.election.Electorate(now, now, []string{self}, 1, 0)
+		registry.election.SetElectorate(now, now, []string{self}, 1, 0)
 	}
 	runUntil(now + 5000) // one write hangs, and no other is started
 	pending := <-writes
--- a/internal/bothy/endpoints.go
+++ b/internal/bothy/endpoints.go
@@ -72,8 +72,8 @@
 	for id, worker := range l.workers {
 		switch {
 		case seen[id]:
-		case !worker.Gone:
-			worker.Gone, worker.changedVersion, worker.goneAt, changed = true, version, now, true
+		case !worker.Removed:
+			worker.Removed, worker.changedVersion, worker.goneAt, changed = true, version, now, true
 			l.destinationVersions[worker.Destination] = version
 		case now-worker.goneAt > goneRetentionMs:
 			delete(l.workers, id)
@@ -91,8 +91,8 @@
 // apply records one worker, and reports whether that changes anything.
 func (l *endpointList) apply(now float64, update waymark.Worker, version uint64) bool {
 	coldUntil := 0.0 // not cold
-	if update.Cold > 0 {
-		coldUntil = now + update.Cold
+	if update.SlowStartLeftMS > 0 {
+		coldUntil = now + update.SlowStartLeftMS
 	}
 	worker := l.workers[update.ID]
 	if worker == nil {
@@ -107,7 +107,7 @@
 		coldUntil = max(coldUntil, worker.coldUntil)
 	}
 	known := worker.Worker
-	known.Cold = update.Cold
+	known.SlowStartLeftMS = update.SlowStartLeftMS
 	coldChanged := coldUntil > now && math.Abs(coldUntil-worker.coldUntil) > coldToleranceMs || coldUntil <= now && worker.coldUntil > now+coldToleranceMs
 	if known == update && !coldChanged {
 		return false
@@ -121,37 +121,37 @@
 }
 
 // since returns the changes since a version, nil if there are none.
-func (l *endpointList) since(now float64, heldVersion uint64) *waymark.Roster {
+func (l *endpointList) since(now float64, heldVersion uint64) *waymark.EndpointList {
 	if heldVersion == l.version || l.version == 0 || heldVersion > l.version {
 		return nil
 	}
-	answer := &waymark.Roster{Version: l.version, Whole: heldVersion < l.changesSince || heldVersion == 0}
+	answer := &waymark.EndpointList{Version: l.version, Complete: heldVersion < l.changesSince || heldVersion == 0}
 	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
 		listed := l.workers[id]
-		if answer.Whole && listed.Gone || !answer.Whole && listed.changedVersion <= heldVersion {
+		if answer.Complete && listed.Removed || !answer.Complete && listed.changedVersion <= heldVersion {
 			continue
 		}
 		worker := listed.Worker
-		worker.Cold = max(listed.coldUntil-now, 0)
+		worker.SlowStartLeftMS = max(listed.coldUntil-now, 0)
 		answer.Workers = append(answer.Workers, worker)
 	}
 	return answer
 }
 
 // merge applies a newer endpoint list of another registry.
-func (l *endpointList) merge(now float64, update *waymark.Roster) bool {
+func (l *endpointList) merge(now float64, update *waymark.EndpointList) bool {
 	if update == nil || update.Version <= l.version {
 		return false
 	}
-	if update.Whole {
+	if update.Complete {
 		l.changesSince, l.termStart = update.Version, update.Version
 		named := map[string]bool{}
 		for _, worker := range update.Workers {
 			named[worker.ID] = true
 		}
 		for id, listed := range l.workers {
-			if !named[id] && !listed.Gone {
-				listed.Gone, listed.changedVersion, listed.goneAt = true, update.Version, now
+			if !named[id] && !listed.Removed {
+				listed.Removed, listed.changedVersion, listed.goneAt = true, update.Version, now
 				l.destinationVersions[listed.Destination] = update.Version
 			}
 		}
@@ -159,7 +159,7 @@
 	for _, worker := range update.Workers {
 		// A worker that was removed and came back in between looks unchanged here, but not to a
 		// gatekeeper that learned of the removal from another registry.
-		if !l.apply(now, worker, update.Version) && !update.Whole {
+		if !l.apply(now, worker, update.Version) && !update.Complete {
 			l.workers[worker.ID].changedVersion, l.destinationVersions[worker.Destination] = update.Version, update.Version
 		}
 	}
--- a/internal/bothy/endpoints_test.go
+++ b/internal/bothy/endpoints_test.go
@@ -10,7 +10,7 @@
 
 // worker returns a warm, open worker of the destination d, with changes applied.
 func worker(id string, change ...func(*waymark.Worker)) waymark.Worker {
-	worker := waymark.Worker{ID: id, Destination: "d", Addr: id + ":80", Zone: "z", Berths: 2}
+	worker := waymark.Worker{ID: id, Destination: "d", Addr: id + ":80", Zone: "z", Slots: 2}
 	for _, apply := range change {
 		apply(&worker)
 	}
@@ -18,10 +18,10 @@
 }
 
 // workerIDs returns the IDs of a list's workers, with a minus sign before removed ones.
-func workerIDs(list *waymark.Roster) (names []string) {
+func workerIDs(list *waymark.EndpointList) (names []string) {
 	for _, w := range list.Workers {
 		name := w.ID
-		if w.Gone {
+		if w.Removed {
 			name = "-" + name
 		}
 		names = append(names, name)
@@ -29,9 +29,9 @@
 	return names
 }
 
-func closing(w *waymark.Worker) { w.Closing = true }
+func closing(w *waymark.Worker) { w.Draining = true }
 func coldFor(ms float64) func(*waymark.Worker) {
-	return func(w *waymark.Worker) { w.Cold = ms }
+	return func(w *waymark.Worker) { w.SlowStartLeftMS = ms }
 }
 
 func TestChangesSinceAVersion(t *testing.T) {
@@ -41,10 +41,10 @@
 	assert.Assert(t, !endpoints.applyPlatformList(400, 1, []waymark.Worker{worker("a"), worker("b")}), "the same list changes nothing")
 	assert.Assert(t, endpoints.applyPlatformList(800, 1, []waymark.Worker{worker("a", closing), worker("c")}))
 	full := endpoints.since(800, 0)
-	assert.Assert(t, full.Whole)
+	assert.Assert(t, full.Complete)
 	assert.DeepEqual(t, workerIDs(full), []string{"a", "c"})
 	changes := endpoints.since(800, first)
-	assert.Assert(t, !changes.Whole)
+	assert.Assert(t, !changes.Complete)
 	assert.DeepEqual(t, workerIDs(changes), []string{"a", "-b", "c"})
 	assert.Assert(t, endpoints.since(800, endpoints.version) == nil)
 }
@@ -55,7 +55,7 @@
 	endpoints := newEndpointList()
 	endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a", coldFor(3000))})
 	assert.Assert(t, !endpoints.applyPlatformList(400, 1, []waymark.Worker{worker("a", coldFor(2600))}))
-	assert.Equal(t, endpoints.since(1000, 0).Workers[0].Cold, 2000.0)
+	assert.Equal(t, endpoints.since(1000, 0).Workers[0].SlowStartLeftMS, 2000.0)
 	assert.Assert(t, endpoints.applyPlatformList(800, 1, []waymark.Worker{worker("a", coldFor(3000))}), "cold again")
 	assert.Assert(t, !endpoints.applyPlatformList(3900, 1, []waymark.Worker{worker("a")}), "the cold period ends as announced")
 }
@@ -71,10 +71,10 @@
 	assert.Assert(t, next.applyPlatformList(800, 2, []waymark.Worker{worker("a"), worker("b")}))
 	assert.Assert(t, next.version > previous.version)
 	update := next.since(800, previous.version)
-	assert.Assert(t, update.Whole)
+	assert.Assert(t, update.Complete)
 	assert.DeepEqual(t, workerIDs(update), []string{"a", "b"})
 	assert.Assert(t, previous.merge(800, update))
-	assert.Assert(t, !previous.merge(800, &waymark.Roster{Version: 1<<termShift | 1, Whole: true}), "a list of an older term is ignored")
+	assert.Assert(t, !previous.merge(800, &waymark.EndpointList{Version: 1<<termShift | 1, Complete: true}), "a list of an older term is ignored")
 }
 
 // TestReturnedWorkerIsAnnounced guards against a gatekeeper that learned of a worker's removal from
--- a/internal/bothy/httpapi.go
+++ b/internal/bothy/httpapi.go
@@ -37,19 +37,19 @@
 }
 
 // handlers returns the HTTP handler for each configured address.
-func (b *Bothy) handlers() map[string]*http.ServeMux {
+func (b *Registry) handlers() map[string]*http.ServeMux {
 	control, directory := http.NewServeMux(), http.NewServeMux()
 	control.HandleFunc("PUT /timetable", b.putConfiguration)
 	control.HandleFunc("GET /timetable", b.getConfiguration)
 	control.HandleFunc("POST /evacuate/{zone}", b.evacuationHandler(cairn.Evacuate))
-	control.HandleFunc("DELETE /evacuate/{zone}", b.evacuationHandler(cairn.TakeBack))
+	control.HandleFunc("DELETE /evacuate/{zone}", b.evacuationHandler(cairn.EndEvacuation))
 	b.addMirrorRoutes(control)
 	directory.HandleFunc("GET /resolve", b.handleResolve)
 	handlers := map[string]*http.ServeMux{}
-	if address := b.settings.Gates.ControlDesk; address != "" {
+	if address := b.settings.Addresses.Control; address != "" {
 		handlers[address] = control
 	}
-	if address := b.settings.Gates.DirectoryDesk; address != "" {
+	if address := b.settings.Addresses.Resolver; address != "" {
 		if handlers[address] != nil {
 			control.Handle("/resolve", directory)
 		} else {
@@ -60,7 +60,7 @@
 }
 
 // listen starts the HTTP servers for outside callers.
-func (b *Bothy) listen() ([]*http.Server, error) {
+func (b *Registry) listen() ([]*http.Server, error) {
 	var servers []*http.Server
 	for addr, mux := range b.handlers() {
 		listener, err := rpc.Listen(addr)
@@ -83,7 +83,7 @@
 }
 
 // writeError writes an error response according to errorResponses.
-func (b *Bothy) writeError(w http.ResponseWriter, err error) {
+func (b *Registry) writeError(w http.ResponseWriter, err error) {
 	response := errorResponses[rpc.KindOf(err)]
 	if response.retryAfter != "" {
 		w.Header().Set("Retry-After", response.retryAfter)
@@ -103,7 +103,7 @@
 
 // putConfiguration handles a new configuration. It is fully validated before it is submitted to the
 // configuration store.
-func (b *Bothy) putConfiguration(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) putConfiguration(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigurationBytes))
 	if err != nil {
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "the body was not read whole: %v", err))
@@ -114,9 +114,9 @@
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", err))
 		return
 	}
-	if err := b.submit(r.Context(), cairn.Change{Kind: cairn.PutConfiguration, Edition: configuration.Edition, Body: body}); err != nil {
+	if err := b.submit(r.Context(), cairn.Change{Kind: cairn.PutConfiguration, Edition: configuration.Version, Body: body}); err != nil {
 		if rpc.KindOf(err) == rpc.Conflict {
-			b.log.Warn().Str("edition", timetable.FormatEdition(configuration.Edition)).Msg("refused a different configuration with a committed edition")
+			b.log.Warn().Str("edition", timetable.FormatVersion(configuration.Version)).Msg("refused a different configuration with a committed edition")
 		}
 		b.writeError(w, err)
 		return
@@ -124,32 +124,32 @@
 	b.mu.Lock()
 	b.counters.ConfigurationsStored++
 	b.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]string{"edition": timetable.FormatEdition(configuration.Edition)})
+	writeJSON(w, http.StatusOK, map[string]string{"edition": timetable.FormatVersion(configuration.Version)})
 }
 
 // submit submits a change to the configuration store, and returns before the caller's timeout.
-func (b *Bothy) submit(ctx context.Context, change cairn.Change) error {
+func (b *Registry) submit(ctx context.Context, change cairn.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	_, err := rpc.Call[waymark.Enter, waymark.Entered](ctx, b.store, waymark.Enter{Change: change})
+	_, err := rpc.Call[waymark.CommitRequest, waymark.CommitResponse](ctx, b.store, waymark.CommitRequest{Change: change})
 	return err
 }
 
 // readFromTail returns the committed state as confirmed by the tail of the chain. State recalled
 // from a machine's disk may be old and is refused.
-func (b *Bothy) readFromTail(ctx context.Context, held cairn.Stamp) (answer waymark.Confirmed, err error) {
-	answer, err = rpc.Call[waymark.Confirm, waymark.Confirmed](ctx, b.store, waymark.Confirm{Have: held})
-	if err == nil && answer.Recalled {
+func (b *Registry) readFromTail(ctx context.Context, held cairn.LogPosition) (answer waymark.CommittedStateResponse, err error) {
+	answer, err = rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](ctx, b.store, waymark.CommittedStateRequest{LastKnown: held})
+	if err == nil && answer.Stale {
 		err = rpc.Errorf(rpc.Stale, "the tail did not answer")
 	}
 	return answer, err
 }
 
 // getConfiguration handles a request for the newest configuration, as confirmed by the tail.
-func (b *Bothy) getConfiguration(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) getConfiguration(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), b.storeTimeout)
 	defer cancel()
-	answer, err := b.readFromTail(ctx, cairn.Stamp{})
+	answer, err := b.readFromTail(ctx, cairn.LogPosition{})
 	switch {
 	case err != nil:
 		b.writeError(w, err)
@@ -166,21 +166,21 @@
 // a later change. It is therefore bound to the position that the tail confirms first, and dropped
 // if the caller has disconnected by then: the end of a connection arrives right behind the order.
 // If the zone has been changed in between, all of this is repeated.
-func (b *Bothy) submitZoneChange(ctx context.Context, change cairn.Change) (err error) {
+func (b *Registry) submitZoneChange(ctx context.Context, change cairn.Change) (err error) {
 	bounded, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
 	b.mu.Lock()
 	held := b.committed.Last
 	b.mu.Unlock()
 	for range maxZoneAttempts {
-		var answer waymark.Confirmed
+		var answer waymark.CommittedStateResponse
 		if answer, err = b.readFromTail(bounded, held); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
 			return rpc.Errorf(rpc.Unavailable, "the caller has left")
 		}
-		_, err = rpc.Call[waymark.Enter, waymark.Entered](bounded, b.store, waymark.Enter{Change: change, After: answer.Last})
+		_, err = rpc.Call[waymark.CommitRequest, waymark.CommitResponse](bounded, b.store, waymark.CommitRequest{Change: change, LastKnown: answer.Last})
 		if rpc.KindOf(err) != rpc.Stale {
 			return err
 		}
@@ -189,7 +189,7 @@
 }
 
 // evacuationHandler returns the handler for the start or the end of a zone's evacuation.
-func (b *Bothy) evacuationHandler(kind cairn.ChangeKind) http.HandlerFunc {
+func (b *Registry) evacuationHandler(kind cairn.ChangeKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("zone")
 		b.mu.Lock()
@@ -209,7 +209,7 @@
 }
 
 // handleResolve answers a client of the directory with gatekeepers' addresses.
-func (b *Bothy) handleResolve(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) handleResolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	addrs := b.resolve(query.Get("region"), query.Get("zone"))
 	if len(addrs) == 0 {
--- a/internal/bothy/httpapi_test.go
+++ b/internal/bothy/httpapi_test.go
@@ -35,12 +35,12 @@
 // testRegistry is a registry without its periodic loops, connected to a scripted configuration
 // store.
 type testRegistry struct {
-	*Bothy
+	*Registry
 	t         *testing.T
 	submitted chan cairn.Change
 	// Answers of the configuration store.
 	refusal error
-	confirm func(waymark.Confirm) (waymark.Confirmed, error)
+	confirm func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error)
 }
 
 // serveRPC answers calls at an address of its own, which it returns.
@@ -58,25 +58,27 @@
 // newTestRegistry returns a registry at 127.0.0.1 whose seeds are itself and the others.
 func newTestRegistry(t *testing.T, others ...string) *testRegistry {
 	t.Helper()
-	settings := &bootconfig.Settings{Station: "sorting-a-1", IP: "127.0.0.1", InnerDocks: []int{7460, 7475}, Zone: "a1", Region: "a", FirstRun: true,
-		Zones: map[string]string{"a1": "a", "b 1": "b"}, FirstStations: append([]string{"127.0.0.1:80"}, others...),
-		Gates:  bootconfig.Gates{ControlDesk: "control", DirectoryDesk: "directory"},
-		Bounds: bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
-	registry := &testRegistry{Bothy: New(settings, zerolog.Nop()), t: t, submitted: make(chan cairn.Change, 99)}
+	settings := &bootconfig.Settings{Node: "sorting-a-1", IP: "127.0.0.1", InnerPorts: []int{7460, 7475}, Zone: "a1", Region: "a", FirstRun: true,
+		Zones: map[string]string{"a1": "a", "b 1": "b"}, SeedNodes: append([]string{"127.0.0.1:80"}, others...),
+		Addresses: bootconfig.ServiceAddresses{Control: "control", Resolver: "directory"},
+		Bounds:    bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
+	registry := &testRegistry{Registry: New(settings, zerolog.Nop()), t: t, submitted: make(chan cairn.Change, 99)}
 	registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.Enter) (waymark.Entered, error) {
+		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
 			registry.submitted <- request.Change
-			return waymark.Entered{}, registry.refusal
+			return waymark.CommitResponse{}, registry.refusal
 		})
-		rpc.Handle(server, func(_ context.Context, request waymark.Confirm) (waymark.Confirmed, error) {
+		rpc.Handle(server, func(_ context.Context, request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 			return registry.confirm(request)
 		})
 	}))
 	t.Cleanup(registry.store.Close)
 	registry.storeTimeout = testTimeout
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) { return waymark.Confirmed{}, nil }
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+		return waymark.CommittedStateResponse{}, nil
+	}
 	for err := error(io.EOF); err != nil; { // the connection is up before a test begins, also on a busy machine
-		_, err = rpc.Call[waymark.Confirm, waymark.Confirmed](t.Context(), registry.store, waymark.Confirm{})
+		_, err = rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](t.Context(), registry.store, waymark.CommittedStateRequest{})
 	}
 	return registry
 }
@@ -110,7 +112,9 @@
 	} {
 		registry := newTestRegistry(t)
 		registry.refusal = rpc.Errorf(kind, "so it is")
-		registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) { return waymark.Confirmed{}, registry.refusal }
+		registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			return waymark.CommittedStateResponse{}, registry.refusal
+		}
 		for _, c := range []struct{ method, path, body string }{
 			{"PUT", "/timetable", configuration}, {"GET", "/timetable", ""}, {"POST", "/evacuate/a1", ""}, {"DELETE", "/evacuate/a1", ""},
 		} {
@@ -139,15 +143,17 @@
 	assert.Equal(t, change.Edition, uint64(12))
 	assert.Equal(t, string(change.Body), text)
 
-	registry.confirm = func(request waymark.Confirm) (waymark.Confirmed, error) {
-		assert.Check(t, !request.Recall && request.Have.Seq == 0, "the complete state must be read from the tail")
-		return waymark.Confirmed{State: &cairn.State{Body: change.Body}}, nil
+	registry.confirm = func(request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+		assert.Check(t, !request.AllowStale && request.LastKnown.Seq == 0, "the complete state must be read from the tail")
+		return waymark.CommittedStateResponse{State: &cairn.State{Body: change.Body}}, nil
 	}
 	response = registry.request("control", "GET", "/timetable", nil)
 	assert.Equal(t, response.Code, 200)
 	assert.Equal(t, response.Body.String(), text)
-	for _, state := range []*cairn.State{nil, {Last: cairn.Stamp{Seq: 3}}} {
-		registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) { return waymark.Confirmed{State: state}, nil }
+	for _, state := range []*cairn.State{nil, {Last: cairn.LogPosition{Seq: 3}}} {
+		registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			return waymark.CommittedStateResponse{State: state}, nil
+		}
 		assert.Equal(t, registry.request("control", "GET", "/timetable", nil).Code, 404)
 	}
 }
@@ -198,7 +204,7 @@
 		kind               cairn.ChangeKind
 	}{
 		{"POST", "/evacuate/a1", "a1", cairn.Evacuate},
-		{"DELETE", "/evacuate/a1", "a1", cairn.TakeBack},
+		{"DELETE", "/evacuate/a1", "a1", cairn.EndEvacuation},
 		{"POST", "/evacuate/b%201", "b 1", cairn.Evacuate},
 	} {
 		assert.Equal(t, registry.request("control", c.method, c.path, nil).Code, 200)
@@ -216,7 +222,7 @@
 	response := registry.request("directory", "GET", path, nil)
 	assert.Equal(t, response.Code, 503)
 	assert.Assert(t, response.Header().Get("Retry-After") != "")
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "p", Zone: "a1", Region: "a", Incarnation: 1, Sequence: 1, ClientAddr: "10.0.0.1:80", Ready: true})
 	for _, c := range []struct{ most, valid float64 }{{5, resolveValidS}, {1.5, 1.5}} {
 		registry.settings.Bounds.TTLMaxS = c.most
 		response = registry.request("directory", "GET", path, nil)
@@ -229,7 +235,7 @@
 		assert.DeepEqual(t, got.Addresses, []string{"10.0.0.1:80"})
 		assert.Equal(t, got.ValidS, c.valid)
 	}
-	registry.settings.Gates.DirectoryDesk = "control" // one address for both
+	registry.settings.Addresses.Resolver = "control" // one address for both
 	assert.Equal(t, registry.request("control", "GET", path, nil).Code, 200)
 	assert.Equal(t, registry.request("control", "POST", "/evacuate/a1", nil).Code, 200)
 }
@@ -258,7 +264,7 @@
 		_, _ = io.WriteString(w, page)
 	}))
 	r.t.Cleanup(server.Close)
-	r.settings.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
+	r.settings.PlatformAPI.Address = strings.TrimPrefix(server.URL, "http://")
 	return func() int {
 		number := <-count
 		count <- number
@@ -275,7 +281,7 @@
 		return `{"roster":{` + columns + `,"rows":[` + strings.Join(rows, ",") + `]},"nextToken":` + next + `}`
 	}
 	want := func(id string, change ...func(*waymark.Worker)) waymark.Worker {
-		worker := waymark.Worker{ID: id, Destination: "d", Addr: "10.0.0.1:80", Zone: "a1", Edition: "v1", Berths: 2, Cold: 500}
+		worker := waymark.Worker{ID: id, Destination: "d", Addr: "10.0.0.1:80", Zone: "a1", Version: "v1", Slots: 2, SlowStartLeftMS: 500}
 		for _, apply := range change {
 			apply(&worker)
 		}
@@ -294,9 +300,11 @@
 			[]waymark.Worker{want("i-1"), want("i-2")}, ""},
 		{"another order, new columns", map[string]string{"": `{"new":1,"roster":{"columns":["id","hue","state","address","destination"],` +
 			`"rows":[["i-1",7,"closing","10.0.0.2:80","d"]]},"nextToken":null}`},
-			[]waymark.Worker{{ID: "i-1", Destination: "d", Addr: "10.0.0.2:80", Closing: true}}, ""},
+			[]waymark.Worker{{ID: "i-1", Destination: "d", Addr: "10.0.0.2:80", Draining: true}}, ""},
 		{"nulls", map[string]string{"": page("null", `["d","10.0.0.1:80",null,null,null,"open_counter",null,"i-1"]`)},
-			[]waymark.Worker{want("i-1", func(worker *waymark.Worker) { worker.Zone, worker.Edition, worker.Berths, worker.Cold = "", "", 0, 0 })}, ""},
+			[]waymark.Worker{want("i-1", func(worker *waymark.Worker) {
+				worker.Zone, worker.Version, worker.Slots, worker.SlowStartLeftMS = "", "", 0, 0
+			})}, ""},
 		{"an unknown state", map[string]string{"": page("null", strings.Replace(row("i-1"), "open_counter", "ending", 1))},
 			[]waymark.Worker{want("i-1", closing)}, ""},
 		{"a row too short", map[string]string{"": page("null", row("i-1"), `["d"]`)}, nil, "without id"},
--- a/internal/bothy/metrics_test.go
+++ b/internal/bothy/metrics_test.go
@@ -13,7 +13,7 @@
 	registry := newTestRegistry(t)
 	registry.request("control", "PUT", "/timetable", strings.NewReader("{"))
 	registry.mu.Lock()
-	registry.view = cairn.View{No: 7, Core: []cairn.Ident{{Addr: "127.0.0.1:7461"}}}
+	registry.view = cairn.View{Number: 7, Core: []cairn.MachineID{{Addr: "127.0.0.1:7461"}}}
 	registry.mu.Unlock()
 	values := map[string]float64{}
 	for _, figure := range registry.Figures(t.Context()) {
--- a/internal/bothy/mirroring.go
+++ b/internal/bothy/mirroring.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// OrderShadow is the name under which the configuration store keeps the traffic-mirroring
+	// OrderMirroring is the name under which the configuration store keeps the traffic-mirroring
 	// order.
-	OrderShadow = "shadow"
+	OrderMirroring = "shadow"
 
 	maxMirrorOrderBytes = 256 << 10 // size of an order
 	maxStopAttempts     = 4         // attempts to stop mirroring while others submit new orders
@@ -30,7 +30,7 @@
 )
 
 // addMirrorRoutes registers the operator's routes for the traffic-mirroring order.
-func (b *Bothy) addMirrorRoutes(control *http.ServeMux) {
+func (b *Registry) addMirrorRoutes(control *http.ServeMux) {
 	control.HandleFunc("PUT /shadow", b.putMirrorOrder)
 	control.HandleFunc("GET /shadow", b.getMirrorOrder)
 	control.HandleFunc("DELETE /shadow", b.stopMirroring)
@@ -40,16 +40,16 @@
 // acknowledged only if the tail then holds it or has held it: of two orders with one number only
 // one can be in force, and an order that is repeated because its answer was lost may have been
 // replaced since.
-func (b *Bothy) putMirrorOrder(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) putMirrorOrder(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMirrorOrderBytes))
 	if err != nil {
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "the body was not read whole: %v", err))
 		return
 	}
-	order, faults := spur.ReadOrder(body)
+	order, faults := spur.ParseRule(body)
 	if order != nil && len(faults) == 0 {
 		b.mu.Lock()
-		faults = order.Strikes(b.reservedAddresses())
+		faults = order.LiveTargetFaults(b.reservedAddresses())
 		b.mu.Unlock()
 	}
 	if len(faults) > 0 {
@@ -57,18 +57,18 @@
 		return
 	}
 	state, err := b.committedState(r.Context())
-	current := state.Orders[OrderShadow]
-	committed := err == nil && state.Took(OrderShadow, order.Number, body)
-	if err == nil && !committed && current.No < order.Number {
+	current := state.Orders[OrderMirroring]
+	committed := err == nil && state.WasCommitted(OrderMirroring, order.Number, body)
+	if err == nil && !committed && current.Number < order.Number {
 		state, err = b.submitMirrorOrder(r.Context(), order.Number, body)
-		current = state.Orders[OrderShadow]
-		committed = err == nil && state.Took(OrderShadow, order.Number, body)
+		current = state.Orders[OrderMirroring]
+		committed = err == nil && state.WasCommitted(OrderMirroring, order.Number, body)
 	}
 	switch {
 	case err != nil:
 		b.writeError(w, err)
 	case !committed:
-		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", order.After(&spur.Order{Number: max(current.No, order.Number)})))
+		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", order.CheckSuccessor(&spur.Rule{Number: max(current.Number, order.Number)})))
 	default:
 		b.log.Info().Uint64("number", order.Number).Msg("operator submitted a traffic-mirroring order")
 		writeJSON(w, http.StatusOK, map[string]string{"number": strconv.FormatUint(order.Number, 10)})
@@ -86,18 +86,18 @@
 
 // submitMirrorOrder submits an order to the configuration store, and returns the state that the
 // tail holds afterwards.
-func (b *Bothy) submitMirrorOrder(ctx context.Context, number uint64, body []byte) (cairn.State, error) {
-	if err := b.submit(ctx, cairn.Change{Kind: cairn.SetOrder, Name: OrderShadow, No: number, Body: body}); err != nil {
+func (b *Registry) submitMirrorOrder(ctx context.Context, number uint64, body []byte) (cairn.State, error) {
+	if err := b.submit(ctx, cairn.Change{Kind: cairn.SetOrder, Name: OrderMirroring, Number: number, Body: body}); err != nil {
 		return cairn.State{}, err
 	}
 	return b.committedState(ctx)
 }
 
 // committedState returns the committed state as confirmed by the tail.
-func (b *Bothy) committedState(ctx context.Context) (state cairn.State, err error) {
+func (b *Registry) committedState(ctx context.Context) (state cairn.State, err error) {
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	answer, err := b.readFromTail(ctx, cairn.Stamp{})
+	answer, err := b.readFromTail(ctx, cairn.LogPosition{})
 	if err == nil && answer.State != nil {
 		state = *answer.State
 	}
@@ -105,18 +105,18 @@
 }
 
 // committedMirrorOrder returns the order in force as confirmed by the tail.
-func (b *Bothy) committedMirrorOrder(ctx context.Context) (cairn.Order, error) {
+func (b *Registry) committedMirrorOrder(ctx context.Context) (cairn.NamedOrder, error) {
 	state, err := b.committedState(ctx)
-	return state.Orders[OrderShadow], err
+	return state.Orders[OrderMirroring], err
 }
 
 // getMirrorOrder handles a request for the order in force.
-func (b *Bothy) getMirrorOrder(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) getMirrorOrder(w http.ResponseWriter, r *http.Request) {
 	order, err := b.committedMirrorOrder(r.Context())
 	switch {
 	case err != nil:
 		b.writeError(w, err)
-	case order.No == 0:
+	case order.Number == 0:
 		b.writeError(w, rpc.Errorf(rpc.NotFound, "there is no order for copies yet"))
 	default:
 		w.Header().Set("Content-Type", "application/json")
@@ -126,7 +126,7 @@
 
 // stopMirroring submits an order that stops mirroring, with a number above that of the order in
 // force.
-func (b *Bothy) stopMirroring(w http.ResponseWriter, r *http.Request) {
+func (b *Registry) stopMirroring(w http.ResponseWriter, r *http.Request) {
 	for attempt := 0; ; attempt++ {
 		current, err := b.committedMirrorOrder(r.Context())
 		if err == nil && r.Context().Err() != nil { // the request may have been delayed, and would stop a newer order
@@ -136,15 +136,15 @@
 			b.writeError(w, err)
 			return
 		}
-		if order, _ := spur.ReadOrder(current.Body); current.No == 0 || order != nil && order.Stopped {
-			writeJSON(w, http.StatusOK, map[string]string{"number": strconv.FormatUint(current.No, 10)})
+		if order, _ := spur.ParseRule(current.Body); current.Number == 0 || order != nil && order.Stopped {
+			writeJSON(w, http.StatusOK, map[string]string{"number": strconv.FormatUint(current.Number, 10)})
 			return
 		}
 		if attempt == maxStopAttempts {
 			b.writeError(w, rpc.Errorf(rpc.Unavailable, "others' orders came in between"))
 			return
 		}
-		number := current.No + 1
+		number := current.Number + 1
 		_, err = b.submitMirrorOrder(r.Context(), number, fmt.Appendf(nil, `{"number":%d,"stopped":true}`, number))
 		if err != nil && rpc.KindOf(err) != rpc.Conflict { // on a conflict another order has taken the number
 			b.writeError(w, err)
@@ -155,22 +155,22 @@
 
 // reservedAddresses returns the addresses of live workers, gatekeepers, registries and the
 // platform, to which no mirrored request may be sent. The lock is held.
-func (b *Bothy) reservedAddresses() map[string]bool {
-	reserved := map[string]bool{b.settings.CarrierAPI.Address: true}
+func (b *Registry) reservedAddresses() map[string]bool {
+	reserved := map[string]bool{b.settings.PlatformAPI.Address: true}
 	for _, worker := range b.endpoints.workers {
 		reserved[worker.Addr] = true
 	}
 	members := b.sessions.Members(b.now())
 	for i := range members.Members {
-		reserved[members.Members[i].Counter], reserved[members.Members[i].Inner] = true, true
+		reserved[members.Members[i].ClientAddr], reserved[members.Members[i].PeerAddr] = true, true
 	}
-	for _, address := range []string{b.settings.Gates.ControlDesk, b.settings.Gates.DirectoryDesk} {
+	for _, address := range []string{b.settings.Addresses.Control, b.settings.Addresses.Resolver} {
 		reserved[address] = true
 	}
-	for _, address := range append(slices.Clone(b.core), append(b.seeds, b.settings.Inner(registryPort))...) {
+	for _, address := range append(slices.Clone(b.core), append(b.seeds, b.settings.InnerAddress(registryPort))...) {
 		host, _, err := net.SplitHostPort(address)
 		if reserved[address] = true; err == nil {
-			reserved[b.settings.At(host, storePort)] = true
+			reserved[b.settings.InnerAddressOf(host, storePort)] = true
 		}
 	}
 	delete(reserved, "")
@@ -179,36 +179,36 @@
 
 // addMirrorUpdates adds a newer traffic-mirroring order to an answer, and the seats (all
 // gatekeepers that collect mirrored requests) for a gatekeeper that mirrors. The lock is held.
-func (b *Bothy) addMirrorUpdates(now, receivedAt float64, members membership.Roll, heartbeat *waymark.Sign, answer *waymark.Signed) (updated bool) {
-	if order := b.committed.Orders[OrderShadow]; order.No > heartbeat.Shadow {
-		answer.Shadow, answer.Order, updated = order.No, order.Body, true
+func (b *Registry) addMirrorUpdates(now, receivedAt float64, members membership.MemberList, heartbeat *waymark.SessionRequest, answer *waymark.SessionResponse) (updated bool) {
+	if order := b.committed.Orders[OrderMirroring]; order.Number > heartbeat.MirrorOrderNumber {
+		answer.MirrorOrderNumber, answer.MirrorOrder, updated = order.Number, order.Body, true
 	}
-	asOf, known := b.sessions.AsOf(now, b.core)
-	if !heartbeat.Copies || !answer.Settled || !known {
+	asOf, known := b.sessions.CompleteAsOf(now, b.core)
+	if !heartbeat.MirrorsTraffic || !answer.Settled || !known {
 		return updated
 	}
-	answer.SeatsAt = asOf - maxReportAgeMs - receivedAt
-	var seats []spur.Seat
+	answer.SeatsAsOf = asOf - maxReportAgeMs - receivedAt
+	var seats []spur.Member
 	var description strings.Builder
 	for i := range members.Members {
-		if member := &members.Members[i]; member.Counter != "" && !member.Leaving { // a gatekeeper that is leaving hands over what it has collected
-			seats = append(seats, spur.Seat{Station: member.Station, Life: member.Life, Region: member.Region, Inner: member.Inner})
-			_, _ = fmt.Fprintf(&description, "%q %d %q %q\n", member.Station, member.Life, member.Region, member.Inner)
+		if member := &members.Members[i]; member.ClientAddr != "" && !member.Leaving { // a gatekeeper that is leaving hands over what it has collected
+			seats = append(seats, spur.Member{Node: member.Node, Incarnation: member.Incarnation, Region: member.Region, InternalAddress: member.PeerAddr})
+			_, _ = fmt.Fprintf(&description, "%q %d %q %q\n", member.Node, member.Incarnation, member.Region, member.PeerAddr)
 		}
 	}
 	if len(seats) == 0 {
 		return updated
 	}
-	if answer.SeatsNow = xxh3.HashString(description.String()) | 1; answer.SeatsNow != heartbeat.Seats {
+	if answer.SeatsChecksum = xxh3.HashString(description.String()) | 1; answer.SeatsChecksum != heartbeat.SeatsChecksum {
 		answer.Seats, updated = seats, true
 	}
 	return updated
 }
 
 // logMirrorOrder logs a traffic-mirroring order that has come into force. The lock is held.
-func (b *Bothy) logMirrorOrder(previous cairn.Order) {
-	if current := b.committed.Orders[OrderShadow]; current.No != previous.No {
-		order, _ := spur.ReadOrder(current.Body)
-		b.log.Info().Uint64("number", current.No).Bool("stopped", order == nil || order.Stopped).Msg("traffic-mirroring order in force")
+func (b *Registry) logMirrorOrder(previous cairn.NamedOrder) {
+	if current := b.committed.Orders[OrderMirroring]; current.Number != previous.Number {
+		order, _ := spur.ParseRule(current.Body)
+		b.log.Info().Uint64("number", current.Number).Bool("stopped", order == nil || order.Stopped).Msg("traffic-mirroring order in force")
 	}
 }
