--- a/internal/bothy/mirroring_test.go
+++ b/internal/bothy/mirroring_test.go
@@ -21,18 +21,18 @@
 }
 
 // keepOrders makes the scripted configuration store keep orders as the chain does.
-func (r *testRegistry) keepOrders(held cairn.Order) *cairn.Order {
+func (r *testRegistry) keepOrders(held cairn.NamedOrder) *cairn.NamedOrder {
 	r.store.Close()
 	r.store = rpc.NewPeer(serveRPC(r.t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.Enter) (waymark.Entered, error) {
-			if r.refusal == nil && request.Change.No > held.No {
-				held = cairn.Order{No: request.Change.No, Body: request.Change.Body}
+		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+			if r.refusal == nil && request.Change.Number > held.Number {
+				held = cairn.NamedOrder{Number: request.Change.Number, Body: request.Change.Body}
 			}
 			r.submitted <- request.Change
-			return waymark.Entered{}, r.refusal
+			return waymark.CommitResponse{}, r.refusal
 		})
-		rpc.Handle(server, func(context.Context, waymark.Confirm) (waymark.Confirmed, error) {
-			return waymark.Confirmed{State: &cairn.State{Orders: map[string]cairn.Order{OrderShadow: held}}}, nil
+		rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			return waymark.CommittedStateResponse{State: &cairn.State{Orders: map[string]cairn.NamedOrder{OrderMirroring: held}}}, nil
 		})
 	}))
 	r.t.Cleanup(r.store.Close)
@@ -44,8 +44,8 @@
 func TestMirrorOrder(t *testing.T) {
 	registry := newTestRegistry(t)
 	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{{ID: "w", Destination: "a", Addr: "10.0.0.1:80"}})
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "p", Life: 1, Turn: 1, Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
-	held := registry.keepOrders(cairn.Order{})
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "p", Incarnation: 1, Sequence: 1, ClientAddr: "10.0.0.2:80", PeerAddr: "10.0.0.2:7460"})
+	held := registry.keepOrders(cairn.NamedOrder{})
 	put := func(body string) (int, string) {
 		w := registry.request("control", "PUT", "/shadow", strings.NewReader(body))
 		return w.Code, w.Body.String()
@@ -60,7 +60,7 @@
 		{mirrorOrderJSON(3, "10.0.0.1:80"), "live_worker"},
 		{mirrorOrderJSON(3, "10.0.0.2:80"), "live_worker"},   // a gatekeeper's address for clients
 		{mirrorOrderJSON(3, "10.0.0.2:7460"), "live_worker"}, // a gatekeeper's address for peers
-		{mirrorOrderJSON(3, registry.settings.Inner(storePort)), "live_worker"},
+		{mirrorOrderJSON(3, registry.settings.InnerAddress(storePort)), "live_worker"},
 	} {
 		code, message := put(c.body)
 		assert.Equal(t, code, 400, c.body)
@@ -73,7 +73,7 @@
 		code, message := put(order3)
 		assert.Equal(t, code, 200, message)
 	}
-	assert.Equal(t, held.No, uint64(3))
+	assert.Equal(t, held.Number, uint64(3))
 	response := registry.request("control", "GET", "/shadow", nil)
 	assert.Equal(t, response.Body.String(), order3, "the order is returned unchanged")
 	for _, stale := range []string{mirrorOrderJSON(2, "10.0.0.9:80"), mirrorOrderJSON(3, "10.0.0.8:80")} {
@@ -89,10 +89,10 @@
 	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 503)
 	registry.refusal = nil
 	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200)
-	assert.Equal(t, held.No, uint64(4))
+	assert.Equal(t, held.Number, uint64(4))
 	assert.Assert(t, strings.Contains(string(held.Body), "stopped"))
 	assert.Equal(t, registry.request("control", "DELETE", "/shadow", nil).Code, 200, "repeated")
-	assert.Equal(t, held.No, uint64(4))
+	assert.Equal(t, held.Number, uint64(4))
 	assert.Equal(t, registry.request("directory", "PUT", "/shadow", strings.NewReader(mirrorOrderJSON(9, "10.0.0.9:80"))).Code, 404)
 }
 
@@ -101,33 +101,33 @@
 func TestMirrorOrderInHeartbeatAnswer(t *testing.T) {
 	registry := newTestRegistry(t)
 	registry.start = registry.start.Add(-60e9) // all members are known
-	answerWithoutOrder := registry.heartbeat(waymark.Sign{Copies: true})
-	assert.Equal(t, answerWithoutOrder.Shadow, uint64(0))
+	answerWithoutOrder := registry.heartbeat(waymark.SessionRequest{MirrorsTraffic: true})
+	assert.Equal(t, answerWithoutOrder.MirrorOrderNumber, uint64(0))
 	committed := committedState(4, 12)
-	committed.Orders = map[string]cairn.Order{OrderShadow: {No: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}}
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 4}, State: committed}, nil)
-	heartbeat := waymark.Sign{Edition: 12, Evac: 4}
+	committed.Orders = map[string]cairn.NamedOrder{OrderMirroring: {Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}}
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 4}, State: committed}, nil)
+	heartbeat := waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4}
 	answer := registry.heartbeat(heartbeat) // like a gatekeeper that has just started
-	assert.Equal(t, answer.Shadow, uint64(7))
-	assert.Equal(t, string(answer.Order), mirrorOrderJSON(7, "10.0.0.9:80"))
-	heartbeat.Shadow = 6
-	assert.Equal(t, registry.heartbeat(heartbeat).Shadow, uint64(7))
+	assert.Equal(t, answer.MirrorOrderNumber, uint64(7))
+	assert.Equal(t, string(answer.MirrorOrder), mirrorOrderJSON(7, "10.0.0.9:80"))
+	heartbeat.MirrorOrderNumber = 6
+	assert.Equal(t, registry.heartbeat(heartbeat).MirrorOrderNumber, uint64(7))
 	for _, number := range []uint64{7, 8} {
-		heartbeat.Shadow = number
+		heartbeat.MirrorOrderNumber = number
 		answer = registry.heartbeat(heartbeat)
-		assert.Assert(t, answer.Shadow == 0 && answer.Order == nil && answer.SeatsNow == 0)
+		assert.Assert(t, answer.MirrorOrderNumber == 0 && answer.MirrorOrder == nil && answer.SeatsChecksum == 0)
 	}
-	heartbeat.Copies = true
-	assert.Assert(t, registry.heartbeat(heartbeat).SeatsNow == 0, "a member without an address for clients has no seat")
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "q", Life: 5, Turn: 1, Region: "b", Counter: "10.0.0.2:80", Inner: "10.0.0.2:7460"})
+	heartbeat.MirrorsTraffic = true
+	assert.Assert(t, registry.heartbeat(heartbeat).SeatsChecksum == 0, "a member without an address for clients has no seat")
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "q", Incarnation: 5, Sequence: 1, Region: "b", ClientAddr: "10.0.0.2:80", PeerAddr: "10.0.0.2:7460"})
 	answer = registry.heartbeat(heartbeat)
 	assert.Assert(t, answer.Settled, "the registry knows all members")
 	assert.Equal(t, len(answer.Seats), 1)
-	assert.Equal(t, answer.Seats[0].Station, "q")
+	assert.Equal(t, answer.Seats[0].Node, "q")
 	assert.Equal(t, answer.Seats[0].Region, "b")
-	heartbeat.Seats = answer.SeatsNow
+	heartbeat.SeatsChecksum = answer.SeatsChecksum
 	answer = registry.heartbeat(heartbeat)
-	assert.Assert(t, answer.Seats == nil && answer.SeatsNow == heartbeat.Seats, "the hash is repeated, the list is not")
+	assert.Assert(t, answer.Seats == nil && answer.SeatsChecksum == heartbeat.SeatsChecksum, "the hash is repeated, the list is not")
 }
 
 // TestRepeatedMirrorOrderIsAcknowledged: an order whose answer was lost is acknowledged when it is
@@ -136,9 +136,9 @@
 	registry := newTestRegistry(t)
 	order3, order4 := mirrorOrderJSON(3, "10.0.0.9:80"), mirrorOrderJSON(4, "10.0.0.9:80")
 	identity := func(number uint64, body string) cairn.Identity {
-		return cairn.Identity{No: number, Digest: xxh3.Hash128([]byte(body)).Bytes()}
+		return cairn.Identity{Number: number, Digest: xxh3.Hash128([]byte(body)).Bytes()}
 	}
-	held := registry.keepOrders(cairn.Order{No: 4, Body: []byte(order4), Past: []cairn.Identity{identity(3, order3), identity(4, order4)}})
+	held := registry.keepOrders(cairn.NamedOrder{Number: 4, Body: []byte(order4), Identities: []cairn.Identity{identity(3, order3), identity(4, order4)}})
 	put := func(body string) int {
 		return registry.request("control", "PUT", "/shadow", strings.NewReader(body)).Code
 	}
@@ -148,5 +148,5 @@
 	assert.Equal(t, len(registry.submitted), 0)
 	registry.refusal = rpc.Errorf(rpc.Conflict, "another was first")
 	assert.Equal(t, put(mirrorOrderJSON(5, "10.0.0.8:80")), 409)
-	assert.Equal(t, held.No, uint64(4))
+	assert.Equal(t, held.Number, uint64(4))
 }
--- a/internal/bothy/partition_test.go
+++ b/internal/bothy/partition_test.go
@@ -46,7 +46,7 @@
 		_, _ = io.WriteString(w, text[9:])
 	}))
 	r.t.Cleanup(server.Close)
-	r.settings.CarrierAPI.Address = strings.TrimPrefix(server.URL, "http://")
+	r.settings.PlatformAPI.Address = strings.TrimPrefix(server.URL, "http://")
 	return requests
 }
 
@@ -54,7 +54,7 @@
 func (r *testRegistry) announceHolder(from string, held ...election.Tenure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.election.Step(r.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Announce, From: from, Held: held}})
+	r.election.Step(r.now(), election.Event{Kind: election.Received, Message: election.Message{Kind: election.Announce, From: from, HeldDuties: held}})
 }
 
 // stepElections steps the election for the given time.
@@ -66,8 +66,8 @@
 }
 
 // withdrawnIDs returns the IDs of the withdrawn workers in an answer.
-func withdrawnIDs(answer waymark.Signed) (ids []string) {
-	for _, withdrawal := range answer.Struck {
+func withdrawnIDs(answer waymark.SessionResponse) (ids []string) {
+	for _, withdrawal := range answer.Withdrawn {
 		ids = append(ids, withdrawal.ID)
 	}
 	return ids
@@ -87,12 +87,12 @@
 	const other = "127.0.0.2:7460"
 	registry := newTestRegistry(t, "127.0.0.2:80", "127.0.0.3:80")
 	now := useTestClock(registry)
-	registry.settings.CarrierAPI.RatePerS = 3
+	registry.settings.PlatformAPI.RatePerS = 3
 	rows := open1 + "," + open2
 	requests := registry.serveList(nil, &rows)
 	registry.endpoints.applyPlatformList(registry.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
 	version := registry.endpoints.version
-	heartbeat := waymark.Sign{Roster: version}
+	heartbeat := waymark.SessionRequest{EndpointsVersion: version}
 
 	for range 100 { // another registry holds the duty
 		registry.announceHolder(other, election.Tenure{Duty: dutyEndpoints, Term: 1})
@@ -108,10 +108,10 @@
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1))
 	answer := registry.heartbeat(heartbeat)
-	assert.DeepEqual(t, answer.Struck, []waymark.Struck{{ID: "i-1", At: version}})
-	assert.Assert(t, answer.Marks == nil && answer.Parts == nil, "only withdrawals are announced")
-	heartbeat.Struck = answer.StruckNow
-	assert.Assert(t, registry.heartbeat(heartbeat).Struck == nil, "the gatekeeper holds that list already")
+	assert.DeepEqual(t, answer.Withdrawn, []waymark.WithdrawnWorker{{ID: "i-1", ListVersion: version}})
+	assert.Assert(t, answer.EndpointChanges == nil && answer.Endpoints == nil, "only withdrawals are announced")
+	heartbeat.WithdrawnChecksum = answer.WithdrawnChecksum
+	assert.Assert(t, registry.heartbeat(heartbeat).Withdrawn == nil, "the gatekeeper holds that list already")
 
 	const durationMs = 10_000
 	for from := now.Load(); now.Load() < from+durationMs; {
@@ -125,10 +125,10 @@
 	assert.Equal(t, registry.endpoints.version, version)
 
 	// Withdrawals of another registry are merged, also of a worker that is unknown here.
-	gossipAnswer, err := registry.handleGossip(t.Context(), waymark.Gossip{From: other, Struck: []waymark.Struck{{ID: "i-9", At: version}, {ID: "i-1", At: version - 1}}})
+	gossipAnswer, err := registry.handleGossip(t.Context(), waymark.Gossip{From: other, Withdrawn: []waymark.WithdrawnWorker{{ID: "i-9", ListVersion: version}, {ID: "i-1", ListVersion: version - 1}}})
 	assert.NilError(t, err)
-	assert.Equal(t, gossipAnswer.Roster, version)
-	heartbeat.Struck = answer.StruckNow
+	assert.Equal(t, gossipAnswer.EndpointsVersion, version)
+	heartbeat.WithdrawnChecksum = answer.WithdrawnChecksum
 	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(heartbeat)), []string{"i-1", "i-2", "i-9"})
 
 	// A newer version of the same term replaces the withdrawals of the workers it contains, the
@@ -137,8 +137,8 @@
 	holder.merge(0, registry.endpoints.since(registry.now(), 0))
 	holder.applyPlatformList(registry.now(), 1, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	peer := rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.AskRoster) (waymark.Roster, error) {
-			return *holder.since(0, request.Have), nil
+		rpc.Handle(server, func(_ context.Context, request waymark.EndpointListRequest) (waymark.EndpointList, error) {
+			return *holder.since(0, request.HeldVersion), nil
 		})
 	}))
 	t.Cleanup(peer.Close)
@@ -148,11 +148,11 @@
 		}
 	}
 	fetchFromHolder()
-	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.Sign{})), []string{"i-2", "i-9"})
+	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.SessionRequest{})), []string{"i-2", "i-9"})
 	holder.applyPlatformList(registry.now(), 2, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	fetchFromHolder()
-	assert.Assert(t, registry.heartbeat(waymark.Sign{}).Struck == nil)
-	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []waymark.Struck{{ID: "i-2", At: version}}), "a withdrawal of the previous term that arrives late")
+	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).Withdrawn == nil)
+	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []waymark.WithdrawnWorker{{ID: "i-2", ListVersion: version}}), "a withdrawal of the previous term that arrives late")
 }
 
 // TestMissingWorkerIsWithdrawnOnSecondList: a page may lack a worker because another one was
@@ -168,13 +168,13 @@
 	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}), "a holder of the duty may have read the list in between")
 	assert.Assert(t, withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
 	all, hash := withdrawn.snapshot()
-	assert.DeepEqual(t, all, []waymark.Struck{{ID: "i-2", At: endpoints.version}})
+	assert.DeepEqual(t, all, []waymark.WithdrawnWorker{{ID: "i-2", ListVersion: endpoints.version}})
 	assert.Assert(t, hash != 0)
 	// Versions known to gatekeepers but not to this registry count too.
 	withdrawn = withdrawals{newestVersion: endpoints.version + 3}
 	withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1", closing), worker("i-2")})
 	all, _ = withdrawn.snapshot()
-	assert.DeepEqual(t, all, []waymark.Struck{{ID: "i-1", At: endpoints.version + 3}})
+	assert.DeepEqual(t, all, []waymark.WithdrawnWorker{{ID: "i-1", ListVersion: endpoints.version + 3}})
 }
 
 // TestListReadDuringFreezeIsIgnored: a process that is frozen while it reads the list has an old
@@ -190,23 +190,23 @@
 	frozenMs = 20_000
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1))
-	assert.Assert(t, registry.heartbeat(waymark.Sign{}).Struck == nil)
+	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).Withdrawn == nil)
 	registry.stepElections(now, 1000)
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1), "another registry may have won the duty meanwhile, in a message not yet read")
 	frozenMs = 0
 	registry.stepElections(now, 600)
 	registry.pollPlatform(t.Context())
-	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.Sign{})), []string{"i-1"})
+	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.SessionRequest{})), []string{"i-1"})
 }
 
 // winDuty makes a registry its own electorate, and steps until it holds the duty in a term above
 // another.
 func (r *testRegistry) winDuty(now *atomic.Int64, aboveTerm uint64) (term uint64) {
-	self := r.settings.Inner(registryPort)
+	self := r.settings.InnerAddress(registryPort)
 	for end := now.Load() + 20_000; now.Load() < end; {
 		r.mu.Lock()
-		r.election.Electorate(r.now(), r.now(), []string{self}, 1, 0)
+		r.election.SetElectorate(r.now(), r.now(), []string{self}, 1, 0)
 		r.mu.Unlock()
 		now.Add(20)
 		r.stepElection(r.t.Context())
@@ -250,7 +250,7 @@
 	registry.winDuty(now, firstTerm)
 	registry.pollPlatform(t.Context())
 	assert.Assert(t, registry.endpoints.version>>termShift > firstTerm)
-	assert.Assert(t, registry.endpoints.workers["i-1"].Closing)
+	assert.Assert(t, registry.endpoints.workers["i-1"].Draining)
 
 	duringAnswer = func() { now.Add(20_000) } // also if the duty is not won again
 	rows = open1
@@ -279,22 +279,22 @@
 		ended := make(chan struct{})
 		t.Cleanup(func() { close(ended) })
 		registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-			rpc.Handle(server, func(context.Context, waymark.Enter) (waymark.Entered, error) {
+			rpc.Handle(server, func(context.Context, waymark.CommitRequest) (waymark.CommitResponse, error) {
 				if hangs {
 					<-ended
 				}
 				if storeError == nil { // an order may be under way, its outcome is unknown
-					return waymark.Entered{}, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
+					return waymark.CommitResponse{}, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
 				}
-				return waymark.Entered{}, storeError
+				return waymark.CommitResponse{}, storeError
 			})
-			rpc.Handle(server, func(context.Context, waymark.Confirm) (waymark.Confirmed, error) {
+			rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 				if hangs {
 					<-ended
 				}
 				recalled := committedState(5, 12, "a1")
-				recalled.Orders = map[string]cairn.Order{OrderShadow: {No: 3, Body: []byte(mirrorOrderJSON(3, "10.0.0.9:80"))}}
-				return waymark.Confirmed{Recalled: true, State: recalled}, storeError
+				recalled.Orders = map[string]cairn.NamedOrder{OrderMirroring: {Number: 3, Body: []byte(mirrorOrderJSON(3, "10.0.0.9:80"))}}
+				return waymark.CommittedStateResponse{Stale: true, State: recalled}, storeError
 			})
 		}))
 		t.Cleanup(registry.store.Close)
@@ -314,38 +314,38 @@
 func TestStateExpiresDuringFreeze(t *testing.T) {
 	registry := newTestRegistry(t)
 	now := useTestClock(registry)
-	registry.Shed(snowline.Options{})
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: committedState(1, 12)}, nil)
+	registry.EnableShedding(snowline.Options{})
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
 	registry.winDuty(now, 0)
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Counter: "10.0.0.1:80", Ready: true})
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "p", Zone: "a1", Region: "a", Incarnation: 1, Sequence: 1, ClientAddr: "10.0.0.1:80", Ready: true})
 	const path = "/resolve?name=x.example&region=a&zone=a1"
 	assert.Equal(t, registry.request("directory", "GET", path, nil).Code, 200)
-	assert.Assert(t, registry.heartbeat(waymark.Sign{}).AsOf > -20_000)
+	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).AsOf > -20_000)
 	registry.mu.Lock()
 	registry.sessions.Leave(registry.now(), "p", 1)
 	registry.mu.Unlock()
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "q", Zone: "a1", Region: "a", Life: 2, Turn: 1, Counter: "10.0.0.2:80", Ready: true})
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "q", Zone: "a1", Region: "a", Incarnation: 2, Sequence: 1, ClientAddr: "10.0.0.2:80", Ready: true})
 	now.Add(20_000)
 	response := registry.request("directory", "GET", path, nil)
 	assert.Equal(t, response.Code, 503, response.Body)
 	assert.Assert(t, response.Header().Get("Retry-After") != "")
 	for name, call := range map[string]func() error{
 		"draw": func() error {
-			_, err := registry.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 1})
+			_, err := registry.handleQuotaRequest(t.Context(), waymark.AllocationRequest{Node: "p", Incarnation: 1, Sequence: 1})
 			return err
 		},
 		"level": func() error {
-			_, err := registry.handleFixLevel(t.Context(), waymark.FixLevel{Cut: 1, ForMs: 5})
+			_, err := registry.handleFixLevel(t.Context(), waymark.FixSheddingLevel{Cut: 1, DurationMS: 5})
 			return err
 		},
 		"strain": func() error {
-			_, err := registry.handleLoadReport(t.Context(), waymark.Strain{})
+			_, err := registry.handleLoadReport(t.Context(), waymark.PressureReport{})
 			return err
 		},
 	} {
 		assert.Equal(t, rpc.KindOf(call()), rpc.Unavailable, name)
 	}
-	answer := registry.heartbeat(waymark.Sign{})
+	answer := registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.Stale)
 	assert.Assert(t, answer.AsOf <= -20_000, "%v", answer.AsOf)
 }
@@ -357,14 +357,14 @@
 	for _, c := range []struct{ method, path string }{{"POST", "/evacuate/a1"}, {"DELETE", "/evacuate/a1"}, {"DELETE", "/shadow"}} {
 		for _, disconnects := range []bool{true, false} {
 			registry := newTestRegistry(t)
-			current := cairn.Order{No: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}
+			current := cairn.NamedOrder{Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}
 			ctx, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
-			registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
+			registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 				if disconnects {
 					disconnect()
 				}
-				return waymark.Confirmed{Last: cairn.Stamp{Seq: 9, View: 3}, State: &cairn.State{Orders: map[string]cairn.Order{OrderShadow: current}}}, nil
+				return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 9, View: 3}, State: &cairn.State{Orders: map[string]cairn.NamedOrder{OrderMirroring: current}}}, nil
 			}
 			response := httptest.NewRecorder()
 			registry.handlers()["control"].ServeHTTP(response, httptest.NewRequestWithContext(ctx, c.method, c.path, nil))
@@ -380,22 +380,22 @@
 // again after the new position.
 func TestZoneChangeIsRetriedAfterConflict(t *testing.T) {
 	registry := newTestRegistry(t)
-	var positions []cairn.Stamp
+	var positions []cairn.LogPosition
 	registry.store.Close()
 	registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.Enter) (waymark.Entered, error) {
-			if positions = append(positions, request.After); len(positions) == 1 {
-				return waymark.Entered{}, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
+		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+			if positions = append(positions, request.LastKnown); len(positions) == 1 {
+				return waymark.CommitResponse{}, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
 			}
-			return waymark.Entered{}, nil
+			return waymark.CommitResponse{}, nil
 		})
-		rpc.Handle(server, func(context.Context, waymark.Confirm) (waymark.Confirmed, error) {
-			return waymark.Confirmed{Last: cairn.Stamp{Seq: 5 + uint64(len(positions)), View: 1}}, nil
+		rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 5 + uint64(len(positions)), View: 1}}, nil
 		})
 	}))
 	t.Cleanup(registry.store.Close)
 	assert.Equal(t, registry.request("control", "POST", "/evacuate/a1", nil).Code, 200)
-	assert.DeepEqual(t, positions, []cairn.Stamp{{Seq: 5, View: 1}, {Seq: 6, View: 1}})
+	assert.DeepEqual(t, positions, []cairn.LogPosition{{Seq: 5, View: 1}, {Seq: 6, View: 1}})
 }
 
 // TestDisconnectIsNoticedWhileReadingTail: a request and the end of its connection are in the
@@ -411,9 +411,9 @@
 		control.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 		<-(<-requestContext).Done()
-		return waymark.Confirmed{Last: cairn.Stamp{Seq: 1}}, nil
+		return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}}, nil
 	}
 	connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 	assert.NilError(t, err)
@@ -440,33 +440,35 @@
 func TestFixLevelNeedsTail(t *testing.T) {
 	registry := newTestRegistry(t)
 	now := useTestClock(registry)
-	registry.Shed(snowline.Options{})
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: committedState(1, 12)}, nil)
+	registry.EnableShedding(snowline.Options{})
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
 	registry.mu.Lock()
-	registry.election = election.New(registry.settings.Inner(registryPort), 1, registry.now(), dutyLeaseMs, true, dutyEndpoints, DutyLevel)
+	registry.election = election.New(registry.settings.InnerAddress(registryPort), 1, registry.now(), dutyLeaseMs, true, dutyEndpoints, DutyShedding)
 	registry.mu.Unlock()
 	fixLevel := func(ctx context.Context) error {
 		registry.winDuty(now, 0)
 		for held := false; !held; {
 			now.Add(20)
 			registry.stepElection(t.Context())
-			_, held = registry.election.Holds(registry.now(), DutyLevel)
+			_, held = registry.election.Holds(registry.now(), DutyShedding)
 		}
-		_, err := registry.handleFixLevel(ctx, waymark.FixLevel{Cut: 5, ForMs: 1000})
+		_, err := registry.handleFixLevel(ctx, waymark.FixSheddingLevel{Cut: 5, DurationMS: 1000})
 		return err
 	}
 	assert.NilError(t, fixLevel(t.Context()))
 	ctx, disconnect := context.WithCancel(t.Context())
 	defer disconnect()
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 		disconnect()
-		return waymark.Confirmed{Last: cairn.Stamp{Seq: 1}}, nil
+		return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}}, nil
 	}
 	assert.Assert(t, fixLevel(ctx) != nil)
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) { return waymark.Confirmed{Recalled: true}, nil }
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+		return waymark.CommittedStateResponse{Stale: true}, nil
+	}
 	assert.Equal(t, rpc.KindOf(fixLevel(t.Context())), rpc.Stale)
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
-		return waymark.Confirmed{}, rpc.Errorf(rpc.Unavailable, "no tail")
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+		return waymark.CommittedStateResponse{}, rpc.Errorf(rpc.Unavailable, "no tail")
 	}
 	assert.Equal(t, rpc.KindOf(fixLevel(t.Context())), rpc.Unavailable)
 }
--- a/internal/bothy/platform.go
+++ b/internal/bothy/platform.go
@@ -35,7 +35,7 @@
 
 // pollPlatform reads the platform's list of workers if this registry holds that duty; in a reduced
 // form also if nobody holds it. A list that is not read completely changes nothing.
-func (b *Bothy) pollPlatform(ctx context.Context) {
+func (b *Registry) pollPlatform(ctx context.Context) {
 	b.mu.Lock()
 	startedAt, version := b.now(), b.endpoints.version
 	termBefore, ok := b.election.Holds(startedAt, dutyEndpoints)
@@ -81,13 +81,13 @@
 }
 
 // readPlatformList reads all pages of the platform's list, and returns their number too.
-func (b *Bothy) readPlatformList(ctx context.Context) (list []waymark.Worker, pages int, err error) {
+func (b *Registry) readPlatformList(ctx context.Context) (list []waymark.Worker, pages int, err error) {
 	token := ""
 	for n := 0; ; n++ {
 		if n > maxPlatformPages {
 			return nil, n, fmt.Errorf("platform's list does not end after %d pages", n)
 		}
-		address := "http://" + b.settings.CarrierAPI.Address + "/roster"
+		address := "http://" + b.settings.PlatformAPI.Address + "/roster"
 		if token != "" {
 			address += "?pageToken=" + url.QueryEscape(token)
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (b *Bothy) readPlatformPage(ctx context.Context, address string) (page platformPage, err error) {
+func (b *Registry) readPlatformPage(ctx context.Context, address string) (page platformPage, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return page, err
@@ -154,8 +154,8 @@
 			return number
 		}
 		worker := waymark.Worker{ID: textOf("id"), Destination: textOf("destination"), Addr: textOf("address"), Zone: textOf("zone"),
-			Edition: textOf("edition"), Berths: int(numberOf("berths")), Closing: strings.TrimSpace(textOf("state")) != "open_counter",
-			Cold: numberOf("coldS_time") * 1000}
+			Version: textOf("edition"), Slots: int(numberOf("berths")), Draining: strings.TrimSpace(textOf("state")) != "open_counter",
+			SlowStartLeftMS: numberOf("coldS_time") * 1000}
 		if worker.ID == "" || worker.Addr == "" {
 			return nil, fmt.Errorf("platform's list has a worker without id or address: got id %q, address %q", worker.ID, worker.Addr)
 		}
--- a/internal/bothy/probe.go
+++ b/internal/bothy/probe.go
@@ -25,9 +25,11 @@
 	coldHeader         = "X-Foxwood-Cold-Ms"
 )
 
-// Probe sets how many workers this registry probes per second while it holds the duty. It must be
+// SetProbeRate sets how many workers this registry probes per second while it holds the duty. It must be
 // called before Serve.
-func (b *Bothy) Probe(perSecond float64) { b.probeRate = min(max(perSecond, 0), maxProbesPerSecond) }
+func (b *Registry) SetProbeRate(perSecond float64) {
+	b.probeRate = min(max(perSecond, 0), maxProbesPerSecond)
+}
 
 // takeDueProbes returns the workers to probe, those first whose last probe is the oldest, and
 // records them as probed.
@@ -35,7 +37,7 @@
 	var due []*listedWorker
 	for _, worker := range l.workers {
 		cold, isNew := worker.coldUntil > now, worker.listedAt > 0 && now-worker.listedAt < newWorkerMs
-		if !worker.Gone && !worker.Closing && (cold || isNew) && (worker.probedAt == 0 || now-worker.probedAt >= probeRepeatMs) {
+		if !worker.Removed && !worker.Draining && (cold || isNew) && (worker.probedAt == 0 || now-worker.probedAt >= probeRepeatMs) {
 			due = append(due, worker)
 		}
 	}
@@ -54,7 +56,7 @@
 func (l *endpointList) applyProbe(now float64, term uint64, id string, coldMs float64) bool {
 	worker := l.workers[id]
 	coldUntil := now + max(coldMs, 0)
-	if worker == nil || worker.Gone || max(coldUntil-worker.coldUntil, worker.coldUntil-coldUntil) <= coldToleranceMs || coldUntil <= now && worker.coldUntil <= now {
+	if worker == nil || worker.Removed || max(coldUntil-worker.coldUntil, worker.coldUntil-coldUntil) <= coldToleranceMs || coldUntil <= now && worker.coldUntil <= now {
 		return false
 	}
 	version := l.nextVersion(term)
@@ -64,7 +66,7 @@
 }
 
 // probeWorkers probes the workers that are due, if this registry holds the duty.
-func (b *Bothy) probeWorkers(ctx context.Context) {
+func (b *Registry) probeWorkers(ctx context.Context) {
 	b.mu.Lock()
 	term, ok := b.election.Holds(b.now(), dutyEndpoints)
 	b.probeBudget = min(b.probeBudget+b.probeRate*probeInterval.Seconds(), max(b.probeRate, 1))
--- a/internal/bothy/probe_test.go
+++ b/internal/bothy/probe_test.go
@@ -31,7 +31,7 @@
 	assert.Assert(t, !endpoints.applyProbe(200, 1, "a", 0), "the probe agrees with the list")
 	assert.Assert(t, endpoints.applyProbe(200, 1, "a", 4000))
 	assert.Assert(t, endpoints.version > before)
-	assert.Equal(t, endpoints.since(300, before).Workers[0].Cold, 3900.0)
+	assert.Equal(t, endpoints.since(300, before).Workers[0].SlowStartLeftMS, 3900.0)
 	assert.Assert(t, !endpoints.applyPlatformList(600, 1, []waymark.Worker{worker("a")}), "the probe overrides the list")
 	assert.Assert(t, endpoints.applyPlatformList(2600, 1, []waymark.Worker{worker("a")}), "the probe's answer has expired")
 	assert.Assert(t, !endpoints.applyProbe(2700, 1, "b", 4000), "an unknown worker")
--- a/internal/bothy/registry.go
+++ b/internal/bothy/registry.go
@@ -63,8 +63,8 @@
 	countersInterval     = 10 * time.Second
 )
 
-// Bothy is one registry.
-type Bothy struct {
+// Registry is one registry.
+type Registry struct {
 	settings *bootconfig.Settings
 	log      zerolog.Logger
 	start    time.Time
@@ -73,10 +73,10 @@
 
 	mu                  sync.Mutex
 	updateSignal        chan struct{} // closed, and replaced, whenever there is something new for heartbeats
-	sessions            *membership.Book
+	sessions            *membership.Registry
 	election            *election.Machine
 	endpoints           *endpointList
-	allocator           *quota.Allotter
+	allocator           *quota.Allocator
 	slowStart           *slowstart.Coordinator
 	peers               map[string]*rpc.Peer // the other registries, by address
 	peerZones           map[string]string    // zones of the other registries
@@ -86,12 +86,12 @@
 	zoneRegions         map[string]string  // zones of the settings, with their regions
 	committed           cairn.State
 	packedConfiguration []byte // the committed configuration in compressed form
-	configuration       *timetable.Timetable
+	configuration       *timetable.Config
 	view                cairn.View
 	tailConfirmedAt     float64 // start of the last request that the tail answered
 	tailUnreachable     bool    // the tail has not answered for staleAfterMs
 	core                []string
-	coreMachines        []waymark.Core // all core machines known, and a hash of the list
+	coreMachines        []waymark.Registry // all core machines known, and a hash of the list
 	coreMachinesHash    uint64
 	storedElectorate    []string // the electorate on the disk, and its epoch
 	storedEpoch         uint64
@@ -100,7 +100,7 @@
 	evacuationVersion   uint64
 	evacuatedZones      []string
 	memberListVersion   uint64
-	peerLists           map[peerListKey]*waymark.Crowd // for the member list of version peerListsVersion
+	peerLists           map[peerListKey]*waymark.MemberView // for the member list of version peerListsVersion
 	peerListsVersion    uint64
 	memberCount         int
 	incarnation         uint64
@@ -146,35 +146,35 @@
 }
 
 // New returns a registry. Besides its usual duties it also stands for the duties named.
-func New(settings *bootconfig.Settings, log zerolog.Logger, duties ...string) *Bothy {
-	b := &Bothy{settings: settings, log: log, start: time.Now(), store: rpc.NewPeer(settings.Inner(storePort)),
+func New(settings *bootconfig.Settings, log zerolog.Logger, duties ...string) *Registry {
+	b := &Registry{settings: settings, log: log, start: time.Now(), store: rpc.NewPeer(settings.InnerAddress(storePort)),
 		updateSignal: make(chan struct{}), endpoints: newEndpointList(), peers: map[string]*rpc.Peer{}, peerZones: map[string]string{}, reported: map[string]fullReport{}, reporting: map[string]bool{},
 		gossipSoon: make(chan struct{}, 1), incarnation: rand.Uint64(),
 		observers: map[string]float64{}}
-	self := settings.Inner(registryPort)
+	self := settings.InnerAddress(registryPort)
 	b.sessions = membership.New(self, rand.Uint64(), b.now(), sessionTimeoutMs)
-	electorate, epoch, firstStart := readElectorate(settings.ArchiveDir)
-	if firstStart = firstStart && settings.FirstRun; firstStart && settings.ArchiveDir != "" {
+	electorate, epoch, firstStart := readElectorate(settings.DataDir)
+	if firstStart = firstStart && settings.FirstRun; firstStart && settings.DataDir != "" {
 		// The file must exist before the first vote is granted: after a restart this process must
 		// be able to tell that it may have voted.
-		firstStart = writeElectorate(settings.ArchiveDir, nil, 0) == nil
+		firstStart = writeElectorate(settings.DataDir, nil, 0) == nil
 	}
 	b.storedElectorate, b.storedEpoch = electorate, epoch
 	b.election = election.New(self, rand.Uint64(), b.now(), dutyLeaseMs, firstStart, append([]string{dutyEndpoints, dutyQuota}, duties...)...)
-	b.election.Remember(electorate, epoch)
+	b.election.RestoreElectorate(electorate, epoch)
 	b.allocator = quota.New(allocationLeaseMs, quota.BoundsOf(&settings.Bounds))
-	b.allocator.Homes = true
-	b.slowStart = slowstart.New(allocationLeaseMs)
+	b.allocator.UseOwners = true
+	b.slowStart = slowstart.NewCoordinator(allocationLeaseMs)
 	b.storeTimeout = callTimeout
 	b.electorateWrites.write = writeElectorate
-	b.startLog = startLog{write: writeStartLog, stored: readStartLog(settings.ArchiveDir)}
-	b.sessions.Recall(b.now(), b.startLog.stored)
+	b.startLog = startLog{write: writeStartLog, stored: readStartLog(settings.DataDir)}
+	b.sessions.RestoreStarts(b.now(), b.startLog.stored)
 	b.setSeeds(settings)
 	return b
 }
 
 // now returns the milliseconds of the monotonic clock since the start.
-func (b *Bothy) now() float64 {
+func (b *Registry) now() float64 {
 	if b.clock != nil {
 		return b.clock()
 	}
@@ -182,15 +182,15 @@
 }
 
 // Reload applies changed settings.
-func (b *Bothy) Reload(settings *bootconfig.Settings) {
+func (b *Registry) Reload(settings *bootconfig.Settings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setSeeds(settings)
 }
 
 // setSeeds applies the parts of the settings that may change while the process runs.
-func (b *Bothy) setSeeds(settings *bootconfig.Settings) {
-	b.seeds, b.zoneRegions = settings.Seeds(registryPort), settings.Zones
+func (b *Registry) setSeeds(settings *bootconfig.Settings) {
+	b.seeds, b.zoneRegions = settings.SeedAddresses(registryPort), settings.Zones
 	b.updateRegistries()
 }
 
@@ -198,18 +198,18 @@
 // gossip from the current view and the seeds. A registry whose machine waits for a seat in the core
 // receives sessions for as long as it sends reports, because outside callers may ask it for
 // addresses.
-func (b *Bothy) updateRegistries() {
-	self := b.settings.Inner(registryPort)
+func (b *Registry) updateRegistries() {
+	self := b.settings.InnerAddress(registryPort)
 	var core []string
 	for _, id := range b.view.Core {
 		if host, _, err := net.SplitHostPort(id.Addr); err == nil {
-			core = append(core, b.settings.At(host, registryPort))
+			core = append(core, b.settings.InnerAddressOf(host, registryPort))
 		}
 	}
 	slices.Sort(core)
 	core = slices.Compact(core)
 	known := slices.Clone(core)
-	if b.view.No == 0 || b.tailUnreachable { // the core may be what the seeds name, or may have moved there
+	if b.view.Number == 0 || b.tailUnreachable { // the core may be what the seeds name, or may have moved there
 		known = append(known, b.seeds...)
 	}
 	slices.Sort(known)
@@ -238,14 +238,14 @@
 }
 
 // notifyWaiters wakes the heartbeats that wait for updates. The lock is held.
-func (b *Bothy) notifyWaiters() {
+func (b *Registry) notifyWaiters() {
 	close(b.updateSignal)
 	b.updateSignal = make(chan struct{})
 }
 
 // Serve runs the registry until the context ends.
-func (b *Bothy) Serve(ctx context.Context) error {
-	listener, err := rpc.Listen(b.settings.Inner(registryPort))
+func (b *Registry) Serve(ctx context.Context) error {
+	listener, err := rpc.Listen(b.settings.InnerAddress(registryPort))
 	if err != nil {
 		return err
 	}
@@ -272,7 +272,7 @@
 	}
 	go runPeriodically(ctx, gossipInterval, b.gossipSoon, b.gossip)
 	go b.fetchAtStartup(ctx)
-	b.log.Info().Str("inner", b.settings.Inner(registryPort)).Bool("first", b.settings.FirstRun).Msg("serving")
+	b.log.Info().Str("inner", b.settings.InnerAddress(registryPort)).Bool("first", b.settings.FirstRun).Msg("serving")
 	<-ctx.Done()
 	b.shutDown()
 	for _, server := range servers {
@@ -286,7 +286,7 @@
 
 // fetchAtStartup fetches the committed state and the endpoints as soon as they are available. The
 // periodic loops alone would delay a start, because the store on this machine is starting too.
-func (b *Bothy) fetchAtStartup(ctx context.Context) {
+func (b *Registry) fetchAtStartup(ctx context.Context) {
 	lastPoll := time.Time{}
 	for startedAt := time.Now(); time.Since(startedAt) < startupRetryTimeout && ctx.Err() == nil; time.Sleep(startupRetryInterval) {
 		b.mu.Lock()
@@ -322,13 +322,13 @@
 
 // confirmWithTail asks the tail, through the configuration store on this machine, for the committed
 // state.
-func (b *Bothy) confirmWithTail(ctx context.Context) {
+func (b *Registry) confirmWithTail(ctx context.Context) {
 	b.mu.Lock()
-	have, view, askedAt := b.committed.Last, b.view.No, b.now()
+	have, view, askedAt := b.committed.Last, b.view.Number, b.now()
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	answer, err := rpc.Call[waymark.Confirm, waymark.Confirmed](ctx, b.store, waymark.Confirm{Have: have, View: view, Recall: have.Seq == 0})
+	answer, err := rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](ctx, b.store, waymark.CommittedStateRequest{LastKnown: have, HeldView: view, AllowStale: have.Seq == 0})
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counters.TailReads++
@@ -340,16 +340,16 @@
 		b.counters.TailReadsFailed++
 		return
 	}
-	if answer.Recalled { // read from the disk and not confirmed by the tail: used only if nothing else is known
+	if answer.Stale { // read from the disk and not confirmed by the tail: used only if nothing else is known
 		if b.committed.Last.Seq == 0 && answer.State != nil && len(answer.State.Body) > 0 {
 			b.log.Info().Msg("using the state recalled from this machine's disk until the chain answers")
 			b.applyState(*answer.State)
 		}
 		return
 	}
-	if answer.View != nil && answer.View.No > b.view.No {
+	if answer.View != nil && answer.View.Number > b.view.Number {
 		b.view = *answer.View
-		b.log.Info().Uint64("view", b.view.No).Int("chain", len(b.view.Chain)).Int("core", len(b.view.Core)).Msg("view changed")
+		b.log.Info().Uint64("view", b.view.Number).Int("chain", len(b.view.Chain)).Int("core", len(b.view.Core)).Msg("view changed")
 		b.updateRegistries()
 	}
 	if answer.State != nil && isNewer(answer.State.Last, b.committed.Last) {
@@ -358,17 +358,17 @@
 	if !isNewer(answer.Last, b.committed.Last) {
 		b.tailConfirmedAt = max(b.tailConfirmedAt, askedAt)
 	}
-	if (answer.View == nil && view == b.view.No || answer.View != nil && answer.View.No == b.view.No) && len(b.core) > 0 {
-		b.election.Electorate(b.now(), askedAt, b.core, b.view.Epoch, b.view.Removed)
+	if (answer.View == nil && view == b.view.Number || answer.View != nil && answer.View.Number == b.view.Number) && len(b.core) > 0 {
+		b.election.SetElectorate(b.now(), askedAt, b.core, b.view.Epoch, b.view.Removed)
 	}
 }
 
 // isNewer reports whether position a is after the other one in the chain's log.
-func isNewer(a, other cairn.Stamp) bool { return a.Seq > other.Seq }
+func isNewer(a, other cairn.LogPosition) bool { return a.Seq > other.Seq }
 
 // applyState puts a newer committed state into force. The lock is held.
-func (b *Bothy) applyState(state cairn.State) {
-	previousEdition, previousOrder := b.committed.Edition, b.committed.Orders[OrderShadow]
+func (b *Registry) applyState(state cairn.State) {
+	previousEdition, previousOrder := b.committed.Edition, b.committed.Orders[OrderMirroring]
 	b.committed = state
 	b.logMirrorOrder(previousOrder)
 	if state.Edition != previousEdition && len(state.Body) > 0 {
@@ -378,7 +378,7 @@
 			b.log.Error().Err(err).Uint64("edition", state.Edition).Msg("committed configuration cannot be parsed")
 		} else {
 			b.configuration = configuration
-			b.log.Info().Str("edition", timetable.FormatEdition(state.Edition)).Int("routes", len(configuration.Courses)).Msg("configuration in force")
+			b.log.Info().Str("edition", timetable.FormatVersion(state.Edition)).Int("routes", len(configuration.Routes)).Msg("configuration in force")
 		}
 	}
 	var zones []string
@@ -397,15 +397,15 @@
 
 // gossip exchanges sessions with the other registries. A registry that does not answer delays no
 // other: it gets no new report until it has answered or its call has failed.
-func (b *Bothy) gossip(ctx context.Context) {
+func (b *Registry) gossip(ctx context.Context) {
 	b.mu.Lock()
 	now := b.now()
-	contentHash := b.sessions.Mark(now)
-	brief, full := sync.OnceValue(func() membership.Page { return b.sessions.Brief(now) }), sync.OnceValue(func() membership.Page { return b.sessions.Tell(now) })
+	contentHash := b.sessions.ContentHash(now)
+	brief, full := sync.OnceValue(func() membership.Report { return b.sessions.BriefReport(now) }), sync.OnceValue(func() membership.Report { return b.sessions.FullReport(now) })
 	type outgoing struct {
 		to   *rpc.Peer
 		last fullReport
-		page membership.Page
+		page membership.Report
 	}
 	var reports []outgoing
 	for addr, p := range b.peers {
@@ -421,8 +421,8 @@
 		}
 		reports = append(reports, report)
 	}
-	message := waymark.Gossip{From: b.settings.Inner(registryPort), Zone: b.settings.Zone, Roster: b.endpoints.version}
-	message.Struck, _ = b.withdrawals.snapshot()
+	message := waymark.Gossip{From: b.settings.InnerAddress(registryPort), Zone: b.settings.Zone, EndpointsVersion: b.endpoints.version}
+	message.Withdrawn, _ = b.withdrawals.snapshot()
 	b.mu.Unlock()
 	var calls sync.WaitGroup
 	for _, report := range reports {
@@ -431,20 +431,20 @@
 			defer cancel()
 			message, peer, previous := message, report.to, report.last
 			message.Page = report.page
-			answer, err := rpc.Call[waymark.Gossip, waymark.Heard](ctx, peer, message)
+			answer, err := rpc.Call[waymark.Gossip, waymark.GossipResponse](ctx, peer, message)
 			b.mu.Lock()
 			delete(b.reporting, peer.Addr())
 			switch {
-			case err != nil || answer.Life != previous.incarnation: // it did not receive the report, or has restarted since
-				b.reported[peer.Addr()] = fullReport{incarnation: answer.Life}
-			case message.Page.Briefs == nil:
-				b.reported[peer.Addr()] = fullReport{incarnation: answer.Life, contentHash: contentHash, sentAt: now}
+			case err != nil || answer.Incarnation != previous.incarnation: // it did not receive the report, or has restarted since
+				b.reported[peer.Addr()] = fullReport{incarnation: answer.Incarnation}
+			case message.Page.Renewals == nil:
+				b.reported[peer.Addr()] = fullReport{incarnation: answer.Incarnation, contentHash: contentHash, sentAt: now}
 			}
 			b.mu.Unlock()
 			if err != nil {
 				return
 			}
-			b.fetchEndpoints(ctx, peer, answer.Roster)
+			b.fetchEndpoints(ctx, peer, answer.EndpointsVersion)
 		})
 	}
 	waitWithTimeout(&calls, gossipInterval)
@@ -473,16 +473,16 @@
 
 // updateMembers notifies all parts of the registry of members that joined or left. The lock is
 // held.
-func (b *Bothy) updateMembers() {
+func (b *Registry) updateMembers() {
 	now := b.now()
 	list := b.sessions.Members(now)
 	if list.Version != b.memberListVersion {
 		b.memberListVersion = list.Version
 		ids := make([]string, 0, len(list.Members))
 		for i := range list.Members {
-			ids = append(ids, memberID(list.Members[i].Station, list.Members[i].Life))
+			ids = append(ids, memberID(list.Members[i].Node, list.Members[i].Incarnation))
 		}
-		b.allocator.Members(now, ids)
+		b.allocator.SetMembers(now, ids)
 		if n := len(list.Members); n != b.memberCount {
 			b.memberCount = n
 			b.log.Info().Int("members", n).Msg("member count changed")
@@ -492,26 +492,26 @@
 }
 
 // receiveReport merges another registry's report of sessions.
-func (b *Bothy) receiveReport(from, zone string, report membership.Page) {
+func (b *Registry) receiveReport(from, zone string, report membership.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.peerZones[from] != zone {
 		b.peerZones[from] = zone
 		b.updateCoreMachines()
 	}
-	b.sessions.Hear(b.now(), report)
+	b.sessions.Receive(b.now(), report)
 	b.updateMembers()
 }
 
 // fetchEndpoints requests an endpoint list that is newer than the one held.
-func (b *Bothy) fetchEndpoints(ctx context.Context, peer *rpc.Peer, version uint64) {
+func (b *Registry) fetchEndpoints(ctx context.Context, peer *rpc.Peer, version uint64) {
 	b.mu.Lock()
 	heldVersion := b.endpoints.version
 	b.mu.Unlock()
 	if version <= heldVersion {
 		return
 	}
-	newer, err := rpc.Call[waymark.AskRoster, waymark.Roster](ctx, peer, waymark.AskRoster{Have: heldVersion})
+	newer, err := rpc.Call[waymark.EndpointListRequest, waymark.EndpointList](ctx, peer, waymark.EndpointListRequest{HeldVersion: heldVersion})
 	if err != nil {
 		return
 	}
@@ -524,27 +524,27 @@
 }
 
 // handleGossip handles another registry's report. Registries outside the core become observers.
-func (b *Bothy) handleGossip(ctx context.Context, message waymark.Gossip) (waymark.Heard, error) {
+func (b *Registry) handleGossip(ctx context.Context, message waymark.Gossip) (waymark.GossipResponse, error) {
 	b.receiveReport(message.From, message.Zone, message.Page)
 	b.mu.Lock()
-	if self := b.settings.Inner(registryPort); message.From != self && !slices.Contains(b.otherRegistries, message.From) {
+	if self := b.settings.InnerAddress(registryPort); message.From != self && !slices.Contains(b.otherRegistries, message.From) {
 		_, known := b.observers[message.From]
 		if b.observers[message.From] = b.now(); !known {
 			b.updateRegistries()
 		}
 	}
 	peer := b.peers[message.From]
-	answer := waymark.Heard{Roster: b.endpoints.version, Life: b.incarnation}
-	b.withdrawals.newestVersion = max(b.withdrawals.newestVersion, message.Roster)
-	if b.withdrawals.merge(b.endpoints, message.Struck) {
+	answer := waymark.GossipResponse{EndpointsVersion: b.endpoints.version, Incarnation: b.incarnation}
+	b.withdrawals.newestVersion = max(b.withdrawals.newestVersion, message.EndpointsVersion)
+	if b.withdrawals.merge(b.endpoints, message.Withdrawn) {
 		b.notifyWaiters()
 	}
 	b.mu.Unlock()
-	if peer != nil && message.Roster > answer.Roster {
+	if peer != nil && message.EndpointsVersion > answer.EndpointsVersion {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout) // a frozen peer would block its callers
 			defer cancel()
-			b.fetchEndpoints(ctx, peer, message.Roster)
+			b.fetchEndpoints(ctx, peer, message.EndpointsVersion)
 		}()
 	}
 	return answer, nil
@@ -552,30 +552,30 @@
 
 // handleEndpointsRequest returns the changes of the endpoints since the version that the caller
 // holds.
-func (b *Bothy) handleEndpointsRequest(_ context.Context, request waymark.AskRoster) (waymark.Roster, error) {
+func (b *Registry) handleEndpointsRequest(_ context.Context, request waymark.EndpointListRequest) (waymark.EndpointList, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	changes := b.endpoints.since(b.now(), request.Have)
+	changes := b.endpoints.since(b.now(), request.HeldVersion)
 	if changes == nil {
-		return waymark.Roster{}, nil
+		return waymark.EndpointList{}, nil
 	}
 	return *changes, nil
 }
 
 // shutDown releases the duties and tells the other registries, before the process ends.
-func (b *Bothy) shutDown() {
+func (b *Registry) shutDown() {
 	b.mu.Lock()
 	b.stopped = true
-	output := b.election.Step(b.now(), election.Event{Kind: election.Resign})
+	output := b.election.Step(b.now(), election.Event{Kind: election.Shutdown})
 	b.mu.Unlock()
 	b.sendElectionMessages(output)
 }
 
 // logCounters logs the counters and the current sizes.
-func (b *Bothy) logCounters(context.Context) {
+func (b *Registry) logCounters(context.Context) {
 	b.mu.Lock()
 	counters, members, workers, tailAge := b.counters, len(b.sessions.Members(b.now()).Members), len(b.endpoints.workers), b.now()-b.tailConfirmedAt
 	b.mu.Unlock()
-	b.log.Info().Interface("counts", counters).Interface("sent", rpc.Sent()).Int("members", members).Int("workers", workers).
+	b.log.Info().Interface("counts", counters).Interface("sent", rpc.SentCounts()).Int("members", members).Int("workers", workers).
 		Float64("tailAskedMs", tailAge).Msg("counters")
 }
--- a/internal/bothy/scale_bench_test.go
+++ b/internal/bothy/scale_bench_test.go
@@ -41,15 +41,15 @@
 			sessions := membership.New("a", 1, 0, 0)
 			for i := range n {
 				zone := i % 81
-				sessions.Sign(0, membership.Member{Station: fmt.Sprintf("counter-%06d", i), Zone: fmt.Sprint("z", zone), Region: fmt.Sprint("r", zone%23), Life: uint64(i) + 1<<60, Turn: 1,
-					Counter: fmt.Sprintf("10.%d.%d.%d:8206", i>>16, i>>8&255, i&255), Inner: fmt.Sprintf("10.%d.%d.%d:7460", i>>16, i>>8&255, i&255), Ready: true})
+				sessions.Heartbeat(0, membership.Member{Node: fmt.Sprintf("counter-%06d", i), Zone: fmt.Sprint("z", zone), Region: fmt.Sprint("r", zone%23), Incarnation: uint64(i) + 1<<60, Sequence: 1,
+					ClientAddr: fmt.Sprintf("10.%d.%d.%d:8206", i>>16, i>>8&255, i&255), PeerAddr: fmt.Sprintf("10.%d.%d.%d:7460", i>>16, i>>8&255, i&255), Ready: true})
 			}
 			members := sessions.Members(0)
-			var peers *waymark.Crowd
+			var peers *waymark.MemberView
 			for b.Loop() {
 				peers = newPeerList(members, &members.Members[n/2])
 			}
-			b.ReportMetric(float64(rpc.Size(waymark.Signed{Crowd: peers}, false)), "B/crowd")
+			b.ReportMetric(float64(rpc.FrameSize(waymark.SessionResponse{Members: peers}, false)), "B/crowd")
 			b.ReportMetric(float64(len(peers.Peers)), "peers")
 		})
 	}
@@ -62,7 +62,7 @@
 		list := make([]waymark.Worker, n)
 		for i := range list {
 			list[i] = waymark.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("service-", i%max(n/21, 1)), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-				Zone: fmt.Sprint("z", i%81), Edition: "v1", Berths: 2}
+				Zone: fmt.Sprint("z", i%81), Version: "v1", Slots: 2}
 		}
 		var stats runtime.MemStats
 		runtime.GC()
@@ -78,12 +78,12 @@
 				endpoints.applyPlatformList(now, 1, list)
 			}
 			b.ReportMetric(held, "B/worker")
-			b.ReportMetric(float64(rpc.Size(*endpoints.since(0, 0), false)), "B/whole")
+			b.ReportMetric(float64(rpc.FrameSize(*endpoints.since(0, 0), false)), "B/whole")
 		})
 		b.Run(fmt.Sprintf("change/%d", n), func(b *testing.B) {
 			for now := 0.0; b.Loop(); now += 400 {
 				heldVersion := endpoints.version
-				list[0].Closing = !list[0].Closing
+				list[0].Draining = !list[0].Draining
 				endpoints.applyPlatformList(now, 1, list)
 				endpoints.since(now, heldVersion)
 				endpoints.partSince(now, list[0].Destination, heldVersion)
@@ -104,12 +104,12 @@
 		registry.endpoints.version = 1<<termShift | 3
 		registry.endpoints.destinationVersions["service-1"] = registry.endpoints.version
 		for _, gatekeeper := range fleet.gatekeepers {
-			registry.sessions.Sign(0, gatekeeper.member)
+			registry.sessions.Heartbeat(0, gatekeeper.member)
 		}
-		heartbeat := waymark.Sign{Member: fleet.gatekeepers[0].member, Roster: 1<<termShift | 2, Edition: 1}
+		heartbeat := waymark.SessionRequest{Member: fleet.gatekeepers[0].member, EndpointsVersion: 1<<termShift | 2, ConfigVersion: 1}
 		b.Run(fmt.Sprint(destinations), func(b *testing.B) {
 			for b.Loop() {
-				var answer waymark.Signed
+				var answer waymark.SessionResponse
 				registry.addConfigurationAndEndpoints(0, registry.sessions.Members(0), &heartbeat, &answer)
 			}
 		})
--- a/internal/bothy/sessions_test.go
+++ b/internal/bothy/sessions_test.go
@@ -16,14 +16,14 @@
 )
 
 // confirmState makes the configuration store confirm a state, and the registry read it.
-func (r *testRegistry) confirmState(c waymark.Confirmed, err error) {
-	r.confirm = func(waymark.Confirm) (waymark.Confirmed, error) { return c, err }
+func (r *testRegistry) confirmState(c waymark.CommittedStateResponse, err error) {
+	r.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) { return c, err }
 	r.confirmWithTail(r.t.Context())
 }
 
 // committedState returns a state with the test configuration and the given evacuated zones.
 func committedState(seq, edition uint64, zones ...string) *cairn.State {
-	state := &cairn.State{Last: cairn.Stamp{Seq: seq, View: 1}, Edition: edition, Body: []byte(configuration), Evacuated: map[string]uint64{}}
+	state := &cairn.State{Last: cairn.LogPosition{Seq: seq, View: 1}, Edition: edition, Body: []byte(configuration), Evacuated: map[string]uint64{}}
 	for _, zone := range zones {
 		state.Evacuated[zone] = seq
 	}
@@ -31,9 +31,9 @@
 }
 
 // heartbeat returns the immediate answer to a gatekeeper's heartbeat.
-func (r *testRegistry) heartbeat(message waymark.Sign) waymark.Signed {
+func (r *testRegistry) heartbeat(message waymark.SessionRequest) waymark.SessionResponse {
 	r.t.Helper()
-	message.Member = membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: uint64(r.now() * 1e3), Inner: "10.0.0.1:7460", Ready: true}
+	message.Member = membership.Member{Node: "p", Zone: "a1", Region: "a", Incarnation: 1, Sequence: uint64(r.now() * 1e3), PeerAddr: "10.0.0.1:7460", Ready: true}
 	answer, err := r.handleHeartbeat(r.t.Context(), message)
 	assert.NilError(r.t, err)
 	return answer
@@ -43,38 +43,38 @@
 // failed request does not renew it. The leases of keys rely on that.
 func TestAsOfCountsFromRequest(t *testing.T) {
 	registry := newTestRegistry(t)
-	answer := registry.heartbeat(waymark.Sign{})
+	answer := registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.Stale, "before the tail's first answer")
 
 	const slowMs = 5000.0 // how long the tail takes to answer, and the clock's step below: longer than any stall of a test machine
-	registry.confirm = func(waymark.Confirm) (waymark.Confirmed, error) {
+	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 		registry.advance(slowMs)
-		return waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: committedState(1, 12)}, nil
+		return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil
 	}
 	registry.confirmWithTail(t.Context())
-	answer = registry.heartbeat(waymark.Sign{})
+	answer = registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.AsOf <= -slowMs, "%v: AsOf must count from the request", answer.AsOf)
 	assert.Assert(t, answer.Stale, "an answer that old is stale")
-	assert.Equal(t, answer.Edition, uint64(12), "an old answer still brings new data")
+	assert.Equal(t, answer.ConfigVersion, uint64(12), "an old answer still brings new data")
 
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}}, nil)
-	answer = registry.heartbeat(waymark.Sign{})
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}}, nil)
+	answer = registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.AsOf <= 0 && answer.AsOf > -slowMs, "%v", answer.AsOf)
 	registry.advance(slowMs)
-	registry.confirmState(waymark.Confirmed{}, rpc.Errorf(rpc.Unavailable, "no tail"))
-	answer = registry.heartbeat(waymark.Sign{})
+	registry.confirmState(waymark.CommittedStateResponse{}, rpc.Errorf(rpc.Unavailable, "no tail"))
+	answer = registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.Stale && answer.AsOf <= -slowMs, "%v: a failed request must not renew AsOf", answer.AsOf)
 	assert.Equal(t, registry.counters.TailReadsFailed, uint64(1))
 
 	// An answer that names a newer state without containing it confirms nothing that this registry
 	// could pass on.
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 2}}, nil)
-	assert.Assert(t, registry.heartbeat(waymark.Sign{}).Stale)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 2}}, nil)
+	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).Stale)
 
 	// The tail was asked after the heartbeat arrived: AsOf is positive.
 	registry.mu.Lock()
 	registry.tailConfirmedAt = registry.now()
-	answer, _ = registry.heartbeatAnswer(waymark.Sign{}, registry.tailConfirmedAt-300)
+	answer, _ = registry.heartbeatAnswer(waymark.SessionRequest{}, registry.tailConfirmedAt-300)
 	registry.mu.Unlock()
 	assert.Assert(t, answer.AsOf > 299.9 && answer.AsOf < 300.1, "%v", answer.AsOf)
 }
@@ -83,75 +83,75 @@
 // known.
 func TestRecalledState(t *testing.T) {
 	registry := newTestRegistry(t)
-	registry.confirmState(waymark.Confirmed{Recalled: true}, nil) // nothing is stored on the disk
-	registry.confirmState(waymark.Confirmed{Recalled: true, State: committedState(5, 12, "a1")}, nil)
-	answer := registry.heartbeat(waymark.Sign{})
+	registry.confirmState(waymark.CommittedStateResponse{Stale: true}, nil) // nothing is stored on the disk
+	registry.confirmState(waymark.CommittedStateResponse{Stale: true, State: committedState(5, 12, "a1")}, nil)
+	answer := registry.heartbeat(waymark.SessionRequest{})
 	assert.Assert(t, answer.Stale)
-	assert.Equal(t, answer.Edition, uint64(12))
+	assert.Equal(t, answer.ConfigVersion, uint64(12))
 	assert.DeepEqual(t, answer.Evacuated, []string{"a1"})
-	registry.confirmState(waymark.Confirmed{Recalled: true, State: committedState(9, 13)}, nil)
-	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Edition, uint64(12), "recalled state is ignored once something is known")
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 6}, State: committedState(6, 12)}, nil)
-	answer = registry.heartbeat(waymark.Sign{})
+	registry.confirmState(waymark.CommittedStateResponse{Stale: true, State: committedState(9, 13)}, nil)
+	assert.Equal(t, registry.heartbeat(waymark.SessionRequest{}).ConfigVersion, uint64(12), "recalled state is ignored once something is known")
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 6}, State: committedState(6, 12)}, nil)
+	answer = registry.heartbeat(waymark.SessionRequest{})
 	assert.Equal(t, len(answer.Evacuated), 0)
-	assert.Equal(t, answer.Evac, uint64(6))
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 5}, State: committedState(5, 12, "a1")}, nil)
-	assert.Equal(t, registry.heartbeat(waymark.Sign{}).Evac, uint64(6), "older state is ignored")
+	assert.Equal(t, answer.EvacuationNumber, uint64(6))
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 5}, State: committedState(5, 12, "a1")}, nil)
+	assert.Equal(t, registry.heartbeat(waymark.SessionRequest{}).EvacuationNumber, uint64(6), "older state is ignored")
 }
 
 // TestHeartbeatAnswerContainsMissingData: a gatekeeper is sent what it lacks, and nothing that it
 // holds.
 func TestHeartbeatAnswerContainsMissingData(t *testing.T) {
 	registry := newTestRegistry(t)
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 4}, State: committedState(4, 12, "a1")}, nil)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 4}, State: committedState(4, 12, "a1")}, nil)
 	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("i-1")})
 	version := registry.endpoints.version
-	full := registry.heartbeat(waymark.Sign{})
-	body, err := waymark.Inflate(full.Body)
+	full := registry.heartbeat(waymark.SessionRequest{})
+	body, err := waymark.Inflate(full.Config)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), configuration)
 	for _, c := range []struct {
 		name                string
-		heartbeat           waymark.Sign
+		heartbeat           waymark.SessionRequest
 		body, evac, workers bool
 	}{
-		{"everything", waymark.Sign{}, true, true, true},
-		{"an older configuration", waymark.Sign{Edition: 11, Evac: 4, Roster: version}, true, false, false},
-		{"older evacuations", waymark.Sign{Edition: 12, Evac: 3, Roster: version}, false, true, false},
-		{"an older roster", waymark.Sign{Edition: 12, Evac: 4, Roster: version - 1}, false, false, true},
-		{"nothing", waymark.Sign{Edition: 12, Evac: 4, Roster: version}, false, false, false},
-		{"newer data than the registry's", waymark.Sign{Edition: 13, Evac: 5, Roster: version + 1}, false, false, false},
+		{"everything", waymark.SessionRequest{}, true, true, true},
+		{"an older configuration", waymark.SessionRequest{ConfigVersion: 11, EvacuationNumber: 4, EndpointsVersion: version}, true, false, false},
+		{"older evacuations", waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 3, EndpointsVersion: version}, false, true, false},
+		{"an older roster", waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4, EndpointsVersion: version - 1}, false, false, true},
+		{"nothing", waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4, EndpointsVersion: version}, false, false, false},
+		{"newer data than the registry's", waymark.SessionRequest{ConfigVersion: 13, EvacuationNumber: 5, EndpointsVersion: version + 1}, false, false, false},
 	} {
 		answer := registry.heartbeat(c.heartbeat)
-		assert.Equal(t, len(answer.Body) > 0, c.body, c.name)
-		assert.Equal(t, answer.HasEvac, c.evac, c.name)
-		assert.Equal(t, answer.Marks != nil, c.workers, c.name)
-		assert.Equal(t, len(answer.Parts) > 0, c.workers, c.name)
+		assert.Equal(t, len(answer.Config) > 0, c.body, c.name)
+		assert.Equal(t, answer.HasEvacuated, c.evac, c.name)
+		assert.Equal(t, answer.EndpointChanges != nil, c.workers, c.name)
+		assert.Equal(t, len(answer.Endpoints) > 0, c.workers, c.name)
 		if c.workers {
-			assert.Equal(t, answer.Marks.Version, version, c.name)
-			assert.DeepEqual(t, answer.Marks.Behind, map[string]uint64{answer.Parts[0].Destination: 0})
-			assert.Equal(t, answer.Parts[0].Version, version, c.name)
-			assert.Equal(t, answer.Parts[0].Workers[0].ID, "i-1", c.name)
+			assert.Equal(t, answer.EndpointChanges.Version, version, c.name)
+			assert.DeepEqual(t, answer.EndpointChanges.VersionsBehind, map[string]uint64{answer.Endpoints[0].Destination: 0})
+			assert.Equal(t, answer.Endpoints[0].Version, version, c.name)
+			assert.Equal(t, answer.Endpoints[0].Workers[0].ID, "i-1", c.name)
 		}
-		assert.Equal(t, answer.Edition, uint64(12), c.name)
+		assert.Equal(t, answer.ConfigVersion, uint64(12), c.name)
 	}
-	assert.Assert(t, full.CoresNow != 0 && len(full.Cores) == 1)
-	assert.Equal(t, full.Cores[0].Zone, "a1")
-	assert.Assert(t, registry.heartbeat(waymark.Sign{Cores: full.CoresNow}).Cores == nil)
+	assert.Assert(t, full.RegistriesChecksum != 0 && len(full.Registries) == 1)
+	assert.Equal(t, full.Registries[0].Zone, "a1")
+	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{RegistriesChecksum: full.RegistriesChecksum}).Registries == nil)
 }
 
 // TestHeartbeatWaitsForUpdate: an update that comes during the wait is in the answer, or in that to
 // the next heartbeat.
 func TestHeartbeatWaitsForUpdate(t *testing.T) {
 	registry := newTestRegistry(t)
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 4}, State: committedState(4, 12)}, nil)
-	heartbeat := waymark.Sign{Edition: 12, Evac: 4, Wait: maxWaitMs, Member: membership.Member{Station: "p", Life: 1}}
-	answers := make(chan waymark.Signed, 1)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 4}, State: committedState(4, 12)}, nil)
+	heartbeat := waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4, WaitMS: maxWaitMs, Member: membership.Member{Node: "p", Incarnation: 1}}
+	answers := make(chan waymark.SessionResponse, 1)
 	go func() {
 		defer close(answers)
 		for t.Context().Err() == nil {
-			heartbeat.Member.Turn++
-			if answer, err := registry.handleHeartbeat(t.Context(), heartbeat); err == nil && answer.Edition == 13 {
+			heartbeat.Member.Sequence++
+			if answer, err := registry.handleHeartbeat(t.Context(), heartbeat); err == nil && answer.ConfigVersion == 13 {
 				answers <- answer
 				return
 			}
@@ -162,9 +162,9 @@
 		received = registry.counters.Heartbeats > 0
 		registry.mu.Unlock()
 	}
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 5}, State: committedState(5, 13)}, nil)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 5}, State: committedState(5, 13)}, nil)
 	answer := <-answers
-	assert.Assert(t, len(answer.Body) > 0 && answer.HasEvac)
+	assert.Assert(t, len(answer.Config) > 0 && answer.HasEvacuated)
 }
 
 // TestPeerListWaitsForAllMembers: with too few members, gatekeepers would claim too large shares of
@@ -172,14 +172,14 @@
 func TestPeerListWaitsForAllMembers(t *testing.T) {
 	const other = "127.0.0.2:7460"
 	registry := newTestRegistry(t, "127.0.0.2:80")
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: committedState(1, 12), View: &cairn.View{No: 1, Core: []cairn.Ident{{Addr: "127.0.0.1:7461"}, {Addr: "127.0.0.2:7461"}}}}, nil)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12), View: &cairn.View{Number: 1, Core: []cairn.MachineID{{Addr: "127.0.0.1:7461"}, {Addr: "127.0.0.2:7461"}}}}, nil)
 	registry.mu.Lock()
 	registry.tailConfirmedAt = registry.now()
-	heartbeat := waymark.Sign{Member: membership.Member{Station: "p", Zone: "a1", Region: "a", Life: 1, Turn: 1, Ready: true}}
-	registry.sessions.Sign(registry.now(), heartbeat.Member)
-	registry.sessions.Sign(registry.now(), membership.Member{Station: "q", Zone: "a2", Region: "a", Life: 2, Turn: 1, Inner: "10.0.0.2:7460", Ready: true})
+	heartbeat := waymark.SessionRequest{Member: membership.Member{Node: "p", Zone: "a1", Region: "a", Incarnation: 1, Sequence: 1, Ready: true}}
+	registry.sessions.Heartbeat(registry.now(), heartbeat.Member)
+	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "q", Zone: "a2", Region: "a", Incarnation: 2, Sequence: 1, PeerAddr: "10.0.0.2:7460", Ready: true})
 	startedAt := registry.now()
-	answerAt := func(receivedAt float64) waymark.Signed { // by the test's own clock: registry.now() is at startedAt and goes on
+	answerAt := func(receivedAt float64) waymark.SessionResponse { // by the test's own clock: registry.now() is at startedAt and goes on
 		answer, _ := registry.heartbeatAnswer(heartbeat, receivedAt)
 		return answer
 	}
@@ -188,36 +188,36 @@
 	defer registry.mu.Unlock()
 	if registry.now() < sessionTimeoutMs { // otherwise this machine stalled for over a second
 		answer := answerAt(startedAt)
-		assert.Assert(t, !answer.Settled && answer.Crowd == nil, "the other registry has not reported yet")
+		assert.Assert(t, !answer.Settled && answer.Members == nil, "the other registry has not reported yet")
 	}
-	registry.sessions.Hear(registry.now(), membership.Page{From: other, Life: 9, Serial: 1})
+	registry.sessions.Receive(registry.now(), membership.Report{From: other, Incarnation: 9, Sequence: 1})
 	if registry.now() < memberListDelayMs {
 		answer := answerAt(startedAt)
-		assert.Assert(t, answer.Settled && answer.Crowd == nil, "the other registry may not know all members yet")
+		assert.Assert(t, answer.Settled && answer.Members == nil, "the other registry may not know all members yet")
 	}
 	registry.start = registry.start.Add(-memberListDelayMs * 1e6)
 	answer := answerAt(startedAt)
-	assert.Assert(t, answer.Settled && answer.Crowd != nil)
-	assert.Equal(t, answer.Crowd.Place, 0)
-	assert.Equal(t, answer.Crowd.Count, 2)
-	assert.DeepEqual(t, answer.Crowd.Peers, []string{"10.0.0.2:7460"})
-	heartbeat.Crowd = answer.Crowd.Mark
-	assert.Assert(t, answerAt(startedAt).Crowd == nil, "the gatekeeper holds that list")
+	assert.Assert(t, answer.Settled && answer.Members != nil)
+	assert.Equal(t, answer.Members.MemberIndex, 0)
+	assert.Equal(t, answer.Members.MemberCount, 2)
+	assert.DeepEqual(t, answer.Members.Peers, []string{"10.0.0.2:7460"})
+	heartbeat.MembersChecksum = answer.Members.Checksum
+	assert.Assert(t, answerAt(startedAt).Members == nil, "the gatekeeper holds that list")
 }
 
 // TestAllocationRequestIsForwardedOnce: two registries that each take the other for the holder must
 // not forward a request back and forth.
 func TestAllocationRequestIsForwardedOnce(t *testing.T) {
-	requests := make(chan waymark.Draw, 9)
-	allocations := map[string]quota.Slice{"ana": {Rate: 2, Burst: 4}}
+	requests := make(chan waymark.AllocationRequest, 9)
+	allocations := map[string]quota.Allocation{"ana": {Rate: 2, Burst: 4}}
 	addr := serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.Draw) (waymark.Drawn, error) {
+		rpc.Handle(server, func(_ context.Context, request waymark.AllocationRequest) (waymark.AllocationResponse, error) {
 			requests <- request
-			return waymark.Drawn{Slices: waymark.Pack(allocations), Lease: 1300}, nil
+			return waymark.AllocationResponse{Slices: waymark.EncodeSlices(allocations), LeaseMS: 1300}, nil
 		})
 	})
 	registry := newTestRegistry(t)
-	request := waymark.Draw{Station: "p", Life: 1, Turn: 1}
+	request := waymark.AllocationRequest{Node: "p", Incarnation: 1, Sequence: 1}
 	_, err := registry.handleQuotaRequest(t.Context(), request)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "nobody has the duty")
 
@@ -225,26 +225,26 @@
 	announceHolder := func(from string) {
 		registry.mu.Lock()
 		defer registry.mu.Unlock()
-		registry.election.Step(registry.now(), election.Event{Kind: election.Heard, Message: election.Message{Kind: election.Announce, From: from, Held: []election.Tenure{{Duty: dutyQuota, Term: 3}}}})
+		registry.election.Step(registry.now(), election.Event{Kind: election.Received, Message: election.Message{Kind: election.Announce, From: from, HeldDuties: []election.Tenure{{Duty: dutyQuota, Term: 3}}}})
 	}
 	registry.peers[addr] = rpc.NewPeer(addr)
-	var answer waymark.Drawn
+	var answer waymark.AllocationResponse
 	for deadline := time.Now().Add(testTimeout); err != nil && time.Now().Before(deadline); { // repeated, as the announcement expires if the machine stalls
 		announceHolder(addr)
 		answer, err = registry.handleQuotaRequest(t.Context(), request)
 	}
 	assert.NilError(t, err)
-	assert.Equal(t, waymark.Unpack(answer.Slices)["ana"].Rate, 2.0)
+	assert.Equal(t, waymark.DecodeSlices(answer.Slices)["ana"].Rate, 2.0)
 	for range len(requests) {
-		assert.Assert(t, (<-requests).Passed)
+		assert.Assert(t, (<-requests).Forwarded)
 	}
 	announceHolder(addr)
-	request.Passed = true
+	request.Forwarded = true
 	_, err = registry.handleQuotaRequest(t.Context(), request)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 	assert.Equal(t, len(requests), 0)
 	announceHolder("10.9.9.9:1") // a holder that is not a known peer
-	request.Passed = false
+	request.Forwarded = false
 	_, err = registry.handleQuotaRequest(t.Context(), request)
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 }
@@ -253,11 +253,11 @@
 // overtaken.
 func TestHolderAllocates(t *testing.T) {
 	registry := newTestRegistry(t)
-	self := registry.settings.Inner(registryPort)
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 1}, State: committedState(1, 12), View: &cairn.View{No: 1, Core: []cairn.Ident{{Addr: "127.0.0.1:7461"}}}}, nil)
+	self := registry.settings.InnerAddress(registryPort)
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12), View: &cairn.View{Number: 1, Core: []cairn.MachineID{{Addr: "127.0.0.1:7461"}}}}, nil)
 	for holder := ""; holder != self; { // a sole voter wins in one of its own election steps
 		registry.mu.Lock()
-		registry.election.Electorate(registry.now(), registry.now(), []string{self}, 1, 0)
+		registry.election.SetElectorate(registry.now(), registry.now(), []string{self}, 1, 0)
 		registry.mu.Unlock()
 		registry.stepElection(t.Context())
 		registry.mu.Lock()
@@ -265,15 +265,15 @@
 		registry.mu.Unlock()
 		registry.advance(20)
 	}
-	request := func(sequence uint64, forwarded bool) (waymark.Drawn, error) {
+	request := func(sequence uint64, forwarded bool) (waymark.AllocationResponse, error) {
 		registry.mu.Lock()
-		registry.election.Electorate(registry.now(), registry.now(), []string{self}, 1, 0)
+		registry.election.SetElectorate(registry.now(), registry.now(), []string{self}, 1, 0)
 		registry.mu.Unlock()
 		registry.stepElection(t.Context()) // renews the duty just before the request
-		return registry.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: sequence, Passed: forwarded})
+		return registry.handleQuotaRequest(t.Context(), waymark.AllocationRequest{Node: "p", Incarnation: 1, Sequence: sequence, Forwarded: forwarded})
 	}
 	requestOnce := request
-	request = func(sequence uint64, forwarded bool) (answer waymark.Drawn, err error) {
+	request = func(sequence uint64, forwarded bool) (answer waymark.AllocationResponse, err error) {
 		for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); { // repeated, as the duty is lost if the machine stalls
 			if answer, err = requestOnce(sequence, forwarded); rpc.KindOf(err) != rpc.Unavailable {
 				break
@@ -283,7 +283,7 @@
 	}
 	answer, err := request(2, true)
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Lease, allocationLeaseMs)
+	assert.Equal(t, answer.LeaseMS, allocationLeaseMs)
 	_, err = request(2, false)
 	assert.Equal(t, rpc.KindOf(err), rpc.Stale)
 	_, err = request(1, false)
@@ -291,7 +291,7 @@
 	_, err = request(3, false)
 	assert.NilError(t, err)
 	registry.shutDown()
-	_, err = registry.handleQuotaRequest(t.Context(), waymark.Draw{Station: "p", Life: 1, Turn: 4})
+	_, err = registry.handleQuotaRequest(t.Context(), waymark.AllocationRequest{Node: "p", Incarnation: 1, Sequence: 4})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "a registry that has shut down holds no duty")
 }
 
@@ -302,12 +302,12 @@
 	end := make(chan struct{})
 	peer := func(name string, answers bool) string {
 		return serveRPC(t, func(server *rpc.Server) {
-			rpc.Handle(server, func(ctx context.Context, _ waymark.Gossip) (waymark.Heard, error) {
+			rpc.Handle(server, func(ctx context.Context, _ waymark.Gossip) (waymark.GossipResponse, error) {
 				received <- name
 				if !answers {
 					<-end
 				}
-				return waymark.Heard{}, nil
+				return waymark.GossipResponse{}, nil
 			})
 		})
 	}
@@ -333,12 +333,12 @@
 func TestEndedEvacuationsAreNamed(t *testing.T) {
 	registry := newTestRegistry(t)
 	state := committedState(8, 12, "a1")
-	state.Touched = map[string]cairn.Stamp{"a1": {Seq: 8, View: 1}, "a2": {Seq: 7, View: 1}, "a3": {Seq: 4, View: 1}}
-	registry.confirmState(waymark.Confirmed{Last: cairn.Stamp{Seq: 8}, State: state}, nil)
+	state.LastZoneChange = map[string]cairn.LogPosition{"a1": {Seq: 8, View: 1}, "a2": {Seq: 7, View: 1}, "a3": {Seq: 4, View: 1}}
+	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 8}, State: state}, nil)
 	for heldVersion, want := range map[uint64][]string{0: nil, 3: {"a2", "a3"}, 5: {"a2"}, 7: nil} {
-		answer := registry.heartbeat(waymark.Sign{Evac: heldVersion})
-		assert.Assert(t, answer.HasEvac)
-		assert.DeepEqual(t, answer.TakenBack, want)
+		answer := registry.heartbeat(waymark.SessionRequest{EvacuationNumber: heldVersion})
+		assert.Assert(t, answer.HasEvacuated)
+		assert.DeepEqual(t, answer.RevokedEvacuations, want)
 		assert.DeepEqual(t, answer.Evacuated, []string{"a1"})
 	}
 }
--- a/internal/bothy/shedding.go
+++ b/internal/bothy/shedding.go
@@ -12,9 +12,9 @@
 	"foxwood/policy"
 )
 
-// DutyLevel is the duty of setting the load-shedding level. Only registries with load shedding
+// DutyShedding is the duty of setting the load-shedding level. Only registries with load shedding
 // stand for it.
-const DutyLevel = "level"
+const DutyShedding = "level"
 
 const (
 	levelInterval     = 100 * time.Millisecond
@@ -22,14 +22,14 @@
 	maxFixMs          = 24 * 3600e3
 )
 
-// Shed enables load shedding. It must be called before Serve.
-func (b *Bothy) Shed(options snowline.Options) {
+// EnableShedding enables load shedding. It must be called before Serve.
+func (b *Registry) EnableShedding(options snowline.Options) {
 	b.shedding = snowline.NewHolder(rand.Uint64() | 1)
-	b.shedding.Never, b.shedding.Least, b.shedding.Caller, b.shedding.Whole = options.Never, options.Least, options.Caller, options.Whole
+	b.shedding.NeverShedBelow, b.shedding.MinServedShare, b.shedding.CallerHeader, b.shedding.SingleThreshold = options.NeverShedBelow, options.MinServedShare, options.CallerHeader, options.SingleThreshold
 }
 
 // serveSheddingLevel registers the handlers and starts the loop for the shedding level.
-func (b *Bothy) serveSheddingLevel(ctx context.Context, server *rpc.Server) {
+func (b *Registry) serveSheddingLevel(ctx context.Context, server *rpc.Server) {
 	if b.shedding == nil {
 		return
 	}
@@ -43,9 +43,9 @@
 }
 
 // applySheddingDuty starts the duty if it was won, and stops it if it was lost. The lock is held.
-func (b *Bothy) applySheddingDuty(duty string, term uint64, won bool) {
+func (b *Registry) applySheddingDuty(duty string, term uint64, won bool) {
 	switch {
-	case b.shedding == nil || duty != DutyLevel:
+	case b.shedding == nil || duty != DutyShedding:
 	case won:
 		b.shedding.Begin(b.now(), term)
 	default:
@@ -55,44 +55,44 @@
 
 // stepSheddingLevel recomputes the level if this registry holds the duty, and logs each change. The
 // lock is held.
-func (b *Bothy) stepSheddingLevel() {
+func (b *Registry) stepSheddingLevel() {
 	now := b.now()
-	if _, ok := b.election.Holds(now, DutyLevel); !ok || b.stopped {
+	if _, ok := b.election.Holds(now, DutyShedding); !ok || b.stopped {
 		return
 	}
-	since := b.shedding.Since()
+	since := b.shedding.ChangedAt()
 	if !b.shedding.Step(now, b.memberCount) {
 		return
 	}
 	level := b.shedding.Level()
-	b.log.Info().Uint64("number", level.Number).Uint32("cut", level.Cut).Str("refused", snowline.DescribeAll(level.Cut, level.Cuts)).Str("why", level.Why).
-		Uint64("turn", level.Turn).Float64("lastHeldMs", now-since).Float64("offered", b.shedding.Load().Sum()).Float64("fits", b.shedding.Rate()).
-		Interface("fitsAt", b.shedding.Rates()).
+	b.log.Info().Uint64("number", level.Number).Uint32("cut", level.Threshold).Str("refused", snowline.DescribeAll(level.Threshold, level.ServiceThresholds)).Str("why", level.Reason).
+		Uint64("turn", level.Rotation).Float64("lastHeldMs", now-since).Float64("offered", b.shedding.Load().Sum()).Float64("fits", b.shedding.AdmittedRate()).
+		Interface("fitsAt", b.shedding.ServiceRates()).
 		Msg("shedding level")
 }
 
 // handleLoadReport handles a gatekeeper's load report here or forwards it to the holder of the
 // duty.
-func (b *Bothy) handleLoadReport(ctx context.Context, request waymark.Strain) (answer waymark.Eased, err error) {
+func (b *Registry) handleLoadReport(ctx context.Context, request waymark.PressureReport) (answer waymark.SheddingLevel, err error) {
 	b.mu.Lock()
 	now := b.now()
-	if _, ok := b.election.Holds(now, DutyLevel); ok {
+	if _, ok := b.election.Holds(now, DutyShedding); ok {
 		defer b.mu.Unlock()
-		b.shedding.Hear(now, request.Report)
+		b.shedding.Receive(now, request.Report)
 		b.stepSheddingLevel()
-		return waymark.Eased{Level: b.shedding.Level()}, nil
+		return waymark.SheddingLevel{Level: b.shedding.Level()}, nil
 	}
-	peer := b.peers[b.election.Holder(now, DutyLevel)]
+	peer := b.peers[b.election.Holder(now, DutyShedding)]
 	b.mu.Unlock()
-	if peer == nil || request.Passed {
+	if peer == nil || request.Forwarded {
 		return answer, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 	}
-	request.Passed = true
+	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
-	if answer, err = rpc.Call[waymark.Strain, waymark.Eased](ctx, peer, request); err == nil {
+	if answer, err = rpc.Call[waymark.PressureReport, waymark.SheddingLevel](ctx, peer, request); err == nil {
 		b.mu.Lock()
-		b.shedding.Note(answer.Level)
+		b.shedding.Observe(answer.Level)
 		b.mu.Unlock()
 	}
 	return answer, err
@@ -100,14 +100,14 @@
 
 // handleFixLevel handles an operator's order to fix the level. Like an order for a zone it has no
 // number: it is dropped if the tail is not reached, or if the caller has disconnected by then.
-func (b *Bothy) handleFixLevel(ctx context.Context, request waymark.FixLevel) (answer waymark.Eased, err error) {
-	if request.Cut > policy.MarkOpen || !(request.ForMs >= 0 && request.ForMs <= maxFixMs) {
+func (b *Registry) handleFixLevel(ctx context.Context, request waymark.FixSheddingLevel) (answer waymark.SheddingLevel, err error) {
+	if request.Cut > policy.ShedNothing || !(request.DurationMS >= 0 && request.DurationMS <= maxFixMs) {
 		return answer, rpc.Errorf(rpc.Invalid, "no such cut, or not for a time up to a day")
 	}
 	b.mu.Lock()
 	held := b.committed.Last
 	b.mu.Unlock()
-	if !request.Passed {
+	if !request.Forwarded {
 		readCtx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 		_, err = b.readFromTail(readCtx, held)
 		cancel()
@@ -120,36 +120,36 @@
 	}
 	b.mu.Lock()
 	now := b.now()
-	if _, ok := b.election.Holds(now, DutyLevel); ok {
+	if _, ok := b.election.Holds(now, DutyShedding); ok {
 		defer b.mu.Unlock()
-		b.shedding.Fix(now, max(request.Cut, 1), request.ForMs)
-		b.log.Info().Str("refused", snowline.Describe(request.Cut)).Float64("forMs", request.ForMs).Msg("an operator's order for the shedding level")
-		return waymark.Eased{Level: b.shedding.Level()}, nil
+		b.shedding.Override(now, max(request.Cut, 1), request.DurationMS)
+		b.log.Info().Str("refused", snowline.Describe(request.Cut)).Float64("forMs", request.DurationMS).Msg("an operator's order for the shedding level")
+		return waymark.SheddingLevel{Level: b.shedding.Level()}, nil
 	}
-	peer := b.peers[b.election.Holder(now, DutyLevel)]
+	peer := b.peers[b.election.Holder(now, DutyShedding)]
 	b.mu.Unlock()
-	if peer == nil || request.Passed {
+	if peer == nil || request.Forwarded {
 		return answer, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 	}
-	request.Passed = true
+	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return rpc.Call[waymark.FixLevel, waymark.Eased](ctx, peer, request)
+	return rpc.Call[waymark.FixSheddingLevel, waymark.SheddingLevel](ctx, peer, request)
 }
 
 // sheddingStatusLines returns the lines of the status on load shedding. The lock is held.
-func (b *Bothy) sheddingStatusLines() (lines []string) {
+func (b *Registry) sheddingStatusLines() (lines []string) {
 	if b.shedding == nil {
 		return nil
 	}
 	now, level := b.now(), b.shedding.Level()
 	addLine := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	addLine("duty %s held by %s", DutyLevel, b.election.Holder(now, DutyLevel))
+	addLine("duty %s held by %s", DutyShedding, b.election.Holder(now, DutyShedding))
 	addLine("shedding level %d turn %d refuses %s, never shed: priority below %d, least of a tier %.2f, callers by %q",
-		level.Number, level.Turn, snowline.DescribeAll(level.Cut, level.Cuts), level.Never, level.Least, level.Caller)
-	if _, ok := b.election.Holds(now, DutyLevel); ok {
-		addLine("shedding level stands for %.0f ms: %s; offered %.1f/s, fits %.1f/s (0: not known), at services %v", now-b.shedding.Since(), level.Why,
-			b.shedding.Load().Sum(), b.shedding.Rate(), b.shedding.Rates())
+		level.Number, level.Rotation, snowline.DescribeAll(level.Threshold, level.ServiceThresholds), level.NeverShedBelow, level.MinServedShare, level.CallerHeader)
+	if _, ok := b.election.Holds(now, DutyShedding); ok {
+		addLine("shedding level stands for %.0f ms: %s; offered %.1f/s, fits %.1f/s (0: not known), at services %v", now-b.shedding.ChangedAt(), level.Reason,
+			b.shedding.Load().Sum(), b.shedding.AdmittedRate(), b.shedding.ServiceRates())
 	}
 	return lines
 }
--- a/internal/bothy/startlog.go
+++ b/internal/bothy/startlog.go
@@ -42,24 +42,24 @@
 
 // startBurstWindowMs returns how long, in milliseconds, the start burst of one incarnation may
 // count in a quota window.
-func (b *Bothy) startBurstWindowMs() float64 {
-	return b.settings.Bounds.QuotaWindowS*1e3 + quota.KickKeepMs
+func (b *Registry) startBurstWindowMs() float64 {
+	return b.settings.Bounds.QuotaWindowS*1e3 + quota.StartBurstValidityMs
 }
 
 // storeStarts starts a write if the recent starts differ from the stored ones. The lock is held.
-func (b *Bothy) storeStarts() {
+func (b *Registry) storeStarts() {
 	starts := &b.startLog
-	if b.settings.ArchiveDir == "" || starts.writeEnded != nil || b.now() < starts.retryAt {
+	if b.settings.DataDir == "" || starts.writeEnded != nil || b.now() < starts.retryAt {
 		return
 	}
-	recent := b.sessions.Recent(b.now(), b.startBurstWindowMs())
+	recent := b.sessions.RecentlyStarted(b.now(), b.startBurstWindowMs())
 	if slices.Equal(recent, starts.stored) {
 		return
 	}
 	ended := make(chan struct{})
 	starts.writeEnded = ended
 	go func() { // in the background, so that a disk that hangs blocks nothing
-		err := starts.write(b.settings.ArchiveDir, recent)
+		err := starts.write(b.settings.DataDir, recent)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		starts.writeEnded = nil
@@ -74,7 +74,7 @@
 
 // checkStarts stores the starts learned from other registries, and drops old ones. The lock is
 // held.
-func (b *Bothy) checkStarts() {
+func (b *Registry) checkStarts() {
 	if now := b.now(); now >= b.startLog.nextCheck {
 		b.startLog.nextCheck = now + startLogCheckIntervalMs
 		b.storeStarts()
@@ -83,8 +83,8 @@
 
 // isStartStored reports whether a restart of this process would still remember the node's start.
 // The lock is held.
-func (b *Bothy) isStartStored(node string) bool {
-	if b.settings.ArchiveDir == "" || !b.sessions.Began(b.now(), node, b.startBurstWindowMs()) {
+func (b *Registry) isStartStored(node string) bool {
+	if b.settings.DataDir == "" || !b.sessions.StartedWithin(b.now(), node, b.startBurstWindowMs()) {
 		return true
 	}
 	_, stored := slices.BinarySearch(b.startLog.stored, node)
@@ -92,7 +92,7 @@
 }
 
 // awaitStartStored waits a short time until a node's start is stored.
-func (b *Bothy) awaitStartStored(ctx context.Context, node string) {
+func (b *Registry) awaitStartStored(ctx context.Context, node string) {
 	timer := time.NewTimer(maxStartLogWait)
 	defer timer.Stop()
 	for {
--- a/internal/bothy/startlog_test.go
+++ b/internal/bothy/startlog_test.go
@@ -15,24 +15,24 @@
 )
 
 // newRegistryOnDisk returns a registry with a folder and a clock that the test sets.
-func newRegistryOnDisk(dir string, now *float64) *Bothy {
-	registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerDocks: []int{7001, 7002}, ArchiveDir: dir, Bounds: bootconfig.Bounds{QuotaWindowS: 5}}, zerolog.Nop())
+func newRegistryOnDisk(dir string, now *float64) *Registry {
+	registry := New(&bootconfig.Settings{IP: "127.0.0.1", InnerPorts: []int{7001, 7002}, DataDir: dir, Bounds: bootconfig.Bounds{QuotaWindowS: 5}}, zerolog.Nop())
 	registry.clock = func() float64 { return *now }
 	return registry
 }
 
 // sendHeartbeat sends the heartbeat of one incarnation of a node, and returns whether the answer
 // says that an earlier incarnation started recently.
-func sendHeartbeat(t *testing.T, registry *Bothy, node string, incarnation uint64) (restarted bool) {
+func sendHeartbeat(t *testing.T, registry *Registry, node string, incarnation uint64) (restarted bool) {
 	t.Helper()
-	answer, err := registry.handleHeartbeat(t.Context(), waymark.Sign{Member: membership.Member{Station: node, Life: incarnation, Turn: 1}})
+	answer, err := registry.handleHeartbeat(t.Context(), waymark.SessionRequest{Member: membership.Member{Node: node, Incarnation: incarnation, Sequence: 1}})
 	assert.NilError(t, err)
-	return answer.Again
+	return answer.RestartedRecently
 }
 
 // runChecks runs one election step, which checks the start log, and waits for a write that it
 // starts.
-func runChecks(t *testing.T, registry *Bothy) {
+func runChecks(t *testing.T, registry *Registry) {
 	registry.stepElection(t.Context())
 	registry.mu.Lock()
 	ended := registry.startLog.writeEnded
@@ -66,8 +66,8 @@
 	dir, now := t.TempDir(), 0.0
 	registry := newRegistryOnDisk(dir, &now)
 	otherSessions := membership.New("127.0.0.2:7001", 9, now, sessionTimeoutMs)
-	otherSessions.Sign(now, membership.Member{Station: "counter-1", Life: 1, Turn: 1})
-	registry.receiveReport("127.0.0.2:7001", "z", otherSessions.Tell(now))
+	otherSessions.Heartbeat(now, membership.Member{Node: "counter-1", Incarnation: 1, Sequence: 1})
+	registry.receiveReport("127.0.0.2:7001", "z", otherSessions.FullReport(now))
 	now += startLogCheckIntervalMs
 	runChecks(t, registry)
 	assert.DeepEqual(t, readStartLog(dir), []string{"counter-1"})
--- a/internal/bothy/updates.go
+++ b/internal/bothy/updates.go
@@ -17,37 +17,37 @@
 // heartbeat's answer, and reports whether there are any. Traffic between zones is expensive:
 // configurations and workers go only to the zone homes, to a gatekeeper that holds nothing yet, and
 // to one that did not get them from its zone homes. The lock is held.
-func (b *Bothy) addConfigurationAndEndpoints(now float64, members membership.Roll, heartbeat *waymark.Sign, answer *waymark.Signed) (updated bool) {
+func (b *Registry) addConfigurationAndEndpoints(now float64, members membership.MemberList, heartbeat *waymark.SessionRequest, answer *waymark.SessionResponse) (updated bool) {
 	gatekeeper := &heartbeat.Member
 	isOwnerOrNone := func(service string) bool {
-		owner := membership.Home(members, gatekeeper.Zone, service)
-		return owner == "" || owner == gatekeeper.Inner
+		owner := membership.Owner(members, gatekeeper.Zone, service)
+		return owner == "" || owner == gatekeeper.PeerAddr
 	}
-	answer.Edition = b.committed.Edition
-	if b.committed.Edition > heartbeat.Edition {
+	answer.ConfigVersion = b.committed.Edition
+	if b.committed.Edition > heartbeat.ConfigVersion {
 		updated = true
 		// A large configuration goes to each gatekeeper directly: its zone home would send copies
 		// for seconds over a slow link, delaying answers to its own clients.
-		if heartbeat.Edition == 0 || heartbeat.Body || isOwnerOrNone(configcache.Timetable) || len(b.packedConfiguration) > maxZoneHomeBodyBytes {
-			answer.Body = b.packedConfiguration
+		if heartbeat.ConfigVersion == 0 || heartbeat.WantConfig || isOwnerOrNone(configcache.ConfigurationKey) || len(b.packedConfiguration) > maxZoneHomeBodyBytes {
+			answer.Config = b.packedConfiguration
 		} else {
-			answer.Bulk = len(b.packedConfiguration)
+			answer.ConfigBytes = len(b.packedConfiguration)
 		}
 	}
-	answer.Marks = b.endpoints.marksSince(heartbeat.Roster)
+	answer.EndpointChanges = b.endpoints.marksSince(heartbeat.EndpointsVersion)
 	for _, name := range slices.Sorted(maps.Keys(b.endpoints.destinationVersions)) {
-		heldVersion, wanted := heartbeat.Want[name]
+		heldVersion, wanted := heartbeat.WantEndpoints[name]
 		if !wanted {
-			heldVersion = heartbeat.Roster
+			heldVersion = heartbeat.EndpointsVersion
 			if b.endpoints.destinationVersion(name) <= heldVersion || heldVersion > 0 && !isOwnerOrNone(name) {
 				continue
 			}
 		}
 		if part := b.endpoints.partSince(now, name, heldVersion); part != nil {
-			answer.Parts = append(answer.Parts, *part)
+			answer.Endpoints = append(answer.Endpoints, *part)
 		}
 	}
-	return updated || answer.Marks != nil || len(answer.Parts) > 0
+	return updated || answer.EndpointChanges != nil || len(answer.Endpoints) > 0
 }
 
 // destinationVersion returns the version at which a destination last changed.
@@ -56,14 +56,14 @@
 }
 
 // marksSince returns which destinations have changed since a version, nil if none have.
-func (l *endpointList) marksSince(heldVersion uint64) *waymark.Marks {
+func (l *endpointList) marksSince(heldVersion uint64) *waymark.EndpointChanges {
 	if heldVersion >= l.version {
 		return nil
 	}
-	marks := &waymark.Marks{Version: l.version, Whole: heldVersion < l.termStart || heldVersion == 0, Behind: map[string]uint64{}}
+	marks := &waymark.EndpointChanges{Version: l.version, Complete: heldVersion < l.termStart || heldVersion == 0, VersionsBehind: map[string]uint64{}}
 	for name := range l.destinationVersions {
-		if version := l.destinationVersion(name); marks.Whole || version > heldVersion {
-			marks.Behind[name] = l.version - version
+		if version := l.destinationVersion(name); marks.Complete || version > heldVersion {
+			marks.VersionsBehind[name] = l.version - version
 		}
 	}
 	return marks
@@ -71,21 +71,21 @@
 
 // partSince returns a destination's workers for a gatekeeper that holds heldVersion, nil if that is
 // current.
-func (l *endpointList) partSince(now float64, name string, heldVersion uint64) *waymark.Part {
+func (l *endpointList) partSince(now float64, name string, heldVersion uint64) *waymark.DestinationEndpoints {
 	if l.destinationVersion(name) <= heldVersion || l.destinationVersions[name] == 0 {
 		return nil
 	}
-	part := &waymark.Part{Destination: name, Version: l.version, Since: heldVersion}
+	part := &waymark.DestinationEndpoints{Destination: name, Version: l.version, Since: heldVersion}
 	if heldVersion < max(l.termStart, l.destinationChangesSince[name]) {
 		part.Since = 0
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
 		listed := l.workers[id]
-		if listed.Destination != name || part.Since == 0 && listed.Gone || part.Since > 0 && listed.changedVersion <= heldVersion {
+		if listed.Destination != name || part.Since == 0 && listed.Removed || part.Since > 0 && listed.changedVersion <= heldVersion {
 			continue
 		}
 		worker := listed.Worker
-		worker.Destination, worker.Cold = "", max(listed.coldUntil-now, 0)
+		worker.Destination, worker.SlowStartLeftMS = "", max(listed.coldUntil-now, 0)
 		part.Workers = append(part.Workers, worker)
 	}
 	return part
--- a/internal/bothy/updates_test.go
+++ b/internal/bothy/updates_test.go
@@ -13,9 +13,9 @@
 )
 
 // membersOfZone returns ready members of the zone z.
-func membersOfZone(nodes ...string) (members membership.Roll) {
+func membersOfZone(nodes ...string) (members membership.MemberList) {
 	for _, node := range nodes {
-		members.Members = append(members.Members, membership.Member{Station: node, Zone: "z", Inner: node, Ready: true})
+		members.Members = append(members.Members, membership.Member{Node: node, Zone: "z", PeerAddr: node, Ready: true})
 	}
 	return members
 }
@@ -24,45 +24,45 @@
 // holds nothing, and to one that requests them.
 func TestUpdatesGoToZoneHomes(t *testing.T) {
 	members := membersOfZone("g1", "g2", "g3")
-	configurationOwner, workersOwner := membership.Home(members, "z", configcache.Timetable), membership.Home(members, "z", "d")
+	configurationOwner, workersOwner := membership.Owner(members, "z", configcache.ConfigurationKey), membership.Owner(members, "z", "d")
 	other := ""
 	for _, member := range members.Members {
-		if member.Inner != configurationOwner && member.Inner != workersOwner {
-			other = member.Inner
+		if member.PeerAddr != configurationOwner && member.PeerAddr != workersOwner {
+			other = member.PeerAddr
 		}
 	}
-	registry := &Bothy{endpoints: newEndpointList()}
+	registry := &Registry{endpoints: newEndpointList()}
 	registry.committed.Edition, registry.packedConfiguration = 7, waymark.Deflate([]byte("seven"))
 	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a")})
 	olderVersion := registry.endpoints.version
 	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a", closing)})
 	for _, c := range []struct {
 		name       string
-		members    membership.Roll
-		heartbeat  waymark.Sign
+		members    membership.MemberList
+		heartbeat  waymark.SessionRequest
 		body, part bool
 	}{
-		{"zone home of the configuration", members, waymark.Sign{Member: membership.Member{Inner: configurationOwner}, Edition: 5, Roster: olderVersion}, true, configurationOwner == workersOwner},
-		{"zone home of the workers", members, waymark.Sign{Member: membership.Member{Inner: workersOwner}, Edition: 5, Roster: olderVersion}, configurationOwner == workersOwner, true},
-		{"another gatekeeper", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, false, false},
-		{"another that requests the configuration", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion, Body: true}, true, false},
-		{"another that requests the workers", members, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: registry.endpoints.version,
-			Want: map[string]uint64{"d": olderVersion}}, false, true},
-		{"another that holds nothing", members, waymark.Sign{Member: membership.Member{Inner: other}}, true, true},
-		{"there is no zone home", membership.Roll{}, waymark.Sign{Member: membership.Member{Inner: other}, Edition: 5, Roster: olderVersion}, true, true},
+		{"zone home of the configuration", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, configurationOwner == workersOwner},
+		{"zone home of the workers", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: workersOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, configurationOwner == workersOwner, true},
+		{"another gatekeeper", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, false, false},
+		{"another that requests the configuration", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion, WantConfig: true}, true, false},
+		{"another that requests the workers", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: registry.endpoints.version,
+			WantEndpoints: map[string]uint64{"d": olderVersion}}, false, true},
+		{"another that holds nothing", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}}, true, true},
+		{"there is no zone home", membership.MemberList{}, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.heartbeat.Member.Zone = "z"
-			var answer waymark.Signed
+			var answer waymark.SessionResponse
 			assert.Assert(t, registry.addConfigurationAndEndpoints(0, c.members, &c.heartbeat, &answer))
-			assert.Equal(t, answer.Edition, uint64(7))
-			assert.Equal(t, len(answer.Body) > 0, c.body)
-			assert.Equal(t, len(answer.Parts) > 0, c.part)
-			assert.Equal(t, answer.Marks != nil, c.heartbeat.Roster < registry.endpoints.version)
+			assert.Equal(t, answer.ConfigVersion, uint64(7))
+			assert.Equal(t, len(answer.Config) > 0, c.body)
+			assert.Equal(t, len(answer.Endpoints) > 0, c.part)
+			assert.Equal(t, answer.EndpointChanges != nil, c.heartbeat.EndpointsVersion < registry.endpoints.version)
 		})
 	}
-	var answer waymark.Signed
-	heartbeat := waymark.Sign{Member: membership.Member{Inner: configurationOwner, Zone: "z"}, Edition: 7, Roster: registry.endpoints.version}
+	var answer waymark.SessionResponse
+	heartbeat := waymark.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner, Zone: "z"}, ConfigVersion: 7, EndpointsVersion: registry.endpoints.version}
 	assert.Assert(t, !registry.addConfigurationAndEndpoints(0, members, &heartbeat, &answer), "no updates")
 }
 
@@ -73,7 +73,7 @@
 	for seed := range uint64(12) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		now, term := 0.0, uint64(1)
-		registries := []*Bothy{{endpoints: newEndpointList()}, {endpoints: newEndpointList()}}
+		registries := []*Registry{{endpoints: newEndpointList()}, {endpoints: newEndpointList()}}
 		names := []string{"g1", "g2", "g3", "g4"}
 		caches := map[string]*configcache.Cache{}
 		for _, name := range names {
@@ -115,35 +115,35 @@
 				cache, registry := caches[name], registries[random.IntN(2)]
 				members := membersOfZone(names[random.IntN(2):]...)
 				sendHeartbeat := func() {
-					q := waymark.Sign{Member: membership.Member{Inner: name, Zone: "z"}}
-					cache.Question(&q)
-					var answer waymark.Signed
+					q := waymark.SessionRequest{Member: membership.Member{PeerAddr: name, Zone: "z"}}
+					cache.FillHeartbeat(&q)
+					var answer waymark.SessionResponse
 					registry.addConfigurationAndEndpoints(now, members, &q, &answer)
-					cache.Hear(now, &answer)
+					cache.ApplyAnswer(now, &answer)
 				}
 				sendHeartbeat()
-				requests, _ := cache.Plan(now, configcache.Zone{Name: "z", Self: name, Ready: true, Near: names[random.IntN(3):]})
+				requests, _ := cache.PlanRequests(now, configcache.ZonePeers{Name: "z", Self: name, SelfReady: true, Peers: names[random.IntN(3):]})
 				for owner, q := range requests {
 					err := fmt.Errorf("late")
 					if random.IntN(4) > 0 && owner != name {
 						err = nil
-						cache.Stock(now, caches[owner].Give(now, &q).Parts)
+						cache.AddParts(now, caches[owner].Answer(now, &q).Endpoints)
 					}
-					cache.Asked(now, owner, &q, err)
+					cache.RecordAnswer(now, owner, &q, err)
 				}
 				sendHeartbeat()
 				for destination := range registry.endpoints.destinationVersions {
-					if max(cache.Heard(), cache.Held().Held[destination]) > registry.endpoints.version {
+					if max(cache.AnnouncedVersion(), cache.HeldVersions().EndpointVersions[destination]) > registry.endpoints.version {
 						continue // the cache knows of newer data than its registry
 					}
 					held := map[string]bool{}
 					for _, w := range cache.Workers(now, destination) {
-						held[w.ID] = w.Closing
+						held[w.ID] = w.Draining
 					}
 					want := map[string]bool{}
 					for id, w := range registry.endpoints.workers {
-						if w.Destination == destination && !w.Gone {
-							want[id] = w.Closing
+						if w.Destination == destination && !w.Removed {
+							want[id] = w.Draining
 						}
 					}
 					assert.DeepEqual(t, held, want)
--- a/internal/bothy/withdrawals.go
+++ b/internal/bothy/withdrawals.go
@@ -61,29 +61,29 @@
 		if !ok {
 			missing[id] = true
 		}
-		if known.Closing || known.Gone || ok && !current.Closing || !ok && !w.missing[id] {
+		if known.Draining || known.Removed || ok && !current.Draining || !ok && !w.missing[id] {
 			continue
 		}
-		added = w.add(waymark.Struck{ID: id, At: version}) || added
+		added = w.add(waymark.WithdrawnWorker{ID: id, ListVersion: version}) || added
 	}
 	w.missing = missing
 	return added
 }
 
 // add records a withdrawal, and reports whether its worker had none before.
-func (w *withdrawals) add(withdrawal waymark.Struck) bool {
+func (w *withdrawals) add(withdrawal waymark.WithdrawnWorker) bool {
 	version, ok := w.versions[withdrawal.ID]
 	if w.versions == nil {
 		w.versions = map[string]uint64{}
 	}
-	w.versions[withdrawal.ID] = max(version, withdrawal.At)
+	w.versions[withdrawal.ID] = max(version, withdrawal.ListVersion)
 	return !ok
 }
 
 // merge adds the withdrawals of another registry, and reports whether there are new ones.
-func (w *withdrawals) merge(endpoints *endpointList, list []waymark.Struck) (added bool) {
+func (w *withdrawals) merge(endpoints *endpointList, list []waymark.WithdrawnWorker) (added bool) {
 	for _, withdrawal := range list {
-		if !withdrawal.Void(endpoints.version, endpoints.workerVersion(withdrawal.ID)) {
+		if !withdrawal.Superseded(endpoints.version, endpoints.workerVersion(withdrawal.ID)) {
 			added = w.add(withdrawal) || added
 		}
 	}
@@ -93,18 +93,18 @@
 // dropSuperseded drops the withdrawals that later data of a duty holder replaces.
 func (w *withdrawals) dropSuperseded(endpoints *endpointList) {
 	maps.DeleteFunc(w.versions, func(id string, version uint64) bool {
-		return waymark.Struck{ID: id, At: version}.Void(endpoints.version, endpoints.workerVersion(id))
+		return waymark.WithdrawnWorker{ID: id, ListVersion: version}.Superseded(endpoints.version, endpoints.workerVersion(id))
 	})
 }
 
 // snapshot returns all withdrawals, and a hash of the list; 0 if there are none.
-func (w *withdrawals) snapshot() (all []waymark.Struck, hash uint64) {
+func (w *withdrawals) snapshot() (all []waymark.WithdrawnWorker, hash uint64) {
 	if len(w.versions) == 0 {
 		return nil, 0
 	}
 	ids := slices.Sorted(maps.Keys(w.versions))
 	for _, id := range ids {
-		all = append(all, waymark.Struck{ID: id, At: w.versions[id]})
+		all = append(all, waymark.WithdrawnWorker{ID: id, ListVersion: w.versions[id]})
 	}
 	return all, xxh3.HashString(strings.Join(ids, "\x00")) | 1
 }
@@ -118,13 +118,13 @@
 }
 
 // withdrawWithoutHolder applies a list that was read without the duty. The lock is held.
-func (b *Bothy) withdrawWithoutHolder(startedAt float64, version uint64, pages int, list []waymark.Worker) {
+func (b *Registry) withdrawWithoutHolder(startedAt float64, version uint64, pages int, list []waymark.Worker) {
 	now := b.now()
 	w := &b.withdrawals
 	if b.endpoints.version != version || now-startedAt > maxListAgeMs || !w.dutyVacant(now) {
 		return // the duty was held meanwhile or this process was frozen: the list may be old
 	}
-	if rate := b.settings.CarrierAPI.RatePerS * vacantRateShare; rate > 0 {
+	if rate := b.settings.PlatformAPI.RatePerS * vacantRateShare; rate > 0 {
 		w.nextRead = now + float64(pages*(len(b.peers)+1))/rate*1000
 	}
 	if w.applyPlatformList(b.endpoints, list) {
--- a/internal/brocken/clients.go
+++ b/internal/brocken/clients.go
@@ -15,7 +15,7 @@
 	address string
 }
 
-// ShadowAddress implements spur.Door.
+// ShadowAddress implements spur.TargetConnection.
 func (c *targetConnection) ShadowAddress() string { return c.address }
 
 // loadFactor returns the load at a time of day relative to the mean.
@@ -26,7 +26,7 @@
 	if s.now > float64(s.plan.Days)*day {
 		return
 	}
-	ratePerMs := float64(s.plan.Journeys) / (days * day) * loadFactor(s.now)
+	ratePerMs := float64(s.plan.Flows) / (days * day) * loadFactor(s.now)
 	s.scheduleIn(s.random.ExpFloat64()/ratePerMs, s.startClient)
 	s.startFlow(nil)
 }
@@ -84,13 +84,13 @@
 	s.lastID++
 	live := &liveRequest{request: request, piece: s.lastID}
 	now := gatekeeper.clock(s.now)
-	info := &spur.Sight{Route: route.name, Destination: route.destination, Tenant: request.flow.tenant, Header: func(h string) ([]byte, bool) { return []byte(request.flow.name), h == "X-Visit" }}
-	id, selected := gatekeeper.engine.Chooses(info)
-	if id != (spur.Journey{}) {
-		s.ledger.recordSelection(request.flow.name, gatekeeper.engine.Order().Number, selected)
+	info := &spur.RequestInfo{Route: route.name, Destination: route.destination, Tenant: request.flow.tenant, Header: func(h string) ([]byte, bool) { return []byte(request.flow.name), h == "X-Visit" }}
+	id, selected := gatekeeper.engine.SelectedFlow(info)
+	if id != (spur.FlowID{}) {
+		s.ledger.recordSelection(request.flow.name, gatekeeper.engine.Rule().Number, selected)
 	}
 	s.ledger.recordRun(s, request, live.piece, selected)
-	live.ticket = gatekeeper.engine.Begin(now, info)
+	live.ticket = gatekeeper.engine.StartRequest(now, info)
 	gatekeeper.openRequests[live.piece] = live
 	tookMs := 20 + s.random.ExpFloat64()*150
 	if s.random.IntN(3000) == 0 {
@@ -113,12 +113,12 @@
 	now, chance := gatekeeper.clock(s.now), s.random.IntN(10_000)
 	switch {
 	case chance < 3:
-		gatekeeper.engine.Drop(now, live.ticket, spur.TooLarge)
+		gatekeeper.engine.DropRequest(now, live.ticket, spur.BodyTooLarge)
 	case chance < 6, s.plan.Fault == "careless" && chance < 300:
-		gatekeeper.engine.Drop(now, live.ticket, spur.GivenUp)
+		gatekeeper.engine.DropRequest(now, live.ticket, spur.NoAnswer)
 	default:
-		gatekeeper.engine.End(now, live.ticket, &spur.Request{Method: []byte("POST"), Target: []byte("/" + routes[live.request.route].name), Body: fmt.Appendf(nil, "%d", live.piece),
-			Fields: []spur.Field{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, spur.Real{Status: 200, TookMs: tookMs})
+		gatekeeper.engine.FinishRequest(now, live.ticket, &spur.Request{Method: []byte("POST"), Target: []byte("/" + routes[live.request.route].name), Body: fmt.Appendf(nil, "%d", live.piece),
+			Fields: []spur.HeaderField{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, spur.LiveResponse{Status: 200, DurationMs: tookMs})
 	}
 }
 
@@ -157,15 +157,15 @@
 			closed = true
 			gatekeeper.engine.Close(now)
 		}
-		if closed && gatekeeper.engine.Emptied(now) || s.now-startedAt > 40*s.plan.AskS*second {
-			if !closed || !gatekeeper.engine.Emptied(now) {
+		if closed && gatekeeper.engine.IsDrained(now) || s.now-startedAt > 40*s.plan.PollIntervalS*second {
+			if !closed || !gatekeeper.engine.IsDrained(now) {
 				s.ledger.abruptExits++
 			}
 			s.ledger.recordCounters(s, gatekeeper)
 			gatekeeper.running, gatekeeper.ready = false, false
 			s.scheduleIn(30*second, func() {
 				s.startGatekeeper(gatekeeper)
-				s.scheduleIn(5*s.plan.AskS*second, onDone)
+				s.scheduleIn(5*s.plan.PollIntervalS*second, onDone)
 			})
 			return
 		}
@@ -216,7 +216,7 @@
 			liveAddresses[k] = true
 		}
 		s.liveAddresses = liveAddresses
-		s.scheduleIn(8*s.plan.AskS*second, func() { s.liveSince[address] = s.now })
+		s.scheduleIn(8*s.plan.PollIntervalS*second, func() { s.liveSince[address] = s.now })
 	})
 	s.schedule(5*day+9.5*hour, func() {
 		s.addIncident("an order with another shadow")
--- a/internal/brocken/ledger.go
+++ b/internal/brocken/ledger.go
@@ -22,13 +22,13 @@
 	complete bool
 	of       int
 	pieces   []int
-	id       spur.Journey
+	id       spur.FlowID
 }
 
 // deliveryKey identifies a flow and the incarnation of its collector.
 type deliveryKey struct {
 	incarnation uint64
-	flow        spur.Journey
+	flow        spur.FlowID
 }
 
 // selectionKey identifies a flow and a rule.
@@ -60,12 +60,12 @@
 
 // verdict holds the results of the checks.
 type verdict struct {
-	Requests, Wanted, Visits, Copies                               int
-	UnsafeTwice, AtLive, Lack, Double, Disorder, Pairs, Leaks, Odd int
-	Whole, Partial, Broken                                         int // deliveries: complete, marked as complete but not finished, marked as broken
-	CopiedTwice                                                    int
-	Chosen, Delivered                                              [days]int         // flows by the day on which they began
-	Examples                                                       map[string]string // the first example of each check
+	Requests, Matching, FlowNames, Copies                                                                                               int
+	UnsafeRepeated, CopiesAtLiveWorkers, MissingPieces, Duplicated, OutOfOrder, DifferingSelections, LeakedCredentials, MalformedCopies int
+	Complete, Partial, Broken                                                                                                           int // deliveries: complete, marked as complete but not finished, marked as broken
+	CopiedTwice                                                                                                                         int
+	Selected, Delivered                                                                                                                 [days]int         // flows by the day on which they began
+	Examples                                                                                                                            map[string]string // the first example of each check
 }
 
 // newLedger returns an empty ledger.
@@ -79,7 +79,7 @@
 }
 
 // recordRule records when a rule was set.
-func (l *ledger) recordRule(now float64, rule *spur.Order) { l.ruleTimes[rule.Number] = now }
+func (l *ledger) recordRule(now float64, rule *spur.Rule) { l.ruleTimes[rule.Number] = now }
 
 // recordRun records that a live worker ran a request.
 func (l *ledger) recordRun(sim *simulation, request *clientRequest, piece int, selected bool) {
@@ -89,7 +89,7 @@
 		l.unsafeRuns[request.id]++
 	}
 	if route.wanted && request.flow.tenant != excludedTenant {
-		l.verdict.Wanted++
+		l.verdict.Matching++
 		l.liveRuns[request.flow.name] = append(l.liveRuns[request.flow.name], liveRun{piece, sim.now, selected})
 		l.flowOf[piece] = request.flow.name
 		if !route.safe {
@@ -103,7 +103,7 @@
 func (l *ledger) recordSelection(name string, rule uint64, selected bool) {
 	key := selectionKey{name, rule}
 	if previous, ok := l.selections[key]; ok && previous != selected {
-		l.verdict.Pairs++
+		l.verdict.DifferingSelections++
 	}
 	l.selections[key] = selected
 }
@@ -114,13 +114,13 @@
 	verdict.Copies++
 	header, body, _ := bytes.Cut(message, []byte("\r\n\r\n"))
 	piece, err := strconv.Atoi(string(body))
-	position := fmt.Sprintf("; n=%d; of=%d;", delivery.N, delivery.Of)
+	position := fmt.Sprintf("; n=%d; of=%d;", delivery.Position, delivery.FlowSize)
 	if err != nil || !bytes.Contains(header, []byte("X-Foxwood-Shadow: ")) || !bytes.Contains(header, []byte(position)) || l.flowOf[piece] == "" {
-		verdict.Odd++
+		verdict.MalformedCopies++
 		return
 	}
 	if bytes.Contains(message, []byte("secret")) {
-		verdict.Leaks++
+		verdict.LeakedCredentials++
 	}
 	request := 0
 	if n := l.copiesSent[piece]; n < 0 {
@@ -130,15 +130,15 @@
 		verdict.CopiedTwice++
 	}
 	if since, ok := sim.liveSince[delivery.Address]; ok && sim.now >= since {
-		verdict.AtLive++
+		verdict.CopiesAtLiveWorkers++
 		if request > 0 {
 			l.unsafeRuns[request]++
 		}
 	}
-	key := deliveryKey{gatekeeper.incarnation, delivery.Journey}
+	key := deliveryKey{gatekeeper.incarnation, delivery.Flow}
 	delivered := l.openDeliveries[key]
-	if delivery.N == 1 && (delivered == nil || len(delivered.pieces) != 1 || delivered.pieces[0] != piece) {
-		delivered = &deliveredFlow{complete: delivery.Cause == spur.Fine, of: delivery.Of, id: delivery.Journey}
+	if delivery.Position == 1 && (delivered == nil || len(delivered.pieces) != 1 || delivered.pieces[0] != piece) {
+		delivered = &deliveredFlow{complete: delivery.Cause == spur.NotBroken, of: delivery.FlowSize, id: delivery.Flow}
 		l.openDeliveries[key] = delivered
 		l.deliveries = append(l.deliveries, delivered)
 	}
@@ -148,29 +148,29 @@
 // recordCounters adds the increase of an engine's counters since the last call.
 func (l *ledger) recordCounters(sim *simulation, gatekeeper *gatekeeperNode) {
 	status := gatekeeper.engine.Status(gatekeeper.clock(sim.now))
-	l.maxBytes = max(l.maxBytes, status.Bytes)
+	l.maxBytes = max(l.maxBytes, status.UsedBytes)
 	dayIndex := min(max(int((sim.now-idleTimeoutS*second)/day), 0), days-1)
 	counts, previous := status.Counts, gatekeeper.lastCounts
 	gatekeeper.lastCounts = counts
 	for _, cause := range spur.Causes() {
-		if added := int(counts.By[cause] - previous.By[cause]); added != 0 {
+		if added := int(counts.BrokenByCause[cause] - previous.BrokenByCause[cause]); added != 0 {
 			l.brokenByDay[dayIndex][cause] += added
-			l.totals.By[cause] += uint64(added)
+			l.totals.BrokenByCause[cause] += uint64(added)
 		}
 	}
-	l.completeByDay[dayIndex] += int(counts.Whole - previous.Whole)
-	l.totals.Whole += counts.Whole - previous.Whole
+	l.completeByDay[dayIndex] += int(counts.Complete - previous.Complete)
+	l.totals.Complete += counts.Complete - previous.Complete
 	l.totals.Broken += counts.Broken - previous.Broken
-	l.totals.NotChosen += counts.NotChosen - previous.NotChosen
-	l.totals.Taken += counts.Taken - previous.Taken
+	l.totals.NotSelected += counts.NotSelected - previous.NotSelected
+	l.totals.Copied += counts.Copied - previous.Copied
 	l.totals.Lost += counts.Lost - previous.Lost
-	l.totals.Copies += counts.Copies - previous.Copies
-	l.totals.CopiesDone += counts.CopiesDone - previous.CopiesDone
+	l.totals.CopiesIssued += counts.CopiesIssued - previous.CopiesIssued
+	l.totals.CopiesAnswered += counts.CopiesAnswered - previous.CopiesAnswered
 	l.totals.CopiesFailed += counts.CopiesFailed - previous.CopiesFailed
 	l.totals.CopiesUnsent += counts.CopiesUnsent - previous.CopiesUnsent
-	l.totals.Doubt += counts.Doubt - previous.Doubt
+	l.totals.UncertainOrder += counts.UncertainOrder - previous.UncertainOrder
 	if hourIndex := int(sim.now / hour); hourIndex >= 0 && hourIndex < len(l.maxOpenByHour) {
-		l.maxOpenByHour[hourIndex] = max(l.maxOpenByHour[hourIndex], status.Open*sim.plan.Gatekeepers)
+		l.maxOpenByHour[hourIndex] = max(l.maxOpenByHour[hourIndex], status.OpenFlows*sim.plan.Gatekeepers)
 	}
 }
 
@@ -191,7 +191,7 @@
 	verdict := &l.verdict
 	for _, n := range l.unsafeRuns {
 		if n > 1 {
-			verdict.UnsafeTwice++
+			verdict.UnsafeRepeated++
 		}
 	}
 	completeDeliveries := map[int]int{} // complete deliveries by the first piece of the real flow
@@ -226,34 +226,34 @@
 		}
 		switch {
 		case duplicated || foreign:
-			verdict.Double++
+			verdict.Duplicated++
 			example("double", "%s went out with %v of %v", name, delivered.pieces, expected)
 		case delivered.complete && outOfOrder:
-			verdict.Disorder++
+			verdict.OutOfOrder++
 			example("order", "%s went out in another order: %v of %v", name, delivered.pieces, expected)
 		case !delivered.complete:
 			verdict.Broken++
 		case len(delivered.pieces) < delivered.of: // its mirror target did not answer, or mirroring was stopped
 			verdict.Partial++
 		case len(seen) < len(expected):
-			verdict.Lack++
+			verdict.MissingPieces++
 			example("lack", "%s went out as whole with %v of %v", name, delivered.pieces, expected)
 		default:
-			verdict.Whole++
+			verdict.Complete++
 			if completeDeliveries[expected[0].piece]++; completeDeliveries[expected[0].piece] > 1 {
-				verdict.Double++
+				verdict.Duplicated++
 				example("double", "%s went out twice", name)
 			}
 		}
 	}
 	for _, runs := range l.liveRuns {
-		verdict.Visits++
+		verdict.FlowNames++
 		for _, flow := range splitFlows(runs) {
 			dayIndex, hourIndex := int(math.Floor(flow[0].at/day)), int(math.Floor(flow[0].at/hour))
 			if dayIndex < 0 || dayIndex >= days || !flow[0].selected {
 				continue
 			}
-			verdict.Chosen[dayIndex]++
+			verdict.Selected[dayIndex]++
 			l.flowsByHour[hourIndex][0]++
 			if completeDeliveries[flow[0].piece] > 0 {
 				verdict.Delivered[dayIndex]++
@@ -280,20 +280,20 @@
 			violations[check] = fmt.Sprintf("%d %s", count, what)
 		}
 	}
-	add("unsafe", verdict.UnsafeTwice, "unsafe requests ran more than once")
-	add("live", verdict.AtLive, "copies went to live workers")
-	add("lack", verdict.Lack, "journeys went out as whole that lack a piece: "+verdict.Examples["lack"])
-	add("double", verdict.Double+verdict.CopiedTwice, "journeys or copies went out doubled: "+verdict.Examples["double"])
-	add("order", verdict.Disorder, "journeys went out in a wrong order: "+verdict.Examples["order"])
-	add("pairs", verdict.Pairs, "times two gatekeepers chose differently under one order")
-	add("leaks", verdict.Leaks, "copies hold a key")
-	add("odd", verdict.Odd, "copies were no copies of what ran")
+	add("unsafe", verdict.UnsafeRepeated, "unsafe requests ran more than once")
+	add("live", verdict.CopiesAtLiveWorkers, "copies went to live workers")
+	add("lack", verdict.MissingPieces, "journeys went out as whole that lack a piece: "+verdict.Examples["lack"])
+	add("double", verdict.Duplicated+verdict.CopiedTwice, "journeys or copies went out doubled: "+verdict.Examples["double"])
+	add("order", verdict.OutOfOrder, "journeys went out in a wrong order: "+verdict.Examples["order"])
+	add("pairs", verdict.DifferingSelections, "times two gatekeepers chose differently under one order")
+	add("leaks", verdict.LeakedCredentials, "copies hold a key")
+	add("odd", verdict.MalformedCopies, "copies were no copies of what ran")
 	for _, dayIndex := range calmDays {
 		if dayIndex >= playedDays {
 			continue
 		}
-		if lost := verdict.Chosen[dayIndex] - verdict.Delivered[dayIndex]; verdict.Chosen[dayIndex] == 0 || float64(lost) > maxBrokenShare*float64(verdict.Chosen[dayIndex]) {
-			violations["calm"] += fmt.Sprintf("on day %d %d of %d chosen journeys did not come whole. ", dayIndex, lost, verdict.Chosen[dayIndex])
+		if lost := verdict.Selected[dayIndex] - verdict.Delivered[dayIndex]; verdict.Selected[dayIndex] == 0 || float64(lost) > maxBrokenShare*float64(verdict.Selected[dayIndex]) {
+			violations["calm"] += fmt.Sprintf("on day %d %d of %d chosen journeys did not come whole. ", dayIndex, lost, verdict.Selected[dayIndex])
 		}
 	}
 	return violations
--- a/internal/brocken/main.go
+++ b/internal/brocken/main.go
@@ -17,8 +17,8 @@
 	plan := Plan{}
 	flags.Uint64Var(&plan.Seed, "seed", 1, "random seed; a run with the same seed gives the same result")
 	flags.IntVar(&plan.Gatekeepers, "gatekeepers", 12, "number of gatekeepers, 4 to 64")
-	flags.IntVar(&plan.Journeys, "journeys", 300_000, "approximate number of flows in the week, at least 100")
-	flags.Float64Var(&plan.AskS, "ask", 30, "seconds between two fetches from one gatekeeper, 0.5 to 60")
+	flags.IntVar(&plan.Flows, "journeys", 300_000, "approximate number of flows in the week, at least 100")
+	flags.Float64Var(&plan.PollIntervalS, "ask", 30, "seconds between two fetches from one gatekeeper, 0.5 to 60")
 	flags.StringVar(&plan.Fault, "fault", "", "fault to plant, to test that the ledger detects it; one of: "+fmt.Sprint(slices.Sorted(maps.Keys(plantedFaults))))
 	flags.Usage = func() {
 		fmt.Fprintln(flags.Output(), "brocken [-out DIR] [-seed N] [-gatekeepers N] [-journeys N] [-ask S] [-fault NAME]\n\tSimulate a busy week of traffic mirroring on a virtual clock. Exits with 1 if a copy went to a live\n"+
@@ -28,7 +28,7 @@
 	if flags.Parse(args) != nil {
 		return 2
 	}
-	if flags.NArg() > 0 || plan.Gatekeepers < 4 || plan.Gatekeepers > 64 || plan.Journeys < 100 || !(plan.AskS >= 0.5 && plan.AskS <= 60) || plan.Fault != "" && plantedFaults[plan.Fault] == "" {
+	if flags.NArg() > 0 || plan.Gatekeepers < 4 || plan.Gatekeepers > 64 || plan.Flows < 100 || !(plan.PollIntervalS >= 0.5 && plan.PollIntervalS <= 60) || plan.Fault != "" && plantedFaults[plan.Fault] == "" {
 		flags.Usage()
 		return 2
 	}
--- a/internal/brocken/planted_faults.go
+++ b/internal/brocken/planted_faults.go
@@ -6,52 +6,52 @@
 
 // forgeResponse returns a response in the name of a gatekeeper that gave none, if the planted fault
 // does that.
-func (s *simulation) forgeResponse(gatekeeper, peer *gatekeeperNode, request spur.Ask) (spur.Answer, bool) {
-	alive := peer.running && peer.incarnation == request.To.Life
+func (s *simulation) forgeResponse(gatekeeper, peer *gatekeeperNode, request spur.FetchRequest) (spur.FetchResponse, bool) {
+	alive := peer.running && peer.incarnation == request.To.Incarnation
 	switch {
 	case s.plan.Fault == "cut" && alive && peer.isolated && !gatekeeper.isolated, s.plan.Fault == "death" && !alive:
 		response := s.ownResponse(gatekeeper)
-		response.From, response.Items, response.First, response.Done = request.To, nil, request.After+1, !alive
+		response.From, response.Items, response.FirstNumber, response.Done = request.To, nil, request.LastReceived+1, !alive
 		return response, true
 	}
-	return spur.Answer{}, false
+	return spur.FetchResponse{}, false
 }
 
 // ownResponse returns a response with the gatekeeper's own effective rules.
-func (s *simulation) ownResponse(gatekeeper *gatekeeperNode) spur.Answer {
+func (s *simulation) ownResponse(gatekeeper *gatekeeperNode) spur.FetchResponse {
 	now := gatekeeper.clock(s.now)
-	return gatekeeper.engine.Answer(now, spur.Ask{To: s.member(gatekeeper), From: spur.Seat{Station: "nobody"}, SinceMs: 1})
+	return gatekeeper.engine.ServeFetch(now, spur.FetchRequest{To: s.member(gatekeeper), From: spur.Member{Node: "nobody"}, HistoryMs: 1})
 }
 
 // applyFault changes a response as the planted fault does.
-func (s *simulation) applyFault(gatekeeper *gatekeeperNode, response spur.Answer) spur.Answer {
+func (s *simulation) applyFault(gatekeeper *gatekeeperNode, response spur.FetchResponse) spur.FetchResponse {
 	switch s.plan.Fault {
 	case "loss":
 		for i := range response.Items {
-			if item := &response.Items[i]; item.Lost != spur.Fine {
-				item.Journey.Rest++
+			if item := &response.Items[i]; item.LostCause != spur.NotBroken {
+				item.Flow.CollectorHash++
 			}
 		}
 	case "stances":
 		if !response.Idle {
-			response.Idle, response.Stances = true, nil
+			response.Idle, response.PastRules = true, nil
 		}
 	case "handed":
 		for i := range response.Items {
-			if handedOver := response.Items[i].Given; handedOver != nil && len(handedOver.Pieces) > 0 {
+			if handedOver := response.Items[i].HandedOver; handedOver != nil && len(handedOver.Pieces) > 0 {
 				handedOver.Pieces = append(handedOver.Pieces, handedOver.Pieces[0])
 			}
 		}
 	case "half":
 		for i := range response.Items {
-			if handedOver := response.Items[i].Given; handedOver != nil && len(handedOver.Pieces) > 1 {
+			if handedOver := response.Items[i].HandedOver; handedOver != nil && len(handedOver.Pieces) > 1 {
 				handedOver.Pieces = handedOver.Pieces[:len(handedOver.Pieces)-1]
 			}
 		}
 	case "ages":
 		for i := range response.Items {
-			if item := &response.Items[i]; item.Given == nil && item.Word == nil {
-				item.AgeMs = s.random.Float64() * s.plan.AskS * second
+			if item := &response.Items[i]; item.HandedOver == nil && item.Report == nil {
+				item.AgeMs = s.random.Float64() * s.plan.PollIntervalS * second
 			}
 		}
 	case "forgetful":
--- a/internal/brocken/report.go
+++ b/internal/brocken/report.go
@@ -28,18 +28,18 @@
 	var text strings.Builder
 	write := func(format string, args ...any) { fmt.Fprintf(&text, format, args...) }
 	verdict, totals := &s.ledger.verdict, &s.ledger.totals
-	write("Seed %d, %d gatekeepers, a gatekeeper is asked each %g s, journeys end after %d min without a request; played in %.0f s.\n", s.plan.Seed, s.plan.Gatekeepers, s.plan.AskS, idleTimeoutS/60, elapsed.Seconds())
+	write("Seed %d, %d gatekeepers, a gatekeeper is asked each %g s, journeys end after %d min without a request; played in %.0f s.\n", s.plan.Seed, s.plan.Gatekeepers, s.plan.PollIntervalS, idleTimeoutS/60, elapsed.Seconds())
 	write("\n### The ledger\n\n| what | how many |\n| --- | --- |\n")
 	for _, row := range []struct {
 		what string
 		n    int
 	}{
-		{"requests that live workers ran", verdict.Requests}, {"of routes and tenants of the orders", verdict.Wanted}, {"visits of clients", verdict.Visits},
-		{"copies that went out", verdict.Copies}, {"**unsafe requests run more than once**", verdict.UnsafeTwice}, {"**copies at live workers**", verdict.AtLive},
-		{"**journeys out as whole that lack a piece**", verdict.Lack}, {"**journeys or copies doubled**", verdict.Double + verdict.CopiedTwice}, {"**journeys out in a wrong order**", verdict.Disorder},
-		{"**times two gatekeepers chose differently under one order**", verdict.Pairs}, {"**copies with a key in them**", verdict.Leaks},
-		{"journeys out as whole, and whole", verdict.Whole}, {"journeys out in part: a shadow hung, or copying was stopped in between", verdict.Partial},
-		{"pieces of which it is not sure which of two came first", int(totals.Doubt)}, {"releases of a gatekeeper that ended before it was empty", s.ledger.abruptExits},
+		{"requests that live workers ran", verdict.Requests}, {"of routes and tenants of the orders", verdict.Matching}, {"visits of clients", verdict.FlowNames},
+		{"copies that went out", verdict.Copies}, {"**unsafe requests run more than once**", verdict.UnsafeRepeated}, {"**copies at live workers**", verdict.CopiesAtLiveWorkers},
+		{"**journeys out as whole that lack a piece**", verdict.MissingPieces}, {"**journeys or copies doubled**", verdict.Duplicated + verdict.CopiedTwice}, {"**journeys out in a wrong order**", verdict.OutOfOrder},
+		{"**times two gatekeepers chose differently under one order**", verdict.DifferingSelections}, {"**copies with a key in them**", verdict.LeakedCredentials},
+		{"journeys out as whole, and whole", verdict.Complete}, {"journeys out in part: a shadow hung, or copying was stopped in between", verdict.Partial},
+		{"pieces of which it is not sure which of two came first", int(totals.UncertainOrder)}, {"releases of a gatekeeper that ended before it was empty", s.ledger.abruptExits},
 		{"most bytes that one gatekeeper held", s.ledger.maxBytes},
 	} {
 		write("| %s | %d |\n", row.what, row.n)
@@ -50,7 +50,7 @@
 		if slices.Contains(calmDays, dayIndex) {
 			calm = "yes"
 		}
-		write("| %d | %s | %d | %d | %s |\n", dayIndex, calm, verdict.Chosen[dayIndex], verdict.Delivered[dayIndex], percent(verdict.Chosen[dayIndex]-verdict.Delivered[dayIndex], verdict.Chosen[dayIndex]))
+		write("| %d | %s | %d | %d | %s |\n", dayIndex, calm, verdict.Selected[dayIndex], verdict.Delivered[dayIndex], percent(verdict.Selected[dayIndex]-verdict.Delivered[dayIndex], verdict.Selected[dayIndex]))
 	}
 	write("\n### Broken and left out, by cause and the day on which journeys ended\n\nIn parts of a hundred of all that collectors judged that day.\n\n| cause |")
 	for dayIndex := range days {
@@ -65,18 +65,18 @@
 		}
 	}
 	for _, cause := range spur.Causes() {
-		if totals.By[cause] == 0 {
+		if totals.BrokenByCause[cause] == 0 {
 			continue
 		}
 		write("| %s |", cause)
 		for dayIndex := range days {
 			write(" %s |", percent(s.ledger.brokenByDay[dayIndex][cause], judged[dayIndex]))
 		}
-		write(" %d |\n", totals.By[cause])
+		write(" %d |\n", totals.BrokenByCause[cause])
 	}
-	write("| judged, whole | %s %d |\n", strings.Join(strings.Fields(strings.Trim(fmt.Sprint(s.ledger.completeByDay), "[]")), " | ")+" |", totals.Whole)
-	write("\nCopied for an earlier order only, and begun under a smaller share: %d journeys, kept from the shadows.\n", totals.NotChosen)
-	write("Copies: %d taken, %d words on lost pieces; %d out, %d answered, %d not, %d given up behind one that was not.\n", totals.Taken, totals.Lost, totals.Copies, totals.CopiesDone, totals.CopiesFailed, totals.CopiesUnsent)
+	write("| judged, whole | %s %d |\n", strings.Join(strings.Fields(strings.Trim(fmt.Sprint(s.ledger.completeByDay), "[]")), " | ")+" |", totals.Complete)
+	write("\nCopied for an earlier order only, and begun under a smaller share: %d journeys, kept from the shadows.\n", totals.NotSelected)
+	write("Copies: %d taken, %d words on lost pieces; %d out, %d answered, %d not, %d given up behind one that was not.\n", totals.Copied, totals.Lost, totals.CopiesIssued, totals.CopiesAnswered, totals.CopiesFailed, totals.CopiesUnsent)
 	write("\n### The week's troubles\n\n| when | what |\n| --- | --- |\n")
 	for _, n := range s.incidents {
 		write("| %s | %s |\n", formatTime(n.at), n.text)
--- a/internal/brocken/simulation.go
+++ b/internal/brocken/simulation.go
@@ -29,12 +29,12 @@
 
 // Plan holds the parameters of a simulation.
 type Plan struct {
-	Seed        uint64
-	Gatekeepers int
-	Journeys    int // approximate number of flows in the week
-	AskS        float64
-	Days        int    // days to simulate, from the week's beginning; 0 means all
-	Fault       string // name of a fault to plant; empty for none
+	Seed          uint64
+	Gatekeepers   int
+	Flows         int // approximate number of flows in the week
+	PollIntervalS float64
+	Days          int    // days to simulate, from the week's beginning; 0 means all
+	Fault         string // name of a fault to plant; empty for none
 }
 
 // plantedFaults are the faults that can be planted, to test that the ledger detects them.
@@ -87,7 +87,7 @@
 	name          string
 	region        string
 	incarnation   uint64
-	engine        *spur.Spur
+	engine        *spur.Engine
 	running       bool // the process is running
 	ready         bool
 	isolated      bool
@@ -110,7 +110,7 @@
 // memberSnapshot is the member list from a time on.
 type memberSnapshot struct {
 	at      float64
-	members []spur.Seat
+	members []spur.Member
 }
 
 // simulation is the state of a simulated week.
@@ -125,8 +125,8 @@
 	published     []*gatekeeperNode // listed by the directory
 	viewLag       []float64         // by control server: age of its member list
 	downUntil     []float64         // by control server: time until which it does not answer
-	rule          *spur.Order
-	faultyRule    *spur.Order // rule with another key, for the planted fault "choice"
+	rule          *spur.Rule
+	faultyRule    *spur.Rule // rule with another key, for the planted fault "choice"
 	liveAddresses map[string]bool
 	liveSince     map[string]float64 // time from which a live worker serves at a mirror target's address
 	hanging       map[string]bool    // addresses of mirror targets that do not answer
@@ -230,7 +230,7 @@
 		"shadows":[{"destination":"rates","address":%q,"region":"north"},{"destination":"deals","address":%q,"region":"north"},{"destination":"numbers","address":%q,"region":"north"}],
 		"tenantsOut":[%q],"region":"north","endS":%d,"spanS":86400,"patienceS":7200,"timeoutS":5%s}`,
 		number, share, key, s.targets["rates"], s.targets["deals"], s.targets["numbers"], excludedTenant, idleTimeoutS, extraFields)
-	rule, faults := spur.ReadOrder([]byte(body))
+	rule, faults := spur.ParseRule([]byte(body))
 	if len(faults) > 0 {
 		panic(faults[0].Error())
 	}
@@ -258,7 +258,7 @@
 	if s.plan.Fault == "choice" && gatekeeper.index == 2 {
 		rule = s.faultyRule
 	}
-	gatekeeper.engine.Put(gatekeeper.clock(s.now), rule)
+	gatekeeper.engine.SetRule(gatekeeper.clock(s.now), rule)
 }
 
 // startGatekeeper starts an incarnation of a gatekeeper.
@@ -268,7 +268,7 @@
 	gatekeeper.clockDrift, gatekeeper.clockOffset = s.uniform(-50e-6, 50e-6), s.uniform(day, 2*day)
 	gatekeeper.openRequests, gatekeeper.lastCounts, gatekeeper.controlServer = map[int]*liveRequest{}, spur.Counts{}, s.random.IntN(3)
 	maxBytes := 48 << 20
-	gatekeeper.engine = spur.New(spur.Config{Self: s.member(gatekeeper), Now: gatekeeper.clock(s.now), Room: maxBytes, AskMs: s.plan.AskS * second})
+	gatekeeper.engine = spur.New(spur.Config{Self: s.member(gatekeeper), Now: gatekeeper.clock(s.now), MaxBytes: maxBytes, PollIntervalMs: s.plan.PollIntervalS * second})
 	gatekeeper.knownWorkers = 0
 	incarnation := gatekeeper.incarnation
 	s.scheduleIn(s.uniform(0.5, 1.5)*second, func() {
@@ -276,17 +276,17 @@
 			s.updateMembers()
 		}
 	})
-	s.scheduleIn(s.uniform(0, s.plan.AskS)*second, func() { s.poll(gatekeeper, incarnation) })
+	s.scheduleIn(s.uniform(0, s.plan.PollIntervalS)*second, func() { s.poll(gatekeeper, incarnation) })
 }
 
 // member returns the gatekeeper's current incarnation as a member.
-func (s *simulation) member(gatekeeper *gatekeeperNode) spur.Seat {
-	return spur.Seat{Station: gatekeeper.name, Life: gatekeeper.incarnation, Region: gatekeeper.region, Inner: gatekeeper.name}
+func (s *simulation) member(gatekeeper *gatekeeperNode) spur.Member {
+	return spur.Member{Node: gatekeeper.name, Incarnation: gatekeeper.incarnation, Region: gatekeeper.region, InternalAddress: gatekeeper.name}
 }
 
 // updateMembers records the gatekeepers that are members now.
 func (s *simulation) updateMembers() {
-	var members []spur.Seat
+	var members []spur.Member
 	for _, gatekeeper := range s.gatekeepers {
 		if gatekeeper.running && !gatekeeper.isolated && !gatekeeper.leaving {
 			members = append(members, s.member(gatekeeper))
@@ -344,17 +344,17 @@
 		return
 	}
 	now := gatekeeper.clock(s.now)
-	listed := slices.ContainsFunc(snapshot.members, func(member spur.Seat) bool {
-		return member.Station == gatekeeper.name && member.Life == gatekeeper.incarnation
+	listed := slices.ContainsFunc(snapshot.members, func(member spur.Member) bool {
+		return member.Node == gatekeeper.name && member.Incarnation == gatekeeper.incarnation
 	})
 	if !listed && !gatekeeper.ready {
 		return // it is not a member yet
 	}
-	gatekeeper.engine.Put(now, s.ruleFor(gatekeeper))
-	gatekeeper.engine.Members(now, gatekeeper.clock(asOf), snapshot.members)
+	gatekeeper.engine.SetRule(now, s.ruleFor(gatekeeper))
+	gatekeeper.engine.SetMembers(now, gatekeeper.clock(asOf), snapshot.members)
 	if gatekeeper.knownWorkers != len(s.reportedWorkers()) {
 		gatekeeper.knownWorkers = len(s.reportedWorkers())
-		gatekeeper.engine.Live(now, s.reportedWorkers())
+		gatekeeper.engine.SetLiveAddresses(now, s.reportedWorkers())
 	}
 	if !gatekeeper.ready && listed {
 		gatekeeper.ready = true
@@ -363,7 +363,7 @@
 }
 
 // ruleFor returns the rule that a gatekeeper gets.
-func (s *simulation) ruleFor(gatekeeper *gatekeeperNode) *spur.Order {
+func (s *simulation) ruleFor(gatekeeper *gatekeeperNode) *spur.Rule {
 	if s.plan.Fault == "choice" && gatekeeper.index == 2 {
 		return s.faultyRule
 	}
@@ -377,29 +377,29 @@
 	}
 	s.callControl(gatekeeper)
 	s.ledger.recordCounters(s, gatekeeper)
-	for _, request := range gatekeeper.engine.Asks(gatekeeper.clock(s.now)) {
+	for _, request := range gatekeeper.engine.DueFetches(gatekeeper.clock(s.now)) {
 		s.fetch(gatekeeper, request)
 	}
 	s.sendCopies(gatekeeper)
-	s.scheduleIn(s.plan.AskS*second*s.uniform(0.9, 1.1), func() { s.poll(gatekeeper, incarnation) })
+	s.scheduleIn(s.plan.PollIntervalS*second*s.uniform(0.9, 1.1), func() { s.poll(gatekeeper, incarnation) })
 }
 
 // fetch carries a fetch to its gatekeeper and the response back, with delays and losses.
-func (s *simulation) fetch(gatekeeper *gatekeeperNode, request spur.Ask) {
-	peer := s.gatekeepers[slices.IndexFunc(s.gatekeepers, func(k *gatekeeperNode) bool { return k.name == request.To.Inner })]
+func (s *simulation) fetch(gatekeeper *gatekeeperNode, request spur.FetchRequest) {
+	peer := s.gatekeepers[slices.IndexFunc(s.gatekeepers, func(k *gatekeeperNode) bool { return k.name == request.To.InternalAddress })]
 	incarnation := gatekeeper.incarnation
 	onFailure := func() {
 		if !gatekeeper.running || gatekeeper.incarnation != incarnation {
 			return
 		}
 		if response, ok := s.forgeResponse(gatekeeper, peer, request); ok {
-			gatekeeper.engine.Heard(gatekeeper.clock(s.now), request, response)
+			gatekeeper.engine.HandleResponse(gatekeeper.clock(s.now), request, response)
 			return
 		}
-		gatekeeper.engine.Missed(gatekeeper.clock(s.now), request)
+		gatekeeper.engine.FetchFailed(gatekeeper.clock(s.now), request)
 	}
 	if peer == gatekeeper {
-		gatekeeper.engine.Heard(gatekeeper.clock(s.now), request, s.applyFault(gatekeeper, gatekeeper.engine.Answer(gatekeeper.clock(s.now), request)))
+		gatekeeper.engine.HandleResponse(gatekeeper.clock(s.now), request, s.applyFault(gatekeeper, gatekeeper.engine.ServeFetch(gatekeeper.clock(s.now), request)))
 		return
 	}
 	if !peer.running || peer.isolated || gatekeeper.isolated || s.random.IntN(2000) == 0 {
@@ -411,7 +411,7 @@
 			s.scheduleIn(second, onFailure)
 			return
 		}
-		response := s.applyFault(gatekeeper, peer.engine.Answer(peer.clock(s.now), request))
+		response := s.applyFault(gatekeeper, peer.engine.ServeFetch(peer.clock(s.now), request))
 		if s.random.IntN(2000) == 0 { // the response is lost, and the items are fetched again
 			s.scheduleIn(second, onFailure)
 			return
@@ -421,14 +421,14 @@
 			if err != nil {
 				panic(err)
 			}
-			response = spur.Answer{}
+			response = spur.FetchResponse{}
 			if err := cbor.Unmarshal(encoded, &response); err != nil {
 				panic(err)
 			}
 		}
 		s.scheduleIn(s.uniform(1, 60), func() {
 			if gatekeeper.running && gatekeeper.incarnation == incarnation && !gatekeeper.isolated {
-				gatekeeper.engine.Heard(gatekeeper.clock(s.now), request, response)
+				gatekeeper.engine.HandleResponse(gatekeeper.clock(s.now), request, response)
 			} else if gatekeeper.running && gatekeeper.incarnation == incarnation {
 				onFailure()
 			}
@@ -439,7 +439,7 @@
 // sendCopies sends the copies that are due to the mirror targets.
 func (s *simulation) sendCopies(gatekeeper *gatekeeperNode) {
 	for {
-		delivery, ok := gatekeeper.engine.Next(gatekeeper.clock(s.now))
+		delivery, ok := gatekeeper.engine.NextDelivery(gatekeeper.clock(s.now))
 		if !ok {
 			return
 		}
@@ -459,11 +459,11 @@
 		}
 		incarnation, tookMs, answered := gatekeeper.incarnation, s.uniform(5, 200), true
 		if s.hanging[delivery.Address] {
-			tookMs, answered = delivery.Timeout, false
+			tookMs, answered = delivery.TimeoutMs, false
 		}
 		s.scheduleIn(tookMs, func() {
 			if gatekeeper.running && gatekeeper.incarnation == incarnation {
-				gatekeeper.engine.Told(gatekeeper.clock(s.now), delivery.ID, answered)
+				gatekeeper.engine.ReportDelivery(gatekeeper.clock(s.now), delivery.ID, answered)
 				s.sendCopies(gatekeeper)
 			}
 		})
--- a/internal/brocken/simulation_test.go
+++ b/internal/brocken/simulation_test.go
@@ -9,7 +9,7 @@
 )
 
 // smallPlan is a week with few enough flows for a test.
-var smallPlan = Plan{Seed: 1, Gatekeepers: 4, Journeys: 6000, AskS: 60}
+var smallPlan = Plan{Seed: 1, Gatekeepers: 4, Flows: 6000, PollIntervalS: 60}
 
 // A small simulated week has no violations, and contains the events that are to be tested.
 func TestSimulatedWeekHasNoViolations(t *testing.T) {
@@ -17,7 +17,7 @@
 	violations := sim.ledger.violations(days)
 	assert.Equal(t, len(violations), 0, "%v", violations)
 	verdict, totals := sim.ledger.verdict, sim.ledger.totals
-	assert.Assert(t, verdict.Whole > 1000 && verdict.Copies > 5000 && verdict.Partial > 0 && totals.NotChosen > 0 && sim.ledger.abruptExits == 0, "%+v %+v", verdict, totals)
+	assert.Assert(t, verdict.Complete > 1000 && verdict.Copies > 5000 && verdict.Partial > 0 && totals.NotSelected > 0 && sim.ledger.abruptExits == 0, "%+v %+v", verdict, totals)
 	for dayIndex := range days {
 		assert.Assert(t, verdict.Delivered[dayIndex] > 20, "day %d: %v", dayIndex, verdict.Delivered)
 	}
@@ -37,7 +37,7 @@
 			plan := smallPlan
 			plan.Fault, plan.Days = fault, testCase.days
 			if fault == "loss" || fault == "cut" || fault == "stances" { // these faults have an effect on few flows
-				plan.Journeys = 20_000
+				plan.Flows = 20_000
 			}
 			violations := simulate(plan).ledger.violations(testCase.days)
 			assert.Assert(t, violations[testCase.want] != "", "%v", slices.Sorted(maps.Keys(violations)))
--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -44,47 +44,47 @@
 	maxAnnouncedWorkers   = 32      // workers per announcement
 )
 
-// Sight is what a gatekeeper observed of a worker since its last report: successes and failures, in
+// WorkerReport is what a gatekeeper observed of a worker since its last report: successes and failures, in
 // tenths of an answer.
-type Sight struct {
+type WorkerReport struct {
 	_         struct{} `cbor:",toarray"`
 	Worker    uint32   // upper half of its hash
 	Good, Bad uint16   // successes and failures, in tenths
 }
 
-// Note is the state of one worker. Triers are the peer addresses of the gatekeepers that send it trial
+// WorkerVerdict is the state of one worker. Triers are the peer addresses of the gatekeepers that send it trial
 // requests.
-type Note struct {
-	_      struct{} `cbor:",toarray"`
-	Worker uint32
-	Belief policy.Belief
-	Triers []string
+type WorkerVerdict struct {
+	_            struct{} `cbor:",toarray"`
+	Worker       uint32
+	Belief       policy.Verdict
+	TrialSenders []string
 }
 
-// Issue is the announced state of all workers. Of two with the same incarnation the one with the
+// Announcement is the announced state of all workers. Of two with the same incarnation the one with the
 // higher number is current.
-type Issue struct {
-	Life   uint64 `cbor:"1,keyasint,omitempty"` // incarnation of the owner
-	Number uint64 `cbor:"2,keyasint,omitempty"`
-	Notes  []Note `cbor:"3,keyasint,omitempty"`
+type Announcement struct {
+	Incarnation uint64          `cbor:"1,keyasint,omitempty"` // incarnation of the owner
+	Number      uint64          `cbor:"2,keyasint,omitempty"`
+	Verdicts    []WorkerVerdict `cbor:"3,keyasint,omitempty"`
 }
 
-// Sights encodes observations compactly.
-func Sights(observations []policy.Sighting) (encoded []Sight) {
+// EncodeReports encodes observations compactly.
+func EncodeReports(observations []policy.Observation) (encoded []WorkerReport) {
 	tenths := func(answers float64) uint16 { return uint16(min(math.Round(answers*10), math.MaxUint16)) }
 	for _, observed := range observations {
-		encoded = append(encoded, Sight{Worker: Key(observed.Server), Good: tenths(observed.Good), Bad: tenths(observed.Bad)})
+		encoded = append(encoded, WorkerReport{Worker: WorkerID(observed.Server), Good: tenths(observed.Good), Bad: tenths(observed.Bad)})
 	}
 	return encoded
 }
 
-// Key returns a worker's identifier in messages between processes.
-func Key(server policy.Server) uint32 { return uint32(server >> 32) }
+// WorkerID returns a worker's identifier in messages between processes.
+func WorkerID(server policy.Server) uint32 { return uint32(server >> 32) }
 
 // workerState is what the owner knows about a worker.
 type workerState struct {
 	group               int
-	state               policy.Belief
+	state               policy.Verdict
 	since               float64
 	successes, failures float64
 	updatedAt           float64
@@ -102,7 +102,7 @@
 }
 
 // enter changes the state and discards the observations.
-func (b *workerState) enter(now float64, belief policy.Belief) {
+func (b *workerState) enter(now float64, belief policy.Verdict) {
 	b.state, b.since = belief, now
 	b.successes, b.failures = 0, 0
 	clear(b.failureReporters)
@@ -113,32 +113,32 @@
 	return b.failures >= minFailures && len(b.failureReporters) >= minReporters && b.failures >= minFailureShare*(b.successes+b.failures)
 }
 
-// Desk is the owner's side for one destination. It isn't safe for concurrent use.
-type Desk struct {
+// Detector is the owner's side for one destination. It isn't safe for concurrent use.
+type Detector struct {
 	incarnation, number uint64
 	workers             map[uint32]*workerState
 	noEjectionUntil     map[int]float64 // by group
 	announcedAt         float64
-	lastNotes           []Note
-	// Outs and Backs count ejected and readmitted workers, Calms the times when all workers were
+	lastNotes           []WorkerVerdict
+	// Ejections and Backs count ejected and readmitted workers, Calms the times when all workers were
 	// readmitted.
-	Outs, Backs, Calms uint64
+	Ejections, Readmissions, MassReadmissions uint64
 }
 
-// NewDesk returns a Desk. Each process draws the incarnation at random.
-func NewDesk(incarnation uint64) *Desk {
-	return &Desk{incarnation: incarnation, workers: map[uint32]*workerState{}, noEjectionUntil: map[int]float64{}, announcedAt: math.Inf(-1)}
+// NewDetector returns a Desk. Each process draws the incarnation at random.
+func NewDetector(incarnation uint64) *Detector {
+	return &Detector{incarnation: incarnation, workers: map[uint32]*workerState{}, noEjectionUntil: map[int]float64{}, announcedAt: math.Inf(-1)}
 }
 
-// Hear handles a gatekeeper's report.
-func (d *Desk) Hear(now float64, gatekeeper string, reports []Sight) {
+// Receive handles a gatekeeper's report.
+func (d *Detector) Receive(now float64, gatekeeper string, reports []WorkerReport) {
 	for _, report := range reports {
 		state := d.workers[report.Worker]
 		if state == nil {
 			if report.Bad == 0 { // without a failure there is nothing to judge
 				continue
 			}
-			state = &workerState{state: policy.Watched, since: now, updatedAt: now, reporters: map[string]float64{}, failureReporters: map[string]float64{}}
+			state = &workerState{state: policy.Suspect, since: now, updatedAt: now, reporters: map[string]float64{}, failureReporters: map[string]float64{}}
 			d.workers[report.Worker] = state
 		}
 		state.decay(now)
@@ -153,7 +153,7 @@
 // Step judges the workers. listed contains the workers that accept requests, with their group, such as
 // their region. Workers of one group can't take over the load of another, so the limit on ejections
 // applies to each group.
-func (d *Desk) Step(now float64, groupByWorker map[uint32]int) {
+func (d *Detector) Step(now float64, groupByWorker map[uint32]int) {
 	for _, worker := range slices.Sorted(maps.Keys(d.workers)) {
 		state := d.workers[worker]
 		state.decay(now)
@@ -174,14 +174,14 @@
 	}
 	for _, worker := range d.worstFirst() {
 		d.judge(now, d.workers[worker], sizes[d.workers[worker].group])
-		if state := d.workers[worker]; state.state == policy.Unknown && now-state.readmittedAt > ejectionResetMs {
+		if state := d.workers[worker]; state.state == policy.NoVerdict && now-state.readmittedAt > ejectionResetMs {
 			delete(d.workers, worker)
 		}
 	}
 }
 
 // worstFirst returns the workers by decreasing failures.
-func (d *Desk) worstFirst() []uint32 {
+func (d *Detector) worstFirst() []uint32 {
 	return slices.SortedFunc(maps.Keys(d.workers), func(first, second uint32) int {
 		return cmp.Or(cmp.Compare(d.workers[second].failures, d.workers[first].failures), cmp.Compare(first, second))
 	})
@@ -189,7 +189,7 @@
 
 // ejectedCount returns the number of ejected workers of a group, including those that only get trial
 // requests.
-func (d *Desk) ejectedCount(group int) (count int) {
+func (d *Detector) ejectedCount(group int) (count int) {
 	for _, state := range d.workers {
 		if state.group == group && state.isEjected() {
 			count++
@@ -199,43 +199,45 @@
 }
 
 // isEjected reports whether only trial requests may be sent to the worker.
-func (b *workerState) isEjected() bool { return b.state == policy.Shunned || b.state == policy.OnTrial }
+func (b *workerState) isEjected() bool {
+	return b.state == policy.Unhealthy || b.state == policy.OnProbe
+}
 
 // readmitAll readmits all workers of a group if so many fail that the cause is not theirs, but for
 // example a network link or an overload.
-func (d *Desk) readmitAll(now float64, group, groupSize int) {
+func (d *Detector) readmitAll(now float64, group, groupSize int) {
 	outliers := d.ejectedCount(group)
 	for _, state := range d.workers {
-		if state.group == group && state.state <= policy.Watched && state.isOutlier() {
+		if state.group == group && state.state <= policy.Suspect && state.isOutlier() {
 			outliers++
 		}
 	}
 	if outliers <= 1 || float64(outliers) <= readmitAllShare*float64(groupSize) {
 		return
 	}
-	d.Calms++
+	d.MassReadmissions++
 	d.noEjectionUntil[group] = now + readmitAllPauseMs
 	for _, state := range d.workers {
 		if state.group == group && state.isEjected() {
-			state.enter(now, policy.Cleared)
+			state.enter(now, policy.Recovered)
 			state.readmittedAt = now
 		}
 	}
 }
 
 // judge moves a worker to its next state if that is due.
-func (d *Desk) judge(now float64, state *workerState, groupSize int) {
+func (d *Detector) judge(now float64, state *workerState, groupSize int) {
 	ageMs := now - state.since
 	switch state.state {
-	case policy.Unknown, policy.Cleared:
+	case policy.NoVerdict, policy.Recovered:
 		if state.failures > 0.2 {
 			successes, failures, failureReporters := state.successes, state.failures, maps.Clone(state.failureReporters)
-			state.enter(now, policy.Watched)
+			state.enter(now, policy.Suspect)
 			state.successes, state.failures, state.failureReporters = successes, failures, failureReporters
-		} else if state.state == policy.Cleared && ageMs > clearedMs {
-			state.enter(now, policy.Unknown)
+		} else if state.state == policy.Recovered && ageMs > clearedMs {
+			state.enter(now, policy.NoVerdict)
 		}
-	case policy.Watched:
+	case policy.Suspect:
 		switch {
 		case ageMs < watchMs:
 		case state.isOutlier():
@@ -244,22 +246,22 @@
 			}
 		case state.failures > 0.2:
 		case state.successes >= minTrialSuccesses: // gatekeepers that ejected it on their own may readmit it
-			state.enter(now, policy.Cleared)
+			state.enter(now, policy.Recovered)
 		case ageMs > 4*halfLifeMs:
-			state.enter(now, policy.Unknown)
+			state.enter(now, policy.NoVerdict)
 		}
-	case policy.Shunned:
+	case policy.Unhealthy:
 		if ageMs > state.ejectionMs {
-			state.enter(now, policy.OnTrial)
+			state.enter(now, policy.OnProbe)
 			state.trial++
 		}
-	case policy.OnTrial:
+	case policy.OnProbe:
 		switch {
 		case state.failures >= maxTrialFailures:
 			d.eject(now, state)
 		case state.successes >= minTrialSuccesses:
-			d.Backs++
-			state.enter(now, policy.Cleared)
+			d.Readmissions++
+			state.enter(now, policy.Recovered)
 			state.readmittedAt = now
 		case ageMs > trialTimeoutMs: // the selected gatekeepers had no request for it
 			state.since = now
@@ -269,32 +271,34 @@
 }
 
 // eject ejects a worker, for longer if it was ejected recently.
-func (d *Desk) eject(now float64, state *workerState) {
-	d.Outs++
-	if state.ejectionMs = min(2*state.ejectionMs, maxEjectionMs); state.ejectionMs == 0 || state.state == policy.Watched && now-state.readmittedAt > ejectionResetMs {
+func (d *Detector) eject(now float64, state *workerState) {
+	d.Ejections++
+	if state.ejectionMs = min(2*state.ejectionMs, maxEjectionMs); state.ejectionMs == 0 || state.state == policy.Suspect && now-state.readmittedAt > ejectionResetMs {
 		state.ejectionMs = minEjectionMs
 	}
-	state.enter(now, policy.Shunned)
+	state.enter(now, policy.Unhealthy)
 }
 
 // notes returns the states to announce, most important first.
-func (d *Desk) notes() (notes []Note) {
+func (d *Detector) notes() (notes []WorkerVerdict) {
 	for _, worker := range d.worstFirst() {
-		if state := d.workers[worker]; state.state != policy.Unknown {
-			note := Note{Worker: worker, Belief: state.state}
-			if state.state == policy.OnTrial {
-				note.Triers = state.selectTriers()
+		if state := d.workers[worker]; state.state != policy.NoVerdict {
+			note := WorkerVerdict{Worker: worker, Belief: state.state}
+			if state.state == policy.OnProbe {
+				note.TrialSenders = state.selectTriers()
 			}
 			notes = append(notes, note)
 		}
 	}
-	slices.SortStableFunc(notes, func(x, y Note) int { return cmp.Compare(announcementOrder(x.Belief), announcementOrder(y.Belief)) })
+	slices.SortStableFunc(notes, func(x, y WorkerVerdict) int {
+		return cmp.Compare(announcementOrder(x.Belief), announcementOrder(y.Belief))
+	})
 	return notes[:min(len(notes), maxAnnouncedWorkers)]
 }
 
 // announcementOrder puts ejected workers first: an announcement that omitted them would readmit them.
-func announcementOrder(belief policy.Belief) int {
-	return slices.Index([]policy.Belief{policy.Shunned, policy.OnTrial, policy.Cleared, policy.Watched}, belief)
+func announcementOrder(belief policy.Verdict) int {
+	return slices.Index([]policy.Verdict{policy.Unhealthy, policy.OnProbe, policy.Recovered, policy.Suspect}, belief)
 }
 
 // selectTriers returns some of the gatekeepers that have reported the worker, since others may never
@@ -312,45 +316,45 @@
 	return selected
 }
 
-// Issue returns what is to be announced to the zone now, if anything: each change, and repetitions of
+// Announcement returns what is to be announced to the zone now, if anything: each change, and repetitions of
 // what still applies.
-func (d *Desk) Issue(now float64) (issue Issue, due bool) {
+func (d *Detector) Announcement(now float64) (issue Announcement, due bool) {
 	notes := d.notes()
-	unchanged := slices.EqualFunc(notes, d.lastNotes, func(first, second Note) bool {
-		return first.Worker == second.Worker && first.Belief == second.Belief && slices.Equal(first.Triers, second.Triers)
+	unchanged := slices.EqualFunc(notes, d.lastNotes, func(first, second WorkerVerdict) bool {
+		return first.Worker == second.Worker && first.Belief == second.Belief && slices.Equal(first.TrialSenders, second.TrialSenders)
 	})
 	if now-d.announcedAt < minAnnounceIntervalMs || unchanged && (len(notes) == 0 || now-d.announcedAt < renewIntervalMs) {
-		return Issue{}, false
+		return Announcement{}, false
 	}
 	d.announcedAt, d.lastNotes = now, notes
 	d.number++
-	return Issue{Life: d.incarnation, Number: d.number, Notes: notes}, true
+	return Announcement{Incarnation: d.incarnation, Number: d.number, Verdicts: notes}, true
 }
 
-// Board is a gatekeeper's side for one destination: the last announcement it received.
-type Board struct {
-	issue      Issue
+// Subscriber is a gatekeeper's side for one destination: the last announcement it received.
+type Subscriber struct {
+	issue      Announcement
 	receivedAt float64
 }
 
-// Post handles an announcement and returns whether it was accepted.
-func (b *Board) Post(now float64, issue Issue) bool {
-	if issue.Life == b.issue.Life && issue.Number <= b.issue.Number {
+// Receive handles an announcement and returns whether it was accepted.
+func (b *Subscriber) Receive(now float64, issue Announcement) bool {
+	if issue.Incarnation == b.issue.Incarnation && issue.Number <= b.issue.Number {
 		return false
 	}
 	b.issue, b.receivedAt = issue, now
 	return true
 }
 
-// Beliefs returns the current state of the workers, for the gatekeeper with the peer address self.
-func (b *Board) Beliefs(now float64, self string) map[uint32]policy.Belief {
+// Verdicts returns the current state of the workers, for the gatekeeper with the peer address self.
+func (b *Subscriber) Verdicts(now float64, self string) map[uint32]policy.Verdict {
 	if now-b.receivedAt > announcementExpiryMs {
-		b.issue.Notes = nil
+		b.issue.Verdicts = nil
 	}
-	beliefs := make(map[uint32]policy.Belief, len(b.issue.Notes))
-	for _, note := range b.issue.Notes {
-		if beliefs[note.Worker] = note.Belief; note.Belief == policy.OnTrial && !slices.Contains(note.Triers, self) {
-			beliefs[note.Worker] = policy.Shunned
+	beliefs := make(map[uint32]policy.Verdict, len(b.issue.Verdicts))
+	for _, note := range b.issue.Verdicts {
+		if beliefs[note.Worker] = note.Belief; note.Belief == policy.OnProbe && !slices.Contains(note.TrialSenders, self) {
+			beliefs[note.Worker] = policy.Unhealthy
 		}
 	}
 	return beliefs
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/bulletin/bulletin_test.go
@@ -13,8 +13,8 @@
 // zone is a group of gatekeepers with one owner. Each gatekeeper sends every worker one request per
 // second. Requests to a failing worker fail at the rate set for it.
 type zone struct {
-	detector        *Desk
-	subscriber      Board
+	detector        *Detector
+	subscriber      Subscriber
 	now             float64
 	workers         []uint32
 	members         []string
@@ -26,7 +26,7 @@
 }
 
 func newZone(gatekeepers, workers int) *zone {
-	created := &zone{detector: NewDesk(7), failureShare: map[uint32]float64{}, pendingFailures: map[uint32]float64{}, requestsSent: map[uint32]int{}}
+	created := &zone{detector: NewDetector(7), failureShare: map[uint32]float64{}, pendingFailures: map[uint32]float64{}, requestsSent: map[uint32]int{}}
 	for worker := range workers {
 		created.workers = append(created.workers, uint32(worker+1))
 	}
@@ -41,29 +41,29 @@
 	for end := z.now + ms; z.now < end; {
 		z.now += 300
 		for index, addr := range z.members {
-			beliefs := z.subscriber.Beliefs(z.now, addr)
-			var reports []Sight
+			beliefs := z.subscriber.Verdicts(z.now, addr)
+			var reports []WorkerReport
 			for _, worker := range z.workers {
-				if beliefs[worker] == policy.Shunned || (int(z.now/300)+index+int(worker))%3 != 0 {
+				if beliefs[worker] == policy.Unhealthy || (int(z.now/300)+index+int(worker))%3 != 0 {
 					continue
 				}
 				z.requestsSent[worker]++
-				report := Sight{Worker: worker, Good: 10}
+				report := WorkerReport{Worker: worker, Good: 10}
 				if share := z.failureShare[worker]; share > 0 && (z.onlyObserver == "" || z.onlyObserver == addr) {
 					if z.pendingFailures[worker] += share; z.pendingFailures[worker] >= 1 {
 						z.pendingFailures[worker]--
 						report.Good, report.Bad = 0, 10
 					}
 				}
-				if report.Bad > 0 || beliefs[worker] != policy.Unknown {
+				if report.Bad > 0 || beliefs[worker] != policy.NoVerdict {
 					reports = append(reports, report)
 				}
 			}
-			z.detector.Hear(z.now, addr, reports)
+			z.detector.Receive(z.now, addr, reports)
 		}
 		z.detector.Step(z.now, z.groups())
-		if issue, due := z.detector.Issue(z.now); due && delivered {
-			z.subscriber.Post(z.now, issue)
+		if issue, due := z.detector.Announcement(z.now); due && delivered {
+			z.subscriber.Receive(z.now, issue)
 		}
 		z.maxEjected = max(z.maxEjected, z.detector.ejectedCount(0))
 	}
@@ -121,7 +121,7 @@
 				assert.Equal(t, sim.maxEjected, max(testCase.maxEjected, testCase.ejected))
 			}
 			assert.Assert(t, sim.maxEjected <= int(maxEjectedShare*float64(testCase.workers)))
-			assert.Equal(t, min(sim.detector.Calms, 1), testCase.massReadmissions)
+			assert.Equal(t, min(sim.detector.MassReadmissions, 1), testCase.massReadmissions)
 		})
 	}
 }
@@ -132,16 +132,16 @@
 	sim := newZone(8, 20)
 	sim.setFailing(1, 5)
 	sim.run(3000, true)
-	assert.Equal(t, sim.detector.workers[5].state, policy.Shunned)
-	requestsBefore, ejectionsBefore := sim.requestsSent[5], sim.detector.Outs
+	assert.Equal(t, sim.detector.workers[5].state, policy.Unhealthy)
+	requestsBefore, ejectionsBefore := sim.requestsSent[5], sim.detector.Ejections
 	sim.run(12000, true)
-	trials := int(sim.detector.Outs - ejectionsBefore)
+	trials := int(sim.detector.Ejections - ejectionsBefore)
 	assert.Assert(t, trials >= 2 && trials <= 4, "%d trials, want 2 to 4, as each ejection lasts longer", trials)
 	assert.Assert(t, sim.requestsSent[5]-requestsBefore <= trials*2*trierCount, "%d requests sent, want at most %d", sim.requestsSent[5]-requestsBefore, trials*2*trierCount)
 	sim.setFailing(0)
 	sim.run(maxEjectionMs+5000, true)
 	assert.Equal(t, sim.detector.ejectedCount(0), 0)
-	assert.Equal(t, sim.detector.Backs, uint64(1))
+	assert.Equal(t, sim.detector.Readmissions, uint64(1))
 	lastRequests := sim.requestsSent[5]
 	sim.run(3000, true)
 	assert.Assert(t, sim.requestsSent[5]-lastRequests > 15, "not all gatekeepers send requests to it again")
@@ -157,30 +157,30 @@
 	sim := newZone(8, 20)
 	sim.setFailing(1, 5)
 	sim.run(3000, true)
-	assert.Equal(t, sim.subscriber.Beliefs(sim.now, "any")[5], policy.Shunned)
+	assert.Equal(t, sim.subscriber.Verdicts(sim.now, "any")[5], policy.Unhealthy)
 	sim.run(announcementExpiryMs+300, false)
-	assert.Equal(t, len(sim.subscriber.Beliefs(sim.now, "any")), 0)
-	nextDetector := NewDesk(8)
-	nextDetector.Hear(sim.now, sim.members[0], []Sight{{Worker: 5, Bad: 10}})
+	assert.Equal(t, len(sim.subscriber.Verdicts(sim.now, "any")), 0)
+	nextDetector := NewDetector(8)
+	nextDetector.Receive(sim.now, sim.members[0], []WorkerReport{{Worker: 5, Bad: 10}})
 	nextDetector.Step(sim.now, sim.groups())
-	issue, due := nextDetector.Issue(sim.now)
-	assert.Assert(t, due && sim.subscriber.Post(sim.now, issue), "the first announcement of another incarnation was not accepted")
-	assert.Equal(t, sim.subscriber.Beliefs(sim.now, "any")[5], policy.Watched)
-	assert.Assert(t, !sim.subscriber.Post(sim.now, issue), "an announcement was accepted twice")
+	issue, due := nextDetector.Announcement(sim.now)
+	assert.Assert(t, due && sim.subscriber.Receive(sim.now, issue), "the first announcement of another incarnation was not accepted")
+	assert.Equal(t, sim.subscriber.Verdicts(sim.now, "any")[5], policy.Suspect)
+	assert.Assert(t, !sim.subscriber.Receive(sim.now, issue), "an announcement was accepted twice")
 }
 
 // TestEjectionLimitPerRegion checks that the many workers of another region don't raise the limit on
 // ejections.
 func TestEjectionLimitPerRegion(t *testing.T) {
-	detector := NewDesk(1)
+	detector := NewDetector(1)
 	groups := map[uint32]int{}
 	for worker := range uint32(40) {
 		groups[worker+1] = int(worker / 30) // ten workers in the second group
 	}
 	for now := 0.0; now < 3000; now += 300 {
 		for worker := uint32(31); worker <= 35; worker++ {
-			detector.Hear(now, "a", []Sight{{Worker: worker, Bad: 10}})
-			detector.Hear(now, "b", []Sight{{Worker: worker, Bad: 10}})
+			detector.Receive(now, "a", []WorkerReport{{Worker: worker, Bad: 10}})
+			detector.Receive(now, "b", []WorkerReport{{Worker: worker, Bad: 10}})
 		}
 		detector.Step(now, groups)
 		assert.Assert(t, detector.ejectedCount(1) <= 3 && detector.ejectedCount(0) == 0)
@@ -192,15 +192,15 @@
 // others report successes.
 func TestWatchedWorkerIsCleared(t *testing.T) {
 	sim := newZone(8, 20)
-	sim.detector.Hear(0, sim.members[0], []Sight{{Worker: 2, Bad: 10}})
+	sim.detector.Receive(0, sim.members[0], []WorkerReport{{Worker: 2, Bad: 10}})
 	cleared := false
 	for range 30 {
 		sim.run(300, true)
-		cleared = cleared || sim.subscriber.Beliefs(sim.now, "any")[2] == policy.Cleared
+		cleared = cleared || sim.subscriber.Verdicts(sim.now, "any")[2] == policy.Recovered
 	}
 	assert.Assert(t, cleared)
-	assert.Equal(t, len(sim.subscriber.Beliefs(sim.now, "any")), 0)
-	_, due := sim.detector.Issue(sim.now + 1e6)
+	assert.Equal(t, len(sim.subscriber.Verdicts(sim.now, "any")), 0)
+	_, due := sim.detector.Announcement(sim.now + 1e6)
 	assert.Assert(t, !due, "an announcement is due although there is nothing to announce")
 }
 
@@ -210,8 +210,8 @@
 	sim := newZone(12, 200)
 	sim.setFailing(0.1, sim.workers...)
 	sim.run(4000, true)
-	issue, _ := sim.detector.Issue(sim.now + 1e4)
-	assert.Assert(t, len(issue.Notes) <= maxAnnouncedWorkers)
-	observations := Sights([]policy.Sighting{{Server: 0xfeed_beef_0000_0001, Good: 1e9, Bad: 0.26}})
-	assert.DeepEqual(t, observations, []Sight{{Worker: 0xfeedbeef, Good: math.MaxUint16, Bad: 3}})
+	issue, _ := sim.detector.Announcement(sim.now + 1e4)
+	assert.Assert(t, len(issue.Verdicts) <= maxAnnouncedWorkers)
+	observations := EncodeReports([]policy.Observation{{Server: 0xfeed_beef_0000_0001, Good: 1e9, Bad: 0.26}})
+	assert.DeepEqual(t, observations, []WorkerReport{{Worker: 0xfeedbeef, Good: math.MaxUint16, Bad: 3}})
 }
--- a/internal/cairn/catchup_test.go
+++ b/internal/cairn/catchup_test.go
@@ -44,7 +44,7 @@
 	began := w.now
 	for w.now < began+within && w.violation == nil {
 		acked := w.acknowledged
-		if n.up && n.machine.chainIndex() >= 0 && n.machine.isComplete() && n.machine.committed.Edition >= acked && n.machine.view.No == w.maxView {
+		if n.up && n.machine.chainIndex() >= 0 && n.machine.isComplete() && n.machine.committed.Edition >= acked && n.machine.view.Number == w.maxView {
 			return w.now - began
 		}
 		w.submitMany(2)
@@ -205,22 +205,22 @@
 // TestSnapshotAcceptance checks which snapshots are accepted: the view number and the position of the
 // last entry decide.
 func TestSnapshotAcceptance(t *testing.T) {
-	d2 := Ident{"d:1", "two"}
-	snapshot := func(view, last uint64, tail int) Fill {
-		f := Fill{View: view, Whole: Whole{State: State{Last: Stamp{last, view}, Edition: last}}}
+	d2 := MachineID{"d:1", "two"}
+	snapshot := func(view, last uint64, tail int) SnapshotTransfer {
+		f := SnapshotTransfer{View: view, Snapshot: LogSnapshot{State: State{Last: LogPosition{last, view}, Edition: last}}}
 		for i := range tail {
-			prev := Stamp{last + uint64(i), view}
-			f.Whole.Tail = append(f.Whole.Tail, Entry{Stamp: Stamp{prev.Seq + 1, view}, Prev: prev, Change: putChange(prev.Seq + 1)})
+			prev := LogPosition{last + uint64(i), view}
+			f.Snapshot.Uncommitted = append(f.Snapshot.Uncommitted, Entry{LogPosition: LogPosition{prev.Seq + 1, view}, Prev: prev, Change: putChange(prev.Seq + 1)})
 		}
 		return f
 	}
-	core := []Ident{a1, b1, c1}
+	core := []MachineID{a1, b1, c1}
 	for _, c := range []struct {
 		name   string
-		self   Ident
-		before []Fill // accepted from the first member of the chain
-		from   Ident
-		fill   Fill
+		self   MachineID
+		before []SnapshotTransfer // accepted from the first member of the chain
+		from   MachineID
+		fill   SnapshotTransfer
 		faults faults
 		last   uint64 // newest entry held afterwards
 		base   uint64
@@ -228,35 +228,35 @@
 		{name: "to a joining machine", self: d2, from: a1, fill: snapshot(3, 9, 1), last: 10, base: 9},
 		{name: "of an older view", self: d2, from: a1, fill: snapshot(2, 9, 1)},
 		{name: "of a later view", self: d2, from: a1, fill: snapshot(4, 9, 1)},
-		{name: "from a machine outside the chain", self: d2, from: Ident{"e:1", "x"}, fill: snapshot(3, 9, 1)},
-		{name: "from a machine that has lost its disk", self: d2, from: Ident{"a:1", "other"}, fill: snapshot(3, 9, 1)},
-		{name: "second, older", self: d2, before: []Fill{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 8, 1), last: 11, base: 9},
-		{name: "second, as new but with fewer commits", self: d2, before: []Fill{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 8, 3), last: 11, base: 9},
-		{name: "second, newer", self: d2, before: []Fill{snapshot(3, 9, 0)}, from: a1, fill: snapshot(3, 12, 0), last: 12, base: 12},
+		{name: "from a machine outside the chain", self: d2, from: MachineID{"e:1", "x"}, fill: snapshot(3, 9, 1)},
+		{name: "from a machine that has lost its disk", self: d2, from: MachineID{"a:1", "other"}, fill: snapshot(3, 9, 1)},
+		{name: "second, older", self: d2, before: []SnapshotTransfer{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 8, 1), last: 11, base: 9},
+		{name: "second, as new but with fewer commits", self: d2, before: []SnapshotTransfer{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 8, 3), last: 11, base: 9},
+		{name: "second, newer", self: d2, before: []SnapshotTransfer{snapshot(3, 9, 0)}, from: a1, fill: snapshot(3, 12, 0), last: 12, base: 12},
 		{name: "to a member, from its predecessor", self: b1, from: a1, fill: snapshot(3, 9, 1), last: 10, base: 9},
 		{name: "to a member, from its successor", self: b1, from: c1, fill: snapshot(3, 9, 1)},
-		{name: "to a member, delayed: acknowledged entries stay", self: b1, before: []Fill{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 9, 1), last: 11, base: 9},
-		{name: "fault", self: b1, before: []Fill{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 9, 1), faults: faults{acceptLateSnapshot: true}, last: 10, base: 9},
+		{name: "to a member, delayed: acknowledged entries stay", self: b1, before: []SnapshotTransfer{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 9, 1), last: 11, base: 9},
+		{name: "fault", self: b1, before: []SnapshotTransfer{snapshot(3, 9, 2)}, from: a1, fill: snapshot(3, 9, 1), faults: faults{acceptLateSnapshot: true}, last: 10, base: 9},
 		{name: "to the head", self: a1, from: b1, fill: snapshot(3, 9, 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			disk := []Record{{Disk: c.self.Disk, View: &ViewRecord{View: View{No: 3, Chain: core, Core: core}}}}
-			m := New(Config{Self: Ident{Addr: c.self.Addr}, Seed: 7}, disk, 1000)
+			disk := []Record{{Disk: c.self.Disk, View: &ViewRecord{View: View{Number: 3, Chain: core, Core: core}}}}
+			m := New(Config{Self: MachineID{Addr: c.self.Addr}, Seed: 7}, disk, 1000)
 			m.faults = c.faults
 			for i, f := range c.before {
-				m.Step(1010+float64(i), received(a1, c.self, Message{Fill: &f}))
+				m.Step(1010+float64(i), received(a1, c.self, Message{Snapshot: &f}))
 			}
-			o := m.Step(1100, received(c.from, c.self, Message{Fill: &c.fill}))
+			o := m.Step(1100, received(c.from, c.self, Message{Snapshot: &c.fill}))
 			assert.Equal(t, m.lastPosition().Seq, c.last)
 			assert.Equal(t, m.committed.Last.Seq, c.base)
 			if c.self == d2 {
 				assert.Assert(t, !m.isComplete(), "a machine outside the chain must not count as complete")
-				assert.Assert(t, len(sentParts(m.Step(1110, Event{Ask: &Ask{ID: 1}}), func(g Message) *ConfirmAnswer { return g.ConfirmAnswer })) == 0)
+				assert.Assert(t, len(sentParts(m.Step(1110, Event{Read: &Read{ID: 1}}), func(g Message) *ReadAnswer { return g.ReadAnswer })) == 0)
 			}
 			// What was accepted must be on disk before it is acknowledged.
-			for _, r := range o.Sync {
-				if r.Whole != nil {
-					again := New(Config{Self: Ident{Addr: c.self.Addr}, Seed: 8}, append(disk, o.Sync...), 0)
+			for _, r := range o.Persist {
+				if r.Snapshot != nil {
+					again := New(Config{Self: MachineID{Addr: c.self.Addr}, Seed: 8}, append(disk, o.Persist...), 0)
 					assert.Equal(t, again.lastPosition(), m.lastPosition())
 				}
 			}
