--- a/internal/cairn/chain.go
+++ b/internal/cairn/chain.go
@@ -9,18 +9,18 @@
 
 // chainState is the state of replication: entries go from the head to the tail, and commits go back up.
 type chainState struct {
-	successorLast  Stamp // newest entry that the successor reported to hold; zero before its first report
-	sentLast       Stamp // newest entry sent to the successor
+	successorLast  LogPosition // newest entry that the successor reported to hold; zero before its first report
+	sentLast       LogPosition // newest entry sent to the successor
 	sentAt         float64
-	snapshotSentAt float64            // when the successor was last sent a snapshot
-	waitingCallers map[Stamp][]caller // at the head: callers to answer once an entry is committed
+	snapshotSentAt float64                  // when the successor was last sent a snapshot
+	waitingCallers map[LogPosition][]caller // at the head: callers to answer once an entry is committed
 	pendingChanges []*pendingChange
 	pendingReads   []*pendingRead
 }
 
 // caller is a request forwarded to the head that waits for an entry to be committed.
 type caller struct {
-	from        Ident
+	from        MachineID
 	id          uint64
 	incarnation uint64
 }
@@ -31,23 +31,23 @@
 	deadline      float64
 	sentAt        float64
 	sentInView    uint64
-	knownPosition Stamp
+	knownPosition LogPosition
 	everSent      bool
 }
 
 // pendingRead is a read requested by a local caller that is not answered yet.
 type pendingRead struct {
-	Ask
+	Read
 	deadline   float64
 	sentAt     float64
 	sentInView uint64
-	required   *Stamp // what the tail had committed when asked; nil before it answers
+	required   *LogPosition // what the tail had committed when asked; nil before it answers
 }
 
 // resetChain resets the replication state of a view. Requests of local callers are kept; they are
 // sent to the new head or tail.
 func (m *Machine) resetChain() {
-	m.successorLast, m.sentLast, m.sentAt, m.snapshotSentAt, m.waitingCallers = Stamp{}, Stamp{}, -1e18, -1e18, map[Stamp][]caller{}
+	m.successorLast, m.sentLast, m.sentAt, m.snapshotSentAt, m.waitingCallers = LogPosition{}, LogPosition{}, -1e18, -1e18, map[LogPosition][]caller{}
 }
 
 // chainIndex returns this machine's position in the chain, or -1 outside it.
@@ -60,26 +60,26 @@
 }
 
 // lastPosition returns the position of the newest entry held, committed or not.
-func (m *Machine) lastPosition() Stamp {
+func (m *Machine) lastPosition() LogPosition {
 	if n := len(m.uncommitted); n > 0 {
-		return m.uncommitted[n-1].Stamp
+		return m.uncommitted[n-1].LogPosition
 	}
 	return m.committed.Last
 }
 
 // logSnapshot returns a snapshot of the log.
-func (m *Machine) logSnapshot() Whole {
-	return Whole{State: m.committed, Tail: slices.Clone(m.uncommitted)}
+func (m *Machine) logSnapshot() LogSnapshot {
+	return LogSnapshot{State: m.committed, Uncommitted: slices.Clone(m.uncommitted)}
 }
 
 // findEntry looks up a position in the log. It returns 0 for the last committed entry and i for the
 // i-th uncommitted entry after it.
-func (m *Machine) findEntry(position Stamp) (int, bool) {
+func (m *Machine) findEntry(position LogPosition) (int, bool) {
 	if position == m.committed.Last {
 		return 0, true
 	}
 	for i, e := range m.uncommitted {
-		if e.Stamp == position {
+		if e.LogPosition == position {
 			return i + 1, true
 		}
 	}
@@ -89,21 +89,21 @@
 // openView writes the opening entry of a view at the head. Once the tail has that entry, it holds
 // everything the head held. At the tail it commits what a restart left uncommitted.
 func (m *Machine) openView() {
-	if m.chainIndex() == 0 && m.lastPosition().View != m.view.No && m.isComplete() {
+	if m.chainIndex() == 0 && m.lastPosition().View != m.view.Number && m.isComplete() {
 		m.appendAtHead(Change{Kind: OpenView})
 	}
-	if len(m.uncommitted) > 0 && m.isTail() && m.lastPosition().View == m.view.No {
+	if len(m.uncommitted) > 0 && m.isTail() && m.lastPosition().View == m.view.Number {
 		m.commitThrough(m.lastPosition()) // after a restart: all members above this one hold what it holds
 	}
 }
 
 // appendAtHead appends a change at the head as a new entry and propagates it.
-func (m *Machine) appendAtHead(change Change) Stamp {
+func (m *Machine) appendAtHead(change Change) LogPosition {
 	prev := m.lastPosition()
-	entry := Entry{Stamp: Stamp{Seq: prev.Seq + 1, View: m.view.No}, Prev: prev, Change: change}
+	entry := Entry{LogPosition: LogPosition{Seq: prev.Seq + 1, View: m.view.Number}, Prev: prev, Change: change}
 	m.appendEntry(entry)
 	m.propagate()
-	return entry.Stamp
+	return entry.LogPosition
 }
 
 // appendEntry appends an entry to the log and to the records to be synced.
@@ -115,7 +115,7 @@
 // propagate propagates newly appended entries: down the chain, or, at the tail, by committing them.
 func (m *Machine) propagate() {
 	if m.isTail() {
-		if m.lastPosition().View == m.view.No {
+		if m.lastPosition().View == m.view.Number {
 			m.commitThrough(m.lastPosition())
 		}
 		return
@@ -126,11 +126,11 @@
 // sendToSuccessor sends the successor the entries that it has not been sent yet.
 func (m *Machine) sendToSuccessor() {
 	index := m.chainIndex()
-	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.No || m.sentLast == m.lastPosition() {
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.Number || m.sentLast == m.lastPosition() {
 		return
 	}
 	first := len(m.uncommitted) - 1
-	if i, ok := m.findEntry(m.sentLast); ok && m.sentLast != (Stamp{}) {
+	if i, ok := m.findEntry(m.sentLast); ok && m.sentLast != (LogPosition{}) {
 		first = i
 	}
 	m.sendEntriesFrom(first)
@@ -140,55 +140,55 @@
 // the range sends an empty Append.
 func (m *Machine) sendEntriesFrom(first int) {
 	index := m.chainIndex()
-	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.No {
+	if index < 0 || index+1 >= len(m.view.Chain) || m.lastPosition().View != m.view.Number {
 		return
 	}
 	if first < 0 || first >= len(m.uncommitted) {
 		m.sentLast, m.sentAt = m.lastPosition(), m.now
-		m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No}})
+		m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.Number}})
 		return
 	}
 	m.sentLast, m.sentAt = m.lastPosition(), m.now
-	m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted[first:])}})
+	m.send(m.view.Chain[index+1], Message{Append: &Append{View: m.view.Number, Entries: slices.Clone(m.uncommitted[first:])}})
 }
 
 // handleSuccessorPosition processes the successor's report of its newest entry and sends what it
 // lacks: the entries after that one, or a snapshot if its log is not a prefix of this one. If gap
 // is set, the successor has detected missing entries itself; otherwise the missing entries may
 // still be on their way.
-func (m *Machine) handleSuccessorPosition(position Stamp, gap bool) {
-	if m.lastPosition().View != m.view.No || m.chainIndex() < 0 || position.View == m.view.No && position.Seq < m.committed.Last.Seq {
+func (m *Machine) handleSuccessorPosition(position LogPosition, gap bool) {
+	if m.lastPosition().View != m.view.Number || m.chainIndex() < 0 || position.View == m.view.Number && position.Seq < m.committed.Last.Seq {
 		return // a report below the committed entries is outdated: all members hold those
 	}
-	firstReport := m.successorLast == Stamp{}
+	firstReport := m.successorLast == LogPosition{}
 	m.successorLast = position
 	index, known := m.findEntry(position)
 	switch {
 	case known && position == m.lastPosition():
-	case known && position == (Stamp{}):
+	case known && position == (LogPosition{}):
 		// The successor holds nothing and nothing was ever committed. sendToSuccessor cannot tell
 		// this from a successor that has not reported yet, so all entries are sent here.
-		if gap || m.now-m.sentAt >= m.config.Again {
+		if gap || m.now-m.sentAt >= m.config.RetryDelay {
 			m.sentLast, m.sentAt = m.lastPosition(), m.now
-			m.send(m.view.Chain[m.chainIndex()+1], Message{Append: &Append{View: m.view.No, Entries: slices.Clone(m.uncommitted)}})
+			m.send(m.view.Chain[m.chainIndex()+1], Message{Append: &Append{View: m.view.Number, Entries: slices.Clone(m.uncommitted)}})
 		}
 	case known:
 		// A successor that holds nothing is sent everything too: given the newest entry alone, it would
 		// report a gap again at once, without end.
-		if firstReport || gap || m.now-m.sentAt >= m.config.Again {
+		if firstReport || gap || m.now-m.sentAt >= m.config.RetryDelay {
 			m.sendEntriesFrom(index)
 		}
-	case m.now-m.snapshotSentAt >= m.config.Again:
+	case m.now-m.snapshotSentAt >= m.config.RetryDelay:
 		m.sentLast, m.sentAt, m.snapshotSentAt = m.lastPosition(), m.now, m.now
-		m.send(m.view.Chain[m.chainIndex()+1], Message{Fill: &Fill{View: m.view.No, Whole: m.logSnapshot()}})
+		m.send(m.view.Chain[m.chainIndex()+1], Message{Snapshot: &SnapshotTransfer{View: m.view.Number, Snapshot: m.logSnapshot()}})
 	}
 }
 
 // handleAppend appends the entries received from the predecessor and acknowledges them.
-func (m *Machine) handleAppend(from Ident, msg Append) {
+func (m *Machine) handleAppend(from MachineID, msg Append) {
 	index := m.chainIndex()
-	if !m.faults.acceptOldViews && msg.View != m.view.No {
-		if msg.View < m.view.No {
+	if !m.faults.acceptOldViews && msg.View != m.view.Number {
+		if msg.View < m.view.Number {
 			m.sendView(from)
 		}
 		return
@@ -201,7 +201,7 @@
 		if entry.Seq <= m.committed.Last.Seq {
 			continue
 		}
-		if _, ok := m.findEntry(entry.Stamp); ok {
+		if _, ok := m.findEntry(entry.LogPosition); ok {
 			continue
 		}
 		if entry.Prev != m.lastPosition() && !(m.faults.skipPrevCheck && entry.Seq > m.lastPosition().Seq) {
@@ -224,14 +224,14 @@
 // entries were missing.
 func (m *Machine) acknowledgeOrReportGap(gap bool) {
 	if index := m.chainIndex(); index > 0 {
-		m.send(m.view.Chain[index-1], Message{Appended: &Appended{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last, Gap: gap}})
+		m.send(m.view.Chain[index-1], Message{Appended: &Appended{View: m.view.Number, Last: m.lastPosition(), Committed: m.committed.Last, Gap: gap}})
 	}
 }
 
 // handleAppended processes the successor's acknowledgement.
-func (m *Machine) handleAppended(from Ident, msg Appended) {
+func (m *Machine) handleAppended(from MachineID, msg Appended) {
 	index := m.chainIndex()
-	if msg.View != m.view.No || index < 0 || index+1 >= len(m.view.Chain) || m.view.Chain[index+1] != from {
+	if msg.View != m.view.Number || index < 0 || index+1 >= len(m.view.Chain) || m.view.Chain[index+1] != from {
 		return
 	}
 	m.commitThrough(msg.Committed)
@@ -241,19 +241,19 @@
 // handleSnapshot installs a snapshot from the predecessor, or, outside the chain, from the member
 // that sends snapshots to joining machines. A delayed snapshot must not remove entries that were
 // already acknowledged to the predecessor.
-func (m *Machine) handleSnapshot(from Ident, msg Fill) {
-	if msg.View != m.view.No || !slices.Contains(m.view.Chain, from) {
+func (m *Machine) handleSnapshot(from MachineID, msg SnapshotTransfer) {
+	if msg.View != m.view.Number || !slices.Contains(m.view.Chain, from) {
 		return
 	}
 	index := m.chainIndex()
 	if index == 0 || index > 0 && m.view.Chain[index-1] != from {
 		return
 	}
-	last := msg.Whole.State.Last
-	if length := len(msg.Whole.Tail); length > 0 {
-		last = msg.Whole.Tail[length-1].Stamp
+	last := msg.Snapshot.State.Last
+	if length := len(msg.Snapshot.Uncommitted); length > 0 {
+		last = msg.Snapshot.Uncommitted[length-1].LogPosition
 	}
-	needed := index > 0 && m.lastPosition().View != m.view.No || index < 0 && !m.hasSnapshot
+	needed := index > 0 && m.lastPosition().View != m.view.Number || index < 0 && !m.hasSnapshot
 	if !needed && last.Seq <= m.lastPosition().Seq && !m.faults.acceptLateSnapshot || last.Seq < m.committed.Last.Seq {
 		m.hasSnapshot = true
 		if index > 0 {
@@ -261,9 +261,9 @@
 		}
 		return
 	}
-	committed, uncommitted := msg.Whole.State, slices.Clone(msg.Whole.Tail)
+	committed, uncommitted := msg.Snapshot.State, slices.Clone(msg.Snapshot.Uncommitted)
 	if committed.Last.Seq < m.committed.Last.Seq { // the sender knows of fewer commits than this machine
-		index := slices.IndexFunc(uncommitted, func(e Entry) bool { return e.Stamp == m.committed.Last })
+		index := slices.IndexFunc(uncommitted, func(e Entry) bool { return e.LogPosition == m.committed.Last })
 		if index < 0 {
 			return
 		}
@@ -272,9 +272,9 @@
 	changed := committed.Last != m.committed.Last
 	m.committed, m.uncommitted, m.hasSnapshot = committed, uncommitted, true
 	m.recordedCommit = committed.Last.Seq
-	m.persist(Record{Whole: &Whole{State: committed, Tail: slices.Clone(uncommitted)}})
+	m.persist(Record{Snapshot: &LogSnapshot{State: committed, Uncommitted: slices.Clone(uncommitted)}})
 	if changed {
-		m.output.Changed = true
+		m.output.StateChanged = true
 		m.answerCommitted()
 	}
 	if index > 0 {
@@ -285,12 +285,12 @@
 
 // commitThrough commits all entries up to a position that another member reports as committed, provided
 // this log holds that entry.
-func (m *Machine) commitThrough(position Stamp) {
+func (m *Machine) commitThrough(position LogPosition) {
 	if index, ok := m.findEntry(position); !ok || index == 0 {
 		return
 	}
 	m.applyThrough(position.Seq)
-	m.output.Changed = true
+	m.output.StateChanged = true
 	m.acknowledge()
 	m.answerCommitted()
 }
@@ -307,32 +307,32 @@
 
 // apply returns the state after an entry. The receiver is not modified.
 func (s State) apply(entry Entry) State {
-	s.Last = entry.Stamp
+	s.Last = entry.LogPosition
 	change := entry.Change
 	switch change.Kind {
 	case PutConfiguration:
-		s.Past = addIdentity(s.identities(), change)
+		s.Identities = addIdentity(s.identities(), change)
 		if change.Edition > s.Edition {
 			s.Edition, s.Body = change.Edition, change.Body
 		}
 	case Evacuate:
-		s.Touched = cloneMap(s.Touched)
-		s.Touched[change.Zone] = entry.Stamp
+		s.LastZoneChange = cloneMap(s.LastZoneChange)
+		s.LastZoneChange[change.Zone] = entry.LogPosition
 		if _, ok := s.Evacuated[change.Zone]; !ok {
 			s.Evacuated = cloneMap(s.Evacuated)
 			s.Evacuated[change.Zone] = entry.Seq
 		}
-	case TakeBack:
-		s.Touched = cloneMap(s.Touched)
-		s.Touched[change.Zone] = entry.Stamp
+	case EndEvacuation:
+		s.LastZoneChange = cloneMap(s.LastZoneChange)
+		s.LastZoneChange[change.Zone] = entry.LogPosition
 		if _, ok := s.Evacuated[change.Zone]; ok {
 			s.Evacuated = cloneMap(s.Evacuated)
 			delete(s.Evacuated, change.Zone)
 		}
 	case SetOrder:
-		if o, ok := s.Orders[change.Name]; !ok || change.No > o.No {
+		if o, ok := s.Orders[change.Name]; !ok || change.Number > o.Number {
 			s.Orders = cloneMap(s.Orders)
-			s.Orders[change.Name] = Order{No: change.No, Body: change.Body, Past: addIdentity(o.identities(), change)}
+			s.Orders[change.Name] = NamedOrder{Number: change.Number, Body: change.Body, Identities: addIdentity(o.identities(), change)}
 		}
 	}
 	return s
@@ -348,11 +348,11 @@
 
 // answerCommitted answers the requests that waited for what is now committed.
 func (m *Machine) answerCommitted() {
-	bySequence := func(a, b Stamp) int { return cmp.Compare(a.Seq, b.Seq) } // a fixed order keeps runs with the same seed identical
+	bySequence := func(a, b LogPosition) int { return cmp.Compare(a.Seq, b.Seq) } // a fixed order keeps runs with the same seed identical
 	for _, position := range slices.SortedFunc(maps.Keys(m.waitingCallers), bySequence) {
 		if position.Seq <= m.committed.Last.Seq {
 			for _, waiter := range m.waitingCallers[position] {
-				m.send(waiter.from, Message{Entered: &Entered{ID: waiter.id, Life: waiter.incarnation}})
+				m.send(waiter.from, Message{ChangeOutcome: &ChangeOutcome{ID: waiter.id, Incarnation: waiter.incarnation}})
 			}
 			delete(m.waitingCallers, position)
 		}
@@ -361,19 +361,19 @@
 		if read.required == nil || read.required.Seq > m.committed.Last.Seq {
 			return false
 		}
-		m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: m.State()})
+		m.output.Results = append(m.output.Results, Result{ID: read.ID, Outcome: OK, State: m.State()})
 		return true
 	})
 }
 
 // queueChange queues a change; resend sends it to the head.
 func (m *Machine) queueChange(request Submit) {
-	m.pendingChanges = append(m.pendingChanges, &pendingChange{Submit: request, deadline: m.now + m.config.Answer, sentAt: -1e18, knownPosition: request.After})
+	m.pendingChanges = append(m.pendingChanges, &pendingChange{Submit: request, deadline: m.now + m.config.AnswerTimeout, sentAt: -1e18, knownPosition: request.KnownPosition})
 }
 
 // queueRead queues a read; resend sends it to the tail.
-func (m *Machine) queueRead(request Ask) {
-	m.pendingReads = append(m.pendingReads, &pendingRead{Ask: request, deadline: m.now + m.config.Answer, sentAt: -1e18})
+func (m *Machine) queueRead(request Read) {
+	m.pendingReads = append(m.pendingReads, &pendingRead{Read: request, deadline: m.now + m.config.AnswerTimeout, sentAt: -1e18})
 }
 
 // resend fails requests past their deadline and sends unanswered ones again, to the current head or
@@ -385,32 +385,32 @@
 			if change.everSent {
 				outcome = Unknown
 			}
-			m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: outcome})
+			m.output.Results = append(m.output.Results, Result{ID: change.ID, Outcome: outcome})
 			return true
 		}
-		if change.After == (Stamp{}) && change.knownPosition.less(m.committed.Last) {
+		if change.KnownPosition == (LogPosition{}) && change.knownPosition.less(m.committed.Last) {
 			change.knownPosition = m.committed.Last
 		}
-		if length := len(m.view.Chain); length > 0 && (m.now-change.sentAt >= m.config.Again || change.sentInView != m.view.No) {
-			change.sentAt, change.sentInView, change.everSent = m.now, m.view.No, true
-			m.send(m.view.Chain[0], Message{Enter: &Enter{ID: change.ID, Life: m.incarnation, After: change.knownPosition, Change: change.Change}})
+		if length := len(m.view.Chain); length > 0 && (m.now-change.sentAt >= m.config.RetryDelay || change.sentInView != m.view.Number) {
+			change.sentAt, change.sentInView, change.everSent = m.now, m.view.Number, true
+			m.send(m.view.Chain[0], Message{ForwardedChange: &ForwardedChange{ID: change.ID, Incarnation: m.incarnation, KnownPosition: change.knownPosition, Change: change.Change}})
 		}
 		return false
 	})
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
 		if m.now >= read.deadline {
-			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: Unavailable})
+			m.output.Results = append(m.output.Results, Result{ID: read.ID, Outcome: Unavailable})
 			return true
 		}
-		if length := len(m.view.Chain); length > 0 && read.required == nil && (m.now-read.sentAt >= m.config.Again/2 || read.sentInView != m.view.No) {
-			read.sentAt, read.sentInView = m.now, m.view.No
-			m.send(m.view.Chain[length-1], Message{Confirm: &Confirm{ID: read.ID, Life: m.incarnation}})
+		if length := len(m.view.Chain); length > 0 && read.required == nil && (m.now-read.sentAt >= m.config.RetryDelay/2 || read.sentInView != m.view.Number) {
+			read.sentAt, read.sentInView = m.now, m.view.Number
+			m.send(m.view.Chain[length-1], Message{ReadRequest: &ReadRequest{ID: read.ID, Incarnation: m.incarnation}})
 		}
 		return false
 	})
-	if index := m.chainIndex(); index >= 0 && !m.isTail() && m.lastPosition().View == m.view.No && m.successorLast != m.lastPosition() && m.now-m.sentAt >= m.config.Again {
-		if m.successorLast == (Stamp{}) {
-			m.sentLast = Stamp{}
+	if index := m.chainIndex(); index >= 0 && !m.isTail() && m.lastPosition().View == m.view.Number && m.successorLast != m.lastPosition() && m.now-m.sentAt >= m.config.RetryDelay {
+		if m.successorLast == (LogPosition{}) {
+			m.sentLast = LogPosition{}
 			m.sendToSuccessor()
 		} else {
 			m.handleSuccessorPosition(m.successorLast, true)
@@ -424,66 +424,66 @@
 // was committed under it: the same order is confirmed through the chain once more, a different one
 // is refused. While the number is used by an uncommitted entry, a different order waits, since it
 // is not yet known which of them will be committed.
-func (m *Machine) handleForwardedChange(from Ident, msg Enter) {
-	if m.chainIndex() != 0 || m.lastPosition().View != m.view.No || msg.Change.Kind == OpenView || msg.Change.Kind == Repeat {
+func (m *Machine) handleForwardedChange(from MachineID, msg ForwardedChange) {
+	if m.chainIndex() != 0 || m.lastPosition().View != m.view.Number || msg.Change.Kind == OpenView || msg.Change.Kind == RepeatedOrder {
 		return
 	}
-	waiter := caller{from, msg.ID, msg.Life}
+	waiter := caller{from, msg.ID, msg.Incarnation}
 	switch m.committed.classify(msg.Change) {
 	case orderConflicting:
-		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Refused: true}})
+		m.send(from, Message{ChangeOutcome: &ChangeOutcome{ID: msg.ID, Incarnation: msg.Incarnation, Refused: true}})
 		return
 	case orderRepeated:
-		msg.Change = Change{Kind: Repeat, Edition: msg.Change.Edition, Name: msg.Change.Name, No: msg.Change.No}
+		msg.Change = Change{Kind: RepeatedOrder, Edition: msg.Change.Edition, Name: msg.Change.Name, Number: msg.Change.Number}
 	}
-	lastZoneChange := m.committed.Touched[msg.Change.Zone]
+	lastZoneChange := m.committed.LastZoneChange[msg.Change.Zone]
 	for _, entry := range m.uncommitted {
 		if msg.Change.changesZone() && entry.Change.changesZone() && entry.Change.Zone == msg.Change.Zone {
-			lastZoneChange = entry.Stamp
+			lastZoneChange = entry.LogPosition
 		}
-		waiters := m.waitingCallers[entry.Stamp]
+		waiters := m.waitingCallers[entry.LogPosition]
 		if slices.Contains(waiters, waiter) {
 			return
 		}
 		// Another caller's change of a zone gets its own entry: between the two, a third caller
 		// that has given up may have asked to change the zone back.
 		if !msg.Change.changesZone() && entry.Change.equal(msg.Change) {
-			m.waitingCallers[entry.Stamp] = append(waiters, waiter)
+			m.waitingCallers[entry.LogPosition] = append(waiters, waiter)
 			return
 		}
 		if entry.Change.blocks(msg.Change) {
 			return
 		}
 	}
-	if msg.Change.changesZone() && msg.After.less(lastZoneChange) && !m.faults.acceptLateChanges {
-		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life, Stale: m.lastPosition()}})
+	if msg.Change.changesZone() && msg.KnownPosition.less(lastZoneChange) && !m.faults.acceptLateChanges {
+		m.send(from, Message{ChangeOutcome: &ChangeOutcome{ID: msg.ID, Incarnation: msg.Incarnation, Stale: m.lastPosition()}})
 		return
 	}
-	if len(m.uncommitted) >= m.config.Window {
+	if len(m.uncommitted) >= m.config.MaxUncommitted {
 		return
 	}
-	position := Stamp{Seq: m.lastPosition().Seq + 1, View: m.view.No}
+	position := LogPosition{Seq: m.lastPosition().Seq + 1, View: m.view.Number}
 	m.waitingCallers[position] = append(m.waitingCallers[position], waiter) // before the write, because a chain of one commits within it
 	m.appendAtHead(msg.Change)
 	if m.faults.ackEarly {
-		m.send(from, Message{Entered: &Entered{ID: msg.ID, Life: msg.Life}})
+		m.send(from, Message{ChangeOutcome: &ChangeOutcome{ID: msg.ID, Incarnation: msg.Incarnation}})
 	}
 }
 
 // handleChangeOutcome processes the head's answer to a forwarded change.
-func (m *Machine) handleChangeOutcome(msg Entered) {
-	if msg.Life != m.incarnation {
+func (m *Machine) handleChangeOutcome(msg ChangeOutcome) {
+	if msg.Incarnation != m.incarnation {
 		return
 	}
 	m.pendingChanges = slices.DeleteFunc(m.pendingChanges, func(change *pendingChange) bool {
 		if change.ID != msg.ID {
 			return false
 		}
-		if msg.Stale != (Stamp{}) && change.After != (Stamp{}) {
-			m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: Overtaken})
+		if msg.Stale != (LogPosition{}) && change.KnownPosition != (LogPosition{}) {
+			m.output.Results = append(m.output.Results, Result{ID: change.ID, Outcome: Superseded})
 			return true
 		}
-		if msg.Stale != (Stamp{}) {
+		if msg.Stale != (LogPosition{}) {
 			if change.knownPosition.less(msg.Stale) {
 				change.knownPosition, change.sentAt = msg.Stale, -1e18
 			}
@@ -493,28 +493,28 @@
 		if msg.Refused {
 			outcome = Refused
 		}
-		m.output.Done = append(m.output.Done, Result{ID: change.ID, Outcome: outcome})
+		m.output.Results = append(m.output.Results, Result{ID: change.ID, Outcome: outcome})
 		return true
 	})
 }
 
 // handleRead answers a read at the tail. It answers only after the view's opening entry is committed
 // and while its leases hold.
-func (m *Machine) handleRead(from Ident, msg Confirm) {
-	if !m.isTail() || m.committed.Last.View != m.view.No || m.leasedUntil() <= m.now && !m.faults.ignoreLeases {
+func (m *Machine) handleRead(from MachineID, msg ReadRequest) {
+	if !m.isTail() || m.committed.Last.View != m.view.Number || m.leasedUntil() <= m.now && !m.faults.ignoreLeases {
 		return
 	}
-	answer := &ConfirmAnswer{ID: msg.ID, Life: msg.Life, At: m.committed.Last}
+	answer := &ReadAnswer{ID: msg.ID, Incarnation: msg.Incarnation, Committed: m.committed.Last}
 	if !slices.Contains(m.view.Chain, from) {
 		answer.State = m.State()
-		answer.State.Past = nil // only the head needs the identities, to compare orders
+		answer.State.Identities = nil // only the head needs the identities, to compare orders
 	}
-	m.send(from, Message{ConfirmAnswer: answer})
+	m.send(from, Message{ReadAnswer: answer})
 }
 
 // handleReadAnswer processes the tail's answer to a read.
-func (m *Machine) handleReadAnswer(msg ConfirmAnswer) {
-	if msg.Life != m.incarnation {
+func (m *Machine) handleReadAnswer(msg ReadAnswer) {
+	if msg.Incarnation != m.incarnation {
 		return
 	}
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(read *pendingRead) bool {
@@ -522,24 +522,24 @@
 			return false
 		}
 		switch {
-		case msg.At.Seq <= m.committed.Last.Seq:
-			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: m.State()})
+		case msg.Committed.Seq <= m.committed.Last.Seq:
+			m.output.Results = append(m.output.Results, Result{ID: read.ID, Outcome: OK, State: m.State()})
 			return true
 		case msg.State != nil:
-			m.output.Done = append(m.output.Done, Result{ID: read.ID, Outcome: OK, State: msg.State})
+			m.output.Results = append(m.output.Results, Result{ID: read.ID, Outcome: OK, State: msg.State})
 			return true
 		}
-		read.required = &msg.At
+		read.required = &msg.Committed
 		return false
 	})
 }
 
 // changesZone reports whether a change is valid only in its order relative to other changes of the same
 // zone.
-func (c Change) changesZone() bool { return c.Kind == Evacuate || c.Kind == TakeBack }
+func (c Change) changesZone() bool { return c.Kind == Evacuate || c.Kind == EndEvacuation }
 
 // equal reports whether two changes are the same.
 func (c Change) equal(other Change) bool {
-	return c.Kind == other.Kind && c.Edition == other.Edition && c.Zone == other.Zone && c.Name == other.Name && c.No == other.No &&
+	return c.Kind == other.Kind && c.Edition == other.Edition && c.Zone == other.Zone && c.Name == other.Name && c.Number == other.Number &&
 		bytes.Equal(c.Body, other.Body)
 }
--- a/internal/cairn/core_growth_test.go
+++ b/internal/cairn/core_growth_test.go
@@ -16,8 +16,8 @@
 		network.run(100)
 	}
 	v := network.machines[0].machine.View()
-	t.Logf("%d of %d in the chain after %.0f ms, view %d", len(v.Chain), machines, network.now, v.No)
+	t.Logf("%d of %d in the chain after %.0f ms, view %d", len(v.Chain), machines, network.now, v.Number)
 	assert.Equal(t, len(v.Chain), machines)
 	assert.Equal(t, v.Seats, machines)
-	assert.Assert(t, v.No <= 10, "it took %d views", v.No)
+	assert.Assert(t, v.Number <= 10, "it took %d views", v.Number)
 }
--- a/internal/cairn/core_seats.go
+++ b/internal/cairn/core_seats.go
@@ -22,7 +22,7 @@
 
 // silentFor returns for how many milliseconds a machine has not been heard. After a start, every
 // machine counts from the start.
-func (m *Machine) silentFor(id Ident) float64 {
+func (m *Machine) silentFor(id MachineID) float64 {
 	since := m.startedAt
 	if sender := m.peers[id]; sender != nil {
 		since = max(since, sender.heardAt)
@@ -31,7 +31,7 @@
 }
 
 // isUnheard reports whether no reachable member of the core hears a machine.
-func (m *Machine) isUnheard(id Ident) bool {
+func (m *Machine) isUnheard(id MachineID) bool {
 	index := slices.Index(m.view.Core, id)
 	for _, member := range m.view.Core {
 		if member == m.self && m.hears(id) {
@@ -45,7 +45,7 @@
 }
 
 // isLeaving reports whether a machine has announced that its process is about to end.
-func (m *Machine) isLeaving(id Ident) bool {
+func (m *Machine) isLeaving(id MachineID) bool {
 	report, _ := m.lastReport(id)
 	return report.Leaving
 }
@@ -54,8 +54,8 @@
 // the longest time, and for at least the given one; or else one that is leaving. While another
 // member has been silent for a shorter time, a leaving member keeps its seat: it may return soon,
 // and the silent one may not.
-func (m *Machine) vacantSeat(chain []Ident, minSilence float64) (vacant *Ident) {
-	var leaving *Ident
+func (m *Machine) vacantSeat(chain []MachineID, minSilence float64) (vacant *MachineID) {
+	var leaving *MachineID
 	recentlySilent := false
 	for _, member := range m.view.Core {
 		if slices.Contains(chain, member) || member == m.self && !m.leaving {
@@ -78,42 +78,42 @@
 }
 
 // notePendingSeat remembers a machine that takes part in the first start and has no seat yet.
-func (m *Machine) notePendingSeat(from Ident, heartbeat Beat) {
-	sameAddr := func(member Ident) bool { return member.Addr == from.Addr }
-	if heartbeat.First && !slices.ContainsFunc(m.view.Core, sameAddr) {
+func (m *Machine) notePendingSeat(from MachineID, heartbeat Heartbeat) {
+	sameAddr := func(member MachineID) bool { return member.Addr == from.Addr }
+	if heartbeat.FirstStart && !slices.ContainsFunc(m.view.Core, sameAddr) {
 		m.pendingSeats[from.Addr] = true
 	}
 }
 
 // addsSeat reports whether a joining machine adds a seat of its own.
-func (m *Machine) addsSeat(id Ident, heartbeat Beat) bool {
-	return heartbeat.First || m.pendingSeats[id.Addr]
+func (m *Machine) addsSeat(id MachineID, heartbeat Heartbeat) bool {
+	return heartbeat.FirstStart || m.pendingSeats[id.Addr]
 }
 
 // mayGetSeat reports whether a joining machine may get a seat now or could get one soon.
-func (m *Machine) mayGetSeat(id Ident, heartbeat Beat) bool {
-	return len(m.view.Core) < m.view.Seats || m.addsSeat(id, heartbeat) || m.vacantSeat(nil, m.config.Suspect) != nil
+func (m *Machine) mayGetSeat(id MachineID, heartbeat Heartbeat) bool {
+	return len(m.view.Core) < m.view.Seats || m.addsSeat(id, heartbeat) || m.vacantSeat(nil, m.config.SuspectTimeout) != nil
 }
 
 // needsSnapshot reports whether a machine outside the chain needs a snapshot: it has received none
 // in this view; or it waits for a seat that it may soon get, and lacks committed entries, and its
 // last snapshot is older than the silence that makes a seat vacant. The age limit matters because
 // frequent changes make any copy outdated.
-func (m *Machine) needsSnapshot(id Ident, heartbeat Beat) bool {
-	if !heartbeat.Filled {
+func (m *Machine) needsSnapshot(id MachineID, heartbeat Heartbeat) bool {
+	if !heartbeat.HasSnapshot {
 		return true
 	}
-	sameAddr := func(member Ident) bool { return member.Addr == id.Addr }
+	sameAddr := func(member MachineID) bool { return member.Addr == id.Addr }
 	_, knownEntry := m.findEntry(heartbeat.Last)
-	return !knownEntry && m.now-m.peers[id].snapshotSentAt > m.config.Vacant && !slices.ContainsFunc(m.view.Core, sameAddr) && m.mayGetSeat(id, heartbeat)
+	return !knownEntry && m.now-m.peers[id].snapshotSentAt > m.config.VacantTimeout && !slices.ContainsFunc(m.view.Core, sameAddr) && m.mayGetSeat(id, heartbeat)
 }
 
 // readyJoiners returns the machines outside the core that hold a snapshot and are connected in both
 // directions with all members of the chain.
-func (m *Machine) readyJoiners() (ready []Ident) {
+func (m *Machine) readyJoiners() (ready []MachineID) {
 	for _, id := range m.knownPeers() {
 		report, ok := m.lastReport(id)
-		if !ok || !report.Filled || report.Leaving || slices.Contains(m.view.Core, id) || !m.isReachable(id) {
+		if !ok || !report.HasSnapshot || report.Leaving || slices.Contains(m.view.Core, id) || !m.isReachable(id) {
 			continue
 		}
 		connected := true
@@ -129,11 +129,11 @@
 
 // additionalSeats returns the joining machines after the first that add seats of their own, as many as
 // one view may add: the previous members must remain the larger part.
-func (m *Machine) additionalSeats(joiners []Ident) (added []Ident) {
+func (m *Machine) additionalSeats(joiners []MachineID) (added []MachineID) {
 	maxAdded := len(m.view.Core)/2 - 1
 	for _, id := range joiners[1:] {
 		report, _ := m.lastReport(id)
-		sameAddr := func(member Ident) bool { return member.Addr == id.Addr }
+		sameAddr := func(member MachineID) bool { return member.Addr == id.Addr }
 		if len(added) < maxAdded && m.addsSeat(id, report) && !slices.ContainsFunc(m.view.Core, sameAddr) && !slices.ContainsFunc(added, sameAddr) && id.Addr != joiners[0].Addr {
 			added = append(added, id)
 		}
@@ -143,8 +143,8 @@
 
 // assignSeats returns the next view with the given chain, with at most one seat changed or some seats
 // added.
-func (m *Machine) assignSeats(chain []Ident) View {
-	next := View{No: m.view.No + 1, Chain: chain, Core: slices.Clone(m.view.Core), Epoch: m.view.Epoch, Removed: m.view.Removed,
+func (m *Machine) assignSeats(chain []MachineID) View {
+	next := View{Number: m.view.Number + 1, Chain: chain, Core: slices.Clone(m.view.Core), Epoch: m.view.Epoch, Removed: m.view.Removed,
 		Seats: max(m.view.Seats, len(m.view.Core))}
 	joiners := m.readyJoiners()
 	if len(joiners) == 0 {
@@ -156,12 +156,12 @@
 	}
 	joiner := joiners[0]
 	report, _ := m.lastReport(joiner)
-	if index := slices.IndexFunc(next.Core, func(member Ident) bool { return member.Addr == joiner.Addr }); index >= 0 {
+	if index := slices.IndexFunc(next.Core, func(member MachineID) bool { return member.Addr == joiner.Addr }); index >= 0 {
 		next.Core[index] = joiner
-		next.Chain = append(slices.DeleteFunc(next.Chain, func(member Ident) bool { return member.Addr == joiner.Addr }), joiner)
+		next.Chain = append(slices.DeleteFunc(next.Chain, func(member MachineID) bool { return member.Addr == joiner.Addr }), joiner)
 		return next
 	}
-	vacant := m.vacantSeat(chain, m.config.Vacant)
+	vacant := m.vacantSeat(chain, m.config.VacantTimeout)
 	switch {
 	case m.addsSeat(joiner, report) || m.faults.alwaysAddSeats:
 		added := m.additionalSeats(joiners)
@@ -181,7 +181,7 @@
 }
 
 // removeMember removes a member from the core.
-func (v *View) removeMember(gone Ident) {
-	v.Core = slices.DeleteFunc(v.Core, func(member Ident) bool { return member == gone })
+func (v *View) removeMember(gone MachineID) {
+	v.Core = slices.DeleteFunc(v.Core, func(member MachineID) bool { return member == gone })
 	v.Removed++
 }
--- a/internal/cairn/lease.go
+++ b/internal/cairn/lease.go
@@ -10,13 +10,13 @@
 // run out. The vote is what must wait, not the promise, because a view can be decided by votes of
 // members that never promised. Times are in milliseconds of the local clock.
 type leaseState struct {
-	requestSentAt map[uint64]float64 // at the tail: when each lease request was sent
-	lastRequest   uint64             // at the tail: number of the last request
-	grantedUntil  map[Ident]float64  // at the tail: until when each member's lease holds
-	grants        map[Ident]grant    // leases granted by this machine
-	noVoteBefore  float64            // no vote before this time, because an earlier incarnation may have granted leases
-	noGrantBefore float64            // no grants before this time, because a ballot is in progress
-	heldFrom      Ident
+	requestSentAt map[uint64]float64    // at the tail: when each lease request was sent
+	lastRequest   uint64                // at the tail: number of the last request
+	grantedUntil  map[MachineID]float64 // at the tail: until when each member's lease holds
+	grants        map[MachineID]grant   // leases granted by this machine
+	noVoteBefore  float64               // no vote before this time, because an earlier incarnation may have granted leases
+	noGrantBefore float64               // no grants before this time, because a ballot is in progress
+	heldFrom      MachineID
 	heldVote      *Accept // a vote request that waits for granted leases to run out
 }
 
@@ -28,7 +28,7 @@
 
 // resetLeases resets the lease state of a view.
 func (m *Machine) resetLeases() {
-	m.requestSentAt, m.grantedUntil, m.grants = map[uint64]float64{}, map[Ident]float64{}, map[Ident]grant{}
+	m.requestSentAt, m.grantedUntil, m.grants = map[uint64]float64{}, map[MachineID]float64{}, map[MachineID]grant{}
 	m.heldVote, m.noGrantBefore = nil, 0
 }
 
@@ -42,7 +42,7 @@
 	m.lastRequest++
 	m.requestSentAt[m.lastRequest] = m.now
 	for number, sentAt := range m.requestSentAt {
-		if sentAt+m.config.Lease < m.now {
+		if sentAt+m.config.LeaseDuration < m.now {
 			delete(m.requestSentAt, number)
 		}
 	}
@@ -50,22 +50,22 @@
 }
 
 // grantLease grants the tail a lease unless this machine has voted for a later view or is about to.
-func (m *Machine) grantLease(from Ident, heartbeat Beat) {
-	if heartbeat.Ask == 0 || heartbeat.View != m.view.No || m.accepted != nil || m.now < m.noGrantBefore || !m.inCore() ||
+func (m *Machine) grantLease(from MachineID, heartbeat Heartbeat) {
+	if heartbeat.LeaseRequest == 0 || heartbeat.View != m.view.Number || m.accepted != nil || m.now < m.noGrantBefore || !m.inCore() ||
 		len(m.view.Chain) == 0 || from != m.view.Chain[len(m.view.Chain)-1] {
 		return
 	}
-	m.grants[from] = grant{request: heartbeat.Ask, incarnation: heartbeat.Life, expiresAt: m.now + m.config.Lease + m.config.Slack}
-	m.send(from, Message{Grant: &Grant{View: heartbeat.View, Ask: heartbeat.Ask, Life: heartbeat.Life}})
+	m.grants[from] = grant{request: heartbeat.LeaseRequest, incarnation: heartbeat.Incarnation, expiresAt: m.now + m.config.LeaseDuration + m.config.LeaseSlack}
+	m.send(from, Message{Grant: &LeaseGrant{View: heartbeat.View, Request: heartbeat.LeaseRequest, Incarnation: heartbeat.Incarnation}})
 }
 
 // handleGrant records a lease that this machine, as the tail, was granted.
-func (m *Machine) handleGrant(from Ident, msg Grant) {
-	requestedAt, ok := m.requestSentAt[msg.Ask]
-	if !ok || msg.Life != m.incarnation || msg.View != m.view.No {
+func (m *Machine) handleGrant(from MachineID, msg LeaseGrant) {
+	requestedAt, ok := m.requestSentAt[msg.Request]
+	if !ok || msg.Incarnation != m.incarnation || msg.View != m.view.Number {
 		return
 	}
-	m.grantedUntil[from] = max(m.grantedUntil[from], requestedAt+m.config.Lease)
+	m.grantedUntil[from] = max(m.grantedUntil[from], requestedAt+m.config.LeaseDuration)
 }
 
 // releaseLeases ends the tail's own leases, so that a view change need not wait for them to run out.
@@ -74,18 +74,18 @@
 	if !m.isTail() || m.lastRequest == 0 || len(m.requestSentAt) == 0 && len(m.grantedUntil) == 0 {
 		return
 	}
-	m.requestSentAt, m.grantedUntil = map[uint64]float64{}, map[Ident]float64{}
+	m.requestSentAt, m.grantedUntil = map[uint64]float64{}, map[MachineID]float64{}
 	for _, member := range m.view.Core {
 		if member != m.self {
-			m.send(member, Message{Release: &Grant{View: m.view.No, Ask: m.lastRequest, Life: m.incarnation}})
+			m.send(member, Message{Release: &LeaseGrant{View: m.view.Number, Request: m.lastRequest, Incarnation: m.incarnation}})
 		}
 	}
 }
 
 // handleRelease ends a grant that its holder no longer uses. The request number keeps a delayed release
 // from ending a newer grant.
-func (m *Machine) handleRelease(from Ident, msg Grant) {
-	if held, ok := m.grants[from]; ok && msg.View == m.view.No && held.incarnation == msg.Life && held.request <= msg.Ask {
+func (m *Machine) handleRelease(from MachineID, msg LeaseGrant) {
+	if held, ok := m.grants[from]; ok && msg.View == m.view.Number && held.incarnation == msg.Incarnation && held.request <= msg.Request {
 		delete(m.grants, from)
 		m.castHeldVote()
 	}
@@ -125,7 +125,7 @@
 	var expiries []float64
 	for _, member := range m.view.Core {
 		if member == m.self {
-			expiries = append(expiries, m.now+m.config.Lease) // the tail stops answering as soon as it votes itself
+			expiries = append(expiries, m.now+m.config.LeaseDuration) // the tail stops answering as soon as it votes itself
 		} else if expiry, ok := m.grantedUntil[member]; ok {
 			expiries = append(expiries, expiry)
 		}
--- a/internal/cairn/leave.go
+++ b/internal/cairn/leave.go
@@ -12,22 +12,22 @@
 	m.leaving, m.nextHeartbeat = true, m.now
 }
 
-// Left reports whether the process may end without taking data with it that the others lack.
-func (m *Machine) Left() bool {
+// MayEnd reports whether the process may end without taking data with it that the others lack.
+func (m *Machine) MayEnd() bool {
 	if m.faults.leaveAtOnce && m.leaving {
 		return true
 	}
 	if !m.leaving || m.chainIndex() >= 0 {
 		return false
 	}
-	opened := func(id Ident) bool {
+	opened := func(id MachineID) bool {
 		p := m.peers[id]
-		return p != nil && p.heartbeat.View == m.view.No && p.heartbeat.Committed.View == m.view.No
+		return p != nil && p.heartbeat.View == m.view.Number && p.heartbeat.Committed.View == m.view.Number
 	}
 	// A machine that waits for a seat must get this one first: until then, one more loss could leave
 	// the core without a majority.
-	othersWait := m.inCore() && slices.ContainsFunc(m.knownPeers(), func(id Ident) bool {
+	othersWait := m.inCore() && slices.ContainsFunc(m.knownPeers(), func(id MachineID) bool {
 		return !slices.Contains(m.view.Core, id) && m.hears(id) && !m.peers[id].heartbeat.Leaving
 	})
-	return m.view.No == 0 || !othersWait && slices.ContainsFunc(m.view.Chain, opened)
+	return m.view.Number == 0 || !othersWait && slices.ContainsFunc(m.view.Chain, opened)
 }
--- a/internal/cairn/machine.go
+++ b/internal/cairn/machine.go
@@ -29,7 +29,7 @@
 // peer is what this machine knows of another one. Times are in milliseconds of the local clock.
 type peer struct {
 	heardAt        float64
-	heartbeat      Beat
+	heartbeat      Heartbeat
 	snapshotSentAt float64 // when a snapshot was last sent to it
 	viewSentAt     float64 // when the view was last sent to it
 }
@@ -37,12 +37,12 @@
 // Machine is the replication state machine of one core machine. It is not safe for concurrent use.
 type Machine struct {
 	config        Config
-	self          Ident
+	self          MachineID
 	incarnation   uint64
 	rng           *rand.Rand
 	now           float64
 	startedAt     float64
-	output        Out
+	output        Output
 	localMessages []Message
 	recordBytes   int
 	startRecords  []Record // records of an empty disk, written at the first step
@@ -57,7 +57,7 @@
 	uncommitted    []Entry
 	recordedCommit uint64 // highest sequence number that is recorded on disk as committed
 
-	peers              map[Ident]*peer
+	peers              map[MachineID]*peer
 	nextHeartbeat      float64
 	leaving            bool
 	seatPending        bool            // takes part in the cluster's first start and has never had a core seat
@@ -74,15 +74,15 @@
 // New creates a machine from the records on its disk, in the order in which they were written.
 func New(config Config, stored []Record, now float64) *Machine {
 	config.setDefaults()
-	m := &Machine{config: config, self: Ident{Addr: config.Self.Addr}, now: now, startedAt: now, viewSince: now,
-		peers: map[Ident]*peer{}, pendingSeats: map[string]bool{}, rng: rand.New(rand.NewPCG(config.Seed, 0x9e3779b97f4a7c15)), majorityRegainedAt: now - 1e9}
+	m := &Machine{config: config, self: MachineID{Addr: config.Self.Addr}, now: now, startedAt: now, viewSince: now,
+		peers: map[MachineID]*peer{}, pendingSeats: map[string]bool{}, rng: rand.New(rand.NewPCG(config.Seed, 0x9e3779b97f4a7c15)), majorityRegainedAt: now - 1e9}
 	m.incarnation = m.rng.Uint64() | 1
 	for _, record := range stored {
 		m.restoreRecord(record)
 	}
 	m.noVoteBefore = now
 	if len(stored) > 0 {
-		m.noVoteBefore = now + config.Lease + config.Slack // an earlier incarnation may have granted leases that are still held
+		m.noVoteBefore = now + config.LeaseDuration + config.LeaseSlack // an earlier incarnation may have granted leases that are still held
 	}
 	if m.self.Disk == "" {
 		var record Record
@@ -90,17 +90,17 @@
 			m.self.Disk = "first"
 			seeds := slices.Clone(config.Seeds)
 			slices.Sort(seeds)
-			view := View{No: 1, Epoch: 1}
+			view := View{Number: 1, Epoch: 1}
 			for _, addr := range slices.Compact(seeds) {
-				view.Core = append(view.Core, Ident{addr, "first"})
+				view.Core = append(view.Core, MachineID{addr, "first"})
 			}
 			view.Chain, view.Seats = slices.Clone(view.Core), len(view.Core)
 			m.view, m.complete = view, true
 			// One record holds both, so that a restart never finds the disk's name without its view.
-			record.View = &ViewRecord{View: view, Whole: true}
+			record.View = &ViewRecord{View: view, Complete: true}
 		} else {
 			m.self.Disk = fmt.Sprintf("%016x", m.rng.Uint64())
-			m.seatPending, record.First = config.FirstRun, config.FirstRun
+			m.seatPending, record.FirstStart = config.FirstRun, config.FirstRun
 		}
 		record.Disk = m.self.Disk
 		m.startRecords = []Record{record}
@@ -112,26 +112,26 @@
 // restoreRecord applies one record from the disk.
 func (m *Machine) restoreRecord(record Record) {
 	if record.Disk != "" {
-		m.self.Disk, m.seatPending = record.Disk, record.First
+		m.self.Disk, m.seatPending = record.Disk, record.FirstStart
 	}
-	if record.View != nil && record.View.View.No > m.view.No {
-		m.view, m.complete = record.View.View, record.View.Whole
+	if record.View != nil && record.View.View.Number > m.view.Number {
+		m.view, m.complete = record.View.View, record.View.Complete
 		m.seatPending = m.seatPending && !m.inCore()
 		m.promised, m.accepted = Ballot{}, nil
 	}
 	if !m.faults.forgetVotes {
-		if promise := record.Promise; promise != nil && promise.For == m.view.No+1 && m.promised.less(promise.Ballot) {
+		if promise := record.Promise; promise != nil && promise.ForView == m.view.Number+1 && m.promised.less(promise.Ballot) {
 			m.promised = promise.Ballot
 		}
-		if vote := record.Accept; vote != nil && vote.For == m.view.No+1 {
+		if vote := record.Accept; vote != nil && vote.ForView == m.view.Number+1 {
 			m.accepted = vote
 			if m.promised.less(vote.Ballot) {
 				m.promised = vote.Ballot
 			}
 		}
 	}
-	if snapshot := record.Whole; snapshot != nil {
-		m.committed, m.uncommitted = snapshot.State, slices.Clone(snapshot.Tail)
+	if snapshot := record.Snapshot; snapshot != nil {
+		m.committed, m.uncommitted = snapshot.State, slices.Clone(snapshot.Uncommitted)
 	}
 	if entry := record.Entry; entry != nil && entry.Prev == m.lastPosition() {
 		m.uncommitted = append(m.uncommitted, *entry)
@@ -150,9 +150,9 @@
 }
 
 // Step processes one event at a time of the monotonic clock, in milliseconds.
-func (m *Machine) Step(now float64, event Event) Out {
+func (m *Machine) Step(now float64, event Event) Output {
 	m.now = max(m.now, now)
-	m.output = Out{Sync: m.startRecords}
+	m.output = Output{Persist: m.startRecords}
 	m.startRecords = nil
 	switch {
 	case event.Message != nil:
@@ -161,10 +161,10 @@
 		}
 	case event.Submit != nil:
 		m.queueChange(*event.Submit)
-	case event.Ask != nil:
-		m.queueRead(*event.Ask)
-	case event.Drop != nil:
-		m.pendingRemovals = append(m.pendingRemovals, &pendingRemoval{Drop: *event.Drop, deadline: m.now + removalTimeout, sentAt: -1e18})
+	case event.Read != nil:
+		m.queueRead(*event.Read)
+	case event.Remove != nil:
+		m.pendingRemovals = append(m.pendingRemovals, &pendingRemoval{Remove: *event.Remove, deadline: m.now + removalTimeout, sentAt: -1e18})
 	}
 	if event.Leave {
 		m.startLeaving()
@@ -180,16 +180,16 @@
 		m.receive(msg)
 		m.openView()
 	}
-	for i := range m.output.Sync {
-		m.recordBytes += m.output.Sync[i].size()
+	for i := range m.output.Persist {
+		m.recordBytes += m.output.Persist[i].size()
 	}
-	m.output.Compact = m.recordBytes > m.config.Bytes
+	m.output.Compact = m.recordBytes > m.config.CompactBytes
 	return m.output
 }
 
 func (m *Machine) runTimers() {
 	if m.now >= m.nextHeartbeat {
-		m.nextHeartbeat = m.now + m.config.Beat
+		m.nextHeartbeat = m.now + m.config.HeartbeatInterval
 		m.sendHeartbeats()
 	}
 	m.trackMajority()
@@ -208,9 +208,9 @@
 	m.persist(Record{Committed: m.recordedCommit})
 }
 
-func (m *Machine) persist(record Record) { m.output.Sync = append(m.output.Sync, record) }
+func (m *Machine) persist(record Record) { m.output.Persist = append(m.output.Persist, record) }
 
-func (m *Machine) send(to Ident, msg Message) {
+func (m *Machine) send(to MachineID, msg Message) {
 	msg.From, msg.To = m.self, to
 	if to == m.self {
 		m.localMessages = append(m.localMessages, msg)
@@ -226,8 +226,8 @@
 			sender = &peer{snapshotSentAt: -1e18, viewSentAt: -1e18}
 			m.peers[msg.From] = sender
 		}
-		if msg.Beat != nil {
-			m.handleHeartbeat(msg.From, sender, *msg.Beat)
+		if msg.Heartbeat != nil {
+			m.handleHeartbeat(msg.From, sender, *msg.Heartbeat)
 		}
 	}
 	switch {
@@ -243,29 +243,29 @@
 		m.handleAccept(msg.From, *msg.Accept)
 	case msg.Accepted != nil:
 		m.handleAccepted(msg.From, *msg.Accepted)
-	case msg.News != nil:
-		m.adoptView(*msg.News)
+	case msg.NewView != nil:
+		m.adoptView(*msg.NewView)
 	case msg.Append != nil:
 		m.handleAppend(msg.From, *msg.Append)
 	case msg.Appended != nil:
 		m.handleAppended(msg.From, *msg.Appended)
-	case msg.Fill != nil:
-		m.handleSnapshot(msg.From, *msg.Fill)
-	case msg.Enter != nil:
-		m.handleForwardedChange(msg.From, *msg.Enter)
-	case msg.Entered != nil:
-		m.handleChangeOutcome(*msg.Entered)
-	case msg.Confirm != nil:
-		m.handleRead(msg.From, *msg.Confirm)
-	case msg.ConfirmAnswer != nil:
-		m.handleReadAnswer(*msg.ConfirmAnswer)
-	case msg.Forget != nil:
-		m.handleRemoval(*msg.Forget)
+	case msg.Snapshot != nil:
+		m.handleSnapshot(msg.From, *msg.Snapshot)
+	case msg.ForwardedChange != nil:
+		m.handleForwardedChange(msg.From, *msg.ForwardedChange)
+	case msg.ChangeOutcome != nil:
+		m.handleChangeOutcome(*msg.ChangeOutcome)
+	case msg.ReadRequest != nil:
+		m.handleRead(msg.From, *msg.ReadRequest)
+	case msg.ReadAnswer != nil:
+		m.handleReadAnswer(*msg.ReadAnswer)
+	case msg.Removal != nil:
+		m.handleRemoval(*msg.Removal)
 	}
 }
 
 // Self returns the identity of this machine.
-func (m *Machine) Self() Ident { return m.self }
+func (m *Machine) Self() MachineID { return m.self }
 
 // View returns the newest view that this machine knows to be decided. Number 0 means none.
 func (m *Machine) View() View { return m.view }
@@ -279,17 +279,17 @@
 // Snapshot returns the smallest set of records that restores the machine as of the last step. The
 // caller must have synced that step; the records may then replace all earlier ones.
 func (m *Machine) Snapshot() []Record {
-	records := []Record{{Disk: m.self.Disk, First: m.seatPending}}
-	if m.view.No > 0 {
-		records[0].View = &ViewRecord{View: m.view, Whole: m.complete}
+	records := []Record{{Disk: m.self.Disk, FirstStart: m.seatPending}}
+	if m.view.Number > 0 {
+		records[0].View = &ViewRecord{View: m.view, Complete: m.complete}
 	}
 	if m.promised != (Ballot{}) {
-		records = append(records, Record{Promise: &Promised{For: m.view.No + 1, Ballot: m.promised}})
+		records = append(records, Record{Promise: &PromiseRecord{ForView: m.view.Number + 1, Ballot: m.promised}})
 	}
 	if m.accepted != nil {
 		records = append(records, Record{Accept: m.accepted})
 	}
-	records = append(records, Record{Whole: &Whole{State: m.committed, Tail: slices.Clone(m.uncommitted)}})
+	records = append(records, Record{Snapshot: &LogSnapshot{State: m.committed, Uncommitted: slices.Clone(m.uncommitted)}})
 	m.recordBytes = 0
 	return records
 }
@@ -299,9 +299,9 @@
 	if r.Entry != nil {
 		total += len(r.Entry.Change.Body)
 	}
-	if r.Whole != nil {
-		total += len(r.Whole.State.Body)
-		for _, entry := range r.Whole.Tail {
+	if r.Snapshot != nil {
+		total += len(r.Snapshot.State.Body)
+		for _, entry := range r.Snapshot.Uncommitted {
 			total += len(entry.Change.Body)
 		}
 	}
@@ -310,25 +310,25 @@
 
 // Status is a report for operators.
 type Status struct {
-	Self      Ident
-	View      View
-	Role      string // one of head, tail, member, sole, core, joining
-	Last      Stamp
-	Committed Stamp
-	Lag       int     // entries that are held but not known to be committed
-	Leased    float64 // remaining time of the tail's leases, in milliseconds
-	Hears     []Ident // core members with a connection in both directions
-	Whole     bool
-	Lost      float64 // how long no majority of the core has been heard, in milliseconds; 0 while one is heard
+	Self               MachineID
+	View               View
+	Role               string // one of head, tail, member, sole, core, joining
+	Last               LogPosition
+	Committed          LogPosition
+	Uncommitted        int         // entries that are held but not known to be committed
+	LeaseMillis        float64     // remaining time of the tail's leases, in milliseconds
+	Reachable          []MachineID // core members with a connection in both directions
+	Complete           bool
+	MajorityLostMillis float64 // how long no majority of the core has been heard, in milliseconds; 0 while one is heard
 }
 
 // Status returns a report on the machine's current condition.
 func (m *Machine) Status() Status {
-	status := Status{Self: m.self, View: m.view, Last: m.lastPosition(), Committed: m.committed.Last, Lag: len(m.uncommitted),
-		Leased: max(0, m.leasedUntil()-m.now), Whole: m.isComplete(), Lost: m.majorityLostFor(), Role: "joining"}
+	status := Status{Self: m.self, View: m.view, Last: m.lastPosition(), Committed: m.committed.Last, Uncommitted: len(m.uncommitted),
+		LeaseMillis: max(0, m.leasedUntil()-m.now), Complete: m.isComplete(), MajorityLostMillis: m.majorityLostFor(), Role: "joining"}
 	for _, member := range m.view.Core {
 		if member != m.self && m.isReachable(member) {
-			status.Hears = append(status.Hears, member)
+			status.Reachable = append(status.Reachable, member)
 		}
 	}
 	index, length := m.chainIndex(), len(m.view.Chain)
--- a/internal/cairn/machine_replacement_test.go
+++ b/internal/cairn/machine_replacement_test.go
@@ -28,7 +28,7 @@
 }
 
 // lostForGood reports whether a member of a core, or its disk, will never return.
-func (w *world) lostForGood(id Ident) bool {
+func (w *world) lostForGood(id MachineID) bool {
 	return w.removedAddrs[id.Addr] || slices.ContainsFunc(w.nodes, func(n *node) bool { return n.addr == id.Addr && slices.Contains(n.lostDisks, id.Disk) })
 }
 
@@ -36,7 +36,7 @@
 // machines.
 func (w *world) waitsForSeat(n *node) bool {
 	view, ok := w.decided[w.maxView]
-	if !ok || n.machine == nil || n.machine.View().No != view.No || slices.Contains(view.Core, n.machine.Self()) || len(view.Chain) != w.seats {
+	if !ok || n.machine == nil || n.machine.View().Number != view.Number || slices.Contains(view.Core, n.machine.Self()) || len(view.Chain) != w.seats {
 		return false
 	}
 	for _, member := range view.Chain {
@@ -63,7 +63,7 @@
 // apply if operators remove machines, which is their responsibility, or if a joining machine was
 // lost meanwhile, which is not a fault of the view.
 func (w *world) checkTolerance(view View) {
-	before, ok := w.decided[view.No-1]
+	before, ok := w.decided[view.Number-1]
 	if !ok || w.removalRNG != nil {
 		return
 	}
@@ -73,10 +73,10 @@
 		}
 	}
 	if toleratedBefore, toleratedNow := w.toleratedLosses(before), w.toleratedLosses(view); toleratedNow < toleratedBefore {
-		w.fail("view %d tolerates %d losses, the one before it %d: %v after %v", view.No, toleratedNow, toleratedBefore, view.Core, before.Core)
+		w.fail("view %d tolerates %d losses, the one before it %d: %v after %v", view.Number, toleratedNow, toleratedBefore, view.Core, before.Core)
 	}
 	if 2*len(view.Chain) <= len(view.Core) {
-		w.fail("view %d has copies on %d of %d", view.No, len(view.Chain), len(view.Core))
+		w.fail("view %d has copies on %d of %d", view.Number, len(view.Chain), len(view.Core))
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	lost := w.lostMachines()
 	lost[n] = true
-	if successor.wiped && !slices.ContainsFunc(w.decided[w.maxView].Core, func(x Ident) bool { return x.Addr == successor.addr }) {
+	if successor.wiped && !slices.ContainsFunc(w.decided[w.maxView].Core, func(x MachineID) bool { return x.Addr == successor.addr }) {
 		delete(lost, successor) // the machine and its successor count as one
 	}
 	if len(lost) > w.tolerance || w.replacementsOver {
@@ -164,7 +164,7 @@
 	poll = func() {
 		switch {
 		case !n.up || n.incarnation != incarnation:
-		case n.machine.Left() && !n.syncing || w.now >= until:
+		case n.machine.MayEnd() && !n.syncing || w.now >= until:
 			w.kill(n)
 			whenEnded()
 		default:
--- a/internal/cairn/order_identity.go
+++ b/internal/cairn/order_identity.go
@@ -18,19 +18,19 @@
 // Identity is the number or edition of an order and the xxh3 hash of its body.
 type Identity struct {
 	_      struct{} `cbor:",toarray"`
-	No     uint64
+	Number uint64
 	Digest [16]byte
 }
 
 // identityOf returns the identity of an order.
 func identityOf(no uint64, body []byte) Identity {
-	return Identity{No: no, Digest: xxh3.Hash128(body).Bytes()}
+	return Identity{Number: no, Digest: xxh3.Hash128(body).Bytes()}
 }
 
 // identity returns the identity of a configuration or a named order.
 func (c *Change) identity() Identity {
 	if c.Kind == SetOrder {
-		return identityOf(c.No, c.Body)
+		return identityOf(c.Number, c.Body)
 	}
 	return identityOf(c.Edition, c.Body)
 }
@@ -38,31 +38,31 @@
 // identities returns the identities of the committed configurations. A state written before identities
 // were stored yields only the configuration in force.
 func (s *State) identities() []Identity {
-	if len(s.Past) == 0 && len(s.Body) > 0 {
+	if len(s.Identities) == 0 && len(s.Body) > 0 {
 		return []Identity{identityOf(s.Edition, s.Body)}
 	}
-	return s.Past
+	return s.Identities
 }
 
 // identities returns the identities of the orders committed under a name. An order written before
 // identities were stored yields only itself.
-func (o *Order) identities() []Identity {
-	if len(o.Past) == 0 && len(o.Body) > 0 {
-		return []Identity{identityOf(o.No, o.Body)}
+func (o *NamedOrder) identities() []Identity {
+	if len(o.Identities) == 0 && len(o.Body) > 0 {
+		return []Identity{identityOf(o.Number, o.Body)}
 	}
-	return o.Past
+	return o.Identities
 }
 
 // findIdentity searches identities, which are sorted by number, for a number.
 func findIdentity(identities []Identity, no uint64) (int, bool) {
-	return slices.BinarySearchFunc(identities, no, func(identity Identity, no uint64) int { return cmp.Compare(identity.No, no) })
+	return slices.BinarySearchFunc(identities, no, func(identity Identity, no uint64) int { return cmp.Compare(identity.Number, no) })
 }
 
 // addIdentity returns the identities with that of a change added. If the number is taken, the existing
 // identity stays.
 func addIdentity(identities []Identity, change Change) []Identity {
 	identity := change.identity()
-	index, ok := findIdentity(identities, identity.No)
+	index, ok := findIdentity(identities, identity.Number)
 	if ok {
 		return identities
 	}
@@ -93,12 +93,12 @@
 		past = s.identities()
 	case SetOrder:
 		stored := s.Orders[change.Name]
-		past, superseded = stored.identities(), change.No <= stored.No
+		past, superseded = stored.identities(), change.Number <= stored.Number
 	default:
 		return orderNew
 	}
 	identity := change.identity()
-	switch index, ok := findIdentity(past, identity.No); {
+	switch index, ok := findIdentity(past, identity.Number); {
 	case ok && past[index] == identity:
 		return orderRepeated
 	case ok || superseded:
@@ -107,9 +107,9 @@
 	return orderNew
 }
 
-// Took reports whether a named order was committed and in force under its number at any time.
-func (s *State) Took(name string, no uint64, body []byte) bool {
-	return s.classify(Change{Kind: SetOrder, Name: name, No: no, Body: body}) == orderRepeated
+// WasCommitted reports whether a named order was committed and in force under its number at any time.
+func (s *State) WasCommitted(name string, no uint64, body []byte) bool {
+	return s.classify(Change{Kind: SetOrder, Name: name, Number: no, Body: body}) == orderRepeated
 }
 
 // blocks reports whether an uncommitted order may use the number of another one or supersede
@@ -121,7 +121,7 @@
 	case c.Kind == PutConfiguration:
 		return c.Edition == other.Edition
 	case c.Kind == SetOrder:
-		return c.Name == other.Name && c.No >= other.No
+		return c.Name == other.Name && c.Number >= other.Number
 	}
 	return false
 }
--- a/internal/cairn/order_identity_test.go
+++ b/internal/cairn/order_identity_test.go
@@ -18,14 +18,14 @@
 
 // namedOrder returns a change that sets a named order.
 func namedOrder(no uint64, body string) Change {
-	return Change{Kind: SetOrder, Name: "n", No: no, Body: []byte(body)}
+	return Change{Kind: SetOrder, Name: "n", Number: no, Body: []byte(body)}
 }
 
 // stateAfter returns a state after some changes.
 func stateAfter(state State, changes ...Change) State {
 	for _, c := range changes {
 		prev := state.Last
-		state = state.apply(Entry{Stamp: Stamp{Seq: prev.Seq + 1, View: 1}, Prev: prev, Change: c})
+		state = state.apply(Entry{LogPosition: LogPosition{Seq: prev.Seq + 1, View: 1}, Prev: prev, Change: c})
 	}
 	return state
 }
@@ -33,7 +33,7 @@
 // TestClassifyOrders checks how an order is compared with the committed ones under its
 // number.
 func TestClassifyOrders(t *testing.T) {
-	legacy := State{Edition: 7, Body: []byte("seven"), Orders: map[string]Order{"n": {No: 3, Body: []byte("three")}}} // written before identities were stored
+	legacy := State{Edition: 7, Body: []byte("seven"), Orders: map[string]NamedOrder{"n": {Number: 3, Body: []byte("three")}}} // written before identities were stored
 	state := stateAfter(State{}, configurationChange(7, "seven"), configurationChange(9, "nine"), configurationChange(4, "four"), namedOrder(3, "three"), namedOrder(5, "five"))
 	full := State{}
 	for e := range uint64(maxIdentities) {
@@ -76,11 +76,11 @@
 	} {
 		assert.Equal(t, c.held.classify(c.c), c.want, c.name)
 	}
-	assert.Equal(t, len(full.Past), maxIdentities)
-	assert.Equal(t, len(stateAfter(full, configurationChange(9999, "x"), configurationChange(1, "y")).Past), maxIdentities)
-	assert.Assert(t, state.Took("n", 3, []byte("three")) && !state.Took("n", 4, []byte("four")))
+	assert.Equal(t, len(full.Identities), maxIdentities)
+	assert.Equal(t, len(stateAfter(full, configurationChange(9999, "x"), configurationChange(1, "y")).Identities), maxIdentities)
+	assert.Assert(t, state.WasCommitted("n", 3, []byte("three")) && !state.WasCommitted("n", 4, []byte("four")))
 	before := fmt.Sprint(state)
-	stateAfter(state, configurationChange(8, "eight"), configurationChange(11, "x"), namedOrder(9, "x"), Change{Kind: Repeat, Edition: 9})
+	stateAfter(state, configurationChange(8, "eight"), configurationChange(11, "x"), namedOrder(9, "x"), Change{Kind: RepeatedOrder, Edition: 9})
 	assert.Equal(t, fmt.Sprint(state), before, "a state that was handed out was modified")
 }
 
@@ -90,8 +90,8 @@
 func TestConflictingOrderWaitsForCommit(t *testing.T) {
 	for _, newChange := range []func(uint64, string) Change{configurationChange, namedOrder} {
 		m, _ := newMachine(t, a1, faults{})
-		forward := func(id uint64, c Change) []Entered {
-			return sentParts(m.Step(1020, received(c1, a1, Message{Enter: &Enter{ID: id, Life: 5, Change: c}})), func(g Message) *Entered { return g.Entered })
+		forward := func(id uint64, c Change) []ChangeOutcome {
+			return sentParts(m.Step(1020, received(c1, a1, Message{ForwardedChange: &ForwardedChange{ID: id, Incarnation: 5, Change: c}})), func(g Message) *ChangeOutcome { return g.ChangeOutcome })
 		}
 		assert.Equal(t, len(forward(1, newChange(4, "one"))), 0)
 		held := m.lastPosition()
@@ -99,19 +99,19 @@
 		assert.Equal(t, m.lastPosition(), held, "the conflicting order was written")
 		assert.Equal(t, len(forward(3, newChange(4, "one"))), 0)
 		o := m.Step(1030, received(b1, a1, Message{Appended: &Appended{View: 1, Last: held, Committed: held}}))
-		got := sentParts(o, func(g Message) *Entered { return g.Entered })
-		assert.DeepEqual(t, got, []Entered{{ID: 1, Life: 5}, {ID: 3, Life: 5}})
-		assert.DeepEqual(t, forward(2, newChange(4, "two")), []Entered{{ID: 2, Life: 5, Refused: true}})
+		got := sentParts(o, func(g Message) *ChangeOutcome { return g.ChangeOutcome })
+		assert.DeepEqual(t, got, []ChangeOutcome{{ID: 1, Incarnation: 5}, {ID: 3, Incarnation: 5}})
+		assert.DeepEqual(t, forward(2, newChange(4, "two")), []ChangeOutcome{{ID: 2, Incarnation: 5, Refused: true}})
 		// The same order again passes through the chain without its body.
 		assert.Equal(t, len(forward(4, newChange(4, "one"))), 0)
 		repeated := m.uncommitted[len(m.uncommitted)-1]
-		assert.Equal(t, repeated.Change.Kind, Repeat)
+		assert.Equal(t, repeated.Change.Kind, RepeatedOrder)
 		assert.Equal(t, len(repeated.Change.Body), 0)
 		assert.Equal(t, len(forward(5, newChange(4, "one"))), 0, "it must wait for the uncommitted entry")
-		assert.Equal(t, m.lastPosition(), repeated.Stamp)
+		assert.Equal(t, m.lastPosition(), repeated.LogPosition)
 		// A machine cannot forward a change of that kind itself.
-		forward(6, Change{Kind: Repeat, Edition: 99})
-		assert.Equal(t, m.lastPosition(), repeated.Stamp)
+		forward(6, Change{Kind: RepeatedOrder, Edition: 99})
+		assert.Equal(t, m.lastPosition(), repeated.LogPosition)
 	}
 }
 
--- a/internal/cairn/partition_test.go
+++ b/internal/cairn/partition_test.go
@@ -95,7 +95,7 @@
 	assert.Equal(t, *change.outcome, OK)
 	during := w.read(tail)
 	w.run(w.now + 15_500)
-	assert.Equal(t, tail.machine.View().No, uint64(1), "it must not have heard anything yet")
+	assert.Equal(t, tail.machine.View().Number, uint64(1), "it must not have heard anything yet")
 	w.run(w.now + 300)
 	assert.Assert(t, asked.outcome != nil && during.outcome != nil)
 	assert.NilError(t, w.violation) // the simulation compares each read with what was acknowledged before it
@@ -123,9 +123,9 @@
 		w := newWorld(4, 3, 3, faults{})
 		w.noDelays = true
 		w.run(1500)
-		submitChange := func(n *node, kind ChangeKind, after Stamp) *call {
+		submitChange := func(n *node, kind ChangeKind, after LogPosition) *call {
 			c := &call{node: n, zone: true}
-			w.request(n, c, Event{Submit: &Submit{Change: Change{Kind: kind, Zone: "z"}, After: after}})
+			w.request(n, c, Event{Submit: &Submit{Change: Change{Kind: kind, Zone: "z"}, KnownPosition: after}})
 			return c
 		}
 		frozen, healthy := w.nodes[1], w.nodes[2]
@@ -135,10 +135,10 @@
 		if withKnownPosition {
 			late = submitChange(frozen, Evacuate, first)
 		} else {
-			late = submitChange(frozen, Evacuate, Stamp{})
+			late = submitChange(frozen, Evacuate, LogPosition{})
 		}
 		w.run(w.now + 4000)
-		for _, kind := range []ChangeKind{Evacuate, TakeBack} {
+		for _, kind := range []ChangeKind{Evacuate, EndEvacuation} {
 			c := submitChange(healthy, kind, healthy.machine.State().Last)
 			w.run(w.now + 900)
 			assert.Equal(t, *c.outcome, OK)
@@ -147,7 +147,7 @@
 		_, emptied := w.nodes[0].machine.State().Evacuated["z"]
 		assert.Equal(t, emptied, !withKnownPosition)
 		if withKnownPosition {
-			assert.Equal(t, *late.outcome, Overtaken)
+			assert.Equal(t, *late.outcome, Superseded)
 		}
 		// A change that knows of the newer ones is accepted.
 		c := submitChange(frozen, Evacuate, frozen.machine.State().Last)
@@ -160,20 +160,20 @@
 // TestKnownPositionOfChangeStays checks that the known position given by a caller does not advance
 // while the change waits and its machine learns more, because the caller knew no more.
 func TestKnownPositionOfChangeStays(t *testing.T) {
-	for _, known := range []Stamp{{}, {Seq: 1, View: 1}} {
+	for _, known := range []LogPosition{{}, {Seq: 1, View: 1}} {
 		m, _ := newMachine(t, b1, faults{})
-		forwardedPosition := func(o Out) Stamp {
-			got := sentParts(o, func(g Message) *Enter { return g.Enter })
+		forwardedPosition := func(o Output) LogPosition {
+			got := sentParts(o, func(g Message) *ForwardedChange { return g.ForwardedChange })
 			assert.Equal(t, len(got), 1)
-			return got[0].After
+			return got[0].KnownPosition
 		}
-		entry := Entry{Stamp: Stamp{1, 1}}
-		m.Step(1005, received(a1, b1, Message{Fill: &Fill{View: 1, Whole: Whole{State: State{Last: entry.Stamp}}}}))
-		first := forwardedPosition(m.Step(1010, Event{Submit: &Submit{ID: 1, Change: Change{Kind: Evacuate, Zone: "z"}, After: known}}))
-		assert.Equal(t, first, Stamp{1, 1})
-		m.Step(1020, received(a1, b1, Message{Fill: &Fill{View: 1, Whole: Whole{State: State{Last: Stamp{4, 1}}}}}))
-		assert.Equal(t, m.State().Last, Stamp{4, 1})
+		entry := Entry{LogPosition: LogPosition{1, 1}}
+		m.Step(1005, received(a1, b1, Message{Snapshot: &SnapshotTransfer{View: 1, Snapshot: LogSnapshot{State: State{Last: entry.LogPosition}}}}))
+		first := forwardedPosition(m.Step(1010, Event{Submit: &Submit{ID: 1, Change: Change{Kind: Evacuate, Zone: "z"}, KnownPosition: known}}))
+		assert.Equal(t, first, LogPosition{1, 1})
+		m.Step(1020, received(a1, b1, Message{Snapshot: &SnapshotTransfer{View: 1, Snapshot: LogSnapshot{State: State{Last: LogPosition{4, 1}}}}}))
+		assert.Equal(t, m.State().Last, LogPosition{4, 1})
 		again := forwardedPosition(m.Step(1300, Event{}))
-		assert.Equal(t, again == first, known != Stamp{}, "%v", again)
+		assert.Equal(t, again == first, known != LogPosition{}, "%v", again)
 	}
 }
--- a/internal/cairn/rebuild.go
+++ b/internal/cairn/rebuild.go
@@ -13,7 +13,7 @@
 // trackMajority records since when no majority of the core has been heard, and when one was heard
 // again.
 func (m *Machine) trackMajority() {
-	if m.view.No == 0 || m.hearsMajority() {
+	if m.view.Number == 0 || m.hearsMajority() {
 		if m.majorityLostAt > 0 {
 			m.majorityRegainedAt = m.now
 		}
@@ -39,14 +39,14 @@
 	newerCopyKnown := false
 	for _, id := range m.knownPeers() {
 		sender := m.peers[id]
-		newerCopyKnown = newerCopyKnown || m.hears(id) && (sender.heartbeat.View > m.view.No || sender.heartbeat.Whole && m.lastPosition().less(sender.heartbeat.Last))
+		newerCopyKnown = newerCopyKnown || m.hears(id) && (sender.heartbeat.View > m.view.Number || sender.heartbeat.Complete && m.lastPosition().less(sender.heartbeat.Last))
 	}
-	if m.majorityLostFor() < m.config.Lost || !m.isComplete() || m.lastPosition() != request.Last || newerCopyKnown {
-		m.output.Done = append(m.output.Done, Result{ID: request.ID, Outcome: Unavailable})
+	if m.majorityLostFor() < m.config.RebuildDelay || !m.isComplete() || m.lastPosition() != request.Last || newerCopyKnown {
+		m.output.Results = append(m.output.Results, Result{ID: request.ID, Outcome: Unavailable})
 		return
 	}
-	self := []Ident{m.self}
-	m.enterView(View{No: m.view.No + rebuildViewStep, Chain: self, Core: self, Removed: m.view.Removed + 1, Epoch: m.view.Epoch + rebuildViewStep,
+	self := []MachineID{m.self}
+	m.enterView(View{Number: m.view.Number + rebuildViewStep, Chain: self, Core: self, Removed: m.view.Removed + 1, Epoch: m.view.Epoch + rebuildViewStep,
 		Seats: max(m.view.Seats, len(m.view.Core))}, true)
-	m.output.Done = append(m.output.Done, Result{ID: request.ID, Outcome: OK})
+	m.output.Results = append(m.output.Results, Result{ID: request.ID, Outcome: OK})
 }
--- a/internal/cairn/removal.go
+++ b/internal/cairn/removal.go
@@ -15,13 +15,13 @@
 // removalState is the state of operators' orders to remove machines.
 type removalState struct {
 	pendingRemovals  []*pendingRemoval // orders of local callers
-	removalTarget    *Ident            // the machine to remove by the newest order received
+	removalTarget    *MachineID        // the machine to remove by the newest order received
 	removalExpiresAt float64           // when that order expires
 }
 
 // pendingRemoval is a removal order of a local caller that is not answered yet.
 type pendingRemoval struct {
-	Drop
+	Remove
 	deadline, sentAt float64
 }
 
@@ -29,26 +29,26 @@
 // address or the order times out.
 func (m *Machine) resendRemovals() {
 	m.pendingRemovals = slices.DeleteFunc(m.pendingRemovals, func(removal *pendingRemoval) bool {
-		index := slices.IndexFunc(m.view.Core, func(member Ident) bool { return member.Addr == removal.Addr })
+		index := slices.IndexFunc(m.view.Core, func(member MachineID) bool { return member.Addr == removal.Addr })
 		finish := func(outcome Outcome) bool {
-			m.output.Done = append(m.output.Done, Result{ID: removal.ID, Outcome: outcome})
+			m.output.Results = append(m.output.Results, Result{ID: removal.ID, Outcome: outcome})
 			return true
 		}
 		switch {
-		case m.view.No == 0:
+		case m.view.Number == 0:
 			return finish(Unavailable)
 		case index < 0:
 			return finish(OK)
 		case m.now >= removal.deadline:
 			return finish(Unknown)
-		case m.now-removal.sentAt >= m.config.Again:
+		case m.now-removal.sentAt >= m.config.RetryDelay:
 			removal.sentAt = m.now
-			msg := Forget{View: m.view.No, Who: m.view.Core[index]}
-			if slices.Contains(m.view.Chain, msg.Who) && m.isReachable(msg.Who) {
+			msg := RemovalOrder{View: m.view.Number, Member: m.view.Core[index]}
+			if slices.Contains(m.view.Chain, msg.Member) && m.isReachable(msg.Member) {
 				return finish(Unavailable) // the machine is running
 			}
 			for _, member := range m.view.Chain {
-				m.send(member, Message{Forget: &msg})
+				m.send(member, Message{Removal: &msg})
 			}
 		}
 		return false
@@ -56,14 +56,14 @@
 }
 
 // handleRemoval notes an operator's order to remove a machine from the core of the current view.
-func (m *Machine) handleRemoval(msg Forget) {
-	if msg.View == m.view.No {
-		m.removalTarget, m.removalExpiresAt = &msg.Who, m.now+removalOrderLifetime
+func (m *Machine) handleRemoval(msg RemovalOrder) {
+	if msg.View == m.view.Number {
+		m.removalTarget, m.removalExpiresAt = &msg.Member, m.now+removalOrderLifetime
 	}
 }
 
 // machineToRemove returns the machine that the core of the next view should lack, or nil.
-func (m *Machine) machineToRemove() *Ident {
+func (m *Machine) machineToRemove() *MachineID {
 	if m.removalTarget == nil || m.now >= m.removalExpiresAt {
 		return nil
 	}
--- a/internal/cairn/removal_test.go
+++ b/internal/cairn/removal_test.go
@@ -60,10 +60,10 @@
 	assert.DeepEqual(t, w.removals, [3]int{Unavailable: 1})
 	assert.Equal(t, len(w.nodes[0].machine.View().Core), 3)
 	m, _ := newMachine(t, a1, faults{})
-	m.Step(1010, received(b1, a1, Message{Beat: &Beat{View: 1, Hears: 7}}))
-	m.Step(1020, received(b1, a1, Message{Forget: &Forget{View: 1, Who: b1}}))
+	m.Step(1010, received(b1, a1, Message{Heartbeat: &Heartbeat{View: 1, Hears: 7}}))
+	m.Step(1020, received(b1, a1, Message{Removal: &RemovalOrder{View: 1, Member: b1}}))
 	assert.Assert(t, m.machineToRemove() == nil)
-	m.Step(1030, received(b1, a1, Message{Forget: &Forget{View: 2, Who: c1}}))
+	m.Step(1030, received(b1, a1, Message{Removal: &RemovalOrder{View: 2, Member: c1}}))
 	assert.Equal(t, *m.removalTarget, b1, "an order for another view was accepted")
 }
 
--- a/internal/cairn/scale_bench_test.go
+++ b/internal/cairn/scale_bench_test.go
@@ -80,7 +80,7 @@
 	}
 	for i := range n {
 		addr := fmt.Sprintf("10.9.0.%d:7462", i+1)
-		node := &countedMachine{machine: New(Config{Self: Ident{Addr: addr}, Seeds: seeds, FirstRun: true, Seed: uint64(i + 1)}, nil, 0)}
+		node := &countedMachine{machine: New(Config{Self: MachineID{Addr: addr}, Seeds: seeds, FirstRun: true, Seed: uint64(i + 1)}, nil, 0)}
 		w.machines, w.byAddr[addr] = append(w.machines, node), node
 		w.tick(node, float64(i))
 	}
@@ -115,7 +115,7 @@
 // step processes an event at a machine and sends the messages of its output.
 func (w *countingNetwork) step(node *countedMachine, event Event) {
 	out := node.machine.Step(w.now, event)
-	if len(out.Sync) > 0 {
+	if len(out.Persist) > 0 {
 		node.diskBusyUntil = max(node.diskBusyUntil, w.now) + 5
 	}
 	late := max(node.diskBusyUntil-w.now, 0)
@@ -126,7 +126,7 @@
 			w.schedule(late+w.delay, func() { w.step(to, Event{Message: &msg}) })
 		}
 	}
-	for _, result := range out.Done {
+	for _, result := range out.Results {
 		w.schedule(late, func() { w.results = append(w.results, result) })
 	}
 }
--- a/internal/cairn/seat_replacement_test.go
+++ b/internal/cairn/seat_replacement_test.go
@@ -243,7 +243,7 @@
 	w.kill(w.nodes[1])
 	w.deliver(w.nodes[2], Event{Leave: true})
 	w.run(w.now + 3000)
-	assert.Assert(t, !w.nodes[2].machine.Left())
+	assert.Assert(t, !w.nodes[2].machine.MayEnd())
 	// All three end at once: none may end before the others hold what it held.
 	w = calmWorld(t, 2, 3, faults{})
 	for _, n := range w.nodes {
@@ -252,7 +252,7 @@
 	w.run(w.now + 1000)
 	left := 0
 	for _, n := range w.nodes {
-		if n.machine.Left() {
+		if n.machine.MayEnd() {
 			left++
 		}
 	}
@@ -279,7 +279,7 @@
 		assert.Equal(t, *read.outcome, Unavailable)
 		assert.Assert(t, *change.outcome != OK)
 		w.run(w.now + 7000)
-		assert.Equal(t, n.machine.View().No, w.maxView)
+		assert.Equal(t, n.machine.View().Number, w.maxView)
 		assert.Assert(t, n.machine.hasSnapshot && !n.machine.inCore(), "it must hold a snapshot and wait outside the core")
 		read = w.read(n)
 		w.run(w.now + 900)
@@ -297,18 +297,18 @@
 func TestAnsweringBallotKeepsSeat(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		from    Ident
+		from    MachineID
 		leaving bool
 		goes    bool
 	}{{"another member", b1, false, true}, {"the one that is silent", c1, false, false}, {"one that leaves", c1, true, true}} {
 		m, _ := newMachine(t, a1, faults{})
 		if c.leaving {
-			m.Step(1100, received(c1, a1, Message{Beat: &Beat{View: 1, Hears: 7, Leaving: true}}))
+			m.Step(1100, received(c1, a1, Message{Heartbeat: &Heartbeat{View: 1, Hears: 7, Leaving: true}}))
 		}
-		d := Ident{"d:1", "new"}
-		m.ownAttempt = &attempt{ballot: Ballot{9, a1}, value: View{No: 2, Chain: []Ident{a1, b1, d}, Core: []Ident{a1, b1, d}},
-			promises: map[Ident]bool{a1: true}, votes: map[Ident]bool{}, startedAt: m.now}
-		m.Step(1200, received(c.from, a1, Message{Promise: &Promise{For: 2, Ballot: Ballot{9, a1}, OK: true}}))
+		d := MachineID{"d:1", "new"}
+		m.ownAttempt = &attempt{ballot: Ballot{9, a1}, value: View{Number: 2, Chain: []MachineID{a1, b1, d}, Core: []MachineID{a1, b1, d}},
+			promises: map[MachineID]bool{a1: true}, votes: map[MachineID]bool{}, startedAt: m.now}
+		m.Step(1200, received(c.from, a1, Message{Promise: &Promise{ForView: 2, Ballot: Ballot{9, a1}, OK: true}}))
 		assert.Equal(t, m.ownAttempt != nil && m.ownAttempt.voting, c.goes, c.name)
 	}
 }
@@ -323,7 +323,7 @@
 	w.submit(w.nodes[0])
 	w.run(w.now + 300)
 	survivor := w.nodes[1]
-	rebuild := func(last Stamp) Outcome {
+	rebuild := func(last LogPosition) Outcome {
 		w.lastID++
 		request := &call{node: survivor, removal: "rebuild", startedAt: w.now, incarnation: survivor.incarnation}
 		w.calls[w.lastID] = request
@@ -339,16 +339,16 @@
 	w.replace(w.nodes[2], 200)
 	w.tolerance = 1
 	w.run(w.now + 6000)
-	assert.Assert(t, survivor.machine.Status().Lost > 0)
+	assert.Assert(t, survivor.machine.Status().MajorityLostMillis > 0)
 	assert.Equal(t, rebuild(survivor.machine.lastPosition()), Unavailable, "rebuilt although a majority was heard recently")
 	w.run(w.now + 6000)
 	last := survivor.machine.lastPosition()
-	assert.Equal(t, rebuild(Stamp{Seq: last.Seq + 1, View: last.View}), Unavailable, "rebuilt from a copy that was not named")
+	assert.Equal(t, rebuild(LogPosition{Seq: last.Seq + 1, View: last.View}), Unavailable, "rebuilt from a copy that was not named")
 	before := survivor.machine.View()
 	assert.Equal(t, rebuild(last), OK)
 	w.run(w.now + 2000)
 	v := survivor.machine.View()
-	assert.Equal(t, v.No > before.No+1000 && len(v.Core) == 2 && v.Seats == 3, true, "%+v", v)
+	assert.Equal(t, v.Number > before.Number+1000 && len(v.Core) == 2 && v.Seats == 3, true, "%+v", v)
 	w.boot(lost, false)
 	w.run(w.now + 3000)
 	w.requireSettled()
@@ -361,23 +361,23 @@
 // its own seat is taken.
 func TestLeftWaitsForOpenedView(t *testing.T) {
 	m, _ := newMachine(t, a1, faults{})
-	d := Ident{"d:1", "new"}
+	d := MachineID{"d:1", "new"}
 	o := m.Step(1010, Event{Leave: true})
-	assert.Assert(t, sentParts(o, func(g Message) *Beat { return g.Beat })[0].Leaving)
-	v := View{No: 2, Chain: []Ident{b1, c1}, Core: []Ident{a1, b1, c1}, Seats: 3}
-	m.Step(1020, received(b1, a1, Message{News: &v}))
-	assert.Assert(t, !m.Left(), "it is outside the chain but has no report that the new view was opened")
-	m.Step(1030, received(b1, a1, Message{Beat: &Beat{View: 2, Last: Stamp{4, 2}, Committed: Stamp{3, 1}}}))
-	assert.Assert(t, !m.Left())
-	m.Step(1040, received(c1, a1, Message{Beat: &Beat{View: 2, Last: Stamp{4, 2}, Committed: Stamp{4, 2}}}))
-	assert.Assert(t, m.Left())
-	m.Step(1050, received(d, a1, Message{Beat: &Beat{View: 2}}))
-	assert.Assert(t, !m.Left(), "a waiting machine must get its seat first")
-	v = View{No: 3, Chain: []Ident{b1, c1, d}, Core: []Ident{b1, c1, d}, Seats: 3}
-	m.Step(1060, received(b1, a1, Message{News: &v}))
-	assert.Assert(t, !m.Left())
-	m.Step(1070, received(d, a1, Message{Beat: &Beat{View: 3, Last: Stamp{5, 3}, Committed: Stamp{5, 3}}}))
-	assert.Assert(t, m.Left())
+	assert.Assert(t, sentParts(o, func(g Message) *Heartbeat { return g.Heartbeat })[0].Leaving)
+	v := View{Number: 2, Chain: []MachineID{b1, c1}, Core: []MachineID{a1, b1, c1}, Seats: 3}
+	m.Step(1020, received(b1, a1, Message{NewView: &v}))
+	assert.Assert(t, !m.MayEnd(), "it is outside the chain but has no report that the new view was opened")
+	m.Step(1030, received(b1, a1, Message{Heartbeat: &Heartbeat{View: 2, Last: LogPosition{4, 2}, Committed: LogPosition{3, 1}}}))
+	assert.Assert(t, !m.MayEnd())
+	m.Step(1040, received(c1, a1, Message{Heartbeat: &Heartbeat{View: 2, Last: LogPosition{4, 2}, Committed: LogPosition{4, 2}}}))
+	assert.Assert(t, m.MayEnd())
+	m.Step(1050, received(d, a1, Message{Heartbeat: &Heartbeat{View: 2}}))
+	assert.Assert(t, !m.MayEnd(), "a waiting machine must get its seat first")
+	v = View{Number: 3, Chain: []MachineID{b1, c1, d}, Core: []MachineID{b1, c1, d}, Seats: 3}
+	m.Step(1060, received(b1, a1, Message{NewView: &v}))
+	assert.Assert(t, !m.MayEnd())
+	m.Step(1070, received(d, a1, Message{Heartbeat: &Heartbeat{View: 3, Last: LogPosition{5, 3}, Committed: LogPosition{5, 3}}}))
+	assert.Assert(t, m.MayEnd())
 }
 
 // TestMemberHeardByOthersKeepsSeat checks that a member that only the head cannot hear is left out of
--- a/internal/cairn/simulation_test.go
+++ b/internal/cairn/simulation_test.go
@@ -39,7 +39,7 @@
 	added               int
 	seats               int // number of seats that the core should have
 	replaced            int
-	committed           map[uint64]Stamp
+	committed           map[uint64]LogPosition
 	acknowledged        uint64 // highest edition that was acknowledged
 	edition             uint64
 	calls               map[uint64]*call
@@ -86,7 +86,7 @@
 	syncing     bool
 	seenView    uint64
 	syncs       uint64 // number of sync batches, over all incarnations
-	unsynced    Out
+	unsynced    Output
 	inbox       []Event
 	edition     uint64
 	clockOffset float64
@@ -123,7 +123,7 @@
 func newWorld(seed uint64, machines, seeds int, f faults) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]string]bool{}, faults: f, views: map[uint64]string{},
 		decided: map[uint64]View{}, removedAddrs: map[string]bool{}, seats: machines,
-		committed: map[uint64]Stamp{}, calls: map[uint64]*call{}}
+		committed: map[uint64]LogPosition{}, calls: map[uint64]*call{}}
 	w.tolerance = 0
 	if machines >= 5 {
 		w.tolerance = 2
@@ -179,7 +179,7 @@
 	if n.seeds != nil {
 		seeds = n.seeds
 	}
-	n.machine = New(Config{Self: Ident{Addr: n.addr}, Seeds: seeds, FirstRun: first || n.firstStart, Seed: w.rng.Uint64(), Bytes: 3000}, n.disk, w.now+n.clockOffset)
+	n.machine = New(Config{Self: MachineID{Addr: n.addr}, Seeds: seeds, FirstRun: first || n.firstStart, Seed: w.rng.Uint64(), CompactBytes: 3000}, n.disk, w.now+n.clockOffset)
 	n.machine.faults, n.firstStart = w.faults, false
 	if w.faults.forgetVotes {
 		n.machine.promised, n.machine.accepted = Ballot{}, nil
@@ -216,7 +216,7 @@
 		n.inbox = n.inbox[1:]
 		out := n.machine.Step(w.now+n.clockOffset, event)
 		n.unsynced = out
-		if len(out.Sync) == 0 {
+		if len(out.Persist) == 0 {
 			w.release(n)
 			continue
 		}
@@ -244,8 +244,8 @@
 // release stores the records of a step and releases its messages and answers.
 func (w *world) release(n *node) {
 	out := n.unsynced
-	n.unsynced = Out{}
-	for _, r := range out.Sync {
+	n.unsynced = Output{}
+	for _, r := range out.Persist {
 		if w.encodeAll {
 			r = roundTrip(w, r)
 		}
@@ -258,7 +258,7 @@
 	for _, g := range out.Send {
 		w.transmit(g)
 	}
-	for _, r := range out.Done {
+	for _, r := range out.Results {
 		w.checkAnswer(n, r)
 	}
 }
@@ -305,16 +305,16 @@
 // checkInvariants tests the invariants that must hold on each machine at all times.
 func (w *world) checkInvariants(n *node) {
 	view := n.machine.view
-	if view.No != n.seenView {
-		n.seenView = view.No
+	if view.Number != n.seenView {
+		n.seenView = view.Number
 		text := fmt.Sprint(view)
-		if other, ok := w.views[view.No]; ok && other != text {
+		if other, ok := w.views[view.Number]; ok && other != text {
 			w.fail("two views under one number: %s and %s", other, text)
 		}
-		w.views[view.No] = text
-		w.maxView = max(w.maxView, view.No)
-		if _, ok := w.decided[view.No]; !ok {
-			w.decided[view.No] = view
+		w.views[view.Number] = text
+		w.maxView = max(w.maxView, view.Number)
+		if _, ok := w.decided[view.Number]; !ok {
+			w.decided[view.Number] = view
 			w.checkTolerance(view)
 		}
 	}
@@ -332,7 +332,7 @@
 		}
 		w.committed[state.Last.Seq] = state.Last
 	}
-	if n.wiped && n.machine.chainIndex() >= 0 && view.No == w.maxView && n.machine.isComplete() {
+	if n.wiped && n.machine.chainIndex() >= 0 && view.Number == w.maxView && n.machine.isComplete() {
 		n.wiped = false
 	}
 }
@@ -387,7 +387,7 @@
 	w.zone.pending, w.zone.known = true, false
 	w.zone.changes++
 	request := &call{node: n, zone: true, evacuate: w.rng.IntN(2) == 0, startedAt: w.now}
-	kind := TakeBack
+	kind := EndEvacuation
 	if request.evacuate {
 		kind = Evacuate
 	}
@@ -400,7 +400,7 @@
 	if w.zone.known && !w.zone.pending {
 		request.zoneChange = w.zone.changes
 	}
-	w.request(n, request, Event{Ask: &Ask{}})
+	w.request(n, request, Event{Read: &Read{}})
 	return request
 }
 
@@ -412,17 +412,17 @@
 	switch {
 	case event.Submit != nil:
 		event.Submit.ID = w.lastID
-	case event.Drop != nil:
-		event.Drop.ID = w.lastID
+	case event.Remove != nil:
+		event.Remove.ID = w.lastID
 	default:
-		event.Ask.ID = w.lastID
+		event.Read.ID = w.lastID
 	}
 	w.deliver(n, event)
 }
 
 // remove orders the removal of a machine.
 func (w *world) remove(operator, target *node) {
-	w.request(operator, &call{node: operator, removal: target.addr, startedAt: w.now}, Event{Drop: &Drop{Addr: target.addr}})
+	w.request(operator, &call{node: operator, removal: target.addr, startedAt: w.now}, Event{Remove: &Remove{Addr: target.addr}})
 }
 
 // kill ends a process. Part of what it was syncing may be on its disk.
@@ -432,10 +432,10 @@
 	}
 	n.up = false
 	if n.syncing {
-		kept := w.rng.IntN(len(n.unsynced.Sync) + 1)
-		n.disk = append(n.disk, n.unsynced.Sync[:kept]...)
+		kept := w.rng.IntN(len(n.unsynced.Persist) + 1)
+		n.disk = append(n.disk, n.unsynced.Persist[:kept]...)
 	}
-	n.unsynced, n.inbox, n.syncing = Out{}, nil, false
+	n.unsynced, n.inbox, n.syncing = Output{}, nil, false
 	for id, request := range w.calls {
 		if request.node == n {
 			delete(w.calls, id)
@@ -468,7 +468,7 @@
 		if n.up && n.frozenUntil <= w.now && w.waitsForSeat(n) {
 			continue
 		}
-		if !n.up || n.wiped || n.frozenUntil > w.now || n.machine.View().No != w.maxView || n.machine.chainIndex() < 0 || !n.machine.isComplete() {
+		if !n.up || n.wiped || n.frozenUntil > w.now || n.machine.View().Number != w.maxView || n.machine.chainIndex() < 0 || !n.machine.isComplete() {
 			lost[n] = true
 		}
 	}
--- a/internal/cairn/view.go
+++ b/internal/cairn/view.go
@@ -10,7 +10,7 @@
 // current view. Times are in milliseconds of the local clock.
 type ballotState struct {
 	promised Ballot
-	accepted *Acceptance
+	accepted *Vote
 
 	highestRound    uint64   // highest ballot round seen
 	ownAttempt      *attempt // the ballot led by this machine, if any
@@ -35,9 +35,9 @@
 type attempt struct {
 	ballot          Ballot
 	value           View
-	highestAccepted *Acceptance // the highest vote reported in promises; its value must be proposed again
-	promises        map[Ident]bool
-	votes           map[Ident]bool
+	highestAccepted *Vote // the highest vote reported in promises; its value must be proposed again
+	promises        map[MachineID]bool
+	votes           map[MachineID]bool
 	voting          bool    // a majority has promised
 	startedAt       float64 // when the attempt began
 }
@@ -74,14 +74,14 @@
 // as a member of the chain, in this one. Only such members may lead a later chain: a machine that
 // joined a chain which was never opened may lack what was acknowledged after it got its snapshot.
 func (m *Machine) isComplete() bool {
-	return m.complete || m.chainIndex() >= 0 && m.lastPosition().View == m.view.No
+	return m.complete || m.chainIndex() >= 0 && m.lastPosition().View == m.view.Number
 }
 
 // sendHeartbeats sends a heartbeat to the other machines and drops peers that have been silent for
 // long.
 func (m *Machine) sendHeartbeats() {
-	heartbeat := Beat{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last, Whole: m.isComplete(), Filled: m.hasSnapshot,
-		Round: max(m.highestRound, m.promised.Round), Ask: m.nextLeaseRequest(), Life: m.incarnation, Leaving: m.leaving, First: m.seatPending}
+	heartbeat := Heartbeat{View: m.view.Number, Last: m.lastPosition(), Committed: m.committed.Last, Complete: m.isComplete(), HasSnapshot: m.hasSnapshot,
+		Round: max(m.highestRound, m.promised.Round), LeaseRequest: m.nextLeaseRequest(), Incarnation: m.incarnation, Leaving: m.leaving, FirstStart: m.seatPending}
 	for index, id := range m.view.Core {
 		if index < 64 && m.hears(id) {
 			heartbeat.Hears |= 1 << index
@@ -98,71 +98,71 @@
 			if !m.hears(id) {
 				to.Disk = "" // whichever machine has the address now learns where the core is
 			}
-			m.send(to, Message{Beat: &heartbeat})
+			m.send(to, Message{Heartbeat: &heartbeat})
 		}
 	}
 	if !m.inCore() || m.majorityLostAt > 0 { // the core may have moved to machines that the seeds name
 		for _, addr := range m.config.Seeds {
 			if !addrs[addr] {
 				addrs[addr] = true
-				m.send(Ident{Addr: addr}, Message{Beat: &heartbeat})
+				m.send(MachineID{Addr: addr}, Message{Heartbeat: &heartbeat})
 			}
 		}
 	}
 	for _, id := range m.knownPeers() {
 		p := m.peers[id]
-		if m.now-p.heardAt > 20*m.config.Suspect {
+		if m.now-p.heardAt > 20*m.config.SuspectTimeout {
 			delete(m.peers, id)
-		} else if m.inCore() && !slices.Contains(m.view.Core, id) && m.now-p.heardAt < m.config.Suspect {
-			m.send(id, Message{Beat: &heartbeat}) // a joining machine must learn which members hear it
+		} else if m.inCore() && !slices.Contains(m.view.Core, id) && m.now-p.heardAt < m.config.SuspectTimeout {
+			m.send(id, Message{Heartbeat: &heartbeat}) // a joining machine must learn which members hear it
 		}
 	}
 }
 
 // knownPeers returns all machines heard of, in a fixed order, so that runs with the same seed are
 // identical.
-func (m *Machine) knownPeers() []Ident {
-	return slices.SortedFunc(maps.Keys(m.peers), func(a, b Ident) int {
+func (m *Machine) knownPeers() []MachineID {
+	return slices.SortedFunc(maps.Keys(m.peers), func(a, b MachineID) int {
 		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(m.peers[b].heardAt, m.peers[a].heardAt), cmp.Compare(a.Disk, b.Disk))
 	})
 }
 
 // hears reports whether a machine was heard recently. After a start, every machine counts as
 // heard until it has had the time to send a heartbeat.
-func (m *Machine) hears(id Ident) bool {
-	return id == m.self || m.silentFor(id) < m.config.Suspect
+func (m *Machine) hears(id MachineID) bool {
+	return id == m.self || m.silentFor(id) < m.config.SuspectTimeout
 }
 
 // isReachable reports whether a machine is reachable in both directions. One that is heard but hears
 // nobody would block the chain.
-func (m *Machine) isReachable(id Ident) bool {
+func (m *Machine) isReachable(id MachineID) bool {
 	if !m.hears(id) {
 		return false
 	}
 	index := slices.Index(m.view.Core, m.self)
-	if sender := m.peers[id]; id != m.self && sender != nil && sender.heartbeat.View == m.view.No && index >= 0 && index < 64 {
+	if sender := m.peers[id]; id != m.self && sender != nil && sender.heartbeat.View == m.view.Number && index >= 0 && index < 64 {
 		return sender.heartbeat.Hears>>index&1 == 1
 	}
 	return true
 }
 
 // handleHeartbeat processes a heartbeat.
-func (m *Machine) handleHeartbeat(from Ident, sender *peer, heartbeat Beat) {
-	if m.silentFor(from) >= m.config.Suspect {
+func (m *Machine) handleHeartbeat(from MachineID, sender *peer, heartbeat Heartbeat) {
+	if m.silentFor(from) >= m.config.SuspectTimeout {
 		m.nextHeartbeat = m.now // tells the sender at once that the connection is back
 	}
 	sender.heardAt, sender.heartbeat = m.now, heartbeat
 	m.notePendingSeat(from, heartbeat)
 	// Views are exchanged with a machine at most every 40 ms.
-	if heartbeat.View < m.view.No && m.now-sender.viewSentAt > 40 {
+	if heartbeat.View < m.view.Number && m.now-sender.viewSentAt > 40 {
 		sender.viewSentAt = m.now
 		m.sendView(from)
 	}
-	if heartbeat.View > m.view.No && m.now-sender.viewSentAt > 40 {
+	if heartbeat.View > m.view.Number && m.now-sender.viewSentAt > 40 {
 		sender.viewSentAt = m.now
-		m.send(from, Message{Beat: &Beat{View: m.view.No, Last: m.lastPosition(), Committed: m.committed.Last}}) // the sender will answer with its view
+		m.send(from, Message{Heartbeat: &Heartbeat{View: m.view.Number, Last: m.lastPosition(), Committed: m.committed.Last}}) // the sender will answer with its view
 	}
-	if heartbeat.View != m.view.No {
+	if heartbeat.View != m.view.Number {
 		return
 	}
 	m.highestRound = max(m.highestRound, heartbeat.Round)
@@ -175,9 +175,9 @@
 		m.commitThrough(heartbeat.Committed)
 		return
 	}
-	if index >= 0 && !heartbeat.Leaving && m.needsSnapshot(from, heartbeat) && m.isComplete() && m.now-sender.snapshotSentAt > 2*m.config.Again && m.isReachable(from) && m.reachableRank() == 0 {
+	if index >= 0 && !heartbeat.Leaving && m.needsSnapshot(from, heartbeat) && m.isComplete() && m.now-sender.snapshotSentAt > 2*m.config.RetryDelay && m.isReachable(from) && m.reachableRank() == 0 {
 		sender.snapshotSentAt = m.now
-		m.send(from, Message{Fill: &Fill{View: m.view.No, Whole: m.logSnapshot()}})
+		m.send(from, Message{Snapshot: &SnapshotTransfer{View: m.view.Number, Snapshot: m.logSnapshot()}})
 	}
 }
 
@@ -211,23 +211,23 @@
 }
 
 // lastReport returns the last heartbeat of a machine and whether it belongs to this view.
-func (m *Machine) lastReport(id Ident) (Beat, bool) {
+func (m *Machine) lastReport(id MachineID) (Heartbeat, bool) {
 	if id == m.self {
-		return Beat{View: m.view.No, Whole: m.isComplete(), Leaving: m.leaving}, true
+		return Heartbeat{View: m.view.Number, Complete: m.isComplete(), Leaving: m.leaving}, true
 	}
 	sender := m.peers[id]
 	if sender == nil || sender.heardAt == 0 && sender.heartbeat.View == 0 {
-		return Beat{}, false
+		return Heartbeat{}, false
 	}
-	return sender.heartbeat, sender.heartbeat.View == m.view.No
+	return sender.heartbeat, sender.heartbeat.View == m.view.Number
 }
 
 // proposeView returns the view that should follow. letGo leaves out members that are leaving.
 func (m *Machine) proposeView(letGo bool) (View, bool) {
-	var complete, incomplete, returning []Ident
+	var complete, incomplete, returning []MachineID
 	shrinks := false
 	for _, id := range m.view.Chain {
-		if !m.isReachable(id) && m.now-m.majorityRegainedAt < regainGraceIntervals*m.config.Beat {
+		if !m.isReachable(id) && m.now-m.majorityRegainedAt < regainGraceIntervals*m.config.HeartbeatInterval {
 			return View{}, false // it was partitioned together with this machine or from it, and may be heard soon
 		}
 		if !m.isReachable(id) || letGo && m.isLeaving(id) {
@@ -235,10 +235,10 @@
 			continue
 		}
 		report, ok := m.lastReport(id)
-		if !ok && m.now-m.viewSince < m.config.Suspect {
+		if !ok && m.now-m.viewSince < m.config.SuspectTimeout {
 			return View{}, false // it will learn of this view soon
 		}
-		if ok && (report.Whole || m.faults.allowAnyHead) {
+		if ok && (report.Complete || m.faults.allowAnyHead) {
 			complete = append(complete, id)
 		} else {
 			incomplete = append(incomplete, id)
@@ -248,7 +248,7 @@
 		return View{}, false
 	}
 	for _, id := range m.view.Core {
-		if report, ok := m.lastReport(id); ok && report.Filled && !slices.Contains(m.view.Chain, id) && m.isReachable(id) && m.heardByChain(id) {
+		if report, ok := m.lastReport(id); ok && report.HasSnapshot && !slices.Contains(m.view.Chain, id) && m.isReachable(id) && m.heardByChain(id) {
 			returning = append(returning, id)
 		}
 	}
@@ -265,10 +265,10 @@
 
 // heardByChain reports whether all reachable members of the chain hear a core member. One that only
 // some of them hear would be added and left out in turns.
-func (m *Machine) heardByChain(id Ident) bool {
+func (m *Machine) heardByChain(id MachineID) bool {
 	index := slices.Index(m.view.Core, id)
 	for _, member := range m.view.Chain {
-		if p := m.peers[member]; member != m.self && index < 64 && m.isReachable(member) && p != nil && p.heartbeat.View == m.view.No && p.heartbeat.Hears>>index&1 == 0 {
+		if p := m.peers[member]; member != m.self && index < 64 && m.isReachable(member) && p != nil && p.heartbeat.View == m.view.Number && p.heartbeat.Hears>>index&1 == 0 {
 			return false
 		}
 	}
@@ -278,11 +278,11 @@
 // considerBallot starts a ballot when a new view is wanted and it is this machine's turn, or when
 // its own vote has stayed undecided, because a cast vote keeps it from granting leases.
 func (m *Machine) considerBallot() {
-	if !m.inCore() || m.now < m.lastCheckedAt+m.config.Beat/4 {
+	if !m.inCore() || m.now < m.lastCheckedAt+m.config.HeartbeatInterval/4 {
 		return
 	}
 	m.lastCheckedAt = m.now
-	undecided := m.accepted != nil && m.now-m.votedAt > m.config.Ballot
+	undecided := m.accepted != nil && m.now-m.votedAt > m.config.BallotTimeout
 	next, wanted := m.wantedView()
 	if m.chainIndex() < 0 {
 		wanted = false
@@ -307,9 +307,9 @@
 		m.turnRank, m.turnAt = rank, m.viewWantedSince
 		switch {
 		case !wanted:
-			m.turnAt += m.rng.Float64() * m.config.Suspect / 2
+			m.turnAt += m.rng.Float64() * m.config.SuspectTimeout / 2
 		case rank > 0:
-			m.turnAt += float64(rank) * (m.config.Ballot + m.config.Lease) * (1 + m.rng.Float64()/2)
+			m.turnAt += float64(rank) * (m.config.BallotTimeout + m.config.LeaseDuration) * (1 + m.rng.Float64()/2)
 		}
 	}
 	if m.now < max(m.nextAttemptAt, m.turnAt) {
@@ -317,9 +317,9 @@
 	}
 	m.attempts++
 	backoff := 1 + m.rng.Float64()*float64(min(m.attempts-1, 4))
-	m.nextAttemptAt = m.now + m.config.Ballot*backoff
+	m.nextAttemptAt = m.now + m.config.BallotTimeout*backoff
 	m.highestRound = max(m.highestRound, m.promised.Round) + 1
-	m.ownAttempt = &attempt{ballot: Ballot{m.highestRound, m.self}, promises: map[Ident]bool{}, votes: map[Ident]bool{}, startedAt: m.now}
+	m.ownAttempt = &attempt{ballot: Ballot{m.highestRound, m.self}, promises: map[MachineID]bool{}, votes: map[MachineID]bool{}, startedAt: m.now}
 	if wanted {
 		m.ownAttempt.value = next
 	}
@@ -330,9 +330,9 @@
 
 // syncView brings both sides of a ballot to the same view and reports whether this machine may take
 // part. Ballots on an older view are answered with the newer one.
-func (m *Machine) syncView(from Ident, base View) bool {
+func (m *Machine) syncView(from MachineID, base View) bool {
 	m.adoptView(base)
-	if base.No < m.view.No {
+	if base.Number < m.view.Number {
 		if from != m.self {
 			m.sendView(from)
 		}
@@ -342,35 +342,35 @@
 }
 
 // handlePrepare processes a Prepare: it promises unless a higher ballot was promised before.
-func (m *Machine) handlePrepare(from Ident, msg Prepare) {
+func (m *Machine) handlePrepare(from MachineID, msg Prepare) {
 	if !m.syncView(from, msg.Base) {
 		return
 	}
 	m.highestRound = max(m.highestRound, msg.Ballot.Round)
-	answer := &Promise{For: m.view.No + 1, Ballot: msg.Ballot, Seen: m.promised}
+	answer := &Promise{ForView: m.view.Number + 1, Ballot: msg.Ballot, HighestPromised: m.promised}
 	if !msg.Ballot.less(m.promised) {
 		if m.promised != msg.Ballot {
 			m.promised = msg.Ballot
-			m.persist(Record{Promise: &Promised{For: answer.For, Ballot: msg.Ballot}})
+			m.persist(Record{Promise: &PromiseRecord{ForView: answer.ForView, Ballot: msg.Ballot}})
 		}
 		answer.OK, answer.Accepted = true, m.accepted
-		m.noGrantBefore = m.now + m.config.Ballot
+		m.noGrantBefore = m.now + m.config.BallotTimeout
 		m.releaseLeases()
 	}
 	m.send(from, Message{Promise: answer})
 }
 
 // handlePromise processes a Promise and asks for votes once a majority has promised.
-func (m *Machine) handlePromise(from Ident, msg Promise) {
+func (m *Machine) handlePromise(from MachineID, msg Promise) {
 	own := m.ownAttempt
-	if own == nil || msg.For != m.view.No+1 || msg.Ballot != own.ballot || own.voting || !slices.Contains(m.view.Core, from) {
+	if own == nil || msg.ForView != m.view.Number+1 || msg.Ballot != own.ballot || own.voting || !slices.Contains(m.view.Core, from) {
 		return
 	}
 	if !msg.OK {
-		m.backOff(msg.Seen)
+		m.backOff(msg.HighestPromised)
 		return
 	}
-	if own.highestAccepted == nil && msg.Accepted == nil && own.value.No > 0 && !slices.Contains(own.value.Core, from) && !m.isLeaving(from) && !m.faults.takeHeardSeats {
+	if own.highestAccepted == nil && msg.Accepted == nil && own.value.Number > 0 && !slices.Contains(own.value.Core, from) && !m.isLeaving(from) && !m.faults.takeHeardSeats {
 		m.ownAttempt = nil // the member that was to lose its seat has answered: it keeps the seat, and its promise must not count towards losing it
 		return
 	}
@@ -384,7 +384,7 @@
 	if own.highestAccepted != nil {
 		own.value = own.highestAccepted.Value
 	}
-	if own.value.No == 0 {
+	if own.value.Number == 0 {
 		m.ownAttempt = nil
 		return
 	}
@@ -398,24 +398,24 @@
 func (m *Machine) backOff(seen Ballot) {
 	m.highestRound = max(m.highestRound, seen.Round)
 	m.ownAttempt = nil
-	m.nextAttemptAt = max(m.nextAttemptAt, m.now+m.config.Ballot*(0.15+m.rng.Float64()*0.2*float64(min(m.attempts, 5))))
+	m.nextAttemptAt = max(m.nextAttemptAt, m.now+m.config.BallotTimeout*(0.15+m.rng.Float64()*0.2*float64(min(m.attempts, 5))))
 }
 
 // handleAccept processes an Accept. A vote for which granted leases must run out first is held back.
-func (m *Machine) handleAccept(from Ident, msg Accept) {
+func (m *Machine) handleAccept(from MachineID, msg Accept) {
 	if !m.syncView(from, msg.Base) {
 		return
 	}
 	m.highestRound = max(m.highestRound, msg.Ballot.Round)
-	answer := &Accepted{For: m.view.No + 1, Ballot: msg.Ballot, Seen: m.promised}
+	answer := &Accepted{ForView: m.view.Number + 1, Ballot: msg.Ballot, HighestPromised: m.promised}
 	if !msg.Ballot.less(m.promised) {
 		if !m.mayVote() {
-			m.noGrantBefore = max(m.noGrantBefore, m.now+m.config.Ballot)
+			m.noGrantBefore = max(m.noGrantBefore, m.now+m.config.BallotTimeout)
 			m.heldVote, m.heldFrom = &msg, from
 			return
 		}
 		m.promised = msg.Ballot
-		m.accepted = &Acceptance{For: answer.For, Ballot: msg.Ballot, Value: msg.Value}
+		m.accepted = &Vote{ForView: answer.ForView, Ballot: msg.Ballot, Value: msg.Value}
 		m.votedAt = m.now
 		m.persist(Record{Accept: m.accepted})
 		answer.OK = true
@@ -425,13 +425,13 @@
 
 // handleAccepted counts a vote. With a majority the view is decided, and the members of the old and the
 // new core are told.
-func (m *Machine) handleAccepted(from Ident, msg Accepted) {
+func (m *Machine) handleAccepted(from MachineID, msg Accepted) {
 	own := m.ownAttempt
-	if own == nil || msg.For != m.view.No+1 || msg.Ballot != own.ballot || !own.voting || !slices.Contains(m.view.Core, from) {
+	if own == nil || msg.ForView != m.view.Number+1 || msg.Ballot != own.ballot || !own.voting || !slices.Contains(m.view.Core, from) {
 		return
 	}
 	if !msg.OK {
-		m.backOff(msg.Seen)
+		m.backOff(msg.HighestPromised)
 		return
 	}
 	own.votes[from] = true
@@ -442,19 +442,19 @@
 	m.adoptView(decided)
 	for _, member := range union(previous.Core, decided.Core) {
 		if member != m.self {
-			m.send(member, Message{News: &decided})
+			m.send(member, Message{NewView: &decided})
 		}
 	}
 }
 
 // sendView sends a machine the current view.
-func (m *Machine) sendView(to Ident) {
+func (m *Machine) sendView(to MachineID) {
 	view := m.view
-	m.send(to, Message{News: &view})
+	m.send(to, Message{NewView: &view})
 }
 
 // union returns the members of a followed by those of b that are not in a.
-func union(a, b []Ident) []Ident {
+func union(a, b []MachineID) []MachineID {
 	all := slices.Clone(a)
 	for _, id := range b {
 		if !slices.Contains(all, id) {
@@ -468,10 +468,10 @@
 // machine that skips a view may have missed changes in it and is incomplete until it has received
 // the opening entry of the new view.
 func (m *Machine) adoptView(view View) {
-	if view.No <= m.view.No {
+	if view.Number <= m.view.Number {
 		return
 	}
-	m.enterView(view, view.No == m.view.No+1 && m.chainIndex() >= 0 && m.isComplete())
+	m.enterView(view, view.Number == m.view.Number+1 && m.chainIndex() >= 0 && m.isComplete())
 }
 
 // enterView makes a view the current one and resets the state that belonged to the previous view.
@@ -483,6 +483,6 @@
 	}
 	m.promised, m.accepted = Ballot{}, nil
 	m.resetViewState()
-	m.persist(Record{View: &ViewRecord{View: view, Whole: complete}})
+	m.persist(Record{View: &ViewRecord{View: view, Complete: complete}})
 	m.nextHeartbeat = m.now
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -35,12 +35,12 @@
 
 // Program describes one of the system's programs.
 type Program struct {
-	Name    string
-	Summary string
-	Flags   func(*flag.FlagSet) // defines flags of the serve command; nil for none
-	Check   func() error        // checks the values of these flags; nil for none
-	// Make creates the runner of the serve command.
-	Make func(settings *bootconfig.Settings, log zerolog.Logger) (Runner, error)
+	Name        string
+	Summary     string
+	DefineFlags func(*flag.FlagSet) // defines flags of the serve command; nil for none
+	CheckFlags  func() error        // checks the values of these flags; nil for none
+	// NewRunner creates the runner of the serve command.
+	NewRunner func(settings *bootconfig.Settings, log zerolog.Logger) (Runner, error)
 }
 
 // Main runs the command in the arguments of the process and returns its exit status.
@@ -82,12 +82,12 @@
 func (c *serve) Synopsis() string { return c.program.Summary }
 func (c *serve) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.metrics, "metrics", "", "PORT/PATH at which to serve metrics; the settings file takes precedence")
-	if c.program.Flags != nil {
-		c.program.Flags(flags)
+	if c.program.DefineFlags != nil {
+		c.program.DefineFlags(flags)
 	}
 }
 func (c *serve) Usage() string {
-	return "serve\n\tServe with the settings file that " + bootconfig.Variable + " names. SIGTERM starts a graceful shutdown, SIGHUP reloads\n" +
+	return "serve\n\tServe with the settings file that " + bootconfig.EnvVariable + " names. SIGTERM starts a graceful shutdown, SIGHUP reloads\n" +
 		"\tthe file.\n"
 }
 
@@ -98,8 +98,8 @@
 	signals, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	if c.program.Check != nil {
-		if err := c.program.Check(); err != nil {
+	if c.program.CheckFlags != nil {
+		if err := c.program.CheckFlags(); err != nil {
 			return fail(err)
 		}
 	}
@@ -107,8 +107,8 @@
 	if err != nil {
 		return fail(err)
 	}
-	log := zerolog.New(os.Stderr).With().Timestamp().Str("program", c.program.Name).Str("station", settings.Station).Logger()
-	runner, err := c.program.Make(settings, log)
+	log := zerolog.New(os.Stderr).With().Timestamp().Str("program", c.program.Name).Str("station", settings.Node).Logger()
+	runner, err := c.program.NewRunner(settings, log)
 	if err != nil {
 		log.Error().Err(err).Msg("start failed")
 		return subcommands.ExitFailure
@@ -148,7 +148,7 @@
 
 // watchSettings reloads the settings on a signal or if the file has changed. An invalid file changes nothing.
 func watchSettings(ctx context.Context, reload <-chan os.Signal, runner Runner, log zerolog.Logger) {
-	path := os.Getenv(bootconfig.Variable)
+	path := os.Getenv(bootconfig.EnvVariable)
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
 	modTime := func() time.Time {
@@ -175,7 +175,7 @@
 			log.Error().Err(err).Msg("settings not reloaded, the previous ones stay in force")
 			continue
 		}
-		log.Info().Strs("firstStations", settings.FirstStations).Msg("settings reloaded")
+		log.Info().Strs("firstStations", settings.SeedNodes).Msg("settings reloaded")
 		runner.Reload(settings)
 	}
 }
@@ -191,7 +191,7 @@
 	return "check [-settings FILE] [-timetable FILE] [-shadow FILE]\n\tPrint every invalid field and the reason. The exit status is 1 if there are any.\n"
 }
 func (c *check) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.settings, "settings", "", "a settings file (TOML), see "+bootconfig.Variable)
+	flags.StringVar(&c.settings, "settings", "", "a settings file (TOML), see "+bootconfig.EnvVariable)
 	flags.StringVar(&c.table, "timetable", "", "a configuration as for PUT /timetable (JSON); - for standard input")
 	flags.StringVar(&c.shadow, "shadow", "", "a traffic mirroring order as for PUT /shadow (JSON); - for standard input")
 }
@@ -203,7 +203,7 @@
 	}
 	faulty := false
 	if c.settings != "" {
-		if _, err := bootconfig.File(c.settings); err != nil {
+		if _, err := bootconfig.ReadFile(c.settings); err != nil {
 			fmt.Println(err)
 			faulty = true
 		}
@@ -223,7 +223,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		_, faults := spur.ReadOrder(text)
+		_, faults := spur.ParseRule(text)
 		for i := range faults {
 			fmt.Printf("%s: %s\n", c.shadow, faults[i].Error())
 			faulty = true
@@ -266,7 +266,7 @@
 	for _, addr := range flags.Args() {
 		peer := rpc.NewPeer(addr)
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
-		answer, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, peer, waymark.AskStatus{})
+		answer, err := rpc.Call[waymark.StatusRequest, waymark.StatusResponse](ctx, peer, waymark.StatusRequest{})
 		cancel()
 		peer.Close()
 		if err != nil {
--- a/internal/cli/forget.go
+++ b/internal/cli/forget.go
@@ -37,10 +37,10 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
-	answer, err := rpc.Call[waymark.Forget, waymark.Forgotten](ctx, peer, waymark.Forget{Addr: flags.Arg(0)})
+	answer, err := rpc.Call[waymark.RemoveNodeRequest, waymark.RemoveNodeResponse](ctx, peer, waymark.RemoveNodeRequest{Addr: flags.Arg(0)})
 	if err != nil {
 		return fail(err)
 	}
-	fmt.Printf("the core is %s\n", strings.Join(answer.Core, " "))
+	fmt.Printf("the core is %s\n", strings.Join(answer.Members, " "))
 	return subcommands.ExitSuccess
 }
--- a/internal/cli/shadow.go
+++ b/internal/cli/shadow.go
@@ -90,34 +90,34 @@
 	for _, addr := range addrs {
 		peer := rpc.NewPeer(addr)
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
-		answer, err := rpc.Call[waymark.AskCopies, waymark.Copies](ctx, peer, waymark.AskCopies{})
+		answer, err := rpc.Call[waymark.MirrorStatusRequest, waymark.MirrorStatusResponse](ctx, peer, waymark.MirrorStatusRequest{})
 		cancel()
 		peer.Close()
 		switch {
 		case err != nil:
 			fmt.Printf("%s: %v\n", addr, err)
 			exit = subcommands.ExitFailure
-		case answer.Off:
+		case answer.Disabled:
 			fmt.Printf("%s: started without -shadow\n", addr)
 			exit = subcommands.ExitFailure
 		default:
 			state, counts := answer.Status, answer.Status.Counts
 			fmt.Printf("%s: order %d on %t (%s), %d members, %d open, %d waiting, %d of %d bytes, chosen %d, whole %d, broken %d, delivered %d, held %d\n",
-				addr, state.Order, state.On, state.Why, state.Members, state.Open, state.Waiting, state.Bytes, state.Room, counts.Chosen, counts.Whole, counts.Broken, counts.Delivered, counts.Held)
-			fmt.Printf("  own part: sent %d, hung %d, refused %d, no room %d, lost %d, pressed %d times, worked %d ms\n", answer.Own.Sent, answer.Own.Hung,
-				answer.Own.Refused, answer.Own.NoRoom, answer.Own.Lost, answer.Own.Pressed, answer.Own.WorkMs)
-			if len(state.Silent) > 0 {
-				fmt.Printf("  hears nothing of %s\n", strings.Join(state.Silent, ", "))
+				addr, state.RuleNumber, state.Active, state.InactiveCause, state.Members, state.OpenFlows, state.WaitingFlows, state.UsedBytes, state.MaxBytes, counts.Selected, counts.Complete, counts.Broken, counts.Delivered, counts.Withheld)
+			fmt.Printf("  own part: sent %d, hung %d, refused %d, no room %d, lost %d, pressed %d times, worked %d ms\n", answer.Counters.Sent, answer.Counters.TimedOut,
+				answer.Counters.Refused, answer.Counters.QueueFull, answer.Counters.DroppedUnrecorded, answer.Counters.Suspended, answer.Counters.WorkMS)
+			if len(state.UnresponsiveNodes) > 0 {
+				fmt.Printf("  hears nothing of %s\n", strings.Join(state.UnresponsiveNodes, ", "))
 			}
-			total.Chosen, total.Whole, total.Broken = total.Chosen+counts.Chosen, total.Whole+counts.Whole, total.Broken+counts.Broken
-			total.Delivered, total.Held = total.Delivered+counts.Delivered, total.Held+counts.Held
-			for i, n := range counts.By {
-				total.By[i] += n
+			total.Selected, total.Complete, total.Broken = total.Selected+counts.Selected, total.Complete+counts.Complete, total.Broken+counts.Broken
+			total.Delivered, total.Withheld = total.Delivered+counts.Delivered, total.Withheld+counts.Withheld
+			for i, n := range counts.BrokenByCause {
+				total.BrokenByCause[i] += n
 			}
 		}
 	}
-	fmt.Printf("all: chosen %d, whole %d, broken %d, delivered %d, held %d\n", total.Chosen, total.Whole, total.Broken, total.Delivered, total.Held)
-	for i, n := range total.By {
+	fmt.Printf("all: chosen %d, whole %d, broken %d, delivered %d, held %d\n", total.Selected, total.Complete, total.Broken, total.Delivered, total.Withheld)
+	for i, n := range total.BrokenByCause {
 		if n > 0 {
 			fmt.Printf("  broken by %s: %d\n", spur.Cause(i), n)
 		}
--- a/internal/cli/shed.go
+++ b/internal/cli/shed.go
@@ -53,18 +53,18 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	order := waymark.FixLevel{Cut: policy.MarkOpen, ForMs: float64(c.duration.Milliseconds())}
+	order := waymark.FixSheddingLevel{Cut: policy.ShedNothing, DurationMS: float64(c.duration.Milliseconds())}
 	switch {
 	case c.auto:
-		order.ForMs = 0
+		order.DurationMS = 0
 	case c.tenant >= 0:
-		order.Cut = policy.TierMark(policy.Tier(c.tenant, c.route, 0))
+		order.Cut = policy.TierStart(policy.Tier(c.tenant, c.route, 0))
 	}
 	peer := rpc.NewPeer(c.at)
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := rpc.Call[waymark.FixLevel, waymark.Eased](ctx, peer, order); err != nil {
+	if _, err := rpc.Call[waymark.FixSheddingLevel, waymark.SheddingLevel](ctx, peer, order); err != nil {
 		return fail(err)
 	}
 	if c.auto {
--- a/internal/command/capture.go
+++ b/internal/command/capture.go
@@ -33,19 +33,19 @@
 }
 
 // openSet opens the capture segments at the given paths.
-func openSet(paths []string, keyFile string) (*capture.Set, []capture.Segment, *capture.Key, error) {
+func openSet(paths []string, keyFile string) (*capture.MultiReader, []capture.Segment, *capture.Key, error) {
 	key, err := readKey(keyFile)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	segments, err := capture.Find(paths...)
+	segments, err := capture.FindSegments(paths...)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if len(segments) == 0 {
 		return nil, nil, nil, fmt.Errorf("expected at least one capture segment at %s, found none", strings.Join(paths, ", "))
 	}
-	return capture.NewSet(segments, &key), segments, &key, nil
+	return capture.NewMultiReader(segments, &key), segments, &key, nil
 }
 
 func newCapture() *cobra.Command {
@@ -63,7 +63,7 @@
 			defer set.Close()
 			found := 0
 			err = set.Each(func(*capturepb.Record) {}, func(err error) {
-				var gap *capture.Gap
+				var gap *capture.GapError
 				if errors.As(err, &gap) {
 					err = fmt.Errorf("%s: %w", set.Current().File, err)
 				}
@@ -93,7 +93,7 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "file\tlife\tsegment\tbytes\tfirst record")
 			for _, s := range segments {
-				fmt.Fprintf(w, "%s\t%016x\t%d\t%d\t%s\n", s.File, s.Life, s.N, s.Size, formatTime(s.First))
+				fmt.Fprintf(w, "%s\t%016x\t%d\t%d\t%s\n", s.File, s.RunID, s.Number, s.Size, formatTime(s.FirstRecord))
 			}
 			counts := map[capturepb.Kind]int{}
 			err = set.Each(func(r *capturepb.Record) { counts[r.GetKind()]++ }, func(err error) { fmt.Fprintln(w, err) })
@@ -116,9 +116,9 @@
 }
 
 // openMerged opens one capture per argument, NAME=PATH or just PATH, and merges them.
-func openMerged(args []string, keyFile string) (*replay.Merged, *capture.Key, func(), error) {
-	var captures []replay.Named
-	var sets []*capture.Set
+func openMerged(args []string, keyFile string) (*replay.MergedCaptures, *capture.Key, func(), error) {
+	var captures []replay.NamedSource
+	var sets []*capture.MultiReader
 	closeAll := func() {
 		for _, s := range sets {
 			s.Close()
@@ -137,7 +137,7 @@
 		}
 		key = setKey
 		sets = append(sets, set)
-		captures = append(captures, replay.Named{Name: name, From: set})
+		captures = append(captures, replay.NamedSource{Name: name, From: set})
 	}
 	return replay.Merge(captures...), key, closeAll, nil
 }
@@ -245,7 +245,7 @@
 				return err
 			}
 			defer set.Close()
-			progressBar := newProgress(cmd.ErrOrStderr(), against == "" && !quiet, set.Read)
+			progressBar := newProgress(cmd.ErrOrStderr(), against == "" && !quiet, set.Progress)
 			if against != "" {
 				return compareSettings(cmd.OutOrStdout(), set, key, against, chart, progressBar)
 			}
@@ -253,8 +253,8 @@
 				return usageError{errors.New("--chart needs --against")}
 			}
 			options := replay.Options{Stop: func() bool { progressBar.step(); return false }}
-			if options.Request = replay.Number(request); options.Request == 0 {
-				options.Name = request
+			if options.LogRequestID = replay.RequestNumber(request); options.LogRequestID == 0 {
+				options.LogRequestName = request
 			}
 			if !quiet {
 				options.Log = cmd.OutOrStdout()
@@ -275,7 +275,7 @@
 			for _, n := range report.Notes {
 				fmt.Fprintln(stderr, "note:", n)
 			}
-			fmt.Fprintf(stderr, "%d lives, %d calls, %d decisions, from %s to %s\n", report.Lives, report.Calls, report.Decisions,
+			fmt.Fprintf(stderr, "%d lives, %d calls, %d decisions, from %s to %s\n", report.Runs, report.Calls, report.Decisions,
 				formatTime(report.First), formatTime(report.Last))
 			for _, d := range report.Differences {
 				fmt.Fprintf(stderr, "at %s, %s\n  recorded: %q\n  decided:  %q\n", formatTime(d.At), d.Call, d.Want, d.Got)
@@ -301,14 +301,14 @@
 
 // compareSettings replays a capture with the settings of a configuration file, and writes how the
 // results differ.
-func compareSettings(out io.Writer, set *capture.Set, key *capture.Key, file, chart string, progressBar *progress) error {
+func compareSettings(out io.Writer, set *capture.MultiReader, key *capture.Key, file, chart string, progressBar *progress) error {
 	var other policy.Settings
 	if file != recordedSettings {
 		c, err := config.Read(file)
 		if err != nil {
 			return err
 		}
-		if other, _, err = c.Terms(); err != nil {
+		if other, _, err = c.PolicySettings(); err != nil {
 			return err
 		}
 	}
@@ -356,8 +356,8 @@
 				return err
 			}
 			defer set.Close()
-			if p, ok := capture.Locate(segments, request); ok {
-				set.Skip(p)
+			if p, ok := capture.LocateRequest(segments, request); ok {
+				set.StartAt(p)
 			}
 			return replay.Explain(cmd.OutOrStdout(), set, key, request)
 		},
@@ -387,7 +387,7 @@
 				return err
 			}
 			set.Close()
-			n, err := capture.CutOut(segments, key, begin.UnixMicro(), end.UnixMicro(), out)
+			n, err := capture.Extract(segments, key, begin.UnixMicro(), end.UnixMicro(), out)
 			if err != nil {
 				return err
 			}
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -33,15 +33,15 @@
 			if workerConfig.Classes, err = parseServices(classes); err != nil {
 				return usageError{err}
 			}
-			workerConfig.Default = emulator.Service{Mean: 5 * time.Millisecond}
+			workerConfig.Default = emulator.ServiceTime{Mean: 5 * time.Millisecond}
 			workerConfig.Fault = periodicFaults(stallEvery, resetEvery)
 			stop := make(chan os.Signal, 1)
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-			workerConfig.Ledger = emulator.NewLedger()
+			workerConfig.Log = emulator.NewRequestLog()
 			connections := 0
 			var workers []*emulator.Worker
 			for range count {
-				w, err := emulator.Start(listen, workerConfig)
+				w, err := emulator.StartWorker(listen, workerConfig)
 				if err != nil {
 					return err
 				}
@@ -56,9 +56,9 @@
 				connections += opened
 			}
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(struct {
-				emulator.Totals
+				emulator.RequestTotals
 				Connections int `json:"connections"`
-			}{workerConfig.Ledger.Totals(), connections})
+			}{workerConfig.Log.Totals(), connections})
 		},
 	}
 	flags := worker.Flags()
@@ -67,11 +67,11 @@
 	flags.IntVar(&workerConfig.Cores, "cores", 2, "requests that are executed at once")
 	flags.IntVar(&workerConfig.Queue, "queue", 64, "requests that may wait for a core; others get status 503")
 	flags.StringArrayVar(&classes, "service", nil, "service time of a class, such as cuota=4ms, or cuota=60ms/0.7 with a coefficient of variation")
-	flags.DurationVar(&workerConfig.Window, "window", time.Second, "how long requests are deduplicated by their key")
-	flags.DurationVar(&workerConfig.ColdFor, "cold-for", 0, "how long the worker is slower after its start")
+	flags.DurationVar(&workerConfig.RepeatWindow, "window", time.Second, "how long requests are deduplicated by their key")
+	flags.DurationVar(&workerConfig.ColdDuration, "cold-for", 0, "how long the worker is slower after its start")
 	flags.Float64Var(&workerConfig.ColdFactor, "cold-factor", 4, "how many times slower it is at the start")
-	flags.StringVar(&workerConfig.Echo, "echo", "X-Link-Turn", "header that is copied into responses; empty for none")
-	flags.BoolVar(&workerConfig.Reports, "reports", false, "send load reports in responses")
+	flags.StringVar(&workerConfig.EchoHeader, "echo", "X-Link-Turn", "header that is copied into responses; empty for none")
+	flags.BoolVar(&workerConfig.LoadReports, "reports", false, "send load reports in responses")
 	flags.IntVar(&workerConfig.MaxStreams, "streams", 0, "HTTP/2 streams at once; 0 for the default of the library")
 	flags.Uint64Var(&workerConfig.Seed, "seed", 1, "seed of the service times")
 	flags.IntVar(&stallEvery, "stall-every", 0, "never respond to every N-th request; 0 for none")
@@ -107,7 +107,7 @@
 				}
 				events = append(events, event)
 			}
-			counter := emulator.NewCounter(emulator.CounterConfig{Each: 1000 / perSecond, Queue: float64(queue) / float64(time.Millisecond), Seed: seed})
+			counter := emulator.NewCounter(emulator.CounterConfig{ServiceTimeMS: 1000 / perSecond, MaxQueueMS: float64(queue) / float64(time.Millisecond), Seed: seed})
 			server, err := emulator.ServeCounter(counter, listen...)
 			if err != nil {
 				return err
@@ -117,14 +117,14 @@
 			}
 			stop, end := make(chan os.Signal, 1), make(chan struct{})
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-			go server.Play(emulator.Moments(events), end)
+			go server.ApplyChanges(emulator.CounterChanges(events), end)
 			<-stop
 			close(end)
 			server.Stop()
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(struct {
 				Calls int `json:"calls"`
 				Made  int `json:"made"`
-			}{counter.Calls, counter.Made})
+			}{counter.Calls, counter.Additions})
 		},
 	}
 	flags := cmd.Flags()
@@ -137,12 +137,12 @@
 }
 
 // parseServices parses service times: CLASS=MEAN or CLASS=MEAN/CV.
-func parseServices(texts []string) (map[string]emulator.Service, error) {
-	services := map[string]emulator.Service{}
+func parseServices(texts []string) (map[string]emulator.ServiceTime, error) {
+	services := map[string]emulator.ServiceTime{}
 	for _, text := range texts {
 		name, value, ok := strings.Cut(text, "=")
 		mean, cv, varies := strings.Cut(value, "/")
-		service := emulator.Service{}
+		service := emulator.ServiceTime{}
 		var err error
 		if service.Mean, err = time.ParseDuration(mean); err != nil || !ok || service.Mean <= 0 {
 			return nil, fmt.Errorf("--service %q is not CLASS=MEAN or CLASS=MEAN/CV", text)
@@ -163,7 +163,7 @@
 		return nil
 	}
 	return func(a emulator.Arrival) emulator.Fault {
-		switch n := a.N + 1; {
+		switch n := a.Sequence + 1; {
 		case stallEvery > 0 && n%stallEvery == 0:
 			return emulator.Stall
 		case resetEvery > 0 && n%resetEvery == 0:
--- a/internal/command/import.go
+++ b/internal/command/import.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	result, err := nginx.Read(string(text), upstream)
+	result, err := nginx.Import(string(text), upstream)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -43,7 +43,7 @@
 			default:
 				return usageError{fmt.Errorf("--arrivals %q is neither poisson nor constant", arrivals)}
 			}
-			if err := plan.Check(); err != nil {
+			if err := plan.Validate(); err != nil {
 				return usageError{err}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
@@ -55,7 +55,7 @@
 			if err := report.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if report.Behind {
+			if report.FellBehind {
 				return errBehindSchedule
 			}
 			return nil
@@ -63,16 +63,16 @@
 	}
 	flags := cmd.Flags()
 	flags.StringSliceVar(&plan.Targets, "target", []string{"127.0.0.1:8080"}, "addresses of gatekeepers, used in turn")
-	flags.Float64Var(&plan.Rate, "rate", 100, "requests per second, over all targets")
+	flags.Float64Var(&plan.RatePerSecond, "rate", 100, "requests per second, over all targets")
 	flags.StringVar(&arrivals, "arrivals", "poisson", "arrival process: poisson or constant")
-	flags.DurationVar(&plan.For, "for", 10*time.Second, "duration of the load")
-	flags.DurationVar(&plan.Settle, "settle", 0, "warm-up time, in which requests are sent but not counted")
+	flags.DurationVar(&plan.Duration, "for", 10*time.Second, "duration of the load")
+	flags.DurationVar(&plan.WarmUp, "settle", 0, "warm-up time, in which requests are sent but not counted")
 	flags.StringArrayVar(&classes, "class", []string{"cuota=1"}, "a class and its share: cuota=4, or simulacion=1/keyed for POST with an idempotency key")
 	flags.DurationVar(&deadline, "deadline", 2*time.Second, "how long clients wait")
 	flags.Float64Var(&units, "units", 1, "units per request")
-	flags.StringVar(&plan.PlanName, "plan", "mayor", "plan of the customers")
+	flags.StringVar(&plan.TariffPlan, "plan", "mayor", "plan of the customers")
 	flags.IntVar(&plan.Customers, "customers", 10, "number of customers")
-	flags.IntVar(&plan.Body, "body", 64, "bytes in the body of a POST")
+	flags.IntVar(&plan.BodyBytes, "body", 64, "bytes in the body of a POST")
 	flags.Uint64Var(&plan.Seed, "seed", 1, "seed of the arrivals")
 	return cmd
 }
@@ -85,7 +85,7 @@
 		part, kind, _ := strings.Cut(value, "/")
 		class := load.Class{Name: name, Method: "GET", Deadline: deadline, Units: units}
 		var err error
-		if class.Part, err = strconv.ParseFloat(part, 64); err != nil || !ok {
+		if class.Weight, err = strconv.ParseFloat(part, 64); err != nil || !ok {
 			return nil, fmt.Errorf("--class %q is not NAME=PART or NAME=PART/keyed", text)
 		}
 		switch kind {
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -28,7 +28,7 @@
 			"Markdown. Nothing else should run on the machine.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, f := range trial.Fleets() {
+			for _, f := range trial.DefaultFleets() {
 				if slices.Contains(fleets, f.Name) {
 					options.Fleets = append(options.Fleets, f)
 				}
@@ -38,7 +38,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			table, err := trial.Transports(ctx, options)
+			table, err := trial.CompareTransports(ctx, options)
 			if err != nil {
 				return err
 			}
@@ -57,10 +57,10 @@
 	f := transports.Flags()
 	f.StringSliceVar(&fleets, "fleet", []string{"short", "site"}, "service times: short, site")
 	f.StringSliceVar(&options.Transports, "transport", []string{"one-at-a-time", "pipeline", "http2", "batch", "ReverseProxy"}, "transports to compare")
-	f.Float64SliceVar(&options.Loads, "load", []float64{0.5, 0.9, 1}, "load as fractions of the fleet's capacity")
+	f.Float64SliceVar(&options.LoadFractions, "load", []float64{0.5, 0.9, 1}, "load as fractions of the fleet's capacity")
 	f.IntVar(&options.Runs, "runs", 10, "runs of each case")
-	f.DurationVar(&options.For, "for", 4*time.Second, "duration of a run")
-	f.DurationVar(&options.Settle, "settle", time.Second, "warm-up part of each run, which is not counted")
+	f.DurationVar(&options.RunDuration, "for", 4*time.Second, "duration of a run")
+	f.DurationVar(&options.WarmUp, "settle", time.Second, "warm-up part of each run, which is not counted")
 	f.Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals, increased by 1 for each further run")
 	f.StringVar(&outFile, "out", "", "file to write the table to (default: standard output)")
 
@@ -71,7 +71,7 @@
 		Short:  "The baseline: Go's ReverseProxy in front of workers",
 		Hidden: true,
 		Args:   noArgs,
-		RunE:   func(*cobra.Command, []string) error { return trial.Proxy(listen, workers) },
+		RunE:   func(*cobra.Command, []string) error { return trial.ServeReverseProxy(listen, workers) },
 	}
 	proxy.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to serve at")
 	proxy.Flags().StringSliceVar(&workers, "workers", nil, "addresses of workers")
@@ -80,22 +80,22 @@
 }
 
 func newMeasureCounter() *cobra.Command {
-	var options trial.Counters
+	var options trial.CounterFaults
 	cmd := &cobra.Command{
 		Use:   "counter",
 		Short: "Simulate how well several gatekeepers enforce quotas while their counter fails",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.Write(cmd.OutOrStdout()) },
 	}
-	cmd.Flags().IntVar(&options.Gates, "gatekeepers", 4, "number of gatekeepers; a ceiling that is small for their number is leased from the counter")
+	cmd.Flags().IntVar(&options.Gateways, "gatekeepers", 4, "number of gatekeepers; a ceiling that is small for their number is leased from the counter")
 	cmd.Flags().IntVar(&options.Runs, "runs", 200, "runs of each failure")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the first run, increased by 1 for each further run")
 	return cmd
 }
 
 func newMeasureCapture() *cobra.Command {
-	options := trial.Options{Progress: os.Stderr, Loads: []float64{0.5}, Fleets: trial.Fleets()[:1]}
-	events := trial.Events{Runs: 15, Requests: 100000}
+	options := trial.Options{Progress: os.Stderr, LoadFractions: []float64{0.5}, Fleets: trial.DefaultFleets()[:1]}
+	events := trial.CaptureOverhead{Runs: 15, Requests: 100000}
 	var lives int
 	cmd := &cobra.Command{
 		Use:   "capture",
@@ -104,23 +104,23 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			if err := trial.Captures(ctx, options, cmd.OutOrStdout()); err != nil {
+			if err := trial.MeasureCapture(ctx, options, cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			events.Seed = options.Seed
 			if err := events.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			restarts := trial.Restarts{Lives: lives, Seed: options.Seed, Down: 300}
+			restarts := trial.Restarts{Count: lives, Seed: options.Seed, DowntimeMs: 300}
 			return restarts.Write(cmd.OutOrStdout())
 		},
 	}
 	flags := cmd.Flags()
 	flags.IntVar(&options.Runs, "runs", 10, "runs of each case")
-	flags.IntVar(&events.Large, "large", 2500000, "requests in the capture from which requests are explained")
+	flags.IntVar(&events.LargeRequests, "large", 2500000, "requests in the capture from which requests are explained")
 	flags.IntVar(&lives, "lives", 200, "simulated restarts, both cold and warm")
-	flags.DurationVar(&options.For, "for", 4*time.Second, "duration of a run")
-	flags.DurationVar(&options.Settle, "settle", time.Second, "warm-up part of each run, which is not counted")
+	flags.DurationVar(&options.RunDuration, "for", 4*time.Second, "duration of a run")
+	flags.DurationVar(&options.WarmUp, "settle", time.Second, "warm-up part of each run, which is not counted")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the arrivals, increased by 1 for each further run")
 	return cmd
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,9 +36,9 @@
 	Seed      string `json:"seed"` // 64 bits in hexadecimal digits; random if empty
 	Limits    Limits `json:"limits"`
 	Counter   string `json:"counter"`
-	// Control is the address of the admin server; there is none if it is empty.
-	Control string        `json:"control"`
-	Known   platform.List `json:"known"`
+	// AdminAddress is the address of the admin server; there is none if it is empty.
+	AdminAddress string              `json:"control"`
+	KnownWorkers platform.WorkerList `json:"known"`
 	// Settings is the settings object in the platform's form. It is empty for an HCL file,
 	// which has blocks instead.
 	Settings json.RawMessage `json:"settings"`
@@ -61,12 +61,12 @@
 
 // Capture configures where and how long captures are kept.
 type Capture struct {
-	Folder    string  `hcl:"folder"`
-	Key       string  `hcl:"key,optional"` // file with the key that hides ids; without it they are stored unchanged
-	SegmentMB int64   `hcl:"segment_mb,optional"`
-	KeptMB    int64   `hcl:"kept_mb,optional"`
-	KeptHours float64 `hcl:"kept_hours,optional"`
-	Warm      bool    `hcl:"warm,optional"` // a start recovers the state at the end of the last run
+	Dir          string  `hcl:"folder"`
+	KeyFile      string  `hcl:"key,optional"` // file with the key that hides ids; without it they are stored unchanged
+	SegmentMB    int64   `hcl:"segment_mb,optional"`
+	MaxTotalMB   int64   `hcl:"kept_mb,optional"`
+	MaxAgeHours  float64 `hcl:"kept_hours,optional"`
+	RecoverState bool    `hcl:"warm,optional"` // a start recovers the state at the end of the last run
 }
 
 // policyTerms is the settings from an HCL file, in place of the settings object.
@@ -75,17 +75,17 @@
 	names    settings.Names
 }
 
-// Terms returns the settings of the decision module, and the names of classes, plans and zones
+// PolicySettings returns the settings of the decision module, and the names of classes, plans and zones
 // that belong to them.
-func (c *Config) Terms() (policy.Settings, settings.Names, error) {
+func (c *Config) PolicySettings() (policy.Settings, settings.Names, error) {
 	if c.hclTerms != nil {
 		return c.hclTerms.settings, c.hclTerms.names, nil
 	}
 	return settings.Parse(c.Settings)
 }
 
-// SeedBits returns the seed as a number; ok is false if there is none.
-func (c *Config) SeedBits() (seed uint64, ok bool, err error) {
+// ParseSeed returns the seed as a number; ok is false if there is none.
+func (c *Config) ParseSeed() (seed uint64, ok bool, err error) {
 	if c.Seed == "" {
 		return 0, false, nil
 	}
@@ -118,9 +118,9 @@
 	return cfg, nil
 }
 
-// Replaces returns an error if the configuration lacks keys that the active one has. Such a
+// CheckReplacement returns an error if the configuration lacks keys that the active one has. Such a
 // file was truncated or edited by mistake, and must not take effect partly.
-func (c *Config) Replaces(inForce *Config) error {
+func (c *Config) CheckReplacement(inForce *Config) error {
 	if missing := inForce.jsonKeys.missingFrom(c.jsonKeys, ""); len(missing) > 0 {
 		return fmt.Errorf("configuration: the new file lacks keys of the active one: %s", strings.Join(missing, ", "))
 	}
@@ -189,13 +189,13 @@
 	return fmt.Sprintf("%s:%d", file, 1+strings.Count(string(text[:min(offset, int64(len(text)))]), "\n"))
 }
 
-// Check returns an error if the address of the counter, of discovery or of the admin server
+// CheckAddresses returns an error if the address of the counter, of discovery or of the admin server
 // can't be resolved, or if the settings use a counter that has no address.
-func (c *Config) Check(counterEnabled bool) error {
+func (c *Config) CheckAddresses(counterEnabled bool) error {
 	if counterEnabled && c.Counter == "" {
 		return errors.New("configuration: the settings use a counter, but its address is missing")
 	}
-	for _, party := range [...]struct{ name, addr string }{{"counter", c.Counter}, {"discovery", c.Discovery}, {"control", c.Control}} {
+	for _, party := range [...]struct{ name, addr string }{{"counter", c.Counter}, {"discovery", c.Discovery}, {"control", c.AdminAddress}} {
 		if party.addr == "" {
 			continue
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,12 +46,12 @@
 	if diff := cmp.Diff(fromJSON, fromHCL, cmpopts.IgnoreUnexported(Config{}), cmpopts.IgnoreFields(Config{}, "Settings")); diff != "" {
 		t.Error(diff)
 	}
-	settingsJSON, namesJSON, err := fromJSON.Terms()
+	settingsJSON, namesJSON, err := fromJSON.PolicySettings()
 	if err != nil {
 		t.Fatal(err)
 	}
-	settingsHCL, namesHCL, _ := fromHCL.Terms()
-	settingsJSON.Tick, settingsJSON.Weights = settingsHCL.Tick, settingsHCL.Weights // the JSON example has the platform's values
+	settingsHCL, namesHCL, _ := fromHCL.PolicySettings()
+	settingsJSON.ClockTick, settingsJSON.UseWeights = settingsHCL.ClockTick, settingsHCL.UseWeights // the JSON example has the platform's values
 	if diff := cmp.Diff(settingsJSON, settingsHCL, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
@@ -125,14 +125,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(link.Transport{Carrier: link.Batch, Gather: 1.5, Depth: 16}, cfg.Transport); diff != "" {
+	if diff := cmp.Diff(link.Transport{Protocol: link.Batch, BatchDelayMS: 1.5, MaxInFlight: 16}, cfg.Transport); diff != "" {
 		t.Error(diff)
 	}
-	settings, _, _ := cfg.Terms()
-	if !settings.Weights {
+	settings, _, _ := cfg.PolicySettings()
+	if !settings.UseWeights {
 		t.Error("the worker's weight has no effect")
 	}
-	want := []policy.Class{{Aim: 100e3, Deadline: 400e3, Window: 900e3, Worth: 1, Repeat: policy.Keyed, Group: policy.GroupCell}}
+	want := []policy.Class{{LatencyTarget: 100e3, Deadline: 400e3, RepeatWindow: 900e3, Value: 1, Repeat: policy.RepeatKeyed, Dedup: policy.DedupCell}}
 	if diff := cmp.Diff(want, settings.Classes); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/config/hcl.go
+++ b/internal/config/hcl.go
@@ -142,7 +142,7 @@
 	if len(errs.errs) > 0 {
 		return Config{}, errors.Join(errs.errs...)
 	}
-	cfg := Config{Name: parsed.Name, Listen: parsed.Listen, Seed: parsed.Seed, Discovery: parsed.Discovery, XDS: parsed.XDS, Control: parsed.Control, OpenAPI: parsed.OpenAPI, Capture: parsed.Capture}
+	cfg := Config{Name: parsed.Name, Listen: parsed.Listen, Seed: parsed.Seed, Discovery: parsed.Discovery, XDS: parsed.XDS, AdminAddress: parsed.Control, OpenAPI: parsed.OpenAPI, Capture: parsed.Capture}
 	if parsed.Limits != nil {
 		cfg.Limits = *parsed.Limits
 	}
@@ -169,19 +169,19 @@
 
 // policyTerms converts the blocks of the file to settings. The pool is added by addPool.
 func (f *hclFile) policyTerms(errs *errorList) *policyTerms {
-	settings := policy.Settings{Gateways: 1, Tick: microseconds(orDefault(f.Tick, defaultTickMS)), Cancel: true, MaxAttempts: defaultMaxAttempts,
-		RetryAfter: true, InlineLoad: f.Reports, Settles: f.Settles, Largest: f.Largest}
+	settings := policy.Settings{GatewayCount: 1, ClockTick: microseconds(orDefault(f.Tick, defaultTickMS)), CanCancel: true, MaxAttempts: defaultMaxAttempts,
+		SendRetryAfter: true, LoadReportFields: f.Reports, SettlesUnits: f.Settles, MaxUnits: f.Largest}
 	if g := f.Siblings; g != nil {
-		settings.Gateways, settings.Self = g.Count, g.Self
+		settings.GatewayCount, settings.Index = g.Count, g.Self
 	}
 	if a := f.Attempts; a != nil {
 		settings.MaxAttempts = a.Most
 	}
 	if c := f.Cold; c != nil {
-		settings.ColdShare, settings.ColdFor, settings.FallMultiple, settings.FallWindow = c.Share, microseconds(c.For), c.Multiple, microseconds(c.Window)
+		settings.ColdCapacity, settings.ColdDuration, settings.OverloadMultiple, settings.OverloadWindow = c.Share, microseconds(c.For), c.Multiple, microseconds(c.Window)
 	}
 	if c := f.Counter; c != nil {
-		settings.Counter, settings.CounterTimeout = true, microseconds(c.Timeout)
+		settings.HasCounter, settings.CounterTimeout = true, microseconds(c.Timeout)
 	}
 	terms := &policyTerms{settings: settings}
 	for _, plan := range f.Plans {
@@ -192,8 +192,8 @@
 			errs.add(plan.Range, "plan %q: rate, burst and price must not be below 0", plan.Name)
 		}
 		terms.names.Plans = append(terms.names.Plans, plan.Name)
-		terms.settings.Plans = append(terms.settings.Plans, policy.Plan{Rate: plan.Rate, Burst: plan.Burst, Open: plan.Open, Price: plan.Price,
-			OverCost: plan.OverCost, CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingSlack: plan.CeilingSlack})
+		terms.settings.Plans = append(terms.settings.Plans, policy.Plan{Rate: plan.Rate, Burst: plan.Burst, MaxInFlight: plan.Open, Price: plan.Price,
+			OverrunCost: plan.OverCost, CeilingRate: plan.CeilingRate, CeilingBurst: plan.CeilingBurst, CeilingTolerance: plan.CeilingSlack})
 	}
 	for _, c := range f.Classes {
 		f.addClass(terms, c, errs)
@@ -205,7 +205,7 @@
 }
 
 // repeatByName maps the values of a class's repeat key to retry classes.
-var repeatByName = map[string]policy.Repeat{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var repeatByName = map[string]policy.Repeatability{"safe": policy.RepeatSafe, "keyed": policy.RepeatKeyed, "unsafe": policy.RepeatUnsafe}
 
 // addClass validates a class block and adds it to the settings.
 func (f *hclFile) addClass(terms *policyTerms, block classBlock, errs *errorList) {
@@ -217,7 +217,7 @@
 	if !ok {
 		errs.add(block.Range, "class %q: group %q is not all, zone or cell", block.Name, block.Group)
 	}
-	if repeat == policy.Keyed && block.Window <= 0 {
+	if repeat == policy.RepeatKeyed && block.Window <= 0 {
 		errs.add(block.Range, "class %q is keyed and states no window_ms", block.Name)
 	}
 	if block.Aim <= 0 || block.Deadline < block.Aim {
@@ -227,8 +227,8 @@
 		errs.add(block.Range, "class %q is defined twice", block.Name)
 	}
 	terms.names.Classes = append(terms.names.Classes, block.Name)
-	terms.settings.Classes = append(terms.settings.Classes, policy.Class{Aim: microseconds(block.Aim), Deadline: microseconds(block.Deadline),
-		Window: microseconds(block.Window), Worth: orDefault(block.Worth, 1), LateWorth: block.LateWorth, Repeat: repeat, Group: group})
+	terms.settings.Classes = append(terms.settings.Classes, policy.Class{LatencyTarget: microseconds(block.Aim), Deadline: microseconds(block.Deadline),
+		RepeatWindow: microseconds(block.Window), Value: orDefault(block.Worth, 1), LateValue: block.LateWorth, Repeat: repeat, Dedup: group})
 }
 
 // addPool applies the pool block: the workers and the transport to them. So far a gatekeeper
@@ -243,19 +243,19 @@
 	}
 	pool := f.Pools[0]
 	names := &cfg.hclTerms.names
-	names.ConnectMost, names.ConnIdle = microseconds(orDefault(pool.Connect, defaultConnectMS)), microseconds(orDefault(pool.Idle, defaultIdleMS))
-	carrier, ok := link.CarrierOf(pool.Transport)
+	names.ConnectTimeout, names.IdleTimeout = microseconds(orDefault(pool.Connect, defaultConnectMS)), microseconds(orDefault(pool.Idle, defaultIdleMS))
+	carrier, ok := link.ParseProtocol(pool.Transport)
 	if !ok {
-		errs.add(pool.Range, "pool %q: transport %q is not one of %s", pool.Name, pool.Transport, link.CarrierNames())
+		errs.add(pool.Range, "pool %q: transport %q is not one of %s", pool.Name, pool.Transport, link.ProtocolNames())
 	}
-	cfg.Transport = link.Transport{Carrier: carrier, Depth: pool.Depth, Links: pool.Links, Gather: pool.Gather, Echo: pool.Echo, Path: pool.Path}
-	if err := cfg.Transport.Check(); err != nil {
+	cfg.Transport = link.Transport{Protocol: carrier, MaxInFlight: pool.Depth, MaxConns: pool.Links, BatchDelayMS: pool.Gather, EchoHeader: pool.Echo, Path: pool.Path}
+	if err := cfg.Transport.Validate(); err != nil {
 		errs.add(pool.Range, "pool %q: %v", pool.Name, err)
 	}
 	if len(pool.Workers) == 0 && f.Discovery == "" {
 		errs.add(pool.Range, "pool %q: expected a worker block or a discovery address", pool.Name)
 	}
-	cfg.Known.Generation, cfg.Known.Reset = 1, true
+	cfg.KnownWorkers.Generation, cfg.KnownWorkers.Reset = 1, true
 	seen := map[string]bool{}
 	for _, worker := range pool.Workers {
 		if _, err := net.ResolveTCPAddr("tcp", worker.Address); err != nil {
@@ -266,8 +266,8 @@
 		}
 		seen[worker.ID] = true
 		names.Zones = appendUnique(names.Zones, worker.Zone)
-		cfg.hclTerms.settings.Weights = cfg.hclTerms.settings.Weights || worker.Weight != 0
-		cfg.Known.Instances = append(cfg.Known.Instances, worker.instance())
+		cfg.hclTerms.settings.UseWeights = cfg.hclTerms.settings.UseWeights || worker.Weight != 0
+		cfg.KnownWorkers.Instances = append(cfg.KnownWorkers.Instances, worker.instance())
 	}
 	cfg.hclTerms.settings.Zone = max(slices.Index(names.Zones, f.Zone), 0)
 }
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -16,9 +16,9 @@
 	"foxwood/internal/waymark"
 )
 
-// Timetable is the key that selects the zone home of the configuration, in the same key space as
+// ConfigurationKey is the key that selects the zone home of the configuration, in the same key space as
 // the destinations' names.
-const Timetable = "timetable"
+const ConfigurationKey = "timetable"
 
 // ownerRetryDelayMs is how long no request goes to a zone home that failed, was late or held less
 // than was announced. Without it, an owner that is down would delay every update.
@@ -34,7 +34,7 @@
 
 	evacuationVersion uint64
 	evacuatedZones    []string
-	endedEvacuations  []string // zones whose evacuation ended, until Cache.TakenBack returns them
+	endedEvacuations  []string // zones whose evacuation ended, until Cache.TakeEndedEvacuations returns them
 
 	mirrorOrderNumber uint64 // number of the traffic-mirroring order held
 	mirrorOrder       []byte
@@ -89,48 +89,48 @@
 	return d
 }
 
-// Question fills the heartbeat's fields that state what is held. Data still missing is requested
+// FillHeartbeat fills the heartbeat's fields that state what is held. Data still missing is requested
 // from the registry: by then the zone homes have been asked.
-func (c *Cache) Question(heartbeat *waymark.Sign) {
-	heartbeat.Edition, heartbeat.Evac, heartbeat.Roster, heartbeat.Body, heartbeat.Want, heartbeat.Shadow = c.edition, c.evacuationVersion, c.announcedVersion, c.announcedEdition > c.edition, nil, c.mirrorOrderNumber
-	heartbeat.Struck = c.withdrawnHash
+func (c *Cache) FillHeartbeat(heartbeat *waymark.SessionRequest) {
+	heartbeat.ConfigVersion, heartbeat.EvacuationNumber, heartbeat.EndpointsVersion, heartbeat.WantConfig, heartbeat.WantEndpoints, heartbeat.MirrorOrderNumber = c.edition, c.evacuationVersion, c.announcedVersion, c.announcedEdition > c.edition, nil, c.mirrorOrderNumber
+	heartbeat.WithdrawnChecksum = c.withdrawnHash
 	for name, d := range c.destinations {
 		if d.version < d.wantedVersion {
-			if heartbeat.Want == nil {
-				heartbeat.Want = map[string]uint64{}
+			if heartbeat.WantEndpoints == nil {
+				heartbeat.WantEndpoints = map[string]uint64{}
 			}
-			heartbeat.Want[name] = d.version
+			heartbeat.WantEndpoints[name] = d.version
 		}
 	}
 }
 
-// Hear applies a registry's answer, except for the configuration's body.
-func (c *Cache) Hear(now float64, answer *waymark.Signed) {
-	if answer.Edition > c.announcedEdition {
-		c.announcedEdition, c.announcedBytes = answer.Edition, answer.Bulk
+// ApplyAnswer applies a registry's answer, except for the configuration's body.
+func (c *Cache) ApplyAnswer(now float64, answer *waymark.SessionResponse) {
+	if answer.ConfigVersion > c.announcedEdition {
+		c.announcedEdition, c.announcedBytes = answer.ConfigVersion, answer.ConfigBytes
 	}
-	if answer.HasEvac {
-		if answer.Evac > c.evacuationVersion {
-			c.endedEvacuations = append(c.endedEvacuations, answer.TakenBack...)
+	if answer.HasEvacuated {
+		if answer.EvacuationNumber > c.evacuationVersion {
+			c.endedEvacuations = append(c.endedEvacuations, answer.RevokedEvacuations...)
 		}
-		c.Evacuate(answer.Evac, answer.Evacuated)
+		c.SetEvacuatedZones(answer.EvacuationNumber, answer.Evacuated)
 	}
-	c.Shadow(answer.Shadow, answer.Order)
+	c.SetMirrorOrder(answer.MirrorOrderNumber, answer.MirrorOrder)
 	defer c.withdraw(answer)
-	marks := answer.Marks
+	marks := answer.EndpointChanges
 	if marks != nil {
-		for name, behind := range marks.Behind {
+		for name, behind := range marks.VersionsBehind {
 			d := c.destination(name)
 			d.wantedVersion = max(d.wantedVersion, marks.Version-behind)
 		}
 		for name, d := range c.destinations {
-			if _, named := marks.Behind[name]; marks.Whole && !named && d.version < marks.Version {
+			if _, named := marks.VersionsBehind[name]; marks.Complete && !named && d.version < marks.Version {
 				d.apply(marks.Version, nil, true, now)
 			}
 		}
 		c.announcedVersion = max(c.announcedVersion, marks.Version)
 	}
-	c.Stock(now, answer.Parts)
+	c.AddParts(now, answer.Endpoints)
 	if marks != nil { // unchanged destinations are valid for the new version too
 		for _, d := range c.destinations {
 			if d.version >= d.wantedVersion {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Stock adds workers of destinations. Changes relative to a version that is not held are ignored,
+// AddParts adds workers of destinations. Changes relative to a version that is not held are ignored,
 // as they would leave a gap.
-func (c *Cache) Stock(now float64, parts []waymark.Part) {
+func (c *Cache) AddParts(now float64, parts []waymark.DestinationEndpoints) {
 	for _, part := range parts {
 		if d := c.destination(part.Destination); part.Version > d.version && (part.Since == 0 || part.Since <= d.version) {
 			d.apply(part.Version, part.Workers, part.Since == 0, now)
@@ -164,25 +164,25 @@
 		}
 	}
 	for _, worker := range workers {
-		if worker.Gone {
+		if worker.Removed {
 			delete(d.workers, worker.ID)
 			d.removed[worker.ID] = removedWorker{now, version}
 			continue
 		}
 		delete(d.removed, worker.ID)
 		cached := cachedWorker{Worker: worker, changedVersion: version}
-		if worker.Cold > 0 {
-			cached.coldUntil = now + worker.Cold
+		if worker.SlowStartLeftMS > 0 {
+			cached.coldUntil = now + worker.SlowStartLeftMS
 		}
-		cached.Destination, cached.Cold = "", 0
+		cached.Destination, cached.SlowStartLeftMS = "", 0
 		d.workers[worker.ID] = cached
 	}
 	d.version, d.wantedVersion = version, max(d.wantedVersion, version)
 	d.revision++
 }
 
-// Body stores a configuration that was read, and reports whether it is newer than the one held.
-func (c *Cache) Body(edition uint64, body []byte) bool {
+// SetConfiguration stores a configuration that was read, and reports whether it is newer than the one held.
+func (c *Cache) SetConfiguration(edition uint64, body []byte) bool {
 	if edition <= c.edition {
 		return false
 	}
@@ -191,40 +191,40 @@
 	return true
 }
 
-// Evacuate stores a newer list of evacuated zones.
-func (c *Cache) Evacuate(version uint64, zones []string) {
+// SetEvacuatedZones stores a newer list of evacuated zones.
+func (c *Cache) SetEvacuatedZones(version uint64, zones []string) {
 	if version > c.evacuationVersion {
 		c.evacuationVersion, c.evacuatedZones = version, zones
 	}
 }
 
-// Shadow stores a newer traffic-mirroring order.
-func (c *Cache) Shadow(number uint64, body []byte) {
+// SetMirrorOrder stores a newer traffic-mirroring order.
+func (c *Cache) SetMirrorOrder(number uint64, body []byte) {
 	if number > c.mirrorOrderNumber && len(body) > 0 {
 		c.mirrorOrderNumber, c.mirrorOrder = number, body
 	}
 }
 
-// Order returns the traffic-mirroring order and its number, 0 if there never was one.
-func (c *Cache) Order() (uint64, []byte) { return c.mirrorOrderNumber, c.mirrorOrder }
+// MirrorOrder returns the traffic-mirroring order and its number, 0 if there never was one.
+func (c *Cache) MirrorOrder() (uint64, []byte) { return c.mirrorOrderNumber, c.mirrorOrder }
 
 // Edition returns the edition of the configuration held.
 func (c *Cache) Edition() uint64 { return c.edition }
 
-// Heard returns the endpoint version last announced.
-func (c *Cache) Heard() uint64 { return c.announcedVersion }
+// AnnouncedVersion returns the endpoint version last announced.
+func (c *Cache) AnnouncedVersion() uint64 { return c.announcedVersion }
 
-// Evacuated returns the evacuated zones and the version of that list.
-func (c *Cache) Evacuated() (uint64, []string) { return c.evacuationVersion, c.evacuatedZones }
+// EvacuatedZones returns the evacuated zones and the version of that list.
+func (c *Cache) EvacuatedZones() (uint64, []string) { return c.evacuationVersion, c.evacuatedZones }
 
-// TakenBack returns the zones whose evacuation has ended since the last call.
-func (c *Cache) TakenBack() (zones []string) {
+// TakeEndedEvacuations returns the zones whose evacuation has ended since the last call.
+func (c *Cache) TakeEndedEvacuations() (zones []string) {
 	zones, c.endedEvacuations = c.endedEvacuations, nil
 	return zones
 }
 
-// Turns returns, for each destination, a number that rises whenever its workers change.
-func (c *Cache) Turns() map[string]uint64 {
+// Revisions returns, for each destination, a number that rises whenever its workers change.
+func (c *Cache) Revisions() map[string]uint64 {
 	revisions := make(map[string]uint64, len(c.destinations))
 	for name, d := range c.destinations {
 		revisions[name] = d.revision
@@ -235,16 +235,16 @@
 // withdraw removes from use the workers that registries withdrew while nobody held the duty of the
 // endpoint list. Later data of a duty holder takes precedence; until it has been received here, the
 // workers stay withdrawn.
-func (c *Cache) withdraw(answer *waymark.Signed) {
-	if answer.StruckNow != 0 {
-		c.withdrawnHash = answer.StruckNow
+func (c *Cache) withdraw(answer *waymark.SessionResponse) {
+	if answer.WithdrawnChecksum != 0 {
+		c.withdrawnHash = answer.WithdrawnChecksum
 	}
 	if c.withdrawn == nil {
 		c.withdrawn = map[string]uint64{}
 	}
-	for _, withdrawal := range answer.Struck {
+	for _, withdrawal := range answer.Withdrawn {
 		knownVersion, known := c.withdrawn[withdrawal.ID]
-		c.withdrawn[withdrawal.ID] = max(knownVersion, withdrawal.At)
+		c.withdrawn[withdrawal.ID] = max(knownVersion, withdrawal.ListVersion)
 		for _, d := range c.destinations {
 			if _, ok := d.workers[withdrawal.ID]; ok && !known {
 				d.revision++
@@ -252,13 +252,13 @@
 		}
 	}
 	maps.DeleteFunc(c.withdrawn, func(id string, knownVersion uint64) bool {
-		withdrawal := waymark.Struck{At: knownVersion}
+		withdrawal := waymark.WithdrawnWorker{ListVersion: knownVersion}
 		for _, d := range c.destinations {
 			if worker, ok := d.workers[id]; ok {
-				return withdrawal.Void(d.version, worker.changedVersion)
+				return withdrawal.Superseded(d.version, worker.changedVersion)
 			}
 		}
-		return withdrawal.Void(c.announcedVersion, 0) // the worker's destination may not have been received yet
+		return withdrawal.Superseded(c.announcedVersion, 0) // the worker's destination may not have been received yet
 	})
 }
 
@@ -269,7 +269,7 @@
 	for i := range list {
 		if knownVersion, ok := c.withdrawn[list[i].ID]; ok {
 			d := c.destinations[name]
-			list[i].Closing = list[i].Closing || !(waymark.Struck{At: knownVersion}).Void(d.version, d.workers[list[i].ID].changedVersion)
+			list[i].Draining = list[i].Draining || !(waymark.WithdrawnWorker{ListVersion: knownVersion}).Superseded(d.version, d.workers[list[i].ID].changedVersion)
 		}
 	}
 	return list
@@ -285,25 +285,25 @@
 	list := make([]waymark.Worker, 0, len(d.workers))
 	for _, id := range slices.Sorted(maps.Keys(d.workers)) {
 		cached := d.workers[id]
-		cached.Cold = max(cached.coldUntil-now, 0)
+		cached.SlowStartLeftMS = max(cached.coldUntil-now, 0)
 		list = append(list, cached.Worker)
 	}
 	return list
 }
 
 // wholePart returns the full list of a destination's workers as a message part.
-func (c *Cache) wholePart(now float64, name string) waymark.Part {
-	return waymark.Part{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
+func (c *Cache) wholePart(now float64, name string) waymark.DestinationEndpoints {
+	return waymark.DestinationEndpoints{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
 }
 
 // changesSince returns a destination's workers for a peer that holds heldVersion: only the changes
 // since then if all of them are known, or else the full list.
-func (c *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.Part {
+func (c *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.DestinationEndpoints {
 	d := c.destinations[name]
 	if heldVersion == 0 || heldVersion < d.changesSince {
 		return c.wholePart(now, name)
 	}
-	part := waymark.Part{Destination: name, Version: d.version, Since: heldVersion}
+	part := waymark.DestinationEndpoints{Destination: name, Version: d.version, Since: heldVersion}
 	for _, w := range c.listedWorkers(now, name) {
 		if d.workers[w.ID].changedVersion > heldVersion {
 			part.Workers = append(part.Workers, w)
@@ -311,32 +311,32 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.removed)) {
 		if d.removed[id].changedVersion > heldVersion {
-			part.Workers = append(part.Workers, waymark.Worker{ID: id, Gone: true})
+			part.Workers = append(part.Workers, waymark.Worker{ID: id, Removed: true})
 		}
 	}
 	return part
 }
 
-// Zone describes the gatekeepers of a zone that may be zone homes.
-type Zone struct {
-	Name  string
-	Self  string
-	Ready bool     // whether this gatekeeper may be a zone home
-	Near  []string // the other ready gatekeepers of the zone
+// ZonePeers describes the gatekeepers of a zone that may be zone homes.
+type ZonePeers struct {
+	Name      string
+	Self      string
+	SelfReady bool     // whether this gatekeeper may be a zone home
+	Peers     []string // the other ready gatekeepers of the zone
 }
 
-// Plan returns what to request from which zone home, and the size of a configuration that may come
+// PlanRequests returns what to request from which zone home, and the size of a configuration that may come
 // with the answer. Each version is requested from a zone home once. The registry has to supply what
 // is missing after that, and what has no other owner to ask: if this gatekeeper is the owner
 // itself, if there is none, or if the owner has just failed.
-func (c *Cache) Plan(now float64, zone Zone) (requests map[string]waymark.Subscribe, bodyBytes int) {
-	ready := zone.Near
-	if zone.Ready {
+func (c *Cache) PlanRequests(now float64, zone ZonePeers) (requests map[string]waymark.SubscribeRequest, bodyBytes int) {
+	ready := zone.Peers
+	if zone.SelfReady {
 		ready = append(slices.Clone(ready), zone.Self)
 	}
-	requests = map[string]waymark.Subscribe{}
+	requests = map[string]waymark.SubscribeRequest{}
 	owner := func(service string) string {
-		addr := membership.HomeAmong(ready, zone.Name, service)
+		addr := membership.OwnerAmong(ready, zone.Name, service)
 		if addr == zone.Self || now < c.avoidUntil[addr] {
 			return ""
 		}
@@ -344,8 +344,8 @@
 	}
 	if c.announcedEdition > max(c.edition, c.requestedEdition) && c.edition > 0 {
 		c.requestedEdition = c.announcedEdition
-		if addr := owner(Timetable); addr != "" {
-			requests[addr] = waymark.Subscribe{Edition: c.announcedEdition}
+		if addr := owner(ConfigurationKey); addr != "" {
+			requests[addr] = waymark.SubscribeRequest{ConfigVersion: c.announcedEdition}
 			bodyBytes = c.announcedBytes
 		}
 	}
@@ -356,113 +356,113 @@
 		d.requestedVersion = d.wantedVersion
 		if addr := owner(name); addr != "" {
 			request := requests[addr]
-			if request.Parts == nil {
-				request.Parts, request.Have = map[string]uint64{}, map[string]uint64{}
+			if request.EndpointVersions == nil {
+				request.EndpointVersions, request.HeldVersions = map[string]uint64{}, map[string]uint64{}
 			}
-			request.Parts[name], request.Have[name] = d.wantedVersion, d.version
+			request.EndpointVersions[name], request.HeldVersions[name] = d.wantedVersion, d.version
 			requests[addr] = request
 		}
 	}
 	return requests, bodyBytes
 }
 
-// Asked records how a zone home answered a request; err is not nil if it did not.
-func (c *Cache) Asked(now float64, owner string, request *waymark.Subscribe, err error) {
+// RecordAnswer records how a zone home answered a request; err is not nil if it did not.
+func (c *Cache) RecordAnswer(now float64, owner string, request *waymark.SubscribeRequest, err error) {
 	maps.DeleteFunc(c.avoidUntil, func(_ string, until float64) bool { return until <= now })
-	if err != nil || !c.Has(request) {
+	if err != nil || !c.CanAnswer(request) {
 		c.avoidUntil[owner] = now + ownerRetryDelayMs
 	}
 }
 
-// Has reports whether everything that a peer requests is held.
-func (c *Cache) Has(request *waymark.Subscribe) bool {
-	for name, version := range request.Parts {
+// CanAnswer reports whether everything that a peer requests is held.
+func (c *Cache) CanAnswer(request *waymark.SubscribeRequest) bool {
+	for name, version := range request.EndpointVersions {
 		if d := c.destinations[name]; d == nil || d.version < version {
 			return false
 		}
 	}
-	return c.edition >= request.Edition
+	return c.edition >= request.ConfigVersion
 }
 
-// Give returns what is held of a peer's request. Data older than requested is left out.
-func (c *Cache) Give(now float64, request *waymark.Subscribe) (answer waymark.Subscribed) {
-	if request.Edition > 0 && c.edition >= request.Edition {
-		answer.Body = c.body
+// Answer returns what is held of a peer's request. Data older than requested is left out.
+func (c *Cache) Answer(now float64, request *waymark.SubscribeRequest) (answer waymark.SubscribeResponse) {
+	if request.ConfigVersion > 0 && c.edition >= request.ConfigVersion {
+		answer.Config = c.body
 	}
-	for _, name := range slices.Sorted(maps.Keys(request.Parts)) {
-		if d := c.destinations[name]; d != nil && d.version >= request.Parts[name] {
-			answer.Parts = append(answer.Parts, c.changesSince(now, name, request.Have[name]))
+	for _, name := range slices.Sorted(maps.Keys(request.EndpointVersions)) {
+		if d := c.destinations[name]; d != nil && d.version >= request.EndpointVersions[name] {
+			answer.Endpoints = append(answer.Endpoints, c.changesSince(now, name, request.HeldVersions[name]))
 		}
 	}
 	return answer
 }
 
-// Held returns the versions held, as the answer to a peer's offer.
-func (c *Cache) Held() waymark.Lent {
-	held := waymark.Lent{Edition: c.edition, Evac: c.evacuationVersion, Held: map[string]uint64{}, Shadow: c.mirrorOrderNumber}
+// HeldVersions returns the versions held, as the answer to a peer's offer.
+func (c *Cache) HeldVersions() waymark.PeerSyncResponse {
+	held := waymark.PeerSyncResponse{ConfigVersion: c.edition, EvacuationNumber: c.evacuationVersion, EndpointVersions: map[string]uint64{}, MirrorOrderNumber: c.mirrorOrderNumber}
 	for name, d := range c.destinations {
-		held.Held[name] = d.version
+		held.EndpointVersions[name] = d.version
 	}
 	return held
 }
 
 // Offer returns the versions that could be handed over.
-func (c *Cache) Offer() waymark.Lend {
-	held := c.Held()
-	offer := waymark.Lend{Edition: held.Edition, Evac: held.Evac, Held: held.Held, Heard: c.announcedVersion, Shadow: held.Shadow}
+func (c *Cache) Offer() waymark.PeerSyncRequest {
+	held := c.HeldVersions()
+	offer := waymark.PeerSyncRequest{ConfigVersion: held.ConfigVersion, EvacuationNumber: held.EvacuationNumber, EndpointVersions: held.EndpointVersions, EndpointsVersion: c.announcedVersion, MirrorOrderNumber: held.MirrorOrderNumber}
 	for _, d := range c.destinations {
 		if d.version < c.announcedVersion { // the destinations held are then not complete for that version
-			offer.Heard = 0
+			offer.EndpointsVersion = 0
 		}
 	}
 	return offer
 }
 
-// Exceeds reports whether an offer contains data that is missing here.
-func (c *Cache) Exceeds(offer *waymark.Lend) bool {
-	for name, version := range offer.Held {
+// LacksAnyOf reports whether an offer contains data that is missing here.
+func (c *Cache) LacksAnyOf(offer *waymark.PeerSyncRequest) bool {
+	for name, version := range offer.EndpointVersions {
 		if d := c.destinations[name]; d == nil || d.version < version {
 			return true
 		}
 	}
-	return offer.Edition > c.edition || offer.Evac > c.evacuationVersion || offer.Shadow > c.mirrorOrderNumber
+	return offer.ConfigVersion > c.edition || offer.EvacuationNumber > c.evacuationVersion || offer.MirrorOrderNumber > c.mirrorOrderNumber
 }
 
-// Lend returns the data that a peer lacks, and whether there is any.
-func (c *Cache) Lend(now float64, held *waymark.Lent) (handover waymark.Lend, nonEmpty bool) {
+// HandOver returns the data that a peer lacks, and whether there is any.
+func (c *Cache) HandOver(now float64, held *waymark.PeerSyncResponse) (handover waymark.PeerSyncRequest, nonEmpty bool) {
 	handover = c.Offer()
-	handover.Given = true
-	if handover.Edition > held.Edition {
-		handover.Body, nonEmpty = c.body, true
+	handover.HasState = true
+	if handover.ConfigVersion > held.ConfigVersion {
+		handover.Config, nonEmpty = c.body, true
 	}
-	if handover.Evac > held.Evac {
+	if handover.EvacuationNumber > held.EvacuationNumber {
 		handover.Evacuated, nonEmpty = c.evacuatedZones, true
 	}
-	if handover.Shadow > held.Shadow {
-		handover.Order, nonEmpty = c.mirrorOrder, true
+	if handover.MirrorOrderNumber > held.MirrorOrderNumber {
+		handover.MirrorOrder, nonEmpty = c.mirrorOrder, true
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.destinations)) {
-		if v, ok := held.Held[name]; !ok || c.destinations[name].version > v {
-			handover.Parts, nonEmpty = append(handover.Parts, c.wholePart(now, name)), true
+		if v, ok := held.EndpointVersions[name]; !ok || c.destinations[name].version > v {
+			handover.Endpoints, nonEmpty = append(handover.Endpoints, c.wholePart(now, name)), true
 		}
 	}
 	return handover, nonEmpty
 }
 
-// Borrow applies data that a peer hands over, except for the configuration's body. A cache to which
+// AcceptHandover applies data that a peer hands over, except for the configuration's body. A cache to which
 // nothing has been announced yet also adopts the sender's announced version: registries then send
 // only newer data, and learn from that version which terms there have been.
-func (c *Cache) Borrow(now float64, handover *waymark.Lend) {
-	c.Evacuate(handover.Evac, handover.Evacuated)
-	c.Shadow(handover.Shadow, handover.Order)
-	c.Stock(now, handover.Parts)
+func (c *Cache) AcceptHandover(now float64, handover *waymark.PeerSyncRequest) {
+	c.SetEvacuatedZones(handover.EvacuationNumber, handover.Evacuated)
+	c.SetMirrorOrder(handover.MirrorOrderNumber, handover.MirrorOrder)
+	c.AddParts(now, handover.Endpoints)
 	if c.announcedVersion > 0 {
 		return
 	}
-	for name, version := range handover.Held {
-		if d := c.destinations[name]; d == nil || d.version < version || version < handover.Heard {
+	for name, version := range handover.EndpointVersions {
+		if d := c.destinations[name]; d == nil || d.version < version || version < handover.EndpointsVersion {
 			return
 		}
 	}
-	c.announcedVersion = handover.Heard
+	c.announcedVersion = handover.EndpointsVersion
 }
--- a/internal/configcache/scale_bench_test.go
+++ b/internal/configcache/scale_bench_test.go
@@ -17,32 +17,32 @@
 		runtime.ReadMemStats(&stats)
 		base := stats.HeapAlloc
 		cache := New()
-		marks := &waymark.Marks{Version: 1, Whole: true, Behind: map[string]uint64{}}
-		var parts []waymark.Part
+		marks := &waymark.EndpointChanges{Version: 1, Complete: true, VersionsBehind: map[string]uint64{}}
+		var parts []waymark.DestinationEndpoints
 		for i := range destinations {
-			part := waymark.Part{Destination: fmt.Sprint("service-", i), Version: 1}
+			part := waymark.DestinationEndpoints{Destination: fmt.Sprint("service-", i), Version: 1}
 			for worker := range 21 {
-				part.Workers = append(part.Workers, waymark.Worker{ID: fmt.Sprintf("i-%010x", i*21+worker), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>8, i&255, worker), Zone: fmt.Sprint("z", worker), Edition: "v1", Berths: 2})
+				part.Workers = append(part.Workers, waymark.Worker{ID: fmt.Sprintf("i-%010x", i*21+worker), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>8, i&255, worker), Zone: fmt.Sprint("z", worker), Version: "v1", Slots: 2})
 			}
 			parts = append(parts, part)
-			marks.Behind[part.Destination] = 0
+			marks.VersionsBehind[part.Destination] = 0
 		}
-		cache.Hear(0, &waymark.Signed{Marks: marks, Parts: parts})
+		cache.ApplyAnswer(0, &waymark.SessionResponse{EndpointChanges: marks, Endpoints: parts})
 		parts, marks = nil, nil
 		runtime.GC()
 		runtime.ReadMemStats(&stats)
 		held := float64(stats.HeapAlloc-base) / float64(21*destinations)
 		b.Run(fmt.Sprintf("question/%d", destinations), func(b *testing.B) {
-			var heartbeat waymark.Sign
+			var heartbeat waymark.SessionRequest
 			for b.Loop() {
-				cache.Question(&heartbeat)
+				cache.FillHeartbeat(&heartbeat)
 			}
 			b.ReportMetric(held, "B/worker")
 		})
 		b.Run(fmt.Sprintf("change/%d", destinations), func(b *testing.B) {
 			for version := uint64(2); b.Loop(); version++ {
-				cache.Hear(0, &waymark.Signed{Marks: &waymark.Marks{Version: version + cache.announcedVersion, Behind: map[string]uint64{"service-1": 0}},
-					Parts: []waymark.Part{{Destination: "service-1", Version: version + cache.announcedVersion, Since: cache.destinations["service-1"].version, Workers: []waymark.Worker{{ID: "i-x", Addr: "10.9.9.9:1"}}}}})
+				cache.ApplyAnswer(0, &waymark.SessionResponse{EndpointChanges: &waymark.EndpointChanges{Version: version + cache.announcedVersion, VersionsBehind: map[string]uint64{"service-1": 0}},
+					Endpoints: []waymark.DestinationEndpoints{{Destination: "service-1", Version: version + cache.announcedVersion, Since: cache.destinations["service-1"].version, Workers: []waymark.Worker{{ID: "i-x", Addr: "10.9.9.9:1"}}}}})
 			}
 		})
 		runtime.KeepAlive(cache)
--- a/internal/configcache/withdrawn_test.go
+++ b/internal/configcache/withdrawn_test.go
@@ -12,22 +12,22 @@
 
 const firstOfTerm = 1 << waymark.TermShift
 
-func part(version, since uint64, workers ...waymark.Worker) waymark.Part {
-	return waymark.Part{Destination: "d", Version: version, Since: since, Workers: workers}
+func part(version, since uint64, workers ...waymark.Worker) waymark.DestinationEndpoints {
+	return waymark.DestinationEndpoints{Destination: "d", Version: version, Since: since, Workers: workers}
 }
 
-func announcement(version uint64, p waymark.Part) *waymark.Signed {
-	return &waymark.Signed{Marks: &waymark.Marks{Version: version, Behind: map[string]uint64{"d": version - p.Version}}, Parts: []waymark.Part{p}}
+func announcement(version uint64, p waymark.DestinationEndpoints) *waymark.SessionResponse {
+	return &waymark.SessionResponse{EndpointChanges: &waymark.EndpointChanges{Version: version, VersionsBehind: map[string]uint64{"d": version - p.Version}}, Endpoints: []waymark.DestinationEndpoints{p}}
 }
 
-func withdrawals(mark uint64, list ...waymark.Struck) *waymark.Signed {
-	return &waymark.Signed{Struck: list, StruckNow: mark}
+func withdrawals(mark uint64, list ...waymark.WithdrawnWorker) *waymark.SessionResponse {
+	return &waymark.SessionResponse{Withdrawn: list, WithdrawnChecksum: mark}
 }
 
 // usableWorkers returns the workers that requests may be sent to.
 func usableWorkers(cache *Cache) (ids []string) {
 	for _, w := range cache.Workers(0, "d") {
-		if !w.Closing {
+		if !w.Draining {
 			ids = append(ids, w.ID)
 		}
 	}
@@ -40,45 +40,45 @@
 	a, b, c := waymark.Worker{ID: "a"}, waymark.Worker{ID: "b"}, waymark.Worker{ID: "c"}
 	const version = 3*firstOfTerm | 7
 	initial := announcement(version, part(version, 0, a, b))
-	withdrawal := withdrawals(1, waymark.Struck{ID: "a", At: version})
+	withdrawal := withdrawals(1, waymark.WithdrawnWorker{ID: "a", ListVersion: version})
 	for _, c := range []struct {
 		name    string
-		answers []*waymark.Signed
+		answers []*waymark.SessionResponse
 		want    []string
 	}{
-		{"no withdrawal", []*waymark.Signed{initial}, []string{"a", "b"}},
-		{"withdrawn", []*waymark.Signed{initial, withdrawal}, []string{"b"}},
-		{"withdrawn before the workers are received", []*waymark.Signed{withdrawal, initial}, []string{"b"}},
-		{"the same term announces another worker", []*waymark.Signed{initial, withdrawal, announcement(version+1, part(version+1, version, c))}, []string{"b", "c"}},
-		{"the same term announces the worker later", []*waymark.Signed{initial, withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"a", "b"}},
-		{"the same term announces the worker later, the withdrawal arrives late", []*waymark.Signed{initial, announcement(version+1, part(version+1, version, a)), withdrawal}, []string{"a", "b"}},
-		{"the next term is announced, its workers are not received yet", []*waymark.Signed{initial, withdrawal,
-			{Marks: &waymark.Marks{Version: 4*firstOfTerm | 1, Behind: map[string]uint64{"d": 0}}}}, []string{"b"}},
-		{"the next term's workers are received", []*waymark.Signed{initial, withdrawal, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c))}, []string{"a", "b", "c"}},
-		{"a withdrawal from before the term arrives late", []*waymark.Signed{initial, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c)), withdrawal}, []string{"a", "b", "c"}},
-		{"withdrawn twice, the newer version counts", []*waymark.Signed{initial, withdrawals(2, waymark.Struck{ID: "a", At: version + 2}), withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"b"}},
+		{"no withdrawal", []*waymark.SessionResponse{initial}, []string{"a", "b"}},
+		{"withdrawn", []*waymark.SessionResponse{initial, withdrawal}, []string{"b"}},
+		{"withdrawn before the workers are received", []*waymark.SessionResponse{withdrawal, initial}, []string{"b"}},
+		{"the same term announces another worker", []*waymark.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, c))}, []string{"b", "c"}},
+		{"the same term announces the worker later", []*waymark.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"a", "b"}},
+		{"the same term announces the worker later, the withdrawal arrives late", []*waymark.SessionResponse{initial, announcement(version+1, part(version+1, version, a)), withdrawal}, []string{"a", "b"}},
+		{"the next term is announced, its workers are not received yet", []*waymark.SessionResponse{initial, withdrawal,
+			{EndpointChanges: &waymark.EndpointChanges{Version: 4*firstOfTerm | 1, VersionsBehind: map[string]uint64{"d": 0}}}}, []string{"b"}},
+		{"the next term's workers are received", []*waymark.SessionResponse{initial, withdrawal, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c))}, []string{"a", "b", "c"}},
+		{"a withdrawal from before the term arrives late", []*waymark.SessionResponse{initial, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c)), withdrawal}, []string{"a", "b", "c"}},
+		{"withdrawn twice, the newer version counts", []*waymark.SessionResponse{initial, withdrawals(2, waymark.WithdrawnWorker{ID: "a", ListVersion: version + 2}), withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"b"}},
 	} {
 		cache := New()
 		for _, answer := range c.answers {
-			cache.Hear(0, answer)
+			cache.ApplyAnswer(0, answer)
 		}
 		assert.DeepEqual(t, usableWorkers(cache), c.want)
 	}
 	cache := New()
-	cache.Hear(0, initial)
-	revision := cache.Turns()["d"]
-	cache.Hear(0, withdrawal)
-	assert.Assert(t, cache.Turns()["d"] > revision, "the revision rises, so that pools are updated")
-	revision = cache.Turns()["d"]
-	cache.Hear(0, withdrawal)
-	assert.Equal(t, cache.Turns()["d"], revision)
-	var heartbeat waymark.Sign
-	cache.Question(&heartbeat)
-	assert.Equal(t, heartbeat.Struck, uint64(1))
+	cache.ApplyAnswer(0, initial)
+	revision := cache.Revisions()["d"]
+	cache.ApplyAnswer(0, withdrawal)
+	assert.Assert(t, cache.Revisions()["d"] > revision, "the revision rises, so that pools are updated")
+	revision = cache.Revisions()["d"]
+	cache.ApplyAnswer(0, withdrawal)
+	assert.Equal(t, cache.Revisions()["d"], revision)
+	var heartbeat waymark.SessionRequest
+	cache.FillHeartbeat(&heartbeat)
+	assert.Equal(t, heartbeat.WithdrawnChecksum, uint64(1))
 	// Zone peers get the duty holder's data unchanged.
-	given := cache.Give(0, &waymark.Subscribe{Parts: map[string]uint64{"d": version}})
-	assert.Assert(t, !given.Parts[0].Workers[0].Closing)
-	cache.Hear(0, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b)))
+	given := cache.Answer(0, &waymark.SubscribeRequest{EndpointVersions: map[string]uint64{"d": version}})
+	assert.Assert(t, !given.Endpoints[0].Workers[0].Draining)
+	cache.ApplyAnswer(0, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b)))
 	assert.Equal(t, len(cache.withdrawn), 0)
 }
 
@@ -91,14 +91,14 @@
 		all := []waymark.Worker{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}
 		const version = firstOfTerm | 1
 		cache := New()
-		cache.Hear(0, announcement(version, part(version, 0, all...)))
+		cache.ApplyAnswer(0, announcement(version, part(version, 0, all...)))
 		withdrawn := map[string]bool{}
-		var delayed []*waymark.Signed
+		var delayed []*waymark.SessionResponse
 		for range 12 {
-			var list []waymark.Struck
+			var list []waymark.WithdrawnWorker
 			for _, worker := range all {
 				if rng.IntN(4) == 0 {
-					list = append(list, waymark.Struck{ID: worker.ID, At: version + uint64(rng.IntN(3))})
+					list = append(list, waymark.WithdrawnWorker{ID: worker.ID, ListVersion: version + uint64(rng.IntN(3))})
 				}
 			}
 			answer := withdrawals(rng.Uint64()|1, list...)
@@ -106,7 +106,7 @@
 				delayed = append(delayed, answer)
 				continue
 			}
-			cache.Hear(0, answer)
+			cache.ApplyAnswer(0, answer)
 			for _, withdrawal := range list {
 				withdrawn[withdrawal.ID] = true
 			}
@@ -115,9 +115,9 @@
 			}
 		}
 		listed := all[rng.IntN(len(all)):]
-		cache.Hear(0, announcement(2*firstOfTerm|1, part(2*firstOfTerm|1, 0, listed...)))
+		cache.ApplyAnswer(0, announcement(2*firstOfTerm|1, part(2*firstOfTerm|1, 0, listed...)))
 		for _, answer := range delayed {
-			cache.Hear(0, answer)
+			cache.ApplyAnswer(0, answer)
 		}
 		var want []string
 		for _, worker := range listed {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -51,40 +51,40 @@
 	jitterPerVoterMs = 30
 )
 
-// Kind is the type of a message.
-type Kind uint8
+// MessageKind is the type of a message.
+type MessageKind uint8
 
 const (
 	// Announce tells that its sender is running, and which duties it holds.
-	Announce Kind = iota + 1
+	Announce MessageKind = iota + 1
 	// Ballot requests a vote; a holder renews its lease with ballots of the same term.
 	Ballot
 	// Vote answers a ballot.
 	Vote
-	// Free releases votes that the sender no longer counts on.
-	Free
+	// Release releases votes that the sender no longer counts on.
+	Release
 )
 
 // Message is sent from one control node to another. The caller must not take From from the wire unless
 // it has verified that the sender is that node.
 type Message struct {
-	Kind     Kind     `cbor:"1,keyasint,omitempty"`
-	From     string   `cbor:"2,keyasint,omitempty"`
-	To       string   `cbor:"3,keyasint,omitempty"`
-	Duty     string   `cbor:"4,keyasint,omitempty"`
-	Term     uint64   `cbor:"5,keyasint,omitempty"`
-	Life     uint64   `cbor:"6,keyasint,omitempty"` // incarnation of the candidate, repeated in a Vote
-	Round    uint64   `cbor:"7,keyasint,omitempty"` // number of the candidate's round, repeated in a Vote
-	Yes      bool     `cbor:"8,keyasint,omitempty"`
-	WaitMs   float64  `cbor:"9,keyasint,omitempty"`  // of a Vote that refuses: how long the voter is bound
-	Seen     uint64   `cbor:"10,keyasint,omitempty"` // of a Vote: the highest term the voter knows of
-	VacantMs float64  `cbor:"11,keyasint,omitempty"` // of a Vote that accepts: how long the voter has certainly not been bound to another candidate
-	IdleMs   float64  `cbor:"12,keyasint,omitempty"` // of a Vote: how long the voter itself has certainly not held the duty
-	Held     []Tenure `cbor:"13,keyasint,omitempty"` // of an Announce
-	Terms    []Tenure `cbor:"14,keyasint,omitempty"` // of an Announce: the highest known term of each duty, so that terms increase even if the voters change
-}
-
-// CallName implements rpc.Named. The message got its name when the package was called warden.
+	Kind         MessageKind `cbor:"1,keyasint,omitempty"`
+	From         string      `cbor:"2,keyasint,omitempty"`
+	To           string      `cbor:"3,keyasint,omitempty"`
+	Duty         string      `cbor:"4,keyasint,omitempty"`
+	Term         uint64      `cbor:"5,keyasint,omitempty"`
+	Incarnation  uint64      `cbor:"6,keyasint,omitempty"` // incarnation of the candidate, repeated in a Vote
+	Round        uint64      `cbor:"7,keyasint,omitempty"` // number of the candidate's round, repeated in a Vote
+	Granted      bool        `cbor:"8,keyasint,omitempty"`
+	RetryAfterMs float64     `cbor:"9,keyasint,omitempty"`  // of a Vote that refuses: how long the voter is bound
+	HighestTerm  uint64      `cbor:"10,keyasint,omitempty"` // of a Vote: the highest term the voter knows of
+	VacantMs     float64     `cbor:"11,keyasint,omitempty"` // of a Vote that accepts: how long the voter has certainly not been bound to another candidate
+	NotHeldMs    float64     `cbor:"12,keyasint,omitempty"` // of a Vote: how long the voter itself has certainly not held the duty
+	HeldDuties   []Tenure    `cbor:"13,keyasint,omitempty"` // of an Announce
+	KnownTerms   []Tenure    `cbor:"14,keyasint,omitempty"` // of an Announce: the highest known term of each duty, so that terms increase even if the voters change
+}
+
+// CallName implements rpc.CallNamer. The message got its name when the package was called warden.
 func (Message) CallName() string { return "warden.Message" }
 
 // Tenure is a duty held in a term. VacantMs tells, for a duty just won, for how long before that
@@ -101,10 +101,10 @@
 const (
 	// Tick tells that time has passed. It should occur every 20 to 50 ms.
 	Tick EventKind = iota + 1
-	// Heard is a message received from another control node.
-	Heard
-	// Resign is the shutdown of this node (SIGTERM): it gives up its duties and is no candidate any more.
-	Resign
+	// Received is a message received from another control node.
+	Received
+	// Shutdown is the shutdown of this node (SIGTERM): it gives up its duties and is no candidate any more.
+	Shutdown
 )
 
 // Event is the input of one step.
@@ -113,8 +113,8 @@
 	Message Message
 }
 
-// Out is the result of a step. The caller must act on Lost before Send.
-type Out struct {
+// Output is the result of a step. The caller must act on Lost before Send.
+type Output struct {
 	Send      []Message
 	Won, Lost []Tenure
 	Vacant    []Tenure // of held duties: a longer known vacancy before they were won
@@ -224,25 +224,25 @@
 	return m
 }
 
-// Remember restores the electorate that an earlier incarnation of this node got from Settled. If no
+// RestoreElectorate restores the electorate that an earlier incarnation of this node got from Settled. If no
 // address was ever removed from the core and the first electorate is the same, or if the number is the
 // same, there was no other electorate in between that any node still trusts. It must be called before
 // the first Electorate.
-func (m *Machine) Remember(voters []string, edition uint64) {
+func (m *Machine) RestoreElectorate(voters []string, edition uint64) {
 	m.rememberedEdition, m.rememberedVoters = edition, slices.Compact(slices.Sorted(slices.Values(voters)))
 }
 
-// Settled returns the electorate and its number if no node trusts any other, and nil otherwise. Only
+// SoleElectorate returns the electorate and its number if no node trusts any other, and nil otherwise. Only
 // this is what a later incarnation may Remember: an electorate just learned says nothing about those
 // before it.
-func (m *Machine) Settled(now float64) (voters []string, edition uint64) {
+func (m *Machine) SoleElectorate(now float64) (voters []string, edition uint64) {
 	if m.dropOldElectorates(now); len(m.electorates) != 1 || now < m.soleElectorateSince {
 		return nil, 0
 	}
 	return slices.Clone(m.electorates[0].voters), m.electorates[0].edition
 }
 
-// Electorate sets the voters. Editions number the electorates from 1; 0 is one that was agreed before
+// SetElectorate sets the voters. Editions number the electorates from 1; 0 is one that was agreed before
 // they were numbered. It must be called whenever the view is confirmed, where queriedAt is when the
 // query was sent whose answer confirmed it: the view was in force at some moment since then. Without
 // that, a partitioned node could go on forever under an old view while others are two views ahead.
@@ -250,7 +250,7 @@
 // Editions should be reported one by one: after a gap nothing is known of those in between, and this
 // node is no candidate until no node trusts them. shrunk is how often the core has lost an address so
 // far.
-func (m *Machine) Electorate(now, queriedAt float64, voters []string, edition, shrunk uint64) {
+func (m *Machine) SetElectorate(now, queriedAt float64, voters []string, edition, shrunk uint64) {
 	voters = slices.Compact(slices.Sorted(slices.Values(voters)))
 	if n := len(m.electorates); n > 0 {
 		last := &m.electorates[n-1]
@@ -278,9 +278,9 @@
 	m.electorates = append(m.electorates, electorate{edition: edition, shrunk: shrunk, voters: voters, learnedAt: now, confirmedAt: queriedAt})
 }
 
-// Learn records a term that a holder reported to someone. Control nodes that were all restarted know
+// ObserveTerm records a term that a holder reported to someone. Control nodes that were all restarted know
 // no terms; what gatekeepers remember keeps the terms increasing.
-func (m *Machine) Learn(name string, term uint64) {
+func (m *Machine) ObserveTerm(name string, term uint64) {
 	if state := m.duties[name]; state != nil {
 		state.highestTerm = max(state.highestTerm, term)
 	}
@@ -317,8 +317,8 @@
 
 // Step handles one event. The time must be read right before the call, and after the message was
 // received: a process that was frozen in between must find its leases expired.
-func (m *Machine) Step(now float64, event Event) Out {
-	var output Out
+func (m *Machine) Step(now float64, event Event) Output {
+	var output Output
 	if !m.stepped { // from here on the address belongs to this process
 		m.stepped = true
 		for _, state := range m.duties {
@@ -332,9 +332,9 @@
 	m.releaseExpired(now, &output)
 	switch event.Kind {
 	case Tick:
-	case Heard:
+	case Received:
 		m.receive(now, event.Message, &output)
-	case Resign:
+	case Shutdown:
 		m.resign(now, &output)
 	}
 	if !m.resigned {
@@ -424,7 +424,7 @@
 }
 
 // releaseExpired gives up the duties whose lease has ended.
-func (m *Machine) releaseExpired(now float64, output *Out) {
+func (m *Machine) releaseExpired(now float64, output *Output) {
 	for _, name := range m.dutyNames {
 		if state := m.duties[name]; state.held && now >= state.leaseUntil {
 			m.release(now, name, output)
@@ -434,7 +434,7 @@
 
 // release ends a held duty or a candidacy and releases the votes: none of them is counted from now on,
 // so they can be given to others at once.
-func (m *Machine) release(now float64, name string, output *Out) {
+func (m *Machine) release(now float64, name string, output *Output) {
 	state := m.duties[name]
 	if state.held {
 		state.lostAt = now
@@ -442,7 +442,7 @@
 	}
 	state.held, state.standing = false, false
 	clear(state.rounds)
-	message := Message{Kind: Free, From: m.self, Duty: name, Term: state.term, Life: m.incarnation}
+	message := Message{Kind: Release, From: m.self, Duty: name, Term: state.term, Incarnation: m.incarnation}
 	m.releaseVote(now, message)
 	for _, id := range m.peers() {
 		message.To = id
@@ -479,7 +479,7 @@
 }
 
 // resign gives up all duties and tells the other voters.
-func (m *Machine) resign(now float64, output *Out) {
+func (m *Machine) resign(now float64, output *Output) {
 	m.resigned = true
 	for _, name := range m.dutyNames {
 		if d := m.duties[name]; d.held || d.standing {
@@ -492,7 +492,7 @@
 }
 
 // receive handles a message from another node.
-func (m *Machine) receive(now float64, message Message, output *Out) {
+func (m *Machine) receive(now float64, message Message, output *Output) {
 	if message.From == m.self || message.From == "" {
 		return
 	}
@@ -511,7 +511,7 @@
 		output.Send = append(output.Send, m.vote(now, state, message))
 	case Vote:
 		m.countVote(now, state, message, output)
-	case Free:
+	case Release:
 		m.releaseVote(now, message)
 		if !state.held && !state.standing && now >= state.voteUntil {
 			// The vote that this node was told to wait for may be over.
@@ -527,22 +527,22 @@
 			state.holder = ""
 		}
 	}
-	for _, tenure := range message.Held {
+	for _, tenure := range message.HeldDuties {
 		state := m.duties[tenure.Duty]
 		if state == nil {
 			continue
 		}
 		state.holder, state.holderTerm, state.holderAt = message.From, tenure.Term, now
 	}
-	for _, tenure := range message.Terms {
-		m.Learn(tenure.Duty, tenure.Term)
+	for _, tenure := range message.KnownTerms {
+		m.ObserveTerm(tenure.Duty, tenure.Term)
 	}
 }
 
 // yieldTo ends this node's candidacy in favor of a rival that takes precedence; otherwise two candidates
 // that split the vote would both wait for their rounds to end. The term was never held, so the rival
 // may have it.
-func (m *Machine) yieldTo(now float64, state *duty, ballot Message, output *Out) {
+func (m *Machine) yieldTo(now float64, state *duty, ballot Message, output *Output) {
 	if !state.standing || ballot.Term < state.term || ballot.Term == state.term && precedence(ballot, ballot.From) < precedence(ballot, m.self) {
 		return
 	}
@@ -559,27 +559,27 @@
 // vote answers a ballot.
 func (m *Machine) vote(now float64, state *duty, ballot Message) Message {
 	state.highestTerm = max(state.highestTerm, ballot.Term)
-	answer := Message{Kind: Vote, From: m.self, To: ballot.From, Duty: ballot.Duty, Term: ballot.Term, Life: ballot.Life, Round: ballot.Round}
-	votedForCandidate := state.votedFor == ballot.From && state.votedForIncarnation == ballot.Life
+	answer := Message{Kind: Vote, From: m.self, To: ballot.From, Duty: ballot.Duty, Term: ballot.Term, Incarnation: ballot.Incarnation, Round: ballot.Round}
+	votedForCandidate := state.votedFor == ballot.From && state.votedForIncarnation == ballot.Incarnation
 	released := state.released[ballot.From]
 	switch {
-	case released.incarnation == ballot.Life && ballot.Term <= released.term:
+	case released.incarnation == ballot.Incarnation && ballot.Term <= released.term:
 	case now < m.silentUntil:
-		answer.WaitMs = m.silentUntil - now
+		answer.RetryAfterMs = m.silentUntil - now
 	case !votedForCandidate && now < state.voteUntil:
-		answer.WaitMs = state.voteUntil - now
+		answer.RetryAfterMs = state.voteUntil - now
 	case ballot.Term > state.votedTerm, ballot.Term == state.votedTerm && votedForCandidate && !state.voteReleased:
 		if !votedForCandidate {
 			state.otherVotesUntil = max(state.otherVotesUntil, state.voteUntil)
 		}
 		answer.VacantMs = max(now-state.otherVotesUntil, 0)
-		state.votedFor, state.votedForIncarnation, state.votedTerm, state.voteReleased = ballot.From, ballot.Life, ballot.Term, false
+		state.votedFor, state.votedForIncarnation, state.votedTerm, state.voteReleased = ballot.From, ballot.Incarnation, ballot.Term, false
 		state.voteUntil = now + m.leaseMs
-		answer.Yes = true
+		answer.Granted = true
 	}
-	answer.Seen = state.highestTerm
+	answer.HighestTerm = state.highestTerm
 	if !state.held {
-		answer.IdleMs = max(now-state.lostAt, 0)
+		answer.NotHeldMs = max(now-state.lostAt, 0)
 	}
 	return answer
 }
@@ -590,10 +590,10 @@
 	if state.holder == message.From && state.holderTerm <= message.Term {
 		state.holder = ""
 	}
-	if released := state.released[message.From]; released.incarnation != message.Life || released.term < message.Term {
-		state.released[message.From] = releasedTerm{incarnation: message.Life, term: message.Term}
+	if released := state.released[message.From]; released.incarnation != message.Incarnation || released.term < message.Term {
+		state.released[message.From] = releasedTerm{incarnation: message.Incarnation, term: message.Term}
 	}
-	if state.votedFor != message.From || state.votedForIncarnation != message.Life || state.votedTerm > message.Term || state.voteReleased {
+	if state.votedFor != message.From || state.votedForIncarnation != message.Incarnation || state.votedTerm > message.Term || state.voteReleased {
 		return
 	}
 	state.voteReleased = true
@@ -604,7 +604,7 @@
 // distant voter would never be waited for.
 func (m *Machine) recordVoteTime(now float64, vote Message) {
 	startedAt, ok := m.roundStartedAt[vote.Round]
-	if !ok || vote.Life != m.incarnation {
+	if !ok || vote.Incarnation != m.incarnation {
 		return
 	}
 	tookMs := now - startedAt
@@ -632,20 +632,20 @@
 }
 
 // countVote handles a vote.
-func (m *Machine) countVote(now float64, state *duty, vote Message, output *Out) {
+func (m *Machine) countVote(now float64, state *duty, vote Message, output *Output) {
 	m.recordVoteTime(now, vote)
-	state.highestTerm = max(state.highestTerm, vote.Seen)
+	state.highestTerm = max(state.highestTerm, vote.HighestTerm)
 	ballots := state.rounds[vote.Round]
-	if vote.Life != m.incarnation || vote.Term != state.term || ballots == nil {
+	if vote.Incarnation != m.incarnation || vote.Term != state.term || ballots == nil {
 		return
 	}
-	ballots.idleMs[vote.From] = vote.IdleMs
-	if !vote.Yes {
+	ballots.idleMs[vote.From] = vote.NotHeldMs
+	if !vote.Granted {
 		ballots.refused[vote.From] = true
 		majorityLost := !m.majority(now, func(id string) bool { return !ballots.refused[id] && m.isReachable(now, id) })
 		if state.standing && majorityLost {
 			m.release(now, vote.Duty, output)
-			m.scheduleCandidacy(state, now, min(vote.WaitMs, m.leaseMs/3))
+			m.scheduleCandidacy(state, now, min(vote.RetryAfterMs, m.leaseMs/3))
 		}
 		m.extendVacancy(now, vote.Duty, state, ballots, output)
 		return
@@ -656,7 +656,7 @@
 }
 
 // updateLease turns a majority into a lease, which starts when the ballots were sent.
-func (m *Machine) updateLease(now float64, name string, state *duty, ballots *round, output *Out) {
+func (m *Machine) updateLease(now float64, name string, state *duty, ballots *round, output *Output) {
 	if !m.majority(now, func(id string) bool { return ballots.accepted[id] }) || now < m.candidateFrom {
 		return
 	}
@@ -690,7 +690,7 @@
 // voters can vouch for little, as their initial silence covers the promises they may have forgotten.
 // But no other node has held the duty since it was won. If all voters were asked after that and
 // answered, what each reports about itself covers the time before.
-func (m *Machine) extendVacancy(now float64, name string, state *duty, ballots *round, output *Out) {
+func (m *Machine) extendVacancy(now float64, name string, state *duty, ballots *round, output *Output) {
 	if !state.held || ballots.startedAt < state.wonAt {
 		return
 	}
@@ -707,7 +707,7 @@
 }
 
 // advance renews held duties, stands for vacant ones and sends an announcement if one is due.
-func (m *Machine) advance(now float64, output *Out) {
+func (m *Machine) advance(now float64, output *Output) {
 	mayRequest := m.mayRequestVotes(now)
 	for _, name := range m.dutyNames {
 		state := m.duties[name]
@@ -740,10 +740,10 @@
 		announcement := Message{Kind: Announce, From: m.self}
 		for _, name := range m.dutyNames {
 			if highestTerm := m.duties[name].highestTerm; highestTerm > 0 {
-				announcement.Terms = append(announcement.Terms, Tenure{Duty: name, Term: highestTerm})
+				announcement.KnownTerms = append(announcement.KnownTerms, Tenure{Duty: name, Term: highestTerm})
 			}
 			if term, ok := m.Holds(now, name); ok {
-				announcement.Held = append(announcement.Held, Tenure{Duty: name, Term: term})
+				announcement.HeldDuties = append(announcement.HeldDuties, Tenure{Duty: name, Term: term})
 			}
 		}
 		for _, id := range m.peers() {
@@ -754,19 +754,19 @@
 }
 
 // startRound starts a round of ballots with this node's own vote.
-func (m *Machine) startRound(now float64, name string, state *duty, output *Out) {
+func (m *Machine) startRound(now float64, name string, state *duty, output *Output) {
 	m.lastRound++
 	state.requestedAt, m.roundStartedAt[m.lastRound] = now, now
 	maps.DeleteFunc(m.roundStartedAt, func(_ uint64, at float64) bool { return now-at > m.leaseMs })
 	maps.DeleteFunc(state.rounds, func(_ uint64, ballots *round) bool { return now-ballots.startedAt > m.leaseMs })
 	ballots := &round{startedAt: now, accepted: map[string]bool{}, refused: map[string]bool{}, vacantMs: map[string]float64{}, idleMs: map[string]float64{}}
 	state.rounds[m.lastRound] = ballots
-	ballot := Message{Kind: Ballot, From: m.self, Duty: name, Term: state.term, Life: m.incarnation, Round: m.lastRound}
+	ballot := Message{Kind: Ballot, From: m.self, Duty: name, Term: state.term, Incarnation: m.incarnation, Round: m.lastRound}
 	for _, id := range m.peers() {
 		ballot.To = id
 		output.Send = append(output.Send, ballot)
 	}
-	if ownVote := m.vote(now, state, ballot); ownVote.Yes {
+	if ownVote := m.vote(now, state, ballot); ownVote.Granted {
 		ballots.accepted[m.self], ballots.vacantMs[m.self] = true, ownVote.VacantMs
 		m.updateLease(now, name, state, ballots, output)
 		m.extendVacancy(now, name, state, ballots, output)
