--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -7,10 +7,10 @@
 )
 
 func ballot(from string, incarnation, term, round uint64) Event {
-	return Event{Kind: Heard, Message: Message{Kind: Ballot, From: from, To: "v", Duty: "roster", Term: term, Life: incarnation, Round: round}}
+	return Event{Kind: Received, Message: Message{Kind: Ballot, From: from, To: "v", Duty: "roster", Term: term, Incarnation: incarnation, Round: round}}
 }
 
-func vote(output Out) Message {
+func vote(output Output) Message {
 	for _, message := range output.Send {
 		if message.Kind == Vote {
 			return message
@@ -27,7 +27,7 @@
 	}
 	release := func(from string, incarnation, term uint64) Event {
 		e := ballot(from, incarnation, term, 0)
-		e.Message.Kind = Free
+		e.Message.Kind = Release
 		return e
 	}
 	for _, testCase := range []struct {
@@ -49,10 +49,10 @@
 			m := New("v", 1, 0, 0, testCase.first, "roster")
 			for i, step := range testCase.steps {
 				answer := vote(m.Step(step.now, step.event))
-				assert.Equal(t, answer.Yes, step.want, "step %d", i)
+				assert.Equal(t, answer.Granted, step.want, "step %d", i)
 				if step.event.Message.Kind == Ballot {
 					assert.Equal(t, answer.Round, step.event.Message.Round)
-					assert.Equal(t, answer.Life, step.event.Message.Life)
+					assert.Equal(t, answer.Incarnation, step.event.Message.Incarnation)
 				}
 			}
 		})
@@ -62,9 +62,9 @@
 // candidate returns a machine that has just requested votes, its ballot and the time of the request.
 func candidate(t *testing.T) (*Machine, Message, float64) {
 	m := New("a", 7, 0, 0, true, "roster")
-	m.Electorate(0, 0, []string{"a", "b", "c"}, 1, 0)
+	m.SetElectorate(0, 0, []string{"a", "b", "c"}, 1, 0)
 	for now := 0.0; now < 1000; now += 20 {
-		for _, message := range m.Step(now, Event{Kind: Heard, Message: Message{Kind: Announce, From: "b", To: "a"}}).Send {
+		for _, message := range m.Step(now, Event{Kind: Received, Message: Message{Kind: Announce, From: "b", To: "a"}}).Send {
 			if message.Kind == Ballot {
 				return m, message, now
 			}
@@ -75,7 +75,7 @@
 }
 
 func acceptingVote(ballot Message, from string) Event {
-	return Event{Kind: Heard, Message: Message{Kind: Vote, From: from, To: "a", Duty: ballot.Duty, Term: ballot.Term, Life: ballot.Life, Round: ballot.Round, Yes: true}}
+	return Event{Kind: Received, Message: Message{Kind: Vote, From: from, To: "a", Duty: ballot.Duty, Term: ballot.Term, Incarnation: ballot.Incarnation, Round: ballot.Round, Granted: true}}
 }
 
 func TestLeaseCountsFromRequest(t *testing.T) {
@@ -94,11 +94,11 @@
 
 func TestVotesThatDontCount(t *testing.T) {
 	for name, change := range map[string]func(*Message){
-		"another incarnation": func(ballot *Message) { ballot.Life++ },
+		"another incarnation": func(ballot *Message) { ballot.Incarnation++ },
 		"another term":        func(ballot *Message) { ballot.Term++ },
 		"another round":       func(ballot *Message) { ballot.Round++ },
 		"not a voter":         func(ballot *Message) { ballot.From = "z" },
-		"a refusal":           func(ballot *Message) { ballot.Yes = false },
+		"a refusal":           func(ballot *Message) { ballot.Granted = false },
 	} {
 		m, ballot, requestedAt := candidate(t)
 		event := acceptingVote(ballot, "b")
@@ -131,9 +131,9 @@
 		m := New("a", 3, 0, 0, testCase.first, "roster")
 		stoodAt := 0.0
 		for now := 20.0; now < 6000 && stoodAt == 0; now += 20 {
-			m.Electorate(now, now-10, testCase.voters, testCase.edition, 0)
+			m.SetElectorate(now, now-10, testCase.voters, testCase.edition, 0)
 			if testCase.heardFrom != "" {
-				m.Step(now, Event{Kind: Heard, Message: Message{Kind: Announce, From: testCase.heardFrom}})
+				m.Step(now, Event{Kind: Received, Message: Message{Kind: Announce, From: testCase.heardFrom}})
 			}
 			m.Step(now, Event{Kind: Tick})
 			if state := m.duties["roster"]; state.standing || state.held {
@@ -152,14 +152,14 @@
 		earliest float64
 	}{{[]string{"a"}, 1500}, {[]string{"a", "b"}, 3000}, {nil, 3000}} {
 		m := New("a", 3, 0, 0, false, "roster")
-		m.Remember(testCase.earlier, 0)
+		m.RestoreElectorate(testCase.earlier, 0)
 		wonAt, settledAt := 0.0, -1.0
 		for now := 20.0; now < 6000; now += 20 {
-			m.Electorate(now, now-10, []string{"a"}, 7, 0)
+			m.SetElectorate(now, now-10, []string{"a"}, 7, 0)
 			if out := m.Step(now, Event{Kind: Tick}); len(out.Won) > 0 {
 				wonAt = now
 			}
-			if ids, _ := m.Settled(now); settledAt < 0 && ids != nil {
+			if ids, _ := m.SoleElectorate(now); settledAt < 0 && ids != nil {
 				settledAt = now
 			}
 		}
@@ -167,20 +167,20 @@
 		assert.Assert(t, settledAt >= testCase.earliest-1500 && settledAt < testCase.earliest+50, "remembered %v: settled at %v, want %v to %v", testCase.earlier, settledAt, testCase.earliest-1500, testCase.earliest+50)
 	}
 	m := New("a", 3, 0, 0, true, "roster")
-	m.Electorate(0, 0, []string{"a"}, 1, 0)
+	m.SetElectorate(0, 0, []string{"a"}, 1, 0)
 	settledAt := func(now float64) []string {
-		ids, _ := m.Settled(now)
+		ids, _ := m.SoleElectorate(now)
 		return ids
 	}
 	assert.DeepEqual(t, settledAt(0), []string{"a"})
-	m.Electorate(100, 100, []string{"a", "b"}, 2, 0)
+	m.SetElectorate(100, 100, []string{"a", "b"}, 2, 0)
 	assert.Assert(t, settledAt(3000) == nil)
 	assert.DeepEqual(t, settledAt(3101), []string{"a", "b"})
 }
 
 func TestElectorateIsTrustedForLimitedTime(t *testing.T) {
 	m := New("a", 3, 0, 0, true, "roster")
-	m.Electorate(0, 0, []string{"a"}, 1, 0)
+	m.SetElectorate(0, 0, []string{"a"}, 1, 0)
 	heldUntil := 0.0
 	for now := 0.0; now < 6000; now += 20 {
 		m.Step(now, Event{Kind: Tick})
@@ -204,10 +204,10 @@
 		{[]string{"a", "b"}, 3, true},
 	} {
 		m := New("a", 3, 0, 0, true, "roster")
-		m.Electorate(0, 0, []string{"a"}, 1, 0)
+		m.SetElectorate(0, 0, []string{"a"}, 1, 0)
 		stoodAt := 0.0
 		for now := 10.0; now < 6000 && stoodAt == 0; now += 20 {
-			m.Electorate(now, now-10, testCase.voters, testCase.edition, 0)
+			m.SetElectorate(now, now-10, testCase.voters, testCase.edition, 0)
 			if m.Step(now, Event{Kind: Tick}); now >= m.candidateFrom && len(testCase.voters) > 1 || m.duties["roster"].held {
 				stoodAt = now
 			}
@@ -239,7 +239,7 @@
 	m.silentUntil, m.duties["roster"].lostAt = 0, -5000
 	answer := func(ballot Message, from string) Event {
 		e := acceptingVote(ballot, from)
-		e.Message.IdleMs = 3000
+		e.Message.NotHeldMs = 3000
 		return e
 	}
 	out := m.Step(requestedAt+10, answer(ballot, "b"))
@@ -266,15 +266,15 @@
 	five := []string{"a", "b", "c", "d", "e"}
 	for _, shrunk := range []uint64{0, 2} {
 		m := New("e", 3, 0, 0, true, "roster")
-		m.Electorate(0, 0, five, 1, 0)
-		m.Electorate(9000, 9000, five, 5, shrunk)
+		m.SetElectorate(0, 0, five, 1, 0)
+		m.SetElectorate(9000, 9000, five, 5, shrunk)
 		assert.Equal(t, m.candidateFrom > 9000, shrunk > 0)
-		ids, _ := m.Settled(9000)
+		ids, _ := m.SoleElectorate(9000)
 		assert.Equal(t, ids == nil, shrunk > 0)
 		for _, rememberedEdition := range []uint64{0, 4, 5} { // the number recorded by the earlier incarnation: an equal number means the same electorate
 			m = New("e", 3, 0, 0, false, "roster")
-			m.Remember(five, rememberedEdition)
-			m.Electorate(9000, 9000, five, 5, shrunk)
+			m.RestoreElectorate(five, rememberedEdition)
+			m.SetElectorate(9000, 9000, five, 5, shrunk)
 			assert.Equal(t, m.candidateFrom > 9000, shrunk > 0 && rememberedEdition != 5, "another incarnation")
 		}
 	}
--- a/internal/election/scale_bench_test.go
+++ b/internal/election/scale_bench_test.go
@@ -57,7 +57,7 @@
 	}
 	for i, id := range c.ids {
 		m := New(id, uint64(i+1), 0, 0, true, testDuties...)
-		m.Electorate(0, 0, c.ids, 1, 0)
+		m.SetElectorate(0, 0, c.ids, 1, 0)
 		c.machines, c.machineByID[id] = append(c.machines, m), m
 	}
 	return c
@@ -74,7 +74,7 @@
 	return count
 }
 
-func (c *countedCluster) send(output Out) {
+func (c *countedCluster) send(output Output) {
 	for _, message := range output.Send {
 		encoded, _ := cbor.Marshal(message)
 		c.sentMessages, c.sentBytes = c.sentMessages+1, c.sentBytes+len(encoded)
@@ -90,12 +90,12 @@
 		if item.dueAt > c.now {
 			c.inTransit = append(c.inTransit, item)
 		} else {
-			c.send(c.machineByID[item.message.To].Step(c.now, Event{Kind: Heard, Message: item.message}))
+			c.send(c.machineByID[item.message.To].Step(c.now, Event{Kind: Received, Message: item.message}))
 		}
 	}
 	for _, m := range c.machines {
 		if int(c.now)%300 == 0 {
-			m.Electorate(c.now, c.now, c.ids, 1, 0)
+			m.SetElectorate(c.now, c.now, c.ids, 1, 0)
 		}
 		c.send(m.Step(c.now, Event{Kind: Tick}))
 	}
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -76,7 +76,7 @@
 		s.start(member, true)
 	}
 	for _, member := range s.nodes {
-		member.machine.Electorate(s.now+member.clockOffsetMs, s.now+member.clockOffsetMs, s.voters, 1, 0)
+		member.machine.SetElectorate(s.now+member.clockOffsetMs, s.now+member.clockOffsetMs, s.voters, 1, 0)
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 	target.machine = New(target.id, s.rng.Uint64(), s.now+target.clockOffsetMs, 0, first, testDuties...)
 	target.down, target.frozen, target.inbox = false, false, nil
 	if target.storedVoters != nil {
-		target.machine.Remember(target.storedVoters, 0)
+		target.machine.RestoreElectorate(target.storedVoters, 0)
 	}
 }
 
@@ -105,7 +105,7 @@
 	return !a.down && !b.down && !a.partitioned && !b.partitioned && !s.brokenLinks[linkKey(a.id, b.id)]
 }
 
-func (s *simulation) apply(sender *node, output Out) {
+func (s *simulation) apply(sender *node, output Output) {
 	for _, won := range output.Won {
 		s.holderChanges++
 		if at, ok := s.lastHeldAt[won.Duty]; ok {
@@ -173,7 +173,7 @@
 			return false
 		}
 		if answer.to.machine == answer.machine && !answer.to.down && !answer.to.partitioned {
-			answer.machine.Electorate(s.now+answer.to.clockOffsetMs, answer.queriedAt, answer.voters, answer.edition, 0)
+			answer.machine.SetElectorate(s.now+answer.to.clockOffsetMs, answer.queriedAt, answer.voters, answer.edition, 0)
 		}
 		return true
 	})
@@ -184,14 +184,14 @@
 		inbox := member.inbox
 		member.inbox = nil
 		for _, message := range inbox {
-			s.apply(member, member.machine.Step(s.now+member.clockOffsetMs, Event{Kind: Heard, Message: message}))
+			s.apply(member, member.machine.Step(s.now+member.clockOffsetMs, Event{Kind: Received, Message: message}))
 		}
 		if int(s.now)%20 == 0 {
 			s.apply(member, member.machine.Step(s.now+member.clockOffsetMs, Event{Kind: Tick}))
 		}
 	}
 	for _, member := range s.nodes {
-		if ids, _ := member.machine.Settled(s.now + member.clockOffsetMs); ids != nil && s.electorateGrows && !member.down && !member.frozen {
+		if ids, _ := member.machine.SoleElectorate(s.now + member.clockOffsetMs); ids != nil && s.electorateGrows && !member.down && !member.frozen {
 			member.storedVoters = ids
 		}
 	}
@@ -243,7 +243,7 @@
 	case 5:
 		if restarts && !victim.down {
 			if !victim.frozen && s.rng.IntN(2) == 0 {
-				s.apply(victim, victim.machine.Step(s.now+victim.clockOffsetMs, Event{Kind: Resign}))
+				s.apply(victim, victim.machine.Step(s.now+victim.clockOffsetMs, Event{Kind: Shutdown}))
 			}
 			victim.down, s.termsMustIncrease = true, false
 		} else if restarts {
@@ -374,7 +374,7 @@
 			sim.waitUntilAllHeld(1200)
 			sim.run(3000)
 			holder := sim.node(sim.holder["slices"])
-			out := holder.machine.Step(sim.now+holder.clockOffsetMs, Event{Kind: Resign})
+			out := holder.machine.Step(sim.now+holder.clockOffsetMs, Event{Kind: Shutdown})
 			assert.Assert(t, len(out.Lost) > 0)
 			sim.apply(holder, out)
 			sim.run(3 * stepMs)
--- a/internal/emulator/counter_events.go
+++ b/internal/emulator/counter_events.go
@@ -12,30 +12,30 @@
 // CounterEvent is a fault that is injected into a counter. Times are in milliseconds; At
 // counts from the start.
 type CounterEvent struct {
-	At, For float64 // beginning and duration
-	Kind    string
-	Value   float64
-	Text    string // value of the kinds whose value is a word
+	AtMS, DurationMS float64 // beginning and duration
+	Kind             string
+	Value            float64
+	Option           string // value of the kinds whose value is a word
 }
 
-// CounterMoment is a change of a counter at a time, in milliseconds from the start.
-type CounterMoment struct {
-	At float64
-	Do func(*Counter)
+// CounterChange is a change of a counter at a time, in milliseconds from the start.
+type CounterChange struct {
+	AtMS  float64
+	Apply func(*Counter)
 }
 
 // counterKinds are the kinds of faults: the kind of value each requires ("" for none), and the
 // function that sets it; nil if the kind is not a field of CounterTrouble.
 var counterKinds = map[string]struct {
 	valueKind string
-	apply     func(t *CounterTrouble, v float64)
+	apply     func(t *CounterFaults, v float64)
 }{
-	"slow":    {"times", func(t *CounterTrouble, v float64) { t.Slow = v }},
-	"late":    {"time", func(t *CounterTrouble, v float64) { t.Late = v }},
-	"lose":    {"count", func(t *CounterTrouble, v float64) { t.LoseEvery = int(v) }},
-	"silent":  {"part", func(t *CounterTrouble, v float64) { t.Silent = v }},
-	"spoilt":  {"part", func(t *CounterTrouble, v float64) { t.Spoilt = v }},
-	"down":    {"", func(t *CounterTrouble, v float64) { t.Down = v > 0 }},
+	"slow":    {"times", func(t *CounterFaults, v float64) { t.SlowFactor = v }},
+	"late":    {"time", func(t *CounterFaults, v float64) { t.ResponseDelayMS = v }},
+	"lose":    {"count", func(t *CounterFaults, v float64) { t.LoseEvery = int(v) }},
+	"silent":  {"part", func(t *CounterFaults, v float64) { t.NoResponseFraction = v }},
+	"spoilt":  {"part", func(t *CounterFaults, v float64) { t.InvalidFraction = v }},
+	"down":    {"", func(t *CounterFaults, v float64) { t.Down = v > 0 }},
 	"split":   {"history", nil},
 	"replace": {"", nil},
 	"restore": {"time", nil},
@@ -65,11 +65,11 @@
 	}
 	start, duration, hasDuration := strings.Cut(timing, "+")
 	var err error
-	if event.At, err = parseMilliseconds(start); err != nil {
+	if event.AtMS, err = parseMilliseconds(start); err != nil {
 		return fail("%v", err)
 	}
 	if hasDuration {
-		if event.For, err = parseMilliseconds(duration); err != nil {
+		if event.DurationMS, err = parseMilliseconds(duration); err != nil {
 			return fail("%v", err)
 		}
 	}
@@ -91,7 +91,7 @@
 	case "time":
 		event.Value, err = parseMilliseconds(value)
 	case "history":
-		if event.Text = value; value != "sum" && value != "keep" {
+		if event.Option = value; value != "sum" && value != "keep" {
 			err = fmt.Errorf("split=sum or split=keep")
 		}
 	default:
@@ -114,41 +114,41 @@
 	return float64(duration) / float64(time.Millisecond), err
 }
 
-// Moments returns the changes that the events cause, in order of time.
-func Moments(events []CounterEvent) []CounterMoment {
-	var moments []CounterMoment
+// CounterChanges returns the changes that the events cause, in order of time.
+func CounterChanges(events []CounterEvent) []CounterChange {
+	var moments []CounterChange
 	for _, event := range events {
 		switch event.Kind {
 		case "split":
-			moments = append(moments, CounterMoment{event.At, (*Counter).Part},
-				CounterMoment{event.At + event.For, func(c *Counter) { c.Rejoin(event.Text == "sum") }})
+			moments = append(moments, CounterChange{event.AtMS, (*Counter).Partition},
+				CounterChange{event.AtMS + event.DurationMS, func(c *Counter) { c.Rejoin(event.Option == "sum") }})
 		case "replace":
-			moments = append(moments, CounterMoment{event.At, func(c *Counter) { c.Replace(nil) }})
+			moments = append(moments, CounterChange{event.AtMS, func(c *Counter) { c.Replace(nil) }})
 		case "restore":
-			var snapshot *Numbers
-			moments = append(moments, CounterMoment{max(event.At-event.Value, 0), func(c *Counter) { snapshot = c.Snapshot() }},
-				CounterMoment{event.At, func(c *Counter) { c.Replace(snapshot) }})
+			var snapshot *CounterTotals
+			moments = append(moments, CounterChange{max(event.AtMS-event.Value, 0), func(c *Counter) { snapshot = c.Snapshot() }},
+				CounterChange{event.AtMS, func(c *Counter) { c.Replace(snapshot) }})
 		default:
 			apply := counterKinds[event.Kind].apply
-			moments = append(moments, CounterMoment{event.At, func(c *Counter) { apply(&c.Trouble, event.Value) }},
-				CounterMoment{event.At + event.For, func(c *Counter) { apply(&c.Trouble, 0) }})
+			moments = append(moments, CounterChange{event.AtMS, func(c *Counter) { apply(&c.Faults, event.Value) }},
+				CounterChange{event.AtMS + event.DurationMS, func(c *Counter) { apply(&c.Faults, 0) }})
 		}
 	}
-	slices.SortStableFunc(moments, func(a, b CounterMoment) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(moments, func(a, b CounterChange) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return moments
 }
 
-// Play applies the changes at their times. It returns after the last one, or when stop is
+// ApplyChanges applies the changes at their times. It returns after the last one, or when stop is
 // closed.
-func (s *CounterServer) Play(moments []CounterMoment, stop <-chan struct{}) {
+func (s *CounterServer) ApplyChanges(moments []CounterChange, stop <-chan struct{}) {
 	for _, moment := range moments {
-		timer := time.NewTimer(time.Duration((moment.At - s.nowMS()) * float64(time.Millisecond)))
+		timer := time.NewTimer(time.Duration((moment.AtMS - s.nowMS()) * float64(time.Millisecond)))
 		select {
 		case <-stop:
 			timer.Stop()
 			return
 		case <-timer.C:
-			s.Do(moment.Do)
+			s.Update(moment.Apply)
 		}
 	}
 }
--- a/internal/emulator/counter_server.go
+++ b/internal/emulator/counter_server.go
@@ -50,8 +50,8 @@
 // Addrs returns the addresses at which the counter is served, in the order of ServeCounter.
 func (s *CounterServer) Addrs() []string { return s.addrs }
 
-// Do applies a change to the counter while no call is being processed.
-func (s *CounterServer) Do(change func(*Counter)) {
+// Update applies a change to the counter while no call is being processed.
+func (s *CounterServer) Update(change func(*Counter)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.counter)
@@ -88,17 +88,17 @@
 		s.mu.Lock()
 		answer := s.counter.Call(s.nowMS(), side, name, amount, lifetime)
 		s.mu.Unlock()
-		if answer.Heard == Nothing {
+		if answer.Outcome == NoResponse {
 			<-r.Context().Done() // no response for as long as the caller waits
 			panic(http.ErrAbortHandler)
 		}
-		if !sleep(r.Context(), answer.At-s.nowMS()) {
+		if !sleep(r.Context(), answer.AtMS-s.nowMS()) {
 			panic(http.ErrAbortHandler)
 		}
-		switch answer.Heard {
-		case TurnedAway:
+		switch answer.Outcome {
+		case Refused:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case Noise:
+		case InvalidResponse:
 			_, _ = io.WriteString(w, "--")
 		default:
 			_, _ = io.WriteString(w, strconv.FormatFloat(answer.Total, 'g', 10, 64))
--- a/internal/emulator/counter_test.go
+++ b/internal/emulator/counter_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestNumberLifetimeStartsAtFirstAddition(t *testing.T) {
-	numbers := NewNumbers()
+	numbers := NewCounterTotals()
 	var got []float64
 	for _, c := range []struct {
 		at, amount, life float64
@@ -41,19 +41,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		counter, moments := NewCounter(CounterConfig{}), Moments([]CounterEvent{event})
+		counter, moments := NewCounter(CounterConfig{}), CounterChanges([]CounterEvent{event})
 		var got []string
 		for at := 0.0; at <= 20; at += 10 {
-			for len(moments) > 0 && moments[0].At <= at {
-				moments[0].Do(counter)
+			for len(moments) > 0 && moments[0].AtMS <= at {
+				moments[0].Apply(counter)
 				moments = moments[1:]
 			}
 			var heard []string
 			for side := range 2 {
-				switch answer := counter.Call(at, side, "a", 1, 1000); answer.Heard {
-				case Nothing:
+				switch answer := counter.Call(at, side, "a", 1, 1000); answer.Outcome {
+				case NoResponse:
 					heard = append(heard, "-")
-				case Noise:
+				case InvalidResponse:
 					heard = append(heard, "?")
 				default:
 					heard = append(heard, fmt.Sprint(answer.Total))
@@ -70,20 +70,20 @@
 // TestCounterQueuesCalls checks that calls are served one after the other, and refused if they
 // would wait longer than the queue allows.
 func TestCounterQueuesCalls(t *testing.T) {
-	counter := NewCounter(CounterConfig{Each: 2, Queue: 5})
-	counter.Trouble.Late = 1
+	counter := NewCounter(CounterConfig{ServiceTimeMS: 2, MaxQueueMS: 5})
+	counter.Faults.ResponseDelayMS = 1
 	var answeredAt []float64
 	for range 5 {
 		answer := counter.Call(0, 0, "a", 1, 1000)
-		if answer.Heard == TurnedAway {
-			answer.At = -1
+		if answer.Outcome == Refused {
+			answer.AtMS = -1
 		}
-		answeredAt = append(answeredAt, answer.At)
+		answeredAt = append(answeredAt, answer.AtMS)
 	}
-	if diff := cmp.Diff([]float64{3, 5, 7, -1, -1}, answeredAt); diff != "" || counter.Made != 3 || counter.Calls != 5 {
-		t.Errorf("%s; %d of %d made", diff, counter.Made, counter.Calls)
+	if diff := cmp.Diff([]float64{3, 5, 7, -1, -1}, answeredAt); diff != "" || counter.Additions != 3 || counter.Calls != 5 {
+		t.Errorf("%s; %d of %d made", diff, counter.Additions, counter.Calls)
 	}
-	if counter.Trouble.Slow = 10; counter.Call(100, 0, "a", 1, 1000).At != 121 {
+	if counter.Faults.SlowFactor = 10; counter.Call(100, 0, "a", 1, 1000).AtMS != 121 {
 		t.Error("a call to a counter that is slow by 10 does not take 10 times as long")
 	}
 }
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop()
-	server.Do((*Counter).Part)
+	server.Update((*Counter).Partition)
 	for _, c := range []struct {
 		side   int
 		path   string
--- a/internal/emulator/request_log.go
+++ b/internal/emulator/request_log.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// Ledger counts the requests that workers received and ran. Several workers may share one.
-type Ledger struct {
+// RequestLog counts the requests that workers received and ran. Several workers may share one.
+type RequestLog struct {
 	mu           sync.Mutex
 	arrivalsByID map[string]int       // received requests by request ID
 	runsByID     map[string]int       // executions by request ID
 	runsByKey    map[string]int       // executions by idempotency key
 	firstRuns    map[string]time.Time // first execution of each key within the repeat window
-	totals       Totals
+	totals       RequestTotals
 }
 
-// Totals are the sums of a ledger.
-type Totals struct {
+// RequestTotals are the sums of a ledger.
+type RequestTotals struct {
 	Arrived   int `json:"arrived"`   // requests received
 	Ran       int `json:"ran"`       // requests that began to run
 	Dropped   int `json:"dropped"`   // repeats of an idempotency key, which were not run
-	Full      int `json:"full"`      // requests rejected with X-Never-Ran, because the queue was full or by an injected fault
-	Withdrawn int `json:"withdrawn"` // requests that the gatekeeper cancelled before they ran
+	Rejected  int `json:"full"`      // requests rejected with X-Never-Ran, because the queue was full or by an injected fault
+	Cancelled int `json:"withdrawn"` // requests that the gatekeeper cancelled before they ran
 	Faults    int `json:"faults"`    // requests with an injected fault
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{arrivalsByID: map[string]int{}, runsByID: map[string]int{}, runsByKey: map[string]int{}, firstRuns: map[string]time.Time{}}
+// NewRequestLog returns an empty ledger.
+func NewRequestLog() *RequestLog {
+	return &RequestLog{arrivalsByID: map[string]int{}, runsByID: map[string]int{}, runsByKey: map[string]int{}, firstRuns: map[string]time.Time{}}
 }
 
 // Totals returns the current sums.
-func (l *Ledger) Totals() Totals {
+func (l *RequestLog) Totals() RequestTotals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totals
 }
 
-// Ran returns how often each request ran, by request ID.
-func (l *Ledger) Ran() map[string]int {
+// RunsByID returns how often each request ran, by request ID.
+func (l *RequestLog) RunsByID() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.runsByID)
 }
 
-// KeysRun returns how often a request with each idempotency key ran.
-func (l *Ledger) KeysRun() map[string]int {
+// RunsByKey returns how often a request with each idempotency key ran.
+func (l *RequestLog) RunsByKey() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.runsByKey)
 }
 
 // updateTotals changes the totals under the lock.
-func (l *Ledger) updateTotals(update func(*Totals)) {
+func (l *RequestLog) updateTotals(update func(*RequestTotals)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update(&l.totals)
 }
 
 // recordArrival counts a received request.
-func (l *Ledger) recordArrival(id string) {
+func (l *RequestLog) recordArrival(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivalsByID[id]++
@@ -69,7 +69,7 @@
 
 // recordRun counts an execution and returns true, unless a request with the same idempotency
 // key has run within the window.
-func (l *Ledger) recordRun(id, key string, window time.Duration) bool {
+func (l *RequestLog) recordRun(id, key string, window time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key != "" {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -20,15 +20,15 @@
 	"foxwood/internal/batch"
 )
 
-// Service is the distribution of the service times of a class: lognormal with a mean and a
+// ServiceTime is the distribution of the service times of a class: lognormal with a mean and a
 // coefficient of variation, or constant if the latter is 0.
-type Service struct {
+type ServiceTime struct {
 	Mean time.Duration
 	CV   float64 // coefficient of variation
 }
 
 // draw returns a random service time.
-func (s Service) draw(rng *rand.Rand) time.Duration {
+func (s ServiceTime) draw(rng *rand.Rand) time.Duration {
 	if s.CV <= 0 {
 		return s.Mean
 	}
@@ -42,42 +42,42 @@
 
 // The faults. Those named After occur when the request has run.
 const (
-	None         Fault = iota
-	ResetBefore        // the connection is reset before the request runs
-	ResetAfter         // the connection is reset after the request ran
-	Stall              // no response for as long as the gatekeeper waits
-	ErrorAfter         // status 500
-	TurnAway           // status 503 with X-Never-Ran; the request does not run
-	NoiseAfter         // bytes that are not an HTTP response, on HTTP/1.1 only; the connection stays open
-	TwiceAfter         // the response is sent twice, on HTTP/1.1 only
-	CloseAfter         // the response has the header Connection: close
-	VanishBefore       // the whole worker stops: it closes its connections and accepts no new ones
+	None           Fault = iota
+	ResetBefore          // the connection is reset before the request runs
+	ResetAfter           // the connection is reset after the request ran
+	Stall                // no response for as long as the gatekeeper waits
+	ErrorAfter           // status 500
+	Reject               // status 503 with X-Never-Ran; the request does not run
+	GarbageAfter         // bytes that are not an HTTP response, on HTTP/1.1 only; the connection stays open
+	DuplicateAfter       // the response is sent twice, on HTTP/1.1 only
+	CloseAfter           // the response has the header Connection: close
+	CrashBefore          // the whole worker stops: it closes its connections and accepts no new ones
 )
 
 // Arrival describes a received request.
 type Arrival struct {
-	N       int    // sequence number at this worker, from 0
-	ID, Key string // request ID and idempotency key
-	Class   string
+	Sequence int    // sequence number at this worker, from 0
+	ID, Key  string // request ID and idempotency key
+	Class    string
 }
 
 // Config configures a Worker.
 type Config struct {
-	Cores   int                // requests that run concurrently, at least 1
-	Queue   int                // requests that may wait for a core; 0 for no limit
-	Classes map[string]Service // service times by class, which is the query parameter "class"
-	Default Service            // service times of other classes
-	// Window is how long after the first execution repeats of an idempotency key are dropped.
-	Window time.Duration
-	// ColdFor is how long the worker is slower after its start. The factor falls linearly
+	Cores   int                    // requests that run concurrently, at least 1
+	Queue   int                    // requests that may wait for a core; 0 for no limit
+	Classes map[string]ServiceTime // service times by class, which is the query parameter "class"
+	Default ServiceTime            // service times of other classes
+	// RepeatWindow is how long after the first execution repeats of an idempotency key are dropped.
+	RepeatWindow time.Duration
+	// ColdDuration is how long the worker is slower after its start. The factor falls linearly
 	// from ColdFactor to 1.
-	ColdFor    time.Duration
-	ColdFactor float64
-	Echo       string // name of a request header that is copied into the response
-	Reports    bool   // responses contain load reports
-	MaxStreams int    // concurrent streams per HTTP/2 connection; 0 for the default of net/http
-	Seed       uint64
-	Ledger     *Ledger // if nil, the worker creates one
+	ColdDuration time.Duration
+	ColdFactor   float64
+	EchoHeader   string // name of a request header that is copied into the response
+	LoadReports  bool   // responses contain load reports
+	MaxStreams   int    // concurrent streams per HTTP/2 connection; 0 for the default of net/http
+	Seed         uint64
+	Log          *RequestLog // if nil, the worker creates one
 	// Fault, if set, returns the fault to inject into a request.
 	Fault func(Arrival) Fault
 }
@@ -85,7 +85,7 @@
 // Worker is a simulated worker. It accepts HTTP/1.1, also with pipelining, HTTP/2 in
 // cleartext, and batch links at /batch.
 type Worker struct {
-	Ledger *Ledger
+	Log *RequestLog
 
 	config     Config
 	addr       string
@@ -103,19 +103,19 @@
 	sleepOvershoot atomic.Int64 // nanoseconds that sleeps took too long and that later ones have not made up for
 }
 
-// Start starts a worker at an address; "127.0.0.1:0" selects a free port.
-func Start(addr string, config Config) (*Worker, error) {
+// StartWorker starts a worker at an address; "127.0.0.1:0" selects a free port.
+func StartWorker(addr string, config Config) (*Worker, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
 	}
-	if config.Ledger == nil {
-		config.Ledger = NewLedger()
+	if config.Log == nil {
+		config.Log = NewRequestLog()
 	}
-	worker := &Worker{Ledger: config.Ledger, config: config, addr: listener.Addr().String(), cores: make(chan struct{}, max(config.Cores, 1)),
+	worker := &Worker{Log: config.Log, config: config, addr: listener.Addr().String(), cores: make(chan struct{}, max(config.Cores, 1)),
 		started: time.Now(), rng: rand.New(rand.NewPCG(config.Seed, 1))}
 	mux := http.NewServeMux()
-	mux.Handle("/batch", &batch.Handler{Items: http.HandlerFunc(worker.serve)})
+	mux.Handle("/batch", &batch.Handler{ItemHandler: http.HandlerFunc(worker.serve)})
 	mux.HandleFunc("/", worker.serve)
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -151,8 +151,8 @@
 // Conns returns how many connections are open, and how many have been opened in total.
 func (w *Worker) Conns() (open, ever int) { return int(w.openConns.Load()), int(w.totalConns.Load()) }
 
-// Holding returns how many requests are running or waiting.
-func (w *Worker) Holding() int { return int(w.inSystem.Load()) }
+// InFlight returns how many requests are running or waiting.
+func (w *Worker) InFlight() int { return int(w.inSystem.Load()) }
 
 // Stop closes the listener and every connection.
 func (w *Worker) Stop() {
@@ -172,9 +172,9 @@
 
 // serve handles a request.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
-	arrival := Arrival{N: int(w.arrivals.Add(1)) - 1, ID: r.Header.Get("X-Trace-Id"), Key: r.Header.Get("Idempotency-Key"),
+	arrival := Arrival{Sequence: int(w.arrivals.Add(1)) - 1, ID: r.Header.Get("X-Trace-Id"), Key: r.Header.Get("Idempotency-Key"),
 		Class: r.URL.Query().Get("class")}
-	w.Ledger.recordArrival(arrival.ID)
+	w.Log.recordArrival(arrival.ID)
 	w.inSystem.Add(1)
 	defer w.inSystem.Add(-1)
 	fault := None
@@ -182,25 +182,25 @@
 		fault = w.config.Fault(arrival)
 	}
 	if fault != None {
-		w.Ledger.updateTotals(func(t *Totals) { t.Faults++ })
+		w.Log.updateTotals(func(t *RequestTotals) { t.Faults++ })
 	}
 	switch fault {
 	case ResetBefore:
 		resetConn(r)
-	case VanishBefore:
+	case CrashBefore:
 		go w.Stop()
 		resetConn(r)
 	case Stall:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case TurnAway:
+	case Reject:
 		w.reject(rw)
 		return
 	}
 	if !w.acquireCore(r.Context(), rw) {
 		return
 	}
-	if w.Ledger.recordRun(arrival.ID, arrival.Key, w.config.Window) {
+	if w.Log.recordRun(arrival.ID, arrival.Key, w.config.RepeatWindow) {
 		w.holdCore(w.serviceTime(arrival.Class))
 	}
 	<-w.cores
@@ -225,7 +225,7 @@
 	case w.cores <- struct{}{}:
 		return true
 	case <-ctx.Done():
-		w.Ledger.updateTotals(func(t *Totals) { t.Withdrawn++ })
+		w.Log.updateTotals(func(t *RequestTotals) { t.Cancelled++ })
 		return false
 	}
 }
@@ -243,7 +243,7 @@
 
 // reject answers that the request was not run.
 func (w *Worker) reject(rw http.ResponseWriter) {
-	w.Ledger.updateTotals(func(t *Totals) { t.Full++ })
+	w.Log.updateTotals(func(t *RequestTotals) { t.Rejected++ })
 	rw.Header().Set("X-Never-Ran", "1")
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -257,8 +257,8 @@
 	w.mu.Lock()
 	duration := service.draw(w.rng)
 	w.mu.Unlock()
-	if age := time.Since(w.started); age < w.config.ColdFor {
-		remaining := 1 - float64(age)/float64(w.config.ColdFor)
+	if age := time.Since(w.started); age < w.config.ColdDuration {
+		remaining := 1 - float64(age)/float64(w.config.ColdDuration)
 		duration = time.Duration(float64(duration) * (1 + (w.config.ColdFactor-1)*remaining))
 	}
 	return duration
@@ -276,24 +276,24 @@
 		return
 	case CloseAfter:
 		rw.Header().Set("Connection", "close")
-	case NoiseAfter:
+	case GarbageAfter:
 		if c := hijack(rw); c != nil {
 			_, _ = c.Write([]byte("\x16\x03\x01 no answer\r\n"))
 			return
 		}
-	case TwiceAfter:
+	case DuplicateAfter:
 		if c := hijack(rw); c != nil {
-			response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", w.config.Echo,
-				r.Header.Get(w.config.Echo), len(body), body)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", w.config.EchoHeader,
+				r.Header.Get(w.config.EchoHeader), len(body), body)
 			_, _ = c.Write([]byte(response + response))
 			return
 		}
 	}
-	if echoed := r.Header.Get(w.config.Echo); w.config.Echo != "" && echoed != "" {
-		rw.Header().Set(w.config.Echo, echoed)
+	if echoed := r.Header.Get(w.config.EchoHeader); w.config.EchoHeader != "" && echoed != "" {
+		rw.Header().Set(w.config.EchoHeader, echoed)
 	}
-	if w.config.Reports {
-		rw.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT inflight=%d, queue=%d", w.Holding(), w.waiting.Load()))
+	if w.config.LoadReports {
+		rw.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT inflight=%d, queue=%d", w.InFlight(), w.waiting.Load()))
 	}
 	rw.Header().Set("Content-Type", "text/plain")
 	rw.Header().Set("Content-Length", fmt.Sprint(len(body)))
--- a/internal/forecast/generate.go
+++ b/internal/forecast/generate.go
@@ -139,7 +139,7 @@
 	hitsCore := drawn.target == targetMachines && w.random.IntN(2) == 0
 	switch {
 	case drawn.descriptionWords["share"] && hitsCore && drawn.name != "clock_step":
-		fields["on"], fields["count"] = "core", int64(1+w.random.IntN(w.Tolerate.Machines+1))
+		fields["on"], fields["count"] = "core", int64(1+w.random.IntN(w.Tolerated.Machines+1))
 	case drawn.descriptionWords["share"]:
 		fields["share"] = w.uniform(0.05, 0.6)
 	case strings.Contains(drawn.description, "count routes"):
@@ -252,7 +252,7 @@
 	for _, ev := range w.events {
 		if ev.tomlTable["share"] != nil && ev.kindName() != "clock_step" && !strings.HasPrefix(ev.kindName(), "node_cut") {
 			delete(ev.tomlTable, "share")
-			ev.tomlTable["on"], ev.tomlTable["count"] = "core", int64(1+w.random.IntN(w.Tolerate.Machines+1))
+			ev.tomlTable["on"], ev.tomlTable["count"] = "core", int64(1+w.random.IntN(w.Tolerated.Machines+1))
 		}
 	}
 	w.addReplacements()
--- a/internal/forecast/site.go
+++ b/internal/forecast/site.go
@@ -20,12 +20,12 @@
 		Class string
 		Count int
 	}
-	Services []struct{ Name string }
-	Classes  []struct{ Name string }
-	Troubles []tomlTable            `toml:"troubles"` // faults that may occur at the site
-	Tolerate struct{ Machines int } `toml:"tolerate"` // core machines that may fail at once without breaking a rule
+	Services   []struct{ Name string }
+	Classes    []struct{ Name string }
+	SiteFaults []tomlTable            `toml:"troubles"` // faults that may occur at the site
+	Tolerated  struct{ Machines int } `toml:"tolerate"` // core machines that may fail at once without breaking a rule
 	// The site's own scenarios.
-	Day []struct {
+	Scenarios []struct {
 		Closing      tomlTable
 		Plan, Faults []tomlTable
 	} `toml:"day"`
@@ -128,10 +128,10 @@
 	}
 	catalog.machineModifiers, catalog.returnModifiers = mentioned("leader", "reader", "seed"), mentioned("meet", "race", "hard", "drain", "busy")
 	catalog.cutModifiers, catalog.serverModifiers = mentioned("reset", "refuse"), mentioned("across", "all")
-	for _, fields := range parsedSite.Troubles {
+	for _, fields := range parsedSite.SiteFaults {
 		catalog.addUsage(fields)
 	}
-	for _, day := range parsedSite.Day {
+	for _, day := range parsedSite.Scenarios {
 		if day.Closing != nil {
 			variant, _ := day.Closing["how"].(string)
 			name, _ := day.Closing["kind"].(string)
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -38,10 +38,10 @@
 	Fatal(...any)
 }, maxStreams int) *fakeServer {
 	server := &fakeServer{t: t}
-	server.session = New(server, maxStreams)
+	server.session = NewSession(server, maxStreams)
 	server.framer = http2.NewFramer(&server.output, nil)
 	server.encoder = hpack.NewEncoder(&server.block)
-	server.written.Write(server.session.Out())
+	server.written.Write(server.session.TakeOutput())
 	if got := string(server.written.Next(len(http2.ClientPreface))); got != http2.ClientPreface {
 		t.Fatal("unexpected preface:", got)
 	}
@@ -50,11 +50,11 @@
 	return server
 }
 
-func (p *fakeServer) Answered(s *Stream, m *http1.Message) {
+func (p *fakeServer) ResponseReceived(s *Stream, m *http1.Message) {
 	p.events = append(p.events, fmt.Sprintf("%d: %d %q %s", s.ID, m.Status, m.Body, m.Get("x-units")))
 }
 
-func (p *fakeServer) Ended(s *Stream, why Why) {
+func (p *fakeServer) StreamEnded(s *Stream, why EndReason) {
 	p.events = append(p.events, fmt.Sprintf("%d: %s", s.ID, [...]string{"failed", "refused", "unprocessed"}[why]))
 }
 
@@ -80,7 +80,7 @@
 func (p *fakeServer) open(body string) *Stream {
 	p.t.Helper()
 	streamID := p.session.nextID
-	if err := p.session.Open(nil, []byte(requestHead), []byte("X-Expires-In-Ms: 900\r\n"), []byte(body)); err != nil {
+	if err := p.session.OpenStream(nil, []byte(requestHead), []byte("X-Expires-In-Ms: 900\r\n"), []byte(body)); err != nil {
 		p.t.Fatal(err)
 	}
 	return p.session.streams[streamID]
@@ -108,7 +108,7 @@
 
 // framesWritten lists the frames that the session has written since the last call.
 func (p *fakeServer) framesWritten() []string {
-	p.written.Write(p.session.Out())
+	p.written.Write(p.session.TakeOutput())
 	var all []string
 	for p.written.Len() > 0 {
 		frame, err := p.reader.ReadFrame()
@@ -160,8 +160,8 @@
 	if err := server.feed(); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{`1: 204 "" `, `3: 200 "hola" 2`}, server.events); diff != "" || server.session.Len() != 0 {
-		t.Errorf("%d streams open, want 0; events (-want +got): %s", server.session.Len(), diff)
+	if diff := cmp.Diff([]string{`1: 204 "" `, `3: 200 "hola" 2`}, server.events); diff != "" || server.session.OpenStreams() != 0 {
+		t.Errorf("%d streams open, want 0; events (-want +got): %s", server.session.OpenStreams(), diff)
 	}
 }
 
@@ -182,8 +182,8 @@
 	if diff := cmp.Diff([]string{"1: refused", "3: failed", "9: unprocessed", `7: 200 "" `}, server.events); diff != "" {
 		t.Error(diff)
 	}
-	if server.session.Room() != 0 || !server.session.Leaving() || server.session.Len() != 1 {
-		t.Errorf("%d streams available, going away %v, %d open; want 0, true, 1", server.session.Room(), server.session.Leaving(), server.session.Len())
+	if server.session.AvailableStreams() != 0 || !server.session.GoingAway() || server.session.OpenStreams() != 1 {
+		t.Errorf("%d streams available, going away %v, %d open; want 0, true, 1", server.session.AvailableStreams(), server.session.GoingAway(), server.session.OpenStreams())
 	}
 }
 
@@ -194,7 +194,7 @@
 	if got := strings.Join(server.framesWritten(), "; "); strings.Count(got, "DATA 1") != 3 || !strings.Contains(got, "DATA 3 16384 false; DATA 3 9151 false") {
 		t.Errorf("frames before the windows are raised: %s", got)
 	}
-	if first.End != 0 || second.End != 0 {
+	if first.EndOffset != 0 || second.EndOffset != 0 {
 		t.Error("reported as fully sent")
 	}
 	_ = server.framer.WriteWindowUpdate(0, 100000)
@@ -206,7 +206,7 @@
 	if diff := cmp.Diff([]string{"DATA 3 4465 true", "SETTINGS true", "DATA 1 10000 false", "DATA 1 10000 true"}, server.framesWritten()); diff != "" {
 		t.Error(diff)
 	}
-	if first.End == 0 || second.End == 0 {
+	if first.EndOffset == 0 || second.EndOffset == 0 {
 		t.Error("not reported as fully sent")
 	}
 }
@@ -215,7 +215,7 @@
 	server := newFakeServer(t, 10).sendSettings()
 	stream := server.open("")
 	server.framesWritten()
-	server.session.Cancel(stream)
+	server.session.CancelStream(stream)
 	if diff := cmp.Diff([]string{"RST 1 CANCEL"}, server.framesWritten()); diff != "" {
 		t.Error(diff)
 	}
@@ -367,8 +367,8 @@
 			if got := server.framesWritten(); len(got) != 1 || got[0] != "GOAWAY "+tc.wantCode.String() {
 				t.Errorf("%v: wrote %v, want a GOAWAY with %v", err, got, tc.wantCode)
 			}
-			if again := server.session.Feed([]byte("x")); !errors.Is(again, err) || server.session.Room() != 0 {
-				t.Errorf("after the end: error %v, %d streams available; want the same error and 0", again, server.session.Room())
+			if again := server.session.Feed([]byte("x")); !errors.Is(again, err) || server.session.AvailableStreams() != 0 {
+				t.Errorf("after the end: error %v, %d streams available; want the same error and 0", again, server.session.AvailableStreams())
 			}
 		})
 	}
@@ -392,7 +392,7 @@
 				_ = server.framer.WriteRSTStream(stream.ID, http2.ErrCodeRefusedStream)
 				want[fmt.Sprintf("%d: refused", stream.ID)]++
 			case 1:
-				server.session.Cancel(stream)
+				server.session.CancelStream(stream)
 				server.headers(stream.ID, true, 0, ":status", "200", "x-units", fmt.Sprint(stream.ID))
 			default:
 				server.headers(stream.ID, body == "", rapid.IntRange(0, 9).Draw(t, "piece"), ":status", "200", "x-units", fmt.Sprint(stream.ID))
@@ -414,8 +414,8 @@
 		for _, s := range server.events {
 			got[s]++
 		}
-		if diff := cmp.Diff(want, got); diff != "" || server.session.Len() != 0 {
-			t.Fatalf("%d streams open, want 0; events (-want +got): %s", server.session.Len(), diff)
+		if diff := cmp.Diff(want, got); diff != "" || server.session.OpenStreams() != 0 {
+			t.Fatalf("%d streams open, want 0; events (-want +got): %s", server.session.OpenStreams(), diff)
 		}
 	})
 }
@@ -448,8 +448,8 @@
 				t.Fatalf("buffered %d bytes of frames and %d of a header block", len(server.session.input), len(server.session.headerBlock))
 			}
 		}
-		if server.session.Len()+len(server.events) != 4 {
-			t.Fatalf("%d streams open, events %v; want 4 in total", server.session.Len(), server.events)
+		if server.session.OpenStreams()+len(server.events) != 4 {
+			t.Fatalf("%d streams open, events %v; want 4 in total", server.session.OpenStreams(), server.events)
 		}
 	})
 }
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -222,7 +222,7 @@
 			return nil
 		}
 		return s.countUnproductive()
-	case stream.declaredLength > http1.MaxAnswer:
+	case stream.declaredLength > http1.MaxResponseBytes:
 		s.failStream(stream, http2.ErrCodeCancel)
 		return nil
 	}
@@ -307,7 +307,7 @@
 	case n > stream.receiveWindow:
 		s.failStream(stream, http2.ErrCodeFlowControl)
 		return nil
-	case len(stream.body)+len(piece) > http1.MaxAnswer:
+	case len(stream.body)+len(piece) > http1.MaxResponseBytes:
 		s.failStream(stream, http2.ErrCodeCancel)
 		return nil
 	}
@@ -331,13 +331,13 @@
 		return
 	}
 	s.unproductive = 0
-	if stream.End == 0 { // the worker did not need the rest of the body: RFC 9113, section 8.1
+	if stream.EndOffset == 0 { // the worker did not need the rest of the body: RFC 9113, section 8.1
 		s.resetStream(stream, http2.ErrCodeNo)
 	} else {
 		delete(s.streams, stream.ID)
 	}
 	stream.response.Body = stream.body
-	s.handler.Answered(stream, &stream.response)
+	s.handler.ResponseReceived(stream, &stream.response)
 }
 
 func (s *Session) handleReset(frame *http2.RSTStreamFrame) error {
@@ -346,11 +346,11 @@
 	}
 	if stream := s.streams[frame.StreamID]; stream != nil {
 		delete(s.streams, stream.ID)
-		why := Spoilt
+		why := StreamFailed
 		if frame.ErrCode == http2.ErrCodeRefusedStream {
-			why = Refused
+			why = StreamRefused
 		}
-		s.handler.Ended(stream, why)
+		s.handler.StreamEnded(stream, why)
 	}
 	return s.countUnproductive()
 }
@@ -402,7 +402,7 @@
 		delete(s.streams, stream.ID)
 	}
 	for _, stream := range unprocessed {
-		s.handler.Ended(stream, Unprocessed)
+		s.handler.StreamEnded(stream, StreamUnprocessed)
 	}
 }
 
--- a/internal/h2/session.go
+++ b/internal/h2/session.go
@@ -40,7 +40,7 @@
 	Tag any // for use by the caller
 	// StartOffset and EndOffset are the positions of the request in the output of the session.
 	// EndOffset is 0 until the request's last byte has been written.
-	Start, End int64
+	StartOffset, EndOffset int64
 
 	response       http1.Message
 	headersDone    bool // the final header block has arrived
@@ -52,26 +52,26 @@
 }
 
 // EndReason tells how a stream ended without a response, and whether the request may have run.
-type Why int
+type EndReason int
 
 // The reasons for the end of a stream.
 const (
 	// StreamFailed means that the response broke the protocol or exceeded a limit, or that the
 	// peer reset the stream. The request may have run.
-	Spoilt Why = iota
+	StreamFailed EndReason = iota
 	// StreamRefused means RST_STREAM with REFUSED_STREAM (RFC 9113, section 8.7). The request
 	// never ran.
-	Refused
+	StreamRefused
 	// StreamUnprocessed means that the id is above the last stream id of a GOAWAY (RFC 9113,
 	// section 6.8). The request never ran.
-	Unprocessed
+	StreamUnprocessed
 )
 
 // Handler is notified when streams end. It is called from within Feed and OpenStream. The
 // stream is no longer open at that time, and the message is valid only during the call.
 type Handler interface {
-	Answered(s *Stream, m *http1.Message)
-	Ended(s *Stream, why Why)
+	ResponseReceived(s *Stream, m *http1.Message)
+	StreamEnded(s *Stream, why EndReason)
 }
 
 // Session is the client side of one connection.
@@ -112,7 +112,7 @@
 
 // NewSession returns a session whose output begins with the preface and SETTINGS. maxStreams
 // is the limit on open streams; the peer may allow fewer.
-func New(handler Handler, maxStreams int) *Session {
+func NewSession(handler Handler, maxStreams int) *Session {
 	session := &Session{handler: handler, maxStreams: maxStreams, peerMaxStreams: maxWindowBytes, peerInitialWindow: initialWindowBytes, maxFrame: maxFrameBytes,
 		sendWindow: initialWindowBytes, receiveWindow: connWindowBytes, nextID: 1, streams: map[uint32]*Stream{}}
 	session.framer = http2.NewFramer(&session.output, &session.source)
@@ -140,7 +140,7 @@
 
 // TakeOutput returns the output to be written to the connection and removes it from the
 // session. The slice is valid until the next call of the session.
-func (s *Session) Out() []byte {
+func (s *Session) TakeOutput() []byte {
 	b := s.output.Bytes()
 	s.written += int64(len(b))
 	s.output.Reset()
@@ -151,10 +151,10 @@
 func (s *Session) outputOffset() int64 { return s.written + int64(s.output.Len()) }
 
 // HasOutput reports whether there is output.
-func (s *Session) Waiting() bool { return s.output.Len() > 0 }
+func (s *Session) HasOutput() bool { return s.output.Len() > 0 }
 
 // AvailableStreams returns how many more streams may be opened now.
-func (s *Session) Room() int {
+func (s *Session) AvailableStreams() int {
 	if s.goAwayReceived || s.failed != nil || s.nextID > maxStreamID {
 		return 0
 	}
@@ -162,30 +162,30 @@
 }
 
 // GoingAway reports whether no new streams can be opened any more.
-func (s *Session) Leaving() bool { return s.goAwayReceived || s.nextID > maxStreamID }
+func (s *Session) GoingAway() bool { return s.goAwayReceived || s.nextID > maxStreamID }
 
 // OpenStreams returns the number of open streams.
-func (s *Session) Len() int { return len(s.streams) }
+func (s *Session) OpenStreams() int { return len(s.streams) }
 
 // EachStream calls fn for every open stream, in no particular order. fn may cancel the stream.
-func (s *Session) Each(fn func(*Stream)) {
+func (s *Session) EachStream(fn func(*Stream)) {
 	for _, st := range s.streams {
 		fn(st)
 	}
 }
 
 // DropStreams forgets every stream after the connection has ended.
-func (s *Session) Drop() { clear(s.streams) }
+func (s *Session) DropStreams() { clear(s.streams) }
 
 // OpenStream sends a request on a new stream. AvailableStreams must not be 0. head is the
 // request line and the header fields of an HTTP/1.1 request, each line with its line end;
 // extra is further header lines. head and body must not change until the stream has ended.
-func (s *Session) Open(tag any, head, extra, body []byte) error {
+func (s *Session) OpenStream(tag any, head, extra, body []byte) error {
 	s.block.Reset()
 	if err := s.encodeHeaders(head, extra); err != nil {
 		return err
 	}
-	stream := &Stream{ID: s.nextID, Tag: tag, Start: s.outputOffset(), declaredLength: -1, sendWindow: s.peerInitialWindow, receiveWindow: streamWindowBytes}
+	stream := &Stream{ID: s.nextID, Tag: tag, StartOffset: s.outputOffset(), declaredLength: -1, sendWindow: s.peerInitialWindow, receiveWindow: streamWindowBytes}
 	s.nextID += 2
 	s.streams[stream.ID] = stream
 	block := s.block.Bytes()
@@ -199,7 +199,7 @@
 		s.noteWriteError(s.framer.WriteContinuation(stream.ID, len(block) == 0, piece))
 	}
 	if len(body) == 0 {
-		stream.End = s.outputOffset()
+		stream.EndOffset = s.outputOffset()
 	} else if stream.pending = body; !s.sendBody(stream) {
 		s.blocked = append(s.blocked, stream)
 	}
@@ -220,7 +220,7 @@
 		s.sendWindow -= n
 		s.noteWriteError(s.framer.WriteData(stream.ID, len(stream.pending) == 0, piece))
 	}
-	stream.End = s.outputOffset()
+	stream.EndOffset = s.outputOffset()
 	return true
 }
 
@@ -238,7 +238,7 @@
 
 // CancelStream resets a stream with CANCEL (RFC 9113, section 5.4.2). The connection stays
 // open.
-func (s *Session) Cancel(stream *Stream) {
+func (s *Session) CancelStream(stream *Stream) {
 	if s.streams[stream.ID] == stream {
 		s.resetStream(stream, http2.ErrCodeCancel)
 	}
@@ -252,7 +252,7 @@
 // failStream resets a stream after invalid input on it.
 func (s *Session) failStream(stream *Stream, code http2.ErrCode) {
 	s.resetStream(stream, code)
-	s.handler.Ended(stream, Spoilt)
+	s.handler.StreamEnded(stream, StreamFailed)
 }
 
 // Ping sends a PING (RFC 9113, section 6.7).
@@ -264,7 +264,7 @@
 }
 
 // PingAnswered reports whether the last Ping has been answered.
-func (s *Session) Ponged() bool { return s.pingsSent == s.pingsAnswered }
+func (s *Session) PingAnswered() bool { return s.pingsSent == s.pingsAnswered }
 
 // Error is the reason why a connection must be closed.
 type Error struct {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -21,9 +21,9 @@
 	"foxwood/policy"
 )
 
-// Version is the version of the handover protocol. Processes with different versions don't
+// ProtocolVersion is the version of the handover protocol. Processes with different versions don't
 // hand over.
-const Version = 1
+const ProtocolVersion = 1
 
 const (
 	maxFrameBytes      = 32 << 20
@@ -36,33 +36,33 @@
 
 // Offer is what the old process hands over together with its listener.
 type Offer struct {
-	Version int             // of the protocol
-	State   policy.Snapshot // state of the decision module
-	List    platform.List   `json:"List"`    // workers
-	Classes []string        `json:"Classes"` // names of the active request classes, by their index
+	Version    int                 // of the protocol
+	State      policy.Snapshot     // state of the decision module
+	Workers    platform.WorkerList `json:"List"`    // workers
+	ClassNames []string            `json:"Classes"` // names of the active request classes, by their index
 }
 
 // message is the content of a frame, which has four bytes of length and the message as JSON.
 // Exactly one field is set.
 type message struct {
-	Hello int          `json:"hello,omitempty"` // protocol version of the new process
-	Offer *Offer       `json:"offer,omitempty"` // the descriptor of the listener comes with it
-	Ready bool         `json:"ready,omitempty"` // the new process can serve
-	Go    bool         `json:"go,omitempty"`    // the old process has stopped accepting
-	Draw  *policy.Draw `json:"draw,omitempty"`  // a quota draw of the sender
+	Hello    int              `json:"hello,omitempty"` // protocol version of the new process
+	Offer    *Offer           `json:"offer,omitempty"` // the descriptor of the listener comes with it
+	Ready    bool             `json:"ready,omitempty"` // the new process can serve
+	Released bool             `json:"go,omitempty"`    // the old process has stopped accepting
+	Draw     *policy.PeerDraw `json:"draw,omitempty"`  // a quota draw of the sender
 }
 
-// Events handles the messages of the other process. Its methods are called one at a time, by
+// EventHandler handles the messages of the other process. Its methods are called one at a time, by
 // Peer.Run.
-type Events interface {
-	// Ready is called in the old process when the new one can serve.
-	Ready(p *Peer)
-	// Go is called in the new process when the old one has stopped accepting.
-	Go(p *Peer)
-	// Drew is called with each quota draw of the other process.
-	Drew(p *Peer, d policy.Draw)
-	// Lost is called once, when the connection has ended or an invalid message has arrived.
-	Lost(p *Peer, err error)
+type EventHandler interface {
+	// PeerReady is called in the old process when the new one can serve.
+	PeerReady(p *Peer)
+	// PeerReleased is called in the new process when the old one has stopped accepting.
+	PeerReleased(p *Peer)
+	// PeerDrew is called with each quota draw of the other process.
+	PeerDrew(p *Peer, d policy.PeerDraw)
+	// PeerLost is called once, when the connection has ended or an invalid message has arrived.
+	PeerLost(p *Peer, err error)
 }
 
 // Peer is a connection to the other process.
@@ -73,9 +73,9 @@
 	done  chan struct{}
 }
 
-// Path returns the path of the handover socket in a directory, for processes that serve the
+// SocketPath returns the path of the handover socket in a directory, for processes that serve the
 // same listen address.
-func Path(dir, listenAddr string) string {
+func SocketPath(dir, listenAddr string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r == '/' || r == 0 {
 			return '_'
@@ -87,10 +87,10 @@
 
 var errProtocol = errors.New("handover: protocol error")
 
-// Meet connects to the running process and receives its offer. It fails if there is no such
+// Connect connects to the running process and receives its offer. It fails if there is no such
 // process, or if its offer is invalid, incomplete or late. The caller then starts without a
 // handover.
-func Meet(path string, timeout time.Duration) (peer *Peer, offer *Offer, listener *net.TCPListener, err error) {
+func Connect(path string, timeout time.Duration) (peer *Peer, offer *Offer, listener *net.TCPListener, err error) {
 	deadline := time.Now().Add(timeout)
 	dialer := net.Dialer{Deadline: deadline}
 	c, err := dialer.Dial("unix", path)
@@ -107,12 +107,12 @@
 		return nil, nil, nil, err
 	}
 	_ = conn.SetDeadline(deadline)
-	if err := writeFrame(conn, message{Hello: Version}, -1); err != nil {
+	if err := writeFrame(conn, message{Hello: ProtocolVersion}, -1); err != nil {
 		return nil, nil, nil, err
 	}
 	msg, fd, err := readFrame(conn)
-	if err == nil && (msg.Offer == nil || msg.Offer.Version != Version || fd < 0) {
-		err = fmt.Errorf("%w: expected an offer of version %d with a listener, got another message", errProtocol, Version)
+	if err == nil && (msg.Offer == nil || msg.Offer.Version != ProtocolVersion || fd < 0) {
+		err = fmt.Errorf("%w: expected an offer of version %d with a listener, got another message", errProtocol, ProtocolVersion)
 	}
 	if err != nil {
 		if fd >= 0 {
@@ -181,7 +181,7 @@
 }
 
 // Run reads messages and passes them to events until the connection ends.
-func (p *Peer) Run(events Events) {
+func (p *Peer) Run(events EventHandler) {
 	for {
 		msg, fd, err := readFrame(p.conn)
 		if fd >= 0 {
@@ -190,17 +190,17 @@
 		switch {
 		case err != nil:
 			p.Close()
-			events.Lost(p, err)
+			events.PeerLost(p, err)
 			return
 		case msg.Ready:
-			events.Ready(p)
-		case msg.Go:
-			events.Go(p)
+			events.PeerReady(p)
+		case msg.Released:
+			events.PeerReleased(p)
 		case msg.Draw != nil:
-			events.Drew(p, *msg.Draw)
+			events.PeerDrew(p, *msg.Draw)
 		default:
 			p.Close()
-			events.Lost(p, fmt.Errorf("%w: expected ready, go or draw, got another message", errProtocol))
+			events.PeerLost(p, fmt.Errorf("%w: expected ready, go or draw, got another message", errProtocol))
 			return
 		}
 	}
@@ -216,30 +216,30 @@
 	}
 }
 
-// Ready tells the old process that this one can serve. Any goroutine may call it.
-func (p *Peer) Ready() { p.send(message{Ready: true}) }
+// SendReady tells the old process that this one can serve. Any goroutine may call it.
+func (p *Peer) SendReady() { p.send(message{Ready: true}) }
 
-// Go tells the new process that this one has stopped accepting. Any goroutine may call it.
-func (p *Peer) Go() { p.send(message{Go: true}) }
+// SendReleased tells the new process that this one has stopped accepting. Any goroutine may call it.
+func (p *Peer) SendReleased() { p.send(message{Released: true}) }
 
-// Draw reports a quota draw to the other process. Any goroutine may call it.
-func (p *Peer) Draw(d policy.Draw) { p.send(message{Draw: &d}) }
+// SendDraw reports a quota draw to the other process. Any goroutine may call it.
+func (p *Peer) SendDraw(d policy.PeerDraw) { p.send(message{Draw: &d}) }
 
 // Close closes the connection. It may be called more than once.
 func (p *Peer) Close() {
 	p.close.Do(func() { close(p.done); p.conn.Close() })
 }
 
-// Socket is the handover socket, at which a running process waits for a new one.
-type Socket struct {
+// Listener is the handover socket, at which a running process waits for a new one.
+type Listener struct {
 	listener *net.UnixListener
 	path     string
 }
 
-// Wait opens the handover socket. It replaces a socket that is stale or belongs to another
+// Listen opens the handover socket. It replaces a socket that is stale or belongs to another
 // process. onConnect is called for each new process that has sent a valid hello, one at a
 // time.
-func Wait(path string, onConnect func(*Meeting)) (*Socket, error) {
+func Listen(path string, onConnect func(*Successor)) (*Listener, error) {
 	if len(path) > maxSocketPathBytes {
 		return nil, fmt.Errorf("handover: socket path %s has %d bytes, expected at most %d", path, len(path), maxSocketPathBytes)
 	}
@@ -255,13 +255,13 @@
 		_ = os.Remove(tempPath)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s := &Socket{listener: listener, path: path}
+	s := &Listener{listener: listener, path: path}
 	go s.accept(onConnect)
 	return s, nil
 }
 
 // accept handles one connection at a time, so that silent ones take up one descriptor at most.
-func (s *Socket) accept(onConnect func(*Meeting)) {
+func (s *Listener) accept(onConnect func(*Successor)) {
 	for {
 		conn, err := s.listener.AcceptUnix()
 		if err != nil {
@@ -272,23 +272,23 @@
 		if fd >= 0 {
 			_ = syscall.Close(fd)
 		}
-		if err != nil || msg.Hello != Version || checkPeerUser(conn) != nil {
+		if err != nil || msg.Hello != ProtocolVersion || checkPeerUser(conn) != nil {
 			conn.Close()
 			continue
 		}
-		onConnect(&Meeting{conn: conn})
+		onConnect(&Successor{conn: conn})
 	}
 }
 
 // Close stops listening. The socket file stays: it may be the one of a newer process already.
-func (s *Socket) Close() { s.listener.Close() }
+func (s *Listener) Close() { s.listener.Close() }
 
-// Meeting is a connection from a new process that waits for an offer.
-type Meeting struct{ conn *net.UnixConn }
+// Successor is a connection from a new process that waits for an offer.
+type Successor struct{ conn *net.UnixConn }
 
-// Offer sends the state and the listener, which also stays open in this process.
-func (m *Meeting) Offer(offer Offer, listener *net.TCPListener) (*Peer, error) {
-	offer.Version = Version
+// SendOffer sends the state and the listener, which also stays open in this process.
+func (m *Successor) SendOffer(offer Offer, listener *net.TCPListener) (*Peer, error) {
+	offer.Version = ProtocolVersion
 	raw, err := listener.SyscallConn()
 	if err != nil {
 		m.conn.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -23,10 +23,12 @@
 // recordedEvents records the events of a peer by name.
 type recordedEvents struct{ names chan string }
 
-func (h recordedEvents) Ready(*Peer)                 { h.names <- "ready" }
-func (h recordedEvents) Go(*Peer)                    { h.names <- "go" }
-func (h recordedEvents) Drew(_ *Peer, d policy.Draw) { h.names <- "drew " + string(rune('0'+d.Plan)) }
-func (h recordedEvents) Lost(*Peer, error)           { h.names <- "lost" }
+func (h recordedEvents) PeerReady(*Peer)    { h.names <- "ready" }
+func (h recordedEvents) PeerReleased(*Peer) { h.names <- "go" }
+func (h recordedEvents) PeerDrew(_ *Peer, d policy.PeerDraw) {
+	h.names <- "drew " + string(rune('0'+d.Plan))
+}
+func (h recordedEvents) PeerLost(*Peer, error) { h.names <- "lost" }
 
 func (h recordedEvents) expect(t *testing.T, want ...string) {
 	t.Helper()
@@ -55,14 +57,14 @@
 // TestHandoverProtocol covers a whole handover: the offer with state, worker list and listener,
 // and the quota draws of both sides in their order.
 func TestHandoverProtocol(t *testing.T) {
-	path := Path(t.TempDir(), "127.0.0.1:8000")
+	path := SocketPath(t.TempDir(), "127.0.0.1:8000")
 	ln := listen(t, nil)
-	offer := Offer{State: policy.Snapshot{Version: policy.SnapshotVersion, Bound: 7},
-		List: platform.List{Generation: 9, Instances: []platform.Instance{{ID: "s-1", Addr: "127.0.0.1:1"}}}, Classes: []string{"a"}}
+	offer := Offer{State: policy.Snapshot{Version: policy.SnapshotVersion, InFlightLimit: 7},
+		Workers: platform.WorkerList{Generation: 9, Instances: []platform.Instance{{ID: "s-1", Addr: "127.0.0.1:1"}}}, ClassNames: []string{"a"}}
 	oldEvents, newEvents := recordedEvents{make(chan string, 10)}, recordedEvents{make(chan string, 10)}
 	peers := make(chan *Peer, 1)
-	socket, err := Wait(path, func(m *Meeting) {
-		newPeer, err := m.Offer(offer, ln)
+	socket, err := Listen(path, func(m *Successor) {
+		newPeer, err := m.SendOffer(offer, ln)
 		if err != nil {
 			t.Error(err)
 			return
@@ -74,23 +76,23 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	newPeer, got, received, err := Meet(path, testTimeout)
+	newPeer, got, received, err := Connect(path, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer received.Close()
-	offer.Version = Version
+	offer.Version = ProtocolVersion
 	if diff := cmp.Diff(&offer, got); diff != "" {
 		t.Fatalf("offer (-sent +got):\n%s", diff)
 	}
 	go newPeer.Run(newEvents)
 	oldPeer := <-peers
-	oldPeer.Draw(policy.Draw{Plan: 1})
-	newPeer.Ready()
-	newPeer.Draw(policy.Draw{Plan: 2})
+	oldPeer.SendDraw(policy.PeerDraw{Plan: 1})
+	newPeer.SendReady()
+	newPeer.SendDraw(policy.PeerDraw{Plan: 2})
 	oldEvents.expect(t, "ready", "drew 2")
-	oldPeer.Go()
-	oldPeer.Draw(policy.Draw{Plan: 3})
+	oldPeer.SendReleased()
+	oldPeer.SendDraw(policy.PeerDraw{Plan: 3})
 	newEvents.expect(t, "drew 1", "go", "drew 3")
 
 	ln.Close() // the accept queue belongs to the new process now
@@ -136,7 +138,7 @@
 				}()
 			}
 			began := time.Now()
-			if _, _, _, err := Meet(path, 200*time.Millisecond); err == nil {
+			if _, _, _, err := Connect(path, 200*time.Millisecond); err == nil {
 				t.Fatal("the handover succeeded")
 			}
 			if took := time.Since(began); took > time.Second {
@@ -149,9 +151,9 @@
 // TestSilentConnectionsDoNotBlockHandover checks that a new process gets its offer although
 // other connections were closed without a hello or have another protocol version.
 func TestSilentConnectionsDoNotBlockHandover(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	ln := listen(t, nil)
-	socket, err := Wait(path, func(m *Meeting) { _, _ = m.Offer(Offer{}, ln) })
+	socket, err := Listen(path, func(m *Successor) { _, _ = m.SendOffer(Offer{}, ln) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,10 +170,10 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	if err := writeFrame(other, message{Hello: Version + 1}, -1); err != nil {
+	if err := writeFrame(other, message{Hello: ProtocolVersion + 1}, -1); err != nil {
 		t.Fatal(err)
 	}
-	_, _, received, err := Meet(path, testTimeout)
+	_, _, received, err := Connect(path, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,16 +183,16 @@
 // TestSocketIsReplacedAtomically checks that a second socket at the same path replaces the first
 // and leaves no other file.
 func TestSocketIsReplacedAtomically(t *testing.T) {
-	path := Path(t.TempDir(), "a")
+	path := SocketPath(t.TempDir(), "a")
 	connected := make(chan int, 2)
 	for i := range 2 {
-		s, err := Wait(path, func(m *Meeting) { connected <- i; m.conn.Close() })
+		s, err := Listen(path, func(m *Successor) { connected <- i; m.conn.Close() })
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 	}
-	_, _, _, _ = Meet(path, testTimeout)
+	_, _, _, _ = Connect(path, testTimeout)
 	if got := <-connected; got != 1 {
 		t.Fatalf("socket %d got the connection, want the second", got)
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -13,11 +13,11 @@
 
 // Size limits of a message, in bytes unless stated otherwise.
 const (
-	MaxHead           = 16 << 10 // request or status line and all header fields
+	MaxHeadBytes      = 16 << 10 // request or status line and all header fields
 	MaxFields         = 100
-	MaxBody           = 64 << 10 // body of a request
-	MaxAnswer         = 1 << 20  // body of a response that is buffered whole
-	MaxLarge          = 32 << 20 // body of a streamed message
+	MaxBodyBytes      = 64 << 10 // body of a request
+	MaxResponseBytes  = 1 << 20  // body of a response that is buffered whole
+	MaxStreamedBytes  = 32 << 20 // body of a streamed message
 	maxChunkLineBytes = 256      // a line between chunks
 	maxTrailerBytes   = 4 << 10  // all trailers together
 
@@ -30,9 +30,9 @@
 // is read at each use, so a change applies to open connections. A field that is 0 keeps its
 // default.
 type Limits struct {
-	Head  int // bytes of the request or status line and all header fields
-	Body  int // bytes of a body that is buffered whole
-	Large int // bytes of a streamed body
+	HeadBytes         int // bytes of the request or status line and all header fields
+	BufferedBodyBytes int // bytes of a body that is buffered whole
+	StreamedBodyBytes int // bytes of a streamed body
 }
 
 // Error reports a message that is not accepted, with the HTTP status that states the reason.
@@ -54,11 +54,11 @@
 	Status         int    // of a response
 	Body           []byte
 	Close          bool // the connection closes after this message
-	Continue       bool // the client waits for a 100 Continue before it sends the body
+	ExpectContinue bool // the client waits for a 100 Continue before it sends the body
 	Length         int  // of the body according to the head, or -1 if unknown until the body ends
-	Large          bool // the body is streamed and not in Body
-	Old            bool // the message is HTTP/1.0, which has no chunked encoding
-	Bare           bool // response to a HEAD request: the stated length is not that of its body
+	Streamed       bool // the body is streamed and not in Body
+	HTTP10         bool // the message is HTTP/1.0, which has no chunked encoding
+	HeadResponse   bool // response to a HEAD request: the stated length is not that of its body
 	fields         []headerField
 }
 
@@ -75,7 +75,7 @@
 
 // Unique returns the value of a header field that occurs exactly once. If it occurs several
 // times, two parsers could use different values.
-func (m *Message) Single(name string) (value []byte, ok bool) {
+func (m *Message) Unique(name string) (value []byte, ok bool) {
 	for i := range m.fields {
 		if EqualFold(m.fields[i].name, name) {
 			if ok {
@@ -99,7 +99,7 @@
 }
 
 // EachField calls fn for every header field, in order.
-func (m *Message) Each(fn func(name, value []byte)) {
+func (m *Message) EachField(fn func(name, value []byte)) {
 	for _, f := range m.fields {
 		fn(f.name, f.value)
 	}
@@ -122,14 +122,14 @@
 type Parser struct {
 	// OnBody, if set, is called with each piece of the body as it arrives, and Message.Body
 	// stays empty. It allows responses without an end, such as a watch.
-	Piece func([]byte)
+	OnBody func([]byte)
 	// StreamBody allows bodies that are larger than the buffer. Feed stops when the buffer is
 	// full, and MustStream then returns true; the rest goes to OnBody once that is set. It
 	// also allows a response that ends when the connection closes.
-	Flows bool
+	StreamBody bool
 	// HeadResponse tells that the next response is to a HEAD request. It has no body, whatever
 	// its head states.
-	Bare bool
+	HeadResponse bool
 	// Limits replaces the default limits if it is set.
 	Limits *Limits
 
@@ -149,10 +149,10 @@
 }
 
 // NewRequestParser returns a parser of requests.
-func Requests() *Parser { return &Parser{} }
+func NewRequestParser() *Parser { return &Parser{} }
 
 // NewResponseParser returns a parser of responses.
-func Answers() *Parser { return &Parser{responses: true} }
+func NewResponseParser() *Parser { return &Parser{responses: true} }
 
 // Message returns the message that Feed has completed, or the part of it that has arrived.
 func (p *Parser) Message() *Message { return &p.message }
@@ -165,8 +165,8 @@
 func (p *Parser) Reset() {
 	p.message = Message{fields: p.message.fields[:0]}
 	p.state, p.remaining, p.lineStart, p.skippedBytes, p.trailerBytes, p.bodyBytes, p.overflow = inHead, 0, 0, 0, 0, 0, false
-	if p.Flows {
-		p.Piece = nil
+	if p.StreamBody {
+		p.OnBody = nil
 	}
 	p.head, p.body, p.line = p.head[:0], p.body[:0], p.line[:0]
 	if cap(p.head) > maxKeptBufferBytes {
@@ -181,10 +181,10 @@
 func (p *Parser) HeadDone() bool { return p.state != inHead }
 
 // MustStream reports that the body exceeds the buffer and that OnBody is not set.
-func (p *Parser) Full() bool { return p.overflow && p.Piece == nil }
+func (p *Parser) MustStream() bool { return p.overflow && p.OnBody == nil }
 
 // TakeBody returns the buffered part of the body and removes it from the parser.
-func (p *Parser) Held() []byte {
+func (p *Parser) TakeBody() []byte {
 	b := p.body
 	p.body = nil
 	return b
@@ -192,7 +192,7 @@
 
 // ConnectionEnded tells the parser that the peer has closed the connection in an orderly way.
 // It reports whether that completes the message.
-func (p *Parser) End() bool {
+func (p *Parser) ConnectionEnded() bool {
 	if p.state != inBodyUntilClose {
 		return false
 	}
@@ -214,7 +214,7 @@
 		if err != nil {
 			return taken, false, err
 		}
-		if p.Full() {
+		if p.MustStream() {
 			return taken, false, nil
 		}
 	}
@@ -253,10 +253,10 @@
 	switch {
 	case p.tooLong(p.bodyBytes + len(b)):
 		return 0, &Error{Status: 413, Reason: "the body is too long"}
-	case p.Piece != nil:
-		p.Piece(b)
-	case p.Flows && len(p.body)+len(b) > p.Holds():
-		b = b[:max(p.Holds()-len(p.body), 0)] // the limit may have been lowered meanwhile
+	case p.OnBody != nil:
+		p.OnBody(b)
+	case p.StreamBody && len(p.body)+len(b) > p.MaxBuffered():
+		b = b[:max(p.MaxBuffered()-len(p.body), 0)] // the limit may have been lowered meanwhile
 		p.overflow = true
 		p.body = append(p.body, b...)
 	default:
@@ -268,43 +268,43 @@
 
 // tooLong reports whether a body of n bytes exceeds the limit.
 func (p *Parser) tooLong(n int) bool {
-	if p.Flows {
-		return n > p.Carries()
+	if p.StreamBody {
+		return n > p.MaxStreamed()
 	}
-	return p.Piece == nil && n > p.maxBody()
+	return p.OnBody == nil && n > p.maxBody()
 }
 
 // maxBody returns the size limit of a body that is not streamed. Memory is allocated only as
 // the body arrives, not by its stated length.
 func (p *Parser) maxBody() int {
 	if p.responses {
-		return MaxAnswer
+		return MaxResponseBytes
 	}
-	return p.Holds()
+	return p.MaxBuffered()
 }
 
 // MaxBuffered returns how many bytes of a body are buffered before it must be streamed.
-func (p *Parser) Holds() int {
+func (p *Parser) MaxBuffered() int {
 	if p.Limits != nil {
-		return cmp.Or(p.Limits.Body, MaxBody)
+		return cmp.Or(p.Limits.BufferedBodyBytes, MaxBodyBytes)
 	}
-	return MaxBody
+	return MaxBodyBytes
 }
 
 // MaxStreamed returns the size limit of a streamed body.
-func (p *Parser) Carries() int {
+func (p *Parser) MaxStreamed() int {
 	if p.Limits != nil {
-		return cmp.Or(p.Limits.Large, MaxLarge)
+		return cmp.Or(p.Limits.StreamedBodyBytes, MaxStreamedBytes)
 	}
-	return MaxLarge
+	return MaxStreamedBytes
 }
 
 // maxHead returns the size limit of a head.
 func (p *Parser) maxHead() int {
 	if p.Limits != nil {
-		return cmp.Or(p.Limits.Head, MaxHead)
+		return cmp.Or(p.Limits.HeadBytes, MaxHeadBytes)
 	}
-	return MaxHead
+	return MaxHeadBytes
 }
 
 // takeHead collects one line of the head and parses it once it is complete. An invalid line is
@@ -430,7 +430,7 @@
 func (p *Parser) readFraming(http10 bool) error {
 	message := &p.message
 	chunked, length := false, -1
-	message.Close, message.Old, message.Bare = http10, http10, p.responses && p.Bare
+	message.Close, message.HTTP10, message.HeadResponse = http10, http10, p.responses && p.HeadResponse
 	for _, field := range message.fields {
 		switch {
 		case EqualFold(field.name, "transfer-encoding"):
@@ -450,7 +450,7 @@
 				message.Close = message.Close && !EqualFold(v, "keep-alive") || EqualFold(v, "close")
 			}
 		case EqualFold(field.name, "expect"):
-			message.Continue = EqualFold(field.value, "100-continue")
+			message.ExpectContinue = EqualFold(field.value, "100-continue")
 		}
 	}
 	if chunked && length >= 0 {
@@ -463,7 +463,7 @@
 	if chunked {
 		message.Length = -1
 	}
-	noBody := message.Bare || p.responses && (message.Status < 200 || message.Status == 204 || message.Status == 304)
+	noBody := message.HeadResponse || p.responses && (message.Status < 200 || message.Status == 204 || message.Status == 304)
 	switch {
 	case noBody && message.Status < 200 && message.Status != 101: // interim response: the final one follows
 		p.Reset()
@@ -476,7 +476,7 @@
 		return &Error{Status: 413, Reason: "the body is too long"}
 	case length > 0:
 		p.state, p.remaining = inBody, length
-	case p.Flows:
+	case p.StreamBody:
 		p.state, message.Close = inBodyUntilClose, true
 	default: // without StreamBody, a response that ends with its connection can't be told from a truncated one
 		return badMessage("an answer without a length")
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -42,7 +42,7 @@
 const host = "Host: a\r\n"
 
 func TestParseIsIndependentOfPieceSize(t *testing.T) {
-	long := strings.Repeat("x", MaxBody+1)
+	long := strings.Repeat("x", MaxBodyBytes+1)
 	for name, tc := range map[string]struct {
 		text    string
 		answers bool
@@ -69,7 +69,7 @@
 		"bare newline":            {text: "GET / HTTP/1.1\nHost: a\r\n\r\n", want: []parsedMessage{{Err: 400}}},
 		"control character":       {text: "GET / HTTP/1.1\r\n" + host + "A: b\x00c\r\n\r\n", want: []parsedMessage{{Err: 400}}},
 		"other version":           {text: "GET / HTTP/2.0\r\n" + host + "\r\n", want: []parsedMessage{{Err: 400}}},
-		"long head":               {text: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead), want: []parsedMessage{{Err: 431}}},
+		"long head":               {text: "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeadBytes), want: []parsedMessage{{Err: 431}}},
 		"many fields":             {text: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", want: []parsedMessage{{Err: 431}}},
 		"long response":           {text: "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + long, answers: true, want: []parsedMessage{{Line: "xx", Body: long}}},
 		"response over the limit": {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", answers: true, want: []parsedMessage{{Err: 413}}},
@@ -79,9 +79,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, n := range []int{1, 2, 7, len(tc.text)} {
-				p := Requests()
+				p := NewRequestParser()
 				if tc.answers {
-					p = Answers()
+					p = NewResponseParser()
 				}
 				if diff := cmp.Diff(tc.want, parseAll(p, tc.text, n)); diff != "" {
 					t.Errorf("in pieces of %d (-want +got):\n%s", n, diff)
@@ -111,9 +111,9 @@
 			strings.Repeat("A: b\r\n", 1000), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := Requests()
+			p := NewRequestParser()
 			if tc.answers {
-				p = Answers()
+				p = NewResponseParser()
 			}
 			if all := parseAll(p, tc.text, 1); len(all) != 1 || all[0].Err != 400 {
 				t.Fatalf("parsed as %+v, want one error with status 400", all)
@@ -126,7 +126,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, n int) {
 		n = max(n%64, 1)
-		if diff := cmp.Diff(parseAll(Requests(), string(text), len(text)+1), parseAll(Requests(), string(text), n)); diff != "" {
+		if diff := cmp.Diff(parseAll(NewRequestParser(), string(text), len(text)+1), parseAll(NewRequestParser(), string(text), n)); diff != "" {
 			t.Fatalf("result differs in pieces of %d (-whole +pieces):\n%s", n, diff)
 		}
 	})
@@ -135,7 +135,7 @@
 // TestLargeBodyIsStreamed checks, for several piece sizes, that the buffered part and the
 // pieces passed to OnBody make up the body, and that the bytes after the message are not used.
 func TestLargeBodyIsStreamed(t *testing.T) {
-	body := strings.Repeat("0123456789abcdef", (MaxBody+1000)/16)
+	body := strings.Repeat("0123456789abcdef", (MaxBodyBytes+1000)/16)
 	chunks := func(size int) string {
 		var b strings.Builder
 		for rest := body; len(rest) > 0; {
@@ -151,11 +151,11 @@
 		text           string
 		closeDelimited bool // the body ends when the connection closes
 	}{
-		"request with Content-Length":            {Requests(), request + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body, false},
-		"chunked request":                        {Requests(), request + "Transfer-Encoding: chunked\r\n\r\n" + chunks(7777), false},
-		"response with Content-Length":           {Answers(), fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)) + body, false},
-		"chunked response":                       {Answers(), "HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(70000), false},
-		"response that ends with the connection": {Answers(), "HTTP/1.1 200 OK\r\n\r\n" + body, true},
+		"request with Content-Length":            {NewRequestParser(), request + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body, false},
+		"chunked request":                        {NewRequestParser(), request + "Transfer-Encoding: chunked\r\n\r\n" + chunks(7777), false},
+		"response with Content-Length":           {NewResponseParser(), fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)) + body, false},
+		"chunked response":                       {NewResponseParser(), "HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(70000), false},
+		"response that ends with the connection": {NewResponseParser(), "HTTP/1.1 200 OK\r\n\r\n" + body, true},
 	} {
 		for _, cut := range []int{1, 2, 3, 1000, 1 << 20} {
 			t.Run(fmt.Sprintf("%s, cut at %d", name, cut), func(t *testing.T) {
@@ -163,7 +163,7 @@
 				if !tc.closeDelimited {
 					text += "behind"
 				}
-				parser.Flows = true
+				parser.StreamBody = true
 				parser.Reset()
 				got, done := []byte{}, false
 				for !done && len(text) > 0 {
@@ -171,13 +171,13 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if text, done = text[n:], whole; parser.Full() {
-						got = append(got, parser.Held()...)
-						parser.Piece = func(b []byte) { got = append(got, b...) }
+					if text, done = text[n:], whole; parser.MustStream() {
+						got = append(got, parser.TakeBody()...)
+						parser.OnBody = func(b []byte) { got = append(got, b...) }
 					}
 				}
 				if tc.closeDelimited {
-					done = parser.End()
+					done = parser.ConnectionEnded()
 				}
 				if string(got) != body || !done || !tc.closeDelimited && text != "behind" {
 					t.Fatalf("got %d of %d body bytes, complete %v, unused input %q", len(got), len(body), done, text)
@@ -190,13 +190,13 @@
 // TestSmallBodyIsBuffered checks that a body within the limit is buffered also if streaming is
 // allowed.
 func TestSmallBodyIsBuffered(t *testing.T) {
-	for _, size := range []int{1, MaxBody - 1, MaxBody} {
-		parser := Requests()
-		parser.Flows = true
+	for _, size := range []int{1, MaxBodyBytes - 1, MaxBodyBytes} {
+		parser := NewRequestParser()
+		parser.StreamBody = true
 		body := strings.Repeat("x", size)
 		_, done, err := parser.Feed([]byte(fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", size, body)))
-		if err != nil || !done || parser.Full() || string(parser.Message().Body) != body {
-			t.Errorf("%d bytes: complete %v, must stream %v, error %v", size, done, parser.Full(), err)
+		if err != nil || !done || parser.MustStream() || string(parser.Message().Body) != body {
+			t.Errorf("%d bytes: complete %v, must stream %v, error %v", size, done, parser.MustStream(), err)
 		}
 	}
 }
@@ -204,9 +204,9 @@
 // TestLimitsAreReadAtUse checks that configured limits apply to parsers in use and may exceed
 // the defaults.
 func TestLimitsAreReadAtUse(t *testing.T) {
-	limits := &Limits{Head: 60, Body: 10, Large: MaxLarge + 100}
-	parser := Requests()
-	parser.Flows, parser.Limits = true, limits
+	limits := &Limits{HeadBytes: 60, BufferedBodyBytes: 10, StreamedBodyBytes: MaxStreamedBytes + 100}
+	parser := NewRequestParser()
+	parser.StreamBody, parser.Limits = true, limits
 	text := "POST / HTTP/1.1\r\n" + host + "Content-Length: %d\r\n\r\n"
 	head := func(n int) error {
 		parser.Reset()
@@ -221,23 +221,23 @@
 		}
 		return fault.Status
 	}
-	if err := head(MaxLarge + 100); err != nil {
+	if err := head(MaxStreamedBytes + 100); err != nil {
 		t.Error(err)
 	}
-	if got := status(head(MaxLarge + 101)); got != 413 {
+	if got := status(head(MaxStreamedBytes + 101)); got != 413 {
 		t.Errorf("status %d for a body over the limit, want 413", got)
 	}
-	limits.Large = 20
+	limits.StreamedBodyBytes = 20
 	if got := status(head(21)); got != 413 {
 		t.Errorf("status %d for a body over the new limit, want 413", got)
 	}
 	if err := head(20); err != nil {
 		t.Error(err)
 	}
-	if n, _, err := parser.Feed([]byte(strings.Repeat("x", 20))); n != 10 || !parser.Full() || err != nil {
+	if n, _, err := parser.Feed([]byte(strings.Repeat("x", 20))); n != 10 || !parser.MustStream() || err != nil {
 		t.Errorf("%d bytes buffered, error %v; want 10 bytes and a full buffer", n, err)
 	}
-	limits.Head = 40
+	limits.HeadBytes = 40
 	if got := status(head(1)); got != 431 {
 		t.Errorf("status %d for a head over the limit, want 431", got)
 	}
--- a/internal/lanes/lanes.go
+++ b/internal/lanes/lanes.go
@@ -7,12 +7,12 @@
 import "math"
 
 // ClassTerms is the settings of a class of requests.
-type Terms struct {
+type ClassTerms struct {
 	// TargetMS is the time in milliseconds within which a response is wanted.
-	Aim float64
+	TargetMS float64
 	// MayShare allows a request of the class to share its connection: if the connection breaks
 	// because of another request, the rules on repeats allow it to be sent again.
-	Share bool
+	MayShare bool
 }
 
 const (
@@ -42,18 +42,18 @@
 }
 
 // Estimator holds the learned response times of every class.
-type Table struct {
-	terms   func(class int) Terms
+type Estimator struct {
+	terms   func(class int) ClassTerms
 	classes []classTimes
 }
 
 // NewEstimator returns an estimator without samples. It calls terms whenever it needs the
 // settings of a class, because they may be replaced while the process runs.
-func NewTable(terms func(class int) Terms) *Table { return &Table{terms: terms} }
+func NewEstimator(terms func(class int) ClassTerms) *Estimator { return &Estimator{terms: terms} }
 
 // Observe records that a request of a class was answered ms milliseconds after it was first in
 // its pipeline: after it was written, or after the previous response.
-func (t *Table) Learn(class int, sampleMS float64) {
+func (t *Estimator) Observe(class int, sampleMS float64) {
 	if class < 0 || !(sampleMS >= 0) || math.IsInf(sampleMS, 0) {
 		return
 	}
@@ -71,35 +71,35 @@
 
 // ExpectedMS returns the time in milliseconds within which a request of a class is expected to
 // be answered.
-func (t *Table) Expect(class int) float64 {
+func (t *Estimator) ExpectedMS(class int) float64 {
 	if class < 0 || class >= len(t.classes) || t.classes[class].samples < minSamples {
-		return t.terms(class).Aim
+		return t.terms(class).TargetMS
 	}
 	return t.classes[class].mean + deviationFactor*t.classes[class].deviation
 }
 
 // PendingRequest is a request in a pipeline.
-type Entry struct {
-	Class int
-	Since float64 // when it was written or became first in the pipeline, whichever is later
+type PendingRequest struct {
+	Class     int
+	StartedAt float64 // when it was written or became first in the pipeline, whichever is later
 }
 
 // Pipeline is the requests on one connection in the order of their responses, the next one
 // first.
-type Line struct {
-	Entries []Entry
-	Most    int // limit on the length of Pending
+type Pipeline struct {
+	Pending    []PendingRequest
+	MaxPending int // limit on the length of Pending
 }
 
 // WaitMS returns the time in milliseconds until the pending requests are expected to be
 // answered. A request that has taken longer than expected is expected to take as long again:
 // with a heavy-tailed distribution, the remaining time grows with the time already taken.
-func (t *Table) Wait(now float64, pending []Entry) float64 {
+func (t *Estimator) WaitMS(now float64, pending []PendingRequest) float64 {
 	sum := 0.0
 	for i, e := range pending {
-		remaining := t.Expect(e.Class)
+		remaining := t.ExpectedMS(e.Class)
 		if i == 0 {
-			if elapsed := now - e.Since; elapsed > remaining {
+			if elapsed := now - e.StartedAt; elapsed > remaining {
 				remaining = elapsed
 			} else {
 				remaining -= elapsed
@@ -115,8 +115,8 @@
 
 // The choices besides a pipeline. A Choice of 0 or more is the index of a pipeline.
 const (
-	Open   Choice = -1 - iota // open another connection for the request
-	Nobody                    // no pipeline is suitable and none may be opened: the request waits
+	OpenNew    Choice = -1 - iota // open another connection for the request
+	NoPipeline                    // no pipeline is suitable and none may be opened: the request waits
 )
 
 // Choose returns the pipeline for a request of a class: an empty one; else a new one if room
@@ -124,31 +124,31 @@
 // request that may not share, whether the new one or a pending one, has its connection to
 // itself. If no pipeline is acceptable, overflow allows a new connection beyond the room,
 // because saving connections must not cost latency in the tail.
-func (t *Table) Choose(now float64, class int, pipelines []Line, room, overflow bool) Choice {
-	best, shortest := Nobody, math.Inf(1)
+func (t *Estimator) Choose(now float64, class int, pipelines []Pipeline, room, overflow bool) Choice {
+	best, shortest := NoPipeline, math.Inf(1)
 	terms := t.terms(class)
-	maxWait := terms.Aim * maxWaitFraction
+	maxWait := terms.TargetMS * maxWaitFraction
 	for i := range pipelines {
 		pipeline := &pipelines[i]
-		if len(pipeline.Entries) == 0 && pipeline.Most > 0 {
+		if len(pipeline.Pending) == 0 && pipeline.MaxPending > 0 {
 			return Choice(i)
 		}
-		if !terms.Share || len(pipeline.Entries) >= pipeline.Most || !t.allMayShare(pipeline.Entries) {
+		if !terms.MayShare || len(pipeline.Pending) >= pipeline.MaxPending || !t.allMayShare(pipeline.Pending) {
 			continue
 		}
-		if wait := t.Wait(now, pipeline.Entries); wait <= maxWait && wait < shortest {
+		if wait := t.WaitMS(now, pipeline.Pending); wait <= maxWait && wait < shortest {
 			best, shortest = Choice(i), wait
 		}
 	}
-	if room || best == Nobody && overflow {
-		return Open
+	if room || best == NoPipeline && overflow {
+		return OpenNew
 	}
 	return best
 }
 
-func (t *Table) allMayShare(pending []Entry) bool {
+func (t *Estimator) allMayShare(pending []PendingRequest) bool {
 	for _, e := range pending {
-		if !t.terms(e.Class).Share {
+		if !t.terms(e.Class).MayShare {
 			return false
 		}
 	}
@@ -158,8 +158,8 @@
 // BatchDelayMS returns how many milliseconds a request of a class may wait for others to join
 // its batch. The delay is a small fraction of the slack and at most maxMS. It is 0 if
 // leftMS, the time that the client still waits, leaves no slack.
-func (t *Table) Gather(class int, maxMS, leftMS float64) float64 {
-	aim := t.terms(class).Aim
-	slack := min(aim, leftMS) - t.Expect(class)
+func (t *Estimator) BatchDelayMS(class int, maxMS, leftMS float64) float64 {
+	aim := t.terms(class).TargetMS
+	slack := min(aim, leftMS) - t.ExpectedMS(class)
 	return max(min(maxMS, slack*batchDelayFraction), 0)
 }
--- a/internal/link/batch.go
+++ b/internal/link/batch.go
@@ -46,8 +46,8 @@
 }
 
 func newBatchProtocol(conn *muxConn) muxProtocol {
-	s := &batchProtocol{conn: conn, response: http1.Answers(), itemParser: http1.Answers()}
-	s.response.Piece = s.bodyPiece
+	s := &batchProtocol{conn: conn, response: http1.NewResponseParser(), itemParser: http1.NewResponseParser()}
+	s.response.OnBody = s.bodyPiece
 	return s
 }
 
@@ -67,7 +67,7 @@
 	if s.workerLeaving {
 		return 0
 	}
-	return max(s.conn.workerConns.transport.Depth-s.inFlight(), 0)
+	return max(s.conn.workerConns.transport.MaxInFlight-s.inFlight(), 0)
 }
 
 func (s *batchProtocol) send(execution *gatekeeper.Execution) {
@@ -76,7 +76,7 @@
 	if s.inFlight() == 0 { // silence on an idle connection does not count
 		s.lastReadAt = now
 	}
-	due := now + workerConns.estimator.Gather(execution.Request.Class, workerConns.transport.Gather, execution.Timeout)
+	due := now + workerConns.estimator.BatchDelayMS(execution.Request.Class, workerConns.transport.BatchDelayMS, execution.Timeout)
 	if len(s.waiting) == 0 || due < s.dueAt {
 		s.dueAt = due
 	}
@@ -126,7 +126,7 @@
 	clear(s.waiting)
 	s.waiting = s.waiting[:0]
 	for _, id := range s.cancels {
-		message = batch.AppendGiveUp(message, id)
+		message = batch.AppendCancel(message, id)
 	}
 	s.cancels = s.cancels[:0]
 	s.messageBuf = message
@@ -176,8 +176,8 @@
 }
 
 // handleMessage handles a message from the worker.
-func (s *batchProtocol) handleMessage(message *batch.Down) error {
-	for _, result := range message.Done {
+func (s *batchProtocol) handleMessage(message *batch.WorkerMessage) error {
+	for _, result := range message.Results {
 		if result.ID > s.lastID {
 			return errUnexpectedResponse
 		}
@@ -189,14 +189,14 @@
 			return errBatchEnded
 		}
 	}
-	if message.Leaving {
+	if message.GoingAway {
 		s.workerLeaving = true
 		var neverRan []*gatekeeper.Execution
 		s.items = slices.DeleteFunc(s.items, func(item batchItem) bool {
-			if item.id > message.Last {
+			if item.id > message.LastAccepted {
 				neverRan = append(neverRan, item.execution)
 			}
-			return item.id > message.Last
+			return item.id > message.LastAccepted
 		})
 		neverRan = append(neverRan, s.waiting...)
 		s.waiting = nil
@@ -209,7 +209,7 @@
 
 // itemDone completes an item. A malformed response affects only its own item, because the
 // enclosing message tells where the next one begins.
-func (s *batchProtocol) itemDone(i int, result batch.Done) {
+func (s *batchProtocol) itemDone(i int, result batch.ItemResult) {
 	workerConns, execution, elapsedMS := s.conn.workerConns, s.items[i].execution, s.lastReadAt-s.items[i].sentAt
 	s.items = slices.Delete(s.items, i, i+1)
 	if result.NeverRan {
@@ -217,14 +217,14 @@
 		return
 	}
 	s.itemParser.Reset()
-	n, whole, err := s.itemParser.Feed(result.Answer)
-	if err != nil || !whole || n < len(result.Answer) {
+	n, whole, err := s.itemParser.Feed(result.Response)
+	if err != nil || !whole || n < len(result.Response) {
 		workerConns.endUnanswered(execution, policy.Reset)
 		return
 	}
-	execution.Slot = nil
-	workerConns.estimator.Learn(execution.Request.Class, elapsedMS)
-	workerConns.core.Done(execution, workerConns.reader.Outcome(s.itemParser.Message()))
+	execution.TransportData = nil
+	workerConns.estimator.Observe(execution.Request.Class, elapsedMS)
+	workerConns.core.ExecutionEnded(execution, workerConns.reader.Outcome(s.itemParser.Message()))
 }
 
 // cancel implements muxProtocol. A message tells the worker, and the connection stays open.
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -2,8 +2,8 @@
 
 // Budget divides the file descriptors that the process may hold between kinds of connections.
 type Budget struct {
-	Clients, Servers, Counters int // limits on connections that are open at once
-	Openings                   int // limit on worker connections that are being dialed
+	MaxClients, MaxWorkers, MaxCounters int // limits on connections that are open at once
+	MaxDialing                          int // limit on worker connections that are being dialed
 }
 
 const (
@@ -24,5 +24,5 @@
 	dialing := max(min(maxDialingConns, limit/dialingFDDivisor), minDialingConns)
 	reserved := max(min(reservedFDs, limit/reservedFDDivisor), minReservedFDs)
 	available := max(limit-aside-reserved-2*dialing-maxCounterConns, 16)
-	return &Budget{Servers: available / 3, Clients: available - available/3, Counters: maxCounterConns, Openings: dialing}
+	return &Budget{MaxWorkers: available / 3, MaxClients: available - available/3, MaxCounters: maxCounterConns, MaxDialing: dialing}
 }
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -11,10 +11,10 @@
 )
 
 // RequestHandler handles the requests that arrive on client connections.
-type Front interface {
+type RequestHandler interface {
 	// Handle either responds at once, with ClientConn.RespondText or ClientConn.Respond, or
 	// submits the request to a core with the connection as its responder.
-	Handle(l *Client, m *http1.Message)
+	Handle(l *ClientConn, m *http1.Message)
 }
 
 const (
@@ -34,17 +34,17 @@
 )
 
 // maxBacklog is the limit on bytes that a client may send before it has its response.
-func (l *Client) maxBacklog() int {
-	head := http1.MaxHead
+func (l *ClientConn) maxBacklog() int {
+	head := http1.MaxHeadBytes
 	if l.parser.Limits != nil {
-		head = cmp.Or(l.parser.Limits.Head, head)
+		head = cmp.Or(l.parser.Limits.HeadBytes, head)
 	}
-	return head + l.parser.Holds()
+	return head + l.parser.MaxBuffered()
 }
 
 // ClientConn is a client connection. It carries one request at a time.
-type Client struct {
-	clients        *Clients
+type ClientConn struct {
+	clients        *ClientConns
 	conn           conn
 	parser         *http1.Parser
 	upload         *upload     // streamed body of the open request
@@ -74,24 +74,24 @@
 	openedAt     float64 // when the connection was accepted
 	listedAt     float64 // when the state of its list began
 	list         *clientList
-	prev         *Client
-	next         *Client
+	prev         *ClientConn
+	next         *ClientConn
 
 	// UserData is for use by the RequestHandler while the connection is open.
-	Value any
+	UserData any
 }
 
 // clientList is a list of connections in the same state, oldest entry first.
-type clientList struct{ first, last *Client }
+type clientList struct{ first, last *ClientConn }
 
 // ClientConns holds all client connections of a gatekeeper. A connection without a request in
 // progress is on one of the lists.
-type Clients struct {
+type ClientConns struct {
 	loop     *Loop
 	clock    *gatekeeper.Clock
-	handler  Front
+	handler  RequestHandler
 	core     *gatekeeper.Gatekeeper
-	all      map[*Client]bool
+	all      map[*ClientConn]bool
 	newConns clientList // no input received yet
 	reading  clientList // a request is being received
 	idle     clientList // between two requests
@@ -103,59 +103,59 @@
 	// time.
 	Limits *ClientLimits
 	// FinalResponder, if set, writes the final responses for requests that no worker answered.
-	Verdict Verdict
+	FinalResponder FinalResponder
 	// OnRequestEnded, if set, is called when a submitted request has ended, after its client
 	// got the response. e.Body is valid only during the call.
-	Ended func(l *Client, r *gatekeeper.Request, e Ending)
+	OnRequestEnded func(l *ClientConn, r *gatekeeper.Request, e RequestEnding)
 }
 
 // RequestEnding describes how a request ended.
-type Ending struct {
-	Status int
-	Body   []byte
-	Flowed bool // the response was streamed, so Body is empty
-	Left   bool // the client disconnected, or did not send the whole request
+type RequestEnding struct {
+	Status     int
+	Body       []byte
+	Streamed   bool // the response was streamed, so Body is empty
+	ClientLeft bool // the client disconnected, or did not send the whole request
 }
 
 // notifyEnded calls OnRequestEnded for a submitted request.
-func (l *Client) notifyEnded(r *gatekeeper.Request, e Ending) {
-	if r != nil && l.clients.Ended != nil {
-		l.clients.Ended(l, r, e)
+func (l *ClientConn) notifyEnded(r *gatekeeper.Request, e RequestEnding) {
+	if r != nil && l.clients.OnRequestEnded != nil {
+		l.clients.OnRequestEnded(l, r, e)
 	}
 }
 
 // NewClientConns returns an empty set of client connections.
-func NewClients(loop *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, handler Front) *Clients {
-	return &Clients{loop: loop, clock: clock, core: core, handler: handler, all: map[*Client]bool{}}
+func NewClientConns(loop *Loop, clock *gatekeeper.Clock, core *gatekeeper.Gatekeeper, handler RequestHandler) *ClientConns {
+	return &ClientConns{loop: loop, clock: clock, core: core, handler: handler, all: map[*ClientConn]bool{}}
 }
 
 // NewConn returns the endpoint for an accepted connection.
-func (s *Clients) Make() *Client {
-	l := &Client{clients: s, parser: http1.Requests()}
-	l.parser.Flows = true
+func (s *ClientConns) NewConn() *ClientConn {
+	l := &ClientConn{clients: s, parser: http1.NewRequestParser()}
+	l.parser.StreamBody = true
 	return l
 }
 
 // Drain makes every response close its connection from now on, so that clients connect
 // elsewhere.
-func (s *Clients) Drain() { s.draining = true }
+func (s *ClientConns) Drain() { s.draining = true }
 
 // CancelDrain ends the effect of Drain.
-func (s *Clients) Stay() { s.draining = false }
+func (s *ClientConns) CancelDrain() { s.draining = false }
 
 // Draining reports whether Drain is in effect.
-func (s *Clients) Draining() bool { return s.draining }
+func (s *ClientConns) Draining() bool { return s.draining }
 
 // CloseIdle closes the connections that have been idle for a moment. A connection that was
 // just accepted is kept: it is about to bring a request, possibly a retried one.
-func (s *Clients) CloseIdle() {
+func (s *ClientConns) CloseIdle() {
 	s.closeOlderThan(&s.newConns, newConnGraceMS)
 	s.closeOlderThan(&s.idle, newConnGraceMS)
 }
 
 // closeOlderThan closes the connections that have been on a list for more than maxAgeMS
 // milliseconds.
-func (s *Clients) closeOlderThan(list *clientList, maxAgeMS float64) {
+func (s *ClientConns) closeOlderThan(list *clientList, maxAgeMS float64) {
 	now := s.clock.Now()
 	for l := list.first; l != nil && now-l.listedAt > maxAgeMS; {
 		next := l.next
@@ -169,7 +169,7 @@
 // Sweep ends connections that exceed a time limit, so that they do not use up the budget:
 // those on which no request arrives, or no request becomes complete however slowly the client
 // keeps sending, and those that the client does not close after its last response.
-func (s *Clients) Sweep() {
+func (s *ClientConns) Sweep() {
 	now := s.clock.Now()
 	s.closeOlderThan(&s.newConns, s.maxSilent())
 	s.closeOlderThan(&s.idle, s.maxIdle())
@@ -188,7 +188,7 @@
 
 // overdue reports whether a request takes too long to arrive. The limit is on the whole head,
 // on the pauses within the body, and on the whole body by its size.
-func (l *Client) overdue(now float64) bool {
+func (l *ClientConn) overdue(now float64) bool {
 	s := l.clients
 	switch {
 	case !l.parser.HeadDone():
@@ -204,9 +204,9 @@
 // then one between two requests. Only then does it close one that was just accepted or whose
 // request is still arriving. This protects slow clients, which send requests in pieces, from a
 // large number of silent ones.
-func (s *Clients) evictOne(newest *Client) {
+func (s *ClientConns) evictOne(newest *ClientConn) {
 	now := s.clock.Now()
-	closeIfOlder := func(l *Client, minAgeMS float64) bool {
+	closeIfOlder := func(l *ClientConn, minAgeMS float64) bool {
 		if l == nil || l == newest || now-max(l.listedAt, l.lastReadAt) < minAgeMS {
 			return false
 		}
@@ -222,7 +222,7 @@
 
 // longestSilent returns the connection with an incomplete request whose last input is oldest.
 // Requests of which only the first piece has arrived come first.
-func (s *Clients) longestSilent() *Client {
+func (s *ClientConns) longestSilent() *ClientConn {
 	longest := s.reading.first
 	for l := longest; l != nil; l = l.next {
 		if l.continued != longest.continued && longest.continued || l.continued == longest.continued && l.lastReadAt < longest.lastReadAt {
@@ -234,7 +234,7 @@
 
 // OpenConns returns the number of connections that may still be owed a response or have unsent
 // output.
-func (s *Clients) Len() int {
+func (s *ClientConns) OpenConns() int {
 	n := 0
 	for l := range s.all {
 		if !l.finished || l.conn.OutboundBuffered() > 0 {
@@ -244,18 +244,18 @@
 	return n
 }
 
-func (l *Client) opened(c conn) {
+func (l *ClientConn) opened(c conn) {
 	s := l.clients
 	l.conn, l.openedAt = c, s.clock.Now()
 	s.all[l] = true
 	l.moveTo(&s.newConns, l.openedAt)
-	if len(s.all) > s.loop.Budget.Clients {
+	if len(s.all) > s.loop.Budget.MaxClients {
 		s.evictOne(l) // keep room to accept the next one
 	}
 }
 
 // moveTo appends the connection to a list. Its age there counts from since.
-func (l *Client) moveTo(list *clientList, since float64) {
+func (l *ClientConn) moveTo(list *clientList, since float64) {
 	l.unlist()
 	l.list, l.prev, l.listedAt = list, list.last, since
 	if list.last != nil {
@@ -267,7 +267,7 @@
 }
 
 // unlist removes the connection from its list.
-func (l *Client) unlist() {
+func (l *ClientConn) unlist() {
 	list := l.list
 	if list == nil {
 		return
@@ -287,7 +287,7 @@
 
 // beginReading notes that a request is arriving. The time of the first request counts from
 // accepting the connection, whatever arrived in between.
-func (l *Client) beginReading() {
+func (l *ClientConn) beginReading() {
 	s := l.clients
 	if l.list == &s.reading {
 		return
@@ -299,7 +299,7 @@
 	l.moveTo(&s.reading, since)
 }
 
-func (l *Client) traffic(b []byte) {
+func (l *ClientConn) traffic(b []byte) {
 	if l.finished {
 		l.discardInput(len(b))
 		return
@@ -326,7 +326,7 @@
 }
 
 // parse reads requests from b until one is in progress. The rest is kept as backlog.
-func (l *Client) parse(b []byte) {
+func (l *ClientConn) parse(b []byte) {
 	for len(b) > 0 && !l.isClosed && !l.finished {
 		n, done, err := l.parser.Feed(b)
 		b = b[n:]
@@ -337,13 +337,13 @@
 		if l.parser.HeadDone() {
 			l.bodyBytes += n
 		}
-		if l.parser.Full() {
+		if l.parser.MustStream() {
 			l.beginUpload(b)
 			return
 		}
 		if !done {
-			if m := l.parser.Message(); m.Continue && l.parser.HeadDone() {
-				m.Continue = false
+			if m := l.parser.Message(); m.ExpectContinue && l.parser.HeadDone() {
+				m.ExpectContinue = false
 				l.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			continue
@@ -358,66 +358,66 @@
 }
 
 // dispatch passes a request to the RequestHandler.
-func (l *Client) dispatch(message *http1.Message) {
+func (l *ClientConn) dispatch(message *http1.Message) {
 	l.unlist()
 	l.busy, l.receivedAny, l.lastResponse, l.bodyBytes = true, true, message.Close, 0
-	l.headRequest, l.http10 = string(message.Method) == http.MethodHead, message.Old
+	l.headRequest, l.http10 = string(message.Method) == http.MethodHead, message.HTTP10
 	l.inHandler = true
 	l.clients.handler.Handle(l, message)
 	l.inHandler = false
 }
 
 // reject responds to invalid input and closes the connection.
-func (l *Client) reject(err error) {
+func (l *ClientConn) reject(err error) {
 	status, reason := 400, err.Error()
 	if e, ok := err.(*http1.Error); ok {
 		status, reason = e.Status, e.Reason
 	}
 	l.unlist()
 	l.busy, l.lastResponse = true, true
-	l.Reply(status, "", reason+"\n")
+	l.RespondText(status, "", reason+"\n")
 }
 
 // Submit submits a request to the default core, with this connection as its responder.
-func (l *Client) Submit(r *gatekeeper.Request) { l.SubmitTo(l.clients.core, r) }
+func (l *ClientConn) Submit(r *gatekeeper.Request) { l.SubmitTo(l.clients.core, r) }
 
 // SubmitTo submits a request to the given core and reports whether the core accepted it. A
 // request whose name is already in use is rejected here and never runs.
-func (l *Client) SubmitTo(core *gatekeeper.Gatekeeper, request *gatekeeper.Request) (taken bool) {
+func (l *ClientConn) SubmitTo(core *gatekeeper.Gatekeeper, request *gatekeeper.Request) (taken bool) {
 	l.core = core
-	request.Caller, l.request = l, request
+	request.Responder, l.request = l, request
 	if l.upload != nil {
 		// The body may have become complete while the handler was waiting.
-		request.Filling, l.upload.request = !l.upload.complete, request
-		request.Payload.(*Payload).Up = l.upload
+		request.BodyPending, l.upload.request = !l.upload.complete, request
+		request.Payload.(*Payload).Upload = l.upload
 	}
-	if core.Take(request) {
+	if core.Submit(request) {
 		return true
 	}
 	l.request = nil
-	l.Reject(http.StatusConflict, "another request of this name is open\n")
+	l.RespondTextAndClose(http.StatusConflict, "another request of this name is open\n")
 	return false
 }
 
 // RespondText responds with plain text. extra consists of whole header lines.
-func (l *Client) Reply(status int, extra, text string) {
+func (l *ClientConn) RespondText(status int, extra, text string) {
 	l.respond(status, len(text), []byte("Content-Type: text/plain\r\n"+extra), []byte(text))
 }
 
 // RespondTextAndClose responds with plain text and closes the connection.
-func (l *Client) Reject(status int, text string) {
+func (l *ClientConn) RespondTextAndClose(status int, text string) {
 	l.lastResponse = true
-	l.Reply(status, "", text)
+	l.RespondText(status, "", text)
 }
 
 // Served implements gatekeeper.Responder.
-func (l *Client) Served(_ *gatekeeper.Request, a gatekeeper.Answer) {
-	l.Answer(cmp.Or(a.Status, http.StatusOK), a.Head, a.Body)
+func (l *ClientConn) Served(_ *gatekeeper.Request, a gatekeeper.Answer) {
+	l.Respond(cmp.Or(a.Status, http.StatusOK), a.HeaderLines, a.Body)
 }
 
 // Throttled implements gatekeeper.Responder.
-func (l *Client) Throttled(r *gatekeeper.Request, retryAfter float64) {
-	if v := l.clients.Verdict; v != nil {
+func (l *ClientConn) Throttled(r *gatekeeper.Request, retryAfter float64) {
+	if v := l.clients.FinalResponder; v != nil {
 		v.Throttled(l, r, retryAfter)
 		return
 	}
@@ -425,26 +425,26 @@
 	if retryAfter > 0 {
 		extra = "Retry-After: " + strconv.FormatFloat(retryAfter/1000, 'f', 3, 64) + "\r\n"
 	}
-	l.Reply(429, extra, "throttled\n")
+	l.RespondText(429, extra, "throttled\n")
 }
 
 // Failed implements gatekeeper.Responder.
-func (l *Client) Failed(r *gatekeeper.Request) {
-	if v := l.clients.Verdict; v != nil {
+func (l *ClientConn) Failed(r *gatekeeper.Request) {
+	if v := l.clients.FinalResponder; v != nil {
 		v.Failed(l, r)
 		return
 	}
-	l.Reply(502, "", "failed\n")
+	l.RespondText(502, "", "failed\n")
 }
 
 // AwaitsResponse reports whether the connection is open and has a request that was neither
 // answered nor submitted.
-func (l *Client) Waits() bool { return !l.isClosed && l.busy && l.request == nil }
+func (l *ClientConn) AwaitsResponse() bool { return !l.isClosed && l.busy && l.request == nil }
 
 // Respond writes a response with whole header lines and a body, for example a worker's failure
 // that is passed on. It does nothing if the response has already been written. In a response
 // to a HEAD request, any Content-Length is part of the header lines.
-func (l *Client) Answer(status int, head, body []byte) {
+func (l *ClientConn) Respond(status int, head, body []byte) {
 	length := len(body)
 	if l.headRequest {
 		length = lengthOmitted
@@ -452,7 +452,7 @@
 	l.respond(status, length, head, body)
 }
 
-func (l *Client) respond(status, length int, head, body []byte) {
+func (l *ClientConn) respond(status, length int, head, body []byte) {
 	if l.isClosed || !l.busy {
 		return
 	}
@@ -465,7 +465,7 @@
 	}
 	l.clients.scratch = out
 	l.write(out)
-	l.notifyEnded(request, Ending{Status: status, Body: body})
+	l.notifyEnded(request, RequestEnding{Status: status, Body: body})
 	l.responseWritten(end)
 }
 
@@ -475,7 +475,7 @@
 
 // responseHead appends the status line and the header. A length of -1 means a chunked response
 // or, for an HTTP/1.0 client, one that ends when the connection closes.
-func (l *Client) responseHead(status, length int, end bool, fields []byte) []byte {
+func (l *ClientConn) responseHead(status, length int, end bool, fields []byte) []byte {
 	out := append(l.clients.scratch[:0], "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(append(out, ' '), http.StatusText(status)...)
@@ -497,7 +497,7 @@
 }
 
 // responseWritten continues with the next request after the last byte of a response.
-func (l *Client) responseWritten(end bool) {
+func (l *ClientConn) responseWritten(end bool) {
 	l.busy = false
 	if l.upload != nil {
 		end = l.upload.detach() || end
@@ -522,20 +522,20 @@
 // finish shuts a connection down after its last response. It only stops sending and discards
 // further input. Closing with unread input would reset the connection, and closing with unsent
 // output would lose it; either way the client might not see the response.
-func (l *Client) finish() {
+func (l *ClientConn) finish() {
 	l.finished, l.finishedAt, l.backlog = true, l.clients.clock.Now(), nil
 	l.halfClose()
 	l.moveTo(&l.clients.closing, l.clients.clock.Now())
 }
 
-func (l *Client) halfClose() {
+func (l *ClientConn) halfClose() {
 	if l.conn.OutboundBuffered() == 0 {
 		_ = syscall.Shutdown(l.conn.Fd(), syscall.SHUT_WR)
 	}
 }
 
 // updateList puts a connection without a request in progress on the list for its state.
-func (l *Client) updateList() {
+func (l *ClientConn) updateList() {
 	s := l.clients
 	switch {
 	case l.isClosed || l.finished || l.busy:
@@ -546,19 +546,19 @@
 	}
 }
 
-func (l *Client) write(b []byte) {
+func (l *ClientConn) write(b []byte) {
 	if !l.isClosed {
 		_, _ = send(l.conn, b) // a failed write closes the connection
 	}
 }
 
-func (l *Client) close() {
+func (l *ClientConn) close() {
 	if !l.isClosed {
 		l.clients.loop.closeConn(l.conn)
 	}
 }
 
-func (l *Client) closed(error) {
+func (l *ClientConn) closed(error) {
 	l.isClosed = true
 	l.unlist()
 	delete(l.clients.all, l)
@@ -571,7 +571,7 @@
 	}
 	if r := l.request; r != nil {
 		l.request = nil
-		l.core.Gone(r)
-		l.notifyEnded(r, Ending{Left: true})
+		l.core.ClientGone(r)
+		l.notifyEnded(r, RequestEnding{ClientLeft: true})
 	}
 }
--- a/internal/link/counter.go
+++ b/internal/link/counter.go
@@ -24,7 +24,7 @@
 // CounterConns holds the connections to the shared counter. Calls for the same name use the
 // same connection, so that their responses arrive in the order of the calls. It implements
 // gatekeeper.CounterClient.
-type Counter struct {
+type CounterConns struct {
 	loop        *Loop
 	core        *gatekeeper.Gatekeeper
 	clock       *gatekeeper.Clock
@@ -40,12 +40,12 @@
 	conn     *counterConn
 	dialing  *counterConn // being dialed
 	draining *counterConn // to the former address, until its calls are answered
-	waiting  []*gatekeeper.Count
+	waiting  []*gatekeeper.CounterCall
 }
 
 // counterConn is a connection to the counter, with its calls in their order.
 type counterConn struct {
-	counter    *Counter
+	counter    *CounterConns
 	shard      *counterShard
 	addr       string
 	conn       conn
@@ -57,23 +57,23 @@
 }
 
 type pendingCall struct {
-	count  *gatekeeper.Count
+	count  *gatekeeper.CounterCall
 	sentAt float64
 }
 
 // NewCounterConns returns the connections to the counter at an address. connectMS is the
 // dial timeout in milliseconds.
-func NewCounter(loop *Loop, clock *gatekeeper.Clock, addr, path string, connectMS float64) *Counter {
-	return &Counter{loop: loop, clock: clock, addr: addr, path: path,
+func NewCounterConns(loop *Loop, clock *gatekeeper.Clock, addr, path string, connectMS float64) *CounterConns {
+	return &CounterConns{loop: loop, clock: clock, addr: addr, path: path,
 		dialTimeout: time.Duration(connectMS * float64(time.Millisecond))}
 }
 
 // SetCore sets the core that results are reported to.
-func (s *Counter) Attach(core *gatekeeper.Gatekeeper) { s.core = core }
+func (s *CounterConns) SetCore(core *gatekeeper.Gatekeeper) { s.core = core }
 
 // SetAddress sends calls to another address from now on. Earlier calls are still answered at
 // the former address, and later calls wait for that, so that the order for each name is kept.
-func (s *Counter) Move(addr string) {
+func (s *CounterConns) SetAddress(addr string) {
 	if s.addr == addr {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // Add implements gatekeeper.CounterClient.
-func (s *Counter) Add(call *gatekeeper.Count) {
+func (s *CounterConns) Add(call *gatekeeper.CounterCall) {
 	shard := &s.shards[call.Name%counterShards]
 	if shard.conn != nil && shard.conn.overdue() {
 		s.loop.closeConn(shard.conn.conn)
@@ -111,8 +111,8 @@
 	}
 }
 
-func (s *Counter) dial(shard *counterShard) {
-	conn := &counterConn{counter: s, shard: shard, addr: s.addr, parser: http1.Answers()}
+func (s *CounterConns) dial(shard *counterShard) {
+	conn := &counterConn{counter: s, shard: shard, addr: s.addr, parser: http1.NewResponseParser()}
 	shard.dialing = conn
 	s.loop.dial(s.addr, s.dialTimeout, conn, conn.dialFailed)
 }
@@ -130,7 +130,7 @@
 			conn.counter.fail(waiting[i:])
 			return
 		}
-		if !call.Over() { // no need to load the counter with calls that nobody waits for
+		if !call.IsOver() { // no need to load the counter with calls that nobody waits for
 			conn.write(call)
 		}
 	}
@@ -138,7 +138,7 @@
 
 // Sweep closes idle connections before the counter does, and connections whose next response
 // is overdue, so that calls do not queue behind a response that never arrives.
-func (s *Counter) Sweep() {
+func (s *CounterConns) Sweep() {
 	now := s.clock.Now()
 	for i := range s.shards {
 		if old := s.shards[i].draining; old != nil && !old.hasWaiters() {
@@ -187,21 +187,21 @@
 
 // hasWaiters reports whether any call on the connection is still waited for.
 func (l *counterConn) hasWaiters() bool {
-	return slices.ContainsFunc(l.calls, func(c pendingCall) bool { return !c.count.Over() })
+	return slices.ContainsFunc(l.calls, func(c pendingCall) bool { return !c.count.IsOver() })
 }
 
-func (s *Counter) fail(calls []*gatekeeper.Count) {
+func (s *CounterConns) fail(calls []*gatekeeper.CounterCall) {
 	for _, c := range calls {
-		s.core.Counted(c, policy.ConnectFailed, 0)
+		s.core.CounterCallEnded(c, policy.ConnectFailed, 0)
 	}
 }
 
-func (l *counterConn) write(call *gatekeeper.Count) {
+func (l *counterConn) write(call *gatekeeper.CounterCall) {
 	counter := l.counter
 	out := append(append(counter.scratch[:0], "POST "...), counter.path...)
 	out = strconv.AppendUint(append(out, '/'), call.Name, 16)
 	out = strconv.AppendFloat(append(out, "?delta="...), call.Amount, 'f', -1, 64)
-	out = strconv.AppendInt(append(out, "&life_ms="...), int64(max(math.Ceil(call.Life), 1)), 10)
+	out = strconv.AppendInt(append(out, "&life_ms="...), int64(max(math.Ceil(call.TTL), 1)), 10)
 	out = append(append(out, " HTTP/1.1\r\nHost: "...), l.addr...)
 	out = append(out, "\r\nContent-Length: 0\r\n\r\n"...)
 	counter.scratch = out
@@ -231,7 +231,7 @@
 			l.shard.conn = nil
 		}
 		l.parser.Reset()
-		l.counter.core.Counted(call, status, total)
+		l.counter.core.CounterCallEnded(call, status, total)
 		if !l.isClosed && (end || l.shard.draining == l && !l.hasWaiters()) {
 			l.counter.loop.closeConn(l.conn)
 		}
@@ -280,7 +280,7 @@
 	calls := l.calls
 	l.calls = nil
 	for _, c := range calls {
-		l.counter.core.Counted(c.count, policy.Reset, 0) // the amount may have been added
+		l.counter.core.CounterCallEnded(c.count, policy.Reset, 0) // the amount may have been added
 	}
 	if l.shard.draining == l {
 		l.shard.draining = nil
--- a/internal/link/discard_unsent_test.go
+++ b/internal/link/discard_unsent_test.go
@@ -14,7 +14,7 @@
 // that was reported as never run would still arrive in full.
 func TestNoBytesSentAfterConnectionCloses(t *testing.T) {
 	const body = 8 << 20 // more than the kernel buffers
-	for _, protocol := range []Carrier{OneAtATime, Pipeline} {
+	for _, protocol := range []Protocol{HTTP1, Pipeline} {
 		t.Run(protocol.String(), func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -32,8 +32,8 @@
 			}()
 			clock := gatekeeper.NewClock()
 			recorder := newWorld(Transport{}) // only to record outcomes
-			workerConns := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{Carrier: protocol})
-			workerConns.Attach(recorder)
+			workerConns := NewWorkerConns(loop, clock, modelReader{}, 250, 5000, Transport{Protocol: protocol})
+			workerConns.SetCore(recorder)
 			execution := newExecution(1, 0, body)
 			loop.Post(func() { workerConns.Place(1, listener.Addr().String(), 0); workerConns.Execute(execution) })
 			workerSide, err := listener.Accept()
@@ -43,7 +43,7 @@
 			defer workerSide.Close()
 			buffered := make(chan bool)
 			look := func() {
-				switch at := execution.Slot.(type) {
+				switch at := execution.TransportData.(type) {
 				case *workerConn:
 					buffered <- at.conn.OutboundBuffered() > 0
 				case *muxConn:
--- a/internal/link/eventloop.go
+++ b/internal/link/eventloop.go
@@ -22,5 +22,5 @@
 	maxDialing() int
 }
 
-func (l *Loop) maxWorkerConns() int { return l.Budget.Servers }
-func (l *Loop) maxDialing() int     { return l.Budget.Openings }
+func (l *Loop) maxWorkerConns() int { return l.Budget.MaxWorkers }
+func (l *Loop) maxDialing() int     { return l.Budget.MaxDialing }
--- a/internal/link/fake_worker_test.go
+++ b/internal/link/fake_worker_test.go
@@ -22,7 +22,7 @@
 // world tests WorkerConns without sockets. Connections are objects that accept as many bytes
 // as the test allows, with a model of a worker behind them.
 type world struct {
-	workerConns    *Fleet
+	workerConns    *WorkerConns
 	clock          *gatekeeper.Clock
 	dials          []*fakeConn
 	conns          []*fakeConn
@@ -40,9 +40,9 @@
 func newWorld(transport Transport) *world {
 	w := &world{clock: gatekeeper.NewClock(), outcomes: map[*gatekeeper.Execution][]gatekeeper.Outcome{}}
 	w.clock.Set(1e6)
-	w.classes = []policy.Class{{Aim: 400e3, Deadline: 2e6, Repeat: policy.Safe}, {Aim: 400e3, Deadline: 2e6, Repeat: policy.Unsafe}}
-	w.workerConns = NewFleet(w, w.clock, modelReader{}, 250, 5000, transport)
-	w.workerConns.Attach(w)
+	w.classes = []policy.Class{{LatencyTarget: 400e3, Deadline: 2e6, Repeat: policy.RepeatSafe}, {LatencyTarget: 400e3, Deadline: 2e6, Repeat: policy.RepeatUnsafe}}
+	w.workerConns = NewWorkerConns(w, w.clock, modelReader{}, 250, 5000, transport)
+	w.workerConns.SetCore(w)
 	return w
 }
 
@@ -67,14 +67,14 @@
 func (w *world) makePausable(conn, pausableEndpoint) (*pausableConn, bool) { return nil, false }
 
 // The methods up to ExecutionEnded implement Core.
-func (w *world) Wrote(*gatekeeper.Execution)                     {}
-func (w *world) MayLeave(*gatekeeper.Execution) bool             { return true }
-func (w *world) Progress(*gatekeeper.Execution)                  {}
-func (w *world) Begun(*gatekeeper.Execution, gatekeeper.Outcome) {}
-func (w *world) Finish(*gatekeeper.Request, gatekeeper.End)      {}
-func (w *world) Gone(*gatekeeper.Request)                        {}
-
-func (w *world) Done(execution *gatekeeper.Execution, o gatekeeper.Outcome) {
+func (w *world) ExecutionSent(*gatekeeper.Execution)                         {}
+func (w *world) MaySend(*gatekeeper.Execution) bool                          { return true }
+func (w *world) Progress(*gatekeeper.Execution)                              {}
+func (w *world) ResponseStarted(*gatekeeper.Execution, gatekeeper.Outcome)   {}
+func (w *world) ResponseEnded(*gatekeeper.Request, gatekeeper.RequestResult) {}
+func (w *world) ClientGone(*gatekeeper.Request)                              {}
+
+func (w *world) ExecutionEnded(execution *gatekeeper.Execution, o gatekeeper.Outcome) {
 	o.Answer.Body = bytes.Clone(o.Answer.Body)
 	w.outcomes[execution] = append(w.outcomes[execution], o)
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-func newModel(protocol Carrier) model {
+func newModel(protocol Protocol) model {
 	switch protocol {
 	case HTTP2:
 		m := &http2Model{modelState: newModelState(), bodies: map[uint32]string{}, maxID: 1 << 31}
@@ -203,11 +203,11 @@
 		m.enc = hpack.NewEncoder(&m.block)
 		return m
 	case Batch:
-		m := &batchModel{modelState: newModelState(), parser: http1.Requests(), maxID: 1 << 62}
-		m.parser.Piece = func(b []byte) { m.input = append(m.input, b...) }
+		m := &batchModel{modelState: newModelState(), parser: http1.NewRequestParser(), maxID: 1 << 62}
+		m.parser.OnBody = func(b []byte) { m.input = append(m.input, b...) }
 		return m
 	}
-	return &http1Model{modelState: newModelState(), parser: http1.Requests(), sequences: map[string]string{}}
+	return &http1Model{modelState: newModelState(), parser: http1.NewRequestParser(), sequences: map[string]string{}}
 }
 
 // http1Model is a worker that speaks HTTP/1.1.
@@ -371,7 +371,7 @@
 		}
 		m.input = m.input[len(m.input)-r.Len():]
 		for _, item := range message.GetItems() {
-			parser := http1.Requests()
+			parser := http1.NewRequestParser()
 			if _, done, err := parser.Feed(item.GetRequest()); !done {
 				panic(err)
 			}
@@ -424,7 +424,7 @@
 // modelReader interprets the responses of the models.
 type modelReader struct{}
 
-func (modelReader) Left() string { return "X-Left" }
+func (modelReader) TimeLeftHeader() string { return "X-Left" }
 func (modelReader) Outcome(m *http1.Message) gatekeeper.Outcome {
 	return gatekeeper.Outcome{Status: policy.OK, Answer: gatekeeper.Answer{Body: m.Body}}
 }
--- a/internal/link/fleet.go
+++ b/internal/link/fleet.go
@@ -14,22 +14,22 @@
 // whole header lines from the request line on, without the time left, and the body.
 type Payload struct {
 	Head, Body []byte
-	Up         *upload // replaces Body if the body is streamed
+	Upload     *upload // replaces Body if the body is streamed
 
 	carriedBy []*workerConn // connections that have carried the request
 }
 
 // ResponseReader interprets the responses of workers.
-type Reader interface {
+type ResponseReader interface {
 	Outcome(m *http1.Message) gatekeeper.Outcome
 	// TimeLeftHeader names the request header that tells a worker how long its response is
 	// waited for.
-	Left() string
+	TimeLeftHeader() string
 }
 
 // ResponseMatcher is a ResponseReader that can tell from a response's head which request it
 // belongs to. Only HTTP1 uses it.
-type Matcher interface {
+type ResponseMatcher interface {
 	// Mine reports whether m is the response to x, or carries the id of another request. If
 	// neither is true, the response can't be attributed, and x may have run. only tells that
 	// the connection has carried no other request, so that the response can't belong to one.
@@ -68,44 +68,44 @@
 }
 
 // WorkerConns holds the connections to all workers. It implements gatekeeper.WorkerTransport.
-type Fleet struct {
+type WorkerConns struct {
 	loop        eventLoop
 	core        Core
-	reader      Reader
+	reader      ResponseReader
 	clock       *gatekeeper.Clock
 	transport   Transport
-	estimator   *lanes.Table
+	estimator   *lanes.Estimator
 	workers     map[policy.Server]*workerRecord
 	dialTimeout time.Duration // for opening a connection
 	maxIdleMS   float64       // how long a connection may stay idle
 	connCount   int           // connections that are open or being dialed
 	dialing     int
 	scratch     []byte
-	matcher     Matcher // nil if reader does not implement it
+	matcher     ResponseMatcher // nil if reader does not implement it
 
 	// The following fields may be set before the first execution. They apply to HTTP1 only.
 
 	// PartialTimeoutMS is how many milliseconds an incomplete response may make no progress
 	// before its connection is closed.
-	PartMost float64
+	PartialTimeoutMS float64
 	// SettleMS is how many milliseconds a connection rests before it is reused.
-	Settle float64
+	SettleMS float64
 	// HonorKeepAlive closes idle connections before the timeout in the worker's Keep-Alive
 	// header ends.
-	KeepAlive bool
+	HonorKeepAlive bool
 	// MaxConnsPerWorker is the limit on connections to one worker, 0 for none. Further
 	// executions wait for a connection.
-	PerWorker int
+	MaxConnsPerWorker int
 	// ResponseLimits replaces the parser's default limits for responses; nil keeps the
 	// defaults.
-	Limits *http1.Limits
+	ResponseLimits *http1.Limits
 	// OnSent, if set, is called after an execution has been written to a worker.
-	Sent func(x *gatekeeper.Execution)
+	OnSent func(x *gatekeeper.Execution)
 }
 
 // workerRecord is the state of one worker and its connections.
 type workerRecord struct {
-	workerConns *Fleet
+	workerConns *WorkerConns
 	id          policy.Server
 	addr        string
 	startedAt   float64 // start of the worker's process; older connections lead to a former process
@@ -123,49 +123,49 @@
 // NewWorkerConns returns a WorkerConns without workers. connectMS is the timeout for opening
 // a connection, idleMS the time after which idle connections are closed; both are in
 // milliseconds.
-func NewFleet(loop eventLoop, clock *gatekeeper.Clock, reader Reader, connectMS, idleMS float64, t Transport) *Fleet {
-	workerConns := &Fleet{loop: loop, clock: clock, reader: reader, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
+func NewWorkerConns(loop eventLoop, clock *gatekeeper.Clock, reader ResponseReader, connectMS, idleMS float64, t Transport) *WorkerConns {
+	workerConns := &WorkerConns{loop: loop, clock: clock, reader: reader, workers: map[policy.Server]*workerRecord{}, transport: t.withDefaults(),
 		dialTimeout: time.Duration(connectMS * float64(time.Millisecond)), maxIdleMS: idleMS,
-		PartMost: maxPartialMS, Settle: settleMS}
-	workerConns.matcher, _ = reader.(Matcher)
-	workerConns.estimator = lanes.NewTable(workerConns.terms)
+		PartialTimeoutMS: maxPartialMS, SettleMS: settleMS}
+	workerConns.matcher, _ = reader.(ResponseMatcher)
+	workerConns.estimator = lanes.NewEstimator(workerConns.terms)
 	return workerConns
 }
 
 // Core is the part of the gatekeeper core that WorkerConns needs.
 type Core interface {
 	// ExecutionEnded ends an execution.
-	Done(x *gatekeeper.Execution, o gatekeeper.Outcome)
+	ExecutionEnded(x *gatekeeper.Execution, o gatekeeper.Outcome)
 	// ExecutionSent tells that the last byte of an execution has been sent.
-	Wrote(x *gatekeeper.Execution)
+	ExecutionSent(x *gatekeeper.Execution)
 	// MaySend reports whether an execution that has waited for a connection may still be sent.
-	MayLeave(x *gatekeeper.Execution) bool
+	MaySend(x *gatekeeper.Execution) bool
 	// Progress tells that bytes of an execution are moving.
 	Progress(x *gatekeeper.Execution)
 	// ResponseStarted tells that a response is being streamed to its client. Later, either
 	// ResponseEnded tells how that ended, or ClientGone that the client has disconnected.
-	Begun(x *gatekeeper.Execution, o gatekeeper.Outcome)
-	Finish(r *gatekeeper.Request, how gatekeeper.End)
-	Gone(r *gatekeeper.Request)
+	ResponseStarted(x *gatekeeper.Execution, o gatekeeper.Outcome)
+	ResponseEnded(r *gatekeeper.Request, how gatekeeper.RequestResult)
+	ClientGone(r *gatekeeper.Request)
 	// Class returns the settings of a request class.
 	Class(class int) policy.Class
 }
 
 // SetCore sets the core that outcomes are reported to.
-func (f *Fleet) Attach(core Core) { f.core = core }
+func (f *WorkerConns) SetCore(core Core) { f.core = core }
 
 // terms returns the rules by which requests of a class share a connection. Requests with an
 // idempotency key may share one if every worker discards duplicates for as long as a repeat
 // can arrive.
-func (f *Fleet) terms(class int) lanes.Terms {
+func (f *WorkerConns) terms(class int) lanes.ClassTerms {
 	c := f.core.Class(class)
-	share := c.Repeat == policy.Safe || c.Repeat == policy.Keyed && c.Group == policy.GroupAll && c.Window >= c.Deadline
-	return lanes.Terms{Aim: float64(c.Aim) / 1000, Share: share}
+	share := c.Repeat == policy.RepeatSafe || c.Repeat == policy.RepeatKeyed && c.Dedup == policy.DedupFleet && c.RepeatWindow >= c.Deadline
+	return lanes.ClassTerms{TargetMS: float64(c.LatencyTarget) / 1000, MayShare: share}
 }
 
 // Place sets the address of a worker that accepts executions, and the time when its process
 // started.
-func (f *Fleet) Place(id policy.Server, addr string, since float64) {
+func (f *WorkerConns) Place(id policy.Server, addr string, since float64) {
 	worker := f.worker(id)
 	worker.released = false
 	since = min(since, f.clock.Now()) // a later start time would make new connections look old
@@ -178,11 +178,13 @@
 // SetHeaderLines sets whole header lines that are added to every execution for a worker,
 // before the time left. They are forgotten together with the worker, so they must be set again
 // for each Place after a Release. Only the HTTP/1.1 protocols use them.
-func (f *Fleet) Lines(id policy.Server, lines []byte) { f.worker(id).headerLines = lines }
+func (f *WorkerConns) SetHeaderLines(id policy.Server, lines []byte) {
+	f.worker(id).headerLines = lines
+}
 
 // worker returns the record of a worker. If there is none, it creates one that accepts
 // nothing.
-func (f *Fleet) worker(id policy.Server) *workerRecord {
+func (f *WorkerConns) worker(id policy.Server) *workerRecord {
 	worker := f.workers[id]
 	if worker == nil {
 		worker = &workerRecord{workerConns: f, id: id, released: true}
@@ -194,7 +196,7 @@
 
 // matches reports whether a response on a connection belongs to the execution, or to another
 // request.
-func (f *Fleet) matches(conn *workerConn, execution *gatekeeper.Execution, message *http1.Message) (mine, other bool) {
+func (f *WorkerConns) matches(conn *workerConn, execution *gatekeeper.Execution, message *http1.Message) (mine, other bool) {
 	if f.matcher == nil {
 		return true, false
 	}
@@ -202,15 +204,15 @@
 	return mine, other && !mine
 }
 
-func (f *Fleet) newPool(worker *workerRecord) connPool {
-	if f.transport.Carrier == OneAtATime {
+func (f *WorkerConns) newPool(worker *workerRecord) connPool {
+	if f.transport.Protocol == HTTP1 {
 		return &serialPool{worker: worker, workerConns: f}
 	}
 	return newMuxPool(worker)
 }
 
 // Release implements gatekeeper.WorkerTransport.
-func (f *Fleet) Release(id policy.Server) {
+func (f *WorkerConns) Release(id policy.Server) {
 	if w := f.workers[id]; w != nil {
 		w.released = true
 		w.pool.release()
@@ -219,16 +221,16 @@
 }
 
 // forget removes a released worker that has no connections and executions left.
-func (f *Fleet) forget(w *workerRecord) {
+func (f *WorkerConns) forget(w *workerRecord) {
 	if w.released && w.pool.empty() && f.workers[w.id] == w {
 		delete(f.workers, w.id)
 	}
 }
 
 // Execute implements gatekeeper.WorkerTransport.
-func (f *Fleet) Execute(execution *gatekeeper.Execution) {
+func (f *WorkerConns) Execute(execution *gatekeeper.Execution) {
 	worker := f.workers[execution.Worker]
-	if p, ok := execution.Request.Payload.(*Payload); ok && p.Up != nil && f.transport.Carrier != OneAtATime {
+	if p, ok := execution.Request.Payload.(*Payload); ok && p.Upload != nil && f.transport.Protocol != HTTP1 {
 		f.endUnanswered(execution, policy.ConnectFailed) // request handlers do not stream over other protocols
 		return
 	}
@@ -240,38 +242,38 @@
 }
 
 // Abandon implements gatekeeper.WorkerTransport.
-func (f *Fleet) Abandon(execution *gatekeeper.Execution) (sent bool) {
-	if h, ok := execution.Slot.(executionHolder); ok {
-		execution.Slot = nil
+func (f *WorkerConns) Abandon(execution *gatekeeper.Execution) (sent bool) {
+	if h, ok := execution.TransportData.(executionHolder); ok {
+		execution.TransportData = nil
 		return h.abandon(execution)
 	}
 	return false
 }
 
 // endUnanswered reports an execution that got no response.
-func (f *Fleet) endUnanswered(execution *gatekeeper.Execution, status policy.Status) {
-	execution.Slot = nil
-	f.core.Done(execution, gatekeeper.Outcome{Status: status})
+func (f *WorkerConns) endUnanswered(execution *gatekeeper.Execution, status policy.Status) {
+	execution.TransportData = nil
+	f.core.ExecutionEnded(execution, gatekeeper.Outcome{Status: status})
 }
 
 // checkSend reports whether an execution that has waited may still be sent. If not, it ends
 // the execution as never run.
-func (f *Fleet) checkSend(execution *gatekeeper.Execution) bool {
-	if f.core.MayLeave(execution) {
+func (f *WorkerConns) checkSend(execution *gatekeeper.Execution) bool {
+	if f.core.MaySend(execution) {
 		return true
 	}
-	f.endUnanswered(execution, policy.Moot)
+	f.endUnanswered(execution, policy.NotSent)
 	return false
 }
 
 // canDial reports whether another connection may be opened. If the budget requires it, it
 // closes an idle connection first.
-func (f *Fleet) canDial() bool {
+func (f *WorkerConns) canDial() bool {
 	return f.dialing < f.loop.maxDialing() && (f.connCount < f.loop.maxWorkerConns() || f.closeOldestIdle())
 }
 
 // closeOldestIdle closes the connection that has been idle longest, over all workers.
-func (f *Fleet) closeOldestIdle() bool {
+func (f *WorkerConns) closeOldestIdle() bool {
 	var oldest connPool
 	since := 0.0
 	for _, w := range f.workers {
@@ -288,7 +290,7 @@
 
 // Sweep closes connections that have been idle for long. A worker would close them soon after,
 // and a request written at that time would be lost.
-func (f *Fleet) Sweep() {
+func (f *WorkerConns) Sweep() {
 	now := f.clock.Now()
 	for _, worker := range f.workers {
 		for {
--- a/internal/link/fleet_test.go
+++ b/internal/link/fleet_test.go
@@ -17,7 +17,7 @@
 type protocolRun struct {
 	*world
 	t          *rapid.T
-	protocol   Carrier
+	protocol   Protocol
 	pending    []*gatekeeper.Execution
 	executions []*gatekeeper.Execution
 	abandoned  map[*gatekeeper.Execution]bool
@@ -203,16 +203,16 @@
 // never gets another request's response, that it is reported as never run only if no worker
 // has run it, and that it is no longer in flight after it was abandoned.
 func TestEachExecutionEndsOnce(t *testing.T) {
-	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+	for _, protocol := range []Protocol{HTTP1, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				tr := Transport{Carrier: protocol}
+				tr := Transport{Protocol: protocol}
 				if protocol == Batch {
-					tr.Gather = rapid.SampledFrom([]float64{0, 2}).Draw(t, "gather")
+					tr.BatchDelayMS = rapid.SampledFrom([]float64{0, 2}).Draw(t, "gather")
 				}
 				run := &protocolRun{world: newWorld(tr), t: t, protocol: protocol, abandoned: map[*gatekeeper.Execution]bool{}}
 				for range 10 { // lets short requests share a pipeline
-					run.workerConns.estimator.Learn(0, 1)
+					run.workerConns.estimator.Observe(0, 1)
 				}
 				run.workerConns.Place(1, "a", 0)
 				t.Repeat(run.actions())
@@ -250,7 +250,7 @@
 		env.workerConns.Execute(newExecution(n, 0, 0))
 	}
 	for _, conn := range env.dials[:2] {
-		conn.model, conn.acceptBytes = newModel(OneAtATime), 1<<20
+		conn.model, conn.acceptBytes = newModel(HTTP1), 1<<20
 		env.conns = append(env.conns, conn)
 		conn.endpoint.opened(conn)
 	}
@@ -268,9 +268,9 @@
 // a former address, or were opened before the worker's present process started. Connections
 // that were opened after the start, but before it was reported, stay open.
 func TestConnectionToFormerProcessIsNotUsed(t *testing.T) {
-	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+	for _, protocol := range []Protocol{HTTP1, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
-			env := newWorld(Transport{Carrier: protocol})
+			env := newWorld(Transport{Protocol: protocol})
 			env.workerConns.Place(1, "a", 0)
 			open := func() {
 				execution := newExecution(len(env.dials), 0, 0)
@@ -304,9 +304,9 @@
 // TestFailedDialToFormerAddressIsRetried checks that a failed dial to a former address does
 // not fail the waiting execution, but leads to a dial to the present address.
 func TestFailedDialToFormerAddressIsRetried(t *testing.T) {
-	for _, protocol := range []Carrier{OneAtATime, Pipeline, HTTP2, Batch} {
+	for _, protocol := range []Protocol{HTTP1, Pipeline, HTTP2, Batch} {
 		t.Run(protocol.String(), func(t *testing.T) {
-			env := newWorld(Transport{Carrier: protocol})
+			env := newWorld(Transport{Protocol: protocol})
 			env.workerConns.Place(1, "a", 0)
 			execution := newExecution(0, 0, 0)
 			env.workerConns.Execute(execution)
--- a/internal/link/http2.go
+++ b/internal/link/http2.go
@@ -34,36 +34,36 @@
 
 func newHTTP2Protocol(conn *muxConn) muxProtocol {
 	s := &http2Protocol{conn: conn}
-	s.session = h2.New(s, conn.workerConns.transport.Depth)
+	s.session = h2.NewSession(s, conn.workerConns.transport.MaxInFlight)
 	return s
 }
 
 func (s *http2Protocol) start() { s.lastReadAt = s.conn.workerConns.clock.Now() }
 
-func (s *http2Protocol) finalBytes() []byte { return s.session.Out() }
+func (s *http2Protocol) finalBytes() []byte { return s.session.TakeOutput() }
 
-func (s *http2Protocol) peerLeaving() bool { return s.session.Leaving() }
+func (s *http2Protocol) peerLeaving() bool { return s.session.GoingAway() }
 
-func (s *http2Protocol) inFlight() int { return s.session.Len() }
+func (s *http2Protocol) inFlight() int { return s.session.OpenStreams() }
 
-func (s *http2Protocol) room() int { return s.session.Room() }
+func (s *http2Protocol) room() int { return s.session.AvailableStreams() }
 
 func (s *http2Protocol) send(execution *gatekeeper.Execution) {
 	workerConns := s.conn.workerConns
 	payload := execution.Request.Payload.(*Payload)
-	s.extraHeaders = append(append(s.extraHeaders[:0], workerConns.reader.Left()...), ": "...)
+	s.extraHeaders = append(append(s.extraHeaders[:0], workerConns.reader.TimeLeftHeader()...), ": "...)
 	s.extraHeaders = append(strconv.AppendInt(s.extraHeaders, int64(max(execution.Timeout, 1)), 10), "\r\n"...)
 	now := workerConns.clock.Now()
 	if s.inFlight() == 0 { // silence on an idle connection does not count
 		s.lastReadAt = now
 	}
 	// OpenStream fails only for a malformed head, which no RequestHandler builds.
-	if err := s.session.Open(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil {
+	if err := s.session.OpenStream(&streamExecution{execution, now}, payload.Head, s.extraHeaders, payload.Body); err != nil {
 		workerConns.endUnanswered(execution, policy.ConnectFailed)
 	}
 }
 
-func (s *http2Protocol) takeOutput() []byte { return s.session.Out() }
+func (s *http2Protocol) takeOutput() []byte { return s.session.TakeOutput() }
 
 func (s *http2Protocol) receive(b []byte) error {
 	s.lastReadAt, s.pingSentAt = s.conn.workerConns.clock.Now(), 0
@@ -71,20 +71,20 @@
 }
 
 // ResponseReceived implements h2.Handler.
-func (s *http2Protocol) Answered(stream *h2.Stream, message *http1.Message) {
+func (s *http2Protocol) ResponseReceived(stream *h2.Stream, message *http1.Message) {
 	workerConns, sent := s.conn.workerConns, stream.Tag.(*streamExecution)
-	workerConns.estimator.Learn(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
-	sent.execution.Slot = nil
-	workerConns.core.Done(sent.execution, workerConns.reader.Outcome(message))
+	workerConns.estimator.Observe(sent.execution.Request.Class, s.lastReadAt-sent.sentAt)
+	sent.execution.TransportData = nil
+	workerConns.core.ExecutionEnded(sent.execution, workerConns.reader.Outcome(message))
 }
 
 // StreamEnded implements h2.Handler.
-func (s *http2Protocol) Ended(stream *h2.Stream, why h2.Why) {
+func (s *http2Protocol) StreamEnded(stream *h2.Stream, why h2.EndReason) {
 	status := policy.Reset
 	switch why {
-	case h2.Refused:
+	case h2.StreamRefused:
 		status = policy.Full
-	case h2.Unprocessed:
+	case h2.StreamUnprocessed:
 		status = policy.ConnectFailed
 	}
 	s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
@@ -93,10 +93,10 @@
 // cancel implements muxProtocol. RST_STREAM with CANCEL tells the peer, and the connection
 // stays open.
 func (s *http2Protocol) cancel(execution *gatekeeper.Execution) (sent bool, err error) {
-	s.session.Each(func(st *h2.Stream) {
+	s.session.EachStream(func(st *h2.Stream) {
 		if st.Tag.(*streamExecution).execution == execution {
-			sent = st.End > 0
-			s.session.Cancel(st)
+			sent = st.EndOffset > 0
+			s.session.CancelStream(st)
 		}
 	})
 	return sent, nil
@@ -121,12 +121,12 @@
 // part of the header block at least, and may have begun (RFC 9113, section 8.1).
 func (s *http2Protocol) connLost(sentOffset int64) {
 	var open []*h2.Stream
-	s.session.Each(func(stream *h2.Stream) { open = append(open, stream) })
+	s.session.EachStream(func(stream *h2.Stream) { open = append(open, stream) })
 	slices.SortFunc(open, func(a, b *h2.Stream) int { return int(a.ID) - int(b.ID) })
-	s.session.Drop()
+	s.session.DropStreams()
 	for _, stream := range open {
 		status := policy.Reset
-		if stream.Start >= sentOffset {
+		if stream.StartOffset >= sentOffset {
 			status = policy.ConnectFailed
 		}
 		s.conn.workerConns.endUnanswered(stream.Tag.(*streamExecution).execution, status)
--- a/internal/link/limits_test.go
+++ b/internal/link/limits_test.go
@@ -18,23 +18,23 @@
 // testGateway is client connections with a core and worker connections, on a loop of their
 // own.
 type testGateway struct {
-	*Clients
+	*ClientConns
 	loop *Loop
 	addr string
 }
 
 // Handle implements RequestHandler.
-func (d *testGateway) Handle(l *Client, m *http1.Message) {
+func (d *testGateway) Handle(l *ClientConn, m *http1.Message) {
 	if string(m.Target) == "/echo" {
-		l.Answer(200, nil, m.Body)
+		l.Respond(200, nil, m.Body)
 		return
 	}
 	payload := &Payload{Head: fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n", m.Length)}
-	l.Submit(&gatekeeper.Request{Left: 5000, Units: 1, Spread: 1, Payload: payload})
+	l.Submit(&gatekeeper.Request{TimeLeft: 5000, EstimatedUnits: 1, GatekeeperCount: 1, Payload: payload})
 }
 
 // Add implements gatekeeper.CounterClient.
-func (d *testGateway) Add(*gatekeeper.Count) {}
+func (d *testGateway) Add(*gatekeeper.CounterCall) {}
 
 func newTestGateway(t *testing.T, worker string, limits *ClientLimits) *testGateway {
 	t.Helper()
@@ -50,24 +50,24 @@
 	ready := make(chan bool)
 	loop.Post(func() {
 		clock := gatekeeper.NewClock()
-		workerConns := NewFleet(loop, clock, modelReader{}, 250, 5000, Transport{})
-		core := gatekeeper.New(gatekeeper.Config{Clock: clock, Fleet: workerConns, Counter: gateway, Seed: 1,
-			Wake: func(at float64) { loop.Wake(at - clock.Now()) },
-			Settings: policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 3, Cancel: true,
-				Classes: []policy.Class{{Aim: 4e6, Deadline: 5e6, Worth: 1, Repeat: policy.Unsafe}}, Plans: []policy.Plan{{Price: 1}}}})
-		loop.OnAlarm(core.Advance)
-		workerConns.Attach(core)
-		gateway.Clients = NewClients(loop, clock, core, gateway)
+		workerConns := NewWorkerConns(loop, clock, modelReader{}, 250, 5000, Transport{})
+		core := gatekeeper.New(gatekeeper.Config{Clock: clock, Workers: workerConns, Counter: gateway, Seed: 1,
+			RequestWakeUp: func(at float64) { loop.SetAlarm(at - clock.Now()) },
+			Settings: policy.Settings{GatewayCount: 1, ClockTick: 4000, MaxAttempts: 3, CanCancel: true,
+				Classes: []policy.Class{{LatencyTarget: 4e6, Deadline: 5e6, Value: 1, Repeat: policy.RepeatUnsafe}}, Plans: []policy.Plan{{Price: 1}}}})
+		loop.OnAlarm(core.RunDueTimers)
+		workerConns.SetCore(core)
+		gateway.ClientConns = NewClientConns(loop, clock, core, gateway)
 		gateway.Limits = limits
 		if worker != "" {
 			workerConns.Place(1, worker, 0)
-			core.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
+			core.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 		}
 		loop.Every(20*time.Millisecond, gateway.Sweep)
 		close(ready)
 	})
 	<-ready
-	go listener.Accept(loop, gateway.Make)
+	go listener.Accept(loop, gateway.NewConn)
 	t.Cleanup(func() {
 		_ = listener.Close()
 		if err := loop.Stop(); err != nil {
@@ -95,7 +95,7 @@
 }
 
 func TestConfiguredClientLimits(t *testing.T) {
-	limits := &ClientLimits{HTTP: &http1.Limits{Head: 300, Body: 100, Large: 1000}, ReadMost: 150, RestMost: 300}
+	limits := &ClientLimits{HTTP: &http1.Limits{HeadBytes: 300, BufferedBodyBytes: 100, StreamedBodyBytes: 1000}, HeadTimeoutMS: 150, IdleTimeoutMS: 300}
 	gateway := newTestGateway(t, "", limits)
 	const post = "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: "
 	for name, tc := range map[string]struct {
@@ -115,7 +115,7 @@
 		})
 	}
 	done := make(chan bool)
-	gateway.loop.Post(func() { limits.HTTP.Head = 1000; close(done) })
+	gateway.loop.Post(func() { limits.HTTP.HeadBytes = 1000; close(done) })
 	<-done
 	if response, _ := gateway.exchange(t, "GET /echo HTTP/1.1\r\nHost: a\r\nA: "+strings.Repeat("x", 300)+"\r\n\r\n"); response.StatusCode != 200 {
 		t.Fatalf("status %d after the limit was raised, want 200", response.StatusCode)
@@ -125,7 +125,7 @@
 // TestSilentClientGetsIdleTimeout checks that a client that has sent nothing may stay for the
 // idle timeout, and then still has the full head timeout.
 func TestSilentClientGetsIdleTimeout(t *testing.T) {
-	gateway := newTestGateway(t, "", &ClientLimits{ReadMost: 200, RestMost: 2500, KeepAlive: true})
+	gateway := newTestGateway(t, "", &ClientLimits{HeadTimeoutMS: 200, IdleTimeoutMS: 2500, AnnounceKeepAlive: true})
 	conn, err := net.Dial("tcp", gateway.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 		}
 	}()
 	text := "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 80000)
-	gateway := newTestGateway(t, listener.Addr().String(), &ClientLimits{RestMost: 200})
+	gateway := newTestGateway(t, listener.Addr().String(), &ClientLimits{IdleTimeoutMS: 200})
 	if response, _ := gateway.exchange(t, text); response.StatusCode != http.StatusBadGateway || !response.Close {
 		t.Fatalf("status %d, Connection: close %v; want 502, true", response.StatusCode, response.Close)
 	}
@@ -169,15 +169,17 @@
 // customVerdict is a FinalResponder with its own responses.
 type customVerdict struct{}
 
-func (customVerdict) Throttled(l *Client, _ *gatekeeper.Request, _ float64) {
-	l.Answer(503, []byte("Retry-After: 1\r\n"), []byte("busy"))
+func (customVerdict) Throttled(l *ClientConn, _ *gatekeeper.Request, _ float64) {
+	l.Respond(503, []byte("Retry-After: 1\r\n"), []byte("busy"))
+}
+func (customVerdict) Failed(l *ClientConn, _ *gatekeeper.Request) {
+	l.Respond(504, nil, []byte("no word"))
 }
-func (customVerdict) Failed(l *Client, _ *gatekeeper.Request) { l.Answer(504, nil, []byte("no word")) }
 
 func TestCustomFinalAnswers(t *testing.T) {
 	gateway := newTestGateway(t, "", nil)
 	done := make(chan bool)
-	gateway.loop.Post(func() { gateway.Verdict = customVerdict{}; close(done) })
+	gateway.loop.Post(func() { gateway.FinalResponder = customVerdict{}; close(done) })
 	<-done
 	response, _ := gateway.exchange(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	if b, _ := io.ReadAll(response.Body); response.StatusCode != 503 || string(b) != "busy" || response.Header.Get("Retry-After") != "1" {
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -50,19 +50,19 @@
 // Loop is the event loop that all connections and the gatekeeper core run on.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	client         *gnet.Client
-	events         gnet.EventLoop
-	alarm          *time.Timer
-	onAlarm        func()
-	stopped        atomic.Bool
-	iterations     iterationTracker
-	pendingFlushes []flusher // connections with buffered output
-	batchesWrites  bool      // flushSoon has been called at least once
-	flushPosted    bool      // flushAll is posted for the end of the iteration
-	eventDepth     int       // nesting of beginEvent
-	poller         *poller   // nil before the first pausable connection
-	Budget         *Budget
-	Flowing        int // limit on the bytes buffered by all pausable connections, 0 for none
+	client            *gnet.Client
+	events            gnet.EventLoop
+	alarm             *time.Timer
+	onAlarm           func()
+	stopped           atomic.Bool
+	iterations        iterationTracker
+	pendingFlushes    []flusher // connections with buffered output
+	batchesWrites     bool      // flushSoon has been called at least once
+	flushPosted       bool      // flushAll is posted for the end of the iteration
+	eventDepth        int       // nesting of beginEvent
+	poller            *poller   // nil before the first pausable connection
+	Budget            *Budget
+	StreamBufferBytes int // limit on the bytes buffered by all pausable connections, 0 for none
 }
 
 // flusher is a connection that buffers its output and writes it in one call.
@@ -207,7 +207,7 @@
 
 // SetAlarm schedules a call of the alarm function in ms milliseconds. It replaces the previous
 // schedule.
-func (l *Loop) Wake(ms float64) {
+func (l *Loop) SetAlarm(ms float64) {
 	l.alarm.Reset(time.Duration(max(ms, 0) * float64(time.Millisecond)))
 }
 
@@ -324,15 +324,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return Inherited(ln.(*net.TCPListener)), nil
+	return NewListener(ln.(*net.TCPListener)), nil
 }
 
 // NewListener wraps a listener that was opened by another process.
-func Inherited(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, acceptor: ln} }
+func NewListener(ln *net.TCPListener) *Listener { return &Listener{TCPListener: ln, acceptor: ln} }
 
 // Accept hands each accepted connection to the loop, until the listener is closed. If file
 // descriptors run out, it waits and tries again.
-func (ln *Listener) Accept(loop *Loop, newClient func() *Client) {
+func (ln *Listener) Accept(loop *Loop, newClient func() *ClientConn) {
 	const pause = 5 * time.Millisecond
 	for {
 		if wait := ln.pauseSignal(); wait != nil {
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -41,9 +41,9 @@
 	listener.acceptor = &failingListener{Listener: listener.TCPListener, failures: 3, attempts: tried}
 	accepted := make(chan bool, 1)
 	acceptEnded := make(chan bool)
-	clients := NewClients(loop, gatekeeper.NewClock(), nil, nil)
+	clients := NewClientConns(loop, gatekeeper.NewClock(), nil, nil)
 	go func() {
-		listener.Accept(loop, func() *Client { accepted <- true; return clients.Make() })
+		listener.Accept(loop, func() *ClientConn { accepted <- true; return clients.NewConn() })
 		close(acceptEnded)
 	}()
 	for range 3 {
@@ -64,10 +64,10 @@
 func TestBudgetFitsDescriptorLimit(t *testing.T) {
 	for _, limit := range []int{64, 128, 192, 256, 1024, 20000} {
 		b := NewBudget(limit, 0)
-		if b.Clients < 1 || b.Servers < 1 {
+		if b.MaxClients < 1 || b.MaxWorkers < 1 {
 			t.Errorf("limit %d: %+v, want at least 1 client and 1 worker connection", limit, b)
 		}
-		if most := b.Clients + b.Servers + 2*b.Openings + b.Counters + minReservedFDs; limit >= 128 && most > limit {
+		if most := b.MaxClients + b.MaxWorkers + 2*b.MaxDialing + b.MaxCounters + minReservedFDs; limit >= 128 && most > limit {
 			t.Errorf("limit %d is exceeded by %d", limit, most-limit)
 		}
 	}
--- a/internal/link/mux.go
+++ b/internal/link/mux.go
@@ -50,7 +50,7 @@
 // muxConn is a connection of a muxPool.
 type muxConn struct {
 	pool         *muxPool
-	workerConns  *Fleet
+	workerConns  *WorkerConns
 	addr         string
 	dialedAt     float64 // when dialing began
 	conn         conn
@@ -66,7 +66,7 @@
 // connection.
 type muxPool struct {
 	worker      *workerRecord
-	workerConns *Fleet
+	workerConns *WorkerConns
 	conns       []*muxConn // open connections, in the order they opened
 	queue       []*gatekeeper.Execution
 	dialing     int
@@ -83,7 +83,7 @@
 func newMuxPool(worker *workerRecord) *muxPool {
 	pool := &muxPool{worker: worker, workerConns: worker.workerConns}
 	pool.choose, pool.uniform = pool.mostRoom, true
-	switch worker.workerConns.transport.Carrier {
+	switch worker.workerConns.transport.Protocol {
 	case Pipeline:
 		pool.newProtocol = newPipelineProtocol
 		chooser := &pipelineChooser{pool: pool}
@@ -104,8 +104,8 @@
 			best, bestRoom = t, n
 		}
 	}
-	depth := s.workerConns.transport.Depth
-	return best, best == nil && s.connCount < s.workerConns.transport.Links && s.dialing*depth < len(s.queue)
+	depth := s.workerConns.transport.MaxInFlight
+	return best, best == nil && s.connCount < s.workerConns.transport.MaxConns && s.dialing*depth < len(s.queue)
 }
 
 func (s *muxPool) execute(execution *gatekeeper.Execution) {
@@ -113,7 +113,7 @@
 		s.workerConns.endUnanswered(execution, policy.Full)
 		return
 	}
-	execution.Slot = s
+	execution.TransportData = s
 	s.queue = append(s.queue, execution)
 	s.assign()
 }
@@ -228,7 +228,7 @@
 }
 
 func (t *muxConn) send(execution *gatekeeper.Execution) {
-	execution.Slot = t
+	execution.TransportData = t
 	t.protocol.send(execution)
 	t.scheduleFlush()
 }
--- a/internal/link/pausable_conn.go
+++ b/internal/link/pausable_conn.go
@@ -211,10 +211,10 @@
 
 // window returns how many bytes may be buffered on one side of a stream.
 func (p *poller) window() int {
-	if p.loop.Flowing <= 0 {
+	if p.loop.StreamBufferBytes <= 0 {
 		return maxWindowBytes
 	}
-	return max(min(p.loop.Flowing/(2*max(len(p.conns), 1)), maxWindowBytes), minWindowBytes)
+	return max(min(p.loop.StreamBufferBytes/(2*max(len(p.conns), 1)), maxWindowBytes), minWindowBytes)
 }
 
 // makePausable takes a connection from gnet and turns it into a pausableConn with the same
@@ -258,7 +258,7 @@
 func (detachedEndpoint) closed(error)   {}
 
 // StreamUnsentBytes returns how many bytes of output pausable connections have buffered.
-func (l *Loop) Waiting() (n int) {
+func (l *Loop) StreamUnsentBytes() (n int) {
 	if l.poller != nil {
 		for _, f := range l.poller.conns {
 			n += len(f.out)
@@ -269,11 +269,11 @@
 
 // StreamMemoryBytes returns the memory that pausable connections use for buffered output and
 // for request bodies.
-func (l *Loop) Holding() (n int) {
+func (l *Loop) StreamMemoryBytes() (n int) {
 	if l.poller != nil {
 		for _, f := range l.poller.conns {
 			n += cap(f.out)
-			if c, ok := f.endpoint.(*Client); ok && c.upload != nil {
+			if c, ok := f.endpoint.(*ClientConn); ok && c.upload != nil {
 				n += cap(c.upload.held)
 			}
 		}
--- a/internal/link/pipeline.go
+++ b/internal/link/pipeline.go
@@ -23,12 +23,12 @@
 	outputOffset    int64 // stream offset of the first byte of output
 	sequence        uint64
 	requests        []pipelinedRequest
-	pending         []lanes.Entry // timing of requests, in the same order
-	echoes          bool          // the worker copies the sequence number
-	noEcho          bool          // the worker does not copy it
-	closing         bool          // the last response announced that the connection closes
-	partialSequence uint64        // sequence number of the request whose response is incomplete
-	lastReadAt      float64       // time of the last input, in milliseconds
+	pending         []lanes.PendingRequest // timing of requests, in the same order
+	echoes          bool                   // the worker copies the sequence number
+	noEcho          bool                   // the worker does not copy it
+	closing         bool                   // the last response announced that the connection closes
+	partialSequence uint64                 // sequence number of the request whose response is incomplete
+	lastReadAt      float64                // time of the last input, in milliseconds
 }
 
 type pipelinedRequest struct {
@@ -38,7 +38,7 @@
 }
 
 func newPipelineProtocol(conn *muxConn) muxProtocol {
-	return &pipelineProtocol{conn: conn, parser: http1.Answers()}
+	return &pipelineProtocol{conn: conn, parser: http1.NewResponseParser()}
 }
 
 func (l *pipelineProtocol) start() {}
@@ -52,7 +52,7 @@
 // maxInFlight returns how many requests the connection may carry now.
 func (l *pipelineProtocol) maxInFlight() int {
 	if l.echoes {
-		return l.conn.workerConns.transport.Depth
+		return l.conn.workerConns.transport.MaxInFlight
 	}
 	return 1
 }
@@ -74,10 +74,10 @@
 	workerConns := l.conn.workerConns
 	l.sequence++
 	request := pipelinedRequest{execution: execution, sequence: l.sequence, startOffset: l.outputOffset + int64(len(l.output))}
-	l.output = workerConns.message(l.output, execution, workerConns.transport.Echo, l.sequence)
+	l.output = workerConns.message(l.output, execution, workerConns.transport.EchoHeader, l.sequence)
 	request.endOffset = l.outputOffset + int64(len(l.output))
 	l.requests = append(l.requests, request)
-	l.pending = append(l.pending, lanes.Entry{Class: execution.Request.Class, Since: workerConns.clock.Now()})
+	l.pending = append(l.pending, lanes.PendingRequest{Class: execution.Request.Class, StartedAt: workerConns.clock.Now()})
 }
 
 func (l *pipelineProtocol) takeOutput() []byte {
@@ -139,27 +139,27 @@
 // response that does not carry its request's sequence number closes the connection.
 func (l *pipelineProtocol) responseRead() error {
 	message, request, workerConns := l.parser.Message(), l.requests[0], l.conn.workerConns
-	sequence, once := message.Single(workerConns.transport.Echo)
+	sequence, once := message.Unique(workerConns.transport.EchoHeader)
 	switch {
 	case once && string(sequence) == strconv.FormatUint(request.sequence, 10):
 		l.echoes, l.noEcho = true, false
-	case message.Count(workerConns.transport.Echo) > 0 || l.echoes || len(l.requests) > 1:
+	case message.Count(workerConns.transport.EchoHeader) > 0 || l.echoes || len(l.requests) > 1:
 		return errWrongResponse
 	default:
 		l.noEcho = true
 		workerConns.loop.afterMS(settleMS, l.conn.pool.assign)
 	}
 	now := l.lastReadAt
-	workerConns.estimator.Learn(request.execution.Request.Class, now-l.pending[0].Since)
+	workerConns.estimator.Observe(request.execution.Request.Class, now-l.pending[0].StartedAt)
 	l.requests = slices.Delete(l.requests, 0, 1)
 	l.pending = slices.Delete(l.pending, 0, 1)
 	if len(l.pending) > 0 {
-		l.pending[0].Since = now
+		l.pending[0].StartedAt = now
 	}
 	l.closing = message.Close
 	o := workerConns.reader.Outcome(message)
-	request.execution.Slot = nil
-	workerConns.core.Done(request.execution, o)
+	request.execution.TransportData = nil
+	workerConns.core.ExecutionEnded(request.execution, o)
 	if l.closing {
 		return errUnexpectedResponse // ignore further responses after a closing one
 	}
@@ -215,7 +215,7 @@
 // pipelineChooser uses the lanes package to choose the connection for a request.
 type pipelineChooser struct {
 	pool      *muxPool
-	pipelines []lanes.Line
+	pipelines []lanes.Pipeline
 	conns     []*muxConn
 }
 
@@ -225,15 +225,15 @@
 	for _, t := range pool.conns {
 		l := t.protocol.(*pipelineProtocol)
 		if t.room() > 0 {
-			c.pipelines = append(c.pipelines, lanes.Line{Entries: l.pending, Most: l.maxInFlight()})
+			c.pipelines = append(c.pipelines, lanes.Pipeline{Pending: l.pending, MaxPending: l.maxInFlight()})
 			c.conns = append(c.conns, t)
 		}
 	}
 	workerConns := pool.workerConns
 	enoughDialing := pool.dialing >= len(pool.queue)
-	choice := workerConns.estimator.Choose(workerConns.clock.Now(), execution.Request.Class, c.pipelines, pool.connCount < workerConns.transport.Links && !enoughDialing, !enoughDialing)
+	choice := workerConns.estimator.Choose(workerConns.clock.Now(), execution.Request.Class, c.pipelines, pool.connCount < workerConns.transport.MaxConns && !enoughDialing, !enoughDialing)
 	if choice >= 0 {
 		return c.conns[choice], false
 	}
-	return nil, choice == lanes.Open
+	return nil, choice == lanes.OpenNew
 }
--- a/internal/link/sent_bytes.go
+++ b/internal/link/sent_bytes.go
@@ -11,7 +11,7 @@
 
 // SentBytes returns the number of bytes that the connections of this process were given to
 // send.
-func Sent() uint64 { return sentBytes.Load() }
+func SentBytes() uint64 { return sentBytes.Load() }
 
 // send writes to a connection and counts the bytes.
 func send(c interface{ Write([]byte) (int, error) }, b []byte) (int, error) {
@@ -21,7 +21,7 @@
 
 // RemoteHost returns the IP address of the client, or an empty string if it is no longer
 // known.
-func (l *Client) Host() string {
+func (l *ClientConn) RemoteHost() string {
 	if l.host == "" && l.conn != nil {
 		switch a, _ := unix.Getpeername(l.conn.Fd()); a := a.(type) {
 		case *unix.SockaddrInet4:
--- a/internal/link/serial.go
+++ b/internal/link/serial.go
@@ -38,7 +38,7 @@
 // requires.
 type serialPool struct {
 	worker      *workerRecord
-	workerConns *Fleet
+	workerConns *WorkerConns
 	idle        []*workerConn // in order of use; the last is reused first, so that the others can expire
 	queue       []*gatekeeper.Execution
 	dialing     int
@@ -50,7 +50,7 @@
 
 // workerConn is a connection of a serialPool.
 type workerConn struct {
-	workerConns  *Fleet
+	workerConns  *WorkerConns
 	pool         *serialPool
 	addr         string
 	dialedAt     float64 // when dialing began
@@ -68,10 +68,10 @@
 	skipped      int     // responses to other requests
 	executions   int     // number of executions carried
 
-	upload      *upload // streamed body of the current request
-	uploadSent  int     // offset in the body up to which it has been sent
-	uploadDone  bool    // the whole body has been sent
-	client      *Client // client that the response is streamed to
+	upload      *upload     // streamed body of the current request
+	uploadSent  int         // offset in the body up to which it has been sent
+	uploadDone  bool        // the whole body has been sent
+	client      *ClientConn // client that the response is streamed to
 	request     *gatekeeper.Request
 	headReadAt  float64 // when the head of the response was complete
 	lastMovedAt float64 // time of the last progress of a stream
@@ -84,7 +84,7 @@
 		l.start(execution)
 		return
 	}
-	execution.Slot = s
+	execution.TransportData = s
 	s.queue = append(s.queue, execution)
 	s.assignOrDial()
 }
@@ -145,7 +145,7 @@
 			continue
 		}
 		conn := s.idle[i]
-		if now-conn.idleSince < s.workerConns.Settle || conn.hasCarried(execution) {
+		if now-conn.idleSince < s.workerConns.SettleMS || conn.hasCarried(execution) {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
@@ -207,7 +207,7 @@
 	idleSoon, now := 0, workerConns.clock.Now()
 	nextSettleMS := -1.0 // time until the next idle connection has settled
 	for _, conn := range s.idle {
-		remainingMS := workerConns.Settle - (now - conn.idleSince)
+		remainingMS := workerConns.SettleMS - (now - conn.idleSince)
 		if remainingMS <= settleWaitMS && !slices.ContainsFunc(s.queue, conn.hasCarried) {
 			idleSoon++
 		}
@@ -222,18 +222,18 @@
 			s.assignOrDial()
 		})
 	}
-	if len(s.queue) > 0 && workerConns.PerWorker > 0 && s.connCount >= workerConns.PerWorker {
+	if len(s.queue) > 0 && workerConns.MaxConnsPerWorker > 0 && s.connCount >= workerConns.MaxConnsPerWorker {
 		if i := slices.IndexFunc(s.idle, func(conn *workerConn) bool { return conn.hasCarried(s.queue[0]) }); i >= 0 {
 			s.idle[i].close() // makes room for a connection that may carry the request
 		}
 	}
-	for s.dialing+idleSoon < len(s.queue) && (workerConns.PerWorker == 0 || s.connCount < workerConns.PerWorker) && workerConns.canDial() {
+	for s.dialing+idleSoon < len(s.queue) && (workerConns.MaxConnsPerWorker == 0 || s.connCount < workerConns.MaxConnsPerWorker) && workerConns.canDial() {
 		s.dialing++
 		workerConns.dialing++
 		s.connCount++
 		workerConns.connCount++
-		conn := &workerConn{workerConns: workerConns, pool: s, addr: s.worker.addr, dialedAt: now, parser: http1.Answers()}
-		conn.parser.Flows, conn.parser.Limits = true, workerConns.Limits
+		conn := &workerConn{workerConns: workerConns, pool: s, addr: s.worker.addr, dialedAt: now, parser: http1.NewResponseParser()}
+		conn.parser.StreamBody, conn.parser.Limits = true, workerConns.ResponseLimits
 		workerConns.loop.dial(s.worker.addr, workerConns.dialTimeout, conn, conn.dialFailed)
 	}
 }
@@ -319,14 +319,14 @@
 // start sends an execution.
 func (l *workerConn) start(execution *gatekeeper.Execution) {
 	l.parser.Reset()
-	l.execution, execution.Slot, l.headReadAt, l.upload, l.bodyDropped = execution, l, 0, nil, false
+	l.execution, execution.TransportData, l.headReadAt, l.upload, l.bodyDropped = execution, l, 0, nil, false
 	payload := execution.Request.Payload.(*Payload)
 	payload.carriedBy = append(payload.carriedBy, l)
 	l.executions++
-	l.parser.Bare = bytes.HasPrefix(payload.Head, []byte("HEAD "))
-	streamed := payload.Up != nil
+	l.parser.HeadResponse = bytes.HasPrefix(payload.Head, []byte("HEAD "))
+	streamed := payload.Upload != nil
 	if streamed {
-		payload.Up.mayHaveSent = true
+		payload.Upload.mayHaveSent = true
 		pausable, ok := l.workerConns.loop.makePausable(l.conn, l)
 		if !ok {
 			l.close()
@@ -343,18 +343,18 @@
 	case l.isClosed || l.execution != execution:
 		return
 	case streamed:
-		l.beginUpload(payload.Up)
+		l.beginUpload(payload.Upload)
 	default:
 		l.reportSent()
 	}
-	if l.workerConns.Sent != nil {
-		l.workerConns.Sent(execution)
+	if l.workerConns.OnSent != nil {
+		l.workerConns.OnSent(execution)
 	}
 }
 
 // message appends an execution as an HTTP/1.1 request. If echo is not empty, it names the
 // header that carries the sequence number.
-func (f *Fleet) message(out []byte, execution *gatekeeper.Execution, echo string, sequence uint64) []byte {
+func (f *WorkerConns) message(out []byte, execution *gatekeeper.Execution, echo string, sequence uint64) []byte {
 	payload := execution.Request.Payload.(*Payload)
 	out = append(out, payload.Head...)
 	if w := f.workers[execution.Worker]; w != nil {
@@ -364,7 +364,7 @@
 		out = append(append(out, echo...), ": "...)
 		out = append(strconv.AppendUint(out, sequence, 10), "\r\n"...)
 	}
-	out = append(append(out, f.reader.Left()...), ": "...)
+	out = append(append(out, f.reader.TimeLeftHeader()...), ": "...)
 	out = strconv.AppendInt(out, int64(max(execution.Timeout, 1)), 10)
 	return append(append(out, "\r\n\r\n"...), payload.Body...)
 }
@@ -406,7 +406,7 @@
 	if l.isClosed || l.execution == nil || l.partialOf != l.execution {
 		return
 	}
-	remainingMS := l.lastPartAt + l.workerConns.PartMost - l.workerConns.clock.Now()
+	remainingMS := l.lastPartAt + l.workerConns.PartialTimeoutMS - l.workerConns.clock.Now()
 	if remainingMS <= 0 {
 		l.close()
 		return
@@ -455,7 +455,7 @@
 	mustClose = mustClose || l.mustClose || !l.fullySent()
 	l.detachUpload()
 	l.upload = nil
-	l.execution, l.partialOf, execution.Slot = nil, nil, nil
+	l.execution, l.partialOf, execution.TransportData = nil, nil, nil
 	m := l.parser.Message()
 	outcome := l.outcome(m)
 	l.readKeepAlive(m)
@@ -464,7 +464,7 @@
 	} else { // The body is valid until the next input.
 		l.makeIdle()
 	}
-	l.workerConns.core.Done(execution, outcome)
+	l.workerConns.core.ExecutionEnded(execution, outcome)
 }
 
 // endByClose completes a response that ends with the orderly close of its connection.
@@ -482,8 +482,8 @@
 	case !mine:
 		l.workerConns.endUnanswered(execution, policy.Reset)
 	default:
-		execution.Slot = nil
-		l.workerConns.core.Done(execution, l.outcome(message))
+		execution.TransportData = nil
+		l.workerConns.core.ExecutionEnded(execution, l.outcome(message))
 	}
 	l.pool.assignOrDial()
 }
@@ -499,7 +499,7 @@
 
 // readKeepAlive records the Keep-Alive timeout in the response, in whole seconds.
 func (l *workerConn) readKeepAlive(m *http1.Message) {
-	if l.hasKeepAlive = false; !l.workerConns.KeepAlive {
+	if l.hasKeepAlive = false; !l.workerConns.HonorKeepAlive {
 		return
 	}
 	for v := range bytes.SplitSeq(m.Get("Keep-Alive"), []byte{','}) {
@@ -518,7 +518,7 @@
 }
 
 func (l *workerConn) closed(err error) {
-	if (l.execution != nil || l.client != nil) && errors.Is(err, io.EOF) && l.parser.End() {
+	if (l.execution != nil || l.client != nil) && errors.Is(err, io.EOF) && l.parser.ConnectionEnded() {
 		l.endByClose(l.parser.Message())
 		return
 	}
--- a/internal/link/serial_test.go
+++ b/internal/link/serial_test.go
@@ -23,8 +23,8 @@
 
 func newMatchingWorld() *world {
 	w := newWorld(Transport{})
-	w.workerConns = NewFleet(w, w.clock, matchingReader{}, 250, 5000, Transport{})
-	w.workerConns.Attach(w)
+	w.workerConns = NewWorkerConns(w, w.clock, matchingReader{}, 250, 5000, Transport{})
+	w.workerConns.SetCore(w)
 	w.workerConns.Place(1, "a", 0)
 	return w
 }
@@ -33,7 +33,7 @@
 func (w *world) acceptDial() *fakeConn {
 	conn := w.dials[0]
 	w.dials = w.dials[1:]
-	conn.model, conn.acceptBytes = newModel(OneAtATime), 1<<20
+	conn.model, conn.acceptBytes = newModel(HTTP1), 1<<20
 	w.conns = append(w.conns, conn)
 	conn.endpoint.opened(conn)
 	return conn
@@ -50,7 +50,7 @@
 	for name, extra := range map[string][]byte{
 		"one":                        matchedResponse("9", "another's"),
 		"two":                        slices.Concat(matchedResponse("9", "another's"), matchedResponse("8", "a third's")),
-		"a large one":                matchedResponse("9", strings.Repeat("x", http1.MaxBody+1)),
+		"a large one":                matchedResponse("9", strings.Repeat("x", http1.MaxBodyBytes+1)),
 		"one in chunks":              []byte("HTTP/1.1 200 OK\r\nX-Id: 9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"),
 		"one with Connection: close": []byte("HTTP/1.1 200 OK\r\nX-Id: 9\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"),
 	} {
@@ -99,7 +99,7 @@
 // timeout, and that the timeout starts again after a skipped response.
 func TestPartialResponseTimeout(t *testing.T) {
 	env := newMatchingWorld()
-	env.workerConns.PartMost = 2000
+	env.workerConns.PartialTimeoutMS = 2000
 	execution := newExecution(3, 1, 0)
 	env.workerConns.Execute(execution)
 	conn := env.acceptDial()
@@ -123,7 +123,7 @@
 // TestPerWorkerConnectionLimit checks that further executions wait for a connection.
 func TestPerWorkerConnectionLimit(t *testing.T) {
 	env := newMatchingWorld()
-	env.workerConns.PerWorker = 2
+	env.workerConns.MaxConnsPerWorker = 2
 	for n := range 5 {
 		env.workerConns.Execute(newExecution(n, 0, 0))
 	}
@@ -141,8 +141,8 @@
 // before the time left.
 func TestExecutionsCarryWorkerHeaderLines(t *testing.T) {
 	env := newMatchingWorld()
-	env.workerConns.Lines(1, []byte("X-Expect: one\r\n"))
-	env.workerConns.Lines(2, []byte("X-Expect: two\r\n"))
+	env.workerConns.SetHeaderLines(1, []byte("X-Expect: one\r\n"))
+	env.workerConns.SetHeaderLines(2, []byte("X-Expect: two\r\n"))
 	env.workerConns.Place(2, "b", 0)
 	execution := newExecution(3, 0, 0)
 	if got := string(env.workerConns.message(nil, execution, "", 0)); !strings.HasSuffix(got, "X-Id: 3\r\nX-Expect: one\r\nX-Left: 1000\r\n\r\n") {
@@ -159,7 +159,7 @@
 func TestKeepAliveTimeoutIsHonored(t *testing.T) {
 	for _, honored := range []bool{false, true} {
 		env := newMatchingWorld()
-		env.workerConns.KeepAlive = honored
+		env.workerConns.HonorKeepAlive = honored
 		env.workerConns.Execute(newExecution(3, 0, 0))
 		conn := env.acceptDial()
 		conn.endpoint.traffic([]byte("HTTP/1.1 200 OK\r\nX-Id: 3\r\nKeep-Alive: max=9, timeout=2\r\nContent-Length: 0\r\n\r\n"))
--- a/internal/link/streaming.go
+++ b/internal/link/streaming.go
@@ -37,7 +37,7 @@
 
 // upload is a streamed request body.
 type upload struct {
-	client         *Client
+	client         *ClientConn
 	request        *gatekeeper.Request // set by SubmitTo
 	held           []byte
 	heldOffset     int  // offset in the body of the first byte of held
@@ -49,7 +49,7 @@
 
 // beginUpload starts a request whose body is too large to buffer. The received bytes stay in
 // memory, so that the request can be sent again as long as they fit in the window.
-func (l *Client) beginUpload(rest []byte) {
+func (l *ClientConn) beginUpload(rest []byte) {
 	pausable, ok := l.clients.loop.makePausable(l.conn, l)
 	if !ok { // an earlier response is not fully sent
 		l.close()
@@ -57,9 +57,9 @@
 	}
 	l.conn = pausable
 	m := l.parser.Message()
-	m.Large = true
-	upload := &upload{client: l, declaredLength: m.Length, held: l.parser.Held()}
-	l.upload, l.parser.Piece = upload, upload.appendPiece
+	m.Streamed = true
+	upload := &upload{client: l, declaredLength: m.Length, held: l.parser.TakeBody()}
+	l.upload, l.parser.OnBody = upload, upload.appendPiece
 	l.dispatch(m)
 	switch {
 	case l.isClosed:
@@ -71,7 +71,7 @@
 }
 
 // feedBody parses more of the body.
-func (l *Client) feedBody(b []byte) {
+func (l *ClientConn) feedBody(b []byte) {
 	upload := l.upload
 	n, done, err := l.parser.Feed(b)
 	if l.upload != upload { // forwarding a piece has ended the request
@@ -85,7 +85,7 @@
 		upload.complete = true
 		l.backlog = append(l.backlog[:0], b[n:]...)
 		if upload.request != nil {
-			l.core.Filled(upload.request)
+			l.core.BodyReceived(upload.request)
 		}
 	}
 	if l.upload == upload {
@@ -96,15 +96,15 @@
 // abortUpload ends a request whose body does not become complete, and responds with the
 // reason. With configured limits, a 408 promises that the request has not run. If a worker may
 // have begun it, the response is a 502, which promises nothing.
-func (l *Client) abortUpload(err error) {
+func (l *ClientConn) abortUpload(err error) {
 	if e, ok := err.(*http1.Error); ok && e.Status == http.StatusRequestTimeout &&
 		l.clients.Limits != nil && l.upload != nil && l.upload.mayHaveSent {
 		err = &http1.Error{Status: http.StatusBadGateway, Reason: e.Reason}
 	}
 	if r := l.request; r != nil {
 		l.request = nil
-		l.core.Gone(r)
-		l.notifyEnded(r, Ending{Left: true})
+		l.core.ClientGone(r)
+		l.notifyEnded(r, RequestEnding{ClientLeft: true})
 	}
 	if !l.isClosed && l.busy {
 		l.reject(err)
@@ -131,7 +131,7 @@
 		if excess > 0 && len(u.held) > window+readChunkBytes {
 			u.heldOffset += excess
 			u.held = u.held[:copy(u.held, u.held[excess:])]
-			u.request.Spent = true
+			u.request.NotReplayable = true
 		}
 		unsent = u.heldOffset + len(u.held) - u.worker.uploadSent
 	}
@@ -142,7 +142,7 @@
 // whether the client has not sent all of it.
 func (u *upload) detach() (more bool) {
 	u.worker = nil
-	u.client.parser.Piece = func([]byte) {}
+	u.client.parser.OnBody = func([]byte) {}
 	if pausable, ok := u.client.conn.(*pausableConn); ok && !u.client.isClosed {
 		pausable.setPaused(false)
 	}
@@ -151,10 +151,10 @@
 
 // discardInput discards input after the last response. The rest of a large body may still
 // arrive: a client that is cut off in the middle of sending might not see the response.
-func (l *Client) discardInput(n int) {
+func (l *ClientConn) discardInput(n int) {
 	s, limit := l.clients, maxDroppedBytes
 	if _, ok := l.conn.(*pausableConn); ok {
-		limit = l.parser.Carries()
+		limit = l.parser.MaxStreamed()
 		if now := s.clock.Now(); now-l.finishedAt < maxRejectedBodyMS {
 			l.moveTo(&s.closing, now)
 		}
@@ -165,7 +165,7 @@
 }
 
 // stillReading reports whether the client is still reading its response, however slowly.
-func (l *Client) stillReading(now float64) bool {
+func (l *ClientConn) stillReading(now float64) bool {
 	pausable, ok := l.conn.(*pausableConn)
 	if !ok || len(pausable.out) == 0 {
 		return false
@@ -177,7 +177,7 @@
 }
 
 // drained implements pausableEndpoint: all output has been sent.
-func (l *Client) drained() {
+func (l *ClientConn) drained() {
 	if l.finished {
 		l.halfClose()
 		// From here on the time limit is for the client to close.
@@ -191,7 +191,7 @@
 
 // streamFrom starts a response that is streamed from a worker connection; a length of -1 means
 // that it is unknown. It fails if an earlier response is not fully sent.
-func (l *Client) streamFrom(from *workerConn, answer gatekeeper.Answer, length int) bool {
+func (l *ClientConn) streamFrom(from *workerConn, answer gatekeeper.Answer, length int) bool {
 	if l.isClosed || !l.busy {
 		return false
 	}
@@ -201,13 +201,13 @@
 	}
 	l.conn, l.responseFrom, l.chunked, l.closeDelimited = pausable, from, length < 0 && !l.http10, length < 0 && l.http10
 	l.lastResponse = l.lastResponse || l.clients.draining || l.closeDelimited
-	l.clients.scratch = l.responseHead(cmp.Or(answer.Status, http.StatusOK), length, l.lastResponse, answer.Head)
+	l.clients.scratch = l.responseHead(cmp.Or(answer.Status, http.StatusOK), length, l.lastResponse, answer.HeaderLines)
 	l.write(l.clients.scratch)
 	return !l.isClosed
 }
 
 // writePiece writes a piece of the response and reports whether there is room for more.
-func (l *Client) writePiece(b []byte) (room bool) {
+func (l *ClientConn) writePiece(b []byte) (room bool) {
 	if l.isClosed || len(b) == 0 {
 		return true
 	}
@@ -226,13 +226,13 @@
 
 // endStream ends a streamed response. If the response is incomplete, the connection is closed
 // before the stated length is reached or without the last chunk, so that the client can tell.
-func (l *Client) endStream(whole bool) {
+func (l *ClientConn) endStream(whole bool) {
 	if l.isClosed || l.responseFrom == nil {
 		return
 	}
 	request := l.request
 	l.responseFrom, l.request = nil, nil
-	l.notifyEnded(request, Ending{Flowed: true})
+	l.notifyEnded(request, RequestEnding{Streamed: true})
 	if !whole {
 		if l.closeDelimited { // a normal close would make the response look complete; reset the connection
 			_ = unix.SetsockoptLinger(l.conn.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -307,7 +307,7 @@
 // reportSent tells the core when the last byte of the execution has been sent.
 func (l *workerConn) reportSent() {
 	if !l.isClosed && l.execution != nil && l.fullySent() {
-		l.workerConns.core.Wrote(l.execution)
+		l.workerConns.core.ExecutionSent(l.execution)
 	}
 }
 
@@ -359,7 +359,7 @@
 // streamResponse starts streaming the response if it is too large to buffer, or if its length
 // is unknown and it takes longer than maxBufferingMS.
 func (l *workerConn) streamResponse() {
-	if l.isClosed || l.execution == nil || l.client != nil || l.parser.Piece != nil || !l.parser.HeadDone() {
+	if l.isClosed || l.execution == nil || l.client != nil || l.parser.OnBody != nil || !l.parser.HeadDone() {
 		return
 	}
 	message, now := l.parser.Message(), l.workerConns.clock.Now()
@@ -369,12 +369,12 @@
 			l.workerConns.loop.afterMS(maxBufferingMS, l.streamResponse)
 		}
 	}
-	if message.Length <= l.parser.Holds() && !l.parser.Full() && (message.Length >= 0 || now-l.headReadAt < maxBufferingMS) {
+	if message.Length <= l.parser.MaxBuffered() && !l.parser.MustStream() && (message.Length >= 0 || now-l.headReadAt < maxBufferingMS) {
 		return
 	}
 	switch mine, otherRequest := l.workerConns.matches(l, l.execution, message); {
 	case otherRequest: // skipped once it is complete
-		l.parser.Piece = func([]byte) {}
+		l.parser.OnBody = func([]byte) {}
 		return
 	case !mine:
 		l.close()
@@ -382,15 +382,15 @@
 	}
 	outcome := l.workerConns.reader.Outcome(message)
 	if outcome.Status != policy.OK {
-		if message.Length <= l.parser.Holds() && !l.parser.Full() { // small enough to buffer and pass on later
+		if message.Length <= l.parser.MaxBuffered() && !l.parser.MustStream() { // small enough to buffer and pass on later
 			return
 		}
 		l.bodyDropped = true
-		l.parser.Piece = func([]byte) {}
+		l.parser.OnBody = func([]byte) {}
 		return
 	}
 	execution := l.execution
-	client, ok := execution.Request.Caller.(*Client)
+	client, ok := execution.Request.Responder.(*ClientConn)
 	if ok {
 		var pausable *pausableConn
 		if pausable, ok = l.workerConns.loop.makePausable(l.conn, l); ok {
@@ -403,18 +403,18 @@
 		return
 	}
 	whole := l.fullySent()
-	l.execution, l.partialOf, execution.Slot = nil, nil, nil
+	l.execution, l.partialOf, execution.TransportData = nil, nil, nil
 	l.client, l.request, l.lastMovedAt = client, execution.Request, now
 	if l.upload != nil && !whole { // the worker responded without reading the whole request
 		l.mustClose = true
 	}
 	l.detachUpload()
 	l.upload = nil
-	l.parser.Piece = l.forwardPiece
+	l.parser.OnBody = l.forwardPiece
 	outcome.Answer = gatekeeper.Answer{}
 	l.checkStall(execution)
-	l.workerConns.core.Begun(execution, outcome)
-	l.forwardPiece(l.parser.Held())
+	l.workerConns.core.ResponseStarted(execution, outcome)
+	l.forwardPiece(l.parser.TakeBody())
 }
 
 // forwardPiece passes a piece of the response to the client.
@@ -439,7 +439,7 @@
 	if whole {
 		result = gatekeeper.Completed
 	}
-	l.workerConns.core.Finish(request, result)
+	l.workerConns.core.ResponseEnded(request, result)
 	client.endStream(whole)
 }
 
@@ -447,6 +447,6 @@
 func (l *workerConn) clientGone() {
 	request := l.request
 	l.client, l.request = nil, nil
-	l.workerConns.core.Gone(request)
+	l.workerConns.core.ClientGone(request)
 	l.close()
 }
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -8,49 +8,49 @@
 )
 
 // Protocol is how executions are sent to a worker.
-type Carrier int
+type Protocol int
 
 // The protocols. Only HTTP1 is part of the platform's specification.
 const (
-	OneAtATime Carrier = iota // HTTP/1.1, one execution at a time on a connection
-	Pipeline                  // HTTP/1.1 with pipelining (RFC 9112, section 9.3.2)
-	HTTP2                     // HTTP/2 in cleartext with prior knowledge (RFC 9113, section 3.3)
-	Batch                     // items in a bidirectional stream of messages (docs/batch-protocol.md)
+	HTTP1    Protocol = iota // HTTP/1.1, one execution at a time on a connection
+	Pipeline                 // HTTP/1.1 with pipelining (RFC 9112, section 9.3.2)
+	HTTP2                    // HTTP/2 in cleartext with prior knowledge (RFC 9113, section 3.3)
+	Batch                    // items in a bidirectional stream of messages (docs/batch-protocol.md)
 )
 
 var protocolNames = [...]string{"one-at-a-time", "pipeline", "http2", "batch"}
 
 // String returns the protocol's name in the configuration file.
-func (c Carrier) String() string { return protocolNames[c] }
+func (c Protocol) String() string { return protocolNames[c] }
 
 // ProtocolNames lists the names that the configuration file accepts.
-func CarrierNames() string { return strings.Join(protocolNames[:], ", ") }
+func ProtocolNames() string { return strings.Join(protocolNames[:], ", ") }
 
 // ParseProtocol returns the protocol with the given name. The empty name means HTTP1.
-func CarrierOf(name string) (c Carrier, ok bool) {
+func ParseProtocol(name string) (c Protocol, ok bool) {
 	if name == "" {
-		return OneAtATime, true
+		return HTTP1, true
 	}
 	i := slices.Index(protocolNames[:], name)
-	return Carrier(max(i, 0)), i >= 0
+	return Protocol(max(i, 0)), i >= 0
 }
 
 // Transport configures the connections to the workers of a pool. Fields that are zero take
 // their defaults.
 type Transport struct {
-	Carrier Carrier
+	Protocol Protocol
 	// MaxInFlight bounds the requests in a pipeline, or the streams or items in flight on an
 	// HTTP2 or Batch connection. The worker may allow fewer.
-	Depth int
+	MaxInFlight int
 	// MaxConns bounds the connections to one worker. HTTP1 is bounded by the connection budget
 	// only.
-	Links int
+	MaxConns int
 	// BatchDelayMS is the longest time in milliseconds that an item waits for others to join
 	// its message. Batch only.
-	Gather float64
+	BatchDelayMS float64
 	// EchoHeader names the header that a worker copies from a request into its response.
 	// Pipeline only. A worker that does not copy it is sent one request at a time.
-	Echo string
+	EchoHeader string
 	// Path is the URL path of the batch endpoint. Batch only.
 	Path string
 }
@@ -69,21 +69,21 @@
 )
 
 // Validate returns the first invalid setting as an error, or nil.
-func (t Transport) Check() error {
+func (t Transport) Validate() error {
 	switch {
-	case t.Depth < 0 || t.Depth > maxDepth:
-		return fmt.Errorf("depth must be from 1 to %d, got %d", maxDepth, t.Depth)
-	case t.Links < 0:
-		return fmt.Errorf("links must be at least 1, got %d", t.Links)
-	case t.Gather < 0 || t.Gather > maxGatherMS:
-		return fmt.Errorf("gather_ms must be from 0 to %g, got %g", maxGatherMS, t.Gather)
-	case t.Echo != "" && t.Carrier != Pipeline:
+	case t.MaxInFlight < 0 || t.MaxInFlight > maxDepth:
+		return fmt.Errorf("depth must be from 1 to %d, got %d", maxDepth, t.MaxInFlight)
+	case t.MaxConns < 0:
+		return fmt.Errorf("links must be at least 1, got %d", t.MaxConns)
+	case t.BatchDelayMS < 0 || t.BatchDelayMS > maxGatherMS:
+		return fmt.Errorf("gather_ms must be from 0 to %g, got %g", maxGatherMS, t.BatchDelayMS)
+	case t.EchoHeader != "" && t.Protocol != Pipeline:
 		return errors.New("echo is only valid for the transport pipeline")
-	case (t.Gather != 0 || t.Path != "") && t.Carrier != Batch:
+	case (t.BatchDelayMS != 0 || t.Path != "") && t.Protocol != Batch:
 		return errors.New("gather_ms and path belong to the transport batch")
 	case t.Path != "" && t.Path[0] != '/':
 		return fmt.Errorf("path must begin with a slash, got %q", t.Path)
-	case t.Carrier == OneAtATime && (t.Depth != 0 || t.Links != 0):
+	case t.Protocol == HTTP1 && (t.MaxInFlight != 0 || t.MaxConns != 0):
 		return errors.New("depth and links are not valid for the transport one-at-a-time")
 	}
 	return nil
@@ -92,20 +92,20 @@
 // withDefaults returns the transport with zero fields replaced by their defaults.
 func (t Transport) withDefaults() Transport {
 	depth, links := defaultStreams, defaultMuxConns
-	if t.Carrier == Pipeline {
+	if t.Protocol == Pipeline {
 		depth, links = defaultPipelineDepth, defaultPipelineConns
 	}
-	if t.Depth == 0 {
-		t.Depth = depth
+	if t.MaxInFlight == 0 {
+		t.MaxInFlight = depth
 	}
-	if t.Links == 0 {
-		t.Links = links
+	if t.MaxConns == 0 {
+		t.MaxConns = links
 	}
-	if t.Gather == 0 {
-		t.Gather = defaultGatherMS
+	if t.BatchDelayMS == 0 {
+		t.BatchDelayMS = defaultGatherMS
 	}
-	if t.Echo == "" {
-		t.Echo = defaultEcho
+	if t.EchoHeader == "" {
+		t.EchoHeader = defaultEcho
 	}
 	if t.Path == "" {
 		t.Path = defaultPath
--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -50,7 +50,7 @@
 
 // SetAddress moves the watch to another address, continuing from the known version. This
 // avoids staying connected to an agent that is shutting down and sends no more updates.
-func (w *Watch) Move(addr string) {
+func (w *Watch) SetAddress(addr string) {
 	if w.addr == addr {
 		return
 	}
@@ -66,8 +66,8 @@
 // Start opens the watch.
 func (w *Watch) Start() {
 	w.active = true
-	conn := &watchConn{watch: w, addr: w.addr, parser: http1.Answers()}
-	conn.parser.Piece = conn.bodyPiece
+	conn := &watchConn{watch: w, addr: w.addr, parser: http1.NewResponseParser()}
+	conn.parser.OnBody = conn.bodyPiece
 	w.loop.dial(w.addr, watchDialTimeout, conn, conn.closed)
 }
 
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -9,15 +9,15 @@
 	"foxwood/internal/http1"
 )
 
-// End is the result of a request as its client sees it.
-type End int
+// Outcome is the result of a request as its client sees it.
+type Outcome int
 
 // The results.
 const (
-	Served  End = iota // status 200
-	Refused            // status 429 or 503
-	Failed             // any other status
-	Unheard            // no complete response before the deadline
+	Served     Outcome = iota // status 200
+	Refused                   // status 429 or 503
+	Failed                    // any other status
+	NoResponse                // no complete response before the deadline
 	endCount
 )
 
@@ -25,7 +25,7 @@
 var endNames = [endCount]string{"served", "refused", "failed", "unheard"}
 
 // String returns the name of the result.
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return endNames[e] }
 
 // pool holds the connections to a target. The idle connection that was used last is reused
 // first.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: netConn, parser: http1.Answers()}, nil
+	return &conn{Conn: netConn, parser: http1.NewResponseParser()}, nil
 }
 
 // release returns a connection to the pool.
@@ -92,13 +92,13 @@
 // send sends a request in the platform's protocol and waits for the result. If a reused
 // connection fails before any byte of the response, the request is sent again on a new
 // connection, as real clients do when the gatekeeper has closed an idle connection.
-func (p *pool) send(plan *Plan, arrival arrival, runID string, intended time.Time) End {
+func (p *pool) send(plan *Plan, arrival arrival, runID string, intended time.Time) Outcome {
 	deadline := intended.Add(plan.Classes[arrival.class].Deadline)
 	message := plan.encodeRequest(arrival, runID, time.Until(deadline))
 	connection, err := p.acquire(deadline)
 	for {
 		if err != nil {
-			return Unheard
+			return NoResponse
 		}
 		_ = connection.SetDeadline(deadline)
 		end, responseStarted, err := connection.exchange(message)
@@ -112,30 +112,30 @@
 		}
 		_ = connection.Close()
 		if responseStarted || !connection.reused || !time.Now().Before(deadline) {
-			return Unheard
+			return NoResponse
 		}
 		if connection, err = p.dial(deadline); err != nil {
-			return Unheard
+			return NoResponse
 		}
 	}
 }
 
 // exchange writes a request and reads the response. responseStarted reports whether any byte of
 // the response was received.
-func (c *conn) exchange(message []byte) (end End, responseStarted bool, err error) {
+func (c *conn) exchange(message []byte) (end Outcome, responseStarted bool, err error) {
 	c.parser.Reset()
 	if _, err := c.Write(message); err != nil {
-		return Unheard, false, err
+		return NoResponse, false, err
 	}
 	for {
 		n, err := c.Read(c.buffer[:])
 		if err != nil {
-			return Unheard, responseStarted, err
+			return NoResponse, responseStarted, err
 		}
 		responseStarted = true
 		_, done, err := c.parser.Feed(c.buffer[:n])
 		if err != nil {
-			return Unheard, true, err
+			return NoResponse, true, err
 		}
 		if done {
 			break
@@ -156,12 +156,12 @@
 	class := &p.Classes[arrival.class]
 	message := fmt.Appendf(nil, "%s /api?class=%s HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: %s-%d\r\nX-Qos: %s\r\nX-Tier: %s\r\n"+
 		"X-Api-Key: %016x\r\nX-Expires-In-Ms: %d\r\nX-Call-Terms: units=%g,spread=1,first=0\r\n",
-		class.Method, class.Name, runID, arrival.sequence, class.Name, p.PlanName, arrival.customer+1, max(timeLeft.Milliseconds(), 1), class.Units)
+		class.Method, class.Name, runID, arrival.sequence, class.Name, p.TariffPlan, arrival.customer+1, max(timeLeft.Milliseconds(), 1), class.Units)
 	if class.Method == "GET" {
 		return append(message, "\r\n"...)
 	}
-	message = fmt.Appendf(message, "Idempotency-Key: %s-%d\r\nContent-Length: %d\r\n\r\n", runID, arrival.sequence, p.Body)
-	for range p.Body {
+	message = fmt.Appendf(message, "Idempotency-Key: %s-%d\r\nContent-Length: %d\r\n\r\n", runID, arrival.sequence, p.BodyBytes)
+	for range p.BodyBytes {
 		message = append(message, 'x')
 	}
 	return message
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -17,7 +17,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	Part     float64       // weight relative to the other classes
+	Weight   float64       // weight relative to the other classes
 	Method   string        // GET without a body, or POST with an idempotency key and a body
 	Deadline time.Duration // how long the client waits for the response
 	Units    float64       // cost of a request in quota units
@@ -25,16 +25,16 @@
 
 // Plan describes the requests to send.
 type Plan struct {
-	Targets   []string      // addresses of gatekeepers, used in rotation
-	Rate      float64       // requests per second, over all targets
-	Poisson   bool          // exponentially distributed gaps instead of constant ones
-	For       time.Duration // length of the run
-	Settle    time.Duration // warm-up at the beginning, whose requests are not counted
-	Classes   []Class
-	Customers int    // number of customers, to which requests are assigned at random
-	PlanName  string // tariff plan of all customers, sent as X-Tier
-	Seed      uint64
-	Body      int // size of a POST body in bytes
+	Targets       []string      // addresses of gatekeepers, used in rotation
+	RatePerSecond float64       // requests per second, over all targets
+	Poisson       bool          // exponentially distributed gaps instead of constant ones
+	Duration      time.Duration // length of the run
+	WarmUp        time.Duration // warm-up at the beginning, whose requests are not counted
+	Classes       []Class
+	Customers     int    // number of customers, to which requests are assigned at random
+	TariffPlan    string // tariff plan of all customers, sent as X-Tier
+	Seed          uint64
+	BodyBytes     int // size of a POST body in bytes
 }
 
 // arrival is a request to be sent.
@@ -45,22 +45,22 @@
 	sequence int           // number of the request, from 0
 }
 
-// Check returns an error if the plan is invalid.
-func (p *Plan) Check() error {
+// Validate returns an error if the plan is invalid.
+func (p *Plan) Validate() error {
 	switch {
 	case len(p.Targets) == 0:
 		return fmt.Errorf("load: no target")
-	case p.Rate <= 0:
-		return fmt.Errorf("load: a rate of %g requests a second", p.Rate)
-	case p.For <= p.Settle:
-		return fmt.Errorf("load: %v, of which %v are not counted", p.For, p.Settle)
+	case p.RatePerSecond <= 0:
+		return fmt.Errorf("load: a rate of %g requests a second", p.RatePerSecond)
+	case p.Duration <= p.WarmUp:
+		return fmt.Errorf("load: %v, of which %v are not counted", p.Duration, p.WarmUp)
 	case len(p.Classes) == 0:
 		return fmt.Errorf("load: no class")
 	case p.Customers < 1:
 		return fmt.Errorf("load: %d customers", p.Customers)
 	}
 	for _, c := range p.Classes {
-		if c.Part <= 0 || c.Deadline <= 0 {
+		if c.Weight <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("load: class %q: a part or deadline that is not above 0", c.Name)
 		}
 	}
@@ -81,27 +81,27 @@
 func newArrivalGenerator(p *Plan) *arrivalGenerator {
 	generator := &arrivalGenerator{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 2))}
 	for _, c := range p.Classes {
-		generator.totalPart += c.Part
+		generator.totalPart += c.Weight
 	}
 	return generator
 }
 
 // next returns the next arrival, and false at the end of the plan.
 func (a *arrivalGenerator) next() (arrival, bool) {
-	gapS := 1 / a.plan.Rate
+	gapS := 1 / a.plan.RatePerSecond
 	if a.plan.Poisson {
 		gapS *= a.rng.ExpFloat64()
 	}
 	a.clockS += gapS
 	drawn := arrival{offset: time.Duration(a.clockS * float64(time.Second)), sequence: a.generated}
-	if drawn.offset >= a.plan.For {
+	if drawn.offset >= a.plan.Duration {
 		return drawn, false
 	}
 	a.generated++
 	remaining := a.rng.Float64() * a.totalPart
 	for i, c := range a.plan.Classes {
 		drawn.class = i
-		if remaining -= c.Part; remaining < 0 {
+		if remaining -= c.Weight; remaining < 0 {
 			break
 		}
 	}
@@ -112,7 +112,7 @@
 // Run sends the requests of a plan and waits for their responses. When the context ends, it
 // stops sending; the requests already sent are still counted.
 func Run(ctx context.Context, plan Plan) (*Result, error) {
-	if err := plan.Check(); err != nil {
+	if err := plan.Validate(); err != nil {
 		return nil, err
 	}
 	result := newResult(&plan)
@@ -134,7 +134,7 @@
 	for {
 		arrival, more := generator.next()
 		if !more || !sleep(ctx, time.Until(start.Add(arrival.offset))) {
-			result.Cut = more
+			result.Interrupted = more
 			break
 		}
 		intended := start.Add(arrival.offset)
