--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -54,9 +54,9 @@
 
 // testPlan returns a valid plan of 200 requests per second for one second.
 func testPlan(target string) Plan {
-	return Plan{Targets: []string{target}, Rate: 200, For: time.Second, Customers: 3, PlanName: "mayor", Seed: 7, Body: 10,
-		Classes: []Class{{Name: "cuota", Part: 4, Method: "GET", Deadline: 2 * time.Second, Units: 1},
-			{Name: "simulacion", Part: 1, Method: "POST", Deadline: 2 * time.Second, Units: 1}}}
+	return Plan{Targets: []string{target}, RatePerSecond: 200, Duration: time.Second, Customers: 3, TariffPlan: "mayor", Seed: 7, BodyBytes: 10,
+		Classes: []Class{{Name: "cuota", Weight: 4, Method: "GET", Deadline: 2 * time.Second, Units: 1},
+			{Name: "simulacion", Weight: 1, Method: "POST", Deadline: 2 * time.Second, Units: 1}}}
 }
 
 func TestSameSeedGivesSameArrivals(t *testing.T) {
@@ -102,7 +102,7 @@
 	}
 	served, slow := 0, 0
 	for _, c := range result.Classes {
-		served += c.Ends[Served]
+		served += c.Outcomes[Served]
 		for _, bar := range c.Latency.Distribution() {
 			if bar.To >= stall.Microseconds() {
 				slow += int(bar.Count)
@@ -126,13 +126,13 @@
 	for range 1000 {
 		result.record(arrival{}, 100*time.Microsecond, time.Millisecond, Served)
 	}
-	if result.finish(time.Second); result.Behind {
+	if result.finish(time.Second); result.FellBehind {
 		t.Error("Behind is true with a scheduling lag of 0.1 ms")
 	}
 	for range 5 {
 		result.record(arrival{}, 3*time.Millisecond, time.Millisecond, Served)
 	}
-	if result.finish(time.Second); !result.Behind {
+	if result.finish(time.Second); !result.FellBehind {
 		t.Error("Behind is false with a scheduling lag of 3 ms")
 	}
 }
@@ -157,13 +157,13 @@
 		}
 	}()
 	plan := testPlan(listener.Addr().String())
-	plan.Rate, plan.Classes = 50, plan.Classes[:1]
+	plan.RatePerSecond, plan.Classes = 50, plan.Classes[:1]
 	result, err := Run(context.Background(), plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := result.Classes[0].Ends
-	if sum := got[Served] + got[Refused] + got[Failed] + got[Unheard]; sum != 49 || got[Served] == 0 || got[Refused] < got[Failed] || got[Unheard] == 0 {
+	got := result.Classes[0].Outcomes
+	if sum := got[Served] + got[Refused] + got[Failed] + got[NoResponse]; sum != 49 || got[Served] == 0 || got[Refused] < got[Failed] || got[NoResponse] == 0 {
 		t.Errorf("ends %v, want 49 in total, Served and Unheard above 0, and Refused not below Failed", got)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,59 +33,59 @@
 
 // Member is what a gatekeeper reports about itself in a heartbeat.
 type Member struct {
-	Station string  `cbor:"1,keyasint,omitempty"`
-	Zone    string  `cbor:"2,keyasint,omitempty"`
-	Region  string  `cbor:"3,keyasint,omitempty"`
-	Life    uint64  `cbor:"4,keyasint,omitempty"` // incarnation: drawn at random by each process
-	Turn    uint64  `cbor:"5,keyasint,omitempty"` // sequence number of the heartbeat, so that a delayed report can't override a newer heartbeat
-	Counter string  `cbor:"6,keyasint,omitempty"` // ip:port for clients
-	Inner   string  `cbor:"7,keyasint,omitempty"` // ip:port for other gatekeepers
-	Ready   bool    `cbor:"8,keyasint,omitempty"`
-	Leaving bool    `cbor:"9,keyasint,omitempty"`
-	Load    float64 `cbor:"10,keyasint,omitempty"`
-	Alone   bool    `cbor:"11,keyasint,omitempty"` // overloaded while the others are not: clients should prefer the others
+	Node        string  `cbor:"1,keyasint,omitempty"`
+	Zone        string  `cbor:"2,keyasint,omitempty"`
+	Region      string  `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64  `cbor:"4,keyasint,omitempty"` // incarnation: drawn at random by each process
+	Sequence    uint64  `cbor:"5,keyasint,omitempty"` // sequence number of the heartbeat, so that a delayed report can't override a newer heartbeat
+	ClientAddr  string  `cbor:"6,keyasint,omitempty"` // ip:port for clients
+	PeerAddr    string  `cbor:"7,keyasint,omitempty"` // ip:port for other gatekeepers
+	Ready       bool    `cbor:"8,keyasint,omitempty"`
+	Leaving     bool    `cbor:"9,keyasint,omitempty"`
+	Load        float64 `cbor:"10,keyasint,omitempty"`
+	Overloaded  bool    `cbor:"11,keyasint,omitempty"` // overloaded while the others are not: clients should prefer the others
 }
 
 // Session is a gatekeeper that sends heartbeats to the reporting control node.
 type Session struct {
 	Member Member  `cbor:"1,keyasint,omitempty"`
 	AgeMs  float64 `cbor:"2,keyasint,omitempty"` // since its last heartbeat
-	Gone   bool    `cbor:"3,keyasint,omitempty"` // it has left the cluster
+	Left   bool    `cbor:"3,keyasint,omitempty"` // it has left the cluster
 }
 
-// Page is a report that one control node sends to the others.
-type Page struct {
-	From     string    `cbor:"1,keyasint,omitempty"`
-	Life     uint64    `cbor:"2,keyasint,omitempty"` // incarnation of the sender
-	Serial   uint64    `cbor:"3,keyasint,omitempty"` // increases within that incarnation
-	Sessions []Session `cbor:"4,keyasint,omitempty"`
-	Briefs   []Brief   `cbor:"5,keyasint,omitempty"` // sessions of gatekeepers that were reported in full before
-	// At is when the report was made, by the sender's clock, and never 0. If a process freezes before it
+// Report is a report that one control node sends to the others.
+type Report struct {
+	From        string    `cbor:"1,keyasint,omitempty"`
+	Incarnation uint64    `cbor:"2,keyasint,omitempty"` // incarnation of the sender
+	Sequence    uint64    `cbor:"3,keyasint,omitempty"` // increases within that incarnation
+	Sessions    []Session `cbor:"4,keyasint,omitempty"`
+	Renewals    []Renewal `cbor:"5,keyasint,omitempty"` // sessions of gatekeepers that were reported in full before
+	// SentAt is when the report was made, by the sender's clock, and never 0. If a process freezes before it
 	// sends a report, the ages in it are out of date; comparing At with that of other reports shows this.
-	At float64 `cbor:"6,keyasint,omitempty"`
+	SentAt float64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Brief is a session of a gatekeeper that the receiver already knows in its current state.
-type Brief struct {
-	Life  uint64  `cbor:"1,keyasint,omitempty"`
-	Turn  uint64  `cbor:"2,keyasint,omitempty"`
-	AgeMs float64 `cbor:"3,keyasint,omitempty"`
+// Renewal is a session of a gatekeeper that the receiver already knows in its current state.
+type Renewal struct {
+	Incarnation uint64  `cbor:"1,keyasint,omitempty"`
+	Sequence    uint64  `cbor:"2,keyasint,omitempty"`
+	AgeMs       float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Roll is the list of members at one moment.
-type Roll struct {
-	Book    uint64   // incarnation of the control node; versions are only comparable within it
-	Version uint64   // increases when a member joins, leaves or changes; a change of Load alone doesn't count
-	Members []Member // sorted by node
+// MemberList is the list of members at one moment.
+type MemberList struct {
+	Incarnation uint64   // incarnation of the control node; versions are only comparable within it
+	Version     uint64   // increases when a member joins, leaves or changes; a change of Load alone doesn't count
+	Members     []Member // sorted by node
 }
 
-// Place returns the index of a node in the sorted member list and the number of members. The index is
+// MemberIndex returns the index of a node in the sorted member list and the number of members. The index is
 // -1 if the node is not a member.
-func (r Roll) Place(node string) (memberIndex, count int) {
+func (r MemberList) MemberIndex(node string) (memberIndex, count int) {
 	index, ok := slices.BinarySearchFunc(r.Members, node, func(member Member, target string) int {
-		if member.Station < target {
+		if member.Node < target {
 			return -1
-		} else if member.Station > target {
+		} else if member.Node > target {
 			return 1
 		}
 		return 0
@@ -136,8 +136,8 @@
 	return now - sentAt - p.clockLeadMs
 }
 
-// Book is one control node's view of all sessions. It isn't safe for concurrent use.
-type Book struct {
+// Registry is one control node's view of all sessions. It isn't safe for concurrent use.
+type Registry struct {
 	self              string
 	incarnation       uint64
 	lapseMs           float64
@@ -146,7 +146,7 @@
 	sessions          map[string]session
 	entries           map[string]*nodeEntry
 	peers             map[string]*peer
-	members           Roll
+	members           MemberList
 	membersValidUntil float64 // valid until then if nothing changes, 0 if it has to be computed again
 	// restored holds when this process learned of an incarnation of a node that an earlier process had
 	// recorded.
@@ -155,27 +155,27 @@
 
 // New returns an empty Book. The caller draws the incarnation at random for each process:
 // otherwise the reports of a restarted control node would look older than those before.
-func New(self string, incarnation uint64, now, lapseMs float64) *Book {
+func New(self string, incarnation uint64, now, lapseMs float64) *Registry {
 	if lapseMs <= 0 {
 		lapseMs = DefaultLapseMs
 	}
-	return &Book{self: self, incarnation: incarnation, lapseMs: lapseMs, createdAt: now, sessions: map[string]session{}, entries: map[string]*nodeEntry{},
-		peers: map[string]*peer{}, members: Roll{Book: incarnation, Version: 1}}
+	return &Registry{self: self, incarnation: incarnation, lapseMs: lapseMs, createdAt: now, sessions: map[string]session{}, entries: map[string]*nodeEntry{},
+		peers: map[string]*peer{}, members: MemberList{Incarnation: incarnation, Version: 1}}
 }
 
-// Sign handles a heartbeat received by this control node.
-func (b *Book) Sign(now float64, member Member) {
+// Heartbeat handles a heartbeat received by this control node.
+func (b *Registry) Heartbeat(now float64, member Member) {
 	if b.record(now, now, member, false) {
-		b.sessions[member.Station] = session{member: member, heartbeatAt: now}
+		b.sessions[member.Node] = session{member: member, heartbeatAt: now}
 	}
 }
 
 // Leave handles a gatekeeper's announcement that its process ends; no earlier report can make it a
 // member again. A broken connection doesn't count as leaving, since the gatekeeper may continue at
 // another control node.
-func (b *Book) Leave(now float64, node string, incarnation uint64) {
+func (b *Registry) Leave(now float64, node string, incarnation uint64) {
 	entry := b.entries[node]
-	if entry == nil || entry.member.Life != incarnation {
+	if entry == nil || entry.member.Incarnation != incarnation {
 		return
 	}
 	entry.left, entry.heartbeatAt = true, now
@@ -183,87 +183,87 @@
 	b.sessions[node] = session{member: entry.member, heartbeatAt: now, left: true}
 }
 
-// Tell returns the full report for the other control nodes. Lapsed sessions are included while they
+// FullReport returns the full report for the other control nodes. Lapsed sessions are included while they
 // are Known, so that a control node that has just started reserves the same quotas for them.
-func (b *Book) Tell(now float64) Page {
+func (b *Registry) FullReport(now float64) Report {
 	b.removeExpired(now)
 	b.sequence++
-	page := Page{From: b.self, Life: b.incarnation, Serial: b.sequence, At: math.Round(now) + 1}
+	page := Report{From: b.self, Incarnation: b.incarnation, Sequence: b.sequence, SentAt: math.Round(now) + 1}
 	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
 		s := b.sessions[name]
-		page.Sessions = append(page.Sessions, Session{Member: s.member, AgeMs: max(0, now-s.heartbeatAt), Gone: s.left})
+		page.Sessions = append(page.Sessions, Session{Member: s.member, AgeMs: max(0, now-s.heartbeatAt), Left: s.left})
 	}
 	return page
 }
 
-// Hear handles another control node's report. A report older than the last one is dropped, because its
+// Receive handles another control node's report. A report older than the last one is dropped, because its
 // ages would make old sessions look recent. A silent control node needs no special handling: its
 // sessions grow older and lapse.
-func (b *Book) Hear(now float64, page Page) {
+func (b *Registry) Receive(now float64, page Report) {
 	if page.From == b.self {
 		return
 	}
 	sender := b.peers[page.From]
 	switch {
 	case sender == nil:
-		sender = &peer{incarnation: page.Life, ended: map[uint64]float64{}}
+		sender = &peer{incarnation: page.Incarnation, ended: map[uint64]float64{}}
 		b.peers[page.From] = sender
-	case sender.incarnation == page.Life:
-		if page.Serial <= sender.sequence {
+	case sender.incarnation == page.Incarnation:
+		if page.Sequence <= sender.sequence {
 			return
 		}
 	default:
-		if _, ended := sender.ended[page.Life]; ended && now-sender.lastReportAt <= 2*b.lapseMs {
+		if _, ended := sender.ended[page.Incarnation]; ended && now-sender.lastReportAt <= 2*b.lapseMs {
 			return
 		}
-		delete(sender.ended, page.Life)
+		delete(sender.ended, page.Incarnation)
 		sender.ended[sender.incarnation] = now
-		sender.incarnation, sender.hasClockLead = page.Life, false
+		sender.incarnation, sender.hasClockLead = page.Incarnation, false
 	}
-	extraDelayMs := sender.extraDelay(now, page.At)
+	extraDelayMs := sender.extraDelay(now, page.SentAt)
 	if sender.lastReportAt == 0 || now-sender.lastReportAt > peerTimeoutMs {
 		sender.connectedSince = now
 	}
-	sender.sequence, sender.lastReportAt = page.Serial, now
+	sender.sequence, sender.lastReportAt = page.Sequence, now
 	for _, s := range page.Sessions {
-		b.record(now, now-extraDelayMs-max(0, s.AgeMs), s.Member, s.Gone)
+		b.record(now, now-extraDelayMs-max(0, s.AgeMs), s.Member, s.Left)
 	}
-	if len(page.Briefs) == 0 {
+	if len(page.Renewals) == 0 {
 		return
 	}
 	byIncarnation := make(map[uint64]*nodeEntry, len(b.entries))
 	for _, e := range b.entries {
-		byIncarnation[e.member.Life] = e
+		byIncarnation[e.member.Incarnation] = e
 	}
-	for _, s := range page.Briefs {
-		if e := byIncarnation[s.Life]; e != nil { // otherwise a full report will follow
+	for _, s := range page.Renewals {
+		if e := byIncarnation[s.Incarnation]; e != nil { // otherwise a full report will follow
 			member := e.member
-			member.Turn = s.Turn
+			member.Sequence = s.Sequence
 			b.record(now, now-extraDelayMs-max(0, s.AgeMs), member, false)
 		}
 	}
 }
 
-// Mark returns a hash of what Tell reports except ages and sequence numbers. While it is unchanged, a
+// ContentHash returns a hash of what Tell reports except ages and sequence numbers. While it is unchanged, a
 // receiver of a full report only needs brief ones.
-func (b *Book) Mark(now float64) uint64 {
+func (b *Registry) ContentHash(now float64) uint64 {
 	b.removeExpired(now)
 	hash := xxh3.New()
 	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
 		s := b.sessions[name]
-		s.member.Turn, s.member.Load = 0, 0
+		s.member.Sequence, s.member.Load = 0, 0
 		_, _ = fmt.Fprint(hash, s.member, s.left)
 	}
 	return hash.Sum64()
 }
 
-// Brief returns the report for receivers of a full report with the same Mark: it only renews sessions.
-func (b *Book) Brief(now float64) Page {
+// BriefReport returns the report for receivers of a full report with the same Mark: it only renews sessions.
+func (b *Registry) BriefReport(now float64) Report {
 	b.sequence++
-	page := Page{From: b.self, Life: b.incarnation, Serial: b.sequence, At: math.Round(now) + 1}
+	page := Report{From: b.self, Incarnation: b.incarnation, Sequence: b.sequence, SentAt: math.Round(now) + 1}
 	for _, name := range slices.Sorted(maps.Keys(b.sessions)) {
 		if s := b.sessions[name]; !s.left && now-s.heartbeatAt <= b.lapseMs {
-			page.Briefs = append(page.Briefs, Brief{Life: s.member.Life, Turn: s.member.Turn, AgeMs: math.Round(max(0, now-s.heartbeatAt))})
+			page.Renewals = append(page.Renewals, Renewal{Incarnation: s.member.Incarnation, Sequence: s.member.Sequence, AgeMs: math.Round(max(0, now-s.heartbeatAt))})
 		}
 	}
 	return page
@@ -275,55 +275,55 @@
 // ended: a delayed report of it is ignored. An ended incarnation only becomes current again when the
 // one that replaced it has been silent for two lapse times; otherwise a very late report could exclude
 // a running gatekeeper until its next start.
-func (b *Book) record(now, sentAt float64, member Member, left bool) bool {
+func (b *Registry) record(now, sentAt float64, member Member, left bool) bool {
 	if now-sentAt > retentionMs {
 		return false
 	}
-	entry := b.entries[member.Station]
+	entry := b.entries[member.Node]
 	if entry == nil || left || entry.left || now-entry.heartbeatAt > b.lapseMs || !equalExceptLoad(entry.member, member) {
 		b.membersValidUntil = 0
 	}
 	if entry == nil {
-		b.entries[member.Station] = &nodeEntry{member: member, heartbeatAt: sentAt, left: left, ended: map[uint64]float64{}, startedAt: now, previousStartedAt: b.previousStart(member.Station)}
+		b.entries[member.Node] = &nodeEntry{member: member, heartbeatAt: sentAt, left: left, ended: map[uint64]float64{}, startedAt: now, previousStartedAt: b.previousStart(member.Node)}
 		return true
 	}
-	if entry.member.Life == member.Life {
+	if entry.member.Incarnation == member.Incarnation {
 		if entry.left {
 			return false
 		}
-		if left || member.Turn > entry.member.Turn || member.Turn == entry.member.Turn && sentAt >= entry.heartbeatAt {
+		if left || member.Sequence > entry.member.Sequence || member.Sequence == entry.member.Sequence && sentAt >= entry.heartbeatAt {
 			entry.member, entry.left = member, left
-		} else if member.Turn < entry.member.Turn {
+		} else if member.Sequence < entry.member.Sequence {
 			return false
 		}
 		entry.heartbeatAt = max(entry.heartbeatAt, sentAt)
 		return true
 	}
-	if _, ended := entry.ended[member.Life]; ended && sentAt-entry.heartbeatAt <= 2*b.lapseMs {
+	if _, ended := entry.ended[member.Incarnation]; ended && sentAt-entry.heartbeatAt <= 2*b.lapseMs {
 		return false
 	}
 	if sentAt <= entry.heartbeatAt {
-		entry.ended[member.Life] = now
+		entry.ended[member.Incarnation] = now
 		return false
 	}
-	delete(entry.ended, member.Life)
-	entry.ended[entry.member.Life] = now
+	delete(entry.ended, member.Incarnation)
+	entry.ended[entry.member.Incarnation] = now
 	entry.member, entry.heartbeatAt, entry.left = member, sentAt, left
 	entry.startedAt, entry.previousStartedAt = now, entry.startedAt
 	return true
 }
 
-// Again reports whether an earlier incarnation of the node was first reported less than withinMs
+// RestartedWithin reports whether an earlier incarnation of the node was first reported less than withinMs
 // milliseconds ago. What an incarnation may use only once in that time may then have been used
 // already. A control node that has just started takes every incarnation for a new one.
-func (b *Book) Again(now float64, node string, withinMs float64) bool {
+func (b *Registry) RestartedWithin(now float64, node string, withinMs float64) bool {
 	entry := b.entries[node]
 	return entry != nil && now-entry.previousStartedAt < withinMs
 }
 
-// Recall installs the nodes of which an earlier process of this control node recorded that an
+// RestoreStarts installs the nodes of which an earlier process of this control node recorded that an
 // incarnation had started recently. It may have started right before this process did.
-func (b *Book) Recall(now float64, nodes []string) {
+func (b *Registry) RestoreStarts(now float64, nodes []string) {
 	b.restored = make(map[string]float64, len(nodes))
 	for _, node := range nodes {
 		b.restored[node] = now
@@ -332,7 +332,7 @@
 
 // previousStart returns when an earlier process knew of an incarnation of a node that is new here, or
 // -Inf if it didn't.
-func (b *Book) previousStart(node string) float64 {
+func (b *Registry) previousStart(node string) float64 {
 	at, ok := b.restored[node]
 	if !ok {
 		return math.Inf(-1)
@@ -341,15 +341,15 @@
 	return at
 }
 
-// Began reports whether a node's incarnation was first reported less than withinMs milliseconds ago.
-func (b *Book) Began(now float64, node string, withinMs float64) bool {
+// StartedWithin reports whether a node's incarnation was first reported less than withinMs milliseconds ago.
+func (b *Registry) StartedWithin(now float64, node string, withinMs float64) bool {
 	entry := b.entries[node]
 	return entry != nil && now-entry.startedAt < withinMs
 }
 
-// Recent returns, sorted, the nodes of which an incarnation was first reported less than withinMs
+// RecentlyStarted returns, sorted, the nodes of which an incarnation was first reported less than withinMs
 // milliseconds ago, to this process or an earlier one.
-func (b *Book) Recent(now, withinMs float64) (nodes []string) {
+func (b *Registry) RecentlyStarted(now, withinMs float64) (nodes []string) {
 	for name, entry := range b.entries {
 		if now-max(entry.startedAt, entry.previousStartedAt) < withinMs {
 			nodes = append(nodes, name)
@@ -367,7 +367,7 @@
 // Members returns the current member list. The caller must not change it; Turn and Load of members may
 // be a second old. It is requested at every heartbeat, so it is only computed again if a member has
 // joined, left, changed or may have lapsed.
-func (b *Book) Members(now float64) Roll {
+func (b *Registry) Members(now float64) MemberList {
 	if now < b.membersValidUntil {
 		return b.members
 	}
@@ -390,19 +390,19 @@
 // equalExceptLoad compares members without the fields that change with every heartbeat, which would
 // otherwise produce a new version each time.
 func equalExceptLoad(first, second Member) bool {
-	first.Turn, first.Load = second.Turn, second.Load
+	first.Sequence, first.Load = second.Sequence, second.Load
 	return first == second
 }
 
-// Known returns the members and the gatekeepers that lapsed or left within the last 30 s, for which
+// KnownNodes returns the members and the gatekeepers that lapsed or left within the last 30 s, for which
 // quotas are still reserved.
-func (b *Book) Known(now float64) []string {
+func (b *Registry) KnownNodes(now float64) []string {
 	b.removeExpired(now)
 	return slices.Sorted(maps.Keys(b.entries))
 }
 
-// Heard returns the control nodes whose reports arrived within the lapse time.
-func (b *Book) Heard(now float64) []string {
+// ConnectedPeers returns the control nodes whose reports arrived within the lapse time.
+func (b *Registry) ConnectedPeers(now float64) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
 		if now-b.peers[name].lastReportAt <= b.lapseMs {
@@ -412,11 +412,11 @@
 	return names
 }
 
-// Settled reports whether the member list may be passed on: either all other control nodes are
+// IsComplete reports whether the member list may be passed on: either all other control nodes are
 // connected, or a majority of all of them has been for the lapse time. Otherwise the list may lack
 // most members, since those with sessions elsewhere have lapsed here or were not reported yet, and
 // gatekeepers would divide shared limits among too few.
-func (b *Book) Settled(now float64, nodes []string) bool {
+func (b *Registry) IsComplete(now float64, nodes []string) bool {
 	others, connectedSince := 0, make([]float64, 0, len(nodes))
 	for _, name := range nodes {
 		if name == b.self {
@@ -438,9 +438,9 @@
 	return now-connectedSince[needed-1] >= b.lapseMs
 }
 
-// AsOf returns the time as of which the list contains all members: when the control node that has been
+// CompleteAsOf returns the time as of which the list contains all members: when the control node that has been
 // silent longest sent its last report. The time is not known if one has never sent a report.
-func (b *Book) AsOf(now float64, nodes []string) (asOf float64, known bool) {
+func (b *Registry) CompleteAsOf(now float64, nodes []string) (asOf float64, known bool) {
 	asOf = now
 	for _, name := range nodes {
 		if name == b.self {
@@ -456,7 +456,7 @@
 }
 
 // removeExpired removes expired sessions, entries and peers.
-func (b *Book) removeExpired(now float64) {
+func (b *Registry) removeExpired(now float64) {
 	for name, current := range b.sessions {
 		if now-current.heartbeatAt > retentionMs || current.left && now-current.heartbeatAt > departureRepeatMs {
 			delete(b.sessions, name)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,43 +10,43 @@
 )
 
 func newMember(node string, incarnation, sequence uint64) Member {
-	return Member{Station: node, Zone: "z1", Region: "r1", Life: incarnation, Turn: sequence, Counter: node + ":1", Ready: true}
+	return Member{Node: node, Zone: "z1", Region: "r1", Incarnation: incarnation, Sequence: sequence, ClientAddr: node + ":1", Ready: true}
 }
 
-func nodesOf(list Roll) []string {
+func nodesOf(list MemberList) []string {
 	nodes := []string{}
 	for _, member := range list.Members {
-		nodes = append(nodes, member.Station)
+		nodes = append(nodes, member.Node)
 	}
 	return nodes
 }
 
 func TestMemberWhileHeartbeatsArrive(t *testing.T) {
 	registry := New("b1", 1, 0, 0)
-	registry.Sign(0, newMember("b", 1, 1))
-	registry.Sign(0, newMember("a", 1, 1))
+	registry.Heartbeat(0, newMember("b", 1, 1))
+	registry.Heartbeat(0, newMember("a", 1, 1))
 	assert.DeepEqual(t, nodesOf(registry.Members(1500)), []string{"a", "b"})
-	registry.Sign(1500, newMember("a", 1, 2))
+	registry.Heartbeat(1500, newMember("a", 1, 2))
 	assert.DeepEqual(t, nodesOf(registry.Members(1501)), []string{"a"})
-	assert.DeepEqual(t, registry.Known(30_000), []string{"a", "b"})
-	assert.DeepEqual(t, registry.Known(30_001), []string{"a"})
-	assert.Equal(t, len(registry.Known(40_000)), 0)
+	assert.DeepEqual(t, registry.KnownNodes(30_000), []string{"a", "b"})
+	assert.DeepEqual(t, registry.KnownNodes(30_001), []string{"a"})
+	assert.Equal(t, len(registry.KnownNodes(40_000)), 0)
 }
 
 func TestVersionIncreasesOnlyWithContent(t *testing.T) {
 	registry := New("b1", 1, 0, 0)
 	member := newMember("a", 1, 1)
 	assert.Equal(t, registry.Members(0).Version, uint64(1))
-	registry.Sign(0, member)
+	registry.Heartbeat(0, member)
 	assert.Equal(t, registry.Members(0).Version, uint64(2))
 	for i := range 10 {
-		member.Turn, member.Load = uint64(i+2), float64(i)
-		registry.Sign(float64(i*500), member)
+		member.Sequence, member.Load = uint64(i+2), float64(i)
+		registry.Heartbeat(float64(i*500), member)
 		assert.Equal(t, registry.Members(float64(i*500)).Version, uint64(2))
 	}
 	assert.Equal(t, registry.Members(4500).Members[0].Load, 9.0)
-	member.Turn, member.Leaving = 20, true
-	registry.Sign(4600, member)
+	member.Sequence, member.Leaving = 20, true
+	registry.Heartbeat(4600, member)
 	assert.Equal(t, registry.Members(4600).Version, uint64(3))
 	assert.Equal(t, registry.Members(9000).Version, uint64(4))
 	assert.Equal(t, registry.Members(9500).Version, uint64(4))
@@ -54,17 +54,17 @@
 
 func TestMoveCountsOnceAndNewerHeartbeatWins(t *testing.T) {
 	first, second := New("b1", 1, 0, 0), New("b2", 2, 70_000, 0)
-	first.Sign(0, newMember("a", 7, 1))
-	delayed := first.Tell(400)
+	first.Heartbeat(0, newMember("a", 7, 1))
+	delayed := first.FullReport(400)
 	moved := newMember("a", 7, 2)
 	moved.Leaving = true
-	second.Sign(70_500, moved)
-	second.Hear(70_600, delayed) // the receiver's clock started at 70 s, and the report is delayed
+	second.Heartbeat(70_500, moved)
+	second.Receive(70_600, delayed) // the receiver's clock started at 70 s, and the report is delayed
 	list := second.Members(70_600)
 	assert.DeepEqual(t, nodesOf(list), []string{"a"})
 	assert.Assert(t, list.Members[0].Leaving)
 
-	first.Hear(700, second.Tell(70_700))
+	first.Receive(700, second.FullReport(70_700))
 	assert.Assert(t, first.Members(700).Members[0].Leaving)
 	assert.DeepEqual(t, nodesOf(first.Members(1900)), []string{"a"})
 	assert.DeepEqual(t, nodesOf(first.Members(2100)), []string{})
@@ -72,89 +72,89 @@
 
 func TestStaleReportsAreIgnored(t *testing.T) {
 	sender, receiver := New("b1", 1, 0, 0), New("b2", 2, 0, 0)
-	sender.Sign(0, newMember("a", 7, 1))
-	older, newer := sender.Tell(0), sender.Tell(1000)
-	receiver.Hear(1000, newer)
-	receiver.Hear(1400, older)
-	receiver.Hear(1400, newer)
+	sender.Heartbeat(0, newMember("a", 7, 1))
+	older, newer := sender.FullReport(0), sender.FullReport(1000)
+	receiver.Receive(1000, newer)
+	receiver.Receive(1400, older)
+	receiver.Receive(1400, newer)
 	assert.DeepEqual(t, nodesOf(receiver.Members(1500)), []string{"a"})
 	assert.DeepEqual(t, nodesOf(receiver.Members(1501)), []string{})
-	assert.DeepEqual(t, receiver.Heard(2500), []string{"b1"})
-	assert.Equal(t, len(receiver.Heard(2501)), 0)
+	assert.DeepEqual(t, receiver.ConnectedPeers(2500), []string{"b1"})
+	assert.Equal(t, len(receiver.ConnectedPeers(2501)), 0)
 
 	restarted := New("b1", 9, 5000, 0)
-	restarted.Sign(5000, newMember("a", 7, 2))
-	receiver.Hear(2600, restarted.Tell(5000))
+	restarted.Heartbeat(5000, newMember("a", 7, 2))
+	receiver.Receive(2600, restarted.FullReport(5000))
 	assert.DeepEqual(t, nodesOf(receiver.Members(2600)), []string{"a"})
-	lateReport := Page{From: "b1", Life: 1, Serial: 99, Sessions: []Session{{Member: newMember("x", 1, 1)}}}
-	receiver.Hear(2700, lateReport)
+	lateReport := Report{From: "b1", Incarnation: 1, Sequence: 99, Sessions: []Session{{Member: newMember("x", 1, 1)}}}
+	receiver.Receive(2700, lateReport)
 	assert.DeepEqual(t, nodesOf(receiver.Members(2700)), []string{"a"})
 }
 
 func TestReplacedIncarnationStaysEnded(t *testing.T) {
 	registry := New("b1", 1, 0, 0)
-	registry.Sign(0, newMember("a", 7, 50))
-	registry.Sign(100, newMember("a", 8, 1))
-	registry.Sign(200, newMember("a", 7, 51))
-	assert.Equal(t, registry.Members(200).Members[0].Life, uint64(8))
-	registry.Hear(300, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 52)}}})
-	assert.Equal(t, registry.Members(300).Members[0].Life, uint64(8))
+	registry.Heartbeat(0, newMember("a", 7, 50))
+	registry.Heartbeat(100, newMember("a", 8, 1))
+	registry.Heartbeat(200, newMember("a", 7, 51))
+	assert.Equal(t, registry.Members(200).Members[0].Incarnation, uint64(8))
+	registry.Receive(300, Report{From: "b2", Incarnation: 1, Sequence: 1, Sessions: []Session{{Member: newMember("a", 7, 52)}}})
+	assert.Equal(t, registry.Members(300).Members[0].Incarnation, uint64(8))
 
 	// A very late report must not exclude the running incarnation for good.
-	registry.Sign(5000, newMember("a", 7, 60))
-	assert.Equal(t, registry.Members(5000).Members[0].Life, uint64(7))
+	registry.Heartbeat(5000, newMember("a", 7, 60))
+	assert.Equal(t, registry.Members(5000).Members[0].Incarnation, uint64(7))
 }
 
 // TestRestartedWithin checks that what an incarnation may use once counts from its first report,
 // whoever sent it.
 func TestRestartedWithin(t *testing.T) {
 	registry := New("b1", 1, 0, 0)
-	registry.Sign(0, newMember("a", 7, 50))
-	assert.Assert(t, !registry.Again(10, "a", 7000), "a first incarnation")
-	registry.Sign(3000, newMember("a", 7, 80))
-	registry.Hear(4000, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 8, 1)}}})
-	assert.Assert(t, registry.Again(6999, "a", 7000))
-	assert.Assert(t, !registry.Again(7000, "a", 7000))
-	registry.Sign(8000, newMember("a", 9, 1))
-	assert.Assert(t, registry.Again(10999, "a", 7000), "incarnation 8 was first reported at 4000")
-	assert.Assert(t, !registry.Again(11000, "a", 7000))
-	assert.Assert(t, !registry.Again(8000, "z", 7000), "an unknown node")
+	registry.Heartbeat(0, newMember("a", 7, 50))
+	assert.Assert(t, !registry.RestartedWithin(10, "a", 7000), "a first incarnation")
+	registry.Heartbeat(3000, newMember("a", 7, 80))
+	registry.Receive(4000, Report{From: "b2", Incarnation: 1, Sequence: 1, Sessions: []Session{{Member: newMember("a", 8, 1)}}})
+	assert.Assert(t, registry.RestartedWithin(6999, "a", 7000))
+	assert.Assert(t, !registry.RestartedWithin(7000, "a", 7000))
+	registry.Heartbeat(8000, newMember("a", 9, 1))
+	assert.Assert(t, registry.RestartedWithin(10999, "a", 7000), "incarnation 8 was first reported at 4000")
+	assert.Assert(t, !registry.RestartedWithin(11000, "a", 7000))
+	assert.Assert(t, !registry.RestartedWithin(8000, "z", 7000), "an unknown node")
 }
 
 func TestUnknownIncarnationWithOlderHeartbeatIsEnded(t *testing.T) {
 	registry := New("b1", 1, 0, 0)
-	registry.Sign(1000, newMember("a", 8, 1))
-	registry.Hear(1100, Page{From: "b2", Life: 1, Serial: 1, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 500}}})
-	registry.Hear(1200, Page{From: "b2", Life: 1, Serial: 2, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 10}}})
-	assert.Equal(t, registry.Members(1200).Members[0].Life, uint64(8))
+	registry.Heartbeat(1000, newMember("a", 8, 1))
+	registry.Receive(1100, Report{From: "b2", Incarnation: 1, Sequence: 1, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 500}}})
+	registry.Receive(1200, Report{From: "b2", Incarnation: 1, Sequence: 2, Sessions: []Session{{Member: newMember("a", 7, 9), AgeMs: 10}}})
+	assert.Equal(t, registry.Members(1200).Members[0].Incarnation, uint64(8))
 }
 
 func TestLeavingAppliesEverywhere(t *testing.T) {
 	first, second := New("b1", 1, 0, 0), New("b2", 2, 0, 0)
-	second.Sign(0, newMember("a", 7, 1))
-	staleReport := second.Tell(0)
-	first.Sign(100, newMember("a", 7, 2))
+	second.Heartbeat(0, newMember("a", 7, 1))
+	staleReport := second.FullReport(0)
+	first.Heartbeat(100, newMember("a", 7, 2))
 	first.Leave(150, "a", 6)
 	assert.DeepEqual(t, nodesOf(first.Members(150)), []string{"a"})
 	first.Leave(200, "a", 7)
-	first.Hear(210, staleReport)
+	first.Receive(210, staleReport)
 	assert.DeepEqual(t, nodesOf(first.Members(210)), []string{})
-	second.Hear(220, first.Tell(220))
-	second.Sign(230, newMember("a", 7, 3))
+	second.Receive(220, first.FullReport(220))
+	second.Heartbeat(230, newMember("a", 7, 3))
 	assert.DeepEqual(t, nodesOf(second.Members(230)), []string{})
-	assert.DeepEqual(t, second.Known(230), []string{"a"})
-	second.Sign(240, newMember("a", 8, 1))
+	assert.DeepEqual(t, second.KnownNodes(230), []string{"a"})
+	second.Heartbeat(240, newMember("a", 8, 1))
 	assert.DeepEqual(t, nodesOf(second.Members(240)), []string{"a"})
 }
 
 func TestSettled(t *testing.T) {
 	registry := New("b1", 1, 1000, 0)
 	all := []string{"b1", "b2"}
-	assert.Assert(t, !registry.Settled(1100, all))
-	registry.Hear(1200, Page{From: "b2", Life: 1, Serial: 1})
-	assert.Assert(t, registry.Settled(1200, all))
-	assert.Assert(t, !registry.Settled(2500, []string{"b3"}), "the only other node has never sent a report")
-	assert.Assert(t, registry.Settled(2500, []string{"b1"}), "there are no other nodes")
+	assert.Assert(t, !registry.IsComplete(1100, all))
+	registry.Receive(1200, Report{From: "b2", Incarnation: 1, Sequence: 1})
+	assert.Assert(t, registry.IsComplete(1200, all))
+	assert.Assert(t, !registry.IsComplete(2500, []string{"b3"}), "the only other node has never sent a report")
+	assert.Assert(t, registry.IsComplete(2500, []string{"b1"}), "there are no other nodes")
 }
 
 // TestPartitionedNodeIsNotSettled checks that the member list of a partitioned control node is not
@@ -167,58 +167,58 @@
 	receive := func(now float64, from ...string) {
 		serial++
 		for _, name := range from {
-			registry.Hear(now, Page{From: name, Life: 1, Serial: serial})
+			registry.Receive(now, Report{From: name, Incarnation: 1, Sequence: serial})
 		}
 	}
 	for now := 0.0; now < 3000; now += 300 {
 		receive(now, "b2", "b3", "b4")
 	}
-	assert.Assert(t, registry.Settled(2900, all))
+	assert.Assert(t, registry.IsComplete(2900, all))
 	for now := 3000.0; now < 6000; now += 300 {
 		receive(now, "b2", "b3") // one node is lost
-		assert.Assert(t, registry.Settled(now, all), "%v", now)
+		assert.Assert(t, registry.IsComplete(now, all), "%v", now)
 	}
 	receive(6000, "b2") // half of the nodes are not enough once the other half has timed out
-	assert.Assert(t, !registry.Settled(5700+peerTimeoutMs+1, all))
-	assert.Assert(t, !registry.Settled(20_000, all), "no node has sent a report for long")
+	assert.Assert(t, !registry.IsComplete(5700+peerTimeoutMs+1, all))
+	assert.Assert(t, !registry.IsComplete(20_000, all), "no node has sent a report for long")
 	for now := 20_000.0; now < 21_500; now += 300 {
 		receive(now, "b2", "b3")
-		assert.Assert(t, !registry.Settled(now, all), "at %v: members with sessions at the fourth node may not have been reported", now)
+		assert.Assert(t, !registry.IsComplete(now, all), "at %v: members with sessions at the fourth node may not have been reported", now)
 	}
 	receive(21_500, "b2", "b3")
-	assert.Assert(t, registry.Settled(21_500, all))
+	assert.Assert(t, registry.IsComplete(21_500, all))
 	receive(40_000, "b2", "b3", "b4")
-	assert.Assert(t, registry.Settled(40_000, all), "all nodes are connected")
+	assert.Assert(t, registry.IsComplete(40_000, all), "all nodes are connected")
 }
 
 func TestAsOf(t *testing.T) {
 	registry := New("a", 1, 0, 1000)
-	_, known := registry.AsOf(50, []string{"a", "b"})
+	_, known := registry.CompleteAsOf(50, []string{"a", "b"})
 	assert.Assert(t, !known, "a node that has never sent a report")
-	registry.Hear(100, Page{From: "b", Life: 1, Serial: 1})
-	registry.Hear(300, Page{From: "c", Life: 1, Serial: 1})
-	at, known := registry.AsOf(900, []string{"a", "b", "c"})
+	registry.Receive(100, Report{From: "b", Incarnation: 1, Sequence: 1})
+	registry.Receive(300, Report{From: "c", Incarnation: 1, Sequence: 1})
+	at, known := registry.CompleteAsOf(900, []string{"a", "b", "c"})
 	assert.Assert(t, known && at == 100)
-	at, known = registry.AsOf(900, []string{"a"})
+	at, known = registry.CompleteAsOf(900, []string{"a"})
 	assert.Assert(t, known && at == 900)
 }
 
 func TestMemberIndex(t *testing.T) {
-	list := Roll{Members: []Member{{Station: "a"}, {Station: "c"}}}
-	memberIndex, count := list.Place("c")
+	list := MemberList{Members: []Member{{Node: "a"}, {Node: "c"}}}
+	memberIndex, count := list.MemberIndex("c")
 	assert.Equal(t, memberIndex, 1)
 	assert.Equal(t, count, 2)
-	memberIndex, _ = list.Place("b")
+	memberIndex, _ = list.MemberIndex("b")
 	assert.Equal(t, memberIndex, -1)
 }
 
 // members returns a member list with a number of members per zone. The region is the first letter of
 // the zone.
-func members(countByZone map[string]int, modify func(*Member)) Roll {
-	var list Roll
+func members(countByZone map[string]int, modify func(*Member)) MemberList {
+	var list MemberList
 	for zone, n := range countByZone {
 		for i := range n {
-			member := Member{Station: fmt.Sprint(zone, "-", i), Zone: zone, Region: zone[:1], Counter: fmt.Sprint(zone, "-", i), Inner: fmt.Sprint(zone, "-", i), Ready: true}
+			member := Member{Node: fmt.Sprint(zone, "-", i), Zone: zone, Region: zone[:1], ClientAddr: fmt.Sprint(zone, "-", i), PeerAddr: fmt.Sprint(zone, "-", i), Ready: true}
 			if modify != nil {
 				modify(&member)
 			}
@@ -226,7 +226,7 @@
 		}
 	}
 	slices.SortFunc(list.Members, func(a, b Member) int {
-		if a.Station < b.Station {
+		if a.Node < b.Node {
 			return -1
 		}
 		return 1
@@ -289,11 +289,11 @@
 
 func TestOwnerChangesOnlyForLostMembers(t *testing.T) {
 	list := members(map[string]int{"a1": 5, "a2": 2}, nil)
-	fewer := Roll{Members: slices.DeleteFunc(slices.Clone(list.Members), func(g Member) bool { return g.Station == "a1-2" })}
+	fewer := MemberList{Members: slices.DeleteFunc(slices.Clone(list.Members), func(g Member) bool { return g.Node == "a1-2" })}
 	countByOwner := map[string]int{}
 	for i := range 500 {
 		service := fmt.Sprint("s", i)
-		before, after := Home(list, "a1", service), Home(fewer, "a1", service)
+		before, after := Owner(list, "a1", service), Owner(fewer, "a1", service)
 		countByOwner[before]++
 		assert.Assert(t, before == after || before == "a1-2")
 	}
@@ -301,7 +301,7 @@
 	for _, n := range countByOwner {
 		assert.Assert(t, n > 60)
 	}
-	assert.Equal(t, Home(list, "zz", "s"), "")
+	assert.Equal(t, Owner(list, "zz", "s"), "")
 }
 
 // TestNodesAgree has gatekeepers send heartbeats, move to another control node and restart while
@@ -312,7 +312,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const registryCount, gatekeepers = 3, 8
 		clockOffsetMs := [registryCount]float64{0, 1e6, 5e7}
-		var registries [registryCount]*Book
+		var registries [registryCount]*Registry
 		for i := range registries {
 			registries[i] = New(fmt.Sprint("b", i), rng.Uint64(), clockOffsetMs[i], 0)
 		}
@@ -328,7 +328,7 @@
 		type message struct {
 			dueAt float64
 			to    int
-			page  Page
+			page  Report
 		}
 		var messages []message
 		for now := 0.0; now < 20_000; now += 50 {
@@ -346,12 +346,12 @@
 				}
 				if !gatekeeper.down && (int(now)/50+i)%8 == 0 {
 					gatekeeper.sequence++
-					registries[gatekeeper.registryIndex].Sign(now+clockOffsetMs[gatekeeper.registryIndex], newMember(fmt.Sprint("g", i), gatekeeper.incarnation, gatekeeper.sequence))
+					registries[gatekeeper.registryIndex].Heartbeat(now+clockOffsetMs[gatekeeper.registryIndex], newMember(fmt.Sprint("g", i), gatekeeper.incarnation, gatekeeper.sequence))
 				}
 			}
 			if int(now)%250 == 0 {
 				for i := range registries {
-					report := registries[i].Tell(now + clockOffsetMs[i])
+					report := registries[i].FullReport(now + clockOffsetMs[i])
 					for to := range registries {
 						for range 1 + rng.IntN(2) {
 							if to != i && !(faulty && rng.IntN(4) == 0) {
@@ -367,7 +367,7 @@
 			}
 			messages = slices.DeleteFunc(messages, func(pending message) bool {
 				if pending.dueAt <= now {
-					registries[pending.to].Hear(now+clockOffsetMs[pending.to], pending.page)
+					registries[pending.to].Receive(now+clockOffsetMs[pending.to], pending.page)
 				}
 				return pending.dueAt <= now
 			})
@@ -376,7 +376,7 @@
 			list := registries[i].Members(20_000 + clockOffsetMs[i])
 			got := map[string]uint64{}
 			for _, gatekeeper := range list.Members {
-				got[gatekeeper.Station] = gatekeeper.Life
+				got[gatekeeper.Node] = gatekeeper.Incarnation
 			}
 			want := map[string]uint64{}
 			for k, gatekeeper := range gatekeeperStates {
@@ -393,27 +393,27 @@
 // in full again.
 func TestBriefReportRenewsKnownSessions(t *testing.T) {
 	sender, receiver := New("a", 1, 0, 1500), New("b", 2, 0, 1500)
-	sender.Sign(0, newMember("g1", 11, 1))
-	sender.Sign(0, newMember("g2", 12, 1))
-	mark := sender.Mark(0)
-	receiver.Hear(0, sender.Tell(0))
-	sender.Sign(1400, newMember("g1", 11, 5))
-	assert.Equal(t, sender.Mark(1400), mark, "sequence numbers and ages are no change")
-	receiver.Hear(1400, sender.Brief(1400))
+	sender.Heartbeat(0, newMember("g1", 11, 1))
+	sender.Heartbeat(0, newMember("g2", 12, 1))
+	mark := sender.ContentHash(0)
+	receiver.Receive(0, sender.FullReport(0))
+	sender.Heartbeat(1400, newMember("g1", 11, 5))
+	assert.Equal(t, sender.ContentHash(1400), mark, "sequence numbers and ages are no change")
+	receiver.Receive(1400, sender.BriefReport(1400))
 	assert.DeepEqual(t, nodesOf(receiver.Members(1600)), []string{"g1"})
-	assert.Equal(t, receiver.Members(1600).Members[0].Turn, uint64(5))
+	assert.Equal(t, receiver.Members(1600).Members[0].Sequence, uint64(5))
 
-	sender.Sign(1700, newMember("g3", 13, 1))
-	assert.Assert(t, sender.Mark(1700) != mark, "a new gatekeeper requires a full report")
-	receiver.Hear(1700, sender.Brief(1700))
+	sender.Heartbeat(1700, newMember("g3", 13, 1))
+	assert.Assert(t, sender.ContentHash(1700) != mark, "a new gatekeeper requires a full report")
+	receiver.Receive(1700, sender.BriefReport(1700))
 	assert.DeepEqual(t, nodesOf(receiver.Members(1700)), []string{"g1"}) // an unknown incarnation is not added
-	receiver.Hear(1700, sender.Tell(1700))
+	receiver.Receive(1700, sender.FullReport(1700))
 	assert.DeepEqual(t, nodesOf(receiver.Members(1700)), []string{"g1", "g3"})
 
 	sender.Leave(1800, "g1", 11)
-	assert.Assert(t, sender.Mark(1800) != mark)
-	for _, s := range sender.Brief(1800).Briefs {
-		assert.Assert(t, s.Life != 11, "a gatekeeper that has left is not renewed")
+	assert.Assert(t, sender.ContentHash(1800) != mark)
+	for _, s := range sender.BriefReport(1800).Renewals {
+		assert.Assert(t, s.Incarnation != 11, "a gatekeeper that has left is not renewed")
 	}
 }
 
@@ -426,18 +426,18 @@
 		now := 0.0
 		for step := range 400 {
 			now += float64(rng.IntN(40))
-			member := Member{Station: string(rune('a' + rng.IntN(5))), Life: uint64(1 + rng.IntN(2)), Turn: uint64(step), Ready: rng.IntN(9) > 0}
+			member := Member{Node: string(rune('a' + rng.IntN(5))), Incarnation: uint64(1 + rng.IntN(2)), Sequence: uint64(step), Ready: rng.IntN(9) > 0}
 			switch rng.IntN(8) {
 			case 0:
-				cached.Leave(now, member.Station, member.Life)
-				uncached.Leave(now, member.Station, member.Life)
+				cached.Leave(now, member.Node, member.Incarnation)
+				uncached.Leave(now, member.Node, member.Incarnation)
 			case 1:
-				page := Page{From: "b", Life: 2, Serial: uint64(step), Sessions: []Session{{Member: member, AgeMs: float64(rng.IntN(150)), Gone: rng.IntN(6) == 0}}}
-				cached.Hear(now, page)
-				uncached.Hear(now, page)
+				page := Report{From: "b", Incarnation: 2, Sequence: uint64(step), Sessions: []Session{{Member: member, AgeMs: float64(rng.IntN(150)), Left: rng.IntN(6) == 0}}}
+				cached.Receive(now, page)
+				uncached.Receive(now, page)
 			default:
-				cached.Sign(now, member)
-				uncached.Sign(now, member)
+				cached.Heartbeat(now, member)
+				uncached.Heartbeat(now, member)
 			}
 			got := cached.Members(now).Members
 			if rng.IntN(10) == 0 {
@@ -456,19 +456,19 @@
 	const clockOffsetMs, delayMs = 5_000_000, 55
 	sender, receiver := New("b1", 1, clockOffsetMs, 0), New("b2", 2, 0, 0)
 	deliver := func(madeAt, arrivesAt float64) {
-		receiver.Hear(arrivesAt, sender.Tell(madeAt+clockOffsetMs))
+		receiver.Receive(arrivesAt, sender.FullReport(madeAt+clockOffsetMs))
 	}
-	sender.Sign(clockOffsetMs, newMember("a", 1, 1))
+	sender.Heartbeat(clockOffsetMs, newMember("a", 1, 1))
 	deliver(0, delayMs)
-	sender.Sign(clockOffsetMs+500, newMember("a", 1, 2))
+	sender.Heartbeat(clockOffsetMs+500, newMember("a", 1, 2))
 	deliver(600, 600+delayMs)
 	assert.Equal(t, len(receiver.Members(700).Members), 1)
-	sender.Sign(clockOffsetMs+1000, newMember("a", 1, 3))
-	for _, page := range []Page{sender.Tell(clockOffsetMs + 1100), sender.Brief(clockOffsetMs + 1100)} { // sent 20 s after they were made
-		receiver.Hear(21_100, page)
+	sender.Heartbeat(clockOffsetMs+1000, newMember("a", 1, 3))
+	for _, page := range []Report{sender.FullReport(clockOffsetMs + 1100), sender.BriefReport(clockOffsetMs + 1100)} { // sent 20 s after they were made
+		receiver.Receive(21_100, page)
 		assert.Equal(t, len(receiver.Members(21_100).Members), 0)
 	}
-	sender.Sign(clockOffsetMs+21_200, newMember("a", 1, 4)) // it is running
+	sender.Heartbeat(clockOffsetMs+21_200, newMember("a", 1, 4)) // it is running
 	deliver(21_300, 21_300+delayMs)
 	assert.Equal(t, len(receiver.Members(21_400).Members), 1)
 
@@ -478,7 +478,7 @@
 	for now := 22_000.0; now < 6*3600e3; now += 1000 {
 		madeAt := now * 0.9995
 		sequence++
-		sender.Sign(clockOffsetMs+madeAt, newMember("a", 1, sequence))
+		sender.Heartbeat(clockOffsetMs+madeAt, newMember("a", 1, sequence))
 		deliver(madeAt, now+delayMs)
 		assert.Equal(t, len(receiver.Members(now+delayMs+1000).Members), 1, "at %v", now)
 	}
@@ -488,11 +488,11 @@
 // until the window is over.
 func TestRestoredStarts(t *testing.T) {
 	registry := New("x:1", 1, 0, 0)
-	registry.Recall(0, []string{"a", "b"})
-	registry.Sign(100, Member{Station: "a", Life: 7, Turn: 1})
-	assert.Assert(t, registry.Again(6999, "a", 7000) && !registry.Again(7000, "a", 7000))
-	assert.Assert(t, registry.Began(200, "a", 7000) && !registry.Began(200, "c", 7000))
-	assert.DeepEqual(t, registry.Recent(200, 7000), []string{"a", "b"})
-	assert.DeepEqual(t, registry.Recent(7050, 7000), []string{"a"})
-	assert.Equal(t, len(registry.Recent(7100, 7000)), 0)
+	registry.RestoreStarts(0, []string{"a", "b"})
+	registry.Heartbeat(100, Member{Node: "a", Incarnation: 7, Sequence: 1})
+	assert.Assert(t, registry.RestartedWithin(6999, "a", 7000) && !registry.RestartedWithin(7000, "a", 7000))
+	assert.Assert(t, registry.StartedWithin(200, "a", 7000) && !registry.StartedWithin(200, "c", 7000))
+	assert.DeepEqual(t, registry.RecentlyStarted(200, 7000), []string{"a", "b"})
+	assert.DeepEqual(t, registry.RecentlyStarted(7050, 7000), []string{"a"})
+	assert.Equal(t, len(registry.RecentlyStarted(7100, 7000)), 0)
 }
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -27,9 +27,9 @@
 //     empty answer counts as a failure, so it is the last resort.
 //
 // The zone's own members come first, then the region's, in an order that differs between zones.
-func Resolve(now float64, list Roll, region, zone string, maxCount int) []string {
+func Resolve(now float64, list MemberList, region, zone string, maxCount int) []string {
 	for _, eligible := range []func(Member) bool{
-		func(g Member) bool { return g.Ready && !g.Leaving && !g.Alone },
+		func(g Member) bool { return g.Ready && !g.Leaving && !g.Overloaded },
 		func(g Member) bool { return g.Ready && !g.Leaving },
 		func(g Member) bool { return !g.Leaving },
 		func(Member) bool { return true },
@@ -42,12 +42,12 @@
 }
 
 // pickAddresses returns addresses of eligible members, those of the zone first.
-func pickAddresses(now float64, list Roll, eligible func(Member) bool, region, zone string, maxCount int) []string {
+func pickAddresses(now float64, list MemberList, eligible func(Member) bool, region, zone string, maxCount int) []string {
 	var zoneMembers, regionMembers, otherMembers []Member
 	zones := map[string]bool{zone: true}
 	for _, member := range list.Members {
 		switch {
-		case member.Counter == "" || !eligible(member):
+		case member.ClientAddr == "" || !eligible(member):
 		case member.Zone == zone:
 			zoneMembers = append(zoneMembers, member)
 		case member.Region == region:
@@ -67,35 +67,35 @@
 	var found []string
 	for _, group := range groups {
 		slices.SortFunc(group, func(a, b Member) int {
-			return cmp.Or(cmp.Compare(rendezvousHash(zone, a.Station), rendezvousHash(zone, b.Station)), cmp.Compare(a.Station, b.Station))
+			return cmp.Or(cmp.Compare(rendezvousHash(zone, a.Node), rendezvousHash(zone, b.Node)), cmp.Compare(a.Node, b.Node))
 		})
 		first, room := 0, maxCount-len(found)
 		if len(group) > room {
 			first = int(math.Mod(math.Floor(math.Abs(now)/rotationMs), float64(len(group))))
 		}
 		for i := range min(room, len(group)) {
-			found = append(found, group[(first+i)%len(group)].Counter)
+			found = append(found, group[(first+i)%len(group)].ClientAddr)
 		}
 	}
 	return found
 }
 
-// Home returns the address for other gatekeepers of a service's owner among the ready members of a
+// Owner returns the address for other gatekeepers of a service's owner among the ready members of a
 // zone, or "" if there is none.
-func Home(list Roll, zone, service string) string {
+func Owner(list MemberList, zone, service string) string {
 	var ready []string
 	for _, member := range list.Members {
 		if member.Zone == zone && member.Ready && !member.Leaving {
-			ready = append(ready, member.Inner)
+			ready = append(ready, member.PeerAddr)
 		}
 	}
-	return HomeAmong(ready, zone, service)
+	return OwnerAmong(ready, zone, service)
 }
 
-// HomeAmong returns a service's owner among the ready members of a zone, given by their addresses for
+// OwnerAmong returns a service's owner among the ready members of a zone, given by their addresses for
 // other gatekeepers. It is the one with the highest hash, so that a change of members moves only the
 // services it concerns. Control nodes and gatekeepers compute it independently.
-func HomeAmong(ready []string, zone, service string) string {
+func OwnerAmong(ready []string, zone, service string) string {
 	var owner string
 	var ownerHash uint64
 	for _, addr := range ready {
--- a/internal/membership/resolve_test.go
+++ b/internal/membership/resolve_test.go
@@ -10,7 +10,7 @@
 // there are no others.
 func TestResolveAvoidsOverloadedMembers(t *testing.T) {
 	newMember := func(name string, alone bool) Member {
-		return Member{Station: name, Zone: "a", Region: "r", Counter: name + ":80", Ready: true, Alone: alone}
+		return Member{Node: name, Zone: "a", Region: "r", ClientAddr: name + ":80", Ready: true, Overloaded: alone}
 	}
 	for _, testCase := range []struct {
 		alone []bool
@@ -19,7 +19,7 @@
 		{[]bool{false, true, false}, []string{"g0:80", "g2:80"}},
 		{[]bool{true, true}, []string{"g0:80", "g1:80"}},
 	} {
-		list := Roll{}
+		list := MemberList{}
 		for i, isAlone := range testCase.alone {
 			list.Members = append(list.Members, newMember("g"+string(rune('0'+i)), isAlone))
 		}
--- a/internal/membership/scale_bench_test.go
+++ b/internal/membership/scale_bench_test.go
@@ -6,8 +6,8 @@
 )
 
 func scaleMember(index int) Member {
-	return Member{Station: fmt.Sprintf("counter-%06d", index), Zone: fmt.Sprint("z", index%81), Region: fmt.Sprint("r", index%23), Life: uint64(index) + 1<<60, Turn: 1,
-		Counter: fmt.Sprintf("10.%d.%d.%d:8206", index>>16, index>>8&255, index&255), Inner: fmt.Sprintf("10.%d.%d.%d:7460", index>>16, index>>8&255, index&255), Ready: true}
+	return Member{Node: fmt.Sprintf("counter-%06d", index), Zone: fmt.Sprint("z", index%81), Region: fmt.Sprint("r", index%23), Incarnation: uint64(index) + 1<<60, Sequence: 1,
+		ClientAddr: fmt.Sprintf("10.%d.%d.%d:8206", index>>16, index>>8&255, index&255), PeerAddr: fmt.Sprintf("10.%d.%d.%d:7460", index>>16, index>>8&255, index&255), Ready: true}
 }
 
 // BenchmarkScale measures what members cost a control node, by their number: one heartbeat, the hash
@@ -19,30 +19,30 @@
 		for i := range n {
 			member := scaleMember(i)
 			if i%5 == 0 {
-				other.Sign(0, member)
+				other.Heartbeat(0, member)
 			} else {
-				registry.Sign(0, member)
+				registry.Heartbeat(0, member)
 			}
 		}
-		registry.Hear(0, other.Tell(0))
-		other.Mark(0)
+		registry.Receive(0, other.FullReport(0))
+		other.ContentHash(0)
 		b.Run(fmt.Sprintf("heartbeat/%d", n), func(b *testing.B) {
 			member := scaleMember(1)
 			for b.Loop() {
-				member.Turn++
-				registry.Sign(1, member)
+				member.Sequence++
+				registry.Heartbeat(1, member)
 				registry.Members(1)
 			}
 		})
 		b.Run(fmt.Sprintf("brief-report/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				other.Mark(1)
-				other.Brief(1)
+				other.ContentHash(1)
+				other.BriefReport(1)
 			}
 		})
 		b.Run(fmt.Sprintf("receive/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				registry.Hear(1, other.Brief(1))
+				registry.Receive(1, other.BriefReport(1))
 			}
 		})
 		b.Run(fmt.Sprintf("member-list/%d", n), func(b *testing.B) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -30,8 +30,8 @@
 // Label distinguishes metrics of the same name.
 type Label struct{ Name, Value string }
 
-// Figure is the value of a metric at a scrape.
-type Figure struct {
+// Sample is the value of a metric at a scrape.
+type Sample struct {
 	Name    string // without the namespace; ends in _total for counters and in the unit for other metrics
 	Help    string
 	Counter bool // the value only increases during the life of the process
@@ -40,17 +40,17 @@
 }
 
 // Gauge returns the value of a gauge.
-func Gauge(name, help string, value float64, labels ...Label) Figure {
-	return Figure{Name: name, Help: help, Labels: labels, Value: value}
+func Gauge(name, help string, value float64, labels ...Label) Sample {
+	return Sample{Name: name, Help: help, Labels: labels, Value: value}
 }
 
-// Count returns the value of a counter.
-func Count(name, help string, value uint64, labels ...Label) Figure {
-	return Figure{Name: name, Help: help, Counter: true, Labels: labels, Value: float64(value)}
+// Counter returns the value of a counter.
+func Counter(name, help string, value uint64, labels ...Label) Sample {
+	return Sample{Name: name, Help: help, Counter: true, Labels: labels, Value: float64(value)}
 }
 
-// Flag returns the value of a gauge that is 1 if a condition is set and 0 otherwise.
-func Flag(name, help string, set bool, labels ...Label) Figure {
+// BoolGauge returns the value of a gauge that is 1 if a condition is set and 0 otherwise.
+func BoolGauge(name, help string, set bool, labels ...Label) Sample {
 	value := 0.0
 	if set {
 		value = 1
@@ -61,7 +61,7 @@
 // Source provides the metrics of a process.
 type Source interface {
 	// Figures returns the current values. It may be called at any time by any goroutine.
-	Figures(ctx context.Context) []Figure
+	Figures(ctx context.Context) []Sample
 }
 
 // Endpoint is the port and path at which metrics are served, written as PORT/PATH.
@@ -98,7 +98,7 @@
 }
 
 // toPrometheus converts a value to a Prometheus metric.
-func (f Figure) toPrometheus() prometheus.Metric {
+func (f Sample) toPrometheus() prometheus.Metric {
 	names, values := make([]string, len(f.Labels)), make([]string, len(f.Labels))
 	for i, l := range f.Labels {
 		names[i], values[i] = l.Name, l.Value
@@ -116,12 +116,12 @@
 }
 
 // rpcFigures returns the numbers of frames and bytes that this process has sent to other processes.
-func rpcFigures() (figures []Figure) {
-	for call, sent := range rpc.Sent() {
+func rpcFigures() (figures []Sample) {
+	for call, sent := range rpc.SentCounts() {
 		call = strings.TrimPrefix(call, "waymark.")
 		label := Label{"call", call}
-		figures = append(figures, Count("rpc_sent_frames_total", "Frames sent to other processes, by call; answers have an arrow before the name.", sent[0], label),
-			Count("rpc_sent_bytes_total", "Bytes sent to other processes, by call; answers have an arrow before the name.", sent[1], label))
+		figures = append(figures, Counter("rpc_sent_frames_total", "Frames sent to other processes, by call; answers have an arrow before the name.", sent[0], label),
+			Counter("rpc_sent_bytes_total", "Bytes sent to other processes, by call; answers have an arrow before the name.", sent[1], label))
 	}
 	return figures
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,17 +11,17 @@
 )
 
 // fixedSource is a source of fixed values.
-type fixedSource []Figure
+type fixedSource []Sample
 
-func (f fixedSource) Figures(context.Context) []Figure { return f }
+func (f fixedSource) Figures(context.Context) []Sample { return f }
 
 func TestExposition(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	Handler(fixedSource{
 		Gauge("members", "Members.", 3),
-		Count("refusals_total", "Refusals.", 7, Label{"reason", "quota"}),
-		Count("refusals_total", "Refusals.", 2, Label{"reason", "no_route"}),
-		Flag("duty_held", "Duties.", true, Label{"duty", "roster"}),
+		Counter("refusals_total", "Refusals.", 7, Label{"reason", "quota"}),
+		Counter("refusals_total", "Refusals.", 2, Label{"reason", "no_route"}),
+		BoolGauge("duty_held", "Duties.", true, Label{"duty", "roster"}),
 	}).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	assert.Equal(t, recorder.Code, http.StatusOK)
 	assert.Assert(t, strings.HasPrefix(recorder.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
--- a/internal/nginx/nginx.go
+++ b/internal/nginx/nginx.go
@@ -22,22 +22,22 @@
 // extension. nginx has no directive for the cost of a request.
 const costCommentPrefix = "foxwood:"
 
-// Imported is the result of an import.
-type Imported struct {
-	Known       platform.List  `json:"known"`
-	Limits      map[string]any `json:"limits"` // for the limits object of the settings
-	Description map[string]any `json:"-"`
-	Notes       []string       `json:"-"` // what was not converted
+// Result is the result of an import.
+type Result struct {
+	Workers     platform.WorkerList `json:"known"`
+	Limits      map[string]any      `json:"limits"` // for the limits object of the settings
+	Description map[string]any      `json:"-"`
+	Notes       []string            `json:"-"` // what was not converted
 }
 
-// Read imports one upstream of a configuration and the locations that proxy to it.
-func Read(text, upstream string) (*Imported, error) {
+// Import imports one upstream of a configuration and the locations that proxy to it.
+func Import(text, upstream string) (*Result, error) {
 	// The parser attaches a comment to the directive below it.
 	parsed, err := parser.NewStringParser(text, parser.WithSkipValidDirectivesErr()).Parse()
 	if err != nil {
 		return nil, fmt.Errorf("nginx: %w", err)
 	}
-	result := &Imported{Limits: map[string]any{}, Known: platform.List{Generation: 1, Reset: true}}
+	result := &Result{Limits: map[string]any{}, Workers: platform.WorkerList{Generation: 1, Reset: true}}
 	i := slices.IndexFunc(parsed.FindUpstreams(), func(u *config.Upstream) bool { return u.UpstreamName == upstream })
 	if i < 0 {
 		return nil, fmt.Errorf("nginx: expected an upstream %q, but there is none", upstream)
@@ -60,12 +60,12 @@
 	return result, nil
 }
 
-func (r *Imported) addNote(format string, a ...any) {
+func (r *Result) addNote(format string, a ...any) {
 	r.Notes = append(r.Notes, fmt.Sprintf(format, a...))
 }
 
 // addWorkers adds the servers of an upstream, and its idle timeout.
-func (r *Imported) addWorkers(upstream *config.Upstream) error {
+func (r *Result) addWorkers(upstream *config.Upstream) error {
 	for _, server := range upstream.UpstreamServers {
 		addr := server.Address
 		if strings.HasPrefix(addr, "unix:") {
@@ -104,7 +104,7 @@
 			}
 			worker.Weight = float64(n)
 		}
-		r.Known.Instances = append(r.Known.Instances, worker)
+		r.Workers.Instances = append(r.Workers.Instances, worker)
 	}
 	for _, directive := range upstream.Directives {
 		switch directive.GetName() {
@@ -123,7 +123,7 @@
 }
 
 // addLocation adds the operations of a location to paths.
-func (r *Imported) addLocation(location *config.Location, upstream string, paths map[string]any) error {
+func (r *Result) addLocation(location *config.Location, upstream string, paths map[string]any) error {
 	pass := location.FindDirectives("proxy_pass")
 	if len(pass) == 0 || len(pass[0].GetParameters()) == 0 {
 		return nil
@@ -173,7 +173,7 @@
 }
 
 // addProxySettings converts the timeouts and retries of a location.
-func (r *Imported) addProxySettings(location *config.Location, terms map[string]any) error {
+func (r *Result) addProxySettings(location *config.Location, terms map[string]any) error {
 	for _, directive := range location.GetBlock().GetDirectives() {
 		switch directive.GetName() {
 		case "proxy_read_timeout":
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -47,7 +47,7 @@
 }`
 
 func TestImportUpstreamAndLocations(t *testing.T) {
-	result, err := Read(testConfig, "calc")
+	result, err := Import(testConfig, "calc")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		{ID: "127.0.0.1:9001", Addr: "127.0.0.1:9001", Lifecycle: "ready", Weight: 3},
 		{ID: "127.0.0.1:9002", Addr: "127.0.0.1:9002", Lifecycle: "draining", Weight: 1},
 	}
-	if diff := cmp.Diff(want, result.Known.Instances); diff != "" {
+	if diff := cmp.Diff(want, result.Workers.Instances); diff != "" {
 		t.Error(diff)
 	}
 	limits := map[string]any{"conn-idle-us": int64(30e6), "connect-timeout-us": int64(250e3), "max-attempts": 3}
@@ -70,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Operations() != 2 {
-		t.Errorf("%d operations of %s", d.Operations(), text)
+	if d.OperationCount() != 2 {
+		t.Errorf("%d operations of %s", d.OperationCount(), text)
 	}
 	notes := strings.Join(result.Notes, "\n")
 	for _, said := range []string{"least_conn", "max_fails", "9003: a backup", "/simulacion: a prefix", "~ ^/viejo", "/reescrito: proxy_pass rewrites"} {
@@ -84,7 +84,7 @@
 // TestLocationWithoutCostIsRejected checks that a location without units is noted, and that the
 // imported description is rejected until they are added: nginx has no cost, and none is guessed.
 func TestLocationWithoutCostIsRejected(t *testing.T) {
-	result, err := Read(strings.Replace(testConfig, `"units": 2, `, "", 1), "calc")
+	result, err := Import(strings.Replace(testConfig, `"units": 2, `, "", 1), "calc")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 		"broken terms":     {`{"units": 2,`, `{"units": ,`, "calc"},
 		"a broken block":   {"events {}", "events {", "calc"},
 	} {
-		if _, err := Read(strings.Replace(testConfig, c.from, c.to, 1), c.upstream); err == nil {
+		if _, err := Import(strings.Replace(testConfig, c.from, c.to, 1), c.upstream); err == nil {
 			t.Errorf("%s: the invalid configuration was accepted", name)
 		}
 	}
--- a/internal/openapi/description.go
+++ b/internal/openapi/description.go
@@ -20,8 +20,8 @@
 // have one too, with defaults for all its operations. Units and class have no default.
 const Extension = "x-foxwood"
 
-// Terms is the value of Extension.
-type Terms struct {
+// OperationTerms is the value of Extension.
+type OperationTerms struct {
 	Units      float64 `json:"units"`       // what a request draws from its customer's quota; required
 	Class      string  `json:"class"`       // class name, which operations may share; the operationId if absent
 	Worth      float64 `json:"worth"`       // priority of a request; 1 if absent
@@ -67,7 +67,7 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		return nil, fmt.Errorf("description: %w", err)
 	}
-	defaults := Terms{Worth: 1, Group: "all"}
+	defaults := OperationTerms{Worth: 1, Group: "all"}
 	if err := decodeExtension(doc.Extensions, &defaults); err != nil {
 		return nil, fmt.Errorf("description: %w", err)
 	}
@@ -89,7 +89,7 @@
 		slices.Sort(methods)
 		for _, method := range methods {
 			if err := description.addOperation(method, base+path, operations[method], defaults); err != nil {
-				faults = append(faults, &Fault{Line: operationLine(text, method, path), err: fmt.Errorf("%s %s: %w", method, path, err)})
+				faults = append(faults, &OperationError{Line: operationLine(text, method, path), err: fmt.Errorf("%s %s: %w", method, path, err)})
 			}
 		}
 	}
@@ -102,12 +102,12 @@
 	return description, nil
 }
 
-// Operations returns the number of operations.
-func (d *Description) Operations() int { return len(d.routes) }
+// OperationCount returns the number of operations.
+func (d *Description) OperationCount() int { return len(d.routes) }
 
 // decodeExtension decodes the extension into terms. Fields that it doesn't have keep their
 // values.
-func decodeExtension(extensions map[string]any, terms *Terms) error {
+func decodeExtension(extensions map[string]any, terms *OperationTerms) error {
 	value, ok := extensions[Extension]
 	if !ok {
 		return nil
@@ -137,7 +137,7 @@
 }
 
 // addOperation validates an operation and adds its route and class.
-func (d *Description) addOperation(method, path string, operation *openapi3.Operation, terms Terms) error {
+func (d *Description) addOperation(method, path string, operation *openapi3.Operation, terms OperationTerms) error {
 	terms.Class = operation.OperationID
 	if err := decodeExtension(operation.Extensions, &terms); err != nil {
 		return err
@@ -177,11 +177,11 @@
 }
 
 // policyClass validates the terms and converts them to a class of the decision module.
-func (t Terms) policyClass(method string, operation *openapi3.Operation) (policy.Class, error) {
+func (t OperationTerms) policyClass(method string, operation *openapi3.Operation) (policy.Class, error) {
 	micros := func(ms float64) policy.Micros { return policy.Micros(ms * 1000) }
-	result := policy.Class{Aim: micros(t.AimMS), Deadline: micros(t.DeadlineMS), Window: micros(t.WindowMS),
-		Worth: t.Worth, LateWorth: t.LateWorth}
-	if result.Aim <= 0 || result.Deadline < result.Aim {
+	result := policy.Class{LatencyTarget: micros(t.AimMS), Deadline: micros(t.DeadlineMS), RepeatWindow: micros(t.WindowMS),
+		Value: t.Worth, LateValue: t.LateWorth}
+	if result.LatencyTarget <= 0 || result.Deadline < result.LatencyTarget {
 		return result, errors.New("aim-ms must be above 0 and deadline-ms not below it")
 	}
 	if !(t.Worth > 0) || !(t.LateWorth >= 0 && t.LateWorth <= 1) {
@@ -193,12 +193,12 @@
 	}
 	switch repeat {
 	case "safe":
-		result.Repeat = policy.Safe
+		result.Repeat = policy.RepeatSafe
 	case "unsafe":
-		result.Repeat = policy.Unsafe
+		result.Repeat = policy.RepeatUnsafe
 	case "keyed":
-		result.Repeat = policy.Keyed
-		if result.Window <= 0 {
+		result.Repeat = policy.RepeatKeyed
+		if result.RepeatWindow <= 0 {
 			return result, errors.New("keyed without window-ms: how long repeats are dropped must be stated")
 		}
 	default:
@@ -206,11 +206,11 @@
 	}
 	switch t.Group {
 	case "all":
-		result.Group = policy.GroupAll
+		result.Dedup = policy.DedupFleet
 	case "zone":
-		result.Group = policy.GroupZone
+		result.Dedup = policy.DedupZone
 	case "cell":
-		result.Group = policy.GroupCell
+		result.Dedup = policy.DedupCell
 	default:
 		return result, fmt.Errorf("group %q is not all, zone or cell", t.Group)
 	}
@@ -260,18 +260,18 @@
 	return true
 }
 
-// Rule is a route with its class, for proxies that are configured over xDS.
-type Rule struct {
+// Route is a route with its class, for proxies that are configured over xDS.
+type Route struct {
 	Method   string
 	Segments []string // of the path; an empty one is a parameter
-	Terms    policy.Class
+	Class    policy.Class
 }
 
-// Rules lists the routes, those with the fewest parameters first.
-func (d *Description) Rules() []Rule {
-	rules := make([]Rule, len(d.routes))
+// Routes lists the routes, those with the fewest parameters first.
+func (d *Description) Routes() []Route {
+	rules := make([]Route, len(d.routes))
 	for i, r := range d.routes {
-		rules[i] = Rule{r.method, r.segments, d.classes[r.class].terms}
+		rules[i] = Route{r.method, r.segments, d.classes[r.class].terms}
 	}
 	return rules
 }
--- a/internal/openapi/fault.go
+++ b/internal/openapi/fault.go
@@ -8,28 +8,28 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// Fault is an error in one operation of a description.
-type Fault struct {
+// OperationError is an error in one operation of a description.
+type OperationError struct {
 	Line int // line of the operation in the text, 0 if unknown
 	err  error
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.err.Error() }
+func (f *OperationError) Error() string { return f.err.Error() }
 
 // Unwrap returns the error without its line.
-func (f *Fault) Unwrap() error { return f.err }
+func (f *OperationError) Unwrap() error { return f.err }
 
-// InFile prefixes every error that Parse has joined with the name of the file, and the line if it
+// WithFilePositions prefixes every error that Parse has joined with the name of the file, and the line if it
 // is known.
-func InFile(file string, err error) error {
+func WithFilePositions(file string, err error) error {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	var positioned []error
 	for _, joinedErr := range joined.Unwrap() {
-		var fault *Fault
+		var fault *OperationError
 		if errors.As(joinedErr, &fault) && fault.Line > 0 {
 			positioned = append(positioned, fmt.Errorf("%s:%d: %w", file, fault.Line, joinedErr))
 		} else {
--- a/internal/openapi/front.go
+++ b/internal/openapi/front.go
@@ -19,32 +19,32 @@
 type Config struct {
 	// Description is the file with the OpenAPI description. It is read again at SIGHUP.
 	Description string `json:"description" hcl:"description"`
-	// CustomerHead is the name of the header that identifies the customer.
-	CustomerHead string `json:"customer" hcl:"customer"`
+	// CustomerHeader is the name of the header that identifies the customer.
+	CustomerHeader string `json:"customer" hcl:"customer"`
 	// Plans maps customers to names of plans.
 	Plans map[string]string `json:"plans" hcl:"plans,optional"`
 	// DefaultPlan is the plan of other customers, who are rejected if it is empty.
 	DefaultPlan string `json:"default-plan" hcl:"default_plan,optional"`
-	// DeadlineHead is the name of the header that says how many milliseconds the client waits.
-	DeadlineHead string `json:"deadline" hcl:"deadline,optional"`
+	// DeadlineHeader is the name of the header that says how many milliseconds the client waits.
+	DeadlineHeader string `json:"deadline" hcl:"deadline,optional"`
 }
 
-// Core is the part of the gatekeeper that the frontend uses.
-type Core interface {
+// Gatekeeper is the part of the gatekeeper that the frontend uses.
+type Gatekeeper interface {
 	SetClasses(classes []policy.Class)
 	Ready() bool
 }
 
-// Front is the frontend that serves the operations of a description. Only the event loop may
+// Frontend is the frontend that serves the operations of a description. Only the event loop may
 // call its methods after Attach.
-type Front struct {
+type Frontend struct {
 	config     Config
 	plans      []string
 	gateways   int
 	loadFields []string
 	maxUnits   float64
 	clock      *gatekeeper.Clock
-	core       Core
+	core       Gatekeeper
 	draining   func() bool
 
 	description  *Description
@@ -75,12 +75,12 @@
 	at  float64
 }
 
-// NewFront returns a frontend for a description. Use Classes for the settings of the core.
-func NewFront(config Config, description *Description, policySettings policy.Settings, names settings.Names, clock *gatekeeper.Clock) (*Front, error) {
-	if config.CustomerHead == "" {
+// NewFrontend returns a frontend for a description. Use Classes for the settings of the core.
+func NewFrontend(config Config, description *Description, policySettings policy.Settings, names settings.Names, clock *gatekeeper.Clock) (*Frontend, error) {
+	if config.CustomerHeader == "" {
 		return nil, fmt.Errorf("openapi: expected the name of the header that identifies the customer, got none")
 	}
-	f := &Front{config: config, plans: names.Plans, gateways: max(policySettings.Gateways, 1), loadFields: policySettings.InlineLoad, maxUnits: policySettings.Largest, clock: clock,
+	f := &Frontend{config: config, plans: names.Plans, gateways: max(policySettings.GatewayCount, 1), loadFields: policySettings.LoadReportFields, maxUnits: policySettings.MaxUnits, clock: clock,
 		keys: map[uint64]keyEntry{}}
 	for customer, plan := range config.Plans {
 		if f.planIndex(plan) < 0 {
@@ -96,10 +96,10 @@
 
 // Attach sets the core that requests are passed to. draining reports whether clients should use
 // another gatekeeper; the health check fails then.
-func (f *Front) Attach(core Core, draining func() bool) { f.core, f.draining = core, draining }
+func (f *Frontend) Attach(core Gatekeeper, draining func() bool) { f.core, f.draining = core, draining }
 
 // Classes returns the table of classes for the core.
-func (f *Front) Classes() []policy.Class {
+func (f *Frontend) Classes() []policy.Class {
 	classes := make([]policy.Class, len(f.table))
 	for i := range f.table {
 		classes[i] = f.table[i].terms
@@ -107,9 +107,9 @@
 	return classes
 }
 
-// Names returns the names of the classes in that table, including classes that only apply to
+// ClassNames returns the names of the classes in that table, including classes that only apply to
 // requests accepted earlier.
-func (f *Front) Names() []string {
+func (f *Frontend) ClassNames() []string {
 	names := make([]string, len(f.table))
 	for i := range f.table {
 		names[i] = f.table[i].name
@@ -118,22 +118,22 @@
 }
 
 // Replace applies a new description.
-func (f *Front) Replace(d *Description) {
+func (f *Frontend) Replace(d *Description) {
 	f.assignClasses(d)
 	f.core.SetClasses(f.Classes())
 }
 
-// Rules lists the active routes.
-func (f *Front) Rules() []Rule { return f.description.Rules() }
+// Routes lists the active routes.
+func (f *Frontend) Routes() []Route { return f.description.Routes() }
 
 // assignClasses assigns each class of a description an entry in the table. A class whose terms
 // have changed gets another entry, so that requests accepted earlier keep their terms.
-func (f *Front) assignClasses(description *Description) {
+func (f *Frontend) assignClasses(description *Description) {
 	now := f.clock.Now()
 	for i := range f.table {
 		if entry := &f.table[i]; entry.inUse {
 			entry.inUse = false
-			entry.reservedUntil = now + float64(entry.terms.Deadline+entry.terms.Window)/1000
+			entry.reservedUntil = now + float64(entry.terms.Deadline+entry.terms.RepeatWindow)/1000
 		}
 	}
 	f.description, f.classIndex = description, nil
@@ -144,7 +144,7 @@
 
 // entryFor returns the index of the entry for a class: the one with the same terms, or else a free
 // or new one.
-func (f *Front) entryFor(c class, now float64) int {
+func (f *Frontend) entryFor(c class, now float64) int {
 	free := -1
 	for i := range f.table {
 		entry := &f.table[i]
@@ -165,7 +165,7 @@
 }
 
 // planIndex returns the index of a plan, or -1.
-func (f *Front) planIndex(name string) int {
+func (f *Frontend) planIndex(name string) int {
 	for i, p := range f.plans {
 		if p == name {
 			return i
@@ -174,20 +174,20 @@
 	return -1
 }
 
-// Handle implements link.Front.
-func (f *Front) Handle(client *link.Client, message *http1.Message) {
+// Handle implements link.RequestHandler.
+func (f *Frontend) Handle(client *link.ClientConn, message *http1.Message) {
 	path, _, _ := strings.Cut(string(message.Target), "?")
 	if path == platform.PathReady || path == platform.PathLive {
-		platform.Health(client, message, f.core.Ready() && !f.draining())
+		platform.AnswerHealth(client, message, f.core.Ready() && !f.draining())
 		return
 	}
-	if message.Large { // bodies of operations are buffered as a whole
-		client.Reject(413, "the body is too long\n")
+	if message.Streamed { // bodies of operations are buffered as a whole
+		client.RespondTextAndClose(413, "the body is too long\n")
 		return
 	}
 	request, refusal := f.Request(message)
 	if refusal != nil {
-		client.Reply(refusal.Status, refusal.Head, refusal.Text+"\n")
+		client.RespondText(refusal.Status, refusal.Headers, refusal.Body+"\n")
 		return
 	}
 	client.Submit(request)
@@ -195,12 +195,12 @@
 
 // Refusal is a response that the frontend gives without the core.
 type Refusal struct {
-	Status     int
-	Head, Text string
+	Status        int
+	Headers, Body string
 }
 
 // Request finds the operation of a message and returns a request with its terms, or a refusal.
-func (f *Front) Request(message *http1.Message) (*gatekeeper.Request, *Refusal) {
+func (f *Frontend) Request(message *http1.Message) (*gatekeeper.Request, *Refusal) {
 	path, _, _ := strings.Cut(string(message.Target), "?")
 	operation, allowed := f.description.find(string(message.Method), path)
 	switch {
@@ -209,14 +209,14 @@
 	case operation == nil:
 		return nil, &Refusal{404, "", "the description has no such path"}
 	}
-	for _, name := range [...]string{f.config.CustomerHead, f.config.DeadlineHead, keyHeader} {
+	for _, name := range [...]string{f.config.CustomerHeader, f.config.DeadlineHeader, keyHeader} {
 		if name != "" && message.Count(name) > 1 { // gatekeeper and worker could use different ones
 			return nil, &Refusal{400, "", name + " stands twice"}
 		}
 	}
-	customer := string(message.Get(f.config.CustomerHead))
+	customer := string(message.Get(f.config.CustomerHeader))
 	if customer == "" {
-		return nil, &Refusal{401, "", f.config.CustomerHead + " is missing"}
+		return nil, &Refusal{401, "", f.config.CustomerHeader + " is missing"}
 	}
 	name, ok := f.config.Plans[customer]
 	if !ok {
@@ -227,7 +227,7 @@
 		return nil, &Refusal{403, "", "the customer has no plan"}
 	}
 	classIndex := f.classIndex[operation.class]
-	if f.table[classIndex].terms.Repeat == policy.Keyed {
+	if f.table[classIndex].terms.Repeat == policy.RepeatKeyed {
 		key := message.Get(keyHeader)
 		if len(key) == 0 {
 			return nil, &Refusal{400, "", keyHeader + " is missing"}
@@ -236,21 +236,21 @@
 	}
 	terms := f.table[classIndex].terms
 	timeoutMS := float64(terms.Deadline) / 1000
-	if value := message.Get(f.config.DeadlineHead); f.config.DeadlineHead != "" && value != nil {
+	if value := message.Get(f.config.DeadlineHeader); f.config.DeadlineHeader != "" && value != nil {
 		ms, err := strconv.ParseUint(string(value), 10, 31)
 		if err != nil {
-			return nil, &Refusal{400, "", f.config.DeadlineHead + " is not a number of milliseconds"}
+			return nil, &Refusal{400, "", f.config.DeadlineHeader + " is not a number of milliseconds"}
 		}
 		timeoutMS = min(timeoutMS, float64(ms))
 	}
-	return &gatekeeper.Request{Class: classIndex, Plan: plan, Customer: hash(customer), Left: timeoutMS, Units: operation.units,
-		Spread: f.gateways, Payload: f.payload(message)}, nil
+	return &gatekeeper.Request{Class: classIndex, Plan: plan, Customer: hash(customer), TimeLeft: timeoutMS, EstimatedUnits: operation.units,
+		GatekeeperCount: f.gateways, Payload: f.payload(message)}, nil
 }
 
 // classForKey returns the class index of a request with an idempotency key: that of the first
 // request with this key, for as long as workers may still deduplicate it. Otherwise a request
 // repeated after a change of the description could run again under other terms.
-func (f *Front) classForKey(key uint64, index int) int {
+func (f *Frontend) classForKey(key uint64, index int) int {
 	now := f.clock.Now()
 	for len(f.expiries) > 0 && f.expiries[0].at <= now {
 		if entry := f.keys[f.expiries[0].key]; entry.expires <= now {
@@ -262,7 +262,7 @@
 		return entry.classIndex
 	}
 	terms := f.table[index].terms
-	until := now + float64(terms.Deadline+terms.Window)/1000
+	until := now + float64(terms.Deadline+terms.RepeatWindow)/1000
 	f.keys[key] = keyEntry{index, until}
 	f.expiries = append(f.expiries, expiry{key, until})
 	return index
@@ -284,14 +284,14 @@
 	"upgrade", "content-length", "expect"}
 
 // appendEndToEnd appends the header fields that a proxy passes on.
-func (f *Front) appendEndToEnd(b []byte, message *http1.Message) []byte {
-	message.Each(func(name, value []byte) {
+func (f *Frontend) appendEndToEnd(b []byte, message *http1.Message) []byte {
+	message.EachField(func(name, value []byte) {
 		for _, h := range hopByHopHeaders {
 			if strings.EqualFold(string(name), h) {
 				return
 			}
 		}
-		if strings.EqualFold(string(name), f.Left()) {
+		if strings.EqualFold(string(name), f.TimeLeftHeader()) {
 			return
 		}
 		b = append(append(b, name...), ": "...)
@@ -301,7 +301,7 @@
 }
 
 // payload returns the message to send to a worker.
-func (f *Front) payload(message *http1.Message) *link.Payload {
+func (f *Frontend) payload(message *http1.Message) *link.Payload {
 	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\n", message.Method, message.Target)
 	b = f.appendEndToEnd(b, message)
 	if len(message.Body) > 0 || string(message.Method) == "POST" || string(message.Method) == "PUT" {
@@ -310,22 +310,22 @@
 	return &link.Payload{Head: b, Body: bytes.Clone(message.Body)}
 }
 
-// Left implements link.Reader: it returns the header for the time left to the deadline.
-func (f *Front) Left() string {
-	if f.config.DeadlineHead != "" {
-		return f.config.DeadlineHead
+// TimeLeftHeader implements link.ResponseReader: it returns the header for the time left to the deadline.
+func (f *Frontend) TimeLeftHeader() string {
+	if f.config.DeadlineHeader != "" {
+		return f.config.DeadlineHeader
 	}
-	return platform.HeadLeft
+	return platform.HeaderTimeLeft
 }
 
-// Outcome implements link.Reader. Responses with a status below 500 are passed to the client.
-func (f *Front) Outcome(message *http1.Message) gatekeeper.Outcome {
-	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: platform.Load(message, f.loadFields)}
+// Outcome implements link.ResponseReader. Responses with a status below 500 are passed to the client.
+func (f *Frontend) Outcome(message *http1.Message) gatekeeper.Outcome {
+	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: platform.ReportedLoad(message, f.loadFields)}
 	switch {
 	case message.Status < 500:
 		f.headerBuffer = f.appendEndToEnd(f.headerBuffer[:0], message)
-		outcome.Status, outcome.Units = policy.OK, platform.Units(message, f.maxUnits)
-		outcome.Answer = gatekeeper.Answer{Status: message.Status, Head: f.headerBuffer, Body: message.Body}
+		outcome.Status, outcome.Units = policy.OK, platform.ReportedUnits(message, f.maxUnits)
+		outcome.Answer = gatekeeper.Answer{Status: message.Status, HeaderLines: f.headerBuffer, Body: message.Body}
 	case platform.NeverRan(message):
 		outcome.Status = policy.Full
 	}
--- a/internal/openapi/openapi_test.go
+++ b/internal/openapi/openapi_test.go
@@ -52,9 +52,9 @@
 func TestParseDescription(t *testing.T) {
 	description := parse(t, descriptionWith(cuotaTerms, simulacionTerms, ""))
 	want := map[string]policy.Class{
-		"cuota":      {Aim: 400e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe},
-		"maxima":     {Aim: 100e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe},
-		"simulacion": {Aim: 750e3, Deadline: 2e6, Window: 1e6, Worth: 2, Repeat: policy.Keyed},
+		"cuota":      {LatencyTarget: 400e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 1, Repeat: policy.RepeatSafe},
+		"maxima":     {LatencyTarget: 100e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 1, Repeat: policy.RepeatSafe},
+		"simulacion": {LatencyTarget: 750e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 2, Repeat: policy.RepeatKeyed},
 	}
 	got := map[string]policy.Class{}
 	for _, c := range description.classes {
@@ -112,14 +112,14 @@
 var names = settings.Names{Plans: []string{"basico", "mayor"}}
 
 func someSettings(classes []policy.Class) policy.Settings {
-	return policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true, Classes: classes,
+	return policy.Settings{GatewayCount: 1, ClockTick: 4000, MaxAttempts: 3, CanCancel: true, SendRetryAfter: true, Classes: classes,
 		Plans: []policy.Plan{{Rate: 3, Burst: 6, Price: 1}, {Rate: 300, Burst: 300, Price: 1.6}}}
 }
 
-func newTestFront(t *testing.T, description *Description, clock *gatekeeper.Clock) *Front {
+func newTestFront(t *testing.T, description *Description, clock *gatekeeper.Clock) *Frontend {
 	t.Helper()
-	front, err := NewFront(Config{CustomerHead: "X-Banco", Plans: map[string]string{"sur": "mayor"}, DefaultPlan: "basico",
-		DeadlineHead: "X-Deadline"}, description, someSettings(nil), names, clock)
+	front, err := NewFrontend(Config{CustomerHeader: "X-Banco", Plans: map[string]string{"sur": "mayor"}, DefaultPlan: "basico",
+		DeadlineHeader: "X-Deadline"}, description, someSettings(nil), names, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 // message parses a request like a client connection does.
 func message(t *testing.T, method, target string, heads ...string) *http1.Message {
 	t.Helper()
-	p := http1.Requests()
+	p := http1.NewRequestParser()
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\n%s\r\n", method, target, strings.Join(append(heads, ""), "\r\n"))
 	if _, done, err := p.Feed([]byte(text)); !done || err != nil {
 		t.Fatal(done, err)
@@ -148,9 +148,9 @@
 
 func newDecisionRecorder(classes []policy.Class, clock *gatekeeper.Clock) *decisionRecorder {
 	recorder := &decisionRecorder{clock: clock, numbers: map[*gatekeeper.Request]int{}}
-	recorder.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: someSettings(classes), Seed: 5, Clock: clock, Fleet: recorder,
-		Counter: recorder, Wake: func(float64) {}})
-	recorder.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	recorder.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: someSettings(classes), Seed: 5, Clock: clock, Workers: recorder,
+		Counter: recorder, RequestWakeUp: func(float64) {}})
+	recorder.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	return recorder
 }
 
@@ -166,7 +166,7 @@
 	return true
 }
 func (r *decisionRecorder) Release(policy.Server)                             {}
-func (r *decisionRecorder) Add(*gatekeeper.Count)                             {}
+func (r *decisionRecorder) Add(*gatekeeper.CounterCall)                       {}
 func (r *decisionRecorder) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.record(q, "served") }
 func (r *decisionRecorder) Throttled(q *gatekeeper.Request, after float64) {
 	r.record(q, "throttled %.3f", after)
@@ -174,8 +174,8 @@
 func (r *decisionRecorder) Failed(q *gatekeeper.Request) { r.record(q, "failed") }
 
 func (r *decisionRecorder) submit(request *gatekeeper.Request, n int) {
-	request.Caller, r.numbers[request] = r, n
-	r.Take(request)
+	request.Responder, r.numbers[request] = r, n
+	r.Submit(request)
 }
 
 // TestReplacedDescriptionDecidesLikeSettings changes a description under load, and compares all
@@ -187,10 +187,10 @@
 	described := newDecisionRecorder(front.Classes(), clock)
 	front.Attach(described, func() bool { return false })
 
-	maxima := policy.Class{Aim: 100e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe}
-	cuota := policy.Class{Aim: 400e3, Deadline: 2e6, Window: 1e6, Worth: 1, Repeat: policy.Safe}
-	simulacion := policy.Class{Aim: 750e3, Deadline: 2e6, Window: 1e6, Worth: 2, Repeat: policy.Keyed}
-	changed := policy.Class{Aim: 500e3, Deadline: 2e6, Window: 3e6, Worth: 5, Repeat: policy.Keyed}
+	maxima := policy.Class{LatencyTarget: 100e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 1, Repeat: policy.RepeatSafe}
+	cuota := policy.Class{LatencyTarget: 400e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 1, Repeat: policy.RepeatSafe}
+	simulacion := policy.Class{LatencyTarget: 750e3, Deadline: 2e6, RepeatWindow: 1e6, Value: 2, Repeat: policy.RepeatKeyed}
+	changed := policy.Class{LatencyTarget: 500e3, Deadline: 2e6, RepeatWindow: 3e6, Value: 5, Repeat: policy.RepeatKeyed}
 	// The hand-written table has the same order, and the changed class is appended.
 	table := []policy.Class{simulacion, maxima, cuota}
 	if diff := cmp.Diff(table, front.Classes()); diff != "" {
@@ -224,11 +224,11 @@
 			t.Fatal(refusal)
 		}
 		described.submit(request, n)
-		reference.submit(&gatekeeper.Request{Class: classIndex[operation], Plan: plan, Customer: hash(customer), Left: 1500,
-			Units: units[operation], Spread: 1}, n)
+		reference.submit(&gatekeeper.Request{Class: classIndex[operation], Plan: plan, Customer: hash(customer), TimeLeft: 1500,
+			EstimatedUnits: units[operation], GatekeeperCount: 1}, n)
 		clock.Set(clock.Now() + 7)
 		for _, recorder := range []*decisionRecorder{described, reference} {
-			recorder.Advance()
+			recorder.RunDueTimers()
 			for n%8 == 0 && len(recorder.executions) > 4 { // workers respond in bursts, so that requests queue in between
 				execution := recorder.executions[0]
 				recorder.executions = recorder.executions[1:]
@@ -236,14 +236,14 @@
 				if recorder.numbers[execution.Request]%9 == 0 {
 					status = policy.Reset
 				}
-				recorder.Done(execution, gatekeeper.Outcome{Status: status, Units: 2})
+				recorder.ExecutionEnded(execution, gatekeeper.Outcome{Status: status, Units: 2})
 			}
 		}
 	}
 	for range 300 {
 		clock.Set(clock.Now() + 10)
-		described.Advance()
-		reference.Advance()
+		described.RunDueTimers()
+		reference.RunDueTimers()
 	}
 	if diff := cmp.Diff(reference.decisions, described.decisions); diff != "" {
 		t.Fatalf("decisions (-settings +description):\n%s", diff)
@@ -276,11 +276,11 @@
 	if again := ask("k"); again != first {
 		t.Errorf("the repetition got %+v, want %+v", again, first)
 	}
-	if other := ask("other"); other.Window != 60e6 {
+	if other := ask("other"); other.RepeatWindow != 60e6 {
 		t.Errorf("a new key got %+v, want the new window", other)
 	}
 	clock.Set(clock.Now() + 3001) // the deadline and the window have passed
-	if later := ask("k"); later.Window != 60e6 {
+	if later := ask("k"); later.RepeatWindow != 60e6 {
 		t.Errorf("the expired key got %+v, want the new window", later)
 	}
 	if len(front.keys) != 2 {
--- a/internal/platform/event_orders_test.go
+++ b/internal/platform/event_orders_test.go
@@ -45,18 +45,18 @@
 // deploymentSettings returns the settings that the simulation and its checks use. Gatekeepers have the same settings,
 // except in TestRuleViolationsAreDetected.
 func deploymentSettings() policy.Settings {
-	return policy.Settings{Gateways: 2, Tick: 4000, MaxAttempts: maxAttempts, Cancel: true, RetryAfter: true,
-		Counter: true, CounterTimeout: 50e3, Largest: 6, Settles: true, InlineLoad: []string{"inflight"},
-		ColdShare: slowStartShare, ColdFor: slowStartMS * 1000, FallMultiple: overloadFactor, FallWindow: overloadWindowMS * 1000,
+	return policy.Settings{GatewayCount: 2, ClockTick: 4000, MaxAttempts: maxAttempts, CanCancel: true, SendRetryAfter: true,
+		HasCounter: true, CounterTimeout: 50e3, MaxUnits: 6, SettlesUnits: true, LoadReportFields: []string{"inflight"},
+		ColdCapacity: slowStartShare, ColdDuration: slowStartMS * 1000, OverloadMultiple: overloadFactor, OverloadWindow: overloadWindowMS * 1000,
 		Classes: []policy.Class{
-			{Aim: 400e3, Deadline: 2e6, Worth: 1, Repeat: policy.Safe},
-			{Aim: 750e3, Deadline: 2e6, Worth: 2, Repeat: policy.Keyed, Window: 300e3},
-			{Aim: 750e3, Deadline: 2e6, Worth: 2, Repeat: policy.Unsafe},
-			{Aim: 750e3, Deadline: 2e6, Worth: 2, Repeat: policy.Keyed, Window: 300e3, Group: policy.GroupZone},
+			{LatencyTarget: 400e3, Deadline: 2e6, Value: 1, Repeat: policy.RepeatSafe},
+			{LatencyTarget: 750e3, Deadline: 2e6, Value: 2, Repeat: policy.RepeatKeyed, RepeatWindow: 300e3},
+			{LatencyTarget: 750e3, Deadline: 2e6, Value: 2, Repeat: policy.RepeatUnsafe},
+			{LatencyTarget: 750e3, Deadline: 2e6, Value: 2, Repeat: policy.RepeatKeyed, RepeatWindow: 300e3, Dedup: policy.DedupZone},
 		},
 		Plans: []policy.Plan{
 			{Rate: 500, Burst: 500, Price: 1},
-			{Rate: 20, Burst: 20, Price: 2, OverCost: 1.2, CeilingRate: ceilingRate, CeilingBurst: ceilingBurst, CeilingSlack: ceilingSlack},
+			{Rate: 20, Burst: 20, Price: 2, OverrunCost: 1.2, CeilingRate: ceilingRate, CeilingBurst: ceilingBurst, CeilingTolerance: ceilingSlack},
 		}}
 }
 
@@ -92,7 +92,7 @@
 type counterAnswer struct {
 	at         float64
 	gatekeeper *simGatekeeper
-	call       *gatekeeper.Count
+	call       *gatekeeper.CounterCall
 	total      float64
 }
 
@@ -142,7 +142,7 @@
 	drainedAt   map[policy.Server]float64 // when it received that a worker drains
 	workerIDs   map[policy.Server]string
 	placements  int
-	api         *openapi.Front // source of the classes; nil if the gatekeeper has wrong classes
+	api         *openapi.Frontend // source of the classes; nil if the gatekeeper has wrong classes
 }
 
 // simRequest is a client's request and what happened to it.
@@ -197,22 +197,22 @@
 	s.incarnations++
 	g := &simGatekeeper{sim: s, index: index, wakeAt: math.Inf(1), drainedAt: map[policy.Server]float64{}, workerIDs: map[policy.Server]string{}}
 	policySettings := s.settings
-	policySettings.Self = index
+	policySettings.Index = index
 	if slices.Equal(policySettings.Classes, deploymentSettings().Classes) {
 		var err error
-		if g.api, err = openapi.NewFront(openapi.Config{CustomerHead: "X-Bank"}, descriptions()[0], policySettings, settings.Names{}, s.clock); err != nil {
+		if g.api, err = openapi.NewFrontend(openapi.Config{CustomerHeader: "X-Bank"}, descriptions()[0], policySettings, settings.Names{}, s.clock); err != nil {
 			s.violation("description: %v", err)
 		}
 		policySettings.Classes = g.api.Classes()
 	}
-	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: s.incarnations, Clock: s.clock, Fleet: g, Counter: g,
-		Wake: func(at float64) { g.wakeAt = at }})
+	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: s.incarnations, Clock: s.clock, Workers: g, Counter: g,
+		RequestWakeUp: func(at float64) { g.wakeAt = at }})
 	g.hostGroup = &platform.HostGroup{Core: g.Gatekeeper, Fleet: g, Names: settings.Names{Zones: []string{"norte"}}}
 	if g.api != nil {
 		g.api.Attach(g.Gatekeeper, func() bool { return false })
 	}
 	s.gatekeepers[index] = g
-	g.receiveList(policy.Cached, "a", "b")
+	g.receiveList(policy.CachedList, "a", "b")
 }
 
 // receiveList passes the state of workers to the host group as a line of the watch.
@@ -228,14 +228,14 @@
 			g.drainedAt[server] = g.sim.now()
 		}
 		state, started := worker.state, worker.startedAt
-		if g.sim.hideListChanges && kind == policy.Delta {
+		if g.sim.hideListChanges && kind == policy.ListDelta {
 			state, started = "ready", 0
 		}
 		lines = append(lines, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"norte","cell":1,`+
 			`"lifecycle":%q,"weight":1,"startedAtMs":%f}`, id, worker.addr, state, started))
 	}
 	g.sim.listVersion++
-	err := g.hostGroup.Line([]byte(fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, g.sim.listVersion, kind != policy.Delta, strings.Join(lines, ","))))
+	err := g.hostGroup.ApplyLine([]byte(fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, g.sim.listVersion, kind != policy.ListDelta, strings.Join(lines, ","))))
 	if err != nil {
 		g.sim.violation("list: %v", err)
 	}
@@ -245,7 +245,7 @@
 func (s *simulation) changeWorker(id string, change func(worker *simWorker)) {
 	change(s.workers[id])
 	for _, g := range s.gatekeepers {
-		g.receiveList(policy.Delta, id)
+		g.receiveList(policy.ListDelta, id)
 	}
 }
 
@@ -268,7 +268,7 @@
 	if len(request.attempts) >= maxAttempts {
 		sim.violation("2: attempt %d", len(request.attempts)+1)
 	}
-	if request.mayHaveRun && (request.class.Repeat == policy.Unsafe || request.class.Repeat == policy.Keyed && now-request.mayHaveRunAt > float64(request.class.Window)/1000+timerSlackMS) {
+	if request.mayHaveRun && (request.class.Repeat == policy.RepeatUnsafe || request.class.Repeat == policy.RepeatKeyed && now-request.mayHaveRunAt > float64(request.class.RepeatWindow)/1000+timerSlackMS) {
 		sim.violation("2: repeated %.0f ms after it may have run", now-request.mayHaveRunAt)
 	}
 	if now > request.deadline {
@@ -288,7 +288,7 @@
 		}
 	}
 	if request.request.Plan == 1 && len(request.attempts) == 0 {
-		sim.ceilingTokens = min(sim.ceilingTokens+(now-sim.refilledAt)/1000*ceilingRate, ceilingBurst) - request.request.Units
+		sim.ceilingTokens = min(sim.ceilingTokens+(now-sim.refilledAt)/1000*ceilingRate, ceilingBurst) - request.request.EstimatedUnits
 		sim.refilledAt = now
 		if sim.ceilingTokens < -ceilingSlack {
 			sim.violation("5: %.1f tokens are left under the ceiling", sim.ceilingTokens)
@@ -338,7 +338,7 @@
 	if status == policy.OK {
 		outcome.Units, outcome.Answer.Body = 1, []byte(a.request.request.Name) // less than the estimate, if that was 6
 	}
-	g.Done(a.execution, outcome)
+	g.ExecutionEnded(a.execution, outcome)
 	return true
 }
 
@@ -347,11 +347,11 @@
 	if s.lastEnded == nil || s.lastEnded.request.gatekeeper != s.gatekeepers[s.lastEnded.request.gatekeeper.index] {
 		return false
 	}
-	s.lastEnded.request.gatekeeper.Done(s.lastEnded.execution, gatekeeper.Outcome{Status: policy.OK, Answer: gatekeeper.Answer{Body: []byte("late")}})
+	s.lastEnded.request.gatekeeper.ExecutionEnded(s.lastEnded.execution, gatekeeper.Outcome{Status: policy.OK, Answer: gatekeeper.Answer{Body: []byte("late")}})
 	return true
 }
 
-func (g *simGatekeeper) Add(call *gatekeeper.Count) {
+func (g *simGatekeeper) Add(call *gatekeeper.CounterCall) {
 	sim := g.sim
 	if sim.counterMode == "silent" {
 		return
@@ -379,14 +379,14 @@
 			if a := s.counterAnswers[i]; a.at <= next {
 				s.counterAnswers = append(s.counterAnswers[:i:i], s.counterAnswers[i+1:]...)
 				i--
-				a.gatekeeper.Counted(a.call, policy.OK, a.total)
+				a.gatekeeper.CounterCallEnded(a.call, policy.OK, a.total)
 			}
 		}
 		for _, g := range s.gatekeepers {
 			if g.wakeAt <= next {
 				g.wakeAt = math.Inf(1)
 				if !s.stopTimers {
-					g.Advance()
+					g.RunDueTimers()
 				}
 			}
 		}
@@ -405,10 +405,10 @@
 	if g.api != nil {
 		classIndex = slices.Index(g.api.Classes(), request.class)
 	}
-	request.request = &gatekeeper.Request{Name: fmt.Sprint(len(s.requests)), Class: classIndex, Plan: plan, Customer: uint64(ceilingCustomer*plan + class), Left: left, Units: units,
-		Spread: 2, Caller: request, Payload: request}
+	request.request = &gatekeeper.Request{Name: fmt.Sprint(len(s.requests)), Class: classIndex, Plan: plan, Customer: uint64(ceilingCustomer*plan + class), TimeLeft: left, EstimatedUnits: units,
+		GatekeeperCount: 2, Responder: request, Payload: request}
 	s.requests = append(s.requests, request)
-	g.Take(request.request)
+	g.Submit(request.request)
 	return s.advance(2) // so that the counter can answer
 }
 
@@ -430,7 +430,7 @@
 }
 
 func (r *simRequest) Throttled(_ *gatekeeper.Request, retryAfterMS float64) {
-	if r.mayHaveRun && r.class.Repeat != policy.Safe && (r.class.Repeat != policy.Keyed || r.class.Group != policy.GroupAll) {
+	if r.mayHaveRun && r.class.Repeat != policy.RepeatSafe && (r.class.Repeat != policy.RepeatKeyed || r.class.Dedup != policy.DedupFleet) {
 		r.gatekeeper.sim.violation("2: refused although it may have been executed")
 	}
 	if retryAfterMS <= 0 {
@@ -449,7 +449,7 @@
 	for _, request := range s.requests {
 		if request.finalAnswers == 0 && !request.abandoned {
 			request.abandoned = true
-			request.gatekeeper.Gone(request.request)
+			request.gatekeeper.ClientGone(request.request)
 			return true
 		}
 	}
@@ -575,7 +575,7 @@
 	}}
 	truncatedList = event{"truncated list", func(s *simulation) bool {
 		for _, g := range s.gatekeepers {
-			if g.hostGroup.Line([]byte(`{"generation":9,"instances":[{"instanceId":"a","lifecycle":"gone"}`)) == nil {
+			if g.hostGroup.ApplyLine([]byte(`{"generation":9,"instances":[{"instanceId":"a","lifecycle":"gone"}`)) == nil {
 				s.violation("a truncated list was accepted")
 			}
 		}
@@ -640,12 +640,12 @@
 
 // finish advances the clock past the deadlines of all open requests.
 func (s *simulation) finish() {
-	if s.gatekeepers[0].Open()+s.gatekeepers[1].Open() == 0 {
+	if s.gatekeepers[0].OpenRequests()+s.gatekeepers[1].OpenRequests() == 0 {
 		return
 	}
 	s.advance(2000 + timerSlackMS + 1)
 	s.checkUnanswered()
-	if n := s.gatekeepers[0].Open() + s.gatekeepers[1].Open(); n > 0 {
+	if n := s.gatekeepers[0].OpenRequests() + s.gatekeepers[1].OpenRequests(); n > 0 {
 		s.violation("1: no final answer to %d", n)
 	}
 }
@@ -719,13 +719,13 @@
 		{"a connection reports the end of a running attempt", "2: two concurrent attempts", 0, nil, func(s *simulation) { s.keepEndedAttempts = true }},
 		{"unsafe class configured as safe", "2: repeated", 0, allSafe, nil},
 		{"deduplication in a zone configured as global", "2: refused although it may have been executed", 1,
-			func(s *policy.Settings) { s.Classes[3].Group = policy.GroupAll }, nil},
-		{"repeat window configured too long", "2: repeated", 1, func(s *policy.Settings) { s.Classes[1].Window = 9e6 }, nil},
+			func(s *policy.Settings) { s.Classes[3].Dedup = policy.DedupFleet }, nil},
+		{"repeat window configured too long", "2: repeated", 1, func(s *policy.Settings) { s.Classes[1].RepeatWindow = 9e6 }, nil},
 		{"too many attempts configured", "2: attempt 4", 0, func(s *policy.Settings) { s.MaxAttempts = 9 }, nil},
 		{"drains are not announced", "3: new request", 2, nil, func(s *simulation) { s.hideListChanges = true }},
 		{"restarts are not announced", "4:", 6, nil, func(s *simulation) { s.hideListChanges = true }},
 		{"ceiling not configured", "5:", 4, func(s *policy.Settings) { s.Plans[1].CeilingRate = 0 }, nil},
-		{"refusals without retry delay", "a refusal has no retry delay", 0, func(s *policy.Settings) { s.RetryAfter = false }, nil},
+		{"refusals without retry delay", "a refusal has no retry delay", 0, func(s *policy.Settings) { s.SendRetryAfter = false }, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			policySettings := deploymentSettings()
@@ -771,12 +771,12 @@
 	moveA.run(sim)
 	for _, s := range slices.Clone(g.outstanding) {
 		if g.workerIDs[s.execution.Worker] == "a" {
-			g.Done(s.execution, gatekeeper.Outcome{Status: policy.Reset})
+			g.ExecutionEnded(s.execution, gatekeeper.Outcome{Status: policy.Reset})
 		}
 	}
 	standings, _ := g.Standings()
 	for _, s := range standings {
-		if s.Shut {
+		if s.Unavailable {
 			t.Errorf("worker %q is blocked", g.workerIDs[s.Server])
 		}
 	}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -109,9 +109,9 @@
 
 func newFleet(t *testing.T, gatekeepers, workers int, counterRate float64) *fleet {
 	policySettings := deploymentSettings()
-	policySettings.Gateways = gatekeepers
+	policySettings.GatewayCount = gatekeepers
 	policySettings.Classes = policySettings.Classes[:1]
-	policySettings.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1.2}}
+	policySettings.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverrunCost: 1.2}}
 	f := &fleet{t: t, settings: policySettings, clock: gatekeeper.NewClock(), counterTotals: map[uint64]float64{}, counterRate: counterRate, buckets: map[uint64]*bucket{}}
 	f.clock.Set(1e9)
 	for i := range workers {
@@ -158,13 +158,13 @@
 	g := &fleetGatekeeper{fleet: f, index: index, workers: map[policy.Server]*fleetWorker{}, idleSince: map[*fleetWorker][]float64{}, outstanding: map[*gatekeeper.Execution]bool{}}
 	f.gatekeepers[index] = g
 	policySettings := f.settings
-	policySettings.Self = index
+	policySettings.Index = index
 	f.sequence++
-	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: uint64(f.sequence)*2 + 1, Clock: f.clock, Fleet: g, Counter: g,
-		Wake: func(at float64) {
+	g.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: policySettings, Seed: uint64(f.sequence)*2 + 1, Clock: f.clock, Workers: g, Counter: g,
+		RequestWakeUp: func(at float64) {
 			f.schedule(at-f.now(), func() {
 				if !g.stopped {
-					g.Advance()
+					g.RunDueTimers()
 				}
 			})
 		}})
@@ -191,7 +191,7 @@
 		}
 	}
 	g.fleet.listGeneration++
-	if err := g.hostGroup.Line([]byte(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, g.fleet.listGeneration, strings.Join(lines, ",")))); err != nil {
+	if err := g.hostGroup.ApplyLine([]byte(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, g.fleet.listGeneration, strings.Join(lines, ",")))); err != nil {
 		g.fleet.t.Fatal(err)
 	}
 }
@@ -221,9 +221,9 @@
 			if f.random() < 0.125 {
 				customer = 1 + uint64(f.random()*10)
 			}
-			request := &gatekeeper.Request{Customer: customer, Left: 2000, Units: 1 + math.Floor(f.random()*2), Spread: len(f.gatekeepers)}
-			request.Caller = &fleetRequest{g, f.now()}
-			g.Take(request)
+			request := &gatekeeper.Request{Customer: customer, TimeLeft: 2000, EstimatedUnits: 1 + math.Floor(f.random()*2), GatekeeperCount: len(f.gatekeepers)}
+			request.Responder = &fleetRequest{g, f.now()}
+			g.Submit(request)
 		})
 	}
 }
@@ -282,10 +282,10 @@
 		f.buckets[request.Customer] = b
 	}
 	b.level = min(b.level+(f.now()-b.updatedAt)/1000*plan.Rate, plan.Burst)
-	if b.updatedAt = f.now(); b.level >= request.Units {
-		b.level -= request.Units
+	if b.updatedAt = f.now(); b.level >= request.EstimatedUnits {
+		b.level -= request.EstimatedUnits
 	} else {
-		f.unitsOverQuota += request.Units
+		f.unitsOverQuota += request.EstimatedUnits
 	}
 }
 
@@ -336,11 +336,11 @@
 		return
 	}
 	delete(g.outstanding, execution)
-	g.Done(execution, gatekeeper.Outcome{Status: status, Units: execution.Request.Units})
+	g.ExecutionEnded(execution, gatekeeper.Outcome{Status: status, Units: execution.Request.EstimatedUnits})
 }
 
 // Add simulates the counter, which answers calls in order and rejects a call that would wait longer than 20 ms.
-func (g *fleetGatekeeper) Add(call *gatekeeper.Count) {
+func (g *fleetGatekeeper) Add(call *gatekeeper.CounterCall) {
 	fleet := g.fleet
 	fleet.counterCalls++
 	fleet.counterBusyUntil = max(fleet.counterBusyUntil, fleet.now()) + 1000/fleet.counterRate
@@ -357,9 +357,9 @@
 	})
 }
 
-func (g *fleetGatekeeper) counterAnswered(call *gatekeeper.Count, status policy.Status, total float64) {
+func (g *fleetGatekeeper) counterAnswered(call *gatekeeper.CounterCall, status policy.Status, total float64) {
 	if !g.stopped {
-		g.Counted(call, status, total)
+		g.CounterCallEnded(call, status, total)
 	}
 }
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -26,7 +26,7 @@
 	headerClass          = "X-Qos"
 	headerPlan           = "X-Tier"
 	headerAPIKey         = "X-Api-Key"
-	HeadLeft             = "X-Expires-In-Ms" // how long the client waits for the answer, in milliseconds
+	HeaderTimeLeft       = "X-Expires-In-Ms" // how long the client waits for the answer, in milliseconds
 	headerIdempotencyKey = "Idempotency-Key"
 	headerCallTerms      = "X-Call-Terms"
 	headerSecondTry      = "X-Second-Try"
@@ -35,67 +35,67 @@
 	headerLoadMetrics    = "Endpoint-Load-Metrics"
 )
 
-// Front implements the platform's protocol with clients (link.Front) and workers (link.Reader).
-type Front struct {
+// Protocol implements the platform's protocol with clients (link.RequestHandler) and workers (link.ResponseReader).
+type Protocol struct {
 	settings policy.Settings
 	names    settings.Names
 	ready    func() bool
 }
 
-// NewFront returns a front. The function ready reports whether the gatekeeper accepts clients.
-func NewFront(policySettings policy.Settings, names settings.Names, ready func() bool) *Front {
-	if policySettings.Largest <= 0 { // the setting is optional
-		policySettings.Largest = math.MaxInt32
+// NewProtocol returns a front. The function ready reports whether the gatekeeper accepts clients.
+func NewProtocol(policySettings policy.Settings, names settings.Names, ready func() bool) *Protocol {
+	if policySettings.MaxUnits <= 0 { // the setting is optional
+		policySettings.MaxUnits = math.MaxInt32
 	}
-	return &Front{settings: policySettings, names: names, ready: ready}
+	return &Protocol{settings: policySettings, names: names, ready: ready}
 }
 
-// Replace replaces the table of classes, whose order must be that of the core's. Requests that were
+// ReplaceClasses replaces the table of classes, whose order must be that of the core's. Requests that were
 // parsed before keep their terms.
-func (f *Front) Replace(classes []policy.Class, names []string) {
+func (f *Protocol) ReplaceClasses(classes []policy.Class, names []string) {
 	f.settings.Classes, f.names.Classes = classes, names
 }
 
-// Handle implements link.Front.
-func (f *Front) Handle(client *link.Client, message *http1.Message) {
+// Handle implements link.RequestHandler.
+func (f *Protocol) Handle(client *link.ClientConn, message *http1.Message) {
 	path, _, _ := bytes.Cut(message.Target, []byte{'?'})
 	switch string(path) {
 	case pathAPI:
 		request, err := f.parseRequest(message)
 		if err != nil {
-			client.Reject(400, err.Error()+"\n")
+			client.RespondTextAndClose(400, err.Error()+"\n")
 			return
 		}
 		client.Submit(request)
 	case PathReady, PathLive:
-		Health(client, message, f.ready())
+		AnswerHealth(client, message, f.ready())
 	default:
-		client.Reply(404, "", "no such path\n")
+		client.RespondText(404, "", "no such path\n")
 	}
 }
 
-// Health answers a request for PathReady or PathLive.
-func Health(client *link.Client, message *http1.Message, ready bool) {
+// AnswerHealth answers a request for PathReady or PathLive.
+func AnswerHealth(client *link.ClientConn, message *http1.Message, ready bool) {
 	path, _, _ := bytes.Cut(message.Target, []byte{'?'})
 	switch {
 	case string(message.Method) != "GET" && string(message.Method) != "HEAD":
-		client.Reply(405, "Allow: GET, HEAD\r\n", "only GET\n")
+		client.RespondText(405, "Allow: GET, HEAD\r\n", "only GET\n")
 	case string(path) == PathReady && !ready:
-		client.Reply(503, "", "not ready\n")
+		client.RespondText(503, "", "not ready\n")
 	default:
-		client.Reply(200, "", "ok\n")
+		client.RespondText(200, "", "ok\n")
 	}
 }
 
 // singleHeaders are the headers that may occur only once: of a repeated one, the gatekeeper and the worker
 // could use different values.
-var singleHeaders = [...]string{headerTrace, headerClass, headerPlan, headerAPIKey, HeadLeft, headerIdempotencyKey, headerCallTerms, headerSecondTry}
+var singleHeaders = [...]string{headerTrace, headerClass, headerPlan, headerAPIKey, HeaderTimeLeft, headerIdempotencyKey, headerCallTerms, headerSecondTry}
 
 // customerKeyLimit is greater than any customer's key.
 const customerKeyLimit = 1 << 33
 
 // parseRequest parses the headers of a request. It rejects a request that is ambiguous.
-func (f *Front) parseRequest(message *http1.Message) (*gatekeeper.Request, error) {
+func (f *Protocol) parseRequest(message *http1.Message) (*gatekeeper.Request, error) {
 	for _, name := range singleHeaders {
 		if message.Count(name) > 1 {
 			return nil, fmt.Errorf("%s stands twice", name)
@@ -117,30 +117,30 @@
 		return nil, fmt.Errorf("%s is not a customer's key in 16 hex digits", headerAPIKey)
 	}
 	request.Customer = key
-	timeLeft, err := strconv.ParseUint(string(message.Get(HeadLeft)), 10, 31)
+	timeLeft, err := strconv.ParseUint(string(message.Get(HeaderTimeLeft)), 10, 31)
 	if err != nil || timeLeft == 0 {
-		return nil, fmt.Errorf("%s is not a number of milliseconds", HeadLeft)
+		return nil, fmt.Errorf("%s is not a number of milliseconds", HeaderTimeLeft)
 	}
 	class := f.settings.Classes[request.Class]
-	request.Left = min(float64(timeLeft), float64(class.Deadline)/1000)
+	request.TimeLeft = min(float64(timeLeft), float64(class.Deadline)/1000)
 	switch isGet := string(message.Method) == "GET"; {
 	case !isGet && string(message.Method) != "POST":
 		return nil, fmt.Errorf("neither GET nor POST")
-	case isGet && class.Repeat == policy.Keyed:
+	case isGet && class.Repeat == policy.RepeatKeyed:
 		return nil, fmt.Errorf("the class wants method POST")
-	case !isGet && class.Repeat == policy.Safe:
+	case !isGet && class.Repeat == policy.RepeatSafe:
 		return nil, fmt.Errorf("the class wants method GET")
 	}
-	if class.Repeat == policy.Keyed && len(message.Get(headerIdempotencyKey)) == 0 {
+	if class.Repeat == policy.RepeatKeyed && len(message.Get(headerIdempotencyKey)) == 0 {
 		return nil, fmt.Errorf("%s is missing", headerIdempotencyKey)
 	}
-	if string(message.Method) == "GET" && (len(message.Body) > 0 || message.Large) {
+	if string(message.Method) == "GET" && (len(message.Body) > 0 || message.Streamed) {
 		return nil, fmt.Errorf("GET has no body")
 	}
 	if err := f.parseTerms(request, message.Get(headerCallTerms)); err != nil {
 		return nil, err
 	}
-	request.Again = string(message.Get(headerSecondTry)) == "1"
+	request.IsRetry = string(message.Get(headerSecondTry)) == "1"
 	request.Payload = workerPayload(message)
 	return request, nil
 }
@@ -148,7 +148,7 @@
 // parseTerms parses the units of a request and the customer's set of gatekeepers. Each term must occur exactly
 // once, within the limits of the settings: a request of a thousand units would use up the quota of the
 // customer that it names.
-func (f *Front) parseTerms(request *gatekeeper.Request, terms []byte) error {
+func (f *Protocol) parseTerms(request *gatekeeper.Request, terms []byte) error {
 	seen := map[string]bool{}
 	for pair := range bytes.SplitSeq(terms, []byte{','}) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
@@ -159,13 +159,13 @@
 		ok := true
 		switch string(name) {
 		case "units":
-			request.Units, ok = parseDecimal(value, f.settings.Largest)
-			ok = ok && request.Units > 0
+			request.EstimatedUnits, ok = parseDecimal(value, f.settings.MaxUnits)
+			ok = ok && request.EstimatedUnits > 0
 		case "spread":
-			request.Spread, ok = parseInteger(value, f.settings.Gateways)
-			ok = ok && request.Spread > 0
+			request.GatekeeperCount, ok = parseInteger(value, f.settings.GatewayCount)
+			ok = ok && request.GatekeeperCount > 0
 		case "first":
-			_, ok = parseInteger(value, f.settings.Gateways-1)
+			_, ok = parseInteger(value, f.settings.GatewayCount-1)
 		}
 		if !ok {
 			return fmt.Errorf("%s states no possible %s", headerCallTerms, name)
@@ -210,9 +210,9 @@
 		}
 	}
 	switch {
-	case message.Large && message.Length < 0:
+	case message.Streamed && message.Length < 0:
 		buffer = append(buffer, "Transfer-Encoding: chunked\r\n"...)
-	case message.Large:
+	case message.Streamed:
 		buffer = append(buffer, "Content-Length: "...)
 		buffer = append(strconv.AppendInt(buffer, int64(message.Length), 10), "\r\n"...)
 	case string(message.Method) != "GET" || len(message.Body) > 0:
@@ -224,18 +224,18 @@
 	return &link.Payload{Head: buffer[:headLength], Body: buffer[headLength:]}
 }
 
-// Left implements link.Reader: it names the header with the time that is left for a request.
-func (f *Front) Left() string { return HeadLeft }
+// TimeLeftHeader implements link.ResponseReader: it names the header with the time that is left for a request.
+func (f *Protocol) TimeLeftHeader() string { return HeaderTimeLeft }
 
-// Outcome implements link.Reader: it parses a worker's answer. Only the header X-Never-Ran proves that a
+// Outcome implements link.ResponseReader: it parses a worker's answer. Only the header X-Never-Ran proves that a
 // request was not executed.
-func (f *Front) Outcome(message *http1.Message) gatekeeper.Outcome {
-	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: Load(message, f.settings.InlineLoad)}
+func (f *Protocol) Outcome(message *http1.Message) gatekeeper.Outcome {
+	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: ReportedLoad(message, f.settings.LoadReportFields)}
 	switch {
 	case message.Status == 200:
 		outcome.Status = policy.OK
 		outcome.Answer.Body = message.Body
-		outcome.Units = Units(message, f.settings.Largest)
+		outcome.Units = ReportedUnits(message, f.settings.MaxUnits)
 	case NeverRan(message):
 		outcome.Status = policy.Full
 	}
@@ -247,13 +247,13 @@
 	return (message.Status == 503 || message.Status == 504) && string(message.Get(headerNeverRan)) == "1"
 }
 
-// Units returns the actual cost of a request that a worker reports, or 0 if it reports none or more than
+// ReportedUnits returns the actual cost of a request that a worker reports, or 0 if it reports none or more than
 // largest, the most that a request can cost.
-func Units(message *http1.Message, largest float64) float64 {
+func ReportedUnits(message *http1.Message, largest float64) float64 {
 	if largest <= 0 { // as in NewFront
 		largest = math.MaxInt32
 	}
-	text, _ := message.Single(headerCostUnits)
+	text, _ := message.Unique(headerCostUnits)
 	v, ok := parseDecimal(text, largest)
 	if !ok {
 		return 0
@@ -264,11 +264,11 @@
 // maxLoad is greater than any load that a worker can have. A report above it is invalid.
 const maxLoad = 1 << 20
 
-// Load returns the values of the load report in an answer, in the order of fields, with NaN for fields that
+// ReportedLoad returns the values of the load report in an answer, in the order of fields, with NaN for fields that
 // the report does not have. It returns nil if the report has none of the fields or is invalid, so that a worker
 // with a damaged report does not count as idle.
-func Load(message *http1.Message, fields []string) []float32 {
-	text, _ := message.Single(headerLoadMetrics)
+func ReportedLoad(message *http1.Message, fields []string) []float32 {
+	text, _ := message.Unique(headerLoadMetrics)
 	report, ok := bytes.CutPrefix(text, []byte("TEXT "))
 	if !ok || len(fields) == 0 {
 		return nil
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -16,7 +16,7 @@
 // unlimited settled units an answer could use up a customer's quota.
 func TestInvalidLoadAndUnitsAreIgnored(t *testing.T) {
 	nan := float32(math.NaN())
-	front := NewFront(policy.Settings{InlineLoad: []string{"latency_ms", "inflight"}, Largest: 6}, settings.Names{}, nil)
+	front := NewProtocol(policy.Settings{LoadReportFields: []string{"latency_ms", "inflight"}, MaxUnits: 6}, settings.Names{}, nil)
 	for name, test := range map[string]struct {
 		head  string
 		load  []float32
@@ -34,7 +34,7 @@
 		"unsupported format": {"Endpoint-Load-Metrics: JSON {}\r\n", nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			parser := http1.Answers()
+			parser := http1.NewResponseParser()
 			if _, done, err := parser.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + test.head + "\r\n")); !done {
 				t.Fatal(err)
 			}
--- a/internal/platform/hostgroup.go
+++ b/internal/platform/hostgroup.go
@@ -13,8 +13,8 @@
 	"foxwood/policy"
 )
 
-// List is the discovery service's list of workers, complete or as changes.
-type List struct {
+// WorkerList is the discovery service's list of workers, complete or as changes.
+type WorkerList struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
@@ -22,13 +22,13 @@
 
 // Instance is a worker in a list.
 type Instance struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   float64 `json:"startedAtMs"`
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS float64 `json:"startedAtMs"`
 }
 
 // HostGroup passes the lists of workers on to the core and remembers the current one.
@@ -48,27 +48,27 @@
 // Address returns the address of a listed worker, or an empty string if it is not listed.
 func (g *HostGroup) Address(id policy.Server) string { return g.listed[id].Addr }
 
-// List returns the current list as a complete one.
-func (g *HostGroup) List() List {
-	list := List{Generation: g.version, Reset: true}
+// CurrentList returns the current list as a complete one.
+func (g *HostGroup) CurrentList() WorkerList {
+	list := WorkerList{Generation: g.version, Reset: true}
 	for _, id := range slices.Sorted(maps.Keys(g.listed)) {
 		list.Instances = append(list.Instances, g.listed[id])
 	}
 	return list
 }
 
-// Path returns the path of a watch for the changes after the current version.
-func (g *HostGroup) Path() string {
+// WatchPath returns the path of a watch for the changes after the current version.
+func (g *HostGroup) WatchPath() string {
 	return fmt.Sprintf("/registry/instances?stream=1&index=%d", g.version)
 }
 
-// Line applies one line of the watch, a list in JSON.
-func (g *HostGroup) Line(text []byte) error {
-	var list List
+// ApplyLine applies one line of the watch, a list in JSON.
+func (g *HostGroup) ApplyLine(text []byte) error {
+	var list WorkerList
 	if err := json.Unmarshal(text, &list); err != nil {
 		return fmt.Errorf("host group: invalid list of %d bytes: %w", len(text), err)
 	}
-	kind := policy.Delta
+	kind := policy.ListDelta
 	if list.Reset {
 		kind = policy.FullList
 	}
@@ -77,17 +77,17 @@
 }
 
 // Apply applies a list and passes it on to the core.
-func (g *HostGroup) Apply(kind policy.ListKind, list List) {
+func (g *HostGroup) Apply(kind policy.ListKind, list WorkerList) {
 	entries := make([]policy.Entry, 0, len(list.Instances))
 	previous := g.listed
-	if kind != policy.Delta || g.listed == nil {
+	if kind != policy.ListDelta || g.listed == nil {
 		g.listed = map[policy.Server]Instance{}
 	}
 	for _, instance := range list.Instances {
 		entry := policy.Entry{
 			Server: serverID(instance.ID), State: parseLifecycle(instance.Lifecycle), Weight: instance.Weight,
 			Zone: max(slices.Index(g.Names.Zones, instance.Zone), 0), Cell: instance.Cell,
-			ReadyAt: policy.Micros(instance.Started * 1000),
+			ReadyAt: policy.Micros(instance.StartedAtMS * 1000),
 		}
 		if entry.State == policy.Gone {
 			delete(g.listed, entry.Server)
@@ -100,13 +100,13 @@
 			g.listed[entry.Server] = instance
 		}
 		if entry.State == policy.Ready {
-			g.Fleet.Place(entry.Server, instance.Addr, instance.Started)
+			g.Fleet.Place(entry.Server, instance.Addr, instance.StartedAtMS)
 		}
 		entries = append(entries, entry)
 	}
 	g.version = list.Generation
-	g.Core.Workers(kind, entries)
-	ready, listed := g.Core.Size()
+	g.Core.UpdateWorkers(kind, entries)
+	ready, listed := g.Core.WorkerCounts()
 	slog.Info("host group", "version", g.version, "ready", ready, "listed", listed)
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -20,12 +20,12 @@
 	"strings"
 )
 
-// TokensMs is the time in milliseconds after an allocation request within which the tokens of its
+// TokenValidityMs is the time in milliseconds after an allocation request within which the tokens of its
 // answer may still be added to a bucket.
-const TokensMs = 400.0
+const TokenValidityMs = 400.0
 
-// KickKeepMs is the time in milliseconds within which a start burst must be used.
-const KickKeepMs = 2000.0
+// StartBurstValidityMs is the time in milliseconds within which a start burst must be used.
+const StartBurstValidityMs = 2000.0
 
 const (
 	burstSlackShare           = 0.45   // share of the permitted excess and slack used for burst capacity; less than this refuses small tenants' requests
@@ -47,21 +47,21 @@
 	notRemoved                = -1e300 // removal time of a tenant that is configured
 )
 
-// Terms is a tenant's quota: a rate in requests per second and the burst allowed above it. A rate of 0
+// Limit is a tenant's quota: a rate in requests per second and the burst allowed above it. A rate of 0
 // means no limit, and nothing is allocated.
-type Terms struct{ RatePerS, Surge float64 }
+type Limit struct{ RatePerS, Burst float64 }
 
 // Bounds is what all gatekeepers together may admit beyond a tenant's quota: a share Excess of it plus
 // Slack requests in any window of WindowS seconds. FloorKeepMs is how long the minimum of a lapsed
 // gatekeeper stays reserved for it, in milliseconds (0 for ten minutes). A gatekeeper must stop using
 // its minimum before that, unless it is known to have ended.
-type Bounds struct{ WindowS, Excess, Slack, FloorKeepMs float64 }
+type Bounds struct{ WindowS, Excess, Slack, MinimumRetentionMs float64 }
 
 // Demand is the recent rate of requests at a gatekeeper, admitted or refused, in requests per second
 // by tenant.
 type Demand map[string]float64
 
-// Slice is a gatekeeper's part of a quota. Rate and Burst are valid during the lease, Floor (the
+// Allocation is a gatekeeper's part of a quota. Rate and Burst are valid during the lease, Floor (the
 // minimum rate) and FloorBurst (the minimum burst) after it.
 //
 // Tokens is, in a gatekeeper's report, the current content of its bucket; in an answer, the tokens to
@@ -70,8 +70,8 @@
 // first two seconds, since its bucket starts empty. Wants, in a report, is the number of requests that
 // found no token since the last allocation request. Returned, in a report, is the number of tokens
 // given back since then, which are no longer in the bucket.
-type Slice struct {
-	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
+type Allocation struct {
+	Rate, Burst, Minimum, MinimumBurst, Tokens, Waiting, StartBurst, Returned float64
 }
 
 // grantRecord is a grant that may be in use until it expires.
@@ -99,7 +99,7 @@
 type tenantQuota struct {
 	name          string
 	salt          uint64 // spreads whole tokens over different gatekeepers for each tenant
-	limit         Terms
+	limit         Limit
 	rate, burst   float64 // total that may be granted
 	startBurst    float64 // total of start bursts if all gatekeepers start at once
 	startBursts   []startBurstRecord
@@ -112,11 +112,11 @@
 // startBurstRecord records a start burst given to a new incarnation.
 type startBurstRecord struct{ grantedAt, tokens float64 }
 
-// Allotter allocates the tenants' quotas. It isn't safe for concurrent use.
-type Allotter struct {
-	// Homes tells whether gatekeepers take the tokens of small quotas from the quota's owners. Gatekeepers
+// Allocator allocates the tenants' quotas. It isn't safe for concurrent use.
+type Allocator struct {
+	// UseOwners tells whether gatekeepers take the tokens of small quotas from the quota's owners. Gatekeepers
 	// without a demand are then allocated nothing of them.
-	Homes bool
+	UseOwners bool
 
 	leaseMs               float64
 	bounds                Bounds
@@ -134,20 +134,20 @@
 }
 
 // New returns an Allotter that does not grant anything before Begin.
-func New(leaseMs float64, bounds Bounds) *Allotter {
-	if bounds.FloorKeepMs <= 0 {
-		bounds.FloorKeepMs = defaultMinimumRetentionMs
+func New(leaseMs float64, bounds Bounds) *Allocator {
+	if bounds.MinimumRetentionMs <= 0 {
+		bounds.MinimumRetentionMs = defaultMinimumRetentionMs
 	}
-	return &Allotter{leaseMs: leaseMs, bounds: bounds, beganAt: math.Inf(1), earlierGrantsExpireAt: math.Inf(1), tenants: map[string]*tenantQuota{}, byID: map[string]int{}, endedIncarnations: map[string][]string{}}
+	return &Allocator{leaseMs: leaseMs, bounds: bounds, beganAt: math.Inf(1), earlierGrantsExpireAt: math.Inf(1), tenants: map[string]*tenantQuota{}, byID: map[string]int{}, endedIncarnations: map[string][]string{}}
 }
 
 // Begin starts granting when this node has won the allocation duty, after the duty had no holder for
 // vacantMs milliseconds. The grants of an earlier allocator are unknown until each gatekeeper has sent
 // a request, or until one lease has passed since that allocator's last possible grant. Until then a
 // gatekeeper is granted no more than its minimum and what it already holds.
-func (a *Allotter) Begin(now, vacantMs float64) {
+func (a *Allocator) Begin(now, vacantMs float64) {
 	a.beganAt, a.earlierGrantsExpireAt = now, now+a.leaseMs
-	a.Vacant(vacantMs)
+	a.ExtendVacancy(vacantMs)
 	for _, tenant := range a.tenants {
 		tenant.pool, tenant.poolUpdatedAt = 0, now
 		for i := range tenant.holdings {
@@ -156,16 +156,16 @@
 	}
 }
 
-// Vacant reports that the duty had been vacant for vacantMs milliseconds before Begin, where that is
+// ExtendVacancy reports that the duty had been vacant for vacantMs milliseconds before Begin, where that is
 // longer than was known at Begin.
-func (a *Allotter) Vacant(vacantMs float64) {
+func (a *Allocator) ExtendVacancy(vacantMs float64) {
 	a.earlierGrantsExpireAt = min(a.earlierGrantsExpireAt, a.beganAt+max(a.leaseMs-max(vacantMs, 0), 0))
 }
 
-// Terms installs the tenants' quotas of a configuration version and ignores a version older than the
+// SetLimits installs the tenants' quotas of a configuration version and ignores a version older than the
 // current one. What was granted under other limits counts until its lease ends; minimums count until
 // their holders have sent another request.
-func (a *Allotter) Terms(now float64, terms map[string]Terms, version uint64) {
+func (a *Allocator) SetLimits(now float64, terms map[string]Limit, version uint64) {
 	if version < a.version {
 		return
 	}
@@ -178,8 +178,8 @@
 		if tenant.removedAt == notRemoved {
 			tenant.removedAt = now
 		}
-		tenant.limit, tenant.rate, tenant.burst, tenant.pool, tenant.startBurst = Terms{}, 0, 0, 0, 0
-		if now > tenant.removedAt+a.bounds.FloorKeepMs {
+		tenant.limit, tenant.rate, tenant.burst, tenant.pool, tenant.startBurst = Limit{}, 0, 0, 0, 0
+		if now > tenant.removedAt+a.bounds.MinimumRetentionMs {
 			delete(a.tenants, name)
 		}
 	}
@@ -204,10 +204,10 @@
 	return id
 }
 
-// Members installs the list of known gatekeepers, as "node/incarnation" ids. A missing gatekeeper has
+// SetMembers installs the list of known gatekeepers, as "node/incarnation" ids. A missing gatekeeper has
 // lapsed; its minimum stays reserved until the same node appears with another incarnation or the
 // retention time is over.
-func (a *Allotter) Members(now float64, ids []string) {
+func (a *Allocator) SetMembers(now float64, ids []string) {
 	a.membersReceived = true
 	for i := range a.members {
 		a.members[i].listed = false
@@ -220,7 +220,7 @@
 
 // memberSlot returns the slot of a gatekeeper and creates one if necessary. It returns -1 for an
 // incarnation that has ended.
-func (a *Allotter) memberSlot(now float64, id string) int {
+func (a *Allocator) memberSlot(now float64, id string) int {
 	node := nodeOf(id)
 	if slices.Contains(a.endedIncarnations[node], id) {
 		return -1
@@ -253,7 +253,7 @@
 }
 
 // removeSlot frees the slot of a gatekeeper and all that it held.
-func (a *Allotter) removeSlot(slot int) {
+func (a *Allocator) removeSlot(slot int) {
 	delete(a.byID, a.members[slot].id)
 	a.members[slot] = member{}
 	for _, tenant := range a.tenants {
@@ -262,10 +262,10 @@
 }
 
 // removeExpired removes lapsed gatekeepers whose minimums have been reserved for the retention time.
-func (a *Allotter) removeExpired(now float64) {
+func (a *Allocator) removeExpired(now float64) {
 	removed := false
 	for i := range a.members {
-		if m := &a.members[i]; m.inUse && !m.listed && now > m.lastListedAt+a.bounds.FloorKeepMs {
+		if m := &a.members[i]; m.inUse && !m.listed && now > m.lastListedAt+a.bounds.MinimumRetentionMs {
 			a.updatePools(now)
 			a.removeSlot(i)
 			removed = true
@@ -277,7 +277,7 @@
 }
 
 // assignMemberIndexes numbers the gatekeepers in an order that is the same at every allocator.
-func (a *Allotter) assignMemberIndexes() {
+func (a *Allocator) assignMemberIndexes() {
 	var order []int
 	for i := range a.members {
 		if a.members[i].inUse {
@@ -305,7 +305,7 @@
 
 // minimumOf returns the minimum of the gatekeeper in slot i, before checking whether all of it is
 // unallocated.
-func (a *Allotter) minimumOf(tenant *tenantQuota, slot int) (rate, burst float64) {
+func (a *Allocator) minimumOf(tenant *tenantQuota, slot int) (rate, burst float64) {
 	return tenant.minimum(a.members[slot].memberIndex, a.memberCount)
 }
 
@@ -339,8 +339,8 @@
 // takeStartBurst returns the start burst for a new incarnation and records it. Within one window all start
 // bursts add up to no more than if every gatekeeper started once, so that gatekeepers that restart
 // repeatedly gain nothing.
-func (a *Allotter) takeStartBurst(tenant *tenantQuota, slot int, now float64) float64 {
-	tenant.startBursts = slices.DeleteFunc(tenant.startBursts, func(k startBurstRecord) bool { return now > k.grantedAt+a.bounds.WindowS*1e3+KickKeepMs })
+func (a *Allocator) takeStartBurst(tenant *tenantQuota, slot int, now float64) float64 {
+	tenant.startBursts = slices.DeleteFunc(tenant.startBursts, func(k startBurstRecord) bool { return now > k.grantedAt+a.bounds.WindowS*1e3+StartBurstValidityMs })
 	remaining := math.Floor(tenant.startBurst)
 	for _, k := range tenant.startBursts {
 		remaining -= k.tokens
@@ -352,49 +352,49 @@
 	return startBurst
 }
 
-// Floor returns the minimum of the gatekeeper at a member index, for a gatekeeper that has just
+// MinimumAllocation returns the minimum of the gatekeeper at a member index, for a gatekeeper that has just
 // started and reaches no allocator. The minimum of its previous incarnation was reserved for its node,
 // and that incarnation has ended. The start burst may be used at most once per incarnation, and not if
 // the allocator has granted one.
-func Floor(tenantName string, limit Terms, bounds Bounds, memberIndex, memberCount int) Slice {
+func MinimumAllocation(tenantName string, limit Limit, bounds Bounds, memberIndex, memberCount int) Allocation {
 	t := &tenantQuota{name: tenantName, salt: hash(tenantName)}
 	t.setLimit(limit, bounds)
 	if t.rate <= 0 || memberCount <= 0 {
-		return Slice{}
+		return Allocation{}
 	}
-	var minimum Slice
-	minimum.Floor, minimum.FloorBurst = t.minimum(memberIndex, memberCount)
-	minimum.Kick = t.startBurstOf(memberIndex, memberCount)
-	minimum.Rate, minimum.Burst = minimum.Floor, minimum.FloorBurst
+	var minimum Allocation
+	minimum.Minimum, minimum.MinimumBurst = t.minimum(memberIndex, memberCount)
+	minimum.StartBurst = t.startBurstOf(memberIndex, memberCount)
+	minimum.Rate, minimum.Burst = minimum.Minimum, minimum.MinimumBurst
 	return minimum
 }
 
-// Thin reports whether a quota's burst capacity gives each of memberCount gatekeepers only a few
+// IsSmall reports whether a quota's burst capacity gives each of memberCount gatekeepers only a few
 // tokens. Such a quota is better kept in one place: gatekeepers request tokens from its owners, and
 // only owners report a demand.
-func Thin(limit Terms, bounds Bounds, memberCount int) bool {
+func IsSmall(limit Limit, bounds Bounds, memberCount int) bool {
 	var t tenantQuota
 	t.setLimit(limit, bounds)
 	return t.rate > 0 && t.burst < smallQuotaTokensPerMember*float64(memberCount)
 }
 
 // setLimit sets the limit of a tenant and the totals that may be granted of it.
-func (t *tenantQuota) setLimit(limit Terms, bounds Bounds) {
+func (t *tenantQuota) setLimit(limit Limit, bounds Bounds) {
 	t.limit, t.rate, t.burst = limit, 0, 0
 	t.startBurst = 0
 	if limit.RatePerS > 0 {
-		permittedExcess := bounds.Excess*(limit.RatePerS*bounds.WindowS+limit.Surge) + bounds.Slack
-		t.rate, t.burst = limit.RatePerS, limit.Surge+burstSlackShare*permittedExcess
+		permittedExcess := bounds.Excess*(limit.RatePerS*bounds.WindowS+limit.Burst) + bounds.Slack
+		t.rate, t.burst = limit.RatePerS, limit.Burst+burstSlackShare*permittedExcess
 		t.startBurst = startBurstShare * permittedExcess
 	}
 }
 
-// Looked returns how often the holding of one gatekeeper of one quota was examined, as a measure of
+// HoldingsExamined returns how often the holding of one gatekeeper of one quota was examined, as a measure of
 // the allocator's work.
-func (a *Allotter) Looked() uint64 { return a.holdingsExamined }
+func (a *Allocator) HoldingsExamined() uint64 { return a.holdingsExamined }
 
 // upperBound returns the most that a gatekeeper may hold at a time.
-func (a *Allotter) upperBound(tenant *tenantQuota, slot int, now float64) (rate, burst float64) {
+func (a *Allocator) upperBound(tenant *tenantQuota, slot int, now float64) (rate, burst float64) {
 	a.holdingsExamined++
 	record := &tenant.holdings[slot]
 	rate, burst = record.minRate, record.minBurst
@@ -411,7 +411,7 @@
 }
 
 // unallocated returns what no gatekeeper other than the excepted one (-1 for none) may hold.
-func (a *Allotter) unallocated(tenant *tenantQuota, except int, now float64) (rate, burst float64) {
+func (a *Allocator) unallocated(tenant *tenantQuota, except int, now float64) (rate, burst float64) {
 	rate, burst = tenant.rate, tenant.burst
 	for i := range a.members {
 		if a.members[i].inUse && i != except {
@@ -423,7 +423,7 @@
 }
 
 // updatePools updates all pools to now; it must run before any holding changes.
-func (a *Allotter) updatePools(now float64) {
+func (a *Allocator) updatePools(now float64) {
 	for _, tenant := range a.tenants {
 		a.updatePool(tenant, now)
 	}
@@ -431,7 +431,7 @@
 
 // updatePool adds to a tenant's pool the rate that was not held since the last update. Holdings only shrink
 // between two events, so what is unallocated at the start of the interval is unallocated throughout.
-func (a *Allotter) updatePool(tenant *tenantQuota, now float64) {
+func (a *Allocator) updatePool(tenant *tenantQuota, now float64) {
 	since := tenant.poolUpdatedAt
 	tenant.poolUpdatedAt = now
 	if tenant.rate <= 0 || now <= since || now <= a.earlierGrantsExpireAt && tenant.pool == 0 {
@@ -444,12 +444,12 @@
 	tenant.pool = min(tenant.pool, max(burst, 0))
 }
 
-// Ask handles a gatekeeper's allocation request. It carries a sequence number (higher in each
+// Allocate handles a gatekeeper's allocation request. It carries a sequence number (higher in each
 // request), the demand, and what the gatekeeper holds for how much longer. The answer is what the
 // gatekeeper holds for one lease from the request, or nil for a request that is out of date. If a
 // grant is lowered, the difference becomes available with the next request, which shows that the
 // answer arrived, or when the old grant expires.
-func (a *Allotter) Ask(now float64, id string, seq uint64, demand Demand, holding map[string]Slice, leaseLeftMs float64) map[string]Slice {
+func (a *Allocator) Allocate(now float64, id string, seq uint64, demand Demand, holding map[string]Allocation, leaseLeftMs float64) map[string]Allocation {
 	slot := a.memberSlot(now, id)
 	// Minimums are computed from the full member list. Computed only from the members that happen to have
 	// sent a request, they would be too large, and would be reserved beside those that other gatekeepers
@@ -459,7 +459,7 @@
 	}
 	newIncarnation := a.members[slot].lastSeq == 0 && !hasAllocation(holding)
 	a.members[slot].lastSeq = seq
-	answer := make(map[string]Slice, len(a.tenants))
+	answer := make(map[string]Allocation, len(a.tenants))
 	for name, tenant := range a.tenants {
 		report, reported := holding[name]
 		_, hasDemand := demand[name]
@@ -471,7 +471,7 @@
 		a.updatePool(tenant, now)
 		record.reported, record.demand, record.reportedAt = true, demand[name], now
 		record.claimed, record.granted = grantRecord{report.Rate, report.Burst, now + min(leaseLeftMs, a.leaseMs)}, grantRecord{}
-		record.minRate, record.minBurst = report.Floor, report.FloorBurst
+		record.minRate, record.minBurst = report.Minimum, report.MinimumBurst
 		if report.Returned > 0 { // the burst capacity they occupied is unallocated again, so the pool has room for them
 			_, unallocatedBurst := a.unallocated(tenant, -1, now)
 			tenant.pool = min(tenant.pool+report.Returned, max(unallocatedBurst, 0))
@@ -479,7 +479,7 @@
 		if tenant.rate > 0 {
 			granted := a.grant(tenant, slot, now, report)
 			if newIncarnation {
-				granted.Kick = a.takeStartBurst(tenant, slot, now)
+				granted.StartBurst = a.takeStartBurst(tenant, slot, now)
 			}
 			answer[name] = granted
 		}
@@ -488,15 +488,15 @@
 }
 
 // usesOwners reports whether a quota is small for the number of gatekeepers and served by owners.
-func (a *Allotter) usesOwners(tenant *tenantQuota) bool {
-	return a.Homes && tenant.burst < smallQuotaTokensPerMember*float64(a.memberCount)
+func (a *Allocator) usesOwners(tenant *tenantQuota) bool {
+	return a.UseOwners && tenant.burst < smallQuotaTokensPerMember*float64(a.memberCount)
 }
 
 // recordNoInterest records that a gatekeeper neither holds nor requests any of a quota. That is the
 // case for most quotas at most gatekeepers, so it must not examine the other holders: the cost of each
 // request would grow with the number of gatekeepers. A new allocator that can't answer everyone's
 // first request within its lease loses the duty, and its successor has to start over.
-func (a *Allotter) recordNoInterest(tenant *tenantQuota, record *holdingRecord, now float64) {
+func (a *Allocator) recordNoInterest(tenant *tenantQuota, record *holdingRecord, now float64) {
 	switch {
 	case record.idle(): // nothing changes
 	case !record.reported: // it might have held its minimum until now, so the pool doesn't get the rate since its last update
@@ -515,9 +515,9 @@
 
 // hasAllocation reports whether a gatekeeper was allocated anything, or used its minimums, in this
 // incarnation.
-func hasAllocation(holding map[string]Slice) bool {
+func hasAllocation(holding map[string]Allocation) bool {
 	for _, s := range holding {
-		if s.Rate > 0 || s.Burst > 0 || s.Floor > 0 || s.FloorBurst > 0 {
+		if s.Rate > 0 || s.Burst > 0 || s.Minimum > 0 || s.MinimumBurst > 0 {
 			return true
 		}
 	}
@@ -525,7 +525,7 @@
 }
 
 // grant computes and records what a gatekeeper is granted of a quota.
-func (a *Allotter) grant(tenant *tenantQuota, slot int, now float64, report Slice) Slice {
+func (a *Allocator) grant(tenant *tenantQuota, slot int, now float64, report Allocation) Allocation {
 	record := &tenant.holdings[slot]
 	freeRate, freeBurst := a.unallocated(tenant, slot, now)
 	freeRate, freeBurst = max(freeRate, 0), max(freeBurst, 0)
@@ -533,23 +533,23 @@
 	if a.usesOwners(tenant) && record.demand <= epsilon {
 		minRate, minBurst = 0, 0 // the quota's owner may use it
 	}
-	granted := Slice{Floor: min(minRate, freeRate), FloorBurst: min(minBurst, freeBurst)}
-	rate, burst := a.targetAllocation(tenant, slot, now, report.Wants)
+	granted := Allocation{Minimum: min(minRate, freeRate), MinimumBurst: min(minBurst, freeBurst)}
+	rate, burst := a.targetAllocation(tenant, slot, now, report.Waiting)
 	if now < a.earlierGrantsExpireAt {
 		rate, burst = 0, 0
 		if now < record.claimed.expiresAt {
 			rate, burst = record.claimed.rate, record.claimed.burst
 		}
 	}
-	granted.Rate = max(granted.Floor, min(rate, freeRate))
-	granted.Burst = max(granted.FloorBurst, min(burst, freeBurst))
+	granted.Rate = max(granted.Minimum, min(rate, freeRate))
+	granted.Burst = max(granted.MinimumBurst, min(burst, freeBurst))
 	record.granted = grantRecord{granted.Rate, granted.Burst, now + a.leaseMs}
-	record.minRate, record.minBurst = max(record.minRate, granted.Floor), max(record.minBurst, granted.FloorBurst)
+	record.minRate, record.minBurst = max(record.minRate, granted.Minimum), max(record.minBurst, granted.MinimumBurst)
 	_, unallocatedBurst := a.unallocated(tenant, -1, now)
 	unallocatedBurst = max(unallocatedBurst, 0)
 	// Together with the tokens that accumulate until the answer arrives, the bucket must not exceed its
 	// burst.
-	bucketRoom, available := granted.Burst-report.Tokens-TokensMs/1e3*max(granted.Rate, report.Rate), tenant.pool
+	bucketRoom, available := granted.Burst-report.Tokens-TokenValidityMs/1e3*max(granted.Rate, report.Rate), tenant.pool
 	if report.Tokens >= 1 { // leave half of the pool to gatekeepers without a token
 		available -= unallocatedBurst / 2
 	}
@@ -564,7 +564,7 @@
 
 // targetAllocation returns the allocation that a gatekeeper would have if nothing were granted yet.
 // Small needs are met in full as far as the sum fits; the rest is divided by demand.
-func (a *Allotter) targetAllocation(tenant *tenantQuota, slot int, now, waiting float64) (rate, burst float64) {
+func (a *Allocator) targetAllocation(tenant *tenantQuota, slot int, now, waiting float64) (rate, burst float64) {
 	totalRate, totalBurst, sharers := tenant.rate, tenant.burst, 0.0
 	for i := range a.members {
 		switch m := &a.members[i]; {
@@ -586,7 +586,7 @@
 	rate = a.targetRate(tenant, slot, now, totalRate*(1-poolShare), sharers)
 	switch tokensEach := totalBurst / sharers; {
 	case tokensEach >= wholeTokensBelow:
-		limitBurst := min(tenant.limit.Surge, totalBurst)
+		limitBurst := min(tenant.limit.Burst, totalBurst)
 		burst = (1 - pooledBurstShare) * ((totalBurst-limitBurst)/sharers + limitBurst*rate/max(totalRate, epsilon))
 	case tokensEach >= 1:
 		burst = math.Floor(tokensEach)
@@ -596,13 +596,13 @@
 			burst++
 		}
 	case waiting > 0 && tenant.pool >= 1: // granted on request, and taken back with the next allocation request
-		burst = min(waiting, maxTokensPerGrant, math.Floor(tenant.pool)) + rate*TokensMs/1e3
+		burst = min(waiting, maxTokensPerGrant, math.Floor(tenant.pool)) + rate*TokenValidityMs/1e3
 	}
 	return rate, burst
 }
 
 // demandingMembers returns the number of gatekeepers with a demand, always including the requesting one.
-func (a *Allotter) demandingMembers(tenant *tenantQuota, slot int, now float64) float64 {
+func (a *Allocator) demandingMembers(tenant *tenantQuota, slot int, now float64) float64 {
 	count := 0.0
 	for i := range a.members {
 		if m := &a.members[i]; m.inUse && m.listed && (i == slot || a.recentDemand(tenant, i, now) > epsilon) {
@@ -613,7 +613,7 @@
 }
 
 // targetRate returns a gatekeeper's part of a total rate that is divided among the sharers by demand.
-func (a *Allotter) targetRate(tenant *tenantQuota, slot int, now, totalRate, sharers float64) float64 {
+func (a *Allocator) targetRate(tenant *tenantQuota, slot int, now, totalRate, sharers float64) float64 {
 	minRate, _ := a.minimumOf(tenant, slot)
 	a.needsBuffer = a.needsBuffer[:0]
 	needSum, demandSum, ownIndex := 0.0, 0.0, 0
@@ -651,7 +651,7 @@
 }
 
 // withinRate reports whether the demand is less than the rate.
-func (a *Allotter) withinRate(tenant *tenantQuota, now float64) bool {
+func (a *Allocator) withinRate(tenant *tenantQuota, now float64) bool {
 	demandSum := 0.0
 	for i := range a.members {
 		if a.members[i].inUse {
@@ -662,7 +662,7 @@
 }
 
 // recentDemand returns the recent demand at a gatekeeper.
-func (a *Allotter) recentDemand(tenant *tenantQuota, slot int, now float64) float64 {
+func (a *Allocator) recentDemand(tenant *tenantQuota, slot int, now float64) float64 {
 	if h := &tenant.holdings[slot]; h.reported && now < h.reportedAt+demandExpiryMs {
 		return h.demand
 	}
@@ -671,7 +671,7 @@
 
 // extraToken returns one more token if the gatekeeper is among the given number with the highest recent
 // demand.
-func (a *Allotter) extraToken(tenant *tenantQuota, slot int, now float64, remaining int) float64 {
+func (a *Allocator) extraToken(tenant *tenantQuota, slot int, now float64, remaining int) float64 {
 	ownDemand, ownRank := a.recentDemand(tenant, slot, now), hash(a.members[slot].node)^tenant.salt
 	for i := range a.members {
 		if m := &a.members[i]; m.inUse && m.listed && i != slot {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -14,23 +14,23 @@
 var testBounds = Bounds{WindowS: 5, Excess: 0.1, Slack: 20}
 
 // permittedRequests returns the number of requests that the rule permits in any window.
-func permittedRequests(limit Terms) float64 {
-	return (limit.RatePerS*testBounds.WindowS+limit.Surge)*(1+testBounds.Excess) + testBounds.Slack
+func permittedRequests(limit Limit) float64 {
+	return (limit.RatePerS*testBounds.WindowS+limit.Burst)*(1+testBounds.Excess) + testBounds.Slack
 }
 
 const leaseMs = 1300.0 // milliseconds, as in internal/bothy
 
 // newStartedAllocator returns an allocator whose first lease is over, and the ids of its n
 // gatekeepers; it has one tenant, "t".
-func newStartedAllocator(n int, limit Terms) (*Allotter, []string) {
+func newStartedAllocator(n int, limit Limit) (*Allocator, []string) {
 	allocator := New(leaseMs, testBounds)
 	allocator.Begin(-leaseMs, 0)
-	allocator.Terms(-leaseMs, map[string]Terms{"t": limit}, 1)
+	allocator.SetLimits(-leaseMs, map[string]Limit{"t": limit}, 1)
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("s%02d/a", i))
 	}
-	allocator.Members(-leaseMs, ids)
+	allocator.SetMembers(-leaseMs, ids)
 	return allocator, ids
 }
 
@@ -63,13 +63,13 @@
 			{1000, 0, 300, 29.9, 30.1}, {1000, 1, 300, 29.9, 30.1}, {1000, 2, 300, 29.9, 30.1},
 		}},
 	} {
-		allocator, ids := newStartedAllocator(3, Terms{90, 90})
-		held := make([]map[string]Slice, 3)
+		allocator, ids := newStartedAllocator(3, Limit{90, 90})
+		held := make([]map[string]Allocation, 3)
 		for index, request := range testCase.requests {
-			held[request.gatekeeper] = allocator.Ask(request.at, ids[request.gatekeeper], uint64(index)+1, Demand{"t": request.demand}, held[request.gatekeeper], leaseMs-500)
+			held[request.gatekeeper] = allocator.Allocate(request.at, ids[request.gatekeeper], uint64(index)+1, Demand{"t": request.demand}, held[request.gatekeeper], leaseMs-500)
 			got := held[request.gatekeeper]["t"]
 			assert.Assert(t, got.Rate >= request.minRate && got.Rate <= request.maxRate, "%s: request %d got %+v", testCase.name, index, got)
-			assert.Assert(t, got.Floor > 14.9 && got.Burst >= got.FloorBurst, "%s: %+v", testCase.name, got)
+			assert.Assert(t, got.Minimum > 14.9 && got.Burst >= got.MinimumBurst, "%s: %+v", testCase.name, got)
 		}
 	}
 }
@@ -78,24 +78,24 @@
 // have received the answer, counts as holding the old grant until its next request or the end of its
 // lease.
 func TestLostAnswerReleasesNothing(t *testing.T) {
-	allocator, ids := newStartedAllocator(2, Terms{100, 0})
-	first := allocator.Ask(0, ids[0], 1, Demand{"t": 500}, nil, 0)
+	allocator, ids := newStartedAllocator(2, Limit{100, 0})
+	first := allocator.Allocate(0, ids[0], 1, Demand{"t": 500}, nil, 0)
 	assert.Assert(t, first["t"].Rate > 74)
-	second := allocator.Ask(100, ids[1], 1, Demand{"t": 500}, nil, 0)
-	allocator.Ask(200, ids[0], 2, Demand{"t": 500}, first, leaseMs-200) // the answer is lost
-	second = allocator.Ask(300, ids[1], 2, Demand{"t": 500}, second, leaseMs-200)
+	second := allocator.Allocate(100, ids[1], 1, Demand{"t": 500}, nil, 0)
+	allocator.Allocate(200, ids[0], 2, Demand{"t": 500}, first, leaseMs-200) // the answer is lost
+	second = allocator.Allocate(300, ids[1], 2, Demand{"t": 500}, second, leaseMs-200)
 	assert.Assert(t, first["t"].Rate+second["t"].Rate < 100+epsilon)
-	assert.Assert(t, allocator.Ask(350, ids[0], 2, nil, nil, 0) == nil, "a request with an old sequence number was answered")
-	second = allocator.Ask(200+leaseMs, ids[1], 3, Demand{"t": 500}, second, 100)
+	assert.Assert(t, allocator.Allocate(350, ids[0], 2, nil, nil, 0) == nil, "a request with an old sequence number was answered")
+	second = allocator.Allocate(200+leaseMs, ids[1], 3, Demand{"t": 500}, second, 100)
 	assert.Assert(t, second["t"].Rate > 49, "%+v", second)
 }
 
 // TestMinimumsOfLapsedGatekeepers checks that they stay reserved until the same node appears with a
 // new incarnation.
 func TestMinimumsOfLapsedGatekeepers(t *testing.T) {
-	allocator, ids := newStartedAllocator(2, Terms{100, 0})
-	allocator.Ask(0, ids[0], 1, nil, nil, 0)
-	var held map[string]Slice
+	allocator, ids := newStartedAllocator(2, Limit{100, 0})
+	allocator.Allocate(0, ids[0], 1, nil, nil, 0)
+	var held map[string]Allocation
 	for index, step := range []struct {
 		at      float64
 		members []string
@@ -107,51 +107,51 @@
 		{62e3, []string{"s00/b", "s01/a", "s00/a"}, 75}, // an old list that names the ended incarnation
 		{700e3, ids[1:], 100},
 	} {
-		allocator.Members(step.at, step.members)
-		held = allocator.Ask(step.at, ids[1], uint64(index)+1, Demand{"t": 500}, held, 0)
+		allocator.SetMembers(step.at, step.members)
+		held = allocator.Allocate(step.at, ids[1], uint64(index)+1, Demand{"t": 500}, held, 0)
 		assert.Assert(t, math.Abs(held["t"].Rate-step.rate) < 1, "at %v: %+v", step.at, held)
 	}
-	assert.Assert(t, allocator.Ask(62e3, "s00/a", 9, nil, nil, 0) == nil, "a request of an ended incarnation was answered")
+	assert.Assert(t, allocator.Allocate(62e3, "s00/a", 9, nil, nil, 0) == nil, "a request of an ended incarnation was answered")
 }
 
 // TestNewAllocatorGrantsReportedHoldings checks that a new allocator grants, for one lease, only the
 // minimums and what gatekeepers report that they hold.
 func TestNewAllocatorGrantsReportedHoldings(t *testing.T) {
-	allocator, ids := newStartedAllocator(3, Terms{90, 0})
+	allocator, ids := newStartedAllocator(3, Limit{90, 0})
 	allocator.Begin(10e3, 0)
-	got := allocator.Ask(10100, ids[0], 1, Demand{"t": 90}, map[string]Slice{"t": {Rate: 50, Burst: 5, Floor: 15}}, 2000)
+	got := allocator.Allocate(10100, ids[0], 1, Demand{"t": 90}, map[string]Allocation{"t": {Rate: 50, Burst: 5, Minimum: 15}}, 2000)
 	assert.Assert(t, math.Abs(got["t"].Rate-50) < epsilon && got["t"].Tokens == 0, "%+v", got)
-	got = allocator.Ask(10200, ids[1], 1, Demand{"t": 90}, nil, 0)
+	got = allocator.Allocate(10200, ids[1], 1, Demand{"t": 90}, nil, 0)
 	assert.Assert(t, math.Abs(got["t"].Rate-15) < epsilon, "%+v", got)
-	got = allocator.Ask(10e3+leaseMs, ids[1], 2, Demand{"t": 90}, got, 100)
+	got = allocator.Allocate(10e3+leaseMs, ids[1], 2, Demand{"t": 90}, got, 100)
 	assert.Assert(t, got["t"].Rate > 20, "%+v", got)
 }
 
 // TestTenantWithoutLimit checks that a tenant without a rate gets no allocation, and that an older
 // configuration version is ignored.
 func TestTenantWithoutLimit(t *testing.T) {
-	allocator, ids := newStartedAllocator(2, Terms{100, 0})
-	allocator.Terms(0, map[string]Terms{"t": {}, "u": {RatePerS: 3}}, 2)
-	allocator.Terms(0, map[string]Terms{"t": {100, 0}}, 1)
-	got := allocator.Ask(0, ids[0], 1, nil, nil, 0)
+	allocator, ids := newStartedAllocator(2, Limit{100, 0})
+	allocator.SetLimits(0, map[string]Limit{"t": {}, "u": {RatePerS: 3}}, 2)
+	allocator.SetLimits(0, map[string]Limit{"t": {100, 0}}, 1)
+	got := allocator.Allocate(0, ids[0], 1, nil, nil, 0)
 	assert.Equal(t, len(got), 1)
-	assert.Assert(t, got["u"].Floor > 0)
+	assert.Assert(t, got["u"].Minimum > 0)
 }
 
 // TestLowerLimitHoldsAfterOneLease checks that, with all gatekeepers connected, grants under a higher
 // limit are gone after one lease.
 func TestLowerLimitHoldsAfterOneLease(t *testing.T) {
-	allocator, ids := newStartedAllocator(4, Terms{100, 100})
-	held, seq := make([]map[string]Slice, 4), uint64(0)
+	allocator, ids := newStartedAllocator(4, Limit{100, 100})
+	held, seq := make([]map[string]Allocation, 4), uint64(0)
 	for round := range 12 {
 		if round == 6 {
-			allocator.Terms(3000, map[string]Terms{"t": {20, 0}}, 2)
+			allocator.SetLimits(3000, map[string]Limit{"t": {20, 0}}, 2)
 		}
 		rateSum, minimumSum := 0.0, 0.0
 		for i, id := range ids {
 			seq++
-			held[i] = allocator.Ask(float64(round)*500, id, seq, Demand{"t": 60}, held[i], leaseMs-500)
-			rateSum, minimumSum = rateSum+held[i]["t"].Rate, minimumSum+held[i]["t"].Floor
+			held[i] = allocator.Allocate(float64(round)*500, id, seq, Demand{"t": 60}, held[i], leaseMs-500)
+			rateSum, minimumSum = rateSum+held[i]["t"].Rate, minimumSum+held[i]["t"].Minimum
 		}
 		if round >= 8 {
 			assert.Assert(t, rateSum < 20+epsilon && rateSum > 17 && minimumSum < 10+epsilon, "round %d: sum of rates %v, sum of minimums %v", round, rateSum, minimumSum)
@@ -163,7 +163,7 @@
 type gatekeeper struct {
 	incarnation      int
 	seq              uint64
-	tenants          *policy.Tenants
+	tenants          *policy.TenantBuckets
 	nextRequestAt    float64
 	partitionedUntil float64 // until then it is partitioned from every allocator
 	clockOffsetMs    float64 // offset of its clock
@@ -177,16 +177,16 @@
 type answer struct {
 	arrivesAt, requestedAt float64
 	seq                    uint64
-	allocations            map[string]Slice
+	allocations            map[string]Allocation
 }
 
 // cluster is a simulated cluster of gatekeepers with an active and a standby allocator.
 type cluster struct {
 	rng          *rand.Rand
-	limits       map[string]Terms
+	limits       map[string]Limit
 	gatekeepers  []*gatekeeper
-	active       *Allotter
-	standby      *Allotter // allocator of the next holder of the duty
+	active       *Allocator
+	standby      *Allocator // allocator of the next holder of the duty
 	now          float64
 	lossShare    float64 // share of the answers that are lost
 	maxDelayMs   float64 // largest delay of an answer in milliseconds; 0 for 100
@@ -214,16 +214,16 @@
 			memberIndex++
 		}
 	}
-	minimums := map[string]policy.TenantSlice{}
+	minimums := map[string]policy.TenantAllotment{}
 	for _, name := range c.limitedTenants() {
-		minimum := Floor(name, c.limits[name], testBounds, memberIndex, len(c.gatekeepers))
+		minimum := MinimumAllocation(name, c.limits[name], testBounds, memberIndex, len(c.gatekeepers))
 		if self.gotStartBurst {
-			minimum.Kick = 0
+			minimum.StartBurst = 0
 		}
-		minimums[name] = policy.TenantSlice(minimum)
+		minimums[name] = policy.TenantAllotment(minimum)
 	}
 	self.gotStartBurst = true
-	self.tenants.Slices(self.localTime(c.now), minimums, 0)
+	self.tenants.SetAllotments(self.localTime(c.now), minimums, 0)
 }
 
 func (c *cluster) limitedTenants() (names []string) {
@@ -235,7 +235,7 @@
 	return names
 }
 
-func newCluster(seed uint64, count int, limits map[string]Terms) *cluster {
+func newCluster(seed uint64, count int, limits map[string]Limit) *cluster {
 	c := &cluster{rng: rand.New(rand.NewPCG(seed, 1)), limits: limits, active: New(leaseMs, testBounds), standby: New(leaseMs, testBounds)}
 	c.active.Begin(0, 0)
 	for range count {
@@ -249,17 +249,17 @@
 }
 
 func (c *cluster) configure(version uint64) {
-	c.active.Terms(c.now, c.limits, version)
-	c.standby.Terms(c.now, c.limits, version)
+	c.active.SetLimits(c.now, c.limits, version)
+	c.standby.SetLimits(c.now, c.limits, version)
 	for _, g := range c.gatekeepers {
-		g.tenants.Limits(g.localTime(c.now), c.limitedTenants())
+		g.tenants.SetLimited(g.localTime(c.now), c.limitedTenants())
 	}
 }
 
 func (c *cluster) startGatekeeper(i int) {
 	g := c.gatekeepers[i]
-	*g = gatekeeper{incarnation: g.incarnation + 1, tenants: policy.NewTenants(), nextRequestAt: c.now + c.rng.Float64()*500, partitionedUntil: g.partitionedUntil, clockOffsetMs: c.rng.Float64() * 1e6}
-	g.tenants.Limits(g.localTime(c.now), c.limitedTenants())
+	*g = gatekeeper{incarnation: g.incarnation + 1, tenants: policy.NewTenantBuckets(), nextRequestAt: c.now + c.rng.Float64()*500, partitionedUntil: g.partitionedUntil, clockOffsetMs: c.rng.Float64() * 1e6}
+	g.tenants.SetLimited(g.localTime(c.now), c.limitedTenants())
 }
 
 func (g *gatekeeper) localTime(now float64) policy.Micros {
@@ -282,23 +282,23 @@
 			case pending.arrivesAt > c.now:
 				undelivered = append(undelivered, pending)
 			case pending.seq == gatekeeper.seq && c.now-pending.requestedAt < 1000 && c.now >= gatekeeper.partitionedUntil: // answers the newest request, in time
-				allocations := map[string]policy.TenantSlice{}
+				allocations := map[string]policy.TenantAllotment{}
 				for name, allocation := range pending.allocations {
-					if c.now-pending.requestedAt > TokensMs {
+					if c.now-pending.requestedAt > TokenValidityMs {
 						allocation.Tokens = 0
 					}
 					if gatekeeper.gotStartBurst {
-						allocation.Kick = 0
+						allocation.StartBurst = 0
 					}
-					allocations[name] = policy.TenantSlice(allocation)
+					allocations[name] = policy.TenantAllotment(allocation)
 				}
 				gatekeeper.allocated, gatekeeper.gotStartBurst = true, true
-				gatekeeper.tenants.Slices(gatekeeper.localTime(c.now), allocations, gatekeeper.localTime(pending.requestedAt+leaseMs))
+				gatekeeper.tenants.SetAllotments(gatekeeper.localTime(c.now), allocations, gatekeeper.localTime(pending.requestedAt+leaseMs))
 			}
 		}
 		gatekeeper.pending = undelivered
 		untilRequestMs := gatekeeper.nextRequestAt - c.now
-		if c.now < gatekeeper.partitionedUntil || untilRequestMs > 0 && (untilRequestMs > 400 || !gatekeeper.tenants.Low(gatekeeper.localTime(c.now))) {
+		if c.now < gatekeeper.partitionedUntil || untilRequestMs > 0 && (untilRequestMs > 400 || !gatekeeper.tenants.RunningLow(gatekeeper.localTime(c.now))) {
 			continue
 		}
 		gatekeeper.nextRequestAt = c.now + 500
@@ -312,12 +312,12 @@
 				gatekeeper.tenants.Surrender(gatekeeper.localTime(c.now), name)
 			}
 		}
-		reported, leaseLeft := gatekeeper.tenants.Holding(gatekeeper.localTime(c.now))
-		holding := map[string]Slice{}
+		reported, leaseLeft := gatekeeper.tenants.Holdings(gatekeeper.localTime(c.now))
+		holding := map[string]Allocation{}
 		for name, allocation := range reported {
-			holding[name] = Slice(allocation)
+			holding[name] = Allocation(allocation)
 		}
-		got := c.active.Ask(c.now, c.id(i), gatekeeper.seq, gatekeeper.tenants.Demand(gatekeeper.localTime(c.now)), holding, float64(leaseLeft)/1e3)
+		got := c.active.Allocate(c.now, c.id(i), gatekeeper.seq, gatekeeper.tenants.Demand(gatekeeper.localTime(c.now)), holding, float64(leaseLeft)/1e3)
 		if got != nil && c.rng.Float64() >= c.lossShare {
 			gatekeeper.pending = append(gatekeeper.pending, answer{c.now + 10 + c.rng.Float64()*max(c.maxDelayMs, 100*(1+9*c.lossShare)), c.now, gatekeeper.seq, got})
 		}
@@ -333,8 +333,8 @@
 			ids = append(ids, c.id(i))
 		}
 	}
-	c.active.Members(c.now, ids)
-	c.standby.Members(c.now, ids)
+	c.active.SetMembers(c.now, ids)
+	c.standby.SetMembers(c.now, ids)
 }
 
 // window counts the requests admitted in the last window.
@@ -356,11 +356,11 @@
 // gatekeepers also give back what they hold.
 func TestNoWindowExceedsTheRule(t *testing.T) {
 	for seed := range uint64(12) {
-		limits := map[string]Terms{"big": {122, 122}, "small": {5, 5}, "free": {}}
+		limits := map[string]Limit{"big": {122, 122}, "small": {5, 5}, "free": {}}
 		simulation := newCluster(seed, []int{3, 11, 24}[seed%3], limits)
 		simulation.lossShare = 0.2
 		if seed >= 6 {
-			simulation.returnShare, simulation.active.Homes, simulation.standby.Homes = 0.15, seed%2 == 0, seed%2 == 0
+			simulation.returnShare, simulation.active.UseOwners, simulation.standby.UseOwners = 0.15, seed%2 == 0, seed%2 == 0
 		}
 		windows := map[string]*window{"big": {}, "small": {}}
 		version := uint64(1)
@@ -382,7 +382,7 @@
 					}
 				case 4: // a tenant is added or removed, the others' limits stay
 					version++
-					if limits["late"] = (Terms{40, 0}); version%2 == 0 {
+					if limits["late"] = (Limit{40, 0}); version%2 == 0 {
 						delete(limits, "late")
 					}
 					simulation.configure(version)
@@ -415,7 +415,7 @@
 func TestRestartsKeepTheRule(t *testing.T) {
 	usedShares := map[string]float64{}
 	for seed := range uint64(18) {
-		limits := map[string]Terms{"big": {122, 122}, "small": {5, 5}, "bare": {30, 0}}
+		limits := map[string]Limit{"big": {122, 122}, "small": {5, 5}, "bare": {30, 0}}
 		simulation := newCluster(seed, []int{3, 11, 24}[seed%3], limits)
 		simulation.lossShare = 0.1
 		windows := map[string]*window{"big": {}, "small": {}, "bare": {}}
@@ -475,27 +475,27 @@
 // repeatedly gets no more.
 func TestStartBursts(t *testing.T) {
 	for _, count := range []int{1, 3, 11, 69} {
-		for _, limit := range []Terms{{122, 122}, {5, 5}, {5, 0}} {
+		for _, limit := range []Limit{{122, 122}, {5, 5}, {5, 0}} {
 			expectedSum, grantedSum := 0.0, 0.0
 			allocator, ids := newStartedAllocator(count, limit)
 			for i, id := range ids {
-				minimum := Floor("t", limit, testBounds, i, count)
-				assert.Assert(t, minimum.Kick == math.Floor(minimum.Kick))
-				got := allocator.Ask(0, id, 1, nil, nil, 0)["t"]
-				assert.Equal(t, got.Kick, minimum.Kick)
-				expectedSum, grantedSum = expectedSum+minimum.Kick, grantedSum+got.Kick
-				assert.Equal(t, allocator.Ask(500, id, 2, nil, nil, 0)["t"].Kick, 0.0, "an incarnation got two start bursts")
-				assert.Equal(t, allocator.Ask(500, id, 3, nil, map[string]Slice{"t": got}, 0)["t"].Kick, 0.0)
+				minimum := MinimumAllocation("t", limit, testBounds, i, count)
+				assert.Assert(t, minimum.StartBurst == math.Floor(minimum.StartBurst))
+				got := allocator.Allocate(0, id, 1, nil, nil, 0)["t"]
+				assert.Equal(t, got.StartBurst, minimum.StartBurst)
+				expectedSum, grantedSum = expectedSum+minimum.StartBurst, grantedSum+got.StartBurst
+				assert.Equal(t, allocator.Allocate(500, id, 2, nil, nil, 0)["t"].StartBurst, 0.0, "an incarnation got two start bursts")
+				assert.Equal(t, allocator.Allocate(500, id, 3, nil, map[string]Allocation{"t": got}, 0)["t"].StartBurst, 0.0)
 			}
-			maxSum := startBurstShare * (testBounds.Excess*(limit.RatePerS*testBounds.WindowS+limit.Surge) + testBounds.Slack)
+			maxSum := startBurstShare * (testBounds.Excess*(limit.RatePerS*testBounds.WindowS+limit.Burst) + testBounds.Slack)
 			assert.Assert(t, expectedSum <= maxSum && expectedSum > maxSum-1, "%d gatekeepers: start bursts add up to %v of %v", count, expectedSum, maxSum)
 			for restart := range 50 {
-				grantedSum += allocator.Ask(1000+float64(restart), fmt.Sprintf("s00/%d", restart), 1, nil, nil, 0)["t"].Kick
+				grantedSum += allocator.Allocate(1000+float64(restart), fmt.Sprintf("s00/%d", restart), 1, nil, nil, 0)["t"].StartBurst
 			}
 			assert.Assert(t, grantedSum <= maxSum, "granted start bursts add up to %v of %v", grantedSum, maxSum)
 			standby, _ := newStartedAllocator(count, limit)
-			held := map[string]Slice{"t": Floor("t", limit, testBounds, 0, count)}
-			assert.Equal(t, standby.Ask(0, ids[0], 1, nil, held, 0)["t"].Kick, 0.0, "it got its start burst with its minimums")
+			held := map[string]Allocation{"t": MinimumAllocation("t", limit, testBounds, 0, count)}
+			assert.Equal(t, standby.Allocate(0, ids[0], 1, nil, held, 0)["t"].StartBurst, 0.0, "it got its start burst with its minimums")
 		}
 	}
 }
@@ -506,13 +506,13 @@
 	for _, testCase := range []struct{ vacantMs, learnedVacantMs, waitMs float64 }{
 		{0, 0, leaseMs}, {1000, 0, leaseMs - 1000}, {9000, 0, 0}, {0, 2000, leaseMs - 2000}, {1000, 500, leaseMs - 1000}, {-5, 0, leaseMs},
 	} {
-		allocator, ids := newStartedAllocator(3, Terms{90, 0})
+		allocator, ids := newStartedAllocator(3, Limit{90, 0})
 		allocator.Begin(10e3, testCase.vacantMs)
-		allocator.Vacant(testCase.learnedVacantMs)
-		var held map[string]Slice
+		allocator.ExtendVacancy(testCase.learnedVacantMs)
+		var held map[string]Allocation
 		for round := range 60 {
 			elapsedMs := 50 * float64(round)
-			held = allocator.Ask(10e3+elapsedMs, ids[0], uint64(round)+1, Demand{"t": 90}, held, leaseMs-50)
+			held = allocator.Allocate(10e3+elapsedMs, ids[0], uint64(round)+1, Demand{"t": 90}, held, leaseMs-50)
 			assert.Equal(t, held["t"].Rate > 15.1, elapsedMs >= testCase.waitMs, "%+v at %v: %+v", testCase, elapsedMs, held)
 		}
 	}
@@ -521,8 +521,8 @@
 // TestSumNeverExceedsTheRate checks what gatekeepers hold at each moment, and not only what they
 // admit.
 func TestSumNeverExceedsTheRate(t *testing.T) {
-	limits := map[string]Terms{"t": {60, 30}}
-	maxHeld := Terms{60, 30 + burstSlackShare*(testBounds.Excess*330+testBounds.Slack)}
+	limits := map[string]Limit{"t": {60, 30}}
+	maxHeld := Limit{60, 30 + burstSlackShare*(testBounds.Excess*330+testBounds.Slack)}
 	for seed := range uint64(40) { // with seed 26 the first requests arrive before the allocator has a member list
 		simulation := newCluster(seed+50, 9, limits)
 		simulation.lossShare = 0.3
@@ -544,15 +544,15 @@
 				for range simulation.rng.IntN(2) * 5 {
 					g.tenants.Admit(g.localTime(simulation.now), "t", false)
 				}
-				held, left := g.tenants.Holding(g.localTime(simulation.now))
+				held, left := g.tenants.Holdings(g.localTime(simulation.now))
 				if s := held["t"]; left > 0 {
 					rateSum, burstSum = rateSum+s.Rate, burstSum+s.Burst
 				} else {
-					rateSum, burstSum = rateSum+s.Floor, burstSum+s.FloorBurst
+					rateSum, burstSum = rateSum+s.Minimum, burstSum+s.MinimumBurst
 				}
 				assert.Assert(t, held["t"].Tokens <= held["t"].Burst+epsilon)
 			}
-			assert.Assert(t, rateSum <= maxHeld.RatePerS+1e-6 && burstSum <= maxHeld.Surge+1e-6, "seed %d at %v: a rate of %v and a burst of %v are held", seed, simulation.now, rateSum, burstSum)
+			assert.Assert(t, rateSum <= maxHeld.RatePerS+1e-6 && burstSum <= maxHeld.Burst+1e-6, "seed %d at %v: a rate of %v and a burst of %v are held", seed, simulation.now, rateSum, burstSum)
 		}
 	}
 }
@@ -560,17 +560,17 @@
 // TestReturnedTokensAreGrantedAgain checks that the tokens that an owner gives back are granted to the
 // next one at its first request.
 func TestReturnedTokensAreGrantedAgain(t *testing.T) {
-	allocator, ids := newStartedAllocator(30, Terms{0.5, 0.5})
-	allocator.Homes = true
+	allocator, ids := newStartedAllocator(30, Limit{0.5, 0.5})
+	allocator.UseOwners = true
 	demand := Demand{"t": 0.3}
-	held := allocator.Ask(0, ids[0], 1, demand, nil, 0)
+	held := allocator.Allocate(0, ids[0], 1, demand, nil, 0)
 	full := held["t"]
 	full.Tokens = 4
-	allocator.Ask(500, ids[0], 2, demand, map[string]Slice{"t": full}, leaseMs-500)
-	allocator.Ask(1000, ids[0], 3, nil, map[string]Slice{"t": {Returned: 4}}, leaseMs-500)
-	next := allocator.Ask(1010, ids[1], 1, Demand{"t": 0.02}, nil, 0)["t"]
+	allocator.Allocate(500, ids[0], 2, demand, map[string]Allocation{"t": full}, leaseMs-500)
+	allocator.Allocate(1000, ids[0], 3, nil, map[string]Allocation{"t": {Returned: 4}}, leaseMs-500)
+	next := allocator.Allocate(1010, ids[1], 1, Demand{"t": 0.02}, nil, 0)["t"]
 	assert.Assert(t, next.Tokens >= 3.5, "granted %+v of the 4 returned tokens", next)
-	again := allocator.Ask(1020, ids[2], 1, Demand{"t": 0.02}, nil, 0)["t"]
+	again := allocator.Allocate(1020, ids[2], 1, Demand{"t": 0.02}, nil, 0)["t"]
 	assert.Assert(t, next.Tokens+again.Tokens <= 4.1, "granted %v and %v of 4 tokens", next.Tokens, again.Tokens)
 }
 
@@ -591,29 +591,29 @@
 	for _, testCase := range []struct {
 		name            string
 		gatekeeperCount int
-		limit           Terms
+		limit           Limit
 		load            float64 // demand as a multiple of the rate
 		maxRefused      float64 // largest share of the requests within the limit that may be refused
 		maxWaitMs       float64 // milliseconds that a request waits for a token
 		owners          int     // gatekeepers that own the quota, 0 for none
 	}{
-		{"tiny, 69 gatekeepers", 69, Terms{5, 5}, 1 / 1.6, 0.02, 0, 2},
-		{"tiny and overloaded, 69 gatekeepers", 69, Terms{5, 5}, 8, 0.05, 0, 2},
-		{"small, 69 gatekeepers", 69, Terms{40, 40}, 1 / 1.6, 0.01, 0, 2},
-		{"large, 69 gatekeepers", 69, Terms{122, 122}, 1 / 1.6, 0.01, 0, 2},
-		{"overloaded, 69 gatekeepers", 69, Terms{122, 122}, 8, 0.05, 0, 2},
-		{"medium", 11, Terms{30, 30}, 1 / 1.6, 0.01, 0, 2},
-		{"tiny", 11, Terms{5, 5}, 1 / 1.6, 0.02, 0, 2},
-		{"tiny without a burst", 11, Terms{5, 0}, 1 / 1.6, 0.05, 0, 2},
-		{"tiny and overloaded", 11, Terms{5, 5}, 8, 0.05, 0, 2},
-		{"large", 11, Terms{122, 122}, 1 / 1.6, 0.01, 0, 0},
-		{"overloaded", 11, Terms{122, 122}, 8, 0.05, 0, 0},
-		{"large, without owners", 69, Terms{900, 900}, 1 / 1.6, 0.02, 0, 0},
+		{"tiny, 69 gatekeepers", 69, Limit{5, 5}, 1 / 1.6, 0.02, 0, 2},
+		{"tiny and overloaded, 69 gatekeepers", 69, Limit{5, 5}, 8, 0.05, 0, 2},
+		{"small, 69 gatekeepers", 69, Limit{40, 40}, 1 / 1.6, 0.01, 0, 2},
+		{"large, 69 gatekeepers", 69, Limit{122, 122}, 1 / 1.6, 0.01, 0, 2},
+		{"overloaded, 69 gatekeepers", 69, Limit{122, 122}, 8, 0.05, 0, 2},
+		{"medium", 11, Limit{30, 30}, 1 / 1.6, 0.01, 0, 2},
+		{"tiny", 11, Limit{5, 5}, 1 / 1.6, 0.02, 0, 2},
+		{"tiny without a burst", 11, Limit{5, 0}, 1 / 1.6, 0.05, 0, 2},
+		{"tiny and overloaded", 11, Limit{5, 5}, 8, 0.05, 0, 2},
+		{"large", 11, Limit{122, 122}, 1 / 1.6, 0.01, 0, 0},
+		{"overloaded", 11, Limit{122, 122}, 8, 0.05, 0, 0},
+		{"large, without owners", 69, Limit{900, 900}, 1 / 1.6, 0.02, 0, 0},
 	} {
 		arrived, served := 0.0, 0.0
 		for seed := range uint64(seedsPerCase) {
-			simulation := newCluster(seed+100, testCase.gatekeeperCount, map[string]Terms{"t": testCase.limit})
-			simulation.active.Homes = testCase.owners > 0
+			simulation := newCluster(seed+100, testCase.gatekeeperCount, map[string]Limit{"t": testCase.limit})
+			simulation.active.UseOwners = testCase.owners > 0
 			for step := range 3000 {
 				simulation.step(10)
 				if step%20 == 0 {
@@ -654,7 +654,7 @@
 // TestLostRequestIsBridged checks that with requests every 500 ms and answers up to 250 ms late, a
 // single lost request leaves no gatekeeper on its minimum.
 func TestLostRequestIsBridged(t *testing.T) {
-	simulation := newCluster(3, 11, map[string]Terms{"t": {122, 122}})
+	simulation := newCluster(3, 11, map[string]Limit{"t": {122, 122}})
 	simulation.maxDelayMs = 240
 	for _, g := range simulation.gatekeepers {
 		g.nextRequestAt = simulation.now
@@ -671,7 +671,7 @@
 				dropped[i], g.pending = g.seq, g.pending[:n-1]
 				lost++
 			}
-			if _, left := g.tenants.Holding(g.localTime(simulation.now)); step > 200 {
+			if _, left := g.tenants.Holdings(g.localTime(simulation.now)); step > 200 {
 				assert.Assert(t, left > 0, "on its minimum at %v", simulation.now)
 			}
 		}
--- a/internal/quota/request_cost_test.go
+++ b/internal/quota/request_cost_test.go
@@ -21,19 +21,19 @@
 	const owners = 2               // gatekeepers with a demand for a small quota
 	const maxPassesPerQuota = 20.0 // over all members that a request may cost per quota it concerns
 	allocator := New(leaseMs, testBounds)
-	allocator.Homes = true
-	limits := map[string]Terms{}
+	allocator.UseOwners = true
+	limits := map[string]Limit{}
 	for k := range tenants {
-		limits[fmt.Sprintf("t%03d", k)] = Terms{RatePerS: 3, Surge: 3}
+		limits[fmt.Sprintf("t%03d", k)] = Limit{RatePerS: 3, Burst: 3}
 	}
 	var ids []string
 	for i := range gatekeepers {
 		ids = append(ids, fmt.Sprintf("s%03d/a", i))
 	}
-	allocator.Members(0, ids)
-	allocator.Terms(0, limits, 1)
+	allocator.SetMembers(0, ids)
+	allocator.SetLimits(0, limits, 1)
 	allocator.Begin(0, 0)
-	demand, holding := make([]Demand, gatekeepers), make([]map[string]Slice, gatekeepers)
+	demand, holding := make([]Demand, gatekeepers), make([]map[string]Allocation, gatekeepers)
 	for i := range gatekeepers {
 		demand[i] = Demand{}
 	}
@@ -43,12 +43,12 @@
 		}
 	}
 	round := func(seq uint64) (examined uint64) {
-		before := allocator.Looked()
+		before := allocator.HoldingsExamined()
 		for i := range gatekeepers {
 			now := float64(seq)*500 + float64(i)
-			holding[i] = allocator.Ask(now, ids[i], seq, demand[i], holding[i], leaseMs-500)
+			holding[i] = allocator.Allocate(now, ids[i], seq, demand[i], holding[i], leaseMs-500)
 		}
-		return allocator.Looked() - before
+		return allocator.HoldingsExamined() - before
 	}
 	maxExamined := maxPassesPerQuota * gatekeepers * tenants * owners / gatekeepers // holdings examined per request
 	for seq := range uint64(5) {                                                    // everyone's first requests, and those after the first grants
--- a/internal/quota/scale_bench_test.go
+++ b/internal/quota/scale_bench_test.go
@@ -16,23 +16,23 @@
 			runtime.ReadMemStats(&memory)
 			heapBefore := memory.HeapAlloc
 			allocator := New(1300, Bounds{WindowS: 5, Excess: 0.1, Slack: 20})
-			allocator.Homes = true
-			limits, demand := map[string]Terms{}, Demand{}
+			allocator.UseOwners = true
+			limits, demand := map[string]Limit{}, Demand{}
 			for i := range testCase.tenants {
 				name, rate := fmt.Sprint("sese", i), 40*float64(testCase.gates)
-				limits[name], demand[name] = Terms{RatePerS: rate, Surge: rate}, 30
+				limits[name], demand[name] = Limit{RatePerS: rate, Burst: rate}, 30
 			}
 			ids := make([]string, testCase.gates)
 			for i := range ids {
 				ids[i] = fmt.Sprintf("counter-%d/%x", i, i)
 			}
 			allocator.Begin(0, 1e6)
-			allocator.Terms(0, limits, 1)
-			allocator.Members(0, ids)
+			allocator.SetLimits(0, limits, 1)
+			allocator.SetMembers(0, ids)
 			runtime.GC()
 			runtime.ReadMemStats(&memory)
 			b.ReportMetric(float64(memory.HeapAlloc-heapBefore)/float64(testCase.gates*testCase.tenants), "B/quota/gate")
-			held := make([]map[string]Slice, testCase.gates)
+			held := make([]map[string]Allocation, testCase.gates)
 			now, seq := 0.0, uint64(0)
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
@@ -41,7 +41,7 @@
 					seq++
 				}
 				now += 500 / float64(testCase.gates) // each sends two requests per second
-				held[index] = allocator.Ask(now, ids[index], seq, demand, held[index], 800)
+				held[index] = allocator.Allocate(now, ids[index], seq, demand, held[index], 800)
 			}
 		})
 	}
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -12,16 +12,16 @@
 	return Bounds{WindowS: settings.QuotaWindowS, Excess: settings.QuotaExcess, Slack: settings.QuotaSlack}
 }
 
-// TermsOf returns the quota of a tenant of the timetable.
-func TermsOf(sender *timetable.Sender) Terms {
-	return Terms{RatePerS: sender.RatePerS, Surge: sender.Surge}
+// LimitOf returns the quota of a tenant of the timetable.
+func LimitOf(sender *timetable.Tenant) Limit {
+	return Limit{RatePerS: sender.RatePerS, Burst: sender.Burst}
 }
 
-// Limited iterates over the tenants of a configuration that have a quota, by name.
-func Limited(table *timetable.Timetable) iter.Seq2[string, Terms] {
-	return func(yield func(string, Terms) bool) {
-		for i := range table.Senders {
-			if sender := &table.Senders[i]; sender.RatePerS > 0 && !yield(sender.Name, TermsOf(sender)) {
+// LimitedTenants iterates over the tenants of a configuration that have a quota, by name.
+func LimitedTenants(table *timetable.Config) iter.Seq2[string, Limit] {
+	return func(yield func(string, Limit) bool) {
+		for i := range table.Tenants {
+			if sender := &table.Tenants[i]; sender.RatePerS > 0 && !yield(sender.Name, LimitOf(sender)) {
 				return
 			}
 		}
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -60,27 +60,27 @@
 // and a second sync can succeed without having written what the first one could not.
 var ErrStopped = errors.New("recordlog: the journal is stopped and must be reopened")
 
-// ErrKept is returned if Replace failed before the new generation got its name: the previous
+// ErrReplaceFailed is returned if Replace failed before the new generation got its name: the previous
 // generation is still the current one, and the journal can be used.
-var ErrKept = errors.New("recordlog: replacement failed; the previous records are kept")
+var ErrReplaceFailed = errors.New("recordlog: replacement failed; the previous records are kept")
 
 // ErrDamaged reports that bytes which had been synced are not what was written. Nothing is
 // truncated, because complete entries after the damage would be lost.
 type ErrDamaged struct {
-	File string
-	At   int64 // offset in bytes at which the entry begins
+	File   string
+	Offset int64 // offset in bytes at which the entry begins
 }
 
 // Error describes the damage and its location.
 func (e *ErrDamaged) Error() string {
-	return fmt.Sprintf("recordlog: %s is damaged: no valid entry at byte %d", e.File, e.At)
+	return fmt.Sprintf("recordlog: %s is damaged: no valid entry at byte %d", e.File, e.Offset)
 }
 
-// ErrFormer reports that a directory holds a journal in the earlier format, which is not read.
-type ErrFormer struct{ File string }
+// ErrEarlierFormat reports that a directory holds a journal in the earlier format, which is not read.
+type ErrEarlierFormat struct{ File string }
 
 // Error names the file in the earlier format.
-func (e *ErrFormer) Error() string {
+func (e *ErrEarlierFormat) Error() string {
 	return fmt.Sprintf("recordlog: %s is a journal in an earlier format, which this version cannot read", e.File)
 }
 
@@ -119,7 +119,7 @@
 	var generations []string
 	for _, name := range names {
 		if _, _, ok := parseGeneration(name, earlierPrefix); ok {
-			return nil, nil, &ErrFormer{filepath.Join(dir, name)}
+			return nil, nil, &ErrEarlierFormat{filepath.Join(dir, name)}
 		}
 		generation, complete, ok := parseGeneration(name, generationPrefix)
 		if !ok {
@@ -236,7 +236,7 @@
 	}
 	previous, previousDir := j.log, j.path()
 	if renamed, err := j.startGeneration(records); err != nil && !renamed {
-		return fmt.Errorf("%w: %w", ErrKept, err)
+		return fmt.Errorf("%w: %w", ErrReplaceFailed, err)
 	} else if err != nil {
 		return j.fail(err)
 	}
--- a/internal/recordlog/recordlog_test.go
+++ b/internal/recordlog/recordlog_test.go
@@ -185,7 +185,7 @@
 			}
 			assert.ErrorIs(t, err, errCrash)
 			if p.failedBeforeRename() {
-				assert.ErrorIs(t, err, ErrKept)
+				assert.ErrorIs(t, err, ErrReplaceFailed)
 				continue
 			}
 			assert.ErrorIs(t, j.Append(script[0].records), ErrStopped)
@@ -244,7 +244,7 @@
 			if p.failedBeforeRename() {
 				kept++
 				assert.Assert(t, op.replace)
-				assert.ErrorIs(t, err, ErrKept)
+				assert.ErrorIs(t, err, ErrReplaceFailed)
 				names, err := osFileSystem{}.List(p.root)
 				assert.NilError(t, err)
 				assert.DeepEqual(t, names, []string{generationName(j.generation)}) // its space is freed
@@ -327,7 +327,7 @@
 	assert.Assert(t, errors.As(err, &fault), "%s: %v", where, err)
 	if offset >= 0 {
 		assert.Equal(t, fault.File, file)
-		assert.Assert(t, fault.At <= int64(offset) && int64(offset)-fault.At < 100, "%s: %d", where, fault.At)
+		assert.Assert(t, fault.Offset <= int64(offset) && int64(offset)-fault.Offset < 100, "%s: %d", where, fault.Offset)
 	}
 	after, err := os.ReadFile(file)
 	assert.NilError(t, err)
@@ -456,7 +456,7 @@
 	p.afterMake = func(dir string) { assert.NilError(t, os.Symlink(failingDevice, filepath.Join(dir, segmentName(1)))) }
 	p.steps = nil
 	err = j.Replace([][]byte{record("b", 1)})
-	assert.ErrorIs(t, err, ErrKept)
+	assert.ErrorIs(t, err, ErrReplaceFailed)
 	assert.ErrorIs(t, err, unix.EINVAL)
 	assert.DeepEqual(t, p.steps, []string{"make " + generationName(2) + tempSuffix, "remove " + segmentName(1), "remove " + generationName(2) + tempSuffix})
 	assert.NilError(t, j.Append([][]byte{record("c", 1)})) // its own segment can be synced
@@ -515,7 +515,7 @@
 			assert.DeepEqual(t, names, []string{generationName(1)})
 			want := [][]byte{record("a", 9)}
 			if c.kept {
-				assert.ErrorIs(t, err, ErrKept)
+				assert.ErrorIs(t, err, ErrReplaceFailed)
 				assert.NilError(t, nextErr)
 				want = append(want, record("e", 1))
 			} else {
@@ -593,7 +593,7 @@
 		dir := t.TempDir()
 		assert.NilError(t, os.WriteFile(filepath.Join(dir, name), []byte("x"), 0o600))
 		_, _, err := Open(dir)
-		var fault *ErrFormer
+		var fault *ErrEarlierFormat
 		assert.Assert(t, errors.As(err, &fault))
 		assert.Equal(t, fault.File, filepath.Join(dir, name))
 		assert.ErrorContains(t, err, "earlier format")
--- a/internal/replay/audit.go
+++ b/internal/replay/audit.go
@@ -14,31 +14,31 @@
 	"foxwood/policy"
 )
 
-// Named is the capture of one gatekeeper, which may cover several runs.
-type Named struct {
+// NamedSource is the capture of one gatekeeper, which may cover several runs.
+type NamedSource struct {
 	Name string
 	From Source
 }
 
-// Merged is a sequence of the records of several gatekeepers' captures, ordered by time.
-type Merged struct {
+// MergedCaptures is a sequence of the records of several gatekeepers' captures, ordered by time.
+type MergedCaptures struct {
 	sources []*mergeSource
 	Notes   []string // gaps and truncated segments, each with the name of its capture
 }
 
 // mergeSource is a capture with its next record.
 type mergeSource struct {
-	Named
+	NamedSource
 	record *capturepb.Record
 	at     policy.Micros
 	ended  bool
 }
 
 // Merge merges captures. Their times must come from synchronized clocks.
-func Merge(captures ...Named) *Merged {
-	m := &Merged{}
+func Merge(captures ...NamedSource) *MergedCaptures {
+	m := &MergedCaptures{}
 	for _, c := range captures {
-		m.sources = append(m.sources, &mergeSource{Named: c})
+		m.sources = append(m.sources, &mergeSource{NamedSource: c})
 	}
 	return m
 }
@@ -46,7 +46,7 @@
 // Next returns the earliest remaining record, its time, and the name of its capture. Among
 // records of the same time, the capture that was passed to Merge first comes first. The
 // record is valid until the next call. The error is io.EOF after the last record.
-func (m *Merged) Next() (name string, r *capturepb.Record, at policy.Micros, err error) {
+func (m *MergedCaptures) Next() (name string, r *capturepb.Record, at policy.Micros, err error) {
 	var first *mergeSource
 	for _, s := range m.sources {
 		if s.record == nil && !s.ended {
@@ -66,11 +66,11 @@
 }
 
 // readNext reads the next record of a capture.
-func (m *Merged) readNext(s *mergeSource) error {
+func (m *MergedCaptures) readNext(s *mergeSource) error {
 	for {
 		r, at, err := s.From.Next()
-		var gap *capture.Gap
-		var cut *capture.Cut
+		var gap *capture.GapError
+		var cut *capture.TruncatedError
 		switch {
 		case errors.Is(err, io.EOF):
 			s.ended = true
@@ -127,7 +127,7 @@
 // merged, and compares them with quota and ceiling. The estimated units of a request count
 // when its first attempt is sent, and are corrected to the actual units by its answer. The
 // accounts are ordered by excess, the largest first.
-func Audit(m *Merged, key *capture.Key) ([]*Account, error) {
+func Audit(m *MergedCaptures, key *capture.Key) ([]*Account, error) {
 	decoder := capture.NewDecoder(key)
 	accounts := map[uint64]*Account{}
 	openRequests := map[string]map[uint32]*auditedRequest{}
@@ -168,7 +168,7 @@
 			}
 		case capturepb.Kind_ENDED:
 			request := openRequests[name][r.GetId()]
-			if request != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].Settles {
+			if request != nil && r.GetSettled() > 0 && policy.Status(r.GetStatus()) == policy.OK && settings[name].SettlesUnits {
 				request.account.charge(r.GetSettled()-request.units, at)
 				request.units = r.GetSettled()
 			}
@@ -190,7 +190,7 @@
 
 // newAccount returns the account of a customer whose first request arrives, with full buckets.
 func newAccount(request policy.Request, plan policy.Plan, at policy.Micros) *Account {
-	return &Account{Customer: request.Customer, Plan: request.Plan, HasCeiling: plan.CeilingRate > 0, CeilingSlack: plan.CeilingSlack,
+	return &Account{Customer: request.Customer, Plan: request.Plan, HasCeiling: plan.CeilingRate > 0, CeilingSlack: plan.CeilingTolerance,
 		quota:   bucket{rate: plan.Rate, burst: plan.Burst, level: plan.Burst, updated: at},
 		ceiling: bucket{rate: plan.CeilingRate, burst: plan.CeilingBurst, level: plan.CeilingBurst, updated: at}}
 }
--- a/internal/replay/audit_test.go
+++ b/internal/replay/audit_test.go
@@ -12,35 +12,35 @@
 
 // recordQuotaRun records a run of a gatekeeper that gets n requests of one customer at equal
 // intervals.
-func recordQuotaRun(t *testing.T, startMs float64, n int, intervalMs float64) capture.Set {
+func recordQuotaRun(t *testing.T, startMs float64, n int, intervalMs float64) capture.MultiReader {
 	t.Helper()
 	folder := t.TempDir()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: uint64(startMs)})
+	w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n", RunID: uint64(startMs)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &harness{clock: gatekeeper.NewClock()}
 	r.clock.Set(startMs)
 	s := fewGatekeepers()
-	s.Counter, s.Gateways, s.Settles = false, 1, false
+	s.HasCounter, s.GatewayCount, s.SettlesUnits = false, 1, false
 	s.Plans[1] = policy.Plan{Rate: 10, Burst: 20, Price: 1}
-	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 1, Clock: r.clock, Fleet: r, Counter: r, Wake: func(float64) {}, Recorder: w})
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
+	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 1, Clock: r.clock, Workers: r, Counter: r, RequestWakeUp: func(float64) {}, Recorder: w})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 	for range n {
-		r.Take(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 77, Left: 1000, Units: 1, Spread: 1, Caller: r})
+		r.Submit(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 77, TimeLeft: 1000, EstimatedUnits: 1, GatekeeperCount: 1, Responder: r})
 		for _, x := range r.executions {
-			r.Done(x, gatekeeper.Outcome{Status: policy.OK})
+			r.ExecutionEnded(x, gatekeeper.Outcome{Status: policy.OK})
 		}
 		r.executions = nil
 		r.clock.Set(r.clock.Now() + intervalMs)
-		r.Advance()
+		r.RunDueTimers()
 	}
 	w.Close()
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return *capture.NewSet(segments, &capture.Key{})
+	return *capture.NewMultiReader(segments, &capture.Key{})
 }
 
 // TestAuditAddsUpAllGatekeepers: two gatekeepers that don't know of each other both keep to
@@ -49,11 +49,11 @@
 func TestAuditAddsUpAllGatekeepers(t *testing.T) {
 	key := capture.Key{}
 	audit := func(starts ...float64) *Account {
-		var all []Named
+		var all []NamedSource
 		for i, at := range starts {
 			set := recordQuotaRun(t, at, 40, 1)
 			t.Cleanup(set.Close)
-			all = append(all, Named{Name: string(rune('a' + i)), From: &set})
+			all = append(all, NamedSource{Name: string(rune('a' + i)), From: &set})
 		}
 		accounts, err := Audit(Merge(all...), &key)
 		if err != nil || len(accounts) != 1 || accounts[0].Customer != 77 {
--- a/internal/replay/chart.go
+++ b/internal/replay/chart.go
@@ -40,8 +40,8 @@
 
 // points combines the comparison's seconds into at most maxPoints points. It returns the
 // first second, the number of seconds of each point, and the points.
-func (a *Against) points() (first, each int64, all []chartPoint) {
-	seconds := slices.Sorted(maps.Keys(a.Times))
+func (a *Comparison) points() (first, each int64, all []chartPoint) {
+	seconds := slices.Sorted(maps.Keys(a.PerSecond))
 	if len(seconds) == 0 {
 		return 0, 1, nil
 	}
@@ -51,7 +51,7 @@
 	all = make([]chartPoint, (span+each-1)/each)
 	for _, at := range seconds {
 		s := &all[(at-first)/each]
-		for recorded, row := range a.Times[at] {
+		for recorded, row := range a.PerSecond[at] {
 			for other, n := range row {
 				for i, c := range curves {
 					if c.counts(decision(recorded), decision(other)) {
@@ -66,7 +66,7 @@
 
 // Chart writes the comparison as a self-contained SVG image. It shows requests per second
 // by the time of their arrival, and the time of the first decision that differs.
-func (a *Against) Chart(to io.Writer) error {
+func (a *Comparison) Chart(to io.Writer) error {
 	first, each, all := a.points()
 	top := 1.0
 	for _, s := range all {
--- a/internal/replay/chart_test.go
+++ b/internal/replay/chart_test.go
@@ -12,7 +12,7 @@
 
 // checkChart checks that a chart is well-formed XML, draws every curve and marks the first
 // difference, and that its points add up to the counts of the table.
-func checkChart(t *testing.T, a *Against) {
+func checkChart(t *testing.T, a *Comparison) {
 	t.Helper()
 	var b bytes.Buffer
 	if err := a.Chart(&b); err != nil {
@@ -61,9 +61,9 @@
 }
 
 func TestLongComparisonHasLimitedPoints(t *testing.T) {
-	a := &Against{Times: map[int64][4][4]int{}}
+	a := &Comparison{PerSecond: map[int64][4][4]int{}}
 	for at := range int64(7200) {
-		a.Times[1000+at] = [4][4]int{sent: {sent: 3}}
+		a.PerSecond[1000+at] = [4][4]int{sent: {sent: 3}}
 	}
 	first, each, all := a.points()
 	if first != 1000 || each != 60 || len(all) != maxPoints || math.Abs(all[7][0]-3) > 1e-9 || all[7][len(curves)-1] != 0 {
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -27,20 +27,20 @@
 // requestKind is a group of requests, by class and plan.
 type requestKind struct{ class, plan int }
 
-// Against compares the decisions of another module with the recorded ones, on the same
+// Comparison compares the decisions of another module with the recorded ones, on the same
 // inputs. After the first difference the other module gets the outcomes of attempts that it
 // did not make, so the figures become less meaningful the later they are.
-type Against struct {
-	First  *Difference
-	Counts map[requestKind]*[4][4]int // requests by recorded and other decision
-	Times  map[int64][4][4]int        // the same, by the Unix second in which requests arrived
-	kinds  []requestKind
+type Comparison struct {
+	First     *Difference
+	Counts    map[requestKind]*[4][4]int // requests by recorded and other decision
+	PerSecond map[int64][4][4]int        // the same, by the Unix second in which requests arrived
+	kinds     []requestKind
 }
 
 // Compare replays a capture with the modules that other creates, and counts the first
 // decision on each request. If observe is not nil, it is called for each record.
-func Compare(from Source, key *capture.Key, other func(s policy.Settings, seed uint64) gatekeeper.Module, observe func()) (*Against, error) {
-	comparison := &Against{Counts: map[requestKind]*[4][4]int{}, Times: map[int64][4][4]int{}}
+func Compare(from Source, key *capture.Key, other func(s policy.Settings, seed uint64) gatekeeper.Module, observe func()) (*Comparison, error) {
+	comparison := &Comparison{Counts: map[requestKind]*[4][4]int{}, PerSecond: map[int64][4][4]int{}}
 	type trackedRequest struct {
 		kind            requestKind
 		second          int64
@@ -55,9 +55,9 @@
 			comparison.kinds = append(comparison.kinds, o.kind)
 		}
 		c[o.recorded][o.other]++
-		inSecond := comparison.Times[o.second]
+		inSecond := comparison.PerSecond[o.second]
 		inSecond[o.recorded][o.other]++
-		comparison.Times[o.second] = inSecond
+		comparison.PerSecond[o.second] = inSecond
 	}
 	noteDecision := func(to *decision, kind capturepb.Kind) {
 		if *to == undecided {
@@ -86,8 +86,8 @@
 			}
 		}
 	}}
-	report, err := Run(observed, key, Options{Make: other, Differences: 1 << 30, Stop: neverStop(observe), Decided: func(c Call, _ policy.Micros) {
-		if o := open[c.ID]; o != nil {
+	report, err := Run(observed, key, Options{NewModule: other, MaxDifferences: 1 << 30, Stop: neverStop(observe), OnDecision: func(c Call, _ policy.Micros) {
+		if o := open[c.RequestID]; o != nil {
 			noteDecision(&o.other, c.Kind)
 		}
 	}})
@@ -130,7 +130,7 @@
 }
 
 // Write prints the comparison as a table by class and plan, and the first difference.
-func (a *Against) Write(to io.Writer) error {
+func (a *Comparison) Write(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tplan\trequests\tsent: recorded\tother\trefused: recorded\tother\tdecided otherwise\t")
 	for _, k := range a.kinds {
