--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -41,8 +41,8 @@
 // call in which it decided on the request. id is the front end's name for the request (on
 // the platform its X-Trace-Id) or its number in the decision log.
 func Explain(to io.Writer, from Source, key *capture.Key, id string) error {
-	e := &explainer{out: to, decoder: capture.NewDecoder(key), name: id, number: Number(id)}
-	report, err := Run(from, key, Options{Named: e.named, Watch: e.watch, Decided: e.decided, Stop: func() bool { return e.done }})
+	e := &explainer{out: to, decoder: capture.NewDecoder(key), name: id, number: RequestNumber(id)}
+	report, err := Run(from, key, Options{OnRequestNamed: e.named, BeforeCall: e.watch, OnDecision: e.decided, Stop: func() bool { return e.done }})
 	if err != nil {
 		return err
 	}
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// Number parses a request's number in the decision log. It returns 0 if the text is not a
+// RequestNumber parses a request's number in the decision log. It returns 0 if the text is not a
 // decimal number of 32 bits without leading zeros, and is therefore taken as a name.
-func Number(text string) uint32 {
+func RequestNumber(text string) uint32 {
 	n, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || strconv.FormatUint(n, 10) != text {
 		return 0
@@ -111,8 +111,8 @@
 	e.found, e.arrived, e.request = true, at, e.decoder.Request(r)
 	q := &e.request
 	fmt.Fprintf(e.out, "Request %d (%s) came at %d.%06d: class %d, plan %d, customer %016x, %g units, %.0f ms left", q.ID, e.name,
-		at/1e6, at%1e6, q.Class, q.Plan, q.Customer, q.Units, float64(q.Left)/1000)
-	if q.Again {
+		at/1e6, at%1e6, q.Class, q.Plan, q.Customer, q.Units, float64(q.TimeLeft)/1000)
+	if q.IsRetry {
 		fmt.Fprint(e.out, ", marked as a repeat")
 	}
 	fmt.Fprintln(e.out, ".")
@@ -121,21 +121,21 @@
 // printState prints the module's state at the arrival of the request.
 func (e *explainer) printState() {
 	v, c := &e.view, &e.view.Customer
-	fmt.Fprintf(e.out, "\nWhat it met:\n  room      %d attempts out of a bound of %.1f (%d on silent workers), %d requests held\n", v.InFlight, v.Bound, v.Stuck, v.Held)
+	fmt.Fprintf(e.out, "\nWhat it met:\n  room      %d attempts out of a bound of %.1f (%d on silent workers), %d requests held\n", v.InFlight, v.InFlightLimit, v.InFlightSilent, v.Queued)
 	if !v.Known {
 		fmt.Fprintln(e.out, "  customer  not known here: its bucket begins full, its part of a ceiling with what has filled since this gatekeeper's start")
 	} else {
-		fmt.Fprintf(e.out, "  bucket    %.2f of %.2f units, filling by %.2f a second (our part of the quota: %.0f%%)\n", c.Tokens, c.Store, c.Rate, 100*c.Share)
+		fmt.Fprintf(e.out, "  bucket    %.2f of %.2f units, filling by %.2f a second (our part of the quota: %.0f%%)\n", c.Tokens, c.Capacity, c.Rate, 100*c.Share)
 		if c.Shared {
 			heard := "no total of the counter is known"
-			if c.HeardAge >= 0 {
-				heard = fmt.Sprintf("the last total is %.0f ms old", float64(c.HeardAge)/1000)
+			if c.TotalAge >= 0 {
+				heard = fmt.Sprintf("the last total is %.0f ms old", float64(c.TotalAge)/1000)
 			}
-			fmt.Fprintf(e.out, "  store     %.2f units by what is known of it; the others use %.2f a second; %s\n", c.Level, c.OthersRate, heard)
-			fmt.Fprintf(e.out, "  counter   %.0f%% of the calls are made\n", 100*v.Calls)
+			fmt.Fprintf(e.out, "  store     %.2f units by what is known of it; the others use %.2f a second; %s\n", c.SharedTokens, c.OthersRate, heard)
+			fmt.Fprintf(e.out, "  counter   %.0f%% of the calls are made\n", 100*v.CallFraction)
 		}
-		if c.Ceiling {
-			fmt.Fprintf(e.out, "  ceiling   %.2f units in our part\n", c.Guard)
+		if c.HasCeiling {
+			fmt.Fprintf(e.out, "  ceiling   %.2f units in our part\n", c.CeilingTokens)
 		}
 		for _, w := range c.Windows {
 			spent := ""
@@ -143,7 +143,7 @@
 				spent = "; this one is known to be spent"
 			}
 			fmt.Fprintf(e.out, "  window    of its %s, drawn on the counter: %.2f units for all gatekeepers in each %.0f ms%s\n",
-				windowScope(w), w.Pool, float64(w.Lasts)/1000, spent)
+				windowScope(w), w.Units, float64(w.Length)/1000, spent)
 		}
 	}
 	for _, s := range v.Servers {
@@ -151,14 +151,14 @@
 		switch {
 		case !s.Listed || s.State != policy.Ready:
 			note = ", takes nothing new"
-		case s.Shut > 0:
-			note = fmt.Sprintf(", shut off for %.0f ms", float64(s.Shut)/1000)
-		case s.Full > 0:
-			note = fmt.Sprintf(", left alone as full for %.0f ms", float64(s.Full)/1000)
+		case s.EjectedFor > 0:
+			note = fmt.Sprintf(", shut off for %.0f ms", float64(s.EjectedFor)/1000)
+		case s.FullFor > 0:
+			note = fmt.Sprintf(", left alone as full for %.0f ms", float64(s.FullFor)/1000)
 		case s.Cold:
 			note = ", cold"
 		}
-		fmt.Fprintf(e.out, "  worker    %016x: %d out, slowness %.2f, cost %.2f%s\n", uint64(s.Server), s.Open, s.Slowness, s.Cost, note)
+		fmt.Fprintf(e.out, "  worker    %016x: %d out, slowness %.2f, cost %.2f%s\n", uint64(s.Server), s.InFlight, s.Slowness, s.Cost, note)
 	}
 	fmt.Fprintln(e.out, "\nWhat became of it:")
 }
@@ -170,19 +170,19 @@
 
 // decided gets each call that the module makes, and prints those for the request.
 func (e *explainer) decided(c Call, at policy.Micros) {
-	if !e.found || e.done || c.ID != e.number {
+	if !e.found || e.done || c.RequestID != e.number {
 		return
 	}
 	switch c.Kind {
 	case capturepb.Kind_SEND:
-		fmt.Fprintf(e.out, "%s sent to worker %016x, waited for up to %.0f ms%s\n", e.since(at), uint64(c.Server), float64(c.Span)/1000, e.describeWorkerChoice(c.Server))
+		fmt.Fprintf(e.out, "%s sent to worker %016x, waited for up to %.0f ms%s\n", e.since(at), uint64(c.Server), float64(c.Duration)/1000, e.describeWorkerChoice(c.Server))
 	case capturepb.Kind_CANCEL:
 		fmt.Fprintf(e.out, "%s attempt %d is given up\n", e.since(at), c.Attempt)
 	case capturepb.Kind_FAIL:
 		fmt.Fprintf(e.out, "%s failed: an attempt may have run, and its class forbids to say that trying again is harmless\n", e.since(at))
 		e.done = true
 	case capturepb.Kind_REFUSE:
-		fmt.Fprintf(e.out, "%s refused, to come back after %.0f ms: %s\n", e.since(at), float64(c.Span)/1000, e.describeRefusal())
+		fmt.Fprintf(e.out, "%s refused, to come back after %.0f ms: %s\n", e.since(at), float64(c.Duration)/1000, e.describeRefusal())
 		e.done = true
 	}
 }
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, s := range e.view.Servers {
-		if s.Listed && s.State == policy.Ready && s.Shut == 0 && s.Full == 0 {
+		if s.Listed && s.State == policy.Ready && s.EjectedFor == 0 && s.FullFor == 0 {
 			if open++; s.Cost < cost {
 				cheaper++
 			}
@@ -223,9 +223,9 @@
 	for _, w := range e.view.Customer.Windows {
 		switch {
 		case w.Spent:
-			return fmt.Sprintf("all gatekeepers together have spent the %.2f units that its %s has for this window of %.0f ms", w.Pool, windowScope(w), float64(w.Lasts)/1000)
-		case e.kind == capturepb.Kind_COUNTED && e.status == "ok" && e.total > w.Pool:
-			return fmt.Sprintf("with it all gatekeepers together would draw %.2f of the %.2f units that its %s has for a window of %.0f ms", e.total, w.Pool, windowScope(w), float64(w.Lasts)/1000)
+			return fmt.Sprintf("all gatekeepers together have spent the %.2f units that its %s has for this window of %.0f ms", w.Units, windowScope(w), float64(w.Length)/1000)
+		case e.kind == capturepb.Kind_COUNTED && e.status == "ok" && e.total > w.Units:
+			return fmt.Sprintf("with it all gatekeepers together would draw %.2f of the %.2f units that its %s has for a window of %.0f ms", e.total, w.Units, windowScope(w), float64(w.Length)/1000)
 		}
 	}
 	return ""
@@ -239,18 +239,18 @@
 			return why
 		}
 		switch {
-		case v.Known && c.Ceiling && c.Guard < units:
-			return fmt.Sprintf("our part of its ceiling holds %.2f of its %g units", c.Guard, units)
-		case v.Known && c.Shared && c.Level < units:
-			return fmt.Sprintf("beyond its quota: the store that all gatekeepers share holds %.2f of its %g units", c.Level, units)
-		case v.Known && !c.Shared && c.Tokens < min(units, c.Store):
+		case v.Known && c.HasCeiling && c.CeilingTokens < units:
+			return fmt.Sprintf("our part of its ceiling holds %.2f of its %g units", c.CeilingTokens, units)
+		case v.Known && c.Shared && c.SharedTokens < units:
+			return fmt.Sprintf("beyond its quota: the store that all gatekeepers share holds %.2f of its %g units", c.SharedTokens, units)
+		case v.Known && !c.Shared && c.Tokens < min(units, c.Capacity):
 			return fmt.Sprintf("beyond its quota: its bucket holds %.2f of its %g units and fills by %.2f a second", c.Tokens, units, c.Rate)
 		}
 		return ""
 	}
 	switch e.kind {
 	case capturepb.Kind_RANG:
-		return fmt.Sprintf("it was held and could not meet its aim any more (%d attempts out of a bound of %.1f, %d held)", v.InFlight, v.Bound, v.Held)
+		return fmt.Sprintf("it was held and could not meet its aim any more (%d attempts out of a bound of %.1f, %d held)", v.InFlight, v.InFlightLimit, v.Queued)
 	case capturepb.Kind_COUNTED:
 		if why := exceededLimit(); why != "" {
 			return why + ", by what the counter said"
@@ -262,10 +262,10 @@
 	if why := exceededLimit(); why != "" {
 		return why
 	}
-	if float64(v.InFlight-v.Stuck) >= v.Bound {
-		return fmt.Sprintf("no room before its wanted time: %d attempts out of a bound of %.1f, and %d held", v.InFlight, v.Bound, v.Held)
+	if float64(v.InFlight-v.InFlightSilent) >= v.InFlightLimit {
+		return fmt.Sprintf("no room before its wanted time: %d attempts out of a bound of %.1f, and %d held", v.InFlight, v.InFlightLimit, v.Queued)
 	}
-	if v.Known && c.Tokens < min(units, c.Store) {
+	if v.Known && c.Tokens < min(units, c.Capacity) {
 		return fmt.Sprintf("beyond our part of its quota: the bucket holds %.2f of its %g units", c.Tokens, units)
 	}
 	return "its client's time is too short for an answer within its aim"
--- a/internal/replay/explain_test.go
+++ b/internal/replay/explain_test.go
@@ -16,21 +16,21 @@
 // window, is refused without a call to the counter.
 func TestExplainRefusalByQuotaWindow(t *testing.T) {
 	folder := t.TempDir()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1})
+	w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newHarnessWith(manyGatekeepers(), w, 1.7e12)
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}})
 	for _, name := range []string{"the-first", "the-second"} {
-		r.Take(&gatekeeper.Request{Name: name, Plan: 0, Customer: 12, Left: 2000, Units: 1, Spread: 300, Caller: r})
+		r.Submit(&gatekeeper.Request{Name: name, Plan: 0, Customer: 12, TimeLeft: 2000, EstimatedUnits: 1, GatekeeperCount: 300, Responder: r})
 		for _, c := range r.calls {
-			r.Counted(c, policy.OK, 23)
+			r.CounterCallEnded(c, policy.OK, 23)
 		}
 		r.calls = nil
 	}
 	w.Close()
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		"the-first":  "with it all gatekeepers together would draw 23.00 of the 8.00 units that its quota has for a window of 3200 ms",
 		"the-second": "all gatekeepers together have spent the 8.00 units that its quota has for this window of 3200 ms",
 	} {
-		set := capture.NewSet(segments, &key)
+		set := capture.NewMultiReader(segments, &key)
 		defer set.Close()
 		var explanation bytes.Buffer
 		if err := Explain(&explanation, set, &key, name); err != nil {
--- a/internal/replay/past_failures_test.go
+++ b/internal/replay/past_failures_test.go
@@ -27,15 +27,15 @@
 		"killed-within-a-block": {2, []capturepb.Kind{capturepb.Kind_RECOVERED}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			segments, err := capture.Find(filepath.Join("testdata", "kept", name))
+			segments, err := capture.FindSegments(filepath.Join("testdata", "kept", name))
 			if err != nil {
 				t.Fatal(err)
 			}
 			key := capture.Key{}
 			kinds := map[capturepb.Kind]int{}
-			set := capture.NewSet(segments, &key)
+			set := capture.NewMultiReader(segments, &key)
 			err = set.Each(func(r *capturepb.Record) { kinds[r.GetKind()]++ }, func(err error) {
-				var gap *capture.Gap
+				var gap *capture.GapError
 				if errors.As(err, &gap) {
 					t.Fatal(err)
 				}
@@ -51,15 +51,15 @@
 			}
 			var logs [2]bytes.Buffer
 			for i := range logs {
-				set := capture.NewSet(segments, &key)
+				set := capture.NewMultiReader(segments, &key)
 				ends := map[uint32]int{}
-				report, err := Run(set, &key, Options{Log: &logs[i], Differences: 1 << 30, Decided: func(c Call, _ policy.Micros) {
+				report, err := Run(set, &key, Options{Log: &logs[i], MaxDifferences: 1 << 30, OnDecision: func(c Call, _ policy.Micros) {
 					if c.Kind == capturepb.Kind_REFUSE || c.Kind == capturepb.Kind_FAIL {
-						ends[c.ID]++
+						ends[c.RequestID]++
 					}
 				}})
 				set.Close()
-				if err != nil || report.Lives != want.lives || report.Calls < 10 {
+				if err != nil || report.Runs != want.lives || report.Calls < 10 {
 					t.Fatalf("report %+v, error %v; want %d runs and at least 10 calls", report, err, want.lives)
 				}
 				for id, n := range ends {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -20,52 +20,52 @@
 	"foxwood/policy"
 )
 
-// Source returns records in order. It is implemented by capture.Set.
+// Source returns records in order. It is implemented by capture.MultiReader.
 type Source interface {
 	Next() (*capturepb.Record, policy.Micros, error)
 }
 
 // Options controls a replay.
 type Options struct {
-	// Make creates the module of a run; policy.New if nil.
-	Make func(s policy.Settings, seed uint64) gatekeeper.Module
-	// Begin restores a module from a checkpoint, with which a replay starts if the capture
+	// NewModule creates the module of a run; policy.New if nil.
+	NewModule func(s policy.Settings, seed uint64) gatekeeper.Module
+	// RestoreModule restores a module from a checkpoint, with which a replay starts if the capture
 	// does not begin with the start of a run. If Make is nil, policy.Restore is used. If Make
 	// is set and Begin is nil, replays do not start at checkpoints.
-	Begin func(s policy.Snapshot) (gatekeeper.Module, error)
+	RestoreModule func(s policy.Snapshot) (gatekeeper.Module, error)
 	// Log, if set, gets every call as a line.
 	Log io.Writer
 	// Request, if not 0, limits the log to calls with this request number. Name, if set,
 	// limits it to calls for the request that the front end knows by this name.
-	Request uint32
-	Name    string
+	LogRequestID   uint32
+	LogRequestName string
 	// Until, if not 0, is the time at which the replay stops.
 	Until policy.Micros
 	// Watch, if set, is called before each call of the module.
-	Watch func(m gatekeeper.Module, r *capturepb.Record, at policy.Micros)
+	BeforeCall func(m gatekeeper.Module, r *capturepb.Record, at policy.Micros)
 	// Decided, if set, gets each call that the module makes.
-	Decided func(c Call, at policy.Micros)
+	OnDecision func(c Call, at policy.Micros)
 	// Swap, if set, is called before each call of the module, and returns the module to
 	// continue with.
-	Swap func(m gatekeeper.Module) gatekeeper.Module
+	SwapModule func(m gatekeeper.Module) gatekeeper.Module
 	// Named, if set, gets the front end's name for each request.
-	Named func(id uint32, name string)
+	OnRequestNamed func(id uint32, name string)
 	// Stop, if set, is called for each record, and ends the replay by returning true.
 	Stop func() bool
-	// Differences is the number of differences after which the replay stops; 1 if 0. After
+	// MaxDifferences is the number of differences after which the replay stops; 1 if 0. After
 	// the first difference, the recorded events no longer match what the module did.
-	Differences int
+	MaxDifferences int
 }
 
 // Report is the result of a replay.
 type Report struct {
-	Lives, Calls, Decisions int // runs replayed, calls of the module, and calls that it made
-	Checkpoints             int
-	Ended                   bool          // the last segment has its end block, and no records are missing
-	First, Last             policy.Micros // times of the first and last record
-	Differences             []Difference
-	Module                  gatekeeper.Module // the last module, nil if no run was replayed
-	Notes                   []string          // gaps, truncated segments and runs without a start
+	Runs, Calls, Decisions int // runs replayed, calls of the module, and calls that it made
+	Checkpoints            int
+	Complete               bool          // the last segment has its end block, and no records are missing
+	First, Last            policy.Micros // times of the first and last record
+	Differences            []Difference
+	Module                 gatekeeper.Module // the last module, nil if no run was replayed
+	Notes                  []string          // gaps, truncated segments and runs without a start
 }
 
 // Difference is a call of the module in which its decisions differed from the recorded ones.
@@ -93,19 +93,19 @@
 // errStopped ends a replay that Options.Until or Options.Stop stopped.
 var errStopped = errors.New("replay stopped by its options")
 
-// Run replays records to their end, or until Options.Differences differences were found.
+// Run replays records to their end, or until Options.MaxDifferences differences were found.
 func Run(from Source, key *capture.Key, o Options) (*Report, error) {
-	if o.Make == nil {
-		o.Make = func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }
-		o.Begin = func(s policy.Snapshot) (gatekeeper.Module, error) { return policy.Restore(s) }
+	if o.NewModule == nil {
+		o.NewModule = func(s policy.Settings, seed uint64) gatekeeper.Module { return policy.New(s, seed) }
+		o.RestoreModule = func(s policy.Snapshot) (gatekeeper.Module, error) { return policy.Restore(s) }
 	}
-	if o.Differences == 0 {
-		o.Differences = 1
+	if o.MaxDifferences == 0 {
+		o.MaxDifferences = 1
 	}
 	p := &player{options: &o, decoder: capture.NewDecoder(key), report: &Report{}, skipping: true}
 	err := p.play(from)
 	p.compareDecisions()
-	p.report.Module, p.report.Ended = p.module, errors.Is(err, io.EOF) && !p.incomplete && !p.skipping
+	p.report.Module, p.report.Complete = p.module, errors.Is(err, io.EOF) && !p.incomplete && !p.skipping
 	if errors.Is(err, io.EOF) || errors.Is(err, errStopped) {
 		err = nil
 	}
@@ -114,10 +114,10 @@
 
 // play replays records until the source or the options end the replay.
 func (p *player) play(from Source) error {
-	for len(p.report.Differences) < p.options.Differences {
+	for len(p.report.Differences) < p.options.MaxDifferences {
 		r, at, err := from.Next()
-		var gap *capture.Gap
-		var cut *capture.Cut
+		var gap *capture.GapError
+		var cut *capture.TruncatedError
 		switch {
 		case errors.As(err, &gap), errors.As(err, &cut):
 			p.want, p.got = p.want[:0], p.got[:0] // the rest of the recorded decisions is missing
@@ -138,11 +138,11 @@
 		}
 		p.report.Last = at
 		if r.GetKind() == capturepb.Kind_NAMED { // may come between the decisions of a call
-			if p.options.Named != nil {
-				p.options.Named(r.GetId(), r.GetText())
+			if p.options.OnRequestNamed != nil {
+				p.options.OnRequestNamed(r.GetId(), r.GetText())
 			}
-			if p.options.Name != "" && p.options.Name == r.GetText() {
-				p.options.Request = r.GetId()
+			if p.options.LogRequestName != "" && p.options.LogRequestName == r.GetText() {
+				p.options.LogRequestID = r.GetId()
 			}
 			p.logLine(r.GetId(), "named request=%d %q", r.GetId(), r.GetText())
 			continue
@@ -184,14 +184,14 @@
 		return nil
 	}
 	if p.skipping {
-		if p.options.Begin == nil {
+		if p.options.RestoreModule == nil {
 			return nil
 		}
-		if p.module, err = p.options.Begin(want); err != nil {
+		if p.module, err = p.options.RestoreModule(want); err != nil {
 			return err
 		}
 		p.skipping = false
-		p.report.Lives++
+		p.report.Runs++
 		p.report.Notes = append(p.report.Notes, fmt.Sprintf("replayed from the checkpoint at %d.%06d on", at/1e6, at%1e6))
 		return nil
 	}
@@ -222,7 +222,7 @@
 
 // addDifference adds a difference to the report, up to the limit of the options.
 func (p *player) addDifference(d Difference) {
-	if len(p.report.Differences) < p.options.Differences {
+	if len(p.report.Differences) < p.options.MaxDifferences {
 		p.report.Differences = append(p.report.Differences, d)
 	}
 }
@@ -234,11 +234,11 @@
 		if err != nil {
 			return err
 		}
-		p.module, p.skipping, p.incomplete = p.options.Make(s, r.GetSeed()), false, false
-		p.report.Lives++
+		p.module, p.skipping, p.incomplete = p.options.NewModule(s, r.GetSeed()), false, false
+		p.report.Runs++
 	}
 	if p.skipping {
-		if p.report.Lives == 0 && len(p.report.Notes) == 0 {
+		if p.report.Runs == 0 && len(p.report.Notes) == 0 {
 			p.report.Notes = append(p.report.Notes, "the capture does not start with the start of a process: records before the first checkpoint are skipped")
 		}
 		return nil
@@ -247,11 +247,11 @@
 	p.callText = describe(r, p.decoder)
 	p.report.Calls++
 	p.logLine(p.requestID, "%s", p.callText)
-	if p.options.Swap != nil && r.GetKind() != capturepb.Kind_BEGAN {
-		p.module = p.options.Swap(p.module)
+	if p.options.SwapModule != nil && r.GetKind() != capturepb.Kind_BEGAN {
+		p.module = p.options.SwapModule(p.module)
 	}
-	if p.options.Watch != nil {
-		p.options.Watch(p.module, r, at)
+	if p.options.BeforeCall != nil {
+		p.options.BeforeCall(p.module, r, at)
 	}
 	switch r.GetKind() {
 	case capturepb.Kind_BEGAN:
@@ -263,9 +263,9 @@
 	case capturepb.Kind_ENDED:
 		p.module.Outcome(at, p, p.decoder.Outcome(r))
 	case capturepb.Kind_COUNTED:
-		p.module.Counted(at, p, p.decoder.Name(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
+		p.module.CounterResult(at, p, p.decoder.CounterName(r), r.GetSpan(), policy.Status(r.GetStatus()), r.GetAmount())
 	case capturepb.Kind_LISTED:
-		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.decoder.Entries(r))
+		p.module.Servers(at, p, policy.ListKind(r.GetList()), p.decoder.Workers(r))
 	case capturepb.Kind_CLASSES:
 		s, err := p.decoder.Settings(r)
 		if err != nil {
@@ -279,13 +279,13 @@
 		}
 		p.module.Recover(at, p, s, r.GetAgain())
 	case capturepb.Kind_FILLED:
-		p.module.Filled(at, r.GetId())
+		p.module.BodyReceived(at, r.GetId())
 	case capturepb.Kind_PROGRESSED:
 		p.module.Progress(at, policy.Server(r.GetServer()))
 	case capturepb.Kind_JOINED:
-		p.module.Joined(policy.Snapshot{Now: at, Born: r.GetAt()})
+		p.module.InheritStart(policy.Snapshot{Now: at, StartedAt: r.GetAt()})
 	case capturepb.Kind_BESIDE:
-		p.module.Beside(at, p.decoder.Beside(r))
+		p.module.RecordPeerDraw(at, p.decoder.PeerDraw(r))
 	case capturepb.Kind_RANG:
 		p.module.Timer(at, p, r.GetToken())
 	default:
@@ -315,8 +315,8 @@
 
 // logLine writes a line to the decision log if the line's request is selected.
 func (p *player) logLine(id uint32, format string, a ...any) {
-	filtered := p.options.Request != 0 || p.options.Name != ""
-	if p.options.Log == nil || filtered && (id == 0 || p.options.Request != id) {
+	filtered := p.options.LogRequestID != 0 || p.options.LogRequestName != ""
+	if p.options.Log == nil || filtered && (id == 0 || p.options.LogRequestID != id) {
 		return
 	}
 	fmt.Fprintf(p.options.Log, "%d.%06d ", p.callTime/1e6, p.callTime%1e6)
@@ -328,36 +328,36 @@
 func (p *player) decided(c Call) {
 	p.got = append(p.got, c)
 	p.report.Decisions++
-	p.logLine(c.ID, "  %v", c)
-	if p.options.Decided != nil {
-		p.options.Decided(c, p.callTime)
+	p.logLine(c.RequestID, "  %v", c)
+	if p.options.OnDecision != nil {
+		p.options.OnDecision(c, p.callTime)
 	}
 }
 
 // Send implements policy.Host.
 func (p *player) Send(id uint32, server policy.Server, timeout policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_SEND, ID: id, Server: server, Span: timeout})
+	p.decided(Call{Kind: capturepb.Kind_SEND, RequestID: id, Server: server, Duration: timeout})
 }
 
 // Refuse implements policy.Host.
 func (p *player) Refuse(id uint32, retryAfter policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_REFUSE, ID: id, Span: retryAfter})
+	p.decided(Call{Kind: capturepb.Kind_REFUSE, RequestID: id, Duration: retryAfter})
 }
 
 // Fail implements policy.Host.
-func (p *player) Fail(id uint32) { p.decided(Call{Kind: capturepb.Kind_FAIL, ID: id}) }
+func (p *player) Fail(id uint32) { p.decided(Call{Kind: capturepb.Kind_FAIL, RequestID: id}) }
 
 // Cancel implements policy.Host.
 func (p *player) Cancel(id uint32, attempt int) {
-	p.decided(Call{Kind: capturepb.Kind_CANCEL, ID: id, Attempt: attempt})
+	p.decided(Call{Kind: capturepb.Kind_CANCEL, RequestID: id, Attempt: attempt})
 }
 
 // Timer implements policy.Host.
 func (p *player) Timer(token uint64, delay policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Span: delay})
+	p.decided(Call{Kind: capturepb.Kind_TIMER, Token: token, Duration: delay})
 }
 
 // Count implements policy.Host.
 func (p *player) Count(name uint64, amount float64, ttl policy.Micros) {
-	p.decided(Call{Kind: capturepb.Kind_COUNT, Name: name, Amount: amount, Span: ttl})
+	p.decided(Call{Kind: capturepb.Kind_COUNT, Name: name, Amount: amount, Duration: ttl})
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -26,14 +26,14 @@
 	*gatekeeper.Gatekeeper
 	clock      *gatekeeper.Clock
 	executions []*gatekeeper.Execution
-	calls      []*gatekeeper.Count
+	calls      []*gatekeeper.CounterCall
 	open       []*gatekeeper.Request
 }
 
 func (r *harness) Execute(x *gatekeeper.Execution)                   { r.executions = append(r.executions, x) }
 func (r *harness) Abandon(*gatekeeper.Execution) bool                { return true }
 func (r *harness) Release(policy.Server)                             {}
-func (r *harness) Add(c *gatekeeper.Count)                           { r.calls = append(r.calls, c) }
+func (r *harness) Add(c *gatekeeper.CounterCall)                     { r.calls = append(r.calls, c) }
 func (r *harness) Served(q *gatekeeper.Request, _ gatekeeper.Answer) { r.removeOpen(q) }
 func (r *harness) Throttled(q *gatekeeper.Request, _ float64)        { r.removeOpen(q) }
 func (r *harness) Failed(q *gatekeeper.Request)                      { r.removeOpen(q) }
@@ -48,19 +48,19 @@
 
 // fewGatekeepers are those of one of three gatekeepers with quotas on the shared counter.
 func fewGatekeepers() policy.Settings {
-	return policy.Settings{Gateways: 3, Self: 1, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true,
-		Counter: true, CounterTimeout: 50e3, Largest: 6, InlineLoad: []string{"inflight"}, Settles: true,
-		ColdShare: 0.16, ColdFor: 14e6, FallMultiple: 3, FallWindow: 1.5e6,
-		Classes: []policy.Class{{Aim: 400e3, Deadline: 2e6, Worth: 1, Repeat: policy.Safe},
-			{Aim: 750e3, Deadline: 2e6, Worth: 2, Repeat: policy.Keyed, Window: 1e6}},
-		Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 1, OverCost: 1}, {Rate: 60, Burst: 90, Price: 2, CeilingRate: 90, CeilingBurst: 99}}}
+	return policy.Settings{GatewayCount: 3, Index: 1, ClockTick: 4000, MaxAttempts: 3, CanCancel: true, SendRetryAfter: true,
+		HasCounter: true, CounterTimeout: 50e3, MaxUnits: 6, LoadReportFields: []string{"inflight"}, SettlesUnits: true,
+		ColdCapacity: 0.16, ColdDuration: 14e6, OverloadMultiple: 3, OverloadWindow: 1.5e6,
+		Classes: []policy.Class{{LatencyTarget: 400e3, Deadline: 2e6, Value: 1, Repeat: policy.RepeatSafe},
+			{LatencyTarget: 750e3, Deadline: 2e6, Value: 2, Repeat: policy.RepeatKeyed, RepeatWindow: 1e6}},
+		Plans: []policy.Plan{{Rate: 2, Burst: 8, Price: 1, OverrunCost: 1}, {Rate: 60, Burst: 90, Price: 2, CeilingRate: 90, CeilingBurst: 99}}}
 }
 
 // manyGatekeepers are the settings of one of hundreds of gatekeepers, which draw quota on the
 // counter by windows of time.
 func manyGatekeepers() policy.Settings {
 	s := fewGatekeepers()
-	s.Gateways, s.Self = 300, 7
+	s.GatewayCount, s.Index = 300, 7
 	return s
 }
 
@@ -71,8 +71,8 @@
 func newHarnessWith(s policy.Settings, rec gatekeeper.Recorder, startMs float64) *harness {
 	r := &harness{clock: gatekeeper.NewClock()}
 	r.clock.Set(startMs)
-	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 0x1f, Clock: r.clock, Fleet: r, Counter: r,
-		Wake: func(float64) {}, Recorder: rec})
+	r.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: s, Seed: 0x1f, Clock: r.clock, Workers: r, Counter: r,
+		RequestWakeUp: func(float64) {}, Recorder: rec})
 	return r
 }
 
@@ -82,7 +82,7 @@
 // draws of another process of the gatekeeper.
 func (r *harness) playRandomEvents(t *rapid.T) {
 	list := func() {
-		kind := rapid.SampledFrom([]policy.ListKind{policy.FullList, policy.Delta}).Draw(t, "list")
+		kind := rapid.SampledFrom([]policy.ListKind{policy.FullList, policy.ListDelta}).Draw(t, "list")
 		var entries []policy.Entry
 		for i := range rapid.IntRange(1, 4).Draw(t, "workers") {
 			e := policy.Entry{Server: policy.Server(i + 1), State: rapid.SampledFrom([]policy.State{policy.Ready, policy.Ready, policy.Draining}).Draw(t, "state"), Weight: 1}
@@ -91,18 +91,18 @@
 			}
 			entries = append(entries, e)
 		}
-		r.Workers(kind, entries)
+		r.UpdateWorkers(kind, entries)
 	}
 	list()
 	for range rapid.IntRange(1, 120).Draw(t, "events") {
 		switch rapid.IntRange(0, 13).Draw(t, "event") {
 		default:
 			q := &gatekeeper.Request{Class: rapid.IntRange(0, 1).Draw(t, "class"), Plan: rapid.IntRange(0, 1).Draw(t, "plan"),
-				Left: rapid.Float64Range(5, 2000).Draw(t, "left"), Units: rapid.Float64Range(0.5, 6).Draw(t, "units"),
-				Spread: rapid.SampledFrom([]int{1, 2, 3, 40}).Draw(t, "spread"), Filling: rapid.IntRange(0, 3).Draw(t, "filling") == 0, Caller: r}
+				TimeLeft: rapid.Float64Range(5, 2000).Draw(t, "left"), EstimatedUnits: rapid.Float64Range(0.5, 6).Draw(t, "units"),
+				GatekeeperCount: rapid.SampledFrom([]int{1, 2, 3, 40}).Draw(t, "spread"), BodyPending: rapid.IntRange(0, 3).Draw(t, "filling") == 0, Responder: r}
 			q.Customer = uint64(q.Plan*10 + rapid.IntRange(0, 3).Draw(t, "customer"))
 			r.open = append(r.open, q)
-			r.Take(q)
+			r.Submit(q)
 		case 4, 5, 6:
 			if len(r.executions) > 0 {
 				i := rapid.IntRange(0, len(r.executions)-1).Draw(t, "which")
@@ -113,20 +113,20 @@
 				if rapid.Bool().Draw(t, "loaded") {
 					o.Load = []float32{float32(rapid.IntRange(0, 40).Draw(t, "load"))}
 				}
-				r.Done(x, o)
+				r.ExecutionEnded(x, o)
 			}
 		case 7:
 			if len(r.calls) > 0 {
 				c := r.calls[0]
 				r.calls = r.calls[1:]
-				r.Counted(c, rapid.SampledFrom([]policy.Status{policy.OK, policy.OK, policy.Full, policy.Reset}).Draw(t, "said"),
+				r.CounterCallEnded(c, rapid.SampledFrom([]policy.Status{policy.OK, policy.OK, policy.Full, policy.Reset}).Draw(t, "said"),
 					rapid.Float64Range(0, 50).Draw(t, "total"))
 			}
 		case 8:
 			if len(r.open) > 0 {
 				q := r.open[0]
 				r.open = r.open[1:]
-				r.Gone(q)
+				r.ClientGone(q)
 			}
 		case 9:
 			if rapid.IntRange(0, 5).Draw(t, "rare") == 0 {
@@ -135,34 +135,34 @@
 		case 10:
 			if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
 				s := fewGatekeepers()
-				s.Classes[0].Worth = rapid.Float64Range(0.5, 3).Draw(t, "worth")
+				s.Classes[0].Value = rapid.Float64Range(0.5, 3).Draw(t, "worth")
 				r.SetClasses(s.Classes)
 			}
 		case 12:
 			if len(r.open) > 0 {
-				r.Filled(rapid.SampledFrom(r.open).Draw(t, "filled"))
+				r.BodyReceived(rapid.SampledFrom(r.open).Draw(t, "filled"))
 			}
 			if len(r.executions) > 0 {
 				r.Progress(rapid.SampledFrom(r.executions).Draw(t, "progressed"))
 			}
 		case 13:
 			plan := rapid.IntRange(0, 1).Draw(t, "plan")
-			r.Beside(policy.Draw{Customer: uint64(plan*10 + rapid.IntRange(0, 3).Draw(t, "customer")), Plan: plan, Spread: 1,
-				Units: rapid.Float64Range(-2, 6).Draw(t, "units"), Settles: rapid.Bool().Draw(t, "settles"), Server: policy.Server(rapid.IntRange(0, 4).Draw(t, "at"))})
+			r.RecordPeerDraw(policy.PeerDraw{Customer: uint64(plan*10 + rapid.IntRange(0, 3).Draw(t, "customer")), Plan: plan, GatewayCount: 1,
+				Units: rapid.Float64Range(-2, 6).Draw(t, "units"), Settlement: rapid.Bool().Draw(t, "settles"), Server: policy.Server(rapid.IntRange(0, 4).Draw(t, "at"))})
 		case 11:
 			r.clock.Set(r.clock.Now() + rapid.SampledFrom([]float64{0, 1, 4, 60, 300}).Draw(t, "ms"))
-			r.Advance()
+			r.RunDueTimers()
 		}
 	}
 }
 
 // replayCapture replays the capture in a folder, and returns the report and the decision log.
 func replayCapture(t interface{ Fatal(...any) }, folder string, key capture.Key) (*Report, string) {
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := capture.NewSet(segments, &key)
+	set := capture.NewMultiReader(segments, &key)
 	defer set.Close()
 	var log bytes.Buffer
 	report, err := Run(set, &key, Options{Log: &log})
@@ -190,7 +190,7 @@
 		if rapid.Bool().Draw(t, "keyed") {
 			key = keyed
 		}
-		w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1, Key: key})
+		w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: 1, Key: key})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -200,7 +200,7 @@
 		if len(report.Differences) > 0 {
 			t.Fatalf("the replay differs from the recording: %+v", report.Differences[0])
 		}
-		if report.Lives != 1 || report.Calls < 2 || report.Decisions == 0 {
+		if report.Runs != 1 || report.Calls < 2 || report.Decisions == 0 {
 			t.Fatalf("report %+v, want one run with calls and decisions", report)
 		}
 		if _, again := replayCapture(t, folder, key); again != log {
@@ -213,18 +213,18 @@
 // crash would.
 func recordRun(t *testing.T, folder string, runID uint64, startMs float64, crash bool) {
 	t.Helper()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: runID})
+	w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: runID})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newHarness(w, startMs)
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	for range 40 {
-		r.Take(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 12, Left: 1000, Units: 1, Spread: 3, Caller: r})
+		r.Submit(&gatekeeper.Request{Class: 0, Plan: 1, Customer: 12, TimeLeft: 1000, EstimatedUnits: 1, GatekeeperCount: 3, Responder: r})
 		r.clock.Set(r.clock.Now() + 10)
-		r.Advance()
+		r.RunDueTimers()
 		for _, x := range r.executions {
-			r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
+			r.ExecutionEnded(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 		}
 		r.executions = nil
 	}
@@ -253,8 +253,8 @@
 	recordRun(t, folder, 0xa, 1.7e12, true)
 	recordRun(t, folder, 0xb, 1.7e12+5000, false)
 	report, log := replayCapture(t, folder, capture.Key{})
-	if report.Lives != 2 || len(report.Differences) > 0 {
-		t.Errorf("%d runs, differences %v; want 2 runs without differences", report.Lives, report.Differences)
+	if report.Runs != 2 || len(report.Differences) > 0 {
+		t.Errorf("%d runs, differences %v; want 2 runs without differences", report.Runs, report.Differences)
 	}
 	if len(report.Notes) != 1 || !strings.Contains(report.Notes[0], "ends without its end block") {
 		t.Errorf("notes %q, want one on the missing end block", report.Notes)
@@ -275,14 +275,14 @@
 func TestReplayReportsDifference(t *testing.T) {
 	folder := t.TempDir()
 	recordRun(t, folder, 0xa, 1.7e12, false)
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	key := capture.Key{}
-	set := capture.NewSet(segments, &key)
+	set := capture.NewMultiReader(segments, &key)
 	defer set.Close()
-	report, err := Run(set, &key, Options{Make: lowQuotaModule})
+	report, err := Run(set, &key, Options{NewModule: lowQuotaModule})
 	if err != nil || len(report.Differences) != 1 {
 		t.Fatalf("report %+v, error %v; want one difference", report, err)
 	}
@@ -305,7 +305,7 @@
 				return nil, 0, err
 			}
 		}
-		return nil, 0, &capture.Gap{Lost: 5}
+		return nil, 0, &capture.GapError{Lost: 5}
 	}
 	return g.Source.Next()
 }
@@ -316,18 +316,18 @@
 	folder := t.TempDir()
 	recordRun(t, folder, 0xa, 1.7e12, false)
 	recordRun(t, folder, 0xb, 1.7e12+5000, false)
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	key := capture.Key{}
-	set := capture.NewSet(segments, &key)
+	set := capture.NewMultiReader(segments, &key)
 	defer set.Close()
 	report, err := Run(&lossySource{Source: set, at: 50}, &key, Options{})
 	if err != nil && !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
-	if report.Lives != 2 || len(report.Differences) > 0 || len(report.Notes) != 1 {
+	if report.Runs != 2 || len(report.Differences) > 0 || len(report.Notes) != 1 {
 		t.Errorf("report %+v, want 2 runs without differences and a note on the gap", report)
 	}
 }
@@ -342,19 +342,19 @@
 		}
 		defer os.RemoveAll(folder)
 		key := capture.Key{}
-		w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1, CheckpointEvery: 100 * time.Millisecond})
+		w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: 1, CheckpointEvery: 100 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		newHarnessWith(rapid.SampledFrom([]policy.Settings{fewGatekeepers(), manyGatekeepers()}).Draw(t, "settings"), w, 1.7e12).playRandomEvents(t)
 		w.Close()
-		segments, err := capture.Find(folder)
+		segments, err := capture.FindSegments(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := capture.NewSet(segments, &key)
+		set := capture.NewMultiReader(segments, &key)
 		defer set.Close()
-		report, err := Run(set, &key, Options{Swap: func(m gatekeeper.Module) gatekeeper.Module {
+		report, err := Run(set, &key, Options{SwapModule: func(m gatekeeper.Module) gatekeeper.Module {
 			if rapid.IntRange(0, 15).Draw(t, "swap") > 0 {
 				return m
 			}
@@ -382,28 +382,28 @@
 // rest is replayed from the first checkpoint that is left.
 func TestReplayStartsAtCheckpoint(t *testing.T) {
 	folder := t.TempDir()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1, SegmentMost: 1, CheckpointEvery: time.Second})
+	w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: 1, SegmentBytes: 1, CheckpointEvery: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newHarness(w, 1.7e12)
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	for i := range 400 {
-		r.Take(&gatekeeper.Request{Class: i % 2, Plan: 1, Customer: uint64(i % 7), Left: 1000, Units: 1, Spread: 3, Caller: r})
+		r.Submit(&gatekeeper.Request{Class: i % 2, Plan: 1, Customer: uint64(i % 7), TimeLeft: 1000, EstimatedUnits: 1, GatekeeperCount: 3, Responder: r})
 		r.clock.Set(r.clock.Now() + 10)
-		r.Advance()
+		r.RunDueTimers()
 		for _, x := range r.executions {
-			r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
+			r.ExecutionEnded(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 		}
 		r.executions = nil
 	}
 	w.Close()
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil || len(segments) < 4 {
 		t.Fatal(len(segments), err)
 	}
 	key := capture.Key{}
-	set := capture.NewSet(segments[1:], &key)
+	set := capture.NewMultiReader(segments[1:], &key)
 	defer set.Close()
 	report, err := Run(set, &key, Options{})
 	if err != nil || len(report.Differences) > 0 || report.Calls < 100 || report.Checkpoints < 2 {
@@ -416,36 +416,36 @@
 // clients all disconnect.
 func TestReplayOfClockStepAndDrain(t *testing.T) {
 	folder := t.TempDir()
-	w, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n0", Life: 1})
+	w, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n0", RunID: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newHarness(w, 1.7e12)
-	r.Workers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
+	r.UpdateWorkers(policy.FullList, []policy.Entry{{Server: 1, State: policy.Ready}, {Server: 2, State: policy.Ready}})
 	submit := func(n int) {
 		for i := range n {
-			q := &gatekeeper.Request{Class: i % 2, Plan: i % 2, Customer: uint64(i % 9), Left: 1500, Units: 1, Spread: 3, Caller: r}
+			q := &gatekeeper.Request{Class: i % 2, Plan: i % 2, Customer: uint64(i % 9), TimeLeft: 1500, EstimatedUnits: 1, GatekeeperCount: 3, Responder: r}
 			r.open = append(r.open, q)
-			r.Take(q)
+			r.Submit(q)
 		}
 	}
 	submit(400)
 	for _, x := range r.executions {
-		r.Done(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
+		r.ExecutionEnded(x, gatekeeper.Outcome{Status: policy.OK, Units: 1})
 	}
 	r.executions = nil
 	r.clock.Set(r.clock.Now() + 3600e3)
-	r.Advance()
+	r.RunDueTimers()
 	submit(50)
-	r.Workers(policy.Delta, []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Draining}})
+	r.UpdateWorkers(policy.ListDelta, []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Draining}})
 	for len(r.open) > 0 {
 		q := r.open[0]
 		r.removeOpen(q)
-		r.Gone(q)
+		r.ClientGone(q)
 	}
 	w.Close()
 	report, log := replayCapture(t, folder, capture.Key{})
-	if len(report.Differences) > 0 || report.Calls < 450 || !report.Ended {
+	if len(report.Differences) > 0 || report.Calls < 450 || !report.Complete {
 		t.Errorf("report %+v, want at least 450 calls, a complete end and no differences", report)
 	}
 	if _, again := replayCapture(t, folder, capture.Key{}); again != log {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -105,14 +105,14 @@
 	return m
 }()
 
-// Named is implemented by messages whose name on the wire is not that of their type: a message whose type or package
+// CallNamer is implemented by messages whose name on the wire is not that of their type: a message whose type or package
 // was renamed keeps the name by which processes of earlier versions know it.
-type Named interface{ CallName() string }
+type CallNamer interface{ CallName() string }
 
 // NameOf returns the name of a message type on the wire.
 func NameOf[T any]() string {
 	var message T
-	if named, ok := any(message).(Named); ok {
+	if named, ok := any(message).(CallNamer); ok {
 		return named.CallName()
 	}
 	return reflect.TypeFor[T]().String()
@@ -133,9 +133,9 @@
 	counter.(*sentCounter).bytes.Add(uint64(size))
 }
 
-// Sent returns the numbers of frames and of bytes that this process has sent, by call name. Answers
+// SentCounts returns the numbers of frames and of bytes that this process has sent, by call name. Answers
 // are counted under the call's name prefixed with "> ".
-func Sent() map[string][2]uint64 {
+func SentCounts() map[string][2]uint64 {
 	out := map[string][2]uint64{}
 	sentCounters.Range(func(name, t any) bool {
 		out[name.(string)] = [2]uint64{t.(*sentCounter).frames.Load(), t.(*sentCounter).bytes.Load()}
@@ -155,8 +155,8 @@
 	return append(out, body...), nil
 }
 
-// Size returns the length in bytes of the frame that carries v, as a question or as an answer.
-func Size(v any, question bool) int {
+// FrameSize returns the length in bytes of the frame that carries v, as a question or as an answer.
+func FrameSize(v any, question bool) int {
 	body, err := encMode.Marshal(v)
 	if err != nil {
 		return 0
@@ -425,8 +425,8 @@
 	}
 }
 
-// Tell sends a message that gets no answer. The message may be lost.
-func Tell[Q any](p *Peer, message Q) error {
+// Notify sends a message that gets no answer. The message may be lost.
+func Notify[Q any](p *Peer, message Q) error {
 	body, err := encMode.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("encoding a message to %s: %w", p.addr, err)
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -60,7 +60,7 @@
 	_, err = Call[hangRequest, response](ctx, peer, hangRequest{})
 	assert.Equal(t, KindOf(err), NotFound)
 
-	assert.NilError(t, Tell(peer, notification{7}))
+	assert.NilError(t, Notify(peer, notification{7}))
 	assert.Equal(t, <-notified, 7)
 }
 
--- a/internal/service/capture.go
+++ b/internal/service/capture.go
@@ -18,9 +18,9 @@
 
 // openCapture starts the capture of this run.
 func openCapture(cfg config.Config, clock *gatekeeper.Clock, seed uint64) (*capture.Writer, error) {
-	options := capture.Options{Folder: cfg.Capture.Folder, Name: cfg.Name, Life: capture.Life(policy.Micros(clock.Now()*1000), seed),
-		SegmentMost: cfg.Capture.SegmentMB << 20, KeptMost: cfg.Capture.KeptMB << 20,
-		AgeMost: time.Duration(cfg.Capture.KeptHours * float64(time.Hour))}
+	options := capture.WriterOptions{Folder: cfg.Capture.Dir, Name: cfg.Name, RunID: capture.NewRunID(policy.Micros(clock.Now()*1000), seed),
+		SegmentBytes: cfg.Capture.SegmentMB << 20, MaxTotalBytes: cfg.Capture.MaxTotalMB << 20,
+		MaxAge: time.Duration(cfg.Capture.MaxAgeHours * float64(time.Hour))}
 	var err error
 	if options.Key, err = captureKey(cfg); err != nil {
 		return nil, err
@@ -30,15 +30,15 @@
 
 // captureKey reads the configured encryption key. Without one it returns the zero key.
 func captureKey(cfg config.Config) (capture.Key, error) {
-	if cfg.Capture.Key == "" {
+	if cfg.Capture.KeyFile == "" {
 		return capture.Key{}, nil
 	}
-	return capture.ReadKey(cfg.Capture.Key)
+	return capture.ReadKey(cfg.Capture.KeyFile)
 }
 
 // recoverState returns the state at the end of this gatekeeper's last captured run, or nil if
 // there is none to continue from. An unusable capture is logged and the start is cold.
-func recoverState(cfg config.Config, now time.Time) *gatekeeper.Earlier {
+func recoverState(cfg config.Config, now time.Time) *gatekeeper.PreviousProcess {
 	state, err := replayLastRun(cfg, now)
 	switch {
 	case err != nil:
@@ -47,7 +47,7 @@
 	case state == nil:
 		slog.Info("capture: cold start, there is no recent run")
 	default:
-		slog.Info("capture: warm start", "age_ms", now.UnixMilli()-state.State.Now/1000, "exact", state.Exact, "customers", len(state.State.Listed))
+		slog.Info("capture: warm start", "age_ms", now.UnixMilli()-state.State.Now/1000, "exact", state.Complete, "customers", len(state.State.KnownCustomers))
 	}
 	return state
 }
@@ -55,18 +55,18 @@
 // replayLastRun replays the last captured run from its last checkpoint on. It starts at the
 // newest segment, and goes back segment by segment until one holds a checkpoint. It returns
 // nil without an error if there is no run to recover or it ended more than maxRecoveryAge ago.
-func replayLastRun(cfg config.Config, now time.Time) (*gatekeeper.Earlier, error) {
+func replayLastRun(cfg config.Config, now time.Time) (*gatekeeper.PreviousProcess, error) {
 	key, err := captureKey(cfg)
 	if err != nil {
 		return nil, err
 	}
-	segments, err := capture.FindName(cfg.Capture.Folder, cfg.Name)
+	segments, err := capture.FindSegmentsOf(cfg.Capture.Dir, cfg.Name)
 	if err != nil || len(segments) == 0 {
 		return nil, err
 	}
 	last := segments[len(segments)-1]
-	for first := len(segments) - 1; first >= 0 && segments[first].Life == last.Life; first-- {
-		set := capture.NewSet(segments[first:], &key)
+	for first := len(segments) - 1; first >= 0 && segments[first].RunID == last.RunID; first-- {
+		set := capture.NewMultiReader(segments[first:], &key)
 		report, err := replay.Run(set, &key, replay.Options{})
 		set.Close()
 		if err != nil {
@@ -82,7 +82,7 @@
 		if now.UnixMicro()-report.Last > maxRecoveryAge.Microseconds() {
 			return nil, nil
 		}
-		return &gatekeeper.Earlier{State: gateway.Snapshot(), Exact: report.Ended}, nil
+		return &gatekeeper.PreviousProcess{State: gateway.Snapshot(), Complete: report.Complete}, nil
 	}
 	return nil, nil
 }
--- a/internal/service/capture_process_test.go
+++ b/internal/service/capture_process_test.go
@@ -84,12 +84,12 @@
 // replayCapture replays the captures of a folder, and counts their records by kind.
 func replayCapture(t *testing.T, folder string, key capture.Key) (*replay.Report, map[capturepb.Kind]int) {
 	t.Helper()
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	openSet := func() *capture.Set {
-		set := capture.NewSet(segments, &key)
+	openSet := func() *capture.MultiReader {
+		set := capture.NewMultiReader(segments, &key)
 		t.Cleanup(set.Close)
 		return set
 	}
@@ -102,7 +102,7 @@
 	}
 	kinds := map[capturepb.Kind]int{}
 	err = openSet().Each(func(r *capturepb.Record) { kinds[r.GetKind()]++ }, func(err error) {
-		var gap *capture.Gap
+		var gap *capture.GapError
 		if errors.As(err, &gap) {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 	first := site.startProcess(true)
 	load := site.startTraffic()
 	waitUntil(t, "no second block was written", func() bool {
-		segments, err := capture.Find(folder)
+		segments, err := capture.FindSegments(folder)
 		return err == nil && len(segments) == 1 && segments[0].Size > 5000
 	})
 	load.waitServed(t, 20) // of the block that is not written yet
@@ -139,7 +139,7 @@
 		t.Errorf("the second process logged no warm start:\n%s", log)
 	}
 	report, kinds := replayCapture(t, folder, key)
-	if report.Lives != 2 || !report.Ended || report.Calls < 300 {
+	if report.Runs != 2 || !report.Complete || report.Calls < 300 {
 		t.Errorf("want 2 complete runs with at least 300 calls, got %+v", report)
 	}
 	if len(report.Notes) != 1 || !strings.Contains(report.Notes[0], "ends without its end block") {
@@ -168,7 +168,7 @@
 		t.Fatalf("the second process logged no handover:\n%s", log)
 	}
 	report, kinds := replayCapture(t, folder, key)
-	if report.Lives != 2 || !report.Ended || len(report.Notes) > 0 {
+	if report.Runs != 2 || !report.Complete || len(report.Notes) > 0 {
 		t.Errorf("want 2 complete runs without notes, got %+v", report)
 	}
 	if kinds[capturepb.Kind_JOINED] != 1 || kinds[capturepb.Kind_RECOVERED] != 1 || kinds[capturepb.Kind_BESIDE] == 0 {
--- a/internal/service/capture_test.go
+++ b/internal/service/capture_test.go
@@ -36,7 +36,7 @@
 			return respondWith(okResponse)(n, s)
 		})
 		gateway := startGateway(t, func(c *config.Config) {
-			c.Capture, c.Control = &config.Capture{Folder: folder, Key: keyFile}, "127.0.0.1:0"
+			c.Capture, c.AdminAddress = &config.Capture{Dir: folder, KeyFile: keyFile}, "127.0.0.1:0"
 		}, addr)
 		for n := range 4 {
 			text := strings.Replace(classRequest("cuota", fmt.Sprintf("basico-%d", n), "", 900), "X-Tier: mayor", "X-Tier: basico", 1)
@@ -71,12 +71,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := func() *capture.Set {
-		segments, err := capture.Find(folder)
+	set := func() *capture.MultiReader {
+		segments, err := capture.FindSegments(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := capture.NewSet(segments, &key)
+		s := capture.NewMultiReader(segments, &key)
 		t.Cleanup(s.Close)
 		return s
 	}
--- a/internal/service/check.go
+++ b/internal/service/check.go
@@ -17,15 +17,15 @@
 	if err != nil {
 		return err
 	}
-	policySettings, names, err := cfg.Terms()
+	policySettings, names, err := cfg.PolicySettings()
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	var faults []error
-	if _, _, err := cfg.SeedBits(); err != nil {
+	if _, _, err := cfg.ParseSeed(); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
-	if err := cfg.Check(policySettings.Counter); err != nil {
+	if err := cfg.CheckAddresses(policySettings.HasCounter); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
 	if cfg.OpenAPI == nil { // the same check as at SIGHUP
@@ -35,7 +35,7 @@
 	if err != nil {
 		return errors.Join(append(faults, err)...)
 	}
-	if _, err := openapi.NewFront(*cfg.OpenAPI, description, policySettings, names, gatekeeper.NewClock()); err != nil {
+	if _, err := openapi.NewFrontend(*cfg.OpenAPI, description, policySettings, names, gatekeeper.NewClock()); err != nil {
 		faults = append(faults, fmt.Errorf("%s: %w", file, err))
 	}
 	return errors.Join(faults...)
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -42,7 +42,7 @@
 	})
 	gateway := startGateway(t, func(c *config.Config) {
 		c.Counter, c.Settings, c.XDS = counter, settingsWithCounter("50000"), "127.0.0.1:0"
-		c.Capture = &config.Capture{Folder: t.TempDir()}
+		c.Capture = &config.Capture{Dir: t.TempDir()}
 	}, addr, addr)
 	writeConfigFile(t, `{}`)
 	file := os.Getenv("EDGE_CONFIG")
@@ -89,7 +89,7 @@
 				if n%2 == 1 {
 					line = strings.Replace(line, `"ready"`, `"draining"`, 1)
 				}
-				if err := gateway.hosts.Line([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
+				if err := gateway.hosts.ApplyLine([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
 					t.Error(err)
 				}
 				close(done)
@@ -104,7 +104,7 @@
 	defer conn.Close()
 	background.Go(func() {
 		stream, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
-		request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
+		request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.ClusterName}}
 		for err == nil {
 			var res *discoveryv3.DiscoveryResponse
 			if err = stream.Send(request); err == nil {
@@ -119,7 +119,7 @@
 	background.Wait()
 	gateway.drain()
 	left := make(chan int)
-	gateway.loop.Post(func() { left <- gateway.core.Open() })
+	gateway.loop.Post(func() { left <- gateway.core.OpenRequests() })
 	if n := receive(t, left); n != 0 {
 		t.Errorf("%d requests are left after the drain", n)
 	}
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -43,7 +43,7 @@
 	if os.Getenv("TMPDIR") == "" {
 		return ""
 	}
-	return handover.Path(os.TempDir(), cfg.Listen)
+	return handover.SocketPath(os.TempDir(), cfg.Listen)
 }
 
 // connectPredecessor connects to a process that serves the same listen address, and receives
@@ -53,7 +53,7 @@
 	if path == "" {
 		return nil
 	}
-	peer, offer, listener, err := handover.Meet(path, offerTimeout)
+	peer, offer, listener, err := handover.Connect(path, offerTimeout)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil
@@ -64,16 +64,16 @@
 		slog.Warn("handover: failed, starting without it", "error", err)
 		return nil
 	}
-	slog.Info("handover: offered", "customers", len(offer.State.Listed), "workers", len(offer.List.Instances))
-	return &predecessor{peer: peer, offer: offer, listener: link.Inherited(listener)}
+	slog.Info("handover: offered", "customers", len(offer.State.KnownCustomers), "workers", len(offer.Workers.Instances))
+	return &predecessor{peer: peer, offer: offer, listener: link.NewListener(listener)}
 }
 
 // earlierState returns the policy state of the predecessor, or nil without one.
-func (p *predecessor) earlierState() *gatekeeper.Earlier {
+func (p *predecessor) earlierState() *gatekeeper.PreviousProcess {
 	if p == nil {
 		return nil
 	}
-	return &gatekeeper.Earlier{State: p.offer.State, Exact: true, Still: true}
+	return &gatekeeper.PreviousProcess{State: p.offer.State, Complete: true, StillRunning: true}
 }
 
 // alignClasses gives the classes of a configuration the indexes that they have in the
@@ -91,19 +91,19 @@
 	for _, class := range p.offer.State.Classes[:min(p.offer.State.InForce, len(p.offer.State.Classes))] {
 		activeClasses = append(activeClasses, class.Class)
 	}
-	if len(activeClasses) == len(p.offer.Classes) {
-		settings.Place(policySettings, names, activeClasses, p.offer.Classes)
+	if len(activeClasses) == len(p.offer.ClassNames) {
+		settings.KeepClassIndexes(policySettings, names, activeClasses, p.offer.ClassNames)
 	}
 	return nil
 }
 
 // workerList returns the predecessor's list of workers, or without a predecessor the
 // configured one.
-func (p *predecessor) workerList(configured platform.List) platform.List {
+func (p *predecessor) workerList(configured platform.WorkerList) platform.WorkerList {
 	if p == nil {
 		return configured
 	}
-	return p.offer.List
+	return p.offer.Workers
 }
 
 // close ends the handover; the predecessor continues to serve.
@@ -139,7 +139,7 @@
 			case <-time.After(readyPollInterval):
 			}
 		}
-		predecessor.peer.Ready()
+		predecessor.peer.SendReady()
 		select {
 		case <-events.released:
 		case <-time.After(releaseTimeout):
@@ -156,7 +156,7 @@
 		} else if s.listener, err = link.Listen(cfg.Listen); err != nil {
 			return
 		}
-		go s.listener.Accept(s.loop, s.clients.Make)
+		go s.listener.Accept(s.loop, s.clients.NewConn)
 		s.accepting = true
 		s.publishStats()
 		s.listenForSuccessor()
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "workers", len(cfg.Known.Instances), "transport", cfg.Transport.Carrier,
+	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "workers", len(cfg.KnownWorkers.Instances), "transport", cfg.Transport.Protocol,
 		"handed_over", predecessor != nil)
 	return nil
 }
@@ -201,7 +201,7 @@
 	if s.handoverPath == "" {
 		return
 	}
-	socket, err := handover.Wait(s.handoverPath, s.offerHandover)
+	socket, err := handover.Listen(s.handoverPath, s.offerHandover)
 	if err != nil {
 		slog.Warn("handover: socket not opened, this process can't hand over to another", "error", err)
 		return
@@ -211,17 +211,17 @@
 
 // offerHandover sends the state and the listener to a new process. This process continues to
 // serve until the new one is ready.
-func (s *service) offerHandover(connection *handover.Meeting) {
+func (s *service) offerHandover(connection *handover.Successor) {
 	var offer handover.Offer
 	var listener *link.Listener
-	pendingDraws, overflowed := make(chan policy.Draw, maxPendingDraws), false // drawn before the offer was sent
+	pendingDraws, overflowed := make(chan policy.PeerDraw, maxPendingDraws), false // drawn before the offer was sent
 	s.runOnLoop(func() {
 		if s.successor != nil { // it has not taken over yet, and the new one replaces it
 			s.successor.Close()
 			s.successor = nil
 		}
 		listener = s.listener
-		offer = handover.Offer{List: s.hosts.List(), Classes: s.names.Classes, State: s.core.Hand(func(d policy.Draw) {
+		offer = handover.Offer{Workers: s.hosts.CurrentList(), ClassNames: s.names.Classes, State: s.core.StartHandover(func(d policy.PeerDraw) {
 			s.forwardDraw(nil, d)
 			select {
 			case pendingDraws <- d:
@@ -230,7 +230,7 @@
 			}
 		})}
 	})
-	peer, err := connection.Offer(offer, listener.TCPListener)
+	peer, err := connection.SendOffer(offer, listener.TCPListener)
 	if err != nil {
 		slog.Warn("handover: offer failed, continuing to serve", "error", err)
 		s.runOnLoop(s.divideResources)
@@ -243,7 +243,7 @@
 			return
 		}
 		for len(pendingDraws) > 0 {
-			peer.Draw(<-pendingDraws)
+			peer.SendDraw(<-pendingDraws)
 		}
 		s.successor = peer
 		s.divideResources()
@@ -254,16 +254,16 @@
 
 // forwardDraw sends a quota draw to the predecessor and the successor, except to the one that
 // it came from.
-func (s *service) forwardDraw(origin *handover.Peer, d policy.Draw) {
+func (s *service) forwardDraw(origin *handover.Peer, d policy.PeerDraw) {
 	for _, p := range [...]*handover.Peer{s.predecessor, s.successor} {
 		if p != nil && p != origin {
-			p.Draw(d)
+			p.SendDraw(d)
 		}
 	}
 }
 
 // peerEvents handles the messages of a predecessor or successor. It implements
-// handover.Events.
+// handover.EventHandler.
 type peerEvents struct {
 	service  *service
 	released chan struct{} // closed once the predecessor has stopped accepting or is gone
@@ -278,9 +278,9 @@
 	}
 }
 
-// Ready implements handover.Events: the successor can serve, so this process stops accepting
+// PeerReady implements handover.EventHandler: the successor can serve, so this process stops accepting
 // and drains.
-func (e *peerEvents) Ready(p *handover.Peer) {
+func (e *peerEvents) PeerReady(p *handover.Peer) {
 	s := e.service
 	s.runOnLoop(func() {
 		if s.successor != p || s.closed {
@@ -293,29 +293,29 @@
 			s.handoverSocket = nil
 		}
 		s.clients.Drain()
-		p.Go()
+		p.SendReleased()
 		s.publishStats()
 		slog.Info("handover: the successor serves, this process only finishes its open client connections")
 	})
 }
 
-// Go implements handover.Events: the predecessor has stopped accepting.
-func (e *peerEvents) Go(*handover.Peer) { e.release() }
+// PeerReleased implements handover.EventHandler: the predecessor has stopped accepting.
+func (e *peerEvents) PeerReleased(*handover.Peer) { e.release() }
 
-// Drew implements handover.Events: it applies a quota draw of the other process.
-func (e *peerEvents) Drew(p *handover.Peer, d policy.Draw) {
+// PeerDrew implements handover.EventHandler: it applies a quota draw of the other process.
+func (e *peerEvents) PeerDrew(p *handover.Peer, d policy.PeerDraw) {
 	e.service.runOnLoop(func() {
 		if e.service.predecessor == p || e.service.successor == p {
-			e.service.core.Beside(d)
+			e.service.core.RecordPeerDraw(d)
 			e.service.forwardDraw(p, d)
 		}
 	})
 }
 
-// Lost implements handover.Events: the connection to the other process has ended. If that was
+// PeerLost implements handover.EventHandler: the connection to the other process has ended. If that was
 // the successor and it had taken over, this process accepts clients again, unless it has been
 // told to stop.
-func (e *peerEvents) Lost(p *handover.Peer, err error) {
+func (e *peerEvents) PeerLost(p *handover.Peer, err error) {
 	s := e.service
 	s.runOnLoop(func() {
 		switch {
@@ -331,7 +331,7 @@
 		case p == s.successor && s.handedOver: // no other process accepts
 			s.successor, s.handedOver = nil, false
 			s.divideResources()
-			s.clients.Stay()
+			s.clients.CancelDrain()
 			s.listener.Resume()
 			s.listenForSuccessor()
 			s.publishStats()
@@ -356,10 +356,10 @@
 	}
 	s.applyResourceShare(processes)
 	if processes == 1 {
-		s.core.Tell(nil)
+		s.core.ReportDraws(nil)
 		return
 	}
-	s.core.Tell(func(d policy.Draw) { s.forwardDraw(nil, d) })
+	s.core.ReportDraws(func(d policy.PeerDraw) { s.forwardDraw(nil, d) })
 }
 
 // applyResourceShare sets the limits of this process to an equal share among a number of
@@ -367,7 +367,7 @@
 func (s *service) applyResourceShare(processes int) {
 	limits := s.activeConfig.Limits
 	*s.loop.Budget = *link.NewBudget(descriptorLimit(limits.Sockets)/processes, s.reservedDescriptors)
-	s.loop.Flowing = inFlightBytes(limits.MemoryMB / processes)
+	s.loop.StreamBufferBytes = inFlightBytes(limits.MemoryMB / processes)
 	if limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(runtimeMemoryLimit(limits.MemoryMB) / int64(processes))
 	}
--- a/internal/service/handover_test.go
+++ b/internal/service/handover_test.go
@@ -504,7 +504,7 @@
 	current := site.startProcess(false)
 	waitUntil(t, "the old process's admin server does not answer 503", func() bool { return current.healthStatus() == 503 })
 	for until := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		if _, err := os.Stat(handover.Path(site.tempDir, site.listen)); err == nil {
+		if _, err := os.Stat(handover.SocketPath(site.tempDir, site.listen)); err == nil {
 			break
 		}
 		if time.Now().After(until) {
@@ -599,7 +599,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := newDeploymentWithWorkers(t, settingsText)
-			ln, err := net.Listen("unix", handover.Path(site.tempDir, site.listen))
+			ln, err := net.Listen("unix", handover.SocketPath(site.tempDir, site.listen))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -128,7 +128,7 @@
 		members = append(members, workerEntry(i, w))
 	}
 	knownWorkers := `{"generation":7,"reset":true,"instances":[` + strings.Join(members, ",") + `]}`
-	if err := json.Unmarshal([]byte(knownWorkers), &cfg.Known); err != nil {
+	if err := json.Unmarshal([]byte(knownWorkers), &cfg.KnownWorkers); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	svc.loop.Post(func() { svc.accepting, svc.listener = true, listener; svc.publishStats() })
-	go listener.Accept(svc.loop, svc.clients.Make)
+	go listener.Accept(svc.loop, svc.clients.NewConn)
 	t.Cleanup(func() {
 		listener.Close()
 		if svc.xds != nil {
@@ -170,7 +170,7 @@
 	g.t.Helper()
 	current := make(chan int64, 1)
 	for end := time.Now().Add(testTimeout); ; {
-		g.loop.Post(func() { current <- g.hosts.List().Generation })
+		g.loop.Post(func() { current <- g.hosts.CurrentList().Generation })
 		got := receive(g.t, current)
 		if got == generation {
 			return
--- a/internal/service/large_body_test.go
+++ b/internal/service/large_body_test.go
@@ -174,8 +174,8 @@
 		readers = append(readers, conn)
 	}
 	buffered := make(chan int, 1)
-	gateway.loop.Post(func() { buffered <- gateway.loop.Waiting() })
-	if n, maxBuffered := receive(t, buffered), gateway.loop.Flowing+clients*(128<<10); n > maxBuffered {
+	gateway.loop.Post(func() { buffered <- gateway.loop.StreamUnsentBytes() })
+	if n, maxBuffered := receive(t, buffered), gateway.loop.StreamBufferBytes+clients*(128<<10); n > maxBuffered {
 		t.Errorf("%d bytes are buffered, want at most %d", n, maxBuffered)
 	}
 	if len(written) > 0 {
@@ -216,7 +216,7 @@
 	case <-time.After(300 * time.Millisecond):
 	}
 	buffered := make(chan int, 1)
-	gateway.loop.Post(func() { buffered <- gateway.loop.Waiting() })
+	gateway.loop.Post(func() { buffered <- gateway.loop.StreamUnsentBytes() })
 	if n := receive(t, buffered); n > 1<<20 {
 		t.Errorf("%d bytes are buffered, want at most %d", n, 1<<20)
 	}
--- a/internal/service/operations_test.go
+++ b/internal/service/operations_test.go
@@ -31,7 +31,7 @@
 	return res.StatusCode, string(text)
 }
 
-func withAdminServer(c *config.Config) { c.Control = "127.0.0.1:0" }
+func withAdminServer(c *config.Config) { c.AdminAddress = "127.0.0.1:0" }
 
 // readStats publishes the statistics and reads /admin/stats. The keys have no "edge." prefix.
 func (g *testGateway) readStats() map[string]string {
@@ -129,7 +129,7 @@
 				receive(t, got)
 				conn.Close()
 				for open, until := 1, time.Now().Add(testTimeout); open > 0 && time.Now().Before(until); time.Sleep(time.Millisecond) {
-					gateway.runOnLoop(func() { open = gateway.core.Open() })
+					gateway.runOnLoop(func() { open = gateway.core.OpenRequests() })
 				}
 			} else {
 				conn.readResponse()
@@ -292,7 +292,7 @@
 	if n := gateway.readStats()["rejected.simulacion"]; n != "2|c" {
 		t.Errorf("rejected.simulacion is %q after a late request, want 2|c", n)
 	}
-	gateway.loop.Post(func() { gateway.platform.Replace(gateway.policySettings.Classes, gateway.names.Classes) }) // as at the end of the grace period
+	gateway.loop.Post(func() { gateway.platform.ReplaceClasses(gateway.policySettings.Classes, gateway.names.Classes) }) // as at the end of the grace period
 	if res, _ := gateway.dial().ask(simulacionRequest(900, "")); res.StatusCode != 400 {
 		t.Errorf("after the grace period a removed class got status %d, want 400", res.StatusCode)
 	}
@@ -320,7 +320,7 @@
 		if i == 0 { // so far it can't be told from those that never continue
 			continue
 		}
-		for n := range gateway.loop.Budget.Clients {
+		for n := range gateway.loop.Budget.MaxClients {
 			conn := gateway.dial()
 			if n%2 == 0 {
 				_, _ = io.WriteString(conn, "GET /api HTTP/1.1\r\nHost") // it may have been evicted already
@@ -351,7 +351,7 @@
 	for range asked {
 		receive(t, got)
 	}
-	for range 2 * gateway.loop.Budget.Clients {
+	for range 2 * gateway.loop.Budget.MaxClients {
 		gateway.dial()
 	}
 	drained := make(chan bool)
--- a/internal/service/regression_captures_test.go
+++ b/internal/service/regression_captures_test.go
@@ -67,7 +67,7 @@
 	workerConfig.Cores = 4
 	var addrs []string
 	for range workers {
-		emulatedWorker, err := emulator.Start("127.0.0.1:0", workerConfig)
+		emulatedWorker, err := emulator.StartWorker("127.0.0.1:0", workerConfig)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 		addrs = append(addrs, emulatedWorker.Addr())
 	}
 	return startGateway(t, func(c *config.Config) {
-		c.Capture = &config.Capture{Folder: folder}
+		c.Capture = &config.Capture{Dir: folder}
 		if change != nil {
 			change(c)
 		}
@@ -88,9 +88,9 @@
 func classesReplacedWhileHeld(t *testing.T, folder string) {
 	arrived, release := make(chan bool, 10), make(chan bool)
 	gateway := startEmulated(t, folder, 1, emulator.Config{Fault: func(a emulator.Arrival) emulator.Fault {
-		if arrived <- true; a.N == 0 {
+		if arrived <- true; a.Sequence == 0 {
 			<-release
-			return emulator.TurnAway
+			return emulator.Reject
 		}
 		return emulator.None
 	}}, nil)
@@ -100,10 +100,10 @@
 	gateway.loop.Post(func() {
 		classes := append(gateway.policySettings.Classes[:0:0], gateway.policySettings.Classes...)
 		for i := range classes {
-			classes[i].Worth = 1
+			classes[i].Value = 1
 		}
 		gateway.core.SetClasses(classes)
-		gateway.platform.Replace(classes, gateway.names.Classes)
+		gateway.platform.ReplaceClasses(classes, gateway.names.Classes)
 		done <- true
 	})
 	receive(t, done)
@@ -125,7 +125,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
 	})
-	gateway := startEmulated(t, folder, 2, emulator.Config{Default: emulator.Service{Mean: 5 * time.Millisecond}}, func(c *config.Config) {
+	gateway := startEmulated(t, folder, 2, emulator.Config{Default: emulator.ServiceTime{Mean: 5 * time.Millisecond}}, func(c *config.Config) {
 		c.Counter, c.Settings = counter, settingsWithCounter("30000")
 	})
 	for i := range 30 {
@@ -139,8 +139,8 @@
 // answer 500, send noise and send a response twice.
 func workersFailing(t *testing.T, folder string) {
 	faults := []emulator.Fault{emulator.None, emulator.ResetAfter, emulator.ResetBefore, emulator.None, emulator.ErrorAfter,
-		emulator.Stall, emulator.NoiseAfter, emulator.TwiceAfter, emulator.TurnAway, emulator.CloseAfter}
-	gateway := startEmulated(t, folder, 3, emulator.Config{Window: time.Second, Fault: func(a emulator.Arrival) emulator.Fault { return faults[a.N%len(faults)] }}, nil)
+		emulator.Stall, emulator.GarbageAfter, emulator.DuplicateAfter, emulator.Reject, emulator.CloseAfter}
+	gateway := startEmulated(t, folder, 3, emulator.Config{RepeatWindow: time.Second, Fault: func(a emulator.Arrival) emulator.Fault { return faults[a.Sequence%len(faults)] }}, nil)
 	for round := range 4 {
 		gateway.askConcurrently("cuota", round*20, 6, 600)
 		gateway.askConcurrently("simulacion", round*20+10, 4, 600)
@@ -151,7 +151,7 @@
 // uses scripted workers, because emulated ones respond before the body has arrived.
 func largeBodies(t *testing.T, folder string) {
 	addr, _ := startWorker(t, respondWith(okResponse))
-	gateway := startGateway(t, func(c *config.Config) { c.Capture = &config.Capture{Folder: folder} }, addr)
+	gateway := startGateway(t, func(c *config.Config) { c.Capture = &config.Capture{Dir: folder} }, addr)
 	for _, size := range []int{70 << 10, 1 << 20} {
 		conn := gateway.dial()
 		go func() { _, _ = conn.Write(requestWithBody(fmt.Sprint(size), testBody(size), 0)) }()
@@ -186,7 +186,7 @@
 	}
 	waitUntil(t, "no second block was written", func() bool {
 		ask(5)
-		segments, err := capture.Find(folder)
+		segments, err := capture.FindSegments(folder)
 		return err == nil && len(segments) == 1 && segments[0].Size > 1000
 	})
 	ask(5)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -55,7 +55,7 @@
 func applyEnvironment(cfg *config.Config) {
 	for name, field := range map[string]*string{
 		"EDGE_NAME": &cfg.Name, "EDGE_LISTEN": &cfg.Listen, "EDGE_DISCOVERY": &cfg.Discovery,
-		"EDGE_CONTROL": &cfg.Control,
+		"EDGE_CONTROL": &cfg.AdminAddress,
 	} {
 		if value := os.Getenv(name); value != "" {
 			*field = value
@@ -65,8 +65,8 @@
 
 // frontend handles the requests of clients and parses the responses of workers.
 type frontend interface {
-	link.Front
-	link.Reader
+	link.RequestHandler
+	link.ResponseReader
 }
 
 // service is a gatekeeper and its components.
@@ -74,35 +74,35 @@
 	clock          *gatekeeper.Clock
 	loop           *link.Loop
 	core           *gatekeeper.Gatekeeper
-	clients        *link.Clients
+	clients        *link.ClientConns
 	hosts          *platform.HostGroup
 	watch          *link.Watch
-	counter        *link.Counter
-	counterEnabled bool            // whether the settings use the shared counter
-	api            *openapi.Front  // nil unless configured; platform is used then
-	xds            *xds.Server     // nil unless configured
-	capture        *capture.Writer // nil unless configured
-	adminServer    *admin.Door     // nil unless configured
-	metrics        *stats.Figures  // nil without an admin server
-	serving        atomic.Bool     // as reported by the admin server
+	counter        *link.CounterConns
+	counterEnabled bool              // whether the settings use the shared counter
+	api            *openapi.Frontend // nil unless configured; platform is used then
+	xds            *xds.Server       // nil unless configured
+	capture        *capture.Writer   // nil unless configured
+	adminServer    *admin.Server     // nil unless configured
+	metrics        *stats.Counters   // nil without an admin server
+	serving        atomic.Bool       // as reported by the admin server
 
 	// The fields below are replaced at SIGHUP. Only the event loop may access them.
 	activeConfig   config.Config
 	policySettings policy.Settings
 	names          settings.Names
-	platform       *platform.Front
+	platform       *platform.Protocol
 	classUpdates   int // number of class tables that reloads have applied
 
-	reservedDescriptors int              // file descriptors that the event loop may not use
-	accepting           bool             // clients are accepted; only the event loop may access this field and those below
-	listener            *link.Listener   // nil until clients are accepted
-	handoverSocket      *handover.Socket // for a successor to connect to; nil while none can
-	handoverPath        string           // path of the handover socket; empty if handover is disabled
-	predecessor         *handover.Peer   // the process that this one replaces, until it exits
-	successor           *handover.Peer   // the process that replaces, or has replaced, this one
-	handedOver          bool             // the successor has taken over
-	stopping            bool             // SIGTERM was received
-	closed              bool             // closeSockets has been called
+	reservedDescriptors int                // file descriptors that the event loop may not use
+	accepting           bool               // clients are accepted; only the event loop may access this field and those below
+	listener            *link.Listener     // nil until clients are accepted
+	handoverSocket      *handover.Listener // for a successor to connect to; nil while none can
+	handoverPath        string             // path of the handover socket; empty if handover is disabled
+	predecessor         *handover.Peer     // the process that this one replaces, until it exits
+	successor           *handover.Peer     // the process that replaces, or has replaced, this one
+	handedOver          bool               // the successor has taken over
+	stopping            bool               // SIGTERM was received
+	closed              bool               // closeSockets has been called
 }
 
 // Run starts a gatekeeper from a configuration file and serves until SIGTERM or SIGINT. It
@@ -131,7 +131,7 @@
 				slog.Error("configuration not replaced, the previous one stays in force", "error", err)
 			}
 			if s.metrics != nil {
-				s.loop.Post(func() { s.metrics.Reloaded(err == nil) })
+				s.loop.Post(func() { s.metrics.CountReload(err == nil) })
 			}
 		}
 	}()
@@ -165,14 +165,14 @@
 
 // start creates and starts all components, but doesn't accept clients yet.
 func start(cfg config.Config, predecessor *predecessor) (*service, error) {
-	policySettings, names, err := cfg.Terms()
+	policySettings, names, err := cfg.PolicySettings()
 	if err != nil {
 		return nil, err
 	}
 	if err := predecessor.alignClasses(cfg, &policySettings, &names); err != nil {
 		return nil, err
 	}
-	seed, seedSet, err := cfg.SeedBits()
+	seed, seedSet, err := cfg.ParseSeed()
 	if err != nil {
 		return nil, err
 	}
@@ -180,30 +180,30 @@
 		seed = rand.Uint64()
 	}
 	clock := gatekeeper.NewClock()
-	s := &service{clock: clock, counterEnabled: policySettings.Counter, activeConfig: cfg, handoverPath: handoverSocketPath(cfg)}
-	if err := cfg.Check(s.counterEnabled); err != nil {
+	s := &service{clock: clock, counterEnabled: policySettings.HasCounter, activeConfig: cfg, handoverPath: handoverSocketPath(cfg)}
+	if err := cfg.CheckAddresses(s.counterEnabled); err != nil {
 		return nil, err
 	}
-	s.platform = platform.NewFront(policySettings, names, func() bool { return s.core.Ready() && !s.clients.Draining() })
+	s.platform = platform.NewProtocol(policySettings, names, func() bool { return s.core.Ready() && !s.clients.Draining() })
 	var activeFrontend frontend = s.platform
 	if cfg.OpenAPI != nil {
 		description, err := readDescription(cfg.OpenAPI.Description)
 		if err != nil {
 			return nil, err
 		}
-		if s.api, err = openapi.NewFront(*cfg.OpenAPI, description, policySettings, names, clock); err != nil {
+		if s.api, err = openapi.NewFrontend(*cfg.OpenAPI, description, policySettings, names, clock); err != nil {
 			return nil, err
 		}
-		policySettings.Classes, names.Classes, activeFrontend = s.api.Classes(), s.api.Names(), s.api
+		policySettings.Classes, names.Classes, activeFrontend = s.api.Classes(), s.api.ClassNames(), s.api
 	}
 	s.policySettings, s.names = policySettings, names
-	if cfg.Control != "" {
-		s.reservedDescriptors, s.metrics = admin.Descriptors, stats.New(names.Classes)
+	if cfg.AdminAddress != "" {
+		s.reservedDescriptors, s.metrics = admin.MaxDescriptors, stats.New(names.Classes)
 	}
 	if s.loop, err = link.NewLoop(link.NewBudget(descriptorLimit(cfg.Limits.Sockets), s.reservedDescriptors)); err != nil {
 		return nil, err
 	}
-	s.loop.Flowing = inFlightBytes(cfg.Limits.MemoryMB)
+	s.loop.StreamBufferBytes = inFlightBytes(cfg.Limits.MemoryMB)
 	if cfg.XDS != "" {
 		if s.xds, err = xds.Listen(cfg.XDS); err != nil {
 			return nil, err
@@ -211,38 +211,38 @@
 	}
 	earlierState := predecessor.earlierState()
 	if cfg.Capture != nil {
-		if cfg.Capture.Warm && earlierState == nil { // a predecessor's state is more recent than any capture
+		if cfg.Capture.RecoverState && earlierState == nil { // a predecessor's state is more recent than any capture
 			earlierState = recoverState(cfg, time.Now())
 		}
 		if s.capture, err = openCapture(cfg, clock, seed); err != nil {
 			return nil, err
 		}
 	}
-	connectTimeoutMS, maxIdleMS := float64(names.ConnectMost)/1000, float64(names.ConnIdle)/1000*maxIdleFraction
-	fleet := link.NewFleet(s.loop, clock, activeFrontend, connectTimeoutMS, maxIdleMS, cfg.Transport)
-	s.counter = link.NewCounter(s.loop, clock, cfg.Counter, counterPath, connectTimeoutMS)
-	s.loop.OnAlarm(func() { s.core.Advance() })
+	connectTimeoutMS, maxIdleMS := float64(names.ConnectTimeout)/1000, float64(names.IdleTimeout)/1000*maxIdleFraction
+	fleet := link.NewWorkerConns(s.loop, clock, activeFrontend, connectTimeoutMS, maxIdleMS, cfg.Transport)
+	s.counter = link.NewCounterConns(s.loop, clock, cfg.Counter, counterPath, connectTimeoutMS)
+	s.loop.OnAlarm(func() { s.core.RunDueTimers() })
 	s.runOnLoop(func() {
 		gatewayConfig := gatekeeper.Config{
-			Settings: policySettings, Seed: seed, Clock: clock, Fleet: fleet, Counter: s.counter,
-			Wake: func(at float64) { s.loop.Wake(at - clock.Now()) }, Earlier: earlierState,
+			Settings: policySettings, Seed: seed, Clock: clock, Workers: fleet, Counter: s.counter,
+			RequestWakeUp: func(at float64) { s.loop.SetAlarm(at - clock.Now()) }, Previous: earlierState,
 		}
 		if s.capture != nil {
 			gatewayConfig.Recorder = s.capture
 		}
 		if s.metrics != nil {
-			gatewayConfig.Meter = s.metrics
+			gatewayConfig.Metrics = s.metrics
 		}
 		s.core = gatekeeper.New(gatewayConfig)
-		fleet.Attach(s.core)
-		s.counter.Attach(s.core)
-		s.clients = link.NewClients(s.loop, clock, s.core, activeFrontend)
+		fleet.SetCore(s.core)
+		s.counter.SetCore(s.core)
+		s.clients = link.NewClientConns(s.loop, clock, s.core, activeFrontend)
 		if s.api != nil {
 			s.api.Attach(s.core, s.clients.Draining)
 		}
 		s.hosts = &platform.HostGroup{Core: s.core, Fleet: fleet, Names: names}
-		s.hosts.Apply(policy.Cached, predecessor.workerList(cfg.Known))
-		s.watch = link.NewWatch(s.loop, clock, cfg.Discovery, s.hosts.Path, s.hosts.Line)
+		s.hosts.Apply(policy.CachedList, predecessor.workerList(cfg.KnownWorkers))
+		s.watch = link.NewWatch(s.loop, clock, cfg.Discovery, s.hosts.WatchPath, s.hosts.ApplyLine)
 		if cfg.Discovery != "" {
 			s.watch.Start()
 		}
@@ -260,19 +260,19 @@
 			s.loop.Every(statsPublishInterval, s.publishStats)
 		}
 	})
-	if cfg.Control != "" {
-		if s.adminServer, err = admin.Listen(cfg.Control, s); err != nil {
+	if cfg.AdminAddress != "" {
+		if s.adminServer, err = admin.Listen(cfg.AdminAddress, s); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// Serving implements admin.Source.
+// Serving implements admin.StatusSource.
 func (s *service) Serving() bool { return s.serving.Load() }
 
-// Lines implements admin.Source.
-func (s *service) Lines() []byte {
+// StatsLines implements admin.StatusSource.
+func (s *service) StatsLines() []byte {
 	if s.capture == nil {
 		return s.metrics.Lines()
 	}
@@ -290,29 +290,29 @@
 	standings, _ := s.core.Standings()
 	unavailable := 0
 	for _, standing := range standings {
-		if standing.Shut || standing.State != policy.Ready {
+		if standing.Unavailable || standing.State != policy.Ready {
 			unavailable++
 		}
 	}
-	s.metrics.Publish(stats.Gauges{Pending: s.core.Open(), Members: len(standings), Unavailable: unavailable})
+	s.metrics.Publish(stats.Gauges{Pending: s.core.OpenRequests(), Members: len(standings), Unavailable: unavailable})
 }
 
 // publishXDS sends the present health and limits of the workers to proxies over xDS.
 func (s *service) publishXDS() {
 	policySettings, names := s.policySettings, s.names
 	standings, bound := s.core.Standings()
-	state := xds.State{Bound: bound, Connect: time.Duration(names.ConnectMost) * time.Microsecond, Attempts: policySettings.MaxAttempts}
+	state := xds.State{MaxRequests: bound, ConnectTimeout: time.Duration(names.ConnectTimeout) * time.Microsecond, MaxAttempts: policySettings.MaxAttempts}
 	for _, standing := range standings {
-		endpoint := xds.Endpoint{Address: s.hosts.Address(standing.Server), Standing: standing}
+		endpoint := xds.Endpoint{Address: s.hosts.Address(standing.Server), ServerStatus: standing}
 		if standing.Zone < len(names.Zones) {
 			endpoint.Zone = names.Zones[standing.Zone]
 		}
 		state.Endpoints = append(state.Endpoints, endpoint)
 	}
 	if s.api != nil {
-		state.Rules = s.api.Rules()
+		state.Routes = s.api.Routes()
 	}
-	if err := s.xds.Set(state); err != nil {
+	if err := s.xds.Publish(state); err != nil {
 		slog.Error("xds: update failed", "error", err)
 	}
 }
@@ -325,7 +325,7 @@
 	}
 	description, err := openapi.Parse(text)
 	if err != nil {
-		return nil, openapi.InFile(file, err)
+		return nil, openapi.WithFilePositions(file, err)
 	}
 	return description, nil
 }
@@ -339,17 +339,17 @@
 	if err != nil {
 		return err
 	}
-	if err := cfg.Replaces(&s.activeConfig); err != nil { // once the service runs, only reload writes activeConfig
+	if err := cfg.CheckReplacement(&s.activeConfig); err != nil { // once the service runs, only reload writes activeConfig
 		return err
 	}
-	policySettings, names, err := cfg.Terms()
+	policySettings, names, err := cfg.PolicySettings()
 	if err != nil {
 		return err
 	}
 	if s.api == nil {
 		err = settings.Check(policySettings, names)
 	}
-	if err := errors.Join(err, cfg.Check(s.counterEnabled)); err != nil {
+	if err := errors.Join(err, cfg.CheckAddresses(s.counterEnabled)); err != nil {
 		return err
 	}
 	var description *openapi.Description
@@ -364,17 +364,17 @@
 	s.runOnLoop(func() {
 		s.activeConfig = cfg
 		if cfg.Discovery != "" {
-			s.watch.Move(cfg.Discovery)
+			s.watch.SetAddress(cfg.Discovery)
 		}
 		if s.counterEnabled {
-			s.counter.Move(cfg.Counter)
+			s.counter.SetAddress(cfg.Counter)
 		}
 		slog.Info("configuration replaced", "discovery", cfg.Discovery, "counter", cfg.Counter)
 		switch {
 		case description != nil:
 			s.api.Replace(description)
-			slog.Info("description replaced", "operations", description.Operations())
-			s.names.Classes = s.api.Names()
+			slog.Info("description replaced", "operations", description.OperationCount())
+			s.names.Classes = s.api.ClassNames()
 			s.renameMetricClasses(s.names.Classes)
 		default:
 			s.replaceClasses(policySettings, names)
@@ -386,7 +386,7 @@
 // renameMetricClasses sets the class names that the metrics use, by class index.
 func (s *service) renameMetricClasses(names []string) {
 	if s.metrics != nil {
-		s.metrics.Name(names)
+		s.metrics.SetClassNames(names)
 	}
 }
 
@@ -394,7 +394,7 @@
 // they arrived with. Requests of a removed class are accepted for droppedClassGracePeriod,
 // because its clients learn of the change later than the gatekeeper does.
 func (s *service) replaceClasses(policySettings policy.Settings, names settings.Names) {
-	settings.Place(&policySettings, &names, s.policySettings.Classes, s.names.Classes)
+	settings.KeepClassIndexes(&policySettings, &names, s.policySettings.Classes, s.names.Classes)
 	if slices.Equal(policySettings.Classes, s.policySettings.Classes) && slices.Equal(names.Classes, s.names.Classes) {
 		return
 	}
@@ -406,13 +406,13 @@
 	}
 	s.policySettings.Classes, s.names.Classes, s.policySettings.MaxAttempts = policySettings.Classes, names.Classes, policySettings.MaxAttempts
 	s.core.SetClasses(policySettings.Classes)
-	s.platform.Replace(policySettings.Classes, acceptedNames)
+	s.platform.ReplaceClasses(policySettings.Classes, acceptedNames)
 	s.renameMetricClasses(acceptedNames) // a removed class is counted for as long as its requests are accepted
 	s.classUpdates++
 	update := s.classUpdates
 	s.loop.After(droppedClassGracePeriod, func() {
 		if update == s.classUpdates { // no later reload has replaced the table
-			s.platform.Replace(policySettings.Classes, names.Classes)
+			s.platform.ReplaceClasses(policySettings.Classes, names.Classes)
 		}
 	})
 	slog.Info("classes replaced", "classes", slices.DeleteFunc(slices.Clone(names.Classes), func(name string) bool { return name == "" }),
@@ -432,7 +432,7 @@
 		var remaining int
 		s.runOnLoop(func() {
 			s.clients.CloseIdle()
-			remaining = s.core.Open() + s.clients.Len()
+			remaining = s.core.OpenRequests() + s.clients.OpenConns()
 		})
 		if remaining == 0 && time.Since(started) > minDrainDuration {
 			return
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -273,7 +273,7 @@
 	addr, _ := startWorker(t, respondWith(okResponse))
 	gateway := startGateway(t, func(c *config.Config) { c.Limits.Sockets = 100 }, addr)
 	var conns []*client
-	for range gateway.loop.Budget.Clients + 2 {
+	for range gateway.loop.Budget.MaxClients + 2 {
 		conn := gateway.dial()
 		if res, _ := conn.ask(cuotaRequest("mayor", 900)); res.StatusCode != 200 {
 			t.Fatalf("status %d, want 200", res.StatusCode)
@@ -339,7 +339,7 @@
 		t.Fatalf("status %d, want 200", res.StatusCode)
 	}
 	gateway.advanceClock(200)
-	for range gateway.loop.Budget.Clients - 2 {
+	for range gateway.loop.Budget.MaxClients - 2 {
 		gateway.dial()
 	}
 	silent.waitClosed()
@@ -646,7 +646,7 @@
 	done := make(chan error)
 	g.loop.Post(func() {
 		line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s]}`, workerEntry(0, addr))
-		done <- g.hosts.Line([]byte(line))
+		done <- g.hosts.ApplyLine([]byte(line))
 	})
 	if err := receive(g.t, done); err != nil {
 		g.t.Fatal(err)
@@ -762,7 +762,7 @@
 	writeConfigFile(t, strings.Replace(configText, "deploy/calculadora.yaml", file, 1))
 	folder := t.TempDir()
 	t.Cleanup(func() { // after the gatekeeper has stopped: the replay covers the new description too
-		if report, kinds := replayCapture(t, folder, capture.Key{}); !report.Ended || kinds[capturepb.Kind_CLASSES] != 1 {
+		if report, kinds := replayCapture(t, folder, capture.Key{}); !report.Complete || kinds[capturepb.Kind_CLASSES] != 1 {
 			t.Errorf("replay: want a complete run with 1 CLASSES record, got %+v, %v", report, kinds)
 		}
 	})
@@ -770,10 +770,10 @@
 		if err := json.Unmarshal([]byte(configText), c); err != nil {
 			t.Fatal(err)
 		}
-		c.Known.Instances = c.Known.Instances[:1]
-		c.Known.Instances[0].Addr = addr
+		c.KnownWorkers.Instances = c.KnownWorkers.Instances[:1]
+		c.KnownWorkers.Instances[0].Addr = addr
 		c.OpenAPI.Description = file
-		c.Capture = &config.Capture{Folder: folder}
+		c.Capture = &config.Capture{Dir: folder}
 	})
 	ask := func(target, bank string, ms int) *http.Response {
 		t.Helper()
@@ -844,7 +844,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.Cluster}}
+	request := &discoveryv3.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: []string{xds.ClusterName}}
 	for _, want := range []corev3.HealthStatus{corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING} {
 		if err := stream.Send(request); err != nil {
 			t.Fatal(err)
@@ -863,7 +863,7 @@
 		request.VersionInfo, request.ResponseNonce = res.GetVersionInfo(), res.GetNonce()
 		gateway.loop.Post(func() {
 			line := strings.Replace(workerEntry(0, addr), `"ready"`, `"draining"`, 1)
-			if err := gateway.hosts.Line([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
+			if err := gateway.hosts.ApplyLine([]byte(`{"generation":8,"instances":[` + line + `]}`)); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/service/transports_test.go
+++ b/internal/service/transports_test.go
@@ -22,25 +22,25 @@
 const echoHeader = "X-Link-Turn"
 
 // allCarriers is every transport to workers.
-var allCarriers = []link.Carrier{link.OneAtATime, link.Pipeline, link.HTTP2, link.Batch}
+var allCarriers = []link.Protocol{link.HTTP1, link.Pipeline, link.HTTP2, link.Batch}
 
 // eachCarrier runs a test for every transport, with a gatekeeper in front of emulated workers.
 func eachCarrier(t *testing.T, workers int, base emulator.Config, test func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker)) {
 	for _, carrier := range allCarriers {
 		t.Run(carrier.String(), func(t *testing.T) {
 			workerConfig := base
-			workerConfig.Ledger, workerConfig.Echo = emulator.NewLedger(), echoHeader
+			workerConfig.Log, workerConfig.EchoHeader = emulator.NewRequestLog(), echoHeader
 			var emulated []*emulator.Worker
 			var addrs []string
 			for range workers {
-				w, err := emulator.Start("127.0.0.1:0", workerConfig)
+				w, err := emulator.StartWorker("127.0.0.1:0", workerConfig)
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(w.Stop)
 				emulated, addrs = append(emulated, w), append(addrs, w.Addr())
 			}
-			gateway := startGateway(t, func(base *config.Config) { base.Transport = link.Transport{Carrier: carrier} }, addrs...)
+			gateway := startGateway(t, func(base *config.Config) { base.Transport = link.Transport{Protocol: carrier} }, addrs...)
 			test(t, gateway, emulated)
 		})
 	}
@@ -107,9 +107,9 @@
 }
 
 // checkKeysRanOnce checks that no idempotency key was executed twice.
-func checkKeysRanOnce(t *testing.T, ledger *emulator.Ledger) {
+func checkKeysRanOnce(t *testing.T, ledger *emulator.RequestLog) {
 	t.Helper()
-	for key, n := range ledger.KeysRun() {
+	for key, n := range ledger.RunsByKey() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
@@ -119,7 +119,7 @@
 // TestEachRequestGetsItsOwnResponse sends concurrent requests of both classes: all must be
 // served, each executed once.
 func TestEachRequestGetsItsOwnResponse(t *testing.T) {
-	eachCarrier(t, 2, emulator.Config{Cores: 4, Default: emulator.Service{Mean: 2 * time.Millisecond}},
+	eachCarrier(t, 2, emulator.Config{Cores: 4, Default: emulator.ServiceTime{Mean: 2 * time.Millisecond}},
 		func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 			for round := range 4 {
 				all := append(gateway.askConcurrently("cuota", round*100, 8, 1900), gateway.askConcurrently("simulacion", round*100+50, 4, 1900)...)
@@ -127,8 +127,8 @@
 					t.Errorf("round %d: %d of %d served", round, n, len(all))
 				}
 			}
-			checkKeysRanOnce(t, emulated[0].Ledger)
-			for id, n := range emulated[0].Ledger.Ran() {
+			checkKeysRanOnce(t, emulated[0].Log)
+			for id, n := range emulated[0].Log.RunsByID() {
 				if n != 1 {
 					t.Errorf("%s ran %d times", id, n)
 				}
@@ -140,7 +140,7 @@
 // several long simulacion requests are in flight, cuota requests must not wait for them.
 func TestSlowRequestsDoNotDelayOthers(t *testing.T) {
 	const slow = 1200 * time.Millisecond
-	workerConfig := emulator.Config{Cores: 16, Window: 5 * time.Second, Classes: map[string]emulator.Service{
+	workerConfig := emulator.Config{Cores: 16, RepeatWindow: 5 * time.Second, Classes: map[string]emulator.ServiceTime{
 		"cuota": {Mean: 2 * time.Millisecond}, "simulacion": {Mean: slow}}}
 	eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 		for i := range 30 { // so that the transport learns how long a cuota request takes
@@ -148,7 +148,7 @@
 		}
 		done := make(chan []clientResult, 1)
 		go func() { done <- gateway.askConcurrently("simulacion", 0, 3, 1900) }()
-		waitForState(t, func() bool { return emulated[0].Holding() == 3 })
+		waitForState(t, func() bool { return emulated[0].InFlight() == 3 })
 		for round := range 8 {
 			for _, a := range gateway.askConcurrently("cuota", 100+10*round, 4, 1900) {
 				if a.status != http.StatusOK || a.duration > slow/3 {
@@ -166,12 +166,12 @@
 func TestWorkerFaultsGiveOneResponsePerRequest(t *testing.T) {
 	for name, fault := range map[string]emulator.Fault{
 		"reset before it ran": emulator.ResetBefore, "reset after it ran": emulator.ResetAfter, "stall": emulator.Stall,
-		"error": emulator.ErrorAfter, "turned away": emulator.TurnAway, "noise": emulator.NoiseAfter,
-		"duplicate response": emulator.TwiceAfter, "close": emulator.CloseAfter,
+		"error": emulator.ErrorAfter, "turned away": emulator.Reject, "noise": emulator.GarbageAfter,
+		"duplicate response": emulator.DuplicateAfter, "close": emulator.CloseAfter,
 	} {
-		workerConfig := emulator.Config{Cores: 8, Window: 5 * time.Second, Default: emulator.Service{Mean: 2 * time.Millisecond, CV: 0.5},
+		workerConfig := emulator.Config{Cores: 8, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: 2 * time.Millisecond, CV: 0.5},
 			Fault: func(a emulator.Arrival) emulator.Fault {
-				if a.N > 20 && a.N%7 == 0 {
+				if a.Sequence > 20 && a.Sequence%7 == 0 {
 					return fault
 				}
 				return emulator.None
@@ -188,8 +188,8 @@
 				if served < asked/2 {
 					t.Errorf("%d of %d served, want at least half", served, asked)
 				}
-				checkKeysRanOnce(t, emulated[0].Ledger)
-				if emulated[0].Ledger.Totals().Faults == 0 {
+				checkKeysRanOnce(t, emulated[0].Log)
+				if emulated[0].Log.Totals().Faults == 0 {
 					t.Error("no fault was injected")
 				}
 			})
@@ -200,10 +200,10 @@
 // TestVanishedWorkerLeavesNoRequestOpen has a worker stop responding for good while it has
 // pipelined requests, a batch or streams in flight.
 func TestVanishedWorkerLeavesNoRequestOpen(t *testing.T) {
-	workerConfig := emulator.Config{Cores: 2, Window: 5 * time.Second, Default: emulator.Service{Mean: 10 * time.Millisecond},
+	workerConfig := emulator.Config{Cores: 2, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: 10 * time.Millisecond},
 		Fault: func(a emulator.Arrival) emulator.Fault {
-			if a.N == 25 {
-				return emulator.VanishBefore
+			if a.Sequence == 25 {
+				return emulator.CrashBefore
 			}
 			return emulator.None
 		}}
@@ -212,22 +212,22 @@
 			all := append(gateway.askConcurrently("cuota", 100*round, 12, 1500), gateway.askConcurrently("simulacion", 100*round+50, 4, 1500)...)
 			checkResponses(t, all)
 		}
-		checkKeysRanOnce(t, emulated[0].Ledger)
+		checkKeysRanOnce(t, emulated[0].Log)
 	})
 }
 
 // TestWorkerDrainLosesNoRequestInFlight marks a worker as draining while it has requests in flight
 // on a shared connection. Those must be answered; later ones must go to the other worker.
 func TestWorkerDrainLosesNoRequestInFlight(t *testing.T) {
-	workerConfig := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: 150 * time.Millisecond}}
+	workerConfig := emulator.Config{Cores: 4, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: 150 * time.Millisecond}}
 	eachCarrier(t, 2, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 		done := make(chan []clientResult, 1)
 		go func() { done <- gateway.askConcurrently("cuota", 0, 12, 1900) }()
-		waitForState(t, func() bool { return emulated[0].Holding() > 0 && emulated[1].Holding() > 0 })
+		waitForState(t, func() bool { return emulated[0].InFlight() > 0 && emulated[1].InFlight() > 0 })
 		applied := make(chan error)
 		gateway.loop.Post(func() {
 			line := fmt.Sprintf(`{"generation":8,"reset":false,"instances":[%s]}`, drainingEntry(workerEntry(0, emulated[0].Addr())))
-			applied <- gateway.hosts.Line([]byte(line))
+			applied <- gateway.hosts.ApplyLine([]byte(line))
 		})
 		if err := receive(t, applied); err != nil {
 			t.Fatal(err)
@@ -265,7 +265,7 @@
 func TestConnectionResetDuringRequest(t *testing.T) {
 	const bodyMost = 60000
 	for _, resetAfter := range []int{1, 40, 150, 1000, 30000, 70000} {
-		workerConfig := emulator.Config{Cores: 4, Window: 5 * time.Second, Default: emulator.Service{Mean: time.Millisecond}}
+		workerConfig := emulator.Config{Cores: 4, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: time.Millisecond}}
 		eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 			resetting := listen(t, func(c net.Conn) {
 				_, _ = io.ReadFull(c, make([]byte, resetAfter))
@@ -274,7 +274,7 @@
 			applied := make(chan error)
 			gateway.loop.Post(func() {
 				line := fmt.Sprintf(`{"generation":8,"reset":true,"instances":[%s,%s]}`, workerEntry(0, emulated[0].Addr()), workerEntry(1, resetting))
-				applied <- gateway.hosts.Line([]byte(line))
+				applied <- gateway.hosts.ApplyLine([]byte(line))
 			})
 			if err := receive(t, applied); err != nil {
 				t.Fatal(err)
@@ -296,7 +296,7 @@
 			if served == 0 {
 				t.Error("no request was served")
 			}
-			checkKeysRanOnce(t, emulated[0].Ledger)
+			checkKeysRanOnce(t, emulated[0].Log)
 		})
 	}
 }
@@ -306,7 +306,7 @@
 func TestRequestsWaitForHTTP2Streams(t *testing.T) {
 	const streams = 3
 	var maxStreams, current atomic.Int64
-	workerConfig := emulator.Config{Cores: 16, MaxStreams: streams, Window: 5 * time.Second, Default: emulator.Service{Mean: 20 * time.Millisecond},
+	workerConfig := emulator.Config{Cores: 16, MaxStreams: streams, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: 20 * time.Millisecond},
 		Fault: func(emulator.Arrival) emulator.Fault { // called when a request arrives
 			n := current.Add(1)
 			time.AfterFunc(15*time.Millisecond, func() { current.Add(-1) }) // earlier than its response
@@ -314,12 +314,12 @@
 			}
 			return emulator.None
 		}}
-	w, err := emulator.Start("127.0.0.1:0", workerConfig)
+	w, err := emulator.StartWorker("127.0.0.1:0", workerConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Stop)
-	gateway := startGateway(t, func(c *config.Config) { c.Transport = link.Transport{Carrier: link.HTTP2} }, w.Addr())
+	gateway := startGateway(t, func(c *config.Config) { c.Transport = link.Transport{Protocol: link.HTTP2} }, w.Addr())
 	for round := range 5 {
 		all := gateway.askConcurrently("cuota", 100*round, 5, 1900)
 		if n := checkResponses(t, all); n < len(all) {
@@ -337,12 +337,12 @@
 // TestDrainAnswersRequestsInFlight checks for every transport that a draining gatekeeper answers
 // all requests in flight.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
-	workerConfig := emulator.Config{Cores: 16, Window: 5 * time.Second, Default: emulator.Service{Mean: 200 * time.Millisecond}}
+	workerConfig := emulator.Config{Cores: 16, RepeatWindow: 5 * time.Second, Default: emulator.ServiceTime{Mean: 200 * time.Millisecond}}
 	eachCarrier(t, 1, workerConfig, func(t *testing.T, gateway *testGateway, emulated []*emulator.Worker) {
 		t.Parallel()
 		done := make(chan []clientResult, 1)
 		go func() { done <- gateway.askConcurrently("cuota", 0, 4, 1900) }()
-		waitForState(t, func() bool { return emulated[0].Holding() == 4 })
+		waitForState(t, func() bool { return emulated[0].InFlight() == 4 })
 		drained := make(chan bool, 1)
 		go func() { gateway.drain(); drained <- true }()
 		all := receive(t, done)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,10 +73,10 @@
 // plans and zones, and the limits of connections to workers.
 type Names struct {
 	Classes, Plans, Zones []string      // in the order of the decision module's numbers
-	ConnIdle              policy.Micros // time after which workers close idle connections
-	ConnectMost           policy.Micros // timeout of setting up a connection
+	IdleTimeout           policy.Micros // time after which workers close idle connections
+	ConnectTimeout        policy.Micros // timeout of setting up a connection
 
-	Unknown []string // unknown values in the terms of classes, which Check reports
+	UnknownValues []string // unknown values in the terms of classes, which Check reports
 }
 
 // Defaults in microseconds for settings without limits of connections.
@@ -91,41 +91,41 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return policy.Settings{}, Names{}, fmt.Errorf("settings: malformed JSON: %w", err)
 	}
-	names := Names{Zones: doc.Areas, ConnIdle: doc.Limits.ConnIdle, ConnectMost: doc.Limits.ConnectMost}
-	if names.ConnIdle <= 0 {
-		names.ConnIdle = defaultConnIdle
+	names := Names{Zones: doc.Areas, IdleTimeout: doc.Limits.ConnIdle, ConnectTimeout: doc.Limits.ConnectMost}
+	if names.IdleTimeout <= 0 {
+		names.IdleTimeout = defaultConnIdle
 	}
-	if names.ConnectMost <= 0 {
-		names.ConnectMost = defaultConnectTimeout
+	if names.ConnectTimeout <= 0 {
+		names.ConnectTimeout = defaultConnectTimeout
 	}
 	s := policy.Settings{
-		Self: doc.SelfIndex, Gateways: doc.Siblings, Zone: doc.Locality, Tick: doc.Tick,
-		Weights:     doc.Weights != "" && doc.Weights != "off",
-		MaxAttempts: doc.Limits.MaxAttempts,
-		Cancel:      doc.Limits.Cancelling,
-		RetryAfter:  doc.Limits.RetryAfter,
-		Counter:     doc.Info.Counter, CounterTimeout: doc.Info.CountLimit,
-		Settles: doc.Info.Settles, Largest: doc.Info.Largest,
-		ColdShare: doc.Obligations.StartCapacity, FallMultiple: doc.Obligations.FallMultiple,
-		ColdFor: doc.Obligations.WarmAfter, FallWindow: doc.Obligations.Fall,
+		Index: doc.SelfIndex, GatewayCount: doc.Siblings, Zone: doc.Locality, ClockTick: doc.Tick,
+		UseWeights:     doc.Weights != "" && doc.Weights != "off",
+		MaxAttempts:    doc.Limits.MaxAttempts,
+		CanCancel:      doc.Limits.Cancelling,
+		SendRetryAfter: doc.Limits.RetryAfter,
+		HasCounter:     doc.Info.Counter, CounterTimeout: doc.Info.CountLimit,
+		SettlesUnits: doc.Info.Settles, MaxUnits: doc.Info.Largest,
+		ColdCapacity: doc.Obligations.StartCapacity, OverloadMultiple: doc.Obligations.FallMultiple,
+		ColdDuration: doc.Obligations.WarmAfter, OverloadWindow: doc.Obligations.Fall,
 		CrossZonePrice: doc.Tariffs.CrossZone,
 	}
 	if doc.Report.Via == "inline" {
-		s.InlineLoad = doc.Report.Fields
+		s.LoadReportFields = doc.Report.Fields
 	}
 	for _, c := range doc.Classes {
 		class := policy.Class{
-			Aim: c.Objective, Deadline: c.Deadline, Window: c.Window,
-			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: policy.Unsafe, Group: Groups[c.Group],
-			Attempts: doc.Limits.MaxAttempts,
+			LatencyTarget: c.Objective, Deadline: c.Deadline, RepeatWindow: c.Window,
+			Value: c.Worth, LateValue: c.LateWorth, Repeat: policy.RepeatUnsafe, Dedup: Groups[c.Group],
+			MaxAttempts: doc.Limits.MaxAttempts,
 		}
 		if repeat, ok := repeats[c.Repeat]; ok { // an unknown value stays Unsafe, so that requests are never repeated
 			class.Repeat = repeat
 		} else {
-			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: repeat is %q, want "idempotent", "deduplicated" or "at_most_once"`, c.Name, c.Repeat))
+			names.UnknownValues = append(names.UnknownValues, fmt.Sprintf(`class %q: repeat is %q, want "idempotent", "deduplicated" or "at_most_once"`, c.Name, c.Repeat))
 		}
 		if _, ok := Groups[c.Group]; !ok {
-			names.Unknown = append(names.Unknown, fmt.Sprintf(`class %q: group is %q, want "all", "zone" or "cell"`, c.Name, c.Group))
+			names.UnknownValues = append(names.UnknownValues, fmt.Sprintf(`class %q: group is %q, want "all", "zone" or "cell"`, c.Name, c.Group))
 		}
 		s.Classes = append(s.Classes, class)
 		names.Classes = append(names.Classes, c.Name)
@@ -133,9 +133,9 @@
 	for _, plan := range doc.Plans {
 		names.Plans = append(names.Plans, plan.Name)
 		s.Plans = append(s.Plans, policy.Plan{
-			Rate: plan.Refill, Burst: plan.Burst, Open: plan.Concurrency,
-			CeilingRate: plan.CeilingRate, CeilingBurst: plan.HardBurst, CeilingSlack: plan.CapSlack,
-			Price: plan.Pays, OverCost: plan.OverrunCost,
+			Rate: plan.Refill, Burst: plan.Burst, MaxInFlight: plan.Concurrency,
+			CeilingRate: plan.CeilingRate, CeilingBurst: plan.HardBurst, CeilingTolerance: plan.CapSlack,
+			Price: plan.Pays, OverrunCost: plan.OverrunCost,
 		})
 	}
 	return s, names, nil
@@ -146,7 +146,7 @@
 func Check(s policy.Settings, n Names) error {
 	var faults []error
 	fault := func(format string, a ...any) { faults = append(faults, fmt.Errorf("settings: "+format, a...)) }
-	for _, word := range n.Unknown {
+	for _, word := range n.UnknownValues {
 		fault("%s", word)
 	}
 	if len(s.Classes) == 0 {
@@ -169,14 +169,14 @@
 		if c.Deadline <= 0 {
 			fault("class %q: deadline-us is %d, want more than 0", name, c.Deadline)
 		}
-		if c.Aim <= 0 {
-			fault("class %q: objective-us is %d, want more than 0", name, c.Aim)
+		if c.LatencyTarget <= 0 {
+			fault("class %q: objective-us is %d, want more than 0", name, c.LatencyTarget)
 		}
-		if c.Worth < 0 || c.LateWorth < 0 {
-			fault("class %q: worth is %g and late-worth %g, want at least 0", name, c.Worth, c.LateWorth)
+		if c.Value < 0 || c.LateValue < 0 {
+			fault("class %q: worth is %g and late-worth %g, want at least 0", name, c.Value, c.LateValue)
 		}
-		if c.Repeat == policy.Keyed && c.Window <= 0 {
-			fault("class %q: window-us is %d, want more than 0", name, c.Window)
+		if c.Repeat == policy.RepeatKeyed && c.RepeatWindow <= 0 {
+			fault("class %q: window-us is %d, want more than 0", name, c.RepeatWindow)
 		}
 	}
 	return errors.Join(faults...)
@@ -184,18 +184,18 @@
 
 var (
 	// repeats maps the values of a class's repeat setting.
-	repeats = map[string]policy.Repeat{"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe}
+	repeats = map[string]policy.Repeatability{"idempotent": policy.RepeatSafe, "deduplicated": policy.RepeatKeyed, "at_most_once": policy.RepeatUnsafe}
 	// Groups maps the values of a class's group setting, which says among which workers
 	// repeated requests are dropped. Operators' configuration files use the same values.
-	Groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+	Groups = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone, "cell": policy.DedupCell}
 )
 
-// Place reorders the classes of new settings so that each class keeps its index in the
+// KeepClassIndexes reorders the classes of new settings so that each class keeps its index in the
 // current table, which names gives the class names of: open requests, counts and learned
 // latencies refer to classes by index. A class that is no longer defined keeps its entry and
 // its terms under an empty name. A new class reuses such an entry only if the table has at
 // least reuseThreshold entries; otherwise it is appended.
-func Place(s *policy.Settings, n *Names, inForce []policy.Class, names []string) {
+func KeepClassIndexes(s *policy.Settings, n *Names, inForce []policy.Class, names []string) {
 	classes, placedNames := slices.Clone(inForce), make([]string, len(names))
 	var added []int
 	for i, name := range n.Classes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,13 +14,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := s.Classes[0]; c.Repeat != policy.Keyed || c.Group != policy.GroupCell || c.Aim != 5 {
+	if c := s.Classes[0]; c.Repeat != policy.RepeatKeyed || c.Dedup != policy.DedupCell || c.LatencyTarget != 5 {
 		t.Fatalf("class %+v, want Keyed, GroupCell and an objective of 5 us", c)
 	}
-	if names.ConnIdle <= 0 || names.ConnectMost <= 0 {
+	if names.IdleTimeout <= 0 || names.ConnectTimeout <= 0 {
 		t.Fatalf("no default limits of connections: %+v", names)
 	}
-	if s.Plans[0].Rate != 2.5 || s.Plans[0].Open != 3 || s.Counter {
+	if s.Plans[0].Rate != 2.5 || s.Plans[0].MaxInFlight != 3 || s.HasCounter {
 		t.Fatalf("settings %+v, want a rate of 2.5, 3 open requests and no counter", s)
 	}
 	if _, _, err := Parse([]byte(`{"classes":`)); err == nil {
--- a/internal/slowstart/scale_bench_test.go
+++ b/internal/slowstart/scale_bench_test.go
@@ -18,11 +18,11 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			coordinator := New(1300)
-			coordinator.Begin(0, 1e9)
+			coordinator := NewCoordinator(1300)
+			coordinator.Start(0, 1e9)
 			now, i := 0.0, 0
 			ask := func() {
-				coordinator.Ask(now, ids[i])
+				coordinator.Renew(now, ids[i])
 				if i++; i == n {
 					i = 0
 				}
@@ -48,9 +48,9 @@
 	for _, n := range []int{9, 18_000} {
 		b.Run(fmt.Sprint("gates=", n), func(b *testing.B) {
 			var l Lease
-			l.Take(Grant{Current: Part{n / 2, n}}, 0, 1e12)
+			l.Renew(Grant{Current: Share{n / 2, n}}, 0, 1e12)
 			for i := range b.N {
-				l.Sends(0, 15, uint64(i))
+				l.RequestsPerSecond(0, 15, uint64(i))
 			}
 		})
 	}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -25,25 +25,25 @@
 // WindowMs is the length of the sliding window, in milliseconds, in which requests to a cold worker are counted.
 const WindowMs = 1000.0
 
-// Part is one slot of an assignment with Count slots. A Count of 0 means no share.
-type Part struct {
+// Share is one slot of an assignment with Count slots. A Count of 0 means no share.
+type Share struct {
 	Index int `cbor:"1,keyasint,omitempty"`
 	Count int `cbor:"2,keyasint,omitempty"`
 }
 
 // Grant is what a gatekeeper is granted under a lease. During a change, when Changing is set, Next limits it too.
 type Grant struct {
-	Current  Part `cbor:"1,keyasint,omitempty"`
-	Next     Part `cbor:"2,keyasint,omitempty"`
-	Changing bool `cbor:"3,keyasint,omitempty"`
+	Current  Share `cbor:"1,keyasint,omitempty"`
+	Next     Share `cbor:"2,keyasint,omitempty"`
+	Changing bool  `cbor:"3,keyasint,omitempty"`
 }
 
-// Left returns how long the lease remains valid, in milliseconds; it is negative once the lease has expired.
-func (l *Lease) Left(now float64) float64 { return l.expiresAt - now }
+// Remaining returns how long the lease remains valid, in milliseconds; it is negative once the lease has expired.
+func (l *Lease) Remaining(now float64) float64 { return l.expiresAt - now }
 
-// Sends returns how many requests a second the holder of the grant may send to a cold worker that takes budget
+// RequestsPerSecond returns how many requests a second the holder of the grant may send to a cold worker that takes budget
 // requests a second from all gatekeepers together.
-func (g Grant) Sends(budget float64, worker uint64) int {
+func (g Grant) RequestsPerSecond(budget float64, worker uint64) int {
 	sends := g.Current.sends(budget, worker)
 	if g.Changing {
 		sends = min(sends, g.Next.sends(budget, worker))
@@ -53,7 +53,7 @@
 
 // sends returns the whole requests a second of the share. The remainder of the division goes to shares that lie far
 // apart in the assignment; which ones they are differs from worker to worker.
-func (p Part) sends(budget float64, worker uint64) int {
+func (p Share) sends(budget float64, worker uint64) int {
 	if p.Count <= 0 || p.Index < 0 || p.Index >= p.Count || budget <= 0 {
 		return 0
 	}
@@ -66,7 +66,7 @@
 }
 
 // permutedIndex returns the position of the share in a permutation of all shares that is specific to the worker.
-func (p Part) permutedIndex(worker uint64) int {
+func (p Share) permutedIndex(worker uint64) int {
 	offset := int(mix(worker) % uint64(p.Count))
 	return (p.Index*stride(p.Count) + offset) % p.Count
 }
@@ -105,17 +105,17 @@
 	expiresAt float64
 }
 
-// Take replaces the grant by one that was requested at askedAt and is valid for leaseMs from then on.
-func (l *Lease) Take(grant Grant, askedAt, leaseMs float64) {
+// Renew replaces the grant by one that was requested at askedAt and is valid for leaseMs from then on.
+func (l *Lease) Renew(grant Grant, askedAt, leaseMs float64) {
 	l.grant, l.expiresAt = grant, askedAt+leaseMs
 }
 
-// Sends returns how many requests a second may be sent to a cold worker now. It is 0 without a valid lease.
-func (l *Lease) Sends(now, budget float64, worker uint64) int {
+// RequestsPerSecond returns how many requests a second may be sent to a cold worker now. It is 0 without a valid lease.
+func (l *Lease) RequestsPerSecond(now, budget float64, worker uint64) int {
 	if now >= l.expiresAt {
 		return 0
 	}
-	return l.grant.Sends(budget, worker)
+	return l.grant.RequestsPerSecond(budget, worker)
 }
 
 // keepVacantMs is how long an assignment keeps vacant slots, in milliseconds.
@@ -129,12 +129,12 @@
 	firstAskedAt, expiresAt float64
 }
 
-// Standing returns the requests a second for a gatekeeper whose lease has expired. It applies to a separate part of
+// FallbackRequestsPerSecond returns the requests a second for a gatekeeper whose lease has expired. It applies to a separate part of
 // the budget: what leases grant and what is reserved for expired ones must together stay within what a cold worker
 // can take. A gatekeeper that never had a grant uses the given share.
-func (l *Lease) Standing(budget float64, worker uint64, fallback Part) int {
+func (l *Lease) FallbackRequestsPerSecond(budget float64, worker uint64, fallback Share) int {
 	if l.grant.Current.Count > 0 {
-		return l.grant.Sends(budget, worker)
+		return l.grant.RequestsPerSecond(budget, worker)
 	}
 	return fallback.sends(budget, worker)
 }
@@ -155,27 +155,27 @@
 	vacantSince    float64 // since when current has vacant slots, +Inf if it has none
 }
 
-// New returns a coordinator that has not been started and grants nothing yet. Leases are valid for leaseMs.
-func New(leaseMs float64) *Coordinator {
+// NewCoordinator returns a coordinator that has not been started and grants nothing yet. Leases are valid for leaseMs.
+func NewCoordinator(leaseMs float64) *Coordinator {
 	return &Coordinator{leaseMs: leaseMs, startedAt: math.Inf(1), safeAt: math.Inf(1), leases: map[string]leaseRecord{}, vacantSince: math.Inf(1)}
 }
 
-// Begin starts the coordinator after this registry has won the duty, which nobody held in the vacantMs before. Leases
+// Start starts the coordinator after this registry has won the duty, which nobody held in the vacantMs before. Leases
 // granted by an earlier holder are unknown, so no share is granted until all of them must have expired.
-func (c *Coordinator) Begin(now, vacantMs float64) {
+func (c *Coordinator) Start(now, vacantMs float64) {
 	leaseMs := c.leaseMs
-	*c = *New(leaseMs)
+	*c = *NewCoordinator(leaseMs)
 	c.startedAt, c.safeAt = now, now+leaseMs+WindowMs
-	c.Vacant(vacantMs)
+	c.ReportVacancy(vacantMs)
 }
 
-// Vacant reports that nobody held the duty for vacantMs before Begin, where that is longer than was known then.
-func (c *Coordinator) Vacant(vacantMs float64) {
+// ReportVacancy reports that nobody held the duty for vacantMs before Begin, where that is longer than was known then.
+func (c *Coordinator) ReportVacancy(vacantMs float64) {
 	c.safeAt = min(c.safeAt, c.startedAt+max(c.leaseMs+WindowMs-max(vacantMs, 0), 0))
 }
 
-// Ask grants a gatekeeper its share under a lease that begins now. The id is "node/incarnation".
-func (c *Coordinator) Ask(now float64, id string) Grant {
+// Renew grants a gatekeeper its share under a lease that begins now. The id is "node/incarnation".
+func (c *Coordinator) Renew(now float64, id string) Grant {
 	record, known := c.leases[id]
 	if !known {
 		c.nextCheckAt, record.firstAskedAt = now, now
@@ -308,10 +308,10 @@
 }
 
 // shareOf returns the share of a holder, or no share if it has no slot.
-func shareOf(slots assignment, slotsByHolder map[string]int, id string) Part {
+func shareOf(slots assignment, slotsByHolder map[string]int, id string) Share {
 	slot, ok := slotsByHolder[id]
 	if !ok {
-		return Part{}
+		return Share{}
 	}
-	return Part{Index: slot, Count: len(slots)}
+	return Share{Index: slot, Count: len(slots)}
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -18,7 +18,7 @@
 			for worker := range uint64(60) {
 				sum, lowest, highest := 0, 1<<30, 0
 				for index := range count {
-					sends := Part{index, count}.sends(budget, worker)
+					sends := Share{index, count}.sends(budget, worker)
 					sum, lowest, highest = sum+sends, min(lowest, sends), max(highest, sends)
 					if sends > 0 {
 						used[index] = true
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	for _, none := range []Part{{}, {3, 3}, {-1, 3}, {0, 0}} {
+	for _, none := range []Share{{}, {3, 3}, {-1, 3}, {0, 0}} {
 		assert.Equal(t, none.sends(20, 1), 0)
 	}
 }
@@ -53,35 +53,35 @@
 		{1000, 2000, testLease + WindowMs - 2000},
 		{1e9, 0, 0},
 	} {
-		coordinator := New(testLease)
-		coordinator.Begin(5000, c.vacant)
-		coordinator.Vacant(c.later)
+		coordinator := NewCoordinator(testLease)
+		coordinator.Start(5000, c.vacant)
+		coordinator.ReportVacancy(c.later)
 		if c.from > 0 {
-			assert.Equal(t, coordinator.Ask(5000+c.from-1, "a").Sends(testBudget, 1), 0)
+			assert.Equal(t, coordinator.Renew(5000+c.from-1, "a").RequestsPerSecond(testBudget, 1), 0)
 		}
-		assert.Equal(t, coordinator.Ask(5000+c.from, "a").Sends(testBudget, 1), int(testBudget))
+		assert.Equal(t, coordinator.Renew(5000+c.from, "a").RequestsPerSecond(testBudget, 1), int(testBudget))
 	}
-	assert.Equal(t, New(testLease).Ask(1e9, "a").Sends(testBudget, 1), 0, "a coordinator that was never started")
+	assert.Equal(t, NewCoordinator(testLease).Renew(1e9, "a").RequestsPerSecond(testBudget, 1), 0, "a coordinator that was never started")
 }
 
 // TestLeaseExpires checks that a lease counts from the time at which it was requested.
 func TestLeaseExpires(t *testing.T) {
 	var l Lease
-	assert.Equal(t, l.Sends(0, testBudget, 1), 0)
-	l.Take(Grant{Current: Part{0, 1}}, 100, testLease)
-	assert.Equal(t, l.Sends(100+testLease-1, testBudget, 1), int(testBudget))
-	assert.Equal(t, l.Sends(100+testLease, testBudget, 1), 0)
+	assert.Equal(t, l.RequestsPerSecond(0, testBudget, 1), 0)
+	l.Renew(Grant{Current: Share{0, 1}}, 100, testLease)
+	assert.Equal(t, l.RequestsPerSecond(100+testLease-1, testBudget, 1), int(testBudget))
+	assert.Equal(t, l.RequestsPerSecond(100+testLease, testBudget, 1), 0)
 }
 
 // TestChangeTakesTwoSteps: a gatekeeper that joins has no share before all larger shares have been given up for one
 // window.
 func TestChangeTakesTwoSteps(t *testing.T) {
-	coordinator := New(testLease)
-	coordinator.Begin(0, 1e9)
-	sends := func(now float64, id string) int { return coordinator.Ask(now, id).Sends(testBudget, 1) }
+	coordinator := NewCoordinator(testLease)
+	coordinator.Start(0, 1e9)
+	sends := func(now float64, id string) int { return coordinator.Renew(now, id).RequestsPerSecond(testBudget, 1) }
 	assert.Equal(t, sends(0, "a"), 15)
 	assert.Equal(t, sends(100, "b"), 0)
-	assert.Equal(t, sends(200, "a"), coordinator.Ask(200, "a").Next.sends(testBudget, 1), "requests a second under the smaller of both shares")
+	assert.Equal(t, sends(200, "a"), coordinator.Renew(200, "a").Next.sends(testBudget, 1), "requests a second under the smaller of both shares")
 	for now := 300.0; now < 100+testLease+WindowMs; now += 100 {
 		assert.Equal(t, sends(now, "b"), 0)
 		sends(now, "a")
@@ -94,15 +94,15 @@
 // new share.
 func TestUnchangedGatekeepersKeepTheirSlots(t *testing.T) {
 	const count = 63
-	coordinator := New(testLease)
-	coordinator.Begin(0, 1e9)
+	coordinator := NewCoordinator(testLease)
+	coordinator.Start(0, 1e9)
 	incarnations := map[string]string{} // incarnation by node
 	for i := range count {
 		incarnations[fmt.Sprintf("g%02d", i)] = "1"
 	}
 	askAll := func(now float64) (sends int) {
 		for name, incarnation := range incarnations {
-			sends += coordinator.Ask(now, name+"/"+incarnation).Sends(testBudget, 7)
+			sends += coordinator.Renew(now, name+"/"+incarnation).RequestsPerSecond(testBudget, 7)
 		}
 		return sends
 	}
@@ -167,8 +167,8 @@
 // simulateGreedy runs gatekeepers for 30 s and returns the highest number of requests in a window.
 func simulateGreedy(seed uint64) (highest int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	coordinator := New(testLease)
-	coordinator.Begin(0, 1e9)
+	coordinator := NewCoordinator(testLease)
+	coordinator.Start(0, 1e9)
 	gatekeepers := make([]greedyGatekeeper, 1+random.IntN(12))
 	for i := range gatekeepers {
 		gatekeepers[i].node = i
@@ -199,8 +199,8 @@
 			}
 		}
 		if vacantTo > 0 && now >= vacantTo {
-			coordinator = New(testLease)
-			coordinator.Begin(now, now-vacantFrom)
+			coordinator = NewCoordinator(testLease)
+			coordinator.Start(now, now-vacantFrom)
 			vacantTo = 0
 		}
 		for i := range gatekeepers {
@@ -209,18 +209,18 @@
 				continue
 			}
 			if g.pending != nil && now >= g.arrivesAt {
-				g.lease.Take(*g.pending, g.askedAt, testLease)
+				g.lease.Renew(*g.pending, g.askedAt, testLease)
 				g.pending = nil
 			}
 			if now >= g.askAt && g.pending == nil && !g.cutOff && vacantTo == 0 {
-				answer := coordinator.Ask(now+1, fmt.Sprint(g.node, "/", g.incarnation))
+				answer := coordinator.Renew(now+1, fmt.Sprint(g.node, "/", g.incarnation))
 				g.pending, g.askedAt, g.arrivesAt, g.askAt = &answer, now, now+random.Float64()*400, now+500
 			}
 			recent := 0
 			for j := len(g.sentAt) - 1; j >= 0 && g.sentAt[j] >= now-WindowMs; j-- {
 				recent++
 			}
-			for range g.lease.Sends(now, testBudget, seed) - recent {
+			for range g.lease.RequestsPerSecond(now, testBudget, seed) - recent {
 				g.sentAt = append(g.sentAt, now)
 				sentAt = append(sentAt, now)
 			}
--- a/internal/snowline/controller.go
+++ b/internal/snowline/controller.go
@@ -45,12 +45,12 @@
 	maxRateFactor          = 2.0     // largest multiple of the admitted load that the rate is raised to
 )
 
-// Valve learns how much load can be served and keeps the shedding threshold there. To avoid
+// Controller learns how much load can be served and keeps the shedding threshold there. To avoid
 // oscillation, the capacity is kept as a rate: load that comes and goes moves the threshold and not
 // the rate.
-type Valve struct {
+type Controller struct {
 	rate               float64 // admitted requests per second, 0 for no limit
-	threshold          policy.Mark
+	threshold          policy.ShedPosition
 	started            bool
 	reducedAt          float64
 	reduced            bool // the rate was reduced at least once
@@ -58,7 +58,7 @@
 	increased          bool    // since the last reduction
 	probeDelayMs       float64 // time without pressure required before the next increase
 	raisableSince      float64
-	raisableTo         policy.Mark // lowest threshold that has fitted since raisableSince
+	raisableTo         policy.ShedPosition // lowest threshold that has fitted since raisableSince
 	lastNearCapacityAt float64
 	followedLoadAt     float64 // when the threshold followed a rising load
 	lastUnpressedAt    float64 // when pressure was last below pressed
@@ -70,35 +70,35 @@
 	lastIncreaseQuick  bool // the last increase was quick
 }
 
-// Cut returns the current threshold.
-func (v *Valve) Cut() policy.Mark {
+// Threshold returns the current threshold.
+func (v *Controller) Threshold() policy.ShedPosition {
 	if !v.started {
-		return policy.MarkOpen
+		return policy.ShedNothing
 	}
 	return v.threshold
 }
 
 // Rate returns the admitted rate in requests per second, 0 for no limit.
-func (v *Valve) Rate() float64 { return v.rate }
+func (v *Controller) Rate() float64 { return v.rate }
 
 // Resume continues with the threshold and the capacity of another Valve. A rate of 0 means that the
 // capacity is not known.
-func (v *Valve) Resume(now float64, threshold policy.Mark, load Load, rate float64) {
-	*v = Valve{threshold: threshold, started: true, probeDelayMs: minProbeDelayMs, reducedAt: now, reduced: threshold < policy.MarkOpen, rate: rate, lastNearCapacityAt: now, followedLoadAt: now,
-		raisableSince: now, raisableTo: policy.MarkOpen, lastStepAt: now, lastUnpressedAt: now, lastNotLowAt: now}
+func (v *Controller) Resume(now float64, threshold policy.ShedPosition, load Load, rate float64) {
+	*v = Controller{threshold: threshold, started: true, probeDelayMs: minProbeDelayMs, reducedAt: now, reduced: threshold < policy.ShedNothing, rate: rate, lastNearCapacityAt: now, followedLoadAt: now,
+		raisableSince: now, raisableTo: policy.ShedNothing, lastStepAt: now, lastUnpressedAt: now, lastNotLowAt: now}
 	if v.reduced {
-		v.rate = max(load.Below(threshold), rate, 1e-3)
+		v.rate = max(load.AdmittedBy(threshold), rate, 1e-3)
 	}
 }
 
 // Step updates the threshold by the pressure, the arriving load and the rate of workers' answers. The
 // otherThreshold applies in addition.
-func (v *Valve) Step(now, pressure float64, load Load, served float64, otherThreshold policy.Mark) policy.Mark {
+func (v *Controller) Step(now, pressure float64, load Load, served float64, otherThreshold policy.ShedPosition) policy.ShedPosition {
 	if !v.started {
-		v.Resume(now, policy.MarkOpen, load, 0)
+		v.Resume(now, policy.ShedNothing, load, 0)
 		v.reducedAt, v.followedLoadAt = now-settleMs, now-settleMs
 	}
-	total, admitted := load.Sum(), load.Below(min(v.threshold, otherThreshold))
+	total, admitted := load.Sum(), load.AdmittedBy(min(v.threshold, otherThreshold))
 	if pressure < pressed {
 		v.lastUnpressedAt = now
 	}
@@ -133,7 +133,7 @@
 		v.increase(now, pressure, total, admitted, load)
 	}
 	if v.rate == 0 {
-		v.threshold = policy.MarkOpen
+		v.threshold = policy.ShedNothing
 		return v.threshold
 	}
 	v.updateThreshold(now, load, admitted)
@@ -141,7 +141,7 @@
 }
 
 // increase increases the rate in small steps after a time without pressure.
-func (v *Valve) increase(now, pressure, total, admitted float64, load Load) {
+func (v *Controller) increase(now, pressure, total, admitted float64, load Load) {
 	if total > lowerTolerance*v.rate*calm {
 		v.lastNearCapacityAt = now
 	}
@@ -156,7 +156,7 @@
 	if v.quick {
 		delayMs, intervalMs, weight, maxFactor = 0, quickIntervalMs, quickIncreaseWeight, maxIncreaseFactor
 	}
-	if pressure >= calm || now-v.reducedAt < delayMs || now-v.increasedAt < intervalMs || v.threshold >= policy.MarkOpen {
+	if pressure >= calm || now-v.reducedAt < delayMs || now-v.increasedAt < intervalMs || v.threshold >= policy.ShedNothing {
 		return
 	}
 	unused := calm - pressure
@@ -173,11 +173,11 @@
 }
 
 // loadWithNextBin returns the load including the first bin above the threshold.
-func (v *Valve) loadWithNextBin(load Load) float64 {
+func (v *Controller) loadWithNextBin(load Load) float64 {
 	sum := 0.0
 	for _, bin := range slices.Sorted(maps.Keys(load)) {
 		sum += load[bin]
-		if policy.BinMark(bin) >= v.threshold {
+		if policy.BinStart(bin) >= v.threshold {
 			break
 		}
 	}
@@ -186,10 +186,10 @@
 
 // updateThreshold sets the threshold by the rate: it is lowered at once, and raised when the higher one has
 // fitted for some time.
-func (v *Valve) updateThreshold(now float64, load Load, admitted float64) {
-	if load.Below(v.threshold) > lowerTolerance*v.rate {
-		v.threshold, v.raisableSince = load.CutAt(v.rate), now
-		v.raisableTo, v.followedLoadAt = policy.MarkOpen, now
+func (v *Controller) updateThreshold(now float64, load Load, admitted float64) {
+	if load.AdmittedBy(v.threshold) > lowerTolerance*v.rate {
+		v.threshold, v.raisableSince = load.ThresholdAt(v.rate), now
+		v.raisableTo, v.followedLoadAt = policy.ShedNothing, now
 		return
 	}
 	rate := raiseTolerance * v.rate
@@ -199,9 +199,9 @@
 	} else {
 		rate = min(rate, max(admitted+raiseStepShare*(rate-admitted), v.loadWithNextBin(load)))
 	}
-	higher := load.CutAt(rate)
+	higher := load.ThresholdAt(rate)
 	if higher <= v.threshold {
-		v.raisableSince, v.raisableTo = now, policy.MarkOpen
+		v.raisableSince, v.raisableTo = now, policy.ShedNothing
 		return
 	}
 	v.raisableTo = min(v.raisableTo, higher)
@@ -210,16 +210,16 @@
 		delayMs = quickIntervalMs
 	}
 	if now-v.raisableSince >= delayMs {
-		v.threshold, v.raisableSince, v.raisableTo = v.raisableTo, now, policy.MarkOpen
+		v.threshold, v.raisableSince, v.raisableTo = v.raisableTo, now, policy.ShedNothing
 	}
 }
 
-// Aged returns a threshold that was received too long ago, raised so that a part of the refused load
+// AgedThreshold returns a threshold that was received too long ago, raised so that a part of the refused load
 // is admitted again.
-func Aged(threshold policy.Mark, load Load, share float64) policy.Mark {
-	if share >= 1 || threshold >= policy.MarkOpen {
-		return policy.MarkOpen
+func AgedThreshold(threshold policy.ShedPosition, load Load, share float64) policy.ShedPosition {
+	if share >= 1 || threshold >= policy.ShedNothing {
+		return policy.ShedNothing
 	}
-	admitted, total := load.Below(threshold), load.Sum()
-	return max(threshold, load.CutAt(admitted+math.Max(share, 0)*(total-admitted)))
+	admitted, total := load.AdmittedBy(threshold), load.Sum()
+	return max(threshold, load.ThresholdAt(admitted+math.Max(share, 0)*(total-admitted)))
 }
--- a/internal/snowline/gatekeeper.go
+++ b/internal/snowline/gatekeeper.go
@@ -10,46 +10,46 @@
 	clusterCalmShare    = 0.8     // share of pressed below which the cluster has no pressure
 )
 
-// Post is a gatekeeper's side: the level it has received and what it applies.
-type Post struct {
-	// Solitary makes it shed by its own pressure only, for comparison in trials.
-	Solitary bool
-	// Loads are the services' loads, used to age their thresholds.
-	Loads map[string]Load
+// Follower is a gatekeeper's side: the level it has received and what it applies.
+type Follower struct {
+	// LocalOnly makes it shed by its own pressure only, for comparison in trials.
+	LocalOnly bool
+	// ServiceLoads are the services' loads, used to age their thresholds.
+	ServiceLoads map[string]Load
 
 	level             Level
 	received          bool
 	receivedAt        float64
-	controller        Valve
+	controller        Controller
 	soleSince         float64 // since when it has been under pressure while the others are not; 0 if it isn't
 	shedsAlone        bool
 	wasDisconnected   bool // disconnected at the last Step
-	standing          Standing
-	serviceThresholds map[string]policy.Mark // thresholds of services, as received or aged
+	standing          AppliedState
+	serviceThresholds map[string]policy.ShedPosition // thresholds of services, as received or aged
 }
 
-// Standing is the threshold that a gatekeeper applies, and why.
-type Standing struct {
-	Cut    policy.Mark
-	Alone  bool // it sheds more than the level demands, by its own pressure
-	CutOff bool // it hasn't received a level for disconnectedAfterMs
-	Aging  bool // the level it received is aging out
+// AppliedState is the threshold that a gatekeeper applies, and why.
+type AppliedState struct {
+	Threshold    policy.ShedPosition
+	ShedsAlone   bool // it sheds more than the level demands, by its own pressure
+	Disconnected bool // it hasn't received a level for disconnectedAfterMs
+	Aging        bool // the level it received is aging out
 }
 
 // Level returns the newest level received.
-func (p *Post) Level() Level { return p.level }
+func (p *Follower) Level() Level { return p.level }
 
-// Standing returns the result of the last Step.
-func (p *Post) Standing() Standing {
-	if p.standing.Cut == 0 {
-		return Standing{Cut: policy.MarkOpen}
+// State returns the result of the last Step.
+func (p *Follower) State() AppliedState {
+	if p.standing.Threshold == 0 {
+		return AppliedState{Threshold: policy.ShedNothing}
 	}
 	return p.standing
 }
 
-// CutOf returns the threshold that applies to a service's requests.
-func (p *Post) CutOf(service string) policy.Mark {
-	threshold := p.Standing().Cut
+// ThresholdFor returns the threshold that applies to a service's requests.
+func (p *Follower) ThresholdFor(service string) policy.ShedPosition {
+	threshold := p.State().Threshold
 	if serviceThreshold, ok := p.serviceThresholds[service]; ok {
 		return min(threshold, serviceThreshold)
 	}
@@ -57,16 +57,16 @@
 }
 
 // Open reports whether no request is refused.
-func (p *Post) Open() bool {
-	return p.Standing().Cut >= policy.MarkOpen && len(p.serviceThresholds) == 0
+func (p *Follower) Open() bool {
+	return p.State().Threshold >= policy.ShedNothing && len(p.serviceThresholds) == 0
 }
 
 // Describe describes what is refused.
-func (p *Post) Describe() string { return DescribeAll(p.Standing().Cut, p.serviceThresholds) }
+func (p *Follower) Describe() string { return DescribeAll(p.State().Threshold, p.serviceThresholds) }
 
-// Hear handles an answer to a request sent at requestedAt. A level with a lower number is out of
+// Receive handles an answer to a request sent at requestedAt. A level with a lower number is out of
 // date and doesn't even show that there is a holder.
-func (p *Post) Hear(requestedAt float64, level Level) bool {
+func (p *Follower) Receive(requestedAt float64, level Level) bool {
 	if level.Number == 0 || p.received && level.Number < p.level.Number {
 		return false
 	}
@@ -75,30 +75,30 @@
 }
 
 // Step updates the threshold by the newest level and this gatekeeper's own pressure.
-func (p *Post) Step(now, ownPressure float64, load Load, served float64) Standing {
-	standing := Standing{Cut: policy.MarkOpen}
+func (p *Follower) Step(now, ownPressure float64, load Load, served float64) AppliedState {
+	standing := AppliedState{Threshold: policy.ShedNothing}
 	ageMs := now - p.receivedAt
-	standing.CutOff = !p.received || ageMs > disconnectedAfterMs
-	if p.received && !p.Solitary {
-		standing.Cut, p.serviceThresholds = p.level.Cut, p.level.Cuts
+	standing.Disconnected = !p.received || ageMs > disconnectedAfterMs
+	if p.received && !p.LocalOnly {
+		standing.Threshold, p.serviceThresholds = p.level.Threshold, p.level.ServiceThresholds
 		if agedShare := (ageMs - levelRetentionMs) / ageOutMs; agedShare > 0 {
-			standing.Cut, standing.Aging, p.serviceThresholds = Aged(standing.Cut, load, agedShare), true, map[string]policy.Mark{}
-			for name, threshold := range p.level.Cuts {
-				if threshold = Aged(threshold, p.Loads[name], agedShare); threshold < policy.MarkOpen {
+			standing.Threshold, standing.Aging, p.serviceThresholds = AgedThreshold(standing.Threshold, load, agedShare), true, map[string]policy.ShedPosition{}
+			for name, threshold := range p.level.ServiceThresholds {
+				if threshold = AgedThreshold(threshold, p.ServiceLoads[name], agedShare); threshold < policy.ShedNothing {
 					p.serviceThresholds[name] = threshold
 				}
 			}
 		}
 	}
-	if p.Solitary {
-		standing.CutOff = false
+	if p.LocalOnly {
+		standing.Disconnected = false
 	}
-	if p.wasDisconnected && !standing.CutOff { // connected again: the cluster's level applies until it sheds alone anew
+	if p.wasDisconnected && !standing.Disconnected { // connected again: the cluster's level applies until it sheds alone anew
 		p.shedsAlone, p.soleSince = false, 0
 	}
-	p.wasDisconnected = standing.CutOff
+	p.wasDisconnected = standing.Disconnected
 	switch {
-	case p.Solitary, standing.CutOff:
+	case p.LocalOnly, standing.Disconnected:
 		p.shedsAlone, p.soleSince = true, 0
 	case p.level.Pressure >= pressed: // the whole cluster is under pressure: its level applies
 		p.shedsAlone, p.soleSince = false, 0
@@ -112,16 +112,16 @@
 		p.soleSince = 0
 	}
 	if !p.shedsAlone {
-		p.controller = Valve{}
+		p.controller = Controller{}
 		p.standing = standing
 		return standing
 	}
-	ownThreshold := p.controller.Step(now, ownPressure, load, served, standing.Cut)
-	if !standing.CutOff && !p.Solitary && p.controller.Rate() == 0 && ownPressure < calm {
+	ownThreshold := p.controller.Step(now, ownPressure, load, served, standing.Threshold)
+	if !standing.Disconnected && !p.LocalOnly && p.controller.Rate() == 0 && ownPressure < calm {
 		p.shedsAlone, p.soleSince = false, 0
 	}
-	if ownThreshold < standing.Cut {
-		standing.Cut, standing.Alone = ownThreshold, true
+	if ownThreshold < standing.Threshold {
+		standing.Threshold, standing.ShedsAlone = ownThreshold, true
 	}
 	p.standing = standing
 	return standing
--- a/internal/snowline/holder.go
+++ b/internal/snowline/holder.go
@@ -13,67 +13,67 @@
 
 // Level is the shedding level that all gatekeepers apply. A higher number replaces a lower one.
 type Level struct {
-	Number uint64      `cbor:"1,keyasint,omitempty"` // the term of the duty, and a counter
-	Cut    policy.Mark `cbor:"2,keyasint,omitempty"`
-	Turn   uint64      `cbor:"3,keyasint,omitempty"` // number of rotations of the callers' hash
-	Key    uint64      `cbor:"4,keyasint,omitempty"` // of the callers' hash
+	Number    uint64              `cbor:"1,keyasint,omitempty"` // the term of the duty, and a counter
+	Threshold policy.ShedPosition `cbor:"2,keyasint,omitempty"`
+	Rotation  uint64              `cbor:"3,keyasint,omitempty"` // number of rotations of the callers' hash
+	Key       uint64              `cbor:"4,keyasint,omitempty"` // of the callers' hash
 
-	Never  int     `cbor:"5,keyasint,omitempty"` // tenants with a priority below this number are never shed
-	Least  float64 `cbor:"6,keyasint,omitempty"` // share of each tier that is never shed
-	Caller string  `cbor:"7,keyasint,omitempty"` // request header that names a tenant's caller
+	NeverShedBelow int     `cbor:"5,keyasint,omitempty"` // tenants with a priority below this number are never shed
+	MinServedShare float64 `cbor:"6,keyasint,omitempty"` // share of each tier that is never shed
+	CallerHeader   string  `cbor:"7,keyasint,omitempty"` // request header that names a tenant's caller
 
-	Edition uint64 `cbor:"8,keyasint,omitempty"` // version of the configuration whose routes Work refers to
-	Work    []byte `cbor:"9,keyasint,omitempty"` // cost of a request in doublings of a millisecond, by route
+	Version    uint64 `cbor:"8,keyasint,omitempty"` // version of the configuration whose routes Work refers to
+	RouteCosts []byte `cbor:"9,keyasint,omitempty"` // cost of a request in doublings of a millisecond, by route
 
-	Why string `cbor:"10,keyasint,omitempty"` // what caused the level, in words
+	Reason string `cbor:"10,keyasint,omitempty"` // what caused the level, in words
 	// Pressure is the current pressure of the cluster; it changes without a new number.
 	Pressure float64 `cbor:"11,keyasint,omitempty"`
-	// Fits is the capacity estimated by the holder, for the next holder; it changes without a new number
+	// Capacity is the capacity estimated by the holder, for the next holder; it changes without a new number
 	// too.
-	Fits float64 `cbor:"12,keyasint,omitempty"`
-	// Cuts are the thresholds of services that lack capacity. They apply in addition to Cut, which is for
+	Capacity float64 `cbor:"12,keyasint,omitempty"`
+	// ServiceThresholds are the thresholds of services that lack capacity. They apply in addition to Cut, which is for
 	// the resources that all services share. A map is never changed; each number has its own.
-	Cuts map[string]policy.Mark `cbor:"13,keyasint,omitempty"`
+	ServiceThresholds map[string]policy.ShedPosition `cbor:"13,keyasint,omitempty"`
 }
 
-// CutOf returns the threshold that applies to a service's requests.
-func (l Level) CutOf(service string) policy.Mark {
-	if threshold, ok := l.Cuts[service]; ok {
-		return min(threshold, l.Cut)
+// ThresholdFor returns the threshold that applies to a service's requests.
+func (l Level) ThresholdFor(service string) policy.ShedPosition {
+	if threshold, ok := l.ServiceThresholds[service]; ok {
+		return min(threshold, l.Threshold)
 	}
-	return l.Cut
+	return l.Threshold
 }
 
 // Open reports whether no request is refused.
-func (l Level) Open() bool { return l.Cut >= policy.MarkOpen && len(l.Cuts) == 0 }
+func (l Level) Open() bool { return l.Threshold >= policy.ShedNothing && len(l.ServiceThresholds) == 0 }
 
 // Terms returns how requests are positioned on the priority scale under this level.
 func (l Level) Terms() policy.ShedTerms {
-	return policy.ShedTerms{Key: l.Key, Turn: l.Turn, Never: l.Never, Least: l.Least}
+	return policy.ShedTerms{Key: l.Key, Turn: l.Rotation, NeverBelowRank: l.NeverShedBelow, KeptFraction: l.MinServedShare}
 }
 
 // Report is a gatekeeper's report about itself.
 type Report struct {
-	Station  string             `cbor:"1,keyasint,omitempty"`
-	Life     uint64             `cbor:"2,keyasint,omitempty"`
-	Turn     uint64             `cbor:"3,keyasint,omitempty"` // sequence number within this incarnation
-	Pressure float64            `cbor:"4,keyasint,omitempty"`
-	Why      string             `cbor:"5,keyasint,omitempty"` // the cause of the pressure
-	Load     map[uint32]float32 `cbor:"6,keyasint,omitempty"`
-	Served   float64            `cbor:"7,keyasint,omitempty"` // workers' answers per second
-	Holds    Level              `cbor:"8,keyasint,omitempty"` // the level it applies, for a holder that knows none
-	Edition  uint64             `cbor:"9,keyasint,omitempty"`
-	Work     map[int]float32    `cbor:"10,keyasint,omitempty"` // milliseconds per request by route
-	Passed   bool               `cbor:"11,keyasint,omitempty"` // passed on by a control node that doesn't hold the duty
-	Shared   float64            `cbor:"12,keyasint,omitempty"` // the part of Pressure that no service's lack of capacity explains
-	Services map[string]Part    `cbor:"13,keyasint,omitempty"` // by service; this load is not included in Load
+	Node           string                   `cbor:"1,keyasint,omitempty"`
+	Incarnation    uint64                   `cbor:"2,keyasint,omitempty"`
+	Sequence       uint64                   `cbor:"3,keyasint,omitempty"` // sequence number within this incarnation
+	Pressure       float64                  `cbor:"4,keyasint,omitempty"`
+	Reason         string                   `cbor:"5,keyasint,omitempty"` // the cause of the pressure
+	Load           map[uint32]float32       `cbor:"6,keyasint,omitempty"`
+	AnswerRate     float64                  `cbor:"7,keyasint,omitempty"` // workers' answers per second
+	Level          Level                    `cbor:"8,keyasint,omitempty"` // the level it applies, for a holder that knows none
+	Version        uint64                   `cbor:"9,keyasint,omitempty"`
+	RouteCostsMs   map[int]float32          `cbor:"10,keyasint,omitempty"` // milliseconds per request by route
+	Forwarded      bool                     `cbor:"11,keyasint,omitempty"` // passed on by a control node that doesn't hold the duty
+	SharedPressure float64                  `cbor:"12,keyasint,omitempty"` // the part of Pressure that no service's lack of capacity explains
+	Services       map[string]ServiceReport `cbor:"13,keyasint,omitempty"` // by service; this load is not included in Load
 }
 
-// Part is a gatekeeper's report about one service.
-type Part struct {
-	Pressure float64            `cbor:"1,keyasint,omitempty"`
-	Load     map[uint32]float32 `cbor:"2,keyasint,omitempty"`
-	Served   float64            `cbor:"3,keyasint,omitempty"`
+// ServiceReport is a gatekeeper's report about one service.
+type ServiceReport struct {
+	Pressure   float64            `cbor:"1,keyasint,omitempty"`
+	Load       map[uint32]float32 `cbor:"2,keyasint,omitempty"`
+	AnswerRate float64            `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -96,11 +96,11 @@
 type Holder struct {
 	// Never, Least and Caller are settings of this node: what is never shed, and the header that names
 	// callers, as in Level.
-	Never  int
-	Least  float64
-	Caller string
-	// Whole selects one threshold for all services, set by the pressure that most requests meet at theirs.
-	Whole bool
+	NeverShedBelow int
+	MinServedShare float64
+	CallerHeader   string
+	// SingleThreshold selects one threshold for all services, set by the pressure that most requests meet at theirs.
+	SingleThreshold bool
 
 	level             Level
 	term              uint64
@@ -114,9 +114,9 @@
 	reports           map[string]*receivedReport
 	load              Load
 	served            float64
-	controller        Valve
+	controller        Controller
 	services          map[string]*serviceState
-	overrideThreshold policy.Mark // by an operator's order
+	overrideThreshold policy.ShedPosition // by an operator's order
 	overrideUntil     float64
 	pressedCount      int
 	behind            bool   // gatekeepers apply a higher number than ours
@@ -126,7 +126,7 @@
 
 // serviceState is what is known about one service.
 type serviceState struct {
-	controller Valve
+	controller Controller
 	load       Load
 	served     float64
 	pressures  []float64 // of the gatekeepers that send requests to it
@@ -136,24 +136,24 @@
 // The counter starts at a value derived from the key. Otherwise, after the core has lost its terms, a
 // number could be issued again that a partitioned gatekeeper associates with a different level.
 func NewHolder(key uint64) *Holder {
-	return &Holder{counterStart: key >> 34, level: Level{Cut: policy.MarkOpen, Key: key}, reports: map[string]*receivedReport{}, load: Load{},
+	return &Holder{counterStart: key >> 34, level: Level{Threshold: policy.ShedNothing, Key: key}, reports: map[string]*receivedReport{}, load: Load{},
 		services: map[string]*serviceState{}}
 }
 
 // Level returns the current level.
 func (h *Holder) Level() Level { return h.level }
 
-// Since returns when the threshold was last changed.
-func (h *Holder) Since() float64 { return h.changedAt }
+// ChangedAt returns when the threshold was last changed.
+func (h *Holder) ChangedAt() float64 { return h.changedAt }
 
-// Rate returns the admitted rate in requests per second, 0 for no limit.
-func (h *Holder) Rate() float64 { return h.controller.Rate() }
+// AdmittedRate returns the admitted rate in requests per second, 0 for no limit.
+func (h *Holder) AdmittedRate() float64 { return h.controller.Rate() }
 
 // Load returns the reported load.
 func (h *Holder) Load() Load { return h.load }
 
-// Rates returns the admitted requests per second of the services that are limited.
-func (h *Holder) Rates() map[string]float64 {
+// ServiceRates returns the admitted requests per second of the services that are limited.
+func (h *Holder) ServiceRates() map[string]float64 {
 	rates := map[string]float64{}
 	for name, state := range h.services {
 		if rate := state.controller.Rate(); rate > 0 {
@@ -163,8 +163,8 @@
 	return rates
 }
 
-// Note records the level of another holder.
-func (h *Holder) Note(level Level) {
+// Observe records the level of another holder.
+func (h *Holder) Observe(level Level) {
 	if !h.active && level.Number > h.level.Number {
 		h.level = level
 	}
@@ -182,26 +182,26 @@
 // End ends the term.
 func (h *Holder) End() { h.active, h.overrideUntil = false, 0 }
 
-// Hear handles a report and returns whether it was accepted. A report older than the last one of its
+// Receive handles a report and returns whether it was accepted. A report older than the last one of its
 // incarnation is ignored.
-func (h *Holder) Hear(now float64, report Report) bool {
-	previous := h.reports[report.Station]
-	if previous != nil && previous.Life == report.Life && report.Turn <= previous.Turn {
+func (h *Holder) Receive(now float64, report Report) bool {
+	previous := h.reports[report.Node]
+	if previous != nil && previous.Incarnation == report.Incarnation && report.Sequence <= previous.Sequence {
 		return false
 	}
 	if !isValid(report) {
 		return false
 	}
 	switch {
-	case report.Holds.Number <= h.level.Number:
+	case report.Level.Number <= h.level.Number:
 	case !h.active || now-h.beganAt < initialGatherMs:
 		pressure := h.level.Pressure
-		h.level = report.Holds
+		h.level = report.Level
 		h.level.Pressure = pressure
 	default: // after a loss of the whole core, terms may start over: our number must still be higher
-		h.level.Number, h.behind = report.Holds.Number, true
+		h.level.Number, h.behind = report.Level.Number, true
 	}
-	h.reports[report.Station] = &receivedReport{Report: report, receivedAt: now}
+	h.reports[report.Node] = &receivedReport{Report: report, receivedAt: now}
 	return true
 }
 
@@ -211,22 +211,22 @@
 	valid := func(value float64) bool { return value >= 0 && !math.IsInf(value, 0) && !math.IsNaN(value) }
 	loads := func(load map[uint32]float32) bool {
 		for bin, value := range load {
-			if !valid(float64(value)) || bin >= policy.BinOf(policy.MarkOpen) {
+			if !valid(float64(value)) || bin >= policy.BinOf(policy.ShedNothing) {
 				return false
 			}
 		}
 		return true
 	}
 	for _, part := range report.Services {
-		if !valid(part.Pressure) || !valid(part.Served) || !loads(part.Load) {
+		if !valid(part.Pressure) || !valid(part.AnswerRate) || !loads(part.Load) {
 			return false
 		}
 	}
-	return valid(report.Pressure) && valid(report.Shared) && valid(report.Served) && loads(report.Load)
+	return valid(report.Pressure) && valid(report.SharedPressure) && valid(report.AnswerRate) && loads(report.Load)
 }
 
-// Fix applies an operator's threshold for durationMs milliseconds; 0 removes it.
-func (h *Holder) Fix(now float64, threshold policy.Mark, durationMs float64) {
+// Override applies an operator's threshold for durationMs milliseconds; 0 removes it.
+func (h *Holder) Override(now float64, threshold policy.ShedPosition, durationMs float64) {
 	h.overrideThreshold, h.overrideUntil = threshold, now+durationMs
 }
 
@@ -245,7 +245,7 @@
 	h.sumReports()
 	pressure, shared := h.pressures(members)
 	h.level.Pressure = pressure
-	if h.Whole {
+	if h.SingleThreshold {
 		shared = pressure
 	}
 	if now-h.beganAt < initialGatherMs { // no new level is sent yet: it could admit requests that are to be refused
@@ -253,11 +253,11 @@
 	}
 	if !h.resumed {
 		h.resumed = true
-		h.controller.Resume(now, h.level.Cut, h.load, h.level.Fits)
-		if h.level.Cut >= policy.MarkOpen {
-			h.controller = Valve{}
+		h.controller.Resume(now, h.level.Threshold, h.load, h.level.Capacity)
+		if h.level.Threshold >= policy.ShedNothing {
+			h.controller = Controller{}
 		}
-		for name, threshold := range h.level.Cuts {
+		for name, threshold := range h.level.ServiceThresholds {
 			state := h.service(name)
 			state.controller.Resume(now, threshold, state.load, 0)
 		}
@@ -265,19 +265,19 @@
 	if h.rotate(now) { // a rotation changes every caller's position, so load smoothed by the old positions tells nothing
 		return true
 	}
-	threshold := h.controller.Step(now, shared, h.load, h.served, policy.MarkOpen)
-	h.level.Fits = h.controller.Rate()
+	threshold := h.controller.Step(now, shared, h.load, h.served, policy.ShedNothing)
+	h.level.Capacity = h.controller.Rate()
 	thresholds, pressedServices := h.stepServices(now, threshold)
 	reason := h.reason(members) + pressedServices
 	if now < h.overrideUntil {
 		threshold, thresholds, reason = h.overrideThreshold, nil, "by an operator's order"
 	}
 	changed := h.updateCosts()
-	if threshold != h.level.Cut || !maps.Equal(thresholds, h.level.Cuts) {
-		h.level.Cut, h.level.Cuts, h.level.Why, h.changedAt, changed = threshold, thresholds, reason, now, true
+	if threshold != h.level.Threshold || !maps.Equal(thresholds, h.level.ServiceThresholds) {
+		h.level.Threshold, h.level.ServiceThresholds, h.level.Reason, h.changedAt, changed = threshold, thresholds, reason, now, true
 	}
-	if level := &h.level; level.Never != h.Never || level.Least != h.Least || level.Caller != h.Caller {
-		level.Never, level.Least, level.Caller, changed = h.Never, h.Least, h.Caller, true
+	if level := &h.level; level.NeverShedBelow != h.NeverShedBelow || level.MinServedShare != h.MinServedShare || level.CallerHeader != h.CallerHeader {
+		level.NeverShedBelow, level.MinServedShare, level.CallerHeader, changed = h.NeverShedBelow, h.MinServedShare, h.CallerHeader, true
 	}
 	if changed || h.behind || !h.levelSent {
 		h.behind = false
@@ -299,21 +299,21 @@
 
 // stepServices updates the thresholds of the services, given the one that all share. It returns the
 // services' thresholds and a description of the services under pressure.
-func (h *Holder) stepServices(now float64, sharedThreshold policy.Mark) (thresholds map[string]policy.Mark, pressedServices string) {
+func (h *Holder) stepServices(now float64, sharedThreshold policy.ShedPosition) (thresholds map[string]policy.ShedPosition, pressedServices string) {
 	for _, name := range slices.Sorted(maps.Keys(h.services)) {
 		state := h.services[name]
 		pressure := majorityValue(state.pressures, len(state.pressures))
-		threshold := policy.MarkOpen
-		if !h.Whole {
+		threshold := policy.ShedNothing
+		if !h.SingleThreshold {
 			threshold = state.controller.Step(now, pressure, state.load, state.served, sharedThreshold)
 		}
-		if threshold < policy.MarkOpen {
+		if threshold < policy.ShedNothing {
 			if thresholds == nil {
-				thresholds = map[string]policy.Mark{}
+				thresholds = map[string]policy.ShedPosition{}
 			}
 			thresholds[name] = threshold
 		}
-		if pressure >= pressed && !h.Whole {
+		if pressure >= pressed && !h.SingleThreshold {
 			pressedServices += fmt.Sprintf(", %s %.2f", name, pressure)
 		}
 		if len(state.pressures) == 0 && state.controller.Rate() == 0 {
@@ -337,9 +337,9 @@
 		return false
 	}
 	h.rotatedAt = now
-	h.level.Turn++
+	h.level.Rotation++
 	h.assignNumber()
-	h.load.Turn(1)
+	h.load.Rotate(1)
 	return true
 }
 
@@ -351,14 +351,14 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.reports)) {
 		report := h.reports[id]
-		rotations := h.level.Turn - report.Holds.Turn
+		rotations := h.level.Rotation - report.Level.Rotation
 		h.load.add(report.Load, rotations)
-		h.served += report.Served
+		h.served += report.AnswerRate
 		for name, part := range report.Services {
 			state := h.service(name)
 			state.load.add(part.Load, rotations)
 			h.load.add(part.Load, rotations)
-			state.served += part.Served
+			state.served += part.AnswerRate
 			state.pressures = append(state.pressures, part.Pressure)
 		}
 	}
@@ -371,7 +371,7 @@
 	var totals, sharedPressures []float64
 	h.pressedCount = 0
 	for _, report := range h.reports {
-		totals, sharedPressures = append(totals, report.Pressure), append(sharedPressures, report.Shared)
+		totals, sharedPressures = append(totals, report.Pressure), append(sharedPressures, report.SharedPressure)
 		if report.Pressure >= pressed {
 			h.pressedCount++
 		}
@@ -395,7 +395,7 @@
 	causes := map[string]int{}
 	for _, report := range h.reports {
 		if report.Pressure >= pressed {
-			causes[report.Why]++
+			causes[report.Reason]++
 		}
 	}
 	description := ""
@@ -414,17 +414,17 @@
 	}
 	edition, maxRoute := uint64(0), -1
 	for _, report := range h.reports {
-		edition = max(edition, report.Edition)
+		edition = max(edition, report.Version)
 	}
 	if edition == 0 {
 		return false
 	}
 	costsByRoute := map[int][]float64{}
 	for _, report := range h.reports {
-		if report.Edition != edition {
+		if report.Version != edition {
 			continue
 		}
-		for route, ms := range report.Work {
+		for route, ms := range report.RouteCostsMs {
 			if ms > 0 && route >= 0 && route < 1<<14 {
 				costsByRoute[route] = append(costsByRoute[route], float64(ms))
 				maxRoute = max(maxRoute, route)
@@ -432,20 +432,20 @@
 		}
 	}
 	updated := make([]byte, maxRoute+1)
-	if h.level.Edition == edition && len(h.level.Work) > len(updated) {
-		updated = make([]byte, len(h.level.Work))
+	if h.level.Version == edition && len(h.level.RouteCosts) > len(updated) {
+		updated = make([]byte, len(h.level.RouteCosts))
 	}
-	if h.level.Edition == edition {
-		copy(updated, h.level.Work)
+	if h.level.Version == edition {
+		copy(updated, h.level.RouteCosts)
 	}
 	for route, costs := range costsByRoute {
 		slices.Sort(costs)
 		updated[route] = costInDoublings(costs[len(costs)/2], updated[route])
 	}
-	if h.level.Edition == edition && bytes.Equal(updated, h.level.Work) {
+	if h.level.Version == edition && bytes.Equal(updated, h.level.RouteCosts) {
 		return false
 	}
-	h.level.Edition, h.level.Work = edition, updated
+	h.level.Version, h.level.RouteCosts = edition, updated
 	return true
 }
 
--- a/internal/snowline/load.go
+++ b/internal/snowline/load.go
@@ -1,5 +1,5 @@
 // Package snowline maintains one load-shedding level for all gatekeepers. Every request has a position
-// on a priority scale (policy.Mark). The level is a threshold on that scale; requests at or above it
+// on a priority scale (policy.ShedPosition). The level is a threshold on that scale; requests at or above it
 // are refused before they are queued.
 //
 // Gatekeepers report their pressure and the load at each position. The control node (program bothy)
@@ -26,30 +26,30 @@
 const sumPrecision = 1e6
 
 // Sum returns the total load.
-func (l Load) Sum() float64 { return l.Below(policy.MarkOpen) }
+func (l Load) Sum() float64 { return l.AdmittedBy(policy.ShedNothing) }
 
-// Below returns the load that a threshold admits.
-func (l Load) Below(threshold policy.Mark) float64 {
+// AdmittedBy returns the load that a threshold admits.
+func (l Load) AdmittedBy(threshold policy.ShedPosition) float64 {
 	sum := int64(0)
 	for bin, rate := range l {
-		if policy.BinMark(bin) < threshold {
+		if policy.BinStart(bin) < threshold {
 			sum += int64(rate * sumPrecision)
 		}
 	}
 	return float64(sum) / sumPrecision
 }
 
-// CutAt returns the highest threshold that admits no more than a rate. A bin is admitted whole or not
+// ThresholdAt returns the highest threshold that admits no more than a rate. A bin is admitted whole or not
 // at all: otherwise a caller that makes up most of its bin would be admitted and refused in turn as
 // the other load fluctuates.
-func (l Load) CutAt(rate float64) policy.Mark {
+func (l Load) ThresholdAt(rate float64) policy.ShedPosition {
 	sum := 0.0
 	for _, bin := range slices.Sorted(maps.Keys(l)) {
 		if sum += l[bin]; sum > rate {
-			return max(policy.BinMark(bin), 1) // load that is never shed is at position 0
+			return max(policy.BinStart(bin), 1) // load that is never shed is at position 0
 		}
 	}
-	return policy.MarkOpen
+	return policy.ShedNothing
 }
 
 // Blend moves a smoothed load towards the load seen in an interval, by a weight from 0 to 1.
@@ -74,21 +74,21 @@
 	for bin, rate := range counted {
 		rotated[bin] = float64(rate)
 	}
-	rotated.Turn(rotations)
+	rotated.Rotate(rotations)
 	for bin, rate := range rotated {
 		l[bin] += rate
 	}
 }
 
-// Turn applies rotations of the hash to the positions of a load, so that a threshold admits as much as
+// Rotate applies rotations of the hash to the positions of a load, so that a threshold admits as much as
 // before. Load that is never shed stays at position 0.
-func (l Load) Turn(rotations uint64) {
-	if rotations %= policy.MarkBins; rotations == 0 {
+func (l Load) Rotate(rotations uint64) {
+	if rotations %= policy.BinsPerTier; rotations == 0 {
 		return
 	}
 	moved := Load{}
 	for bin, rate := range l {
-		newBin := bin/policy.MarkBins*policy.MarkBins + (bin+uint32(rotations))%policy.MarkBins
+		newBin := bin/policy.BinsPerTier*policy.BinsPerTier + (bin+uint32(rotations))%policy.BinsPerTier
 		if bin == 0 {
 			newBin = 0
 		}
--- a/internal/snowline/pressure.go
+++ b/internal/snowline/pressure.go
@@ -13,8 +13,8 @@
 // it.
 const pressedRequestShare = 2.0 / 3
 
-// MostMeet returns the pressure that most requests meet at their services.
-func MostMeet(services []Service) float64 {
+// MajorityPressure returns the pressure that most requests meet at their services.
+func MajorityPressure(services []Service) float64 {
 	services = slices.Clone(services)
 	slices.SortFunc(services, func(a, b Service) int { return cmp.Compare(b.Pressure, a.Pressure) })
 	total, sum := 0.0, 0.0
@@ -29,9 +29,9 @@
 	return 0
 }
 
-// LinePart returns the share of a machine's network bandwidth that the bytes sent within spanMs
+// BandwidthShare returns the share of a machine's network bandwidth that the bytes sent within spanMs
 // milliseconds used, or 0 if the bandwidth is not known.
-func LinePart(sent uint64, spanMs, lineMbps float64) float64 {
+func BandwidthShare(sent uint64, spanMs, lineMbps float64) float64 {
 	if !(spanMs > 0) || !(lineMbps > 0) {
 		return 0
 	}
--- a/internal/snowline/scale_bench_test.go
+++ b/internal/snowline/scale_bench_test.go
@@ -18,17 +18,17 @@
 			holder.Begin(0, 1)
 			size := 0
 			for i := range testCase.gates {
-				report := Report{Station: fmt.Sprintf("counter-%06d", i), Life: uint64(i + 1), Turn: 1, Holds: holder.Level(), Pressure: 0.5, Services: map[string]Part{}}
+				report := Report{Node: fmt.Sprintf("counter-%06d", i), Incarnation: uint64(i + 1), Sequence: 1, Level: holder.Level(), Pressure: 0.5, Services: map[string]ServiceReport{}}
 				for s := range testCase.services {
-					part := Part{Load: map[uint32]float32{}, Pressure: 0.5, Served: 10}
+					part := ServiceReport{Load: map[uint32]float32{}, Pressure: 0.5, AnswerRate: 10}
 					for tier := range 5 {
 						for bin := range uint32(4) {
-							part.Load[uint32(policy.Tier(tier, 0, 0))*policy.MarkBins+bin*4] = 1.5
+							part.Load[uint32(policy.Tier(tier, 0, 0))*policy.BinsPerTier+bin*4] = 1.5
 						}
 					}
 					report.Services[fmt.Sprint("service-", s)] = part
 				}
-				holder.Hear(0, report)
+				holder.Receive(0, report)
 				encoded, _ := cbor.Marshal(report)
 				size = len(encoded)
 			}
--- a/internal/snowline/snowline_test.go
+++ b/internal/snowline/snowline_test.go
@@ -16,7 +16,7 @@
 
 // gatekeeper is a gatekeeper of the simulation.
 type gatekeeper struct {
-	follower     Post
+	follower     Follower
 	load         Load
 	served       float64
 	pressure     float64
@@ -59,13 +59,13 @@
 	admitted   float64
 	refused    float64 // refused because the queue is full
 	changedAt  []float64
-	thresholds []policy.Mark
+	thresholds []policy.ShedPosition
 }
 
 var tierShares = []float64{0.10, 0.15, 0.20, 0.25, 0.30}
 
 func newSimulation(seed uint64, gatekeeperCount, holderCount int) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), capacity: 1000, loadFactor: 0.8, noise: 0.05, binsPerTier: policy.MarkBins}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), capacity: 1000, loadFactor: 0.8, noise: 0.05, binsPerTier: policy.BinsPerTier}
 	for range gatekeeperCount {
 		s.gatekeepers = append(s.gatekeepers, &gatekeeper{load: Load{}})
 	}
@@ -79,7 +79,7 @@
 // newHolder returns a new holder with one threshold for all services.
 func (s *simulation) newHolder() *Holder {
 	h := NewHolder(s.rng.Uint64())
-	h.Whole = true
+	h.SingleThreshold = true
 	return h
 }
 
@@ -100,7 +100,7 @@
 	for tier, share := range tierShares {
 		for bin := range s.binsPerTier {
 			rate := s.loadFactor * s.capacity * share / float64(s.binsPerTier) * (1 + s.noise*(2*s.rng.Float64()-1))
-			load[uint32(policy.Tier(tier, 0, 0))*policy.MarkBins+bin] = rate
+			load[uint32(policy.Tier(tier, 0, 0))*policy.BinsPerTier+bin] = rate
 		}
 	}
 	return load
@@ -120,7 +120,7 @@
 			alive++
 		}
 	}
-	offered, admitted, admittedByThreshold := s.offeredLoad(), 0.0, map[policy.Mark]float64{}
+	offered, admitted, admittedByThreshold := s.offeredLoad(), 0.0, map[policy.ShedPosition]float64{}
 	if s.retries {
 		s.addRetries(offered)
 	}
@@ -131,9 +131,9 @@
 		if g.dead {
 			continue
 		}
-		threshold := g.follower.Standing().Cut
+		threshold := g.follower.State().Threshold
 		if _, ok := admittedByThreshold[threshold]; !ok {
-			admittedByThreshold[threshold] = offered.Below(threshold)
+			admittedByThreshold[threshold] = offered.AdmittedBy(threshold)
 		}
 		admitted += admittedByThreshold[threshold]
 		g.load.Blend(offered, 1-math.Exp(-simulationStepMs/600))
@@ -186,7 +186,7 @@
 func (s *simulation) stepHolder(h *Holder) {
 	if h.Step(s.now, s.connectedCount()) {
 		s.changedAt = append(s.changedAt, s.now)
-		s.thresholds = append(s.thresholds, h.Level().Cut)
+		s.thresholds = append(s.thresholds, h.Level().Threshold)
 	}
 }
 
@@ -202,8 +202,8 @@
 // report sends a gatekeeper's report and the answer to it.
 func (s *simulation) report(g *gatekeeper) {
 	g.sequence++
-	report := Report{Station: fmt.Sprintf("%p", g), Life: 1, Turn: g.sequence, Pressure: g.pressure, Why: "room", Served: g.served,
-		Holds: g.follower.Level(), Load: map[uint32]float32{}}
+	report := Report{Node: fmt.Sprintf("%p", g), Incarnation: 1, Sequence: g.sequence, Pressure: g.pressure, Reason: "room", AnswerRate: g.served,
+		Level: g.follower.Level(), Load: map[uint32]float32{}}
 	for bin, rate := range g.load {
 		report.Load[bin] = float32(rate)
 	}
@@ -213,12 +213,12 @@
 			return
 		}
 		h := s.holders[s.holderIndex]
-		h.Hear(now, report)
+		h.Receive(now, report)
 		s.stepHolder(h)
 		level := h.Level()
 		s.send(g, func(float64) {
 			if !g.disconnected && !g.dead {
-				g.follower.Hear(requestedAt, level)
+				g.follower.Receive(requestedAt, level)
 			}
 		})
 	})
@@ -233,9 +233,9 @@
 
 // addRetries retries refused requests once, 0.8 s later.
 func (s *simulation) addRetries(fresh Load) {
-	threshold, refused := s.gatekeepers[0].follower.Standing().Cut, Load{}
+	threshold, refused := s.gatekeepers[0].follower.State().Threshold, Load{}
 	for bin, rate := range fresh {
-		if s.firstTries[bin] += rate; policy.BinMark(bin) >= threshold {
+		if s.firstTries[bin] += rate; policy.BinStart(bin) >= threshold {
 			refused[bin] = rate
 			s.shed[bin] += rate
 		}
@@ -243,7 +243,7 @@
 	s.pendingRetries = append(s.pendingRetries, refused)
 	if len(s.pendingRetries) > int(800/simulationStepMs) {
 		for bin, rate := range s.pendingRetries[0] {
-			if policy.BinMark(bin) < threshold { // a request that is refused again isn't retried
+			if policy.BinStart(bin) < threshold { // a request that is refused again isn't retried
 				fresh[bin] += rate
 			}
 		}
@@ -255,13 +255,13 @@
 func (s *simulation) allAgree() bool {
 	var first *gatekeeper
 	for _, g := range s.gatekeepers {
-		if standing := g.follower.Standing(); g.dead || g.disconnected || standing.Alone && !standing.CutOff { // sheds alone, by its own pressure
+		if standing := g.follower.State(); g.dead || g.disconnected || standing.ShedsAlone && !standing.Disconnected { // sheds alone, by its own pressure
 			continue
 		}
 		if first == nil {
 			first = g
 		}
-		if g.follower.Standing().Cut != first.follower.Standing().Cut || g.follower.Level().Terms() != first.follower.Level().Terms() {
+		if g.follower.State().Threshold != first.follower.State().Threshold || g.follower.Level().Terms() != first.follower.Level().Terms() {
 			return false
 		}
 	}
@@ -289,7 +289,7 @@
 				sim.retries, sim.firstTries, sim.shed = true, Load{}, Load{}
 			}
 			sim.run(10e3)
-			assert.Equal(t, sim.gatekeepers[0].follower.Standing().Cut, policy.MarkOpen, "requests are shed at 0.8 of the capacity")
+			assert.Equal(t, sim.gatekeepers[0].follower.State().Threshold, policy.ShedNothing, "requests are shed at 0.8 of the capacity")
 			sim.loadFactor = load
 			pressedAt, sheddingAt := 0.0, 0.0
 			for range 100 {
@@ -297,7 +297,7 @@
 				allPressed, allShedding := true, true
 				for _, g := range sim.gatekeepers {
 					allPressed = allPressed && g.pressure >= 1
-					allShedding = allShedding && g.follower.Standing().Cut < policy.MarkOpen
+					allShedding = allShedding && g.follower.State().Threshold < policy.ShedNothing
 				}
 				if allPressed && pressedAt == 0 {
 					pressedAt = sim.now
@@ -341,7 +341,7 @@
 		sim.checkNoPressure(t)
 	}
 	for _, g := range sim.gatekeepers {
-		assert.Equal(t, g.follower.Standing().Cut, policy.MarkOpen)
+		assert.Equal(t, g.follower.State().Threshold, policy.ShedNothing)
 	}
 }
 
@@ -367,7 +367,7 @@
 					sim.checkNoPressure(t)
 				}
 			}
-			assert.Equal(t, sim.gatekeepers[0].follower.Standing().Cut, policy.MarkOpen)
+			assert.Equal(t, sim.gatekeepers[0].follower.State().Threshold, policy.ShedNothing)
 			shedShare := sim.shed.Sum() / sim.firstTries.Sum()
 			assert.Assert(t, shedShare < 0.18, "%.2f of all requests shed in 20 s after the end, want less than 0.18", shedShare)
 		})
@@ -383,13 +383,13 @@
 	sim.gatekeepers[2].ownPressure = 1.5
 	sim.run(4e3)
 	for i, g := range sim.gatekeepers {
-		standing := g.follower.Standing()
-		assert.Equal(t, standing.Alone, i == 2, "gatekeeper %d: %+v", i, standing)
-		assert.Equal(t, standing.Cut < policy.MarkOpen, i == 2, "gatekeeper %d: %+v", i, standing)
+		standing := g.follower.State()
+		assert.Equal(t, standing.ShedsAlone, i == 2, "gatekeeper %d: %+v", i, standing)
+		assert.Equal(t, standing.Threshold < policy.ShedNothing, i == 2, "gatekeeper %d: %+v", i, standing)
 	}
 	sim.gatekeepers[2].ownPressure = 0
 	sim.run(60e3)
-	assert.Equal(t, sim.gatekeepers[2].follower.Standing(), Standing{Cut: policy.MarkOpen})
+	assert.Equal(t, sim.gatekeepers[2].follower.State(), AppliedState{Threshold: policy.ShedNothing})
 }
 
 // TestMajorityUnderPressure checks that the cluster sheds only if more than half of the gatekeepers
@@ -406,7 +406,7 @@
 			sim.gatekeepers[i].ownPressure = 1.5
 		}
 		sim.run(2e3)
-		assert.Equal(t, sim.holders[0].Level().Cut < policy.MarkOpen, testCase.sheds, "%d of %d under pressure", testCase.pressedCount, testCase.gatekeepers)
+		assert.Equal(t, sim.holders[0].Level().Threshold < policy.ShedNothing, testCase.sheds, "%d of %d under pressure", testCase.pressedCount, testCase.gatekeepers)
 	}
 }
 
@@ -419,27 +419,27 @@
 	sim.loadFactor = 2
 	sim.run(20e3)
 	disconnected := sim.gatekeepers[0]
-	lastThreshold := disconnected.follower.Level().Cut
-	assert.Assert(t, lastThreshold < policy.MarkOpen)
+	lastThreshold := disconnected.follower.Level().Threshold
+	assert.Assert(t, lastThreshold < policy.ShedNothing)
 	disconnected.disconnected = true
 	sim.run(5e3)
-	standing := disconnected.follower.Standing()
-	assert.Assert(t, standing.CutOff && !standing.Aging && standing.Cut <= lastThreshold, "%+v, last %d", standing, lastThreshold)
+	standing := disconnected.follower.State()
+	assert.Assert(t, standing.Disconnected && !standing.Aging && standing.Threshold <= lastThreshold, "%+v, last %d", standing, lastThreshold)
 	disconnected.ownPressure = 1.6 // its own pressure: stricter than the level it received
 	sim.run(3e3)
-	assert.Assert(t, disconnected.follower.Standing().Cut < lastThreshold, "%+v", disconnected.follower.Standing())
+	assert.Assert(t, disconnected.follower.State().Threshold < lastThreshold, "%+v", disconnected.follower.State())
 	disconnected.ownPressure, sim.loadFactor = 0, 0.7
-	previousThreshold := disconnected.follower.Standing().Cut
+	previousThreshold := disconnected.follower.State().Threshold
 	sim.run(3e3)
-	assert.Assert(t, disconnected.follower.Standing().Cut < policy.MarkOpen, "stopped shedding at once, from %d", previousThreshold)
+	assert.Assert(t, disconnected.follower.State().Threshold < policy.ShedNothing, "stopped shedding at once, from %d", previousThreshold)
 	sim.run(60e3)
-	assert.Equal(t, disconnected.follower.Standing().Cut, policy.MarkOpen, "the level did not age out")
+	assert.Equal(t, disconnected.follower.State().Threshold, policy.ShedNothing, "the level did not age out")
 	sim.loadFactor = 2
 	sim.run(20e3)
 	disconnected.disconnected = false
 	sim.run(1000)
 	sim.run(1000)
-	assert.Equal(t, disconnected.follower.Standing().Cut, sim.gatekeepers[1].follower.Standing().Cut, "the cluster's level doesn't apply after reconnecting")
+	assert.Equal(t, disconnected.follower.State().Threshold, sim.gatekeepers[1].follower.State().Threshold, "the cluster's level doesn't apply after reconnecting")
 }
 
 // TestServices checks that each service is limited by its own capacity, that all gatekeepers apply the
@@ -450,31 +450,31 @@
 	const gatekeeperCount = 4
 	holder := NewHolder(1)
 	holder.Begin(0, 1)
-	followers, full, shared := make([]Post, gatekeeperCount), map[string]bool{}, 0.0
+	followers, full, shared := make([]Follower, gatekeeperCount), map[string]bool{}, 0.0
 	sequence, now := uint64(0), 0.0
 	run := func(ms float64) {
 		for end := now + ms; now < end; now += 100 {
 			sequence++
 			for i := range followers {
-				report := Report{Station: fmt.Sprint(i), Life: 1, Turn: sequence, Holds: followers[i].Level(), Shared: shared, Pressure: shared, Services: map[string]Part{}}
+				report := Report{Node: fmt.Sprint(i), Incarnation: 1, Sequence: sequence, Level: followers[i].Level(), SharedPressure: shared, Pressure: shared, Services: map[string]ServiceReport{}}
 				for _, name := range []string{"a", "b"} {
 					load := Load{}
-					part := Part{Load: map[uint32]float32{}, Pressure: 0.3}
+					part := ServiceReport{Load: map[uint32]float32{}, Pressure: 0.3}
 					for bin := uint32(0); bin < 64; bin += 4 {
 						load[bin], part.Load[bin] = 10, 10
 					}
-					if admitted := load.Below(followers[i].CutOf(name)); full[name] {
-						part.Pressure, part.Served = admitted/80, min(admitted, 75)
+					if admitted := load.AdmittedBy(followers[i].ThresholdFor(name)); full[name] {
+						part.Pressure, part.AnswerRate = admitted/80, min(admitted, 75)
 					} else {
-						part.Served = admitted
+						part.AnswerRate = admitted
 					}
 					report.Services[name] = part
 				}
-				assert.Assert(t, holder.Hear(now, report))
+				assert.Assert(t, holder.Receive(now, report))
 			}
 			holder.Step(now, gatekeeperCount)
 			for i := range followers {
-				followers[i].Hear(now, holder.Level())
+				followers[i].Receive(now, holder.Level())
 				followers[i].Step(now, 0, Load{}, 0)
 			}
 		}
@@ -485,11 +485,11 @@
 	run(5e3)
 	first := holder.Level()
 	for i := range followers {
-		assert.Equal(t, followers[i].CutOf("a"), policy.MarkOpen)
-		assert.Assert(t, followers[i].CutOf("b") < policy.MarkOpen && followers[i].CutOf("b") == followers[0].CutOf("b"))
+		assert.Equal(t, followers[i].ThresholdFor("a"), policy.ShedNothing)
+		assert.Assert(t, followers[i].ThresholdFor("b") < policy.ShedNothing && followers[i].ThresholdFor("b") == followers[0].ThresholdFor("b"))
 		assert.Assert(t, !followers[i].Open())
 	}
-	assert.Equal(t, holder.Level().Cut, policy.MarkOpen)
+	assert.Equal(t, holder.Level().Threshold, policy.ShedNothing)
 
 	next := NewHolder(2) // knows no level, and must not stop shedding
 	holder.End()
@@ -497,14 +497,14 @@
 	holder.Begin(now, 2)
 	for range 30 {
 		run(100)
-		assert.Assert(t, followers[0].CutOf("b") < policy.MarkOpen)
+		assert.Assert(t, followers[0].ThresholdFor("b") < policy.ShedNothing)
 	}
 	assert.Assert(t, followers[0].Level().Number > first.Number)
 
 	shared = 1.5
 	run(3e3)
-	assert.Assert(t, followers[0].CutOf("a") < policy.MarkOpen, "pressure on shared resources must limit all services")
-	assert.Equal(t, followers[0].CutOf("a"), holder.Level().Cut)
+	assert.Assert(t, followers[0].ThresholdFor("a") < policy.ShedNothing, "pressure on shared resources must limit all services")
+	assert.Equal(t, followers[0].ThresholdFor("a"), holder.Level().Threshold)
 	shared = 0
 	clear(full)
 	run(60e3)
@@ -518,14 +518,14 @@
 		load[bin] = 10
 	}
 	follower := &followers[0]
-	follower.Loads = map[string]Load{"b": load}
-	previousThreshold := follower.CutOf("b")
+	follower.ServiceLoads = map[string]Load{"b": load}
+	previousThreshold := follower.ThresholdFor("b")
 	follower.Step(now+9e3, 0, load, 0)
-	assert.Equal(t, follower.CutOf("b"), previousThreshold)
+	assert.Equal(t, follower.ThresholdFor("b"), previousThreshold)
 	follower.Step(now+20e3, 0, load, 0)
-	assert.Assert(t, follower.CutOf("b") > previousThreshold && follower.CutOf("b") < policy.MarkOpen)
+	assert.Assert(t, follower.ThresholdFor("b") > previousThreshold && follower.ThresholdFor("b") < policy.ShedNothing)
 	follower.Step(now+40e3, 0, load, 0)
-	assert.Equal(t, follower.CutOf("b"), policy.MarkOpen)
+	assert.Equal(t, follower.ThresholdFor("b"), policy.ShedNothing)
 }
 
 func TestLinePart(t *testing.T) {
@@ -535,7 +535,7 @@
 		span, mbps float64
 		want       float64
 	}{{12.5e6, 100, 1000, 1}, {6.25e6, 100, 1000, 0.5}, {1e6, 100, 0, 0}, {1e6, 0, 1000, 0}} {
-		assert.Equal(t, LinePart(testCase.sent, testCase.span, testCase.mbps), testCase.want)
+		assert.Equal(t, BandwidthShare(testCase.sent, testCase.span, testCase.mbps), testCase.want)
 	}
 }
 
@@ -555,9 +555,9 @@
 			sim.loadFactor = 2
 			sim.run(30e3)
 			before := sim.gatekeepers[0].follower.Level()
-			assert.Assert(t, before.Cut < policy.MarkOpen)
+			assert.Assert(t, before.Threshold < policy.ShedNothing)
 			if testCase.knowsLevel {
-				sim.holders[1].Note(before)
+				sim.holders[1].Observe(before)
 			}
 			sim.elect(-1)
 			sim.run(1500)
@@ -566,9 +566,9 @@
 			for range int(20e3 / simulationStepMs) {
 				sim.run(simulationStepMs)
 				for _, g := range sim.gatekeepers {
-					standing := g.follower.Standing()
-					assert.Assert(t, sim.gatekeepers[0].load.Below(standing.Cut) < 1.2*sim.gatekeepers[0].load.Below(before.Cut), "threshold raised to %d from %d at %v", standing.Cut, before.Cut, sim.now)
-					assert.Assert(t, sim.gatekeepers[0].load.Below(standing.Cut) > 0.7*sim.gatekeepers[0].load.Below(before.Cut), "threshold lowered to %d from %d at %v", standing.Cut, before.Cut, sim.now)
+					standing := g.follower.State()
+					assert.Assert(t, sim.gatekeepers[0].load.AdmittedBy(standing.Threshold) < 1.2*sim.gatekeepers[0].load.AdmittedBy(before.Threshold), "threshold raised to %d from %d at %v", standing.Threshold, before.Threshold, sim.now)
+					assert.Assert(t, sim.gatekeepers[0].load.AdmittedBy(standing.Threshold) > 0.7*sim.gatekeepers[0].load.AdmittedBy(before.Threshold), "threshold lowered to %d from %d at %v", standing.Threshold, before.Threshold, sim.now)
 				}
 			}
 			after := sim.gatekeepers[0].follower.Level()
@@ -583,23 +583,23 @@
 // make a level look recent.
 func TestStaleLevels(t *testing.T) {
 	t.Parallel()
-	var follower Post
-	assert.Assert(t, !follower.Hear(0, Level{}), "a holder that knows no level yet")
-	assert.Assert(t, follower.Hear(1000, Level{Number: 5, Cut: 100}))
-	assert.Assert(t, !follower.Hear(1500, Level{Number: 4, Cut: 200}))
-	assert.Assert(t, follower.Hear(500, Level{Number: 6, Cut: 300}), "a newer level, though requested earlier")
-	assert.Equal(t, follower.Level().Cut, policy.Mark(300))
-	assert.Assert(t, follower.Step(2900, 0, Load{}, 0).Cut == 300 && !follower.Standing().CutOff)
-	assert.Assert(t, follower.Step(3100, 0, Load{}, 0).CutOff, "the last answered request was sent at 1000")
+	var follower Follower
+	assert.Assert(t, !follower.Receive(0, Level{}), "a holder that knows no level yet")
+	assert.Assert(t, follower.Receive(1000, Level{Number: 5, Threshold: 100}))
+	assert.Assert(t, !follower.Receive(1500, Level{Number: 4, Threshold: 200}))
+	assert.Assert(t, follower.Receive(500, Level{Number: 6, Threshold: 300}), "a newer level, though requested earlier")
+	assert.Equal(t, follower.Level().Threshold, policy.ShedPosition(300))
+	assert.Assert(t, follower.Step(2900, 0, Load{}, 0).Threshold == 300 && !follower.State().Disconnected)
+	assert.Assert(t, follower.Step(3100, 0, Load{}, 0).Disconnected, "the last answered request was sent at 1000")
 
 	holder := NewHolder(1)
 	holder.Begin(0, 1)
-	assert.Assert(t, holder.Hear(0, Report{Station: "a", Life: 1, Turn: 2}))
-	assert.Assert(t, !holder.Hear(1, Report{Station: "a", Life: 1, Turn: 2}), "a duplicate")
-	assert.Assert(t, !holder.Hear(1, Report{Station: "a", Life: 1, Turn: 1}), "out of date")
-	assert.Assert(t, holder.Hear(1, Report{Station: "a", Life: 2, Turn: 1}), "a new incarnation")
-	assert.Assert(t, !holder.Hear(2, Report{Station: "b", Life: 1, Turn: 1, Pressure: math.NaN()}))
-	assert.Assert(t, !holder.Hear(2, Report{Station: "b", Life: 1, Turn: 1, Load: map[uint32]float32{1 << 31: 1}}))
+	assert.Assert(t, holder.Receive(0, Report{Node: "a", Incarnation: 1, Sequence: 2}))
+	assert.Assert(t, !holder.Receive(1, Report{Node: "a", Incarnation: 1, Sequence: 2}), "a duplicate")
+	assert.Assert(t, !holder.Receive(1, Report{Node: "a", Incarnation: 1, Sequence: 1}), "out of date")
+	assert.Assert(t, holder.Receive(1, Report{Node: "a", Incarnation: 2, Sequence: 1}), "a new incarnation")
+	assert.Assert(t, !holder.Receive(2, Report{Node: "b", Incarnation: 1, Sequence: 1, Pressure: math.NaN()}))
+	assert.Assert(t, !holder.Receive(2, Report{Node: "b", Incarnation: 1, Sequence: 1, Load: map[uint32]float32{1 << 31: 1}}))
 }
 
 // TestFlappingPressure checks that pressure that comes and goes every second doesn't have callers
@@ -617,10 +617,10 @@
 		}
 		return 0.4
 	}
-	lastThreshold, raised := sim.holders[0].Level().Cut, false
+	lastThreshold, raised := sim.holders[0].Level().Threshold, false
 	for range int(60e3 / simulationStepMs) {
 		sim.run(simulationStepMs)
-		if threshold := sim.holders[0].Level().Cut; threshold != lastThreshold {
+		if threshold := sim.holders[0].Level().Threshold; threshold != lastThreshold {
 			if now := threshold > lastThreshold; now != raised {
 				raised = now
 				directionChanges++
@@ -682,12 +682,12 @@
 func TestOneLargeCaller(t *testing.T) {
 	t.Parallel()
 	load := Load{0: 50, 20: 50, 40: 100, 60: 20}
-	var controller Valve
-	now, changes, lastThreshold := 0.0, 0, policy.MarkOpen
+	var controller Controller
+	now, changes, lastThreshold := 0.0, 0, policy.ShedNothing
 	for range int(300e3 / 100) {
 		now += 100
-		admitted := load.Below(controller.Cut())
-		threshold := controller.Step(now, admitted/150*0.95, load, min(admitted, 150), policy.MarkOpen)
+		admitted := load.AdmittedBy(controller.Threshold())
+		threshold := controller.Step(now, admitted/150*0.95, load, min(admitted, 150), policy.ShedNothing)
 		if threshold != lastThreshold {
 			lastThreshold = threshold
 			changes++
@@ -706,7 +706,7 @@
 			sim.elect(1 - sim.holderIndex)
 		}
 		sim.run(simulationStepMs)
-		if rotation := sim.holders[sim.holderIndex].Level().Turn; rotation > lastRotation {
+		if rotation := sim.holders[sim.holderIndex].Level().Rotation; rotation > lastRotation {
 			if lastRotation > 0 {
 				assert.Assert(t, sim.now-rotatedAt >= rotationMs && rotation == lastRotation+1, "rotation %d came %v ms after the last", rotation, sim.now-rotatedAt)
 			}
@@ -721,9 +721,9 @@
 func TestRotationMovesLoad(t *testing.T) {
 	t.Parallel()
 	load := Load{0: 1, 16: 2, 31: 3, 33: 4}
-	load.Turn(1)
+	load.Rotate(1)
 	assert.DeepEqual(t, load, Load{0: 1, 17: 2, 16: 3, 34: 4})
-	load.Turn(policy.MarkBins)
+	load.Rotate(policy.BinsPerTier)
 	assert.DeepEqual(t, load, Load{0: 1, 17: 2, 16: 3, 34: 4})
 }
 
@@ -736,14 +736,14 @@
 	sequence, now := uint64(0), 0.0
 	for _, testCase := range []struct {
 		ms        float32
-		threshold policy.Mark
+		threshold policy.ShedPosition
 		want      byte
-	}{{60, policy.MarkOpen, 6}, {66, policy.MarkOpen, 6}, {90, policy.MarkOpen, 7}, {60, policy.MarkOpen, 7}, {20, 5, 7}, {20, policy.MarkOpen, 5}} {
+	}{{60, policy.ShedNothing, 6}, {66, policy.ShedNothing, 6}, {90, policy.ShedNothing, 7}, {60, policy.ShedNothing, 7}, {20, 5, 7}, {20, policy.ShedNothing, 5}} {
 		sequence, now = sequence+1, now+2000
-		holder.Hear(now, Report{Station: "a", Life: 1, Turn: sequence, Edition: 1, Work: map[int]float32{0: testCase.ms}})
-		holder.level.Cut = testCase.threshold
+		holder.Receive(now, Report{Node: "a", Incarnation: 1, Sequence: sequence, Version: 1, RouteCostsMs: map[int]float32{0: testCase.ms}})
+		holder.level.Threshold = testCase.threshold
 		holder.updateCosts()
-		assert.Equal(t, holder.level.Work[0], testCase.want, "%v ms", testCase.ms)
+		assert.Equal(t, holder.level.RouteCosts[0], testCase.want, "%v ms", testCase.ms)
 	}
 }
 
@@ -752,11 +752,11 @@
 	t.Parallel()
 	sim := newSimulation(11, 3, 1)
 	sim.run(5e3)
-	sim.holders[0].Fix(sim.now, 5000, 3000)
+	sim.holders[0].Override(sim.now, 5000, 3000)
 	sim.run(1000)
-	assert.Equal(t, sim.gatekeepers[1].follower.Standing().Cut, policy.Mark(5000))
+	assert.Equal(t, sim.gatekeepers[1].follower.State().Threshold, policy.ShedPosition(5000))
 	sim.run(4000)
-	assert.Equal(t, sim.gatekeepers[1].follower.Standing().Cut, policy.MarkOpen)
+	assert.Equal(t, sim.gatekeepers[1].follower.State().Threshold, policy.ShedNothing)
 }
 
 // TestOneSlowService checks that one slow service doesn't count as pressure on the cluster.
@@ -773,18 +773,18 @@
 		{[]Service{{0.4, 20}, {2, 60}, {1.5, 20}}, 1.5},
 		{[]Service{{1.2, 33}, {1.1, 33}, {0.2, 33}}, 1.1},
 	} {
-		assert.Equal(t, MostMeet(testCase.services), testCase.want, "%v", testCase.services)
+		assert.Equal(t, MajorityPressure(testCase.services), testCase.want, "%v", testCase.services)
 	}
 }
 
 func TestDescribe(t *testing.T) {
 	t.Parallel()
-	threshold := policy.Mark(policy.Tier(2, 1, 0)) << 12
+	threshold := policy.ShedPosition(policy.Tier(2, 1, 0)) << 12
 	for _, testCase := range []struct {
-		threshold policy.Mark
+		threshold policy.ShedPosition
 		want      string
 	}{
-		{policy.MarkOpen, "nothing"},
+		{policy.ShedNothing, "nothing"},
 		{threshold, "from tenants of priority 2, routes of priority 1 on, all"},
 		{threshold + 4<<8, "of tenants of priority 2, routes of priority 1 12 of 16 callers' parts, and all below"},
 	} {
@@ -798,9 +798,9 @@
 		options Options
 		valid   bool
 	}{
-		{Options{}, true}, {Options{On: true, Never: 2, Least: 0.1, Caller: "X-Branch"}, true},
-		{Options{On: true, Never: -1}, false}, {Options{On: true, Least: 0.6}, false}, {Options{On: true, Least: math.NaN()}, false},
-		{Options{On: true, Caller: CallerAddress, Whole: true}, true}, {Options{Whole: true}, false}, {Options{On: true, Caller: "X Branch"}, false}, {Options{Never: 1}, false},
+		{Options{}, true}, {Options{On: true, NeverShedBelow: 2, MinServedShare: 0.1, CallerHeader: "X-Branch"}, true},
+		{Options{On: true, NeverShedBelow: -1}, false}, {Options{On: true, MinServedShare: 0.6}, false}, {Options{On: true, MinServedShare: math.NaN()}, false},
+		{Options{On: true, CallerHeader: CallerAddress, SingleThreshold: true}, true}, {Options{SingleThreshold: true}, false}, {Options{On: true, CallerHeader: "X Branch"}, false}, {Options{NeverShedBelow: 1}, false},
 	} {
 		assert.Equal(t, testCase.options.Check() == nil, testCase.valid, "%+v: %v", testCase.options, testCase.options.Check())
 	}
@@ -827,7 +827,7 @@
 					continue
 				}
 				if other, ok := levelByNumber[level.Number]; ok {
-					assert.Assert(t, other.Cut == level.Cut && other.Terms() == level.Terms(), "two levels with number %x", level.Number)
+					assert.Assert(t, other.Threshold == level.Threshold && other.Terms() == level.Terms(), "two levels with number %x", level.Number)
 				}
 				levelByNumber[level.Number] = level
 			}
@@ -846,7 +846,7 @@
 			case 4:
 				sim.lossShare = rapid.Float64Range(0, 0.6).Draw(t, "loss")
 			case 5: // a gatekeeper restarts and knows no level
-				affected.follower, affected.load, affected.sequence = Post{}, Load{}, affected.sequence+1000
+				affected.follower, affected.load, affected.sequence = Follower{}, Load{}, affected.sequence+1000
 				for i := range sim.gatekeepers {
 					if sim.gatekeepers[i] == affected {
 						numbers[i] = 0
