--- a/internal/spur/collector.go
+++ b/internal/spur/collector.go
@@ -23,13 +23,13 @@
 // peerState is an incarnation of a gatekeeper from which this member fetches items. Times are in
 // ms of the local clock.
 type peerState struct {
-	member       Seat
+	member       Member
 	listed       bool
 	answered     bool
 	startedAt    float64 // the incarnation started at this time at the latest
 	coveredUntil float64 // all items of requests that began earlier are known
 	lastItem     uint64  // number of the last item received
-	rule         Stance
+	rule         EffectiveRule
 	ruleSince    float64 // the effective rule began at this time at the latest
 	done         bool    // its last response said that nothing will follow
 	lastGapAt    float64 // when a gap in its item numbers was last noticed
@@ -41,7 +41,7 @@
 
 // memberPeriod is an effective rule and the time during which any gatekeeper used it.
 type memberPeriod struct {
-	rule     Stance
+	rule     EffectiveRule
 	from, to float64
 }
 
@@ -54,7 +54,7 @@
 // flowState is a flow that is being collected. Requests with one name that are further apart than
 // the idle timeout belong to different flows.
 type flowState struct {
-	id               Journey
+	id               FlowID
 	scopeHash        uint64
 	earliest, latest float64 // the first piece began at earliest or later, the last at latest or before
 	firstBefore      float64 // the first piece began at this time or before
@@ -70,16 +70,16 @@
 // piece is one copied request of a flow.
 type piece struct {
 	earliest, latest float64 // bounds of the time at which the real request was forwarded
-	copy             Copy
-	response         Real
+	copy             RequestCopy
+	response         LiveResponse
 	target           string
 }
 
-// Asks returns the fetches to make now, each from Ask.To.Inner. This gatekeeper itself can be among
+// DueFetches returns the fetches to make now, each from Ask.To.Inner. This gatekeeper itself can be among
 // them, and is fetched from without a socket: Heard(now, ask, s.Answer(now, ask)). At most one
 // fetch per member is open at a time. Asks also runs all time-based processing, so it must be
 // called about every 100 ms.
-func (s *Spur) Asks(now float64) (requests []Ask) {
+func (s *Engine) DueFetches(now float64) (requests []FetchRequest) {
 	s.advance(now)
 	for _, peer := range s.peers {
 		if peer.done || peer.fetching || now < peer.nextFetchAt {
@@ -90,74 +90,74 @@
 		if peer.answered {
 			historyMs = max(now-peer.coveredUntil, 1)
 		}
-		requests = append(requests, Ask{To: peer.member, From: s.self, After: peer.lastItem, At: now, SinceMs: historyMs, Room: min(maxAnswerBytes, max((s.maxBytes-s.usedBytes)/4, 4096))})
+		requests = append(requests, FetchRequest{To: peer.member, From: s.self, LastReceived: peer.lastItem, SentAt: now, HistoryMs: historyMs, MaxBytes: min(maxAnswerBytes, max((s.maxBytes-s.usedBytes)/4, 4096))})
 	}
-	slices.SortFunc(requests, func(a, b Ask) int { return compareMembers(a.To, b.To) })
+	slices.SortFunc(requests, func(a, b FetchRequest) int { return compareMembers(a.To, b.To) })
 	return requests
 }
 
 // compareMembers orders members by node and incarnation.
-func compareMembers(a, b Seat) int {
+func compareMembers(a, b Member) int {
 	switch {
-	case a.Station < b.Station, a.Station == b.Station && a.Life < b.Life:
+	case a.Node < b.Node, a.Node == b.Node && a.Incarnation < b.Incarnation:
 		return -1
-	case a.Station == b.Station && a.Life == b.Life:
+	case a.Node == b.Node && a.Incarnation == b.Incarnation:
 		return 0
 	}
 	return 1
 }
 
-// Missed reports that a fetch failed or timed out.
-func (s *Spur) Missed(now float64, request Ask) {
-	if peer := s.peers[request.To.key()]; peer != nil && peer.fetching && peer.fetchAt == request.At {
+// FetchFailed reports that a fetch failed or timed out.
+func (s *Engine) FetchFailed(now float64, request FetchRequest) {
+	if peer := s.peers[request.To.key()]; peer != nil && peer.fetching && peer.fetchAt == request.SentAt {
 		peer.fetching, peer.nextFetchAt = false, now+2*s.pollIntervalMs
 	}
 }
 
-// Heard processes the response to a fetch.
-func (s *Spur) Heard(now float64, request Ask, response Answer) {
+// HandleResponse processes the response to a fetch.
+func (s *Engine) HandleResponse(now float64, request FetchRequest, response FetchResponse) {
 	peer := s.peers[request.To.key()]
-	if peer == nil || !peer.fetching || peer.fetchAt != request.At {
+	if peer == nil || !peer.fetching || peer.fetchAt != request.SentAt {
 		return
 	}
-	if response.Wrong || response.From.key() != peer.member.key() {
-		s.Missed(now, request)
+	if response.WrongIncarnation || response.From.key() != peer.member.key() {
+		s.FetchFailed(now, request)
 		return
 	}
-	peer.fetching, peer.nextFetchAt, peer.lastAnswerAt = false, request.At+s.pollIntervalMs, now
+	peer.fetching, peer.nextFetchAt, peer.lastAnswerAt = false, request.SentAt+s.pollIntervalMs, now
 	previousCover := peer.coveredUntil
 	if !peer.answered {
-		peer.answered, peer.startedAt = true, now-response.UpMs
-		previousCover = request.At - response.UpMs
+		peer.answered, peer.startedAt = true, now-response.UptimeMs
+		previousCover = request.SentAt - response.UptimeMs
 		s.dropOldIncarnations(peer)
 	}
-	if response.First > peer.lastItem+1 {
-		s.addLossWindow(previousCover, now, Gap)
+	if response.FirstNumber > peer.lastItem+1 {
+		s.addLossWindow(previousCover, now, ItemsLost)
 		peer.lastGapAt = now
 		for key := range s.handoverReports {
 			if key.member == peer.member.key() {
 				delete(s.handoverReports, key)
 			}
 		}
-		peer.lastItem = response.First - 1
+		peer.lastItem = response.FirstNumber - 1
 	}
-	if now-response.Since > previousCover+clockSlackMs && response.Since < response.UpMs {
-		s.addLossWindow(previousCover, now-response.Since, Gap)
+	if now-response.HistoryMs > previousCover+clockSlackMs && response.HistoryMs < response.UptimeMs {
+		s.addLossWindow(previousCover, now-response.HistoryMs, ItemsLost)
 	}
-	for _, past := range response.Stances {
-		s.addMemberPeriod(past.Stance, request.At-past.BeganMs, now-past.EndedMs)
+	for _, past := range response.PastRules {
+		s.addMemberPeriod(past.Rule, request.SentAt-past.BeganMs, now-past.EndedMs)
 	}
 	if !response.Idle {
-		s.addMemberPeriod(response.Stance, request.At-response.HeldMs, request.At)
+		s.addMemberPeriod(response.Rule, request.SentAt-response.RuleAgeMs, request.SentAt)
 	}
-	peer.rule, peer.ruleSince = response.Stance, now-response.HeldMs
+	peer.rule, peer.ruleSince = response.Rule, now-response.RuleAgeMs
 	for i := range response.Items {
-		if number := response.First + uint64(i); number > peer.lastItem {
+		if number := response.FirstNumber + uint64(i); number > peer.lastItem {
 			peer.lastItem = number
 			s.addItem(now, request, peer, &response.Items[i])
 		}
 	}
-	peer.coveredUntil = max(peer.coveredUntil, request.At-response.LagMs)
+	peer.coveredUntil = max(peer.coveredUntil, request.SentAt-response.LagMs)
 	if response.Done {
 		peer.done, peer.coveredUntil = true, math.Inf(1)
 	}
@@ -166,11 +166,11 @@
 // dropOldIncarnations removes the earlier incarnations of a node, once a later one has responded.
 // Their items that were not fetched are lost, from the end of their coverage to the start of the
 // new incarnation.
-func (s *Spur) dropOldIncarnations(peer *peerState) {
+func (s *Engine) dropOldIncarnations(peer *peerState) {
 	for key, oldPeer := range s.peers {
-		if oldPeer.member.Station == peer.member.Station && oldPeer != peer && !oldPeer.listed {
+		if oldPeer.member.Node == peer.member.Node && oldPeer != peer && !oldPeer.listed {
 			if !oldPeer.done {
-				s.addLossWindow(oldPeer.coveredUntil, peer.startedAt, Died)
+				s.addLossWindow(oldPeer.coveredUntil, peer.startedAt, MemberDied)
 			}
 			delete(s.peers, key)
 		}
@@ -178,7 +178,7 @@
 }
 
 // addLossWindow records a time range in which any flow may have lost a piece.
-func (s *Spur) addLossWindow(from, to float64, cause Cause) {
+func (s *Engine) addLossWindow(from, to float64, cause Cause) {
 	if to < from {
 		return
 	}
@@ -196,7 +196,7 @@
 }
 
 // addMemberPeriod records that a gatekeeper used an effective rule, joining adjacent periods.
-func (s *Spur) addMemberPeriod(rule Stance, from, to float64) {
+func (s *Engine) addMemberPeriod(rule EffectiveRule, from, to float64) {
 	if to < from {
 		to = from
 	}
@@ -207,22 +207,22 @@
 		}
 	}
 	if s.memberPeriods = append(s.memberPeriods, memberPeriod{rule, from, to}); len(s.memberPeriods) > maxMemberPeriods {
-		s.addLossWindow(s.memberPeriods[0].from, s.memberPeriods[0].to, Gap)
+		s.addLossWindow(s.memberPeriods[0].from, s.memberPeriods[0].to, ItemsLost)
 		s.memberPeriods = slices.Delete(s.memberPeriods, 0, 1)
 	}
 }
 
 // idleTimeoutMs returns the time without a request after which a flow ends; 60 s without a rule.
-func (s *Spur) idleTimeoutMs() float64 {
+func (s *Engine) idleTimeoutMs() float64 {
 	if s.rule == nil || s.rule.Stopped {
 		return 60_000
 	}
-	return s.rule.EndS * 1000
+	return s.rule.IdleTimeoutS * 1000
 }
 
 // findOrCreateFlow returns the flow to which a piece of that time belongs. It merges flows that the
 // piece connects, and creates a flow if there is none; without memory for one it returns nil.
-func (s *Spur) findOrCreateFlow(id Journey, scopeHash uint64, earliest, latest float64) (flow *flowState) {
+func (s *Engine) findOrCreateFlow(id FlowID, scopeHash uint64, earliest, latest float64) (flow *flowState) {
 	idleTimeout := s.idleTimeoutMs()
 	var previous *flowState
 	for candidate := s.flows[id]; candidate != nil; {
@@ -241,7 +241,7 @@
 	}
 	if flow == nil {
 		if s.usedBytes+flowCostBytes > s.maxBytes {
-			s.addLossWindow(earliest, latest, Room)
+			s.addLossWindow(earliest, latest, CollectorFull)
 			return nil
 		}
 		flow = &flowState{id: id, scopeHash: scopeHash, earliest: earliest, latest: latest, firstBefore: latest, bytes: flowCostBytes, next: s.flows[id]}
@@ -255,7 +255,7 @@
 }
 
 // mergeFlows adds another flow to a flow.
-func (s *Spur) mergeFlows(flow, other *flowState) {
+func (s *Engine) mergeFlows(flow, other *flowState) {
 	flow.earliest, flow.latest, flow.firstBefore = min(flow.earliest, other.earliest), max(flow.latest, other.latest), min(flow.firstBefore, other.firstBefore)
 	flow.pieces = append(flow.pieces, other.pieces...)
 	flow.bytes += other.bytes - flowCostBytes
@@ -263,9 +263,9 @@
 	if flow.receivedFrom == nil {
 		flow.receivedFrom = other.receivedFrom
 	}
-	if other.cause != Fine {
+	if other.cause != NotBroken {
 		s.markBroken(flow, other.cause)
-	} else if flow.cause != Fine {
+	} else if flow.cause != NotBroken {
 		s.markBroken(flow, flow.cause)
 	}
 	flow.counted = flow.counted || other.counted
@@ -274,80 +274,80 @@
 }
 
 // markBroken marks a flow as broken, and drops its pieces unless broken flows are delivered.
-func (s *Spur) markBroken(flow *flowState, cause Cause) {
+func (s *Engine) markBroken(flow *flowState, cause Cause) {
 	if flow.closed {
 		return
 	}
-	if flow.cause == Fine {
+	if flow.cause == NotBroken {
 		flow.cause = cause
 	}
-	if s.rule == nil || !s.rule.DeliverBroken || cause == Room || cause == Stopped || cause == Struck {
+	if s.rule == nil || !s.rule.DeliverBroken || cause == CollectorFull || cause == RuleStopped || cause == TargetIsLive {
 		s.usedBytes -= flow.bytes - flowCostBytes
 		flow.bytes, flow.pieces = flowCostBytes, nil
 	}
 }
 
 // addItem processes one item of a response.
-func (s *Spur) addItem(now float64, request Ask, peer *peerState, item *Item) {
-	if item.Word != nil {
-		s.addHandoverReport(now, request, peer, item.Word)
+func (s *Engine) addItem(now float64, request FetchRequest, peer *peerState, item *Item) {
+	if item.Report != nil {
+		s.addHandoverReport(now, request, peer, item.Report)
 		return
 	}
-	if item.Given != nil {
+	if item.HandedOver != nil {
 		s.addHandedOverFlow(now, request, peer, item)
 		return
 	}
-	earliest, latest := request.At-item.AgeMs*(1+maxClockDriftRatio), now-item.AgeMs*(1-maxClockDriftRatio)
-	flow := s.findOrCreateFlow(item.Journey, item.Trail, earliest, latest)
+	earliest, latest := request.SentAt-item.AgeMs*(1+maxClockDriftRatio), now-item.AgeMs*(1-maxClockDriftRatio)
+	flow := s.findOrCreateFlow(item.Flow, item.ScopeHash, earliest, latest)
 	if flow == nil {
 		return
 	}
-	if s.rule == nil || s.rule.Stopped || item.Trail != s.rule.scopeHash {
-		if s.rule != nil && item.Trail != s.rule.scopeHash {
-			s.markBroken(flow, Changed) // of an older rule, or of a newer one that is not known here yet
+	if s.rule == nil || s.rule.Stopped || item.ScopeHash != s.rule.scopeHash {
+		if s.rule != nil && item.ScopeHash != s.rule.scopeHash {
+			s.markBroken(flow, RuleChanged) // of an older rule, or of a newer one that is not known here yet
 		}
 		if s.rule == nil {
-			s.markBroken(flow, Started)
+			s.markBroken(flow, CollectorStarted)
 		}
 	}
 	if now-earliest > s.retentionMs()-s.idleTimeoutMs()-clockSlackMs { // other pieces of the flow may have been removed already
-		s.markBroken(flow, Silent)
+		s.markBroken(flow, Unresponsive)
 	}
-	if item.Lost != Fine {
-		s.markBroken(flow, item.Lost)
+	if item.LostCause != NotBroken {
+		s.markBroken(flow, item.LostCause)
 		return
 	}
-	s.addPiece(flow, piece{earliest, latest, item.Copy, item.Real, item.Shadow})
+	s.addPiece(flow, piece{earliest, latest, item.Copy, item.Response, item.Target})
 }
 
 // addPiece adds a piece to a flow, unless the flow's pieces are not kept or memory is short.
-func (s *Spur) addPiece(flow *flowState, added piece) {
-	if flow.cause != Fine && (s.rule == nil || !s.rule.DeliverBroken) || flow.cause == Room || flow.counted {
+func (s *Engine) addPiece(flow *flowState, added piece) {
+	if flow.cause != NotBroken && (s.rule == nil || !s.rule.DeliverBroken) || flow.cause == CollectorFull || flow.counted {
 		return
 	}
 	cost := added.copy.Bytes() + pieceCostBytes
 	if s.usedBytes+cost > s.maxBytes*7/8 {
-		s.markBroken(flow, Room)
+		s.markBroken(flow, CollectorFull)
 		return
 	}
 	flow.pieces = append(flow.pieces, added)
 	flow.bytes += cost
 	s.usedBytes += cost
 	if flow.latest-flow.earliest > s.maxDurationMs() {
-		s.markBroken(flow, Long)
+		s.markBroken(flow, TooLong)
 	}
 }
 
 // maxDurationMs returns the time after which a flow is too long.
-func (s *Spur) maxDurationMs() float64 {
+func (s *Engine) maxDurationMs() float64 {
 	if s.rule == nil || s.rule.Stopped {
 		return math.Inf(1)
 	}
-	return s.rule.SpanS * 1000
+	return s.rule.MaxDurationS * 1000
 }
 
 // advance does all time-based work: hand-over, checks of finished flows and clean-up.
-func (s *Spur) advance(now float64) {
+func (s *Engine) advance(now float64) {
 	s.updateEffectiveRule(now)
 	s.dropUnreachable(now)
 	s.handOverFlows(now)
@@ -364,18 +364,18 @@
 			continue
 		}
 		cause := flow.cause
-		if cause == Fine {
+		if cause == NotBroken {
 			if coveredUntil < closesAt || s.membersAsOf < closesAt+membershipSettleMs {
-				if s.rule != nil && !s.rule.Stopped && now < closesAt+membershipSettleMs+s.rule.PatienceS*1000 {
+				if s.rule != nil && !s.rule.Stopped && now < closesAt+membershipSettleMs+s.rule.ResponseTimeoutS*1000 {
 					s.scheduleCheck(flow, now+s.pollIntervalMs)
 					continue
 				}
-				cause = Silent
+				cause = Unresponsive
 			} else {
 				cause = s.checkCompleteness(flow)
 			}
 		}
-		if cause != Fine && cause != notSelected && coveredUntil < closesAt && now < flow.latest+s.retentionMs() {
+		if cause != NotBroken && cause != notSelected && coveredUntil < closesAt && now < flow.latest+s.retentionMs() {
 			s.countBroken(now, flow, cause) // a late piece must not be taken for a complete flow
 			s.scheduleCheck(flow, now+10*s.pollIntervalMs)
 			continue
@@ -397,7 +397,7 @@
 }
 
 // countBroken counts a flow as broken and keeps it without its pieces.
-func (s *Spur) countBroken(now float64, flow *flowState, cause Cause) {
+func (s *Engine) countBroken(now float64, flow *flowState, cause Cause) {
 	if flow.counted {
 		return
 	}
@@ -407,28 +407,28 @@
 }
 
 // finishBroken counts a broken flow and delivers or withholds it.
-func (s *Spur) finishBroken(now float64, flow *flowState) {
+func (s *Engine) finishBroken(now float64, flow *flowState) {
 	s.counts.Broken++
-	s.counts.By[flow.cause]++
+	s.counts.BrokenByCause[flow.cause]++
 	if s.rule != nil && s.rule.DeliverBroken && len(flow.pieces) > 0 {
 		s.queueDelivery(now, flow)
 		return
 	}
-	s.counts.Held++
+	s.counts.Withheld++
 	s.usedBytes -= flow.bytes
 }
 
 // retentionMs returns how long flows, periods and loss windows are kept; older flows are not
 // checked any more.
-func (s *Spur) retentionMs() float64 {
+func (s *Engine) retentionMs() float64 {
 	if s.rule == nil || s.rule.Stopped {
 		return 3600_000
 	}
-	return (s.rule.SpanS+2*s.rule.EndS+s.rule.PatienceS)*1000 + membershipSettleMs
+	return (s.rule.MaxDurationS+2*s.rule.IdleTimeoutS+s.rule.ResponseTimeoutS)*1000 + membershipSettleMs
 }
 
 // coveredUntil returns the time up to which the items of all gatekeepers are known.
-func (s *Spur) coveredUntil() float64 {
+func (s *Engine) coveredUntil() float64 {
 	earliest := math.Inf(1)
 	for _, peer := range s.peers {
 		earliest = min(earliest, peer.coveredUntil)
@@ -438,20 +438,20 @@
 
 // dropUnreachable removes unlisted gatekeepers that have not responded for the time after which
 // the operator's rule declares them gone.
-func (s *Spur) dropUnreachable(now float64) {
-	if s.rule == nil || s.rule.GoneS <= 0 {
+func (s *Engine) dropUnreachable(now float64) {
+	if s.rule == nil || s.rule.GoneAfterS <= 0 {
 		return
 	}
 	for key, peer := range s.peers {
-		if deadline := peer.lastAnswerAt + s.rule.GoneS*1000; !peer.listed && !peer.done && now > deadline {
-			s.addLossWindow(peer.coveredUntil, deadline, Died)
+		if deadline := peer.lastAnswerAt + s.rule.GoneAfterS*1000; !peer.listed && !peer.done && now > deadline {
+			s.addLossWindow(peer.coveredUntil, deadline, MemberDied)
 			delete(s.peers, key)
 		}
 	}
 }
 
 // prune removes the data that no current or future flow needs for its check.
-func (s *Spur) prune(now float64) {
+func (s *Engine) prune(now float64) {
 	if s.rule == nil || s.rule.Stopped {
 		return
 	}
@@ -471,13 +471,13 @@
 }
 
 // finish ends the collection of a flow and delivers or drops it.
-func (s *Spur) finish(now float64, flow *flowState, cause Cause) {
+func (s *Engine) finish(now float64, flow *flowState, cause Cause) {
 	s.removeFlow(flow)
 	switch {
-	case cause == Fine:
+	case cause == NotBroken:
 		s.queueDelivery(now, flow)
 	case cause == notSelected:
-		s.counts.NotChosen++
+		s.counts.NotSelected++
 		s.usedBytes -= flow.bytes
 	case flow.counted:
 		s.usedBytes -= flow.bytes
@@ -488,7 +488,7 @@
 }
 
 // removeFlow removes a flow from those being collected. Its bytes stay counted.
-func (s *Spur) removeFlow(flow *flowState) {
+func (s *Engine) removeFlow(flow *flowState) {
 	flow.closed = true
 	s.openFlows--
 	if current := s.flows[flow.id]; current == flow {
--- a/internal/spur/completeness.go
+++ b/internal/spur/completeness.go
@@ -21,14 +21,14 @@
 
 // collectorUnder returns the flow's collector under a member list, and false if the list is not
 // known.
-func (s *Spur) collectorUnder(membersHash uint64, id Journey) (collector memberKey, known bool) {
+func (s *Engine) collectorUnder(membersHash uint64, id FlowID) (collector memberKey, known bool) {
 	list := s.knownLists[membersHash]
 	if list == nil {
 		return collector, false
 	}
 	region := ""
 	if s.rule != nil {
-		region = s.rule.Region
+		region = s.rule.CollectorRegion
 	}
 	member, ok := list.collector(region, id)
 	return member.key(), ok
@@ -36,14 +36,14 @@
 
 // checkCompleteness decides whether a finished flow with no known loss is complete. It checks the
 // effective rules of all gatekeepers from one idle timeout before the flow to one after it.
-func (s *Spur) checkCompleteness(flow *flowState) Cause {
+func (s *Engine) checkCompleteness(flow *flowState) Cause {
 	if s.rule == nil || s.rule.Stopped || s.rule.scopeHash != flow.scopeHash {
-		return Changed
+		return RuleChanged
 	}
 	margin := s.idleTimeoutMs() + clockSlackMs
 	earliest, latest := flow.earliest-margin, flow.latest+margin
 	coveredFrom, cause := s.coverageStart(flow, earliest, latest)
-	if cause != Fine {
+	if cause != NotBroken {
 		return cause
 	}
 	for _, window := range s.lossWindows {
@@ -62,7 +62,7 @@
 			notMirrored = true
 		}
 		if period.from <= flow.firstBefore+clockSlackMs && period.to >= flow.earliest-clockSlackMs {
-			if period.rule.All || flow.id.Spot < period.rule.Cut {
+			if period.rule.SelectsAll || flow.id.SelectionHash < period.rule.Threshold {
 				selected = true
 			} else {
 				unselected = true
@@ -70,24 +70,24 @@
 		}
 	}
 	switch {
-	case unselected && !selected && !s.rule.Chooses(flow.id):
+	case unselected && !selected && !s.rule.Selects(flow.id):
 		return notSelected
 	case notMirrored:
-		return Changed
+		return RuleChanged
 	case orderUncertain(flow.pieces):
-		return Silent
+		return Unresponsive
 	}
 	switch {
-	case s.rule.Chooses(flow.id) && !unselected:
-		return Fine
+	case s.rule.Selects(flow.id) && !unselected:
+		return NotBroken
 	case selected && unselected:
-		return Changed
+		return RuleChanged
 	case unselected:
 		return notSelected
 	case !selected:
-		return Started
+		return CollectorStarted
 	}
-	return Fine
+	return NotBroken
 }
 
 // orderUncertain reports whether two pieces were fetched so late that their possible start times
@@ -108,7 +108,7 @@
 
 // coverageStart returns the time since which this member has collected the flow itself, if another
 // collector's report covers the time before.
-func (s *Spur) coverageStart(flow *flowState, earliest, latest float64) (float64, Cause) {
+func (s *Engine) coverageStart(flow *flowState, earliest, latest float64) (float64, Cause) {
 	self := s.self.key()
 	var lastForeign *memberPeriod // the last period in which another member collected the flow
 	var foreignKey reportKey
@@ -117,40 +117,40 @@
 		if period.from > latest || period.to < earliest {
 			continue
 		}
-		collector, known := s.collectorUnder(period.rule.List, flow.id)
+		collector, known := s.collectorUnder(period.rule.MembersHash, flow.id)
 		if known && collector == self {
 			continue
 		}
 		if lastForeign == nil || period.to > lastForeign.to {
-			lastForeign, foreignKey = period, reportKey{collector, period.rule.List}
+			lastForeign, foreignKey = period, reportKey{collector, period.rule.MembersHash}
 		}
 	}
 	if lastForeign == nil {
-		return earliest, Fine
+		return earliest, NotBroken
 	}
 	report, ok := s.handoverReports[foreignKey]
 	if !ok || report.unreliable || lastForeign.to > report.unusedSince+clockSlackMs {
-		return 0, Moved
+		return 0, Reassigned
 	}
 	if flow.receivedFrom == nil || *flow.receivedFrom != foreignKey {
 		if earliest < report.completeSince { // the flow may have begun before the other collector had complete data
-			return 0, Moved
+			return 0, Reassigned
 		}
 	}
 	ownSince := s.collectedSince(flow.id, lastForeign.to)
 	if math.IsInf(ownSince, 1) {
-		return 0, Moved
+		return 0, Reassigned
 	}
-	return max(earliest, min(ownSince, lastForeign.to)), Fine
+	return max(earliest, min(ownSince, lastForeign.to)), NotBroken
 }
 
 // collectedSince returns the start of the periods ending after changedAt in which this member
 // collected the flow, or +Inf if there are none.
-func (s *Spur) collectedSince(id Journey, changedAt float64) float64 {
+func (s *Engine) collectedSince(id FlowID, changedAt float64) float64 {
 	since := math.Inf(1)
 	for i := range s.memberPeriods {
 		if period := &s.memberPeriods[i]; period.to > changedAt {
-			if collector, known := s.collectorUnder(period.rule.List, id); known && collector == s.self.key() {
+			if collector, known := s.collectorUnder(period.rule.MembersHash, id); known && collector == s.self.key() {
 				since = min(since, max(period.from, s.startedAt)) // no list contained this incarnation earlier
 			}
 		}
--- a/internal/spur/copy.go
+++ b/internal/spur/copy.go
@@ -10,28 +10,28 @@
 	"strings"
 )
 
-// Copy is a copied request for a mirror target. Its type differs from that of requests to live
+// RequestCopy is a copied request for a mirror target. Its type differs from that of requests to live
 // workers, and its content is accessible only to Delivery.Send, which writes it to a Door.
-type Copy struct {
+type RequestCopy struct {
 	method, target string
-	fields         []Field
+	fields         []HeaderField
 	body           []byte
 }
 
-// Field is an HTTP header field.
-type Field struct{ Name, Value []byte }
+// HeaderField is an HTTP header field.
+type HeaderField struct{ Name, Value []byte }
 
 // Request is a real request as received. Its slices are kept by reference, so the caller must not
 // change or reuse them afterwards.
 type Request struct {
 	Method, Target []byte
-	Fields         []Field
+	Fields         []HeaderField
 	Body           []byte
 }
 
-// Door is a connection to a mirror target. The networking code implements it with a type that is
+// TargetConnection is a connection to a mirror target. The networking code implements it with a type that is
 // not used for live workers. ShadowAddress returns the address to which the connection leads.
-type Door interface {
+type TargetConnection interface {
 	io.Writer
 	ShadowAddress() string
 }
@@ -47,8 +47,8 @@
 	"te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect", "x-api-key"}
 
 // newCopy copies a request without the headers and cookies that must not reach a mirror target.
-func (o *Order) newCopy(request *Request) Copy {
-	result := Copy{method: string(request.Method), target: string(request.Target), body: request.Body}
+func (o *Rule) newCopy(request *Request) RequestCopy {
+	result := RequestCopy{method: string(request.Method), target: string(request.Target), body: request.Body}
 	var connectionHeaders [][]byte // names in the request's Connection header
 	for _, field := range request.Fields {
 		if bytes.EqualFold(field.Name, []byte("connection")) {
@@ -59,11 +59,11 @@
 		name := strings.ToLower(string(field.Name))
 		switch {
 		case slices.Contains(neverCopied, name), strings.HasPrefix(name, "x-foxwood-"):
-		case slices.ContainsFunc(o.HeadersOut, func(h string) bool { return strings.EqualFold(h, name) }):
+		case slices.ContainsFunc(o.ExcludedHeaders, func(h string) bool { return strings.EqualFold(h, name) }):
 		case slices.ContainsFunc(connectionHeaders, func(h []byte) bool { return bytes.EqualFold(bytes.TrimSpace(h), field.Name) }):
 		case name == "cookie":
-			if kept := keptCookies(field.Value, o.CookiesKept); len(kept) > 0 {
-				result.fields = append(result.fields, Field{field.Name, kept})
+			if kept := keptCookies(field.Value, o.KeptCookies); len(kept) > 0 {
+				result.fields = append(result.fields, HeaderField{field.Name, kept})
 			}
 		default:
 			result.fields = append(result.fields, field)
@@ -88,7 +88,7 @@
 }
 
 // Bytes returns the memory that the copy takes.
-func (c *Copy) Bytes() int {
+func (c *RequestCopy) Bytes() int {
 	n := copyCostBytes + len(c.method) + len(c.target) + len(c.body)
 	for _, f := range c.fields {
 		n += fieldCostBytes + len(f.Name) + len(f.Value)
@@ -98,7 +98,7 @@
 
 // MarshalBinary encodes the copy for the transfer to another gatekeeper. The format is
 // deliberately not HTTP.
-func (c Copy) MarshalBinary() ([]byte, error) {
+func (c RequestCopy) MarshalBinary() ([]byte, error) {
 	data := make([]byte, 0, c.Bytes())
 	data = appendText(appendText(data, c.method), c.target)
 	data = binary.AppendUvarint(data, uint64(len(c.fields)))
@@ -116,7 +116,7 @@
 var errMalformedCopy = errors.New("spur: copied request is truncated or has trailing bytes")
 
 // UnmarshalBinary decodes the format of MarshalBinary.
-func (c *Copy) UnmarshalBinary(data []byte) error {
+func (c *RequestCopy) UnmarshalBinary(data []byte) error {
 	data = slices.Clone(data) // the decoder reuses its buffer
 	malformed := false
 	readLength := func() int {
@@ -138,9 +138,9 @@
 		data = data[n:]
 		return t
 	}
-	*c = Copy{method: string(readText()), target: string(readText())}
+	*c = RequestCopy{method: string(readText()), target: string(readText())}
 	for n := readLength(); n > 0 && !malformed; n-- {
-		c.fields = append(c.fields, Field{readText(), readText()})
+		c.fields = append(c.fields, HeaderField{readText(), readText()})
 	}
 	if c.body = readText(); len(c.body) == 0 {
 		c.body = nil
@@ -153,7 +153,7 @@
 
 // Send writes the copy as an HTTP/1.1 request with the X-Foxwood-Shadow headers. It writes at most
 // once, and returns an error if the connection does not lead to the delivery's address.
-func (d *Delivery) Send(connection Door) error {
+func (d *Delivery) Send(connection TargetConnection) error {
 	if d.sent {
 		return fmt.Errorf("spur: delivery %d was sent before; a copy is sent at most once", d.ID)
 	}
--- a/internal/spur/delivery.go
+++ b/internal/spur/delivery.go
@@ -32,22 +32,22 @@
 // Delivery is one copy to be sent once to its mirror target. The copies of one flow are issued in
 // order, each after Told has reported the result of the previous one.
 type Delivery struct {
-	ID      uint64  // for Told; unique in this incarnation
-	Address string  // of the mirror target
-	Timeout float64 // limit for the target's answer, in ms
-	Bytes   int
-	Journey Journey
-	N, Of   int // the copy's position in the flow, from 1, and the flow's number of copies
-	Cause   Cause
-	copy    Copy
-	head    []byte
-	sent    bool
+	ID                 uint64  // for Told; unique in this incarnation
+	Address            string  // of the mirror target
+	TimeoutMs          float64 // limit for the target's answer, in ms
+	Bytes              int
+	Flow               FlowID
+	Position, FlowSize int // the copy's position in the flow, from 1, and the flow's number of copies
+	Cause              Cause
+	copy               RequestCopy
+	head               []byte
+	sent               bool
 }
 
 // queueDelivery queues a finished flow for its mirror target, its pieces sorted by time.
-func (s *Spur) queueDelivery(now float64, flow *flowState) {
-	if flow.cause == Fine {
-		s.counts.Whole++
+func (s *Engine) queueDelivery(now float64, flow *flowState) {
+	if flow.cause == NotBroken {
+		s.counts.Complete++
 	}
 	if len(flow.pieces) == 0 {
 		s.usedBytes -= flow.bytes
@@ -56,7 +56,7 @@
 	slices.SortStableFunc(flow.pieces, func(a, b piece) int { return cmp.Compare(a.earliest+a.latest, b.earliest+b.latest) })
 	for i := range flow.pieces[1:] {
 		if flow.pieces[i+1].earliest < flow.pieces[i].latest {
-			s.counts.Doubt++
+			s.counts.UncertainOrder++
 		}
 	}
 	outgoing := &outgoingFlow{flow: flow, cause: flow.cause, bytes: flow.bytes}
@@ -72,18 +72,18 @@
 }
 
 // dropOverLimit drops a flow that does not fit into the queue of its mirror target.
-func (s *Spur) dropOverLimit(outgoing *outgoingFlow) {
-	if outgoing.cause == Fine {
-		s.counts.Whole--
+func (s *Engine) dropOverLimit(outgoing *outgoingFlow) {
+	if outgoing.cause == NotBroken {
+		s.counts.Complete--
 		s.counts.Broken++
-		s.counts.By[Limit]++
+		s.counts.BrokenByCause[TargetQueueFull]++
 	}
-	s.counts.Held++
+	s.counts.Withheld++
 	s.usedBytes -= outgoing.bytes
 }
 
 // target returns the queue of a mirror target and creates it if needed.
-func (s *Spur) target(address string) *targetQueue {
+func (s *Engine) target(address string) *targetQueue {
 	target := s.targets[address]
 	if target == nil {
 		target = &targetQueue{}
@@ -94,7 +94,7 @@
 }
 
 // dropQueued drops all flows that wait for delivery.
-func (s *Spur) dropQueued() {
+func (s *Engine) dropQueued() {
 	for _, target := range s.targets {
 		for _, outgoing := range target.queue {
 			s.waitingFlows--
@@ -109,12 +109,12 @@
 
 // refillTokens refills this collector's equal part of the rule's rate limits, and reports whether
 // each limit allows another copy now.
-func (s *Spur) refillTokens(now float64) (requestAllowed, bytesAllowed bool) {
+func (s *Engine) refillTokens(now float64) (requestAllowed, bytesAllowed bool) {
 	collectors := 1
 	if s.members != nil {
 		collectors = 0
 		for _, member := range s.members.members {
-			if s.rule.Region == "" || member.Region == s.rule.Region {
+			if s.rule.CollectorRegion == "" || member.Region == s.rule.CollectorRegion {
 				collectors++
 			}
 		}
@@ -122,16 +122,16 @@
 	}
 	elapsedSeconds := (now - s.tokensRefilledAt) / 1000
 	s.tokensRefilledAt = now
-	for i, rate := range []float64{s.rule.RequestsPerS, s.rule.BytesPerS} {
+	for i, rate := range []float64{s.rule.MaxRequestsPerS, s.rule.MaxBytesPerS} {
 		rate /= float64(collectors)
 		s.tokens[i] = min(s.tokens[i]+rate*elapsedSeconds, max(rate*maxBurstSeconds, 1))
 	}
-	return s.rule.RequestsPerS == 0 || s.tokens[0] >= 1, s.rule.BytesPerS == 0 || s.tokens[1] > 0
+	return s.rule.MaxRequestsPerS == 0 || s.tokens[0] >= 1, s.rule.MaxBytesPerS == 0 || s.tokens[1] > 0
 }
 
-// Next returns a copy to send now, if there is one. The engine drops its own reference to the copy,
+// NextDelivery returns a copy to send now, if there is one. The engine drops its own reference to the copy,
 // so that it can't be sent again.
-func (s *Spur) Next(now float64) (*Delivery, bool) {
+func (s *Engine) NextDelivery(now float64) (*Delivery, bool) {
 	if s.rule == nil || s.rule.Stopped || s.targetIsLive || s.waitingFlows == 0 || now-s.membersAsOf > maxMembersAgePolls*s.pollIntervalMs {
 		return nil, false // the list of live workers may be outdated
 	}
@@ -159,28 +159,28 @@
 }
 
 // newDelivery takes the flow's next copy and consumes tokens for it.
-func (s *Spur) newDelivery(outgoing *outgoingFlow, address string) *Delivery {
+func (s *Engine) newDelivery(outgoing *outgoingFlow, address string) *Delivery {
 	piece := &outgoing.flow.pieces[outgoing.nextPiece]
-	delivery := &Delivery{ID: outgoing.deliveryID, Address: address, Timeout: s.rule.TimeoutS * 1000, Bytes: piece.copy.Bytes(), Journey: outgoing.flow.id, N: outgoing.nextPiece + 1, Of: len(outgoing.flow.pieces),
+	delivery := &Delivery{ID: outgoing.deliveryID, Address: address, TimeoutMs: s.rule.TargetTimeoutS * 1000, Bytes: piece.copy.Bytes(), Flow: outgoing.flow.id, Position: outgoing.nextPiece + 1, FlowSize: len(outgoing.flow.pieces),
 		Cause: outgoing.cause, copy: piece.copy}
 	outgoing.nextPiece++
 	s.tokens[0]--
 	s.tokens[1] -= float64(delivery.Bytes)
-	s.counts.Copies++
+	s.counts.CopiesIssued++
 	state := "whole"
-	if outgoing.cause != Fine {
+	if outgoing.cause != NotBroken {
 		state = "broken; cause=" + outgoing.cause.String()
 	}
 	delivery.head = fmt.Appendf(nil, "X-Foxwood-Shadow: %s; journey=%016x%016x; n=%d; of=%d; at=%.0f; status=%d; took=%.1f; digest=%016x; order=%d\r\n"+
-		"X-Foxwood-Shadow-Id: %016x-%d\r\nX-Foxwood-Expect-Worker: shadow\r\n", state, delivery.Journey.Spot, delivery.Journey.Rest, delivery.N, delivery.Of, max((piece.earliest+piece.latest)/2-outgoing.flow.earliest, 0), piece.response.Status, piece.response.TookMs,
-		piece.response.Digest, s.rule.Number, s.self.Life, delivery.ID)
-	piece.copy = Copy{}
+		"X-Foxwood-Shadow-Id: %016x-%d\r\nX-Foxwood-Expect-Worker: shadow\r\n", state, delivery.Flow.SelectionHash, delivery.Flow.CollectorHash, delivery.Position, delivery.FlowSize, max((piece.earliest+piece.latest)/2-outgoing.flow.earliest, 0), piece.response.Status, piece.response.DurationMs,
+		piece.response.BodyHash, s.rule.Number, s.self.Incarnation, delivery.ID)
+	piece.copy = RequestCopy{}
 	return delivery
 }
 
-// Told reports whether the mirror target answered a delivery. If it did not, the flow's later
+// ReportDelivery reports whether the mirror target answered a delivery. If it did not, the flow's later
 // copies are not sent. The answer itself is discarded.
-func (s *Spur) Told(now float64, id uint64, answered bool) {
+func (s *Engine) ReportDelivery(now float64, id uint64, answered bool) {
 	outgoing := s.inFlight[id]
 	if outgoing == nil {
 		return
@@ -188,7 +188,7 @@
 	delete(s.inFlight, id)
 	s.target(outgoing.flow.pieces[outgoing.nextPiece-1].target).inFlight--
 	if answered {
-		s.counts.CopiesDone++
+		s.counts.CopiesAnswered++
 	} else {
 		s.counts.CopiesFailed++
 	}
--- a/internal/spur/engine.go
+++ b/internal/spur/engine.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Spur is the mirroring engine of one gatekeeper. It copies requests, serves its copies to their
+// Engine is the mirroring engine of one gatekeeper. It copies requests, serves its copies to their
 // collectors, and collects and delivers the flows that are assigned to itself.
-type Spur struct {
-	self           Seat
+type Engine struct {
+	self           Member
 	startedAt      float64
 	maxBytes       int
 	pollIntervalMs float64 // between two fetches from one gatekeeper
 
-	rule              *Order
+	rule              *Rule
 	previousThreshold uint64 // threshold of the previous rule, kept until previousUntil
 	previousUntil     float64
 	targetIsLive      bool
@@ -41,7 +41,7 @@
 
 	// Collecting flows.
 	peers            map[memberKey]*peerState
-	flows            map[Journey]*flowState
+	flows            map[FlowID]*flowState
 	deadlines        flowDeadlines
 	openFlows        int
 	memberPeriods    []memberPeriod
@@ -63,21 +63,21 @@
 }
 
 // New returns an engine for a new incarnation of a gatekeeper.
-func New(config Config) *Spur {
-	engine := &Spur{self: config.Self, startedAt: config.Now, maxBytes: config.Room, pollIntervalMs: config.AskMs, tickets: map[Ticket]*ticket{}, outboxes: map[memberKey]*outbox{},
-		lastFetchAt: map[memberKey]float64{}, knownLists: map[uint64]*memberList{}, peers: map[memberKey]*peerState{}, flows: map[Journey]*flowState{},
+func New(config Config) *Engine {
+	engine := &Engine{self: config.Self, startedAt: config.Now, maxBytes: config.MaxBytes, pollIntervalMs: config.PollIntervalMs, tickets: map[Ticket]*ticket{}, outboxes: map[memberKey]*outbox{},
+		lastFetchAt: map[memberKey]float64{}, knownLists: map[uint64]*memberList{}, peers: map[memberKey]*peerState{}, flows: map[FlowID]*flowState{},
 		handoverReports: map[reportKey]receivedReport{}, targets: map[string]*targetQueue{}, inFlight: map[uint64]*outgoingFlow{}, handedOver: true, tokensRefilledAt: config.Now, membersAsOf: math.Inf(-1)}
 	if engine.pollIntervalMs <= 0 {
 		engine.pollIntervalMs = 500
 	}
-	engine.rulePeriods = []rulePeriod{{Stance{}, config.Now, math.Inf(1), false}}
-	engine.lossWindows = []lossWindow{{math.Inf(-1), config.Now, Started}}
+	engine.rulePeriods = []rulePeriod{{EffectiveRule{}, config.Now, math.Inf(1), false}}
+	engine.lossWindows = []lossWindow{{math.Inf(-1), config.Now, CollectorStarted}}
 	return engine
 }
 
-// Put applies a mirroring rule and reports whether it did. A rule whose number is not above that
+// SetRule applies a mirroring rule and reports whether it did. A rule whose number is not above that
 // of the current one is ignored.
-func (s *Spur) Put(now float64, rule *Order) bool {
+func (s *Engine) SetRule(now float64, rule *Rule) bool {
 	previous := s.rule
 	if previous != nil && rule.Number <= previous.Number {
 		return false
@@ -90,16 +90,16 @@
 		if now >= s.previousUntil {
 			s.previousThreshold = 0
 		}
-		s.previousThreshold, s.previousUntil = max(s.previousThreshold, previous.threshold), now+rule.SpanS*1000
+		s.previousThreshold, s.previousUntil = max(s.previousThreshold, previous.threshold), now+rule.MaxDurationS*1000
 	}
 	s.blockLiveTargets(now)
 	s.updateEffectiveRule(now)
 	for _, flow := range s.allFlows() { // flows that can't become complete any more free their memory at once
 		switch {
 		case rule.Stopped:
-			s.markBroken(flow, Stopped)
+			s.markBroken(flow, RuleStopped)
 		case flow.scopeHash != rule.scopeHash:
-			s.markBroken(flow, Changed)
+			s.markBroken(flow, RuleChanged)
 		}
 	}
 	if previous == nil || previous.scopeHash != rule.scopeHash { // its copies may be meant for other targets
@@ -108,10 +108,10 @@
 	return true
 }
 
-// Members sets the members as of the time asOf, which is not after now. The list contains this
+// SetMembers sets the members as of the time asOf, which is not after now. The list contains this
 // member unless it is leaving. It must also be called when the list is confirmed without a change:
 // no flow is found complete before the list is known to be valid beyond the flow's end.
-func (s *Spur) Members(now, asOf float64, members []Seat) {
+func (s *Engine) SetMembers(now, asOf float64, members []Member) {
 	list := newMemberList(members)
 	notMemberUntil := max(s.membersAsOf, s.startedAt) // a new member was not one as of then, and served no request
 	s.membersAsOf = max(s.membersAsOf, asOf)
@@ -121,7 +121,7 @@
 			peer = &peerState{member: member, coveredUntil: notMemberUntil, lastAnswerAt: now}
 			s.peers[member.key()] = peer
 		}
-		peer.member.Inner = member.Inner
+		peer.member.InternalAddress = member.InternalAddress
 	}
 	for key, peer := range s.peers {
 		peer.listed = list.contains(key)
@@ -140,7 +140,7 @@
 }
 
 // rememberList keeps a member list by its hash, and drops the oldest ones.
-func (s *Spur) rememberList(list *memberList) {
+func (s *Engine) rememberList(list *memberList) {
 	if s.knownLists[list.hash] != nil {
 		return
 	}
@@ -151,49 +151,49 @@
 	}
 }
 
-// Live sets the addresses of all live workers of all destinations. A rule with a mirror target
+// SetLiveAddresses sets the addresses of all live workers of all destinations. A rule with a mirror target
 // among them is disabled at once and permanently: only a new rule starts copying again.
-func (s *Spur) Live(now float64, addresses map[string]bool) {
+func (s *Engine) SetLiveAddresses(now float64, addresses map[string]bool) {
 	s.liveAddresses = addresses
 	s.blockLiveTargets(now)
 }
 
 // blockLiveTargets disables the current rule if one of its mirror targets is a live worker.
-func (s *Spur) blockLiveTargets(now float64) {
-	if s.rule == nil || s.rule.Stopped || s.targetIsLive || len(s.rule.Strikes(s.liveAddresses)) == 0 {
+func (s *Engine) blockLiveTargets(now float64) {
+	if s.rule == nil || s.rule.Stopped || s.targetIsLive || len(s.rule.LiveTargetFaults(s.liveAddresses)) == 0 {
 		return
 	}
 	s.targetIsLive = true
 	s.updateEffectiveRule(now)
 	for _, flow := range s.allFlows() {
-		s.markBroken(flow, Struck)
+		s.markBroken(flow, TargetIsLive)
 	}
 	s.dropQueued()
 }
 
-// Press stops copying while the gatekeeper is overloaded, and resumes it afterwards.
-func (s *Spur) Press(now float64, overloaded bool) { s.overloaded = overloaded }
+// SetOverloaded stops copying while the gatekeeper is overloaded, and resumes it afterwards.
+func (s *Engine) SetOverloaded(now float64, overloaded bool) { s.overloaded = overloaded }
 
-// Order returns the current mirroring rule, or nil.
-func (s *Spur) Order() *Order { return s.rule }
+// Rule returns the current mirroring rule, or nil.
+func (s *Engine) Rule() *Rule { return s.rule }
 
-// Waiting returns the number of flows in delivery or queued for it.
-func (s *Spur) Waiting() int { return s.waitingFlows }
+// WaitingFlows returns the number of flows in delivery or queued for it.
+func (s *Engine) WaitingFlows() int { return s.waitingFlows }
 
 // Status returns the current state.
-func (s *Spur) Status(now float64) Status {
-	status := Status{On: s.rule != nil && !s.rule.Stopped && !s.targetIsLive && !s.overloaded, Open: s.openFlows, Waiting: s.waitingFlows, Bytes: s.usedBytes, Room: s.maxBytes, Counts: s.counts}
+func (s *Engine) Status(now float64) Status {
+	status := Status{Active: s.rule != nil && !s.rule.Stopped && !s.targetIsLive && !s.overloaded, OpenFlows: s.openFlows, WaitingFlows: s.waitingFlows, UsedBytes: s.usedBytes, MaxBytes: s.maxBytes, Counts: s.counts}
 	if s.rule != nil {
-		status.Order = s.rule.Number
+		status.RuleNumber = s.rule.Number
 	}
 	switch {
 	case s.targetIsLive:
-		status.Why = Struck
+		status.InactiveCause = TargetIsLive
 	case s.overloaded:
-		status.Why = Pressed
+		status.InactiveCause = Overloaded
 	}
 	for _, outbox := range s.outboxes {
-		status.Queued += len(outbox.items)
+		status.QueuedItems += len(outbox.items)
 	}
 	if s.members != nil {
 		status.Members = len(s.members.members)
@@ -201,24 +201,24 @@
 	ownRule := s.rulePeriods[len(s.rulePeriods)-1].rule
 	for _, peer := range s.peers {
 		if !peer.done && now-peer.lastAnswerAt > 5*s.pollIntervalMs {
-			status.Silent = append(status.Silent, peer.member.Station)
+			status.UnresponsiveNodes = append(status.UnresponsiveNodes, peer.member.Node)
 		}
-		if peer.listed && (peer.rule.List != ownRule.List || peer.rule.Order != ownRule.Order) {
+		if peer.listed && (peer.rule.MembersHash != ownRule.MembersHash || peer.rule.RuleNumber != ownRule.RuleNumber) {
 			status.Settling = true
 		}
 	}
 	if len(s.peers) > 0 && !math.IsInf(s.membersAsOf, 0) {
 		if coveredUntil := s.coveredUntil(); !math.IsInf(coveredUntil, 0) {
-			status.CoverMs = now - coveredUntil
+			status.CoverageAgeMs = now - coveredUntil
 		}
-		status.ListMs = now - s.membersAsOf
+		status.MembersAgeMs = now - s.membersAsOf
 	}
-	slices.Sort(status.Silent)
+	slices.Sort(status.UnresponsiveNodes)
 	return status
 }
 
 // allFlows returns the flows that are being collected.
-func (s *Spur) allFlows() (flows []*flowState) {
+func (s *Engine) allFlows() (flows []*flowState) {
 	for flow := range maps.Values(s.flows) {
 		for ; flow != nil; flow = flow.next {
 			flows = append(flows, flow)
@@ -249,6 +249,6 @@
 }
 
 // scheduleCheck has advance check the flow at a time.
-func (s *Spur) scheduleCheck(flow *flowState, at float64) {
+func (s *Engine) scheduleCheck(flow *flowState, at float64) {
 	heap.Push(&s.deadlines, flowDeadline{at, flow})
 }
--- a/internal/spur/flow_test.go
+++ b/internal/spur/flow_test.go
@@ -9,9 +9,9 @@
 
 // removeMember removes a gatekeeper from the member list, without telling the others.
 func (c *testCluster) removeMember(node string) {
-	var remaining []Seat
+	var remaining []Member
 	for _, member := range c.members {
-		if member.Station != node {
+		if member.Node != node {
 			remaining = append(remaining, member)
 		}
 	}
@@ -47,77 +47,77 @@
 	}{
 		{"no memory at a gatekeeper", "", func(cluster *testCluster, name string) {
 			engine := cluster.engines["g0"]
-			ticket := engine.Begin(cluster.now, requestInfo(name))
+			ticket := engine.StartRequest(cluster.now, requestInfo(name))
 			engine.usedBytes += engine.maxBytes
-			engine.End(cluster.now, ticket, newRequest("b"), Real{})
+			engine.FinishRequest(cluster.now, ticket, newRequest("b"), LiveResponse{})
 			engine.usedBytes -= engine.maxBytes
-		}, Queue},
+		}, GatekeeperFull},
 		{"a gatekeeper is overloaded", "", func(cluster *testCluster, name string) {
-			cluster.engines["g0"].Press(cluster.now, true)
+			cluster.engines["g0"].SetOverloaded(cluster.now, true)
 			cluster.send("g0", name, "b")
-			cluster.engines["g0"].Press(cluster.now, false)
-		}, Pressed},
-		{"a body over the limit", `,"maxBody":3`, func(cluster *testCluster, name string) { cluster.send("g0", name, "long") }, TooLarge},
+			cluster.engines["g0"].SetOverloaded(cluster.now, false)
+		}, Overloaded},
+		{"a body over the limit", `,"maxBody":3`, func(cluster *testCluster, name string) { cluster.send("g0", name, "long") }, BodyTooLarge},
 		{"no complete answer", "", func(cluster *testCluster, name string) {
 			engine := cluster.engines["g0"]
-			engine.Drop(cluster.now, engine.Begin(cluster.now, requestInfo(name)), GivenUp)
-		}, GivenUp},
+			engine.DropRequest(cluster.now, engine.StartRequest(cluster.now, requestInfo(name)), NoAnswer)
+		}, NoAnswer},
 		{"a request without an answer", "", func(cluster *testCluster, name string) {
-			cluster.engines["g0"].Begin(cluster.now, requestInfo(name))
+			cluster.engines["g0"].StartRequest(cluster.now, requestInfo(name))
 			cluster.run(maxRequestMs/1000 + 1)
-		}, GivenUp},
+		}, NoAnswer},
 		{"outside the allowed regions", "", func(cluster *testCluster, name string) {
 			info := requestInfo(name)
-			info.Homes = []string{"elsewhere"}
-			assert.Equal(cluster.t, cluster.engines["g0"].Begin(cluster.now, info), Ticket(0))
-		}, Home},
+			info.AllowedRegions = []string{"elsewhere"}
+			assert.Equal(cluster.t, cluster.engines["g0"].StartRequest(cluster.now, info), Ticket(0))
+		}, OutsideRegion},
 		{"a gatekeeper died", "", func(cluster *testCluster, name string) {
 			cluster.send("g0", name, "b")
 			cluster.removeMember("g0")
 			delete(cluster.engines, "g0")
 			cluster.run(3)
-			member, others := Seat{"g0", 77, "", ""}, cluster.members
-			for cluster.members = append([]Seat{member}, others...); cluster.collector(name) != "g1"; cluster.members[0] = member { // an incarnation that does not become the flow's collector
-				member.Life++
+			member, others := Member{"g0", 77, "", ""}, cluster.members
+			for cluster.members = append([]Member{member}, others...); cluster.collector(name) != "g1"; cluster.members[0] = member { // an incarnation that does not become the flow's collector
+				member.Incarnation++
 				cluster.members[0] = member
 			}
 			cluster.startEngine(member, cluster.engines["g1"].rule)
 			cluster.run(1)
 			cluster.announceMembers()
-		}, Died},
+		}, MemberDied},
 		{"a gatekeeper dropped its items", "", func(cluster *testCluster, name string) {
 			engine := cluster.engines["g0"]
 			engine.usedBytes += engine.maxBytes * 2
-			engine.reportLost(cluster.now, cluster.collectorKey(name), Journey{1, 2}, engine.rule, cluster.now, Queue)
+			engine.reportLost(cluster.now, cluster.collectorKey(name), FlowID{1, 2}, engine.rule, cluster.now, GatekeeperFull)
 			engine.usedBytes -= engine.maxBytes * 2
-		}, Gap},
-		{"a gatekeeper does not respond", "", func(cluster *testCluster, name string) { cluster.unreachable["g0"] = true; cluster.run(200) }, Silent},
-		{"the rule changed", "", func(cluster *testCluster, name string) { cluster.setRule(newRule(cluster.t, 2, 1, `,"region":"x"`)) }, Changed},
+		}, ItemsLost},
+		{"a gatekeeper does not respond", "", func(cluster *testCluster, name string) { cluster.unreachable["g0"] = true; cluster.run(200) }, Unresponsive},
+		{"the rule changed", "", func(cluster *testCluster, name string) { cluster.setRule(newRule(cluster.t, 2, 1, `,"region":"x"`)) }, RuleChanged},
 		{"mirroring was stopped", "", func(cluster *testCluster, name string) {
-			rule, _ := ReadOrder([]byte(`{"number":2,"stopped":true}`))
+			rule, _ := ParseRule([]byte(`{"number":2,"stopped":true}`))
 			cluster.setRule(rule)
-		}, Stopped},
+		}, RuleStopped},
 		{"a mirror target became a live worker", "", func(cluster *testCluster, name string) {
 			for _, engine := range cluster.engines {
-				engine.Live(cluster.now, map[string]bool{"[::ffff:10.0.0.9]:80": true})
+				engine.SetLiveAddresses(cluster.now, map[string]bool{"[::ffff:10.0.0.9]:80": true})
 			}
-		}, Struck},
+		}, TargetIsLive},
 		{"no memory at the collector", "", func(cluster *testCluster, name string) {
 			engine := cluster.engines["g1"]
 			engine.usedBytes += engine.maxBytes - 200
 			cluster.send("g2", name, "b")
 			cluster.run(2)
 			engine.usedBytes -= engine.maxBytes - 200
-		}, Room},
+		}, CollectorFull},
 		{"too long", "", func(cluster *testCluster, name string) {
 			for range 21 {
 				cluster.send("g2", name, "b")
 				cluster.run(30)
 			}
-		}, Long},
+		}, TooLong},
 		{"the queue of the mirror target is full", "", func(cluster *testCluster, name string) {
 			cluster.engines["g1"].target("10.0.0.9:80").queuedBytes = 1 << 20
-		}, Limit},
+		}, TargetQueueFull},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			cluster := newTestCluster(t, 3, newRule(t, 1, 1, testCase.fields))
@@ -135,7 +135,7 @@
 // collectorKey returns the key of the member that collects the flow with that name.
 func (c *testCluster) collectorKey(name string) memberKey {
 	for _, member := range c.members {
-		if member.Station == c.collector(name) {
+		if member.Node == c.collector(name) {
 			return member.key()
 		}
 	}
@@ -143,9 +143,9 @@
 }
 
 // setRule applies a rule at all gatekeepers.
-func (c *testCluster) setRule(rule *Order) {
+func (c *testCluster) setRule(rule *Rule) {
 	for _, engine := range c.engines {
-		engine.Put(c.now, rule)
+		engine.SetRule(c.now, rule)
 	}
 }
 
@@ -186,11 +186,11 @@
 	cluster.run(10)
 	cluster.send("g2", name, "b")
 	cluster.run(200)
-	assert.Equal(t, cluster.brokenByCause()[Silent], 1)
+	assert.Equal(t, cluster.brokenByCause()[Unresponsive], 1)
 	cluster.unreachable["g0"] = false
 	cluster.run(100)
 	assert.Equal(t, len(cluster.deliveries), 0, "%v", cluster.deliveredBodies())
-	assert.Equal(t, cluster.brokenByCause()[Silent], 1)
+	assert.Equal(t, cluster.brokenByCause()[Unresponsive], 1)
 	for _, engine := range cluster.engines {
 		assert.Equal(t, engine.usedBytes, 0)
 		assert.Equal(t, engine.openFlows, 0)
@@ -227,7 +227,7 @@
 			}
 			next := newRule(t, 2, testCase.after, "")
 			for _, engine := range cluster.engines { // at different times
-				engine.Put(cluster.now, next)
+				engine.SetRule(cluster.now, next)
 				cluster.run(1)
 			}
 			cluster.run(testCase.late)
@@ -235,11 +235,11 @@
 			cluster.run(75)
 			got := ""
 			switch causes := cluster.brokenByCause(); {
-			case causes[Changed] == 1:
+			case causes[RuleChanged] == 1:
 				got = "broken"
-			case len(cluster.deliveries) > 0 && cluster.deliveries[len(cluster.deliveries)-1].N == cluster.deliveries[0].Of:
+			case len(cluster.deliveries) > 0 && cluster.deliveries[len(cluster.deliveries)-1].Position == cluster.deliveries[0].FlowSize:
 				got = "complete"
-			case cluster.engines["g1"].counts.NotChosen == 1:
+			case cluster.engines["g1"].counts.NotSelected == 1:
 				got = "not selected"
 			}
 			assert.Equal(t, got, testCase.want, "%v %v", cluster.deliveredBodies(), cluster.brokenByCause())
@@ -259,7 +259,7 @@
 		engine := cluster.engines[node]
 		engine.Close(cluster.now)
 		for range 20 {
-			if cluster.run(1); engine.Emptied(cluster.now) {
+			if cluster.run(1); engine.IsDrained(cluster.now) {
 				delete(cluster.engines, node)
 				return
 			}
@@ -267,7 +267,7 @@
 		t.Fatalf("%s still holds flows or items after 20 s: %+v", node, engine.Status(cluster.now))
 	}
 	join := func(cluster *testCluster, node string, incarnation uint64) {
-		member := Seat{node, incarnation, "", ""}
+		member := Member{node, incarnation, "", ""}
 		cluster.members = append(cluster.members, member)
 		cluster.startEngine(member, cluster.engines["g0"].rule)
 		cluster.announceMembers()
@@ -310,7 +310,7 @@
 		assert.Equal(t, len(cluster.brokenByCause()), 0, "%v", cluster.brokenByCause())
 		assert.Equal(t, len(cluster.deliveries), 30*rounds)
 		for _, delivery := range cluster.deliveries {
-			assert.Equal(t, delivery.Of, rounds)
+			assert.Equal(t, delivery.FlowSize, rounds)
 		}
 	})
 	t.Run("a member dies", func(t *testing.T) {
@@ -343,7 +343,7 @@
 		cluster.run(90)
 		assert.Equal(t, len(old), 4)
 		for _, delivery := range cluster.deliveries {
-			assert.Assert(t, delivery.Cause != Fine, "%v", cluster.deliveredBodies())
+			assert.Assert(t, delivery.Cause != NotBroken, "%v", cluster.deliveredBodies())
 		}
 	})
 }
@@ -364,11 +364,11 @@
 	finished := 0
 	for _, engine := range cluster.engines {
 		assert.Equal(t, engine.usedBytes, 0)
-		finished += int(engine.counts.Whole + engine.counts.Broken)
+		finished += int(engine.counts.Complete + engine.counts.Broken)
 	}
 	assert.Assert(t, finished >= 1000, "%d %v", finished, cluster.brokenByCause())
-	assert.Assert(t, cluster.brokenByCause()[Room]+cluster.brokenByCause()[Queue] > 100, "%v", cluster.brokenByCause())
+	assert.Assert(t, cluster.brokenByCause()[CollectorFull]+cluster.brokenByCause()[GatekeeperFull] > 100, "%v", cluster.brokenByCause())
 	for i := 0; i+1 < len(cluster.deliveries); i++ {
-		assert.Equal(t, cluster.deliveries[i].Of, 2)
+		assert.Equal(t, cluster.deliveries[i].FlowSize, 2)
 	}
 }
--- a/internal/spur/gap.go
+++ b/internal/spur/gap.go
@@ -1,9 +1,9 @@
 package spur
 
-// Gap reports that requests were forwarded whose start events were lost. Their flows are unknown,
+// ReportGap reports that requests were forwarded whose start events were lost. Their flows are unknown,
 // so it skips an item number in every outbox: each collector then knows that any of its flows may
 // lack a piece.
-func (s *Spur) Gap(now float64) {
+func (s *Engine) ReportGap(now float64) {
 	s.updateEffectiveRule(now)
 	s.rulePeriods[len(s.rulePeriods)-1].used = true
 	if s.members != nil {
@@ -20,6 +20,6 @@
 	}
 }
 
-// Forget drops a ticket whose request never ran, as its client was told. The request is not part
+// DiscardTicket drops a ticket whose request never ran, as its client was told. The request is not part
 // of its flow.
-func (s *Spur) Forget(_ float64, id Ticket) { delete(s.tickets, id) }
+func (s *Engine) DiscardTicket(_ float64, id Ticket) { delete(s.tickets, id) }
--- a/internal/spur/handover.go
+++ b/internal/spur/handover.go
@@ -14,25 +14,25 @@
 type pendingReport struct {
 	list                       *memberList
 	completeSince, unusedSince float64
-	unlisted                   []Seat
+	unlisted                   []Member
 	periods                    []memberPeriod
 	unreliable                 bool
 }
 
 // toWire converts the report with its times as ages.
-func (r *pendingReport) toWire(now float64) *Word {
-	report := &Word{List: r.list.hash, Seats: r.list.members, VouchMs: now - r.completeSince, UntilMs: now - r.unusedSince, Others: r.unlisted, Nothing: r.unreliable}
+func (r *pendingReport) toWire(now float64) *HandoverReport {
+	report := &HandoverReport{MembersHash: r.list.hash, Members: r.list.members, CompleteSinceMs: now - r.completeSince, UnusedSinceMs: now - r.unusedSince, Unlisted: r.unlisted, Unreliable: r.unreliable}
 	for _, period := range r.periods {
-		report.Stances = append(report.Stances, Before{period.rule, now - period.from, now - period.to})
+		report.PastRules = append(report.PastRules, PastRule{period.rule, now - period.from, now - period.to})
 	}
 	return report
 }
 
 // toWire converts the flow with its times as ages.
-func (f *flowState) toWire(now float64) *Given {
-	handedOver := &Given{FirstMs: now - f.earliest, LastMs: now - f.latest, Cause: f.cause, Counted: f.counted}
+func (f *flowState) toWire(now float64) *HandedOverFlow {
+	handedOver := &HandedOverFlow{FirstAgeMs: now - f.earliest, LastAgeMs: now - f.latest, Cause: f.cause, Counted: f.counted}
 	if f.receivedFrom != nil {
-		handedOver.List = f.receivedFrom.membersHash
+		handedOver.MembersHash = f.receivedFrom.membersHash
 	}
 	for _, piece := range f.pieces {
 		handedOver.Pieces = append(handedOver.Pieces, Piece{now - piece.latest, now - piece.earliest, piece.copy, piece.response, piece.target})
@@ -43,7 +43,7 @@
 const maxHandoverPolls = 20 // poll intervals that a hand-over waits until all use the new list
 
 // handOverFlows hands over the flows that other members collect under the current list.
-func (s *Spur) handOverFlows(now float64) {
+func (s *Engine) handOverFlows(now float64) {
 	if s.handedOver || s.members == nil || len(s.unreportedLists) == 0 {
 		return
 	}
@@ -51,7 +51,7 @@
 	for _, peer := range s.peers {
 		switch {
 		case peer.done:
-		case !peer.answered || peer.rule.List != s.members.hash || peer.coveredUntil < peer.ruleSince:
+		case !peer.answered || peer.rule.MembersHash != s.members.hash || peer.coveredUntil < peer.ruleSince:
 			allSwitched = false
 		default:
 			switchedAt = max(switchedAt, peer.ruleSince)
@@ -65,12 +65,12 @@
 	}
 	region := ""
 	if s.rule != nil {
-		region = s.rule.Region
+		region = s.rule.CollectorRegion
 	}
 	previousHash := s.unreportedLists[len(s.unreportedLists)-1]
 	flows := s.allFlows()
 	slices.SortFunc(flows, func(a, b *flowState) int {
-		return cmp.Or(cmp.Compare(a.id.Spot, b.id.Spot), cmp.Compare(a.id.Rest, b.id.Rest), cmp.Compare(a.earliest, b.earliest))
+		return cmp.Or(cmp.Compare(a.id.SelectionHash, b.id.SelectionHash), cmp.Compare(a.id.CollectorHash, b.id.CollectorHash), cmp.Compare(a.earliest, b.earliest))
 	})
 	for _, flow := range flows {
 		collector, ok := s.members.collector(region, flow.id)
@@ -78,23 +78,23 @@
 			continue
 		}
 		if !ok {
-			s.markBroken(flow, Moved)
+			s.markBroken(flow, Reassigned)
 			continue
 		}
 		switch {
 		case !allSwitched:
-			s.markBroken(flow, Moved)
-		case flow.cause == Fine:
-			if cause := s.checkBeforeHandover(flow, now); cause != Fine {
+			s.markBroken(flow, Reassigned)
+		case flow.cause == NotBroken:
+			if cause := s.checkBeforeHandover(flow, now); cause != NotBroken {
 				s.markBroken(flow, cause)
 			}
 		}
 		s.removeFlow(flow)
 		s.usedBytes -= flow.bytes
 		flow.receivedFrom = &reportKey{s.self.key(), previousHash}
-		s.pushItem(collector.key(), entry{item: Item{Journey: flow.id, Trail: flow.scopeHash}, startedAt: now, bytes: flow.bytes + itemCostBytes, flow: flow})
+		s.pushItem(collector.key(), entry{item: Item{Flow: flow.id, ScopeHash: flow.scopeHash}, startedAt: now, bytes: flow.bytes + itemCostBytes, flow: flow})
 	}
-	var unlisted []Seat // on no list, but may still serve requests
+	var unlisted []Member // on no list, but may still serve requests
 	for _, peer := range s.peers {
 		if !peer.listed && !peer.done && peer.member.key() != s.self.key() {
 			unlisted = append(unlisted, peer.member)
@@ -119,20 +119,20 @@
 
 // checkBeforeHandover checks an unfinished flow for completeness up to now, ignoring the periods of
 // the new list.
-func (s *Spur) checkBeforeHandover(flow *flowState, now float64) Cause {
+func (s *Engine) checkBeforeHandover(flow *flowState, now float64) Cause {
 	partial := *flow
 	partial.latest = min(flow.latest, now)
 	saved := s.memberPeriods
 	s.memberPeriods = nil
 	for _, period := range saved {
-		if period.rule.List != s.members.hash {
+		if period.rule.MembersHash != s.members.hash {
 			s.memberPeriods = append(s.memberPeriods, period)
 		}
 	}
 	cause := s.checkCompleteness(&partial)
 	s.memberPeriods = saved
 	if cause == notSelected {
-		return Changed
+		return RuleChanged
 	}
 	return cause
 }
@@ -141,7 +141,7 @@
 // collected under the previous list, including those without any piece. For each earlier list it
 // needs the reports of the members whose flows were reassigned to this one; these reports already
 // cover the lists before.
-func (s *Spur) completeSince() float64 {
+func (s *Engine) completeSince() float64 {
 	self := s.self.key()
 	since, ownSince := math.Inf(-1), math.Inf(-1)
 	if s.rule == nil || s.rule.Stopped {
@@ -150,10 +150,10 @@
 	previous := s.knownLists[s.unreportedLists[len(s.unreportedLists)-1]]
 	var periods []memberPeriod // one for each list, sorted by end
 	for _, period := range s.memberPeriods {
-		if period.rule.List == s.members.hash {
+		if period.rule.MembersHash == s.members.hash {
 			continue
 		}
-		if i := slices.IndexFunc(periods, func(other memberPeriod) bool { return other.rule.List == period.rule.List }); i >= 0 {
+		if i := slices.IndexFunc(periods, func(other memberPeriod) bool { return other.rule.MembersHash == period.rule.MembersHash }); i >= 0 {
 			periods[i].from, periods[i].to = min(periods[i].from, period.from), max(periods[i].to, period.to)
 		} else {
 			periods = append(periods, period)
@@ -161,12 +161,12 @@
 	}
 	slices.SortFunc(periods, func(a, b memberPeriod) int { return cmp.Compare(a.to, b.to) })
 	for i, period := range periods {
-		list, next := s.knownLists[period.rule.List], previous
+		list, next := s.knownLists[period.rule.MembersHash], previous
 		if list == previous {
 			continue
 		}
 		if i+1 < len(periods) {
-			next = s.knownLists[periods[i+1].rule.List]
+			next = s.knownLists[periods[i+1].rule.MembersHash]
 		}
 		nextPredates := i+1 < len(periods) && s.predatesIncarnation(periods[i+1])
 		if (list != nil && !list.contains(self) || s.predatesIncarnation(period)) && (next != nil && !next.contains(self) || nextPredates) {
@@ -201,30 +201,30 @@
 
 // predatesIncarnation reports whether a list was in use before this incarnation started, and so
 // can't contain it.
-func (s *Spur) predatesIncarnation(period memberPeriod) bool {
+func (s *Engine) predatesIncarnation(period memberPeriod) bool {
 	return period.from+clockSlackMs < s.startedAt
 }
 
 // addHandoverReport processes another collector's hand-over report.
-func (s *Spur) addHandoverReport(now float64, request Ask, peer *peerState, report *Word) {
-	list := newMemberList(report.Seats)
-	if list.hash != report.List {
+func (s *Engine) addHandoverReport(now float64, request FetchRequest, peer *peerState, report *HandoverReport) {
+	list := newMemberList(report.Members)
+	if list.hash != report.MembersHash {
 		return
 	}
 	s.rememberList(list)
 	if peer.lastGapAt > 0 && now-peer.lastGapAt < 2*maxHandoverPolls*s.pollIntervalMs { // the lost items may have included handed-over flows
 		return
 	}
-	for _, past := range report.Stances {
-		s.addMemberPeriod(past.Stance, request.At-past.BeganMs, now-past.EndedMs)
+	for _, past := range report.PastRules {
+		s.addMemberPeriod(past.Rule, request.SentAt-past.BeganMs, now-past.EndedMs)
 	}
-	for _, member := range report.Others {
+	for _, member := range report.Unlisted {
 		if s.peers[member.key()] == nil {
-			s.peers[member.key()] = &peerState{member: member, coveredUntil: request.At - report.UntilMs, lastAnswerAt: now}
+			s.peers[member.key()] = &peerState{member: member, coveredUntil: request.SentAt - report.UnusedSinceMs, lastAnswerAt: now}
 		}
 	}
-	key := reportKey{peer.member.key(), report.List}
-	received := receivedReport{now - report.VouchMs, request.At - report.UntilMs, report.Nothing}
+	key := reportKey{peer.member.key(), report.MembersHash}
+	received := receivedReport{now - report.CompleteSinceMs, request.SentAt - report.UnusedSinceMs, report.Unreliable}
 	if earlier, ok := s.handoverReports[key]; ok { // the same list may have been in use twice
 		received.completeSince, received.unreliable = max(received.completeSince, earlier.completeSince), received.unreliable || earlier.unreliable
 	}
@@ -232,27 +232,27 @@
 }
 
 // addHandedOverFlow processes a flow that another collector hands over.
-func (s *Spur) addHandedOverFlow(now float64, request Ask, peer *peerState, item *Item) {
-	handedOver := item.Given
-	earliest, latest := request.At-handedOver.FirstMs, now-handedOver.LastMs
-	flow := s.findOrCreateFlow(item.Journey, item.Trail, earliest, latest)
+func (s *Engine) addHandedOverFlow(now float64, request FetchRequest, peer *peerState, item *Item) {
+	handedOver := item.HandedOver
+	earliest, latest := request.SentAt-handedOver.FirstAgeMs, now-handedOver.LastAgeMs
+	flow := s.findOrCreateFlow(item.Flow, item.ScopeHash, earliest, latest)
 	if flow == nil {
 		return
 	}
-	flow.firstBefore = min(flow.firstBefore, now-handedOver.FirstMs)
-	flow.receivedFrom = &reportKey{peer.member.key(), handedOver.List}
-	if s.rule == nil || s.rule.scopeHash != item.Trail {
-		s.markBroken(flow, Changed)
+	flow.firstBefore = min(flow.firstBefore, now-handedOver.FirstAgeMs)
+	flow.receivedFrom = &reportKey{peer.member.key(), handedOver.MembersHash}
+	if s.rule == nil || s.rule.scopeHash != item.ScopeHash {
+		s.markBroken(flow, RuleChanged)
 	}
-	if handedOver.Cause != Fine && handedOver.Cause < causeCount {
+	if handedOver.Cause != NotBroken && handedOver.Cause < causeCount {
 		s.markBroken(flow, handedOver.Cause)
 	}
 	flow.counted = flow.counted || handedOver.Counted
 	// An earlier part of the flow may have been finished here and removed already.
-	if ownSince := s.collectedSince(item.Journey, latest); now > ownSince+s.idleTimeoutMs() {
-		s.markBroken(flow, Moved)
+	if ownSince := s.collectedSince(item.Flow, latest); now > ownSince+s.idleTimeoutMs() {
+		s.markBroken(flow, Reassigned)
 	}
 	for _, wirePiece := range handedOver.Pieces {
-		s.addPiece(flow, piece{request.At - wirePiece.HighMs, now - wirePiece.LowMs, wirePiece.Copy, wirePiece.Real, wirePiece.Shadow})
+		s.addPiece(flow, piece{request.SentAt - wirePiece.MaxAgeMs, now - wirePiece.MinAgeMs, wirePiece.Copy, wirePiece.Response, wirePiece.Target})
 	}
 }
--- a/internal/spur/mirror.go
+++ b/internal/spur/mirror.go
@@ -15,13 +15,13 @@
 
 import "fmt"
 
-// Seat identifies one incarnation of a gatekeeper process on a node. Each flow is collected by
+// Member identifies one incarnation of a gatekeeper process on a node. Each flow is collected by
 // one such member.
-type Seat struct {
-	Station string `cbor:"1,keyasint,omitempty"`
-	Life    uint64 `cbor:"2,keyasint,omitempty"`
-	Region  string `cbor:"3,keyasint,omitempty"`
-	Inner   string `cbor:"4,keyasint,omitempty"` // internal address for calls; not part of the identity
+type Member struct {
+	Node            string `cbor:"1,keyasint,omitempty"`
+	Incarnation     uint64 `cbor:"2,keyasint,omitempty"`
+	Region          string `cbor:"3,keyasint,omitempty"`
+	InternalAddress string `cbor:"4,keyasint,omitempty"` // internal address for calls; not part of the identity
 }
 
 // Cause is the reason why a flow is broken or left out. The list below is complete.
@@ -29,23 +29,23 @@
 
 // The causes. Fine means that the flow is not broken.
 const (
-	Fine     Cause = iota
-	Queue          // a gatekeeper had no memory or ticket left for a copy
-	Pressed        // a gatekeeper was overloaded
-	TooLarge       // a request body exceeded the rule's limit
-	GivenUp        // the real request got no complete answer, so it could not be copied
-	Home           // a copy would have left the regions in which the request may be served
-	Died           // a gatekeeper's incarnation ended before all its items were fetched
-	Gap            // a gatekeeper dropped items and can't tell whose
-	Silent         // a gatekeeper did not respond for longer than the rule waits
-	Moved          // another member collected the flow for a part of its time
-	Changed        // the rule changed during the flow, and the rule that applied at its start is uncertain
-	Started        // the flow may have started before its collector did
-	Room           // the collector had no memory for it
-	Long           // it lasted longer than the rule's maximum duration
-	Limit          // the queue for its mirror target was full
-	Struck         // a mirror target's address belonged to a live worker
-	Stopped        // mirroring was stopped
+	NotBroken        Cause = iota
+	GatekeeperFull         // a gatekeeper had no memory or ticket left for a copy
+	Overloaded             // a gatekeeper was overloaded
+	BodyTooLarge           // a request body exceeded the rule's limit
+	NoAnswer               // the real request got no complete answer, so it could not be copied
+	OutsideRegion          // a copy would have left the regions in which the request may be served
+	MemberDied             // a gatekeeper's incarnation ended before all its items were fetched
+	ItemsLost              // a gatekeeper dropped items and can't tell whose
+	Unresponsive           // a gatekeeper did not respond for longer than the rule waits
+	Reassigned             // another member collected the flow for a part of its time
+	RuleChanged            // the rule changed during the flow, and the rule that applied at its start is uncertain
+	CollectorStarted       // the flow may have started before its collector did
+	CollectorFull          // the collector had no memory for it
+	TooLong                // it lasted longer than the rule's maximum duration
+	TargetQueueFull        // the queue for its mirror target was full
+	TargetIsLive           // a mirror target's address belonged to a live worker
+	RuleStopped            // mirroring was stopped
 	causeCount
 )
 
@@ -62,7 +62,7 @@
 
 // Causes returns all causes but Fine.
 func Causes() (all []Cause) {
-	for c := Queue; c < causeCount; c++ {
+	for c := GatekeeperFull; c < causeCount; c++ {
 		all = append(all, c)
 	}
 	return all
@@ -70,55 +70,55 @@
 
 // Config holds the settings of a Spur.
 type Config struct {
-	Self Seat
-	Now  float64 // start of the incarnation in ms, before its first request
-	Room int     // memory limit for all copies, in bytes
-	// AskMs is the interval between two fetches from one gatekeeper, in ms; 0 means 500.
-	AskMs float64
+	Self     Member
+	Now      float64 // start of the incarnation in ms, before its first request
+	MaxBytes int     // memory limit for all copies, in bytes
+	// PollIntervalMs is the interval between two fetches from one gatekeeper, in ms; 0 means 500.
+	PollIntervalMs float64
 }
 
 // Counts are totals since the start of the incarnation. They are encoded by name, so renamed fields
 // keep the old name as a tag.
 type Counts struct {
 	// Requests.
-	Seen    uint64 `cbor:"Seen"` // on the rule's routes
-	Unnamed uint64 // without a flow name
-	Chosen  uint64 `cbor:"Chosen"` // of selected flows
-	Taken   uint64 `cbor:"Taken"`  // copied
-	Lost    uint64 // of selected flows, but not copied
+	Matched  uint64 `cbor:"Seen"` // on the rule's routes
+	Unnamed  uint64 // without a flow name
+	Selected uint64 `cbor:"Chosen"` // of selected flows
+	Copied   uint64 `cbor:"Taken"`  // copied
+	Lost     uint64 // of selected flows, but not copied
 
 	// Flows.
-	Whole     uint64 `cbor:"Whole"` // found complete
-	Broken    uint64
-	Delivered uint64             // all copies were answered
-	Held      uint64             `cbor:"Held"`      // broken and not delivered
-	NotChosen uint64             `cbor:"NotChosen"` // copied for the previous rule, but not selected by the current one
-	By        [causeCount]uint64 `cbor:"By"`        // broken flows by cause
+	Complete      uint64 `cbor:"Whole"` // found complete
+	Broken        uint64
+	Delivered     uint64             // all copies were answered
+	Withheld      uint64             `cbor:"Held"`      // broken and not delivered
+	NotSelected   uint64             `cbor:"NotChosen"` // copied for the previous rule, but not selected by the current one
+	BrokenByCause [causeCount]uint64 `cbor:"By"`        // broken flows by cause
 
-	// Copies to mirror targets.
-	Copies       uint64 `cbor:"Copies"`     // issued for sending
-	CopiesDone   uint64 `cbor:"CopiesDone"` // answered
-	CopiesFailed uint64 // not answered
-	CopiesUnsent uint64 // dropped, mostly since an earlier copy of the flow was not answered
+	// CopiesIssued to mirror targets.
+	CopiesIssued   uint64 `cbor:"Copies"`     // issued for sending
+	CopiesAnswered uint64 `cbor:"CopiesDone"` // answered
+	CopiesFailed   uint64 // not answered
+	CopiesUnsent   uint64 // dropped, mostly since an earlier copy of the flow was not answered
 
-	Doubt uint64 `cbor:"Doubt"` // pieces whose order within their flow is uncertain
+	UncertainOrder uint64 `cbor:"Doubt"` // pieces whose order within their flow is uncertain
 }
 
 // Status is the current state of a Spur. It is encoded by name, so renamed fields keep the old name
 // as a tag.
 type Status struct {
-	Order    uint64   `cbor:"Order"`   // number of the current rule, 0 without one
-	On       bool     `cbor:"On"`      // requests are being copied
-	Why      Cause    `cbor:"Why"`     // Struck or Pressed if one of these has stopped copying
-	Open     int      `cbor:"Open"`    // flows being collected here
-	Waiting  int      `cbor:"Waiting"` // flows in delivery or queued for it
-	Queued   int      `cbor:"Queued"`  // items not fetched yet
-	Bytes    int      `cbor:"Bytes"`   // memory in use
-	Room     int      `cbor:"Room"`    // memory limit in bytes
-	Silent   []string `cbor:"Silent"`  // nodes that have not responded for over five poll intervals
-	Members  int
-	Counts   Counts
-	CoverMs  float64 `cbor:"CoverMs"` // age of the time up to which the items of all gatekeepers are known
-	ListMs   float64 `cbor:"ListMs"`  // age of the member list
-	Settling bool    // not all gatekeepers have the same rule and members
+	RuleNumber        uint64   `cbor:"Order"`   // number of the current rule, 0 without one
+	Active            bool     `cbor:"On"`      // requests are being copied
+	InactiveCause     Cause    `cbor:"Why"`     // Struck or Pressed if one of these has stopped copying
+	OpenFlows         int      `cbor:"Open"`    // flows being collected here
+	WaitingFlows      int      `cbor:"Waiting"` // flows in delivery or queued for it
+	QueuedItems       int      `cbor:"Queued"`  // items not fetched yet
+	UsedBytes         int      `cbor:"Bytes"`   // memory in use
+	MaxBytes          int      `cbor:"Room"`    // memory limit in bytes
+	UnresponsiveNodes []string `cbor:"Silent"`  // nodes that have not responded for over five poll intervals
+	Members           int
+	Counts            Counts
+	CoverageAgeMs     float64 `cbor:"CoverMs"` // age of the time up to which the items of all gatekeepers are known
+	MembersAgeMs      float64 `cbor:"ListMs"`  // age of the member list
+	Settling          bool    // not all gatekeepers have the same rule and members
 }
--- a/internal/spur/outbox.go
+++ b/internal/spur/outbox.go
@@ -17,10 +17,10 @@
 
 // ticket is a request that is being copied.
 type ticket struct {
-	flow      Journey
+	flow      FlowID
 	startedAt float64
 	collector memberKey
-	rule      *Order
+	rule      *Rule
 	target    string
 }
 
@@ -45,17 +45,19 @@
 
 // rulePeriod is an effective rule and the time during which this member used it, in ms.
 type rulePeriod struct {
-	rule     Stance
+	rule     EffectiveRule
 	from, to float64
 	used     bool // a request was forwarded during it
 }
 
 // idle reports whether no request was forwarded in a period without members or rule. Such a period
 // does not affect any flow.
-func (p *rulePeriod) idle() bool { return !p.used && (p.rule.List == 0 || p.rule.Trail == 0) }
+func (p *rulePeriod) idle() bool {
+	return !p.used && (p.rule.MembersHash == 0 || p.rule.ScopeHash == 0)
+}
 
 // outbox returns the collector's outbox and creates it if needed.
-func (s *Spur) outbox(collector memberKey) *outbox {
+func (s *Engine) outbox(collector memberKey) *outbox {
 	box := s.outboxes[collector]
 	if box == nil {
 		box = &outbox{firstNumber: 1}
@@ -66,19 +68,19 @@
 
 // updateEffectiveRule returns the current effective rule, and starts a new rule period if it has
 // changed.
-func (s *Spur) updateEffectiveRule(now float64) Stance {
-	var current Stance
+func (s *Engine) updateEffectiveRule(now float64) EffectiveRule {
+	var current EffectiveRule
 	if rule := s.rule; rule != nil {
-		current.Order = rule.Number
+		current.RuleNumber = rule.Number
 		if !rule.Stopped && !s.targetIsLive {
-			current.Trail, current.Cut, current.All = rule.scopeHash, rule.threshold, rule.selectsAll
+			current.ScopeHash, current.Threshold, current.SelectsAll = rule.scopeHash, rule.threshold, rule.selectsAll
 			if now < s.previousUntil {
-				current.Was = s.previousThreshold
+				current.PreviousThreshold = s.previousThreshold
 			}
 		}
 	}
 	if s.members != nil {
-		current.List = s.members.hash
+		current.MembersHash = s.members.hash
 	}
 	latest := &s.rulePeriods[len(s.rulePeriods)-1]
 	if latest.rule != current {
@@ -91,10 +93,10 @@
 	return current
 }
 
-// Begin is called once for every request, after it was first forwarded to a live worker; not for
+// StartRequest is called once for every request, after it was first forwarded to a live worker; not for
 // retries. If the request is to be copied, it returns a ticket for which End or Drop must be called
 // once; otherwise it returns 0.
-func (s *Spur) Begin(now float64, request *Sight) Ticket {
+func (s *Engine) StartRequest(now float64, request *RequestInfo) Ticket {
 	rule := s.rule
 	if rule != nil && !rule.Stopped && !rule.matches(request) {
 		return 0
@@ -104,33 +106,33 @@
 	if rule == nil || rule.Stopped || s.targetIsLive {
 		return 0
 	}
-	s.counts.Seen++
+	s.counts.Matched++
 	id, ok := rule.flowID(request)
 	if !ok {
 		s.counts.Unnamed++
 		return 0
 	}
-	if rule.Chooses(id) {
-		s.counts.Chosen++
+	if rule.Selects(id) {
+		s.counts.Selected++
 	}
 	if !effective.mirrors(rule.scopeHash, id) || s.members == nil {
 		return 0
 	}
-	collector, ok := s.members.collector(rule.Region, id)
+	collector, ok := s.members.collector(rule.CollectorRegion, id)
 	if !ok {
 		return 0
 	}
 	target := rule.target(request.Route, request.Destination)
 	collectorKey := collector.key()
 	switch {
-	case !allowedIn(request.Homes, collector.Region) || !allowedIn(request.Homes, firstNonEmpty(target.Region, rule.Region)):
-		s.reportLost(now, collectorKey, id, rule, now, Home)
+	case !allowedIn(request.AllowedRegions, collector.Region) || !allowedIn(request.AllowedRegions, firstNonEmpty(target.Region, rule.CollectorRegion)):
+		s.reportLost(now, collectorKey, id, rule, now, OutsideRegion)
 		return 0
 	case s.overloaded:
-		s.reportLost(now, collectorKey, id, rule, now, Pressed)
+		s.reportLost(now, collectorKey, id, rule, now, Overloaded)
 		return 0
 	case len(s.tickets) >= maxTickets:
-		s.reportLost(now, collectorKey, id, rule, now, Queue)
+		s.reportLost(now, collectorKey, id, rule, now, GatekeeperFull)
 		return 0
 	}
 	s.lastTicket++
@@ -140,14 +142,14 @@
 	return s.lastTicket
 }
 
-// Chooses returns the request's flow and whether the current rule selects it, regardless of
+// SelectedFlow returns the request's flow and whether the current rule selects it, regardless of
 // whether it is copied.
-func (s *Spur) Chooses(request *Sight) (id Journey, chosen bool) {
+func (s *Engine) SelectedFlow(request *RequestInfo) (id FlowID, chosen bool) {
 	if s.rule == nil {
 		return id, false
 	}
-	id, ok := s.rule.Name(request)
-	return id, ok && s.rule.Chooses(id)
+	id, ok := s.rule.FlowOf(request)
+	return id, ok && s.rule.Selects(id)
 }
 
 // allowedIn reports whether a region is among the allowed ones; an empty list allows all. An
@@ -172,38 +174,38 @@
 	return b
 }
 
-// MaxBody returns the largest body that End accepts, in bytes. For larger ones the caller can call
+// MaxBodyBytes returns the largest body that End accepts, in bytes. For larger ones the caller can call
 // Drop at once.
-func (s *Spur) MaxBody() int {
+func (s *Engine) MaxBodyBytes() int {
 	if s.rule == nil {
 		return 0
 	}
-	return s.rule.MaxBody
+	return s.rule.MaxBodyBytes
 }
 
-// End queues the copy of a ticket's request for its collector, once the real answer is known.
-func (s *Spur) End(now float64, id Ticket, request *Request, response Real) {
+// FinishRequest queues the copy of a ticket's request for its collector, once the real answer is known.
+func (s *Engine) FinishRequest(now float64, id Ticket, request *Request, response LiveResponse) {
 	ticket := s.tickets[id]
 	if ticket == nil {
 		return
 	}
 	delete(s.tickets, id)
-	if len(request.Body) > ticket.rule.MaxBody {
-		s.reportLost(now, ticket.collector, ticket.flow, ticket.rule, ticket.startedAt, TooLarge)
+	if len(request.Body) > ticket.rule.MaxBodyBytes {
+		s.reportLost(now, ticket.collector, ticket.flow, ticket.rule, ticket.startedAt, BodyTooLarge)
 		return
 	}
 	copied := ticket.rule.newCopy(request)
 	cost := copied.Bytes() + itemCostBytes
 	if s.queuedBytes+cost > s.maxBytes/4 || s.usedBytes+cost > s.maxBytes {
-		s.reportLost(now, ticket.collector, ticket.flow, ticket.rule, ticket.startedAt, Queue)
+		s.reportLost(now, ticket.collector, ticket.flow, ticket.rule, ticket.startedAt, GatekeeperFull)
 		return
 	}
-	s.counts.Taken++
-	s.pushItem(ticket.collector, entry{item: Item{Journey: ticket.flow, Copy: copied, Real: response, Trail: ticket.rule.scopeHash, Shadow: ticket.target}, startedAt: ticket.startedAt, bytes: cost})
+	s.counts.Copied++
+	s.pushItem(ticket.collector, entry{item: Item{Flow: ticket.flow, Copy: copied, Response: response, ScopeHash: ticket.rule.scopeHash, Target: ticket.target}, startedAt: ticket.startedAt, bytes: cost})
 }
 
-// Drop ends a ticket without a copy, which breaks its flow.
-func (s *Spur) Drop(now float64, id Ticket, cause Cause) {
+// DropRequest ends a ticket without a copy, which breaks its flow.
+func (s *Engine) DropRequest(now float64, id Ticket, cause Cause) {
 	if ticket := s.tickets[id]; ticket != nil {
 		delete(s.tickets, id)
 		s.reportLost(now, ticket.collector, ticket.flow, ticket.rule, ticket.startedAt, cause)
@@ -211,14 +213,14 @@
 }
 
 // reportLost queues an item that tells the collector that the flow lacks a piece.
-func (s *Spur) reportLost(now float64, collector memberKey, id Journey, rule *Order, startedAt float64, cause Cause) {
+func (s *Engine) reportLost(now float64, collector memberKey, id FlowID, rule *Rule, startedAt float64, cause Cause) {
 	s.counts.Lost++
-	s.pushItem(collector, entry{item: Item{Journey: id, Lost: cause, Trail: rule.scopeHash}, startedAt: startedAt, bytes: itemCostBytes})
+	s.pushItem(collector, entry{item: Item{Flow: id, LostCause: cause, ScopeHash: rule.scopeHash}, startedAt: startedAt, bytes: itemCostBytes})
 }
 
 // pushItem queues an item. If there is not even memory for a report of a loss, it drops all items
 // of the outbox; the collector notices the gap in the numbers.
-func (s *Spur) pushItem(collector memberKey, added entry) {
+func (s *Engine) pushItem(collector memberKey, added entry) {
 	outbox := s.outbox(collector)
 	if s.usedBytes+added.bytes > s.maxBytes+s.maxBytes/8 {
 		outbox.firstNumber += uint64(len(outbox.items)) + 1
@@ -234,19 +236,19 @@
 }
 
 // release subtracts a dropped item from the memory in use.
-func (s *Spur) release(dropped *entry) {
+func (s *Engine) release(dropped *entry) {
 	s.usedBytes -= dropped.bytes
 	s.queuedBytes -= dropped.bytes
 }
 
-// Answer serves a fetch of a collector, which may be this gatekeeper itself.
-func (s *Spur) Answer(now float64, request Ask) Answer {
+// ServeFetch serves a fetch of a collector, which may be this gatekeeper itself.
+func (s *Engine) ServeFetch(now float64, request FetchRequest) FetchResponse {
 	if request.To.key() != s.self.key() {
-		return Answer{From: s.self, Wrong: true}
+		return FetchResponse{From: s.self, WrongIncarnation: true}
 	}
 	outbox := s.outbox(request.From.key())
 	s.lastFetchAt[request.From.key()] = now
-	for len(outbox.items) > 0 && outbox.firstNumber <= request.After {
+	for len(outbox.items) > 0 && outbox.firstNumber <= request.LastReceived {
 		s.release(&outbox.items[0])
 		outbox.items[0] = entry{}
 		outbox.items = outbox.items[1:]
@@ -258,12 +260,12 @@
 			break
 		}
 		if ticket != nil {
-			s.Drop(now, outbox.openTickets[0], GivenUp)
+			s.DropRequest(now, outbox.openTickets[0], NoAnswer)
 		}
 		outbox.openTickets = outbox.openTickets[1:]
 	}
-	response := Answer{From: s.self, UpMs: now - s.startedAt, First: outbox.firstNumber, Stance: s.updateEffectiveRule(now)}
-	budget := request.Room
+	response := FetchResponse{From: s.self, UptimeMs: now - s.startedAt, FirstNumber: outbox.firstNumber, Rule: s.updateEffectiveRule(now)}
+	budget := request.MaxBytes
 	if budget <= 0 || budget > maxAnswerBytes {
 		budget = maxAnswerBytes
 	}
@@ -274,10 +276,10 @@
 		item := queued.item
 		item.AgeMs = now - queued.startedAt
 		if queued.flow != nil {
-			item.Given = queued.flow.toWire(now)
+			item.HandedOver = queued.flow.toWire(now)
 		}
 		if queued.report != nil {
-			item.Word = queued.report.toWire(now)
+			item.Report = queued.report.toWire(now)
 		}
 		response.Items = append(response.Items, item)
 	}
@@ -288,17 +290,17 @@
 		lagMs = max(lagMs, now-s.tickets[outbox.openTickets[0]].startedAt)
 	}
 	response.LagMs = lagMs
-	response.Since = response.UpMs
+	response.HistoryMs = response.UptimeMs
 	if s.periodsDropped {
-		response.Since = now - s.rulePeriods[0].from
+		response.HistoryMs = now - s.rulePeriods[0].from
 	}
 	for i := range s.rulePeriods[:len(s.rulePeriods)-1] {
-		if period := &s.rulePeriods[i]; !period.idle() && (request.SinceMs == 0 || now-period.to <= request.SinceMs+clockSlackMs) {
-			response.Stances = append(response.Stances, Before{period.rule, now - period.from, now - period.to})
+		if period := &s.rulePeriods[i]; !period.idle() && (request.HistoryMs == 0 || now-period.to <= request.HistoryMs+clockSlackMs) {
+			response.PastRules = append(response.PastRules, PastRule{period.rule, now - period.from, now - period.to})
 		}
 	}
 	response.Idle = s.rulePeriods[len(s.rulePeriods)-1].idle()
-	response.HeldMs = now - s.rulePeriods[len(s.rulePeriods)-1].from
+	response.RuleAgeMs = now - s.rulePeriods[len(s.rulePeriods)-1].from
 	if s.closed && s.handedOver && !s.members.contains(s.self.key()) && len(outbox.items) == 0 && len(outbox.openTickets) == 0 {
 		response.Done, outbox.finished = true, true
 	}
@@ -307,11 +309,11 @@
 
 // Close marks the end of copying, after the last request of this incarnation. Fetches are still
 // served until Emptied returns true.
-func (s *Spur) Close(now float64) { s.closed = true }
+func (s *Engine) Close(now float64) { s.closed = true }
 
-// Emptied reports whether all items have been fetched, all flows handed over and all deliveries
+// IsDrained reports whether all items have been fetched, all flows handed over and all deliveries
 // finished, so that the process may exit without a loss.
-func (s *Spur) Emptied(now float64) bool {
+func (s *Engine) IsDrained(now float64) bool {
 	if !s.closed || !s.handedOver || s.members.contains(s.self.key()) || len(s.tickets) > 0 || s.waitingFlows > 0 {
 		return false
 	}
--- a/internal/spur/rule.go
+++ b/internal/spur/rule.go
@@ -11,42 +11,42 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Source says which part of a request holds the flow's name.
-type Source struct {
-	From string // header, cookie, trace (W3C traceparent) or caller (tenant plus a header)
+// FlowSource says which part of a request holds the flow's name.
+type FlowSource struct {
+	Kind string // header, cookie, trace (W3C traceparent) or caller (tenant plus a header)
 	Name string // of the header or cookie; empty for trace
 }
 
-// Shadow is a mirror target: a service that receives copies of one route or one destination.
-type Shadow struct {
+// Target is a mirror target: a service that receives copies of one route or one destination.
+type Target struct {
 	Route       string // set if Destination is empty
 	Destination string // set if Route is empty
 	Address     string // ip:port in the format of netip.AddrPort
 	Region      string // region of the target; empty means any
 }
 
-// Order is an operator's mirroring rule. It is immutable, so it may be read by several goroutines.
-type Order struct {
-	Number     uint64 // increases with each rule
-	Stopped    bool   // mirroring is off
-	Routes     []string
-	Share      float64 // part of the flows to mirror, 0 to 1
-	Key        string  // key of the flow hash
-	Journey    Source
-	TenantsOut []string
-	Shadows    []Shadow
-	Region     string // only members in this region collect flows; empty means any
-
-	BytesPerS, RequestsPerS float64  // for all mirror targets together; 0 means no limit
-	DeliverBroken           bool     // otherwise broken flows are withheld
-	HeadersOut              []string // removed in addition to credentials and cookies
-	CookiesKept             []string // all other cookies are removed
-	MaxBody                 int      // limit for a request body, in bytes
-	EndS                    float64  // idle timeout: a flow ends after this time without a request
-	SpanS                   float64  // a flow that lasts longer is broken
-	PatienceS               float64  // how long a finished flow waits for gatekeepers that do not respond
-	GoneS                   float64  // an unlisted gatekeeper without response for this time is taken to be gone; 0 means never
-	TimeoutS                float64  // limit for a mirror target's answer
+// Rule is an operator's mirroring rule. It is immutable, so it may be read by several goroutines.
+type Rule struct {
+	Number          uint64 // increases with each rule
+	Stopped         bool   // mirroring is off
+	Routes          []string
+	Share           float64 // part of the flows to mirror, 0 to 1
+	Key             string  // key of the flow hash
+	FlowSource      FlowSource
+	ExcludedTenants []string
+	Targets         []Target
+	CollectorRegion string // only members in this region collect flows; empty means any
+
+	MaxBytesPerS, MaxRequestsPerS float64  // for all mirror targets together; 0 means no limit
+	DeliverBroken                 bool     // otherwise broken flows are withheld
+	ExcludedHeaders               []string // removed in addition to credentials and cookies
+	KeptCookies                   []string // all other cookies are removed
+	MaxBodyBytes                  int      // limit for a request body, in bytes
+	IdleTimeoutS                  float64  // idle timeout: a flow ends after this time without a request
+	MaxDurationS                  float64  // a flow that lasts longer is broken
+	ResponseTimeoutS              float64  // how long a finished flow waits for gatekeepers that do not respond
+	GoneAfterS                    float64  // an unlisted gatekeeper without response for this time is taken to be gone; 0 means never
+	TargetTimeoutS                float64  // limit for a mirror target's answer
 
 	raw        []byte
 	scopeHash  uint64 // hash of all fields that affect flow IDs, collectors or targets, without the share
@@ -55,7 +55,7 @@
 	seed       uint64
 }
 
-// ReadOrder parses a mirroring rule in JSON and returns all faults with their fields. It does not
+// ParseRule parses a mirroring rule in JSON and returns all faults with their fields. It does not
 // keep the body.
 //
 //	{"number": 7, "routes": ["quotes"], "share": 0.1, "key": "...",
@@ -66,7 +66,7 @@
 //	 "patienceS": 600, "goneS": 0, "timeoutS": 5}
 //
 // A rule that stops mirroring is {"number": 8, "stopped": true}.
-func ReadOrder(body []byte) (*Order, []Fault) {
+func ParseRule(body []byte) (*Rule, []Fault) {
 	parser := ruleParser{}
 	rule := parser.parse(body)
 	if len(parser.faults) > 0 {
@@ -78,26 +78,26 @@
 }
 
 // Raw returns the JSON from which the rule was parsed.
-func (o *Order) Raw() []byte { return o.raw }
+func (o *Rule) Raw() []byte { return o.raw }
 
-// After returns nil if the rule may replace the previous one, which may be nil, and otherwise the
+// CheckSuccessor returns nil if the rule may replace the previous one, which may be nil, and otherwise the
 // reason why not.
-func (o *Order) After(previous *Order) *Fault {
+func (o *Rule) CheckSuccessor(previous *Rule) *Fault {
 	if previous != nil && o.Number <= previous.Number {
-		return &Fault{LowNumber, "number", fmt.Sprintf("%d is not above %d, the last order's", o.Number, previous.Number)}
+		return &Fault{StaleNumber, "number", fmt.Sprintf("%d is not above %d, the last order's", o.Number, previous.Number)}
 	}
 	return nil
 }
 
-// Strikes returns a fault for each mirror target whose address belongs to a live worker.
-func (o *Order) Strikes(liveAddresses map[string]bool) (faults []Fault) {
-	for i, target := range o.Shadows {
+// LiveTargetFaults returns a fault for each mirror target whose address belongs to a live worker.
+func (o *Rule) LiveTargetFaults(liveAddresses map[string]bool) (faults []Fault) {
+	for i, target := range o.Targets {
 		for liveAddress := range liveAddresses {
 			if !strings.HasSuffix(liveAddress, target.Address[strings.LastIndexByte(target.Address, ':'):]) {
 				continue // different port
 			}
 			if sameAddress(liveAddress, target.Address) {
-				faults = append(faults, Fault{LiveWorker, fmt.Sprintf("shadows[%d].address", i), target.Address + " is a live worker's"})
+				faults = append(faults, Fault{LiveAddress, fmt.Sprintf("shadows[%d].address", i), target.Address + " is a live worker's"})
 				break
 			}
 		}
@@ -122,7 +122,7 @@
 }
 
 // precompute sets the fields that are derived from the others for flow selection.
-func (o *Order) precompute() {
+func (o *Rule) precompute() {
 	if o.Stopped {
 		return
 	}
@@ -136,13 +136,13 @@
 		}
 		encoded = append(encoded, 0xff)
 	}
-	add(o.Key, o.Journey.From, strings.ToLower(o.Journey.Name), o.Region)
+	add(o.Key, o.FlowSource.Kind, strings.ToLower(o.FlowSource.Name), o.CollectorRegion)
 	add(slices.Sorted(slices.Values(o.Routes))...)
-	add(slices.Sorted(slices.Values(o.TenantsOut))...)
-	for _, target := range o.Shadows {
+	add(slices.Sorted(slices.Values(o.ExcludedTenants))...)
+	for _, target := range o.Targets {
 		add(target.Route, target.Destination, target.Address, target.Region)
 	}
-	add(fmt.Sprint(o.EndS, o.SpanS))
+	add(fmt.Sprint(o.IdleTimeoutS, o.MaxDurationS))
 	o.scopeHash = max(xxh3.Hash(encoded), 1)
 }
 
@@ -156,14 +156,14 @@
 
 // target returns the mirror target of a request, or nil. A target for the route takes precedence
 // over one for the destination.
-func (o *Order) target(route, destination string) *Shadow {
-	for i := range o.Shadows {
-		if target := &o.Shadows[i]; target.Route != "" && target.Route == route {
+func (o *Rule) target(route, destination string) *Target {
+	for i := range o.Targets {
+		if target := &o.Targets[i]; target.Route != "" && target.Route == route {
 			return target
 		}
 	}
-	for i := range o.Shadows {
-		if target := &o.Shadows[i]; target.Route == "" && target.Destination == destination {
+	for i := range o.Targets {
+		if target := &o.Targets[i]; target.Route == "" && target.Destination == destination {
 			return target
 		}
 	}
--- a/internal/spur/rule_parse.go
+++ b/internal/spur/rule_parse.go
@@ -32,17 +32,17 @@
 }
 
 // parse returns the rule in the body; it is valid only if no fault was recorded.
-func (r *ruleParser) parse(body []byte) *Order {
+func (r *ruleParser) parse(body []byte) *Rule {
 	if len(body) > maxRuleBytes || !utf8.Valid(body) || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		r.addFault(Unreadable, "", "the body is not one whole JSON object of %d bytes at most", maxRuleBytes)
 		return nil
 	}
-	rule := &Order{MaxBody: 64 << 10, EndS: 1800, SpanS: 86400, PatienceS: 600, TimeoutS: 5}
+	rule := &Rule{MaxBodyBytes: 64 << 10, IdleTimeoutS: 1800, MaxDurationS: 86400, ResponseTimeoutS: 600, TargetTimeoutS: 5}
 	fields := map[string]gjson.Result{}
 	r.object(gjson.ParseBytes(body), "", fields, "number", "stopped", "routes", "share", "key", "journey", "tenantsOut", "shadows", "region", "bytesPerS",
 		"requestsPerS", "broken", "headersOut", "cookiesKept", "maxBody", "endS", "spanS", "patienceS", "goneS", "timeoutS")
 	if value, ok := fields["number"]; !ok {
-		r.addFault(NoNumber, "number", "the order needs a number")
+		r.addFault(MissingNumber, "number", "the order needs a number")
 	} else {
 		rule.Number = uint64(r.integer(value, "number", 0, 1, maxExactInteger))
 	}
@@ -55,7 +55,7 @@
 	if rule.Stopped {
 		for name := range fields {
 			if name != "number" && name != "stopped" {
-				r.addFault(ExtraField, name, "a stop says its number only")
+				r.addFault(UnexpectedField, name, "a stop says its number only")
 			}
 		}
 		slices.SortFunc(r.faults, func(a, b Fault) int { return strings.Compare(a.Path, b.Path) })
@@ -63,37 +63,37 @@
 	}
 	rule.Routes = r.stringList(fields["routes"], "routes")
 	if len(rule.Routes) == 0 {
-		r.addFault(NoRoutes, "routes", "an order names routes, or is a stop")
+		r.addFault(MissingRoutes, "routes", "an order names routes, or is a stop")
 	}
 	if value, ok := fields["share"]; !ok {
-		r.addFault(OddNumber, "share", "the share is left out")
+		r.addFault(OutOfRange, "share", "the share is left out")
 	} else {
 		rule.Share = r.number(value, "share", 0, 0, 1)
 	}
 	if rule.Key = r.text(fields["key"], "key"); len(rule.Key) < minKeyBytes {
-		r.addFault(NoKey, "key", "a key of at least %d bytes is needed", minKeyBytes)
-	}
-	rule.Journey = r.source(fields["journey"])
-	rule.TenantsOut = r.stringList(fields["tenantsOut"], "tenantsOut")
-	rule.Shadows = r.targets(fields["shadows"])
-	rule.Region = r.text(fields["region"], "region")
-	rule.BytesPerS = r.number(fields["bytesPerS"], "bytesPerS", 0, 0, maxExactInteger)
-	rule.RequestsPerS = r.number(fields["requestsPerS"], "requestsPerS", 0, 0, maxExactInteger)
+		r.addFault(ShortKey, "key", "a key of at least %d bytes is needed", minKeyBytes)
+	}
+	rule.FlowSource = r.source(fields["journey"])
+	rule.ExcludedTenants = r.stringList(fields["tenantsOut"], "tenantsOut")
+	rule.Targets = r.targets(fields["shadows"])
+	rule.CollectorRegion = r.text(fields["region"], "region")
+	rule.MaxBytesPerS = r.number(fields["bytesPerS"], "bytesPerS", 0, 0, maxExactInteger)
+	rule.MaxRequestsPerS = r.number(fields["requestsPerS"], "requestsPerS", 0, 0, maxExactInteger)
 	switch value := r.text(fields["broken"], "broken"); value {
 	case "", "hold":
 	case "deliver":
 		rule.DeliverBroken = true
 	default:
-		r.addFault(UnknownBroken, "broken", "%.40q is neither hold nor deliver", value)
-	}
-	rule.HeadersOut = r.stringList(fields["headersOut"], "headersOut")
-	rule.CookiesKept = r.stringList(fields["cookiesKept"], "cookiesKept")
-	rule.MaxBody = r.integer(fields["maxBody"], "maxBody", rule.MaxBody, 0, maxCopiedBodyBytes)
-	rule.EndS = r.number(fields["endS"], "endS", rule.EndS, 10, 7*86400)
-	rule.SpanS = r.number(fields["spanS"], "spanS", rule.SpanS, 10, 31*86400)
-	rule.PatienceS = r.number(fields["patienceS"], "patienceS", rule.PatienceS, 0, 31*86400)
-	rule.GoneS = r.number(fields["goneS"], "goneS", 0, 0, 31*86400)
-	rule.TimeoutS = r.number(fields["timeoutS"], "timeoutS", rule.TimeoutS, 0.1, 300)
+		r.addFault(UnknownBrokenPolicy, "broken", "%.40q is neither hold nor deliver", value)
+	}
+	rule.ExcludedHeaders = r.stringList(fields["headersOut"], "headersOut")
+	rule.KeptCookies = r.stringList(fields["cookiesKept"], "cookiesKept")
+	rule.MaxBodyBytes = r.integer(fields["maxBody"], "maxBody", rule.MaxBodyBytes, 0, maxCopiedBodyBytes)
+	rule.IdleTimeoutS = r.number(fields["endS"], "endS", rule.IdleTimeoutS, 10, 7*86400)
+	rule.MaxDurationS = r.number(fields["spanS"], "spanS", rule.MaxDurationS, 10, 31*86400)
+	rule.ResponseTimeoutS = r.number(fields["patienceS"], "patienceS", rule.ResponseTimeoutS, 0, 31*86400)
+	rule.GoneAfterS = r.number(fields["goneS"], "goneS", 0, 0, 31*86400)
+	rule.TargetTimeoutS = r.number(fields["timeoutS"], "timeoutS", rule.TargetTimeoutS, 0.1, 300)
 	return rule
 }
 
@@ -105,7 +105,7 @@
 		case !slices.Contains(known, key.Str):
 			r.addFault(UnknownField, pathTo(fmt.Sprintf("%.40s", key.Str)), "no such field")
 		case twice:
-			r.addFault(SameName, pathTo(key.Str), "the field stands twice")
+			r.addFault(DuplicateEntry, pathTo(key.Str), "the field stands twice")
 		case value.Type != gjson.Null:
 			fields[key.Str] = value
 		}
@@ -114,33 +114,33 @@
 }
 
 // source returns the part of a request that holds the flow's name.
-func (r *ruleParser) source(value gjson.Result) (source Source) {
+func (r *ruleParser) source(value gjson.Result) (source FlowSource) {
 	fields := map[string]gjson.Result{}
 	if !value.IsObject() {
 		r.addFault(UnknownSource, "journey", "the order says not where a journey's name stands")
 		return source
 	}
 	r.object(value, "journey", fields, "from", "name")
-	source = Source{r.text(fields["from"], "journey.from"), r.text(fields["name"], "journey.name")}
-	switch source.From {
+	source = FlowSource{r.text(fields["from"], "journey.from"), r.text(fields["name"], "journey.name")}
+	switch source.Kind {
 	case "header", "cookie", "caller":
 		if source.Name == "" {
-			r.addFault(NoName, "journey.name", "a %s needs a name", source.From)
+			r.addFault(MissingName, "journey.name", "a %s needs a name", source.Kind)
 		}
 	case "trace":
 		if source.Name != "" {
-			r.addFault(ExtraField, "journey.name", "a trace has no name here")
+			r.addFault(UnexpectedField, "journey.name", "a trace has no name here")
 		}
 	default:
-		r.addFault(UnknownSource, "journey.from", "%.40q is none of header, cookie, trace, caller", source.From)
+		r.addFault(UnknownSource, "journey.from", "%.40q is none of header, cookie, trace, caller", source.Kind)
 	}
 	return source
 }
 
 // targets returns the mirror targets.
-func (r *ruleParser) targets(value gjson.Result) (targets []Shadow) {
+func (r *ruleParser) targets(value gjson.Result) (targets []Target) {
 	if !value.IsArray() {
-		r.addFault(NoShadow, "shadows", "a list of shadow services is needed")
+		r.addFault(MissingTarget, "shadows", "a list of shadow services is needed")
 		return nil
 	}
 	i := 0
@@ -153,23 +153,23 @@
 		}
 		fields := map[string]gjson.Result{}
 		r.object(row, path, fields, "route", "destination", "address", "region")
-		target := Shadow{r.text(fields["route"], path+".route"), r.text(fields["destination"], path+".destination"), r.text(fields["address"], path+".address"), r.text(fields["region"], path+".region")}
+		target := Target{r.text(fields["route"], path+".route"), r.text(fields["destination"], path+".destination"), r.text(fields["address"], path+".address"), r.text(fields["region"], path+".region")}
 		if (target.Route == "") == (target.Destination == "") {
-			r.addFault(NoName, path, "either a route or a destination is needed")
+			r.addFault(MissingName, path, "either a route or a destination is needed")
 		}
 		if address, err := netip.ParseAddrPort(target.Address); err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
-			r.addFault(OddAddress, path+".address", "%.60q is not ip:port", target.Address)
+			r.addFault(InvalidAddress, path+".address", "%.60q is not ip:port", target.Address)
 		} else {
 			target.Address = normalizeAddress(address).String()
 		}
-		if slices.ContainsFunc(targets, func(other Shadow) bool { return other.Route == target.Route && other.Destination == target.Destination }) {
-			r.addFault(SameName, path, "it is there twice")
+		if slices.ContainsFunc(targets, func(other Target) bool { return other.Route == target.Route && other.Destination == target.Destination }) {
+			r.addFault(DuplicateEntry, path, "it is there twice")
 		}
 		targets = append(targets, target)
 		return true
 	})
 	if i == 0 {
-		r.addFault(NoShadow, "shadows", "a list of shadow services is needed")
+		r.addFault(MissingTarget, "shadows", "a list of shadow services is needed")
 	}
 	return targets
 }
@@ -201,9 +201,9 @@
 		case item.Type != gjson.String:
 			r.addFault(WrongType, elementPath, "not a text")
 		case item.Str == "":
-			r.addFault(NoName, elementPath, "a name is empty")
+			r.addFault(MissingName, elementPath, "a name is empty")
 		case seen[item.Str]:
-			r.addFault(SameName, elementPath, "it is there twice")
+			r.addFault(DuplicateEntry, elementPath, "it is there twice")
 		}
 		seen[item.Str] = true
 		list = append(list, strings.Clone(item.Str))
@@ -220,7 +220,7 @@
 	case value.Type != gjson.Number:
 		r.addFault(WrongType, path, "not a number")
 	case !(value.Num >= minimum && value.Num <= maximum):
-		r.addFault(OddNumber, path, "%.40s is not within %g and %g", value.Raw, minimum, maximum)
+		r.addFault(OutOfRange, path, "%.40s is not within %g and %g", value.Raw, minimum, maximum)
 	default:
 		return value.Num
 	}
--- a/internal/spur/selection.go
+++ b/internal/spur/selection.go
@@ -8,50 +8,50 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Journey identifies a flow: the hash of its name with the rule's key, equal at every gatekeeper.
+// FlowID identifies a flow: the hash of its name with the rule's key, equal at every gatekeeper.
 // Spot is compared with the rule's threshold; Rest selects the collector.
-type Journey struct {
-	Spot uint64 `cbor:"1,keyasint"`
-	Rest uint64 `cbor:"2,keyasint"`
+type FlowID struct {
+	SelectionHash uint64 `cbor:"1,keyasint"`
+	CollectorHash uint64 `cbor:"2,keyasint"`
 }
 
-// Sight holds the properties of a request by which it is selected. Header returns the value of a
+// RequestInfo holds the properties of a request by which it is selected. Header returns the value of a
 // header that occurs exactly once; its name may be given in any case.
-type Sight struct {
+type RequestInfo struct {
 	Route, Destination, Tenant string
-	Homes                      []string // regions in which both the route and the tenant may be served; empty means all
+	AllowedRegions             []string // regions in which both the route and the tenant may be served; empty means all
 	Header                     func(name string) ([]byte, bool)
 }
 
 const maxFlowNameBytes = 512
 
 // matches reports whether the rule applies to the request's route, tenant and destination.
-func (o *Order) matches(request *Sight) bool {
-	return !o.Stopped && slices.Contains(o.Routes, request.Route) && !slices.Contains(o.TenantsOut, request.Tenant) && o.target(request.Route, request.Destination) != nil
+func (o *Rule) matches(request *RequestInfo) bool {
+	return !o.Stopped && slices.Contains(o.Routes, request.Route) && !slices.Contains(o.ExcludedTenants, request.Tenant) && o.target(request.Route, request.Destination) != nil
 }
 
-// Name returns the request's flow, and false if the request has none or the rule does not apply
+// FlowOf returns the request's flow, and false if the request has none or the rule does not apply
 // to it.
-func (o *Order) Name(request *Sight) (Journey, bool) {
+func (o *Rule) FlowOf(request *RequestInfo) (FlowID, bool) {
 	if !o.matches(request) {
-		return Journey{}, false
+		return FlowID{}, false
 	}
 	return o.flowID(request)
 }
 
 // flowID returns the hash of the flow name that the rule's source finds in the request.
-func (o *Order) flowID(request *Sight) (Journey, bool) {
+func (o *Rule) flowID(request *RequestInfo) (FlowID, bool) {
 	var name []byte
 	tenant := ""
-	switch o.Journey.From {
+	switch o.FlowSource.Kind {
 	case "header":
-		name, _ = request.Header(o.Journey.Name)
+		name, _ = request.Header(o.FlowSource.Name)
 	case "caller":
-		name, _ = request.Header(o.Journey.Name)
+		name, _ = request.Header(o.FlowSource.Name)
 		tenant = request.Tenant
 	case "cookie":
 		if header, ok := request.Header("Cookie"); ok {
-			name = cookieValue(header, o.Journey.Name)
+			name = cookieValue(header, o.FlowSource.Name)
 		}
 	case "trace":
 		if header, ok := request.Header("Traceparent"); ok {
@@ -59,18 +59,18 @@
 		}
 	}
 	if len(name) == 0 || len(name) > maxFlowNameBytes {
-		return Journey{}, false
+		return FlowID{}, false
 	}
 	var buffer [256]byte
 	encoded := binary.AppendUvarint(buffer[:0], uint64(len(tenant)))
 	encoded = append(append(encoded, tenant...), name...)
 	h := xxh3.Hash128Seed(encoded, o.seed)
-	return Journey{h.Hi, h.Lo}, true
+	return FlowID{h.Hi, h.Lo}, true
 }
 
-// Chooses reports whether the rule's share includes the flow.
-func (o *Order) Chooses(id Journey) bool {
-	return !o.Stopped && (o.selectsAll || id.Spot < o.threshold)
+// Selects reports whether the rule's share includes the flow.
+func (o *Rule) Selects(id FlowID) bool {
+	return !o.Stopped && (o.selectsAll || id.SelectionHash < o.threshold)
 }
 
 // cookieValue returns the value of the cookie with that name, if there is exactly one.
@@ -119,12 +119,12 @@
 
 // mirrors reports whether a gatekeeper with this effective rule copies the flow, whose ID comes
 // from a rule with that scope hash.
-func (s Stance) mirrors(scopeHash uint64, id Journey) bool {
-	return s.Trail == scopeHash && scopeHash != 0 && (s.All || id.Spot < max(s.Cut, s.Was))
+func (s EffectiveRule) mirrors(scopeHash uint64, id FlowID) bool {
+	return s.ScopeHash == scopeHash && scopeHash != 0 && (s.SelectsAll || id.SelectionHash < max(s.Threshold, s.PreviousThreshold))
 }
 
 // key returns the member's identity without its region and address.
-func (s Seat) key() memberKey { return memberKey{s.Station, s.Life} }
+func (s Member) key() memberKey { return memberKey{s.Node, s.Incarnation} }
 
 // memberKey is the identity of a member.
 type memberKey struct {
@@ -133,14 +133,14 @@
 }
 
 // hashMembers returns a hash of the members' nodes, regions and incarnations, never 0.
-func hashMembers(members []Seat) uint64 {
+func hashMembers(members []Member) uint64 {
 	var encoded []byte
 	for _, member := range members {
-		for _, text := range []string{member.Station, member.Region} {
+		for _, text := range []string{member.Node, member.Region} {
 			encoded = binary.AppendUvarint(encoded, uint64(len(text)))
 			encoded = append(encoded, text...)
 		}
-		encoded = binary.LittleEndian.AppendUint64(encoded, member.Life)
+		encoded = binary.LittleEndian.AppendUint64(encoded, member.Incarnation)
 	}
 	return max(xxh3.Hash(encoded), 1)
 }
@@ -148,42 +148,42 @@
 // memberList is a list of members by node name, with a hash of each for rendezvous hashing.
 type memberList struct {
 	hash    uint64
-	members []Seat
+	members []Member
 	hashes  []uint64
 }
 
 // newMemberList sorts the members by node and keeps one per node.
-func newMemberList(members []Seat) *memberList {
+func newMemberList(members []Member) *memberList {
 	list := &memberList{members: slices.Clone(members)}
-	slices.SortFunc(list.members, func(a, b Seat) int {
-		return bytes.Compare([]byte(a.Station), []byte(b.Station))
+	slices.SortFunc(list.members, func(a, b Member) int {
+		return bytes.Compare([]byte(a.Node), []byte(b.Node))
 	})
-	list.members = slices.CompactFunc(list.members, func(a, b Seat) bool { return a.Station == b.Station })
+	list.members = slices.CompactFunc(list.members, func(a, b Member) bool { return a.Node == b.Node })
 	list.hash = hashMembers(list.members)
 	for _, member := range list.members {
-		list.hashes = append(list.hashes, xxh3.HashStringSeed(member.Station, member.Life))
+		list.hashes = append(list.hashes, xxh3.HashStringSeed(member.Node, member.Incarnation))
 	}
 	return list
 }
 
 func (l *memberList) contains(key memberKey) bool {
-	return l != nil && slices.ContainsFunc(l.members, func(s Seat) bool { return s.key() == key })
+	return l != nil && slices.ContainsFunc(l.members, func(s Member) bool { return s.key() == key })
 }
 
 // collector returns the member that collects a flow: the one in the region with the highest hash
 // of flow and member. It returns false if the region has no member.
-func (l *memberList) collector(region string, id Journey) (Seat, bool) {
+func (l *memberList) collector(region string, id FlowID) (Member, bool) {
 	bestScore, bestIndex := uint64(0), -1
 	for i, memberHash := range l.hashes {
 		if region != "" && l.members[i].Region != region {
 			continue
 		}
-		if score := mixBits(memberHash ^ id.Rest); bestIndex < 0 || score > bestScore {
+		if score := mixBits(memberHash ^ id.CollectorHash); bestIndex < 0 || score > bestScore {
 			bestScore, bestIndex = score, i
 		}
 	}
 	if bestIndex < 0 {
-		return Seat{}, false
+		return Member{}, false
 	}
 	return l.members[bestIndex], true
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -17,9 +17,9 @@
 	Unavailable int // workers in the list that get no requests at present
 }
 
-// Figures is the counters of one process, which start at 0. Only the event loop may call its
+// Counters is the counters of one process, which start at 0. Only the event loop may call its
 // methods, except Lines.
-type Figures struct {
+type Counters struct {
 	byIndex         []*class // by the index of an active class
 	classes         []*class // all classes, in the order in which they were first named
 	attempts        uint64
@@ -32,23 +32,23 @@
 // table, because requests of the class may end after that.
 type class struct {
 	name   string
-	counts [3]uint64 // by gatekeeper.End
+	counts [3]uint64 // by gatekeeper.RequestResult
 }
 
-// Ended implements gatekeeper.Tally.
-func (c *class) Ended(how gatekeeper.End) { c.counts[how]++ }
+// RequestEnded implements gatekeeper.ClassMetrics.
+func (c *class) RequestEnded(how gatekeeper.RequestResult) { c.counts[how]++ }
 
 // New returns counters of 0 for the named classes.
-func New(names []string) *Figures {
-	f := &Figures{}
-	f.Name(names)
+func New(names []string) *Counters {
+	f := &Counters{}
+	f.SetClassNames(names)
 	f.Publish(Gauges{})
 	return f
 }
 
-// Name sets the names of the active classes, by their index. An empty name means that there is
+// SetClassNames sets the names of the active classes, by their index. An empty name means that there is
 // no class with that index.
-func (f *Figures) Name(names []string) {
+func (f *Counters) SetClassNames(names []string) {
 	f.byIndex = make([]*class, len(names))
 	for i, name := range names {
 		if name != "" {
@@ -58,7 +58,7 @@
 }
 
 // classNamed returns the counters of a class, which it creates at the first call.
-func (f *Figures) classNamed(name string) *class {
+func (f *Counters) classNamed(name string) *class {
 	for _, c := range f.classes {
 		if c.name == name {
 			return c
@@ -79,19 +79,19 @@
 	}, name)
 }
 
-// Class implements gatekeeper.Meter.
-func (f *Figures) Class(i int) gatekeeper.Tally {
+// Class implements gatekeeper.Metrics.
+func (f *Counters) Class(i int) gatekeeper.ClassMetrics {
 	if i < 0 || i >= len(f.byIndex) || f.byIndex[i] == nil {
 		return nil
 	}
 	return f.byIndex[i]
 }
 
-// Wrote implements gatekeeper.Meter.
-func (f *Figures) Wrote() { f.attempts++ }
+// AttemptSent implements gatekeeper.Metrics.
+func (f *Counters) AttemptSent() { f.attempts++ }
 
-// Reloaded counts a configuration file that was applied or rejected at SIGHUP.
-func (f *Figures) Reloaded(accepted bool) {
+// CountReload counts a configuration file that was applied or rejected at SIGHUP.
+func (f *Counters) CountReload(accepted bool) {
 	if accepted {
 		f.reloads++
 	} else {
@@ -99,11 +99,11 @@
 	}
 }
 
-// endNames is the names of the ways in which a request ends, by gatekeeper.End.
+// endNames is the names of the ways in which a request ends, by gatekeeper.RequestResult.
 var endNames = [3]string{"completed", "rejected", "failed"}
 
 // Publish formats the present counters and gauges for Lines.
-func (f *Figures) Publish(g Gauges) {
+func (f *Counters) Publish(g Gauges) {
 	text := make([]byte, 0, 64*(3*len(f.classes)+6))
 	line := func(name, class string, value uint64, kind string) {
 		text = append(append(text, "edge."...), name...)
@@ -129,4 +129,4 @@
 
 // Lines returns what was published last, as StatsD lines. Any goroutine may call it. The
 // caller must not change the text.
-func (f *Figures) Lines() []byte { return *f.lines.Load() }
+func (f *Counters) Lines() []byte { return *f.lines.Load() }
--- a/internal/store/bulk.go
+++ b/internal/store/bulk.go
@@ -50,13 +50,13 @@
 	switch {
 	case message.Append != nil:
 		entries(message.Append.Entries)
-	case message.Fill != nil:
-		state(&message.Fill.Whole.State)
-		entries(message.Fill.Whole.Tail)
-	case message.Enter != nil:
-		pointers = append(pointers, &message.Enter.Change.Body)
-	case message.ConfirmAnswer != nil && message.ConfirmAnswer.State != nil:
-		state(message.ConfirmAnswer.State)
+	case message.Snapshot != nil:
+		state(&message.Snapshot.Snapshot.State)
+		entries(message.Snapshot.Snapshot.Uncommitted)
+	case message.ForwardedChange != nil:
+		pointers = append(pointers, &message.ForwardedChange.Change.Body)
+	case message.ReadAnswer != nil && message.ReadAnswer.State != nil:
+		state(message.ReadAnswer.State)
 	}
 	return pointers
 }
@@ -105,20 +105,20 @@
 		appended := *message.Append
 		appended.Entries = entries(appended.Entries)
 		message.Append = &appended
-	case message.Fill != nil:
-		snapshot := *message.Fill
-		snapshot.Whole.State = state(snapshot.Whole.State)
-		snapshot.Whole.Tail = entries(snapshot.Whole.Tail)
-		message.Fill = &snapshot
-	case message.Enter != nil:
-		forwarded := *message.Enter
+	case message.Snapshot != nil:
+		snapshot := *message.Snapshot
+		snapshot.Snapshot.State = state(snapshot.Snapshot.State)
+		snapshot.Snapshot.Uncommitted = entries(snapshot.Snapshot.Uncommitted)
+		message.Snapshot = &snapshot
+	case message.ForwardedChange != nil:
+		forwarded := *message.ForwardedChange
 		forwarded.Change.Body = next(forwarded.Change.Body)
-		message.Enter = &forwarded
-	case message.ConfirmAnswer != nil && message.ConfirmAnswer.State != nil:
-		answer := *message.ConfirmAnswer
+		message.ForwardedChange = &forwarded
+	case message.ReadAnswer != nil && message.ReadAnswer.State != nil:
+		answer := *message.ReadAnswer
 		s := state(*answer.State)
 		answer.State = &s
-		message.ConfirmAnswer = &answer
+		message.ReadAnswer = &answer
 	}
 	return message
 }
@@ -126,7 +126,7 @@
 // messageKey identifies messages of which a newer one replaces an older one in the queue.
 type messageKey struct {
 	kind            byte
-	position        cairn.Stamp
+	position        cairn.LogPosition
 	incarnation, id uint64
 }
 
@@ -136,21 +136,21 @@
 	case message.Append != nil:
 		key.kind, view = 'a', message.Append.View
 		if n := len(message.Append.Entries); n > 0 {
-			key.position = message.Append.Entries[n-1].Stamp
+			key.position = message.Append.Entries[n-1].LogPosition
 		}
-	case message.Fill != nil:
-		key.kind, view = 'f', message.Fill.View
-	case message.Enter != nil:
-		key.kind, key.incarnation, key.id = 'e', message.Enter.Life, message.Enter.ID
-	case message.ConfirmAnswer != nil:
-		key.kind, key.incarnation, key.id = 'c', message.ConfirmAnswer.Life, message.ConfirmAnswer.ID
+	case message.Snapshot != nil:
+		key.kind, view = 'f', message.Snapshot.View
+	case message.ForwardedChange != nil:
+		key.kind, key.incarnation, key.id = 'e', message.ForwardedChange.Incarnation, message.ForwardedChange.ID
+	case message.ReadAnswer != nil:
+		key.kind, key.incarnation, key.id = 'c', message.ReadAnswer.Incarnation, message.ReadAnswer.ID
 	}
 	return key, view
 }
 
 // packedBlob is a compressed body with its hash.
 type packedBlob struct {
-	waymark.Blob
+	waymark.BodyRef
 	packed []byte
 }
 
@@ -175,7 +175,7 @@
 	}
 	digest := sha256.Sum256(raw)
 	packed := waymark.Deflate(raw)
-	body := packedBlob{waymark.Blob{Sum: digest[:], Len: len(raw), Packed: len(packed)}, packed}
+	body := packedBlob{waymark.BodyRef{SHA256: digest[:], Length: len(raw), DeflatedLength: len(packed)}, packed}
 	if p.bodies = append(p.bodies, cachedBody{raw, body}); len(p.bodies) > maxCachedBodies {
 		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
@@ -187,8 +187,8 @@
 	key        messageKey
 	view       uint64
 	message    cairn.Message
-	number     uint64          // number of the message; a replacement gets another
-	parcel     *waymark.Parcel // nil until its bodies are compressed
+	number     uint64               // number of the message; a replacement gets another
+	parcel     *waymark.BulkMessage // nil until its bodies are compressed
 	blobs      []packedBlob
 	progressAt float64 // when the receiver last accepted a part of it
 }
@@ -198,10 +198,10 @@
 	queue           []*transfer
 	lastNumber      uint64
 	chunkSize       int
-	wanted          *waymark.Wanted // the body that the receiver asked for and how much of it the receiver holds; nil if unknown
-	calledAt        float64         // when the current call was made
-	emptyCallMillis float64         // milliseconds that a call without data takes
-	noCallBefore    float64         // no call before this time
+	wanted          *waymark.MissingBody // the body that the receiver asked for and how much of it the receiver holds; nil if unknown
+	calledAt        float64              // when the current call was made
+	emptyCallMillis float64              // milliseconds that a call without data takes
+	noCallBefore    float64              // no call before this time
 }
 
 // enqueue queues a message and reports whether there was room for it.
@@ -235,15 +235,15 @@
 }
 
 // makeParcel compresses a message's bodies. It can take long, so it must be called without a lock.
-func (p *packCache) makeParcel(message cairn.Message) (*waymark.Parcel, []packedBlob) {
-	emptied, parcel, blobs := map[int][]byte{}, &waymark.Parcel{}, []packedBlob(nil)
+func (p *packCache) makeParcel(message cairn.Message) (*waymark.BulkMessage, []packedBlob) {
+	emptied, parcel, blobs := map[int][]byte{}, &waymark.BulkMessage{}, []packedBlob(nil)
 	for i, body := range bodyPointers(&message) {
 		if len(*body) >= minBulkBody {
 			emptied[i] = nil
 			packed := p.pack(*body)
-			packed.At = i
+			packed.Index = i
 			blobs = append(blobs, packed)
-			parcel.Blobs = append(parcel.Blobs, packed.Blob)
+			parcel.Bodies = append(parcel.Bodies, packed.BodyRef)
 		}
 	}
 	parcel.Message = withBodies(message, emptied)
@@ -251,13 +251,13 @@
 }
 
 // setPacked accepts the compressed form of the message with the given number.
-func (c *sender) setPacked(number uint64, parcel *waymark.Parcel, blobs []packedBlob) {
+func (c *sender) setPacked(number uint64, parcel *waymark.BulkMessage, blobs []packedBlob) {
 	if len(c.queue) > 0 && c.queue[0].number == number {
 		c.queue[0].parcel, c.queue[0].blobs = parcel, blobs
 	}
 }
 
-// nextCall returns the call to make now, a *waymark.Parcel or a *waymark.Chunk; or nil and the
+// nextCall returns the call to make now, a *waymark.BulkMessage or a *waymark.BodyChunk; or nil and the
 // milliseconds to wait, which are 0 if the first message must be compressed first and negative if
 // the queue is empty.
 func (c *sender) nextCall(now float64) (call any, wait float64) {
@@ -282,26 +282,26 @@
 		return first.parcel, 0
 	}
 	for _, body := range first.blobs {
-		if !bytes.Equal(body.Sum, c.wanted.Sum) || c.wanted.Have >= len(body.packed) {
+		if !bytes.Equal(body.SHA256, c.wanted.SHA256) || c.wanted.HeldBytes >= len(body.packed) {
 			continue
 		}
 		c.chunkSize = min(max(c.chunkSize, minChunk), maxChunk)
-		end := min(c.wanted.Have+c.chunkSize, len(body.packed))
-		return &waymark.Chunk{Blob: body.Blob, From: c.wanted.Have, Bytes: body.packed[c.wanted.Have:end]}, 0
+		end := min(c.wanted.HeldBytes+c.chunkSize, len(body.packed))
+		return &waymark.BodyChunk{Body: body.BodyRef, Offset: c.wanted.HeldBytes, Bytes: body.packed[c.wanted.HeldBytes:end]}, 0
 	}
 	c.wanted = nil
 	return first.parcel, 0
 }
 
 // handleWanted processes the answer to a parcel.
-func (c *sender) handleWanted(now float64, parcel *waymark.Parcel, answer waymark.Wanted) {
+func (c *sender) handleWanted(now float64, parcel *waymark.BulkMessage, answer waymark.MissingBody) {
 	c.emptyCallMillis = now - c.calledAt
 	if len(c.queue) == 0 {
 		return
 	}
 	c.queue[0].progressAt = now
 	switch {
-	case len(answer.Sum) > 0: // the message may have been replaced meanwhile: nextCall checks whether it has that body
+	case len(answer.SHA256) > 0: // the message may have been replaced meanwhile: nextCall checks whether it has that body
 		c.wanted = &answer
 	case c.queue[0].parcel == parcel:
 		c.advance(now)
@@ -309,7 +309,7 @@
 }
 
 // abandon gives up a parcel that the receiver will never accept.
-func (c *sender) abandon(now float64, parcel *waymark.Parcel) {
+func (c *sender) abandon(now float64, parcel *waymark.BulkMessage) {
 	if len(c.queue) > 0 && c.queue[0].parcel == parcel {
 		c.advance(now)
 	}
@@ -324,7 +324,7 @@
 }
 
 // handleTaken processes the answer to a chunk.
-func (c *sender) handleTaken(now float64, sent *waymark.Chunk, answer waymark.Taken) {
+func (c *sender) handleTaken(now float64, sent *waymark.BodyChunk, answer waymark.BodyChunkAck) {
 	switch elapsed := now - c.calledAt - c.emptyCallMillis; {
 	case elapsed <= growChunkMillis:
 		c.chunkSize *= 2
@@ -334,13 +334,13 @@
 	if len(c.queue) == 0 {
 		return
 	}
-	if answer.Have > sent.From {
+	if answer.HeldBytes > sent.Offset {
 		c.queue[0].progressAt = now
 	}
-	if c.wanted == nil || !bytes.Equal(c.wanted.Sum, sent.Blob.Sum) {
+	if c.wanted == nil || !bytes.Equal(c.wanted.SHA256, sent.Body.SHA256) {
 		return
 	}
-	if c.wanted.Have = answer.Have; answer.Have >= sent.Blob.Packed || answer.Have != sent.From+len(sent.Bytes) {
+	if c.wanted.HeldBytes = answer.HeldBytes; answer.HeldBytes >= sent.Body.DeflatedLength || answer.HeldBytes != sent.Offset+len(sent.Bytes) {
 		c.wanted = nil // the body is complete, or the receiver holds another part than assumed: ask it
 	}
 }
@@ -361,7 +361,7 @@
 
 // partialBody is a body of which not all chunks have arrived.
 type partialBody struct {
-	waymark.Blob
+	waymark.BodyRef
 	data []byte
 }
 
@@ -374,32 +374,32 @@
 
 // receiveParcel processes a message whose large bodies were left out: it returns the complete
 // message, or the first body that is still needed.
-func (d *receiver) receiveParcel(now float64, parcel waymark.Parcel) (message cairn.Message, wanted waymark.Wanted, err error) {
+func (d *receiver) receiveParcel(now float64, parcel waymark.BulkMessage) (message cairn.Message, wanted waymark.MissingBody, err error) {
 	bodies := map[int][]byte{}
 	total := 0
-	for _, body := range parcel.Blobs {
-		if total += body.Len; body.Len <= 0 || body.Packed <= 0 || len(body.Sum) != sha256.Size || total > maxBlobBytes {
-			return message, wanted, rpc.Errorf(rpc.Invalid, "a body of %d bytes, %d together", body.Len, total)
+	for _, body := range parcel.Bodies {
+		if total += body.Length; body.Length <= 0 || body.DeflatedLength <= 0 || len(body.SHA256) != sha256.Size || total > maxBlobBytes {
+			return message, wanted, rpc.Errorf(rpc.Invalid, "a body of %d bytes, %d together", body.Length, total)
 		}
 	}
-	for _, body := range parcel.Blobs {
+	for _, body := range parcel.Bodies {
 		raw := d.findBody(now, body)
 		if raw == nil {
 			received := 0
 			if partial := d.findPartial(body); partial != nil {
 				received = len(partial.data)
 			}
-			return message, waymark.Wanted{Sum: body.Sum, Have: received}, nil
+			return message, waymark.MissingBody{SHA256: body.SHA256, HeldBytes: received}, nil
 		}
-		bodies[body.At] = raw
+		bodies[body.Index] = raw
 	}
 	return withBodies(parcel.Message, bodies), wanted, nil
 }
 
 // findPartial returns the incomplete body with the given hash and lengths, or nil.
-func (d *receiver) findPartial(body waymark.Blob) *partialBody {
+func (d *receiver) findPartial(body waymark.BodyRef) *partialBody {
 	for _, candidate := range d.partial {
-		if bytes.Equal(candidate.Sum, body.Sum) && candidate.Packed == body.Packed && candidate.Len == body.Len {
+		if bytes.Equal(candidate.SHA256, body.SHA256) && candidate.DeflatedLength == body.DeflatedLength && candidate.Length == body.Length {
 			return candidate
 		}
 	}
@@ -408,10 +408,10 @@
 
 // findBody returns a complete body that is held already, from an earlier message or from the state, or
 // nil.
-func (d *receiver) findBody(now float64, body waymark.Blob) []byte {
+func (d *receiver) findBody(now float64, body waymark.BodyRef) []byte {
 	d.complete = slices.DeleteFunc(d.complete, func(held *completeBody) bool { return now-held.usedAt > blobLifetime })
 	for _, held := range d.complete {
-		if bytes.Equal(held.sum, body.Sum) {
+		if bytes.Equal(held.sum, body.SHA256) {
 			held.usedAt = now
 			return held.data
 		}
@@ -419,9 +419,9 @@
 	if d.state == nil {
 		return nil
 	}
-	answer := cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{State: d.state}}
+	answer := cairn.Message{ReadAnswer: &cairn.ReadAnswer{State: d.state}}
 	for _, raw := range bodyPointers(&answer) {
-		if len(*raw) == body.Len && bytes.Equal(d.hashes.hash(*raw), body.Sum) {
+		if len(*raw) == body.Length && bytes.Equal(d.hashes.hash(*raw), body.SHA256) {
 			return *raw
 		}
 	}
@@ -432,11 +432,11 @@
 func (p *packCache) hash(raw []byte) []byte {
 	for _, cached := range p.bodies {
 		if len(cached.raw) == len(raw) && &cached.raw[0] == &raw[0] {
-			return cached.Sum
+			return cached.SHA256
 		}
 	}
 	digest := sha256.Sum256(raw)
-	if p.bodies = append(p.bodies, cachedBody{raw, packedBlob{Blob: waymark.Blob{Sum: digest[:]}}}); len(p.bodies) > 2 {
+	if p.bodies = append(p.bodies, cachedBody{raw, packedBlob{BodyRef: waymark.BodyRef{SHA256: digest[:]}}}); len(p.bodies) > 2 {
 		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
 	return digest[:]
@@ -444,21 +444,21 @@
 
 // receiveChunk processes a part of a body. If too much is held, the bodies that were used least
 // recently are dropped.
-func (d *receiver) receiveChunk(now float64, chunk waymark.Chunk) (waymark.Taken, error) {
-	body := chunk.Blob
-	if body.Packed <= 0 || body.Packed > maxPartialBytes || body.Len <= 0 || body.Len > maxBlobBytes || len(body.Sum) != sha256.Size || len(chunk.Bytes) > maxChunk {
-		return waymark.Taken{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", body.Packed)
+func (d *receiver) receiveChunk(now float64, chunk waymark.BodyChunk) (waymark.BodyChunkAck, error) {
+	body := chunk.Body
+	if body.DeflatedLength <= 0 || body.DeflatedLength > maxPartialBytes || body.Length <= 0 || body.Length > maxBlobBytes || len(body.SHA256) != sha256.Size || len(chunk.Bytes) > maxChunk {
+		return waymark.BodyChunkAck{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", body.DeflatedLength)
 	}
 	if d.findBody(now, body) != nil {
-		return waymark.Taken{Have: body.Packed}, nil
+		return waymark.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
 	}
 	partial := d.findPartial(body)
 	if partial == nil {
-		partial = &partialBody{Blob: body}
+		partial = &partialBody{BodyRef: body}
 	}
 	d.partial = append(slices.DeleteFunc(d.partial, func(other *partialBody) bool { return other == partial }), partial) // the most recently used is last
-	if chunk.From != len(partial.data) || chunk.From+len(chunk.Bytes) > body.Packed {
-		return waymark.Taken{Have: len(partial.data)}, nil
+	if chunk.Offset != len(partial.data) || chunk.Offset+len(chunk.Bytes) > body.DeflatedLength {
+		return waymark.BodyChunkAck{HeldBytes: len(partial.data)}, nil
 	}
 	partial.data = append(partial.data, chunk.Bytes...)
 	for total := 0; len(d.partial) > 1; total = 0 {
@@ -470,18 +470,18 @@
 		}
 		d.partial = slices.Delete(d.partial, 0, 1)
 	}
-	if len(partial.data) < body.Packed {
-		return waymark.Taken{Have: len(partial.data)}, nil
+	if len(partial.data) < body.DeflatedLength {
+		return waymark.BodyChunkAck{HeldBytes: len(partial.data)}, nil
 	}
 	d.partial = d.partial[:len(d.partial)-1]
 	raw, err := waymark.Inflate(partial.data)
-	if err != nil || len(raw) != body.Len {
-		return waymark.Taken{}, nil // the transfer of this body starts over
+	if err != nil || len(raw) != body.Length {
+		return waymark.BodyChunkAck{}, nil // the transfer of this body starts over
 	}
-	if sum := sha256.Sum256(raw); !bytes.Equal(sum[:], body.Sum) {
-		return waymark.Taken{}, nil
+	if sum := sha256.Sum256(raw); !bytes.Equal(sum[:], body.SHA256) {
+		return waymark.BodyChunkAck{}, nil
 	}
-	d.complete = append(d.complete, &completeBody{body.Sum, raw, now})
+	d.complete = append(d.complete, &completeBody{body.SHA256, raw, now})
 	for total := 0; len(d.complete) > 1; total = 0 {
 		for _, held := range d.complete {
 			total += len(held.data)
@@ -491,5 +491,5 @@
 		}
 		d.complete = slices.Delete(d.complete, 0, 1)
 	}
-	return waymark.Taken{Have: body.Packed}, nil
+	return waymark.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
 }
--- a/internal/store/bulk_test.go
+++ b/internal/store/bulk_test.go
@@ -35,14 +35,14 @@
 
 // entry returns an entry of view 3 that sets a configuration.
 func entry(seq uint64, body []byte) cairn.Entry {
-	return cairn.Entry{Stamp: cairn.Stamp{Seq: seq, View: 3}, Prev: cairn.Stamp{Seq: seq - 1, View: 3},
+	return cairn.Entry{LogPosition: cairn.LogPosition{Seq: seq, View: 3}, Prev: cairn.LogPosition{Seq: seq - 1, View: 3},
 		Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: seq, Body: body}}
 }
 
 // snapshotMessage returns a message with a snapshot.
 func snapshotMessage(view, seq uint64, body []byte, tail ...cairn.Entry) cairn.Message {
-	return cairn.Message{Fill: &cairn.Fill{View: view, Whole: cairn.Whole{Tail: tail,
-		State: cairn.State{Last: cairn.Stamp{Seq: seq, View: view}, Edition: seq, Body: body}}}}
+	return cairn.Message{Snapshot: &cairn.SnapshotTransfer{View: view, Snapshot: cairn.LogSnapshot{Uncommitted: tail,
+		State: cairn.State{Last: cairn.LogPosition{Seq: seq, View: view}, Edition: seq, Body: body}}}}
 }
 
 // exchange makes a sender's next call to a receiver, encoded as on the network; duration gives the
@@ -57,20 +57,20 @@
 	switch call := call.(type) {
 	case nil:
 		return nil, 0, wait < 0
-	case *waymark.Parcel:
-		sent = rpc.Size(*call, true)
+	case *waymark.BulkMessage:
+		sent = rpc.FrameSize(*call, true)
 		if !connected {
 			c.handleFailure(now)
 			break
 		}
 		message, wanted, err := d.receiveParcel(now, onWire(t, *call))
 		assert.NilError(t, err)
-		if len(wanted.Sum) == 0 {
+		if len(wanted.SHA256) == 0 {
 			got = &message
 		}
 		c.handleWanted(now+duration(sent), call, onWire(t, wanted))
-	case *waymark.Chunk:
-		sent = rpc.Size(*call, true)
+	case *waymark.BodyChunk:
+		sent = rpc.FrameSize(*call, true)
 		if !connected {
 			c.handleFailure(now)
 			break
@@ -115,23 +115,23 @@
 // the sender's copy is not modified.
 func TestMessagesArriveUnchanged(t *testing.T) {
 	a, b, small := repeatedBody(minBulkBody, 'a'), repeatedBody(3*maxChunk, 'b'), []byte("small")
-	state := cairn.State{Last: cairn.Stamp{Seq: 7, View: 2}, Edition: 4, Body: a, Evacuated: map[string]uint64{"z": 3}, Touched: map[string]cairn.Stamp{"z": {Seq: 3, View: 1}},
-		Orders: map[string]cairn.Order{"x": {No: 2, Body: b}, "w": {No: 1, Body: small}, "y": {No: 3, Body: a}}}
+	state := cairn.State{Last: cairn.LogPosition{Seq: 7, View: 2}, Edition: 4, Body: a, Evacuated: map[string]uint64{"z": 3}, LastZoneChange: map[string]cairn.LogPosition{"z": {Seq: 3, View: 1}},
+		Orders: map[string]cairn.NamedOrder{"x": {Number: 2, Body: b}, "w": {Number: 1, Body: small}, "y": {Number: 3, Body: a}}}
 	for _, c := range []struct {
 		name  string
 		m     cairn.Message
 		bulky bool
 	}{
 		{"append", cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, a), entry(9, small), entry(10, nil), entry(11, b)}}}, true},
-		{"snapshot", cairn.Message{Fill: &cairn.Fill{View: 3, Whole: cairn.Whole{State: state, Tail: []cairn.Entry{entry(8, a), entry(9, b)}}}}, true},
-		{"enter", cairn.Message{Enter: &cairn.Enter{ID: 7, Life: 8, Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: 3, Body: b}}}, true},
-		{"answer", cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{ID: 7, Life: 8, State: &state}}, true},
-		{"answer without a state", cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{ID: 7, Life: 8}}, false},
+		{"snapshot", cairn.Message{Snapshot: &cairn.SnapshotTransfer{View: 3, Snapshot: cairn.LogSnapshot{State: state, Uncommitted: []cairn.Entry{entry(8, a), entry(9, b)}}}}, true},
+		{"enter", cairn.Message{ForwardedChange: &cairn.ForwardedChange{ID: 7, Incarnation: 8, Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: 3, Body: b}}}, true},
+		{"answer", cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 7, Incarnation: 8, State: &state}}, true},
+		{"answer without a state", cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 7, Incarnation: 8}}, false},
 		{"small", cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, small)}}}, false},
-		{"heartbeat", cairn.Message{Beat: &cairn.Beat{View: 3}}, false},
+		{"heartbeat", cairn.Message{Heartbeat: &cairn.Heartbeat{View: 3}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.m.From, c.m.To = cairn.Ident{Addr: "a:1", Disk: "x"}, cairn.Ident{Addr: "b:1", Disk: "y"}
+			c.m.From, c.m.To = cairn.MachineID{Addr: "a:1", Disk: "x"}, cairn.MachineID{Addr: "b:1", Disk: "y"}
 			assert.Equal(t, isBulky(&c.m), c.bulky)
 			before := onWire(t, c.m)
 			var queue sender
@@ -200,8 +200,8 @@
 		}
 		result.peak = max(result.peak, held)
 		if got != nil {
-			assert.Equal(t, got.Fill.View, view)
-			assert.Assert(t, bytes.Equal(got.Fill.Whole.State.Body, body))
+			assert.Equal(t, got.Snapshot.View, view)
+			assert.Assert(t, bytes.Equal(got.Snapshot.Snapshot.State.Body, body))
 			result.millis = now
 			return result
 		}
@@ -290,7 +290,7 @@
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
 	got, sent := exchangeAll(t, &c, d, 0)
 	assert.Assert(t, len(got) == 1 && sent < 1000, "%d", sent)
-	assert.Assert(t, bytes.Equal(got[0].Fill.Whole.State.Body, body))
+	assert.Assert(t, bytes.Equal(got[0].Snapshot.Snapshot.State.Body, body))
 
 	d = &receiver{}
 	assert.Assert(t, c.enqueue(0, cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, body)}}}))
@@ -298,7 +298,7 @@
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
 	_, second := exchangeAll(t, &c, d, 100)
 	assert.Assert(t, first > 20000 && second < 1000, "%d, %d", first, second)
-	d.findBody(100+2*blobLifetime, waymark.Blob{Len: 1})
+	d.findBody(100+2*blobLifetime, waymark.BodyRef{Length: 1})
 	assert.Equal(t, len(d.complete), 0, "complete bodies must be dropped after their lifetime")
 }
 
@@ -315,12 +315,12 @@
 	for range 99 {
 		assert.Assert(t, add(3, 8))
 		assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
-		assert.Assert(t, c.enqueue(0, cairn.Message{Enter: &cairn.Enter{ID: 1, Life: 1, Change: cairn.Change{Body: body}}}))
-		assert.Assert(t, c.enqueue(0, cairn.Message{ConfirmAnswer: &cairn.ConfirmAnswer{ID: 1, Life: 1, State: &cairn.State{Body: body}}}))
+		assert.Assert(t, c.enqueue(0, cairn.Message{ForwardedChange: &cairn.ForwardedChange{ID: 1, Incarnation: 1, Change: cairn.Change{Body: body}}}))
+		assert.Assert(t, c.enqueue(0, cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 1, Incarnation: 1, State: &cairn.State{Body: body}}}))
 	}
 	assert.Equal(t, len(c.queue), 4)
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 41, body)))
-	assert.Equal(t, c.queue[1].message.Fill.Whole.State.Edition, uint64(41), "the newest snapshot must replace the queued one")
+	assert.Equal(t, c.queue[1].message.Snapshot.Snapshot.State.Edition, uint64(41), "the newest snapshot must replace the queued one")
 	assert.Assert(t, add(4, 9))
 	assert.Equal(t, len(c.queue), 3, "messages of the older view must be dropped")
 	for seq := range uint64(maxQueuedTransfers - 3) {
@@ -386,7 +386,7 @@
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body, next)))
 	got, sent := exchangeAll(t, &c, d, 1)
 	assert.Equal(t, len(got), 1)
-	assert.Equal(t, len(got[0].Fill.Whole.Tail), 1)
+	assert.Equal(t, len(got[0].Snapshot.Snapshot.Uncommitted), 1)
 	assert.Assert(t, sent < len(waymark.Deflate(body))-received+2000)
 }
 
@@ -394,10 +394,10 @@
 // a call without data, and shrink to the minimum when it becomes slow.
 func TestChunkSizeFollowsLinkSpeed(t *testing.T) {
 	const far = 500.0
-	b := packedBlob{waymark.Blob{Sum: repeatedBody(32, 1), Len: 1 << 30, Packed: 64 << 20}, make([]byte, 64<<20)}
-	c := sender{queue: []*transfer{{parcel: &waymark.Parcel{}, blobs: []packedBlob{b}}}}
+	b := packedBlob{waymark.BodyRef{SHA256: repeatedBody(32, 1), Length: 1 << 30, DeflatedLength: 64 << 20}, make([]byte, 64<<20)}
+	c := sender{queue: []*transfer{{parcel: &waymark.BulkMessage{}, blobs: []packedBlob{b}}}}
 	c.nextCall(0)
-	c.handleWanted(far, c.queue[0].parcel, waymark.Wanted{Sum: b.Sum})
+	c.handleWanted(far, c.queue[0].parcel, waymark.MissingBody{SHA256: b.SHA256})
 	now := far
 	for _, line := range []struct {
 		perMs float64
@@ -405,12 +405,12 @@
 	}{{15000, maxChunk}, {250, 32 << 10}, {100, minChunk}, {10, minChunk}, {15000, maxChunk}} {
 		for range 8 {
 			call, _ := c.nextCall(now)
-			chunk := call.(*waymark.Chunk)
+			chunk := call.(*waymark.BodyChunk)
 			now += far + float64(len(chunk.Bytes))/line.perMs
-			c.handleTaken(now, chunk, waymark.Taken{Have: chunk.From + len(chunk.Bytes)})
+			c.handleTaken(now, chunk, waymark.BodyChunkAck{HeldBytes: chunk.Offset + len(chunk.Bytes)})
 		}
 		call, _ := c.nextCall(now)
-		assert.Equal(t, len(call.(*waymark.Chunk).Bytes), line.chunk, "%.0f bytes a ms", line.perMs)
+		assert.Equal(t, len(call.(*waymark.BodyChunk).Bytes), line.chunk, "%.0f bytes a ms", line.perMs)
 	}
 }
 
@@ -422,9 +422,9 @@
 	blob := cache.pack(body)
 	target := &receiver{}
 	send := func(from int, bytes []byte) int {
-		taken, err := target.receiveChunk(0, waymark.Chunk{Blob: blob.Blob, From: from, Bytes: bytes})
+		taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: blob.BodyRef, Offset: from, Bytes: bytes})
 		assert.NilError(t, err)
-		return taken.Have
+		return taken.HeldBytes
 	}
 	half := len(blob.packed) / 2
 	assert.Equal(t, send(7, blob.packed[7:half]), 0, "a chunk that is not the beginning was accepted")
@@ -437,24 +437,24 @@
 	assert.Equal(t, send(0, blob.packed[:half]), half)
 	assert.Equal(t, send(half, blob.packed[half:]), len(blob.packed))
 	assert.Equal(t, send(half, blob.packed[half:]), len(blob.packed), "late")
-	assert.Assert(t, bytes.Equal(target.findBody(0, blob.Blob), body))
+	assert.Assert(t, bytes.Equal(target.findBody(0, blob.BodyRef), body))
 
-	other := blob.Blob
-	other.Sum = repeatedBody(32, 'x') // the hash of a different body
+	other := blob.BodyRef
+	other.SHA256 = repeatedBody(32, 'x') // the hash of a different body
 	for from := 0; from < len(blob.packed); from += minChunk {
-		taken, err := target.receiveChunk(0, waymark.Chunk{Blob: other, From: from, Bytes: blob.packed[from:min(from+minChunk, len(blob.packed))]})
+		taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: other, Offset: from, Bytes: blob.packed[from:min(from+minChunk, len(blob.packed))]})
 		assert.NilError(t, err)
-		assert.Assert(t, taken.Have < len(blob.packed))
+		assert.Assert(t, taken.HeldBytes < len(blob.packed))
 	}
 	assert.Assert(t, target.findBody(0, other) == nil)
 
 	for i := range byte(40) { // bodies that are started and never completed
-		x := waymark.Blob{Sum: repeatedBody(32, i), Len: 20 << 20, Packed: 20 << 20}
+		x := waymark.BodyRef{SHA256: repeatedBody(32, i), Length: 20 << 20, DeflatedLength: 20 << 20}
 		for from := 0; from < 1<<20; {
-			taken, err := target.receiveChunk(0, waymark.Chunk{Blob: x, From: from, Bytes: make([]byte, maxChunk)})
+			taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: x, Offset: from, Bytes: make([]byte, maxChunk)})
 			assert.NilError(t, err)
-			assert.Equal(t, taken.Have, from+maxChunk)
-			from = taken.Have
+			assert.Equal(t, taken.HeldBytes, from+maxChunk)
+			from = taken.HeldBytes
 		}
 	}
 	n := 0
@@ -462,11 +462,11 @@
 		n += cap(x.data)
 	}
 	assert.Assert(t, n <= maxPartialBytes)
-	for _, bad := range []waymark.Blob{{}, {Sum: repeatedBody(32, 1), Len: 1, Packed: maxPartialBytes + 1}, {Sum: repeatedBody(32, 1), Len: maxBlobBytes + 1, Packed: 1}, {Sum: repeatedBody(3, 1), Len: 1, Packed: 1}} {
-		_, err := target.receiveChunk(0, waymark.Chunk{Blob: bad})
+	for _, bad := range []waymark.BodyRef{{}, {SHA256: repeatedBody(32, 1), Length: 1, DeflatedLength: maxPartialBytes + 1}, {SHA256: repeatedBody(32, 1), Length: maxBlobBytes + 1, DeflatedLength: 1}, {SHA256: repeatedBody(3, 1), Length: 1, DeflatedLength: 1}} {
+		_, err := target.receiveChunk(0, waymark.BodyChunk{Body: bad})
 		assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 	}
-	_, _, err := target.receiveParcel(0, waymark.Parcel{Blobs: []waymark.Blob{{Sum: repeatedBody(32, 1), Len: maxBlobBytes, Packed: 1}, {Sum: repeatedBody(32, 2), Len: 1, Packed: 1}}})
+	_, _, err := target.receiveParcel(0, waymark.BulkMessage{Bodies: []waymark.BodyRef{{SHA256: repeatedBody(32, 1), Length: maxBlobBytes, DeflatedLength: 1}, {SHA256: repeatedBody(32, 2), Length: 1, DeflatedLength: 1}}})
 	assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 }
 
@@ -525,9 +525,9 @@
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.NewServer()
-	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.AskStatus, error) {
+	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.StatusRequest, error) {
 		got <- m
-		return waymark.AskStatus{}, nil
+		return waymark.StatusRequest{}, nil
 	})
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Close)
@@ -546,7 +546,7 @@
 	seeds := []string{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"}
 	start := func(ip string, firstRun bool) (*Store, func()) {
 		set := *first
-		set.IP, set.FirstStations, set.FirstRun, set.ArchiveDir = ip, seeds, firstRun, t.TempDir()
+		set.IP, set.SeedNodes, set.FirstRun, set.DataDir = ip, seeds, firstRun, t.TempDir()
 		s := open(t, &set, noFault)
 		ctx, cancel := context.WithCancel(t.Context())
 		over := make(chan error, 1)
@@ -560,7 +560,7 @@
 	a, _ := start("127.0.0.1", true)
 	b, _ := start("127.0.0.2", true)
 	_, stop := start("127.0.0.3", true)
-	put := func(edition uint64) waymark.Enter {
+	put := func(edition uint64) waymark.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = routes(3000, edition)
 		return q
@@ -577,7 +577,7 @@
 	}
 	enter(t, c, put(edition+1))
 	for _, s := range []*Store{a, b, c} {
-		got := confirm(t, s, waymark.Confirm{})
+		got := confirm(t, s, waymark.CommittedStateRequest{})
 		assert.Equal(t, got.State.Edition, edition+1)
 		assert.Assert(t, bytes.Equal(got.State.Body, routes(3000, edition+1)))
 	}
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -83,7 +83,7 @@
 // isDamaged reports whether an error means that the data read differs from the data written.
 func isDamaged(err error) bool {
 	var damage *recordlog.ErrDamaged
-	var format *recordlog.ErrFormer
+	var format *recordlog.ErrEarlierFormat
 	var record *errUndecodable
 	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &record)
 }
@@ -101,10 +101,10 @@
 // readJournal opens the journal and reads all records. If rewrite is set, it also writes them once
 // more in full. It does not modify the fields that belong to the loop.
 func (s *Store) readJournal(rewrite bool) (journal, []cairn.Record, error) {
-	if err := os.MkdirAll(s.settings.ArchiveDir, 0o755); err != nil {
+	if err := os.MkdirAll(s.settings.DataDir, 0o755); err != nil {
 		return nil, nil, err
 	}
-	log, stored, err := s.open(s.settings.ArchiveDir)
+	log, stored, err := s.open(s.settings.DataDir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -141,12 +141,12 @@
 // startMachine starts a new state machine from what the disk holds.
 func (s *Store) startMachine(stored []cairn.Record) {
 	firstStart := s.settings.FirstRun && !s.hadRecords
-	s.machine = cairn.New(cairn.Config{Self: cairn.Ident{Addr: s.settings.Inner(innerDockIndex)}, Seeds: s.seedAddrs, FirstRun: firstStart, Seed: rand.Uint64()}, stored, s.now())
+	s.machine = cairn.New(cairn.Config{Self: cairn.MachineID{Addr: s.settings.InnerAddress(innerDockIndex)}, Seeds: s.seedAddrs, FirstRun: firstStart, Seed: rand.Uint64()}, stored, s.now())
 	s.hadRecords = s.hadRecords || len(stored) > 0
 	s.lost, s.size = nil, s.journal.Size()
 	s.known = committedSnapshot{s.machine.View(), s.machine.State()}
 	s.committedState.Store(s.known.state)
-	s.log.Info().Int("records", len(stored)).Uint64("view", s.machine.View().No).Bool("first", firstStart).Msg("journal read from disk")
+	s.log.Info().Int("records", len(stored)).Uint64("view", s.machine.View().Number).Bool("first", firstStart).Msg("journal read from disk")
 }
 
 // noteSynced records the state that may be reported from now on.
@@ -219,7 +219,7 @@
 	for id, waiter := range s.pending {
 		delete(s.pending, id)
 		outcome := cairn.Unknown
-		if waiter.Ask != nil {
+		if waiter.Read != nil {
 			outcome = cairn.Unavailable
 		}
 		s.answer(waiter, outcome)
@@ -305,7 +305,7 @@
 		s.counts.Compacted++
 		s.compactionFailed, s.size = false, s.journal.Size()
 		return nil
-	case !errors.Is(err, recordlog.ErrKept):
+	case !errors.Is(err, recordlog.ErrReplaceFailed):
 		return fmt.Errorf("disk: %w", err)
 	}
 	s.counts.Uncompacted++
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -109,7 +109,7 @@
 	switch {
 	case failure == nil:
 		return d.Journal.Replace(records)
-	case errors.Is(failure.err, recordlog.ErrKept):
+	case errors.Is(failure.err, recordlog.ErrReplaceFailed):
 		return failure.err
 	case failure.after:
 		if err := d.Journal.Replace(records); err != nil {
@@ -152,7 +152,7 @@
 // statusText returns the lines of a store's status.
 func statusText(t *testing.T, s *Store) string {
 	t.Helper()
-	status, err := s.handleStatus(t.Context(), waymark.AskStatus{})
+	status, err := s.handleStatus(t.Context(), waymark.StatusRequest{})
 	assert.NilError(t, err)
 	return strings.Join(status.Lines, "\n")
 }
@@ -171,13 +171,13 @@
 	began := time.Now()
 	_, err := s.handleEnter(t.Context(), configuration(99))
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
+	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.handleForget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
+	_, err = s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: "127.0.0.1:9"})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	known, err := s.handleConfirm(t.Context(), waymark.Confirm{Recall: true})
+	known, err := s.handleConfirm(t.Context(), waymark.CommittedStateRequest{AllowStale: true})
 	assert.NilError(t, err)
-	assert.Assert(t, known.Recalled, "expected local knowledge, got an answer of the tail")
+	assert.Assert(t, known.Stale, "expected local knowledge, got an answer of the tail")
 	if edition > 0 {
 		assert.Equal(t, known.State.Edition, edition)
 	}
@@ -207,9 +207,9 @@
 			s, log := f.newStore(t, set)
 			end := run(t, s)
 			enter(t, s, configuration(1))
-			confirm(t, s, waymark.Confirm{})
+			confirm(t, s, waymark.CommittedStateRequest{})
 			f.appendFailure.Store(&c.failure)
-			f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrKept, c.failure.err)})
+			f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrReplaceFailed, c.failure.err)})
 			_, err := s.handleEnter(t.Context(), configuration(2))
 			assert.Equal(t, rpc.KindOf(err), rpc.Unknown, "the change may be on the disk")
 			waitForStatus(t, s, "disk lost")
@@ -221,7 +221,7 @@
 			f.appendFailure.Store(nil)
 			f.replaceFailure.Store(nil)
 			waitForStatus(t, s, "sole")
-			back := confirm(t, s, waymark.Confirm{})
+			back := confirm(t, s, waymark.CommittedStateRequest{})
 			want := uint64(1)
 			if c.kept {
 				want = 2
@@ -236,7 +236,7 @@
 			set.FirstRun = false
 			s = open(t, set, noFault)
 			run(t, s)
-			assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
+			assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
 		})
 	}
 }
@@ -248,9 +248,9 @@
 	s, _ := f.newStore(t, settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"))
 	f.appendFailure.Store(&failure{err: unix.ENOSPC})
 	f.replaceFailure.Store(&failure{err: unix.ENOSPC})
-	var out cairn.Out
+	var out cairn.Output
 	s.step(event{}, &out)
-	assert.Assert(t, len(out.Sync) > 0 && len(out.Send) > 0)
+	assert.Assert(t, len(out.Persist) > 0 && len(out.Send) > 0)
 	err := s.releaseOutput(t.Context(), &out)
 	assert.ErrorIs(t, err, unix.ENOSPC)
 	s.loseDisk(err)
@@ -269,7 +269,7 @@
 func TestRestartAfterLostDisk(t *testing.T) {
 	f := &fault{}
 	s, _ := f.newStore(t, settings(t))
-	var out cairn.Out
+	var out cairn.Output
 	s.step(event{}, &out)
 	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	before := s.machine
@@ -282,14 +282,14 @@
 
 	// A disk that was replaced by an empty one meanwhile has lost its records: it is not at its first
 	// start, whatever the settings of this process say.
-	names, err := filepath.Glob(filepath.Join(s.settings.ArchiveDir, "*"))
+	names, err := filepath.Glob(filepath.Join(s.settings.DataDir, "*"))
 	assert.NilError(t, err)
 	for _, name := range names {
 		assert.NilError(t, os.RemoveAll(name))
 	}
 	assert.NilError(t, s.recoverDisk(t.Context()))
 	assert.Assert(t, s.machine.Self().Disk != before.Self().Disk)
-	assert.Equal(t, s.machine.View().No, uint64(0))
+	assert.Equal(t, s.machine.View().Number, uint64(0))
 }
 
 // TestFullDiskAtStart checks that the process starts and takes part once the disk works.
@@ -304,7 +304,7 @@
 		assert.Assert(t, strings.Contains(statusText(t, s), "disk lost"))
 		f.openFailure.Store(nil)
 		enter(t, s, configuration(1))
-		assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(1))
+		assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(1))
 		assert.Equal(t, log.count("disk lost"), 1)
 	}
 }
@@ -315,7 +315,7 @@
 	f := &fault{}
 	set := settings(t)
 	s, _ := f.newStore(t, set)
-	var out cairn.Out
+	var out cairn.Output
 	s.step(event{}, &out)
 	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	assert.NilError(t, s.journal.Append([][]byte{{0xff}}))
@@ -327,7 +327,7 @@
 	_, err = New(set, zerolog.Nop())
 	assert.Assert(t, errors.As(err, &record), "%v", err)
 
-	names, err := filepath.Glob(filepath.Join(set.ArchiveDir, "generation-*", "*"))
+	names, err := filepath.Glob(filepath.Join(set.DataDir, "generation-*", "*"))
 	assert.NilError(t, err)
 	bad, err := os.ReadFile(names[0])
 	assert.NilError(t, err)
@@ -347,8 +347,8 @@
 	f := &fault{}
 	s, log := f.newStore(t, settings(t))
 	end := run(t, s)
-	f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrKept, unix.ENOSPC)})
-	big := func(edition uint64) waymark.Enter {
+	f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrReplaceFailed, unix.ENOSPC)})
+	big := func(edition uint64) waymark.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = make([]byte, 5<<20)
 		return q
@@ -356,10 +356,10 @@
 	for edition := range uint64(3) {
 		enter(t, s, big(edition+1))
 	}
-	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
+	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
 	f.replaceFailure.Store(nil)
 	enter(t, s, big(4))
-	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(4))
+	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(4))
 	assert.NilError(t, end())
 	assert.Equal(t, s.counts.Lost, uint64(0))
 	assert.Assert(t, s.counts.Uncompacted >= 3 && s.counts.Compacted >= 1)
@@ -374,7 +374,7 @@
 	waitForStatus(t, s, "disk lost")
 	f.replaceFailure.Store(nil)
 	enter(t, s, configuration(2))
-	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(2))
+	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(2))
 }
 
 // TestHangingDisk checks that pending and new requests are refused and nothing is sent; once the
@@ -388,13 +388,13 @@
 	enter(t, s, configuration(1))
 	resume := make(chan struct{})
 	answers := map[uint64]chan result{}
-	for i, e := range []cairn.Event{{Submit: &cairn.Submit{Change: configuration(2).Change}}, {Ask: &cairn.Ask{}}} {
+	for i, e := range []cairn.Event{{Submit: &cairn.Submit{Change: configuration(2).Change}}, {Read: &cairn.Read{}}} {
 		id := uint64(1e9) + uint64(i)
 		answers[id] = make(chan result, 1)
 		if e.Submit != nil {
 			e.Submit.ID = id
 		} else {
-			e.Ask.ID = id
+			e.Read.ID = id
 		}
 		s.events <- event{Event: e, id: id, done: answers[id]}
 		if i == 0 {
@@ -419,7 +419,7 @@
 	close(resume)
 	waitForStatus(t, s, "sole")
 	enter(t, s, configuration(3))
-	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(3))
+	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
 	assert.Assert(t, log.count("disk hangs") >= 1)
 	assert.Assert(t, log.count("disk answers again") >= 1)
 	assert.NilError(t, end())
--- a/internal/store/lane.go
+++ b/internal/store/lane.go
@@ -84,15 +84,15 @@
 			case <-lane.wake:
 			case <-time.After(time.Duration(wait * 1e6)):
 			}
-		case *waymark.Parcel:
-			answer, err := callLane[waymark.Parcel, waymark.Wanted](lane, call)
+		case *waymark.BulkMessage:
+			answer, err := callLane[waymark.BulkMessage, waymark.MissingBody](lane, call)
 			lane.mu.Lock()
 			switch kind := rpc.KindOf(err); {
 			case err == nil:
 				lane.handleWanted(s.now(), call, answer)
 			case kind == rpc.NotFound: // the receiver is an earlier release without chunked transfer
 				if len(lane.queue) > 0 && lane.queue[0].parcel == call {
-					_ = rpc.Tell(lane.peer, lane.queue[0].message)
+					_ = rpc.Notify(lane.peer, lane.queue[0].message)
 				}
 				lane.abandon(s.now(), call)
 			case kind == rpc.Invalid:
@@ -101,8 +101,8 @@
 				lane.handleFailure(s.now())
 			}
 			lane.mu.Unlock()
-		case *waymark.Chunk:
-			answer, err := callLane[waymark.Chunk, waymark.Taken](lane, call)
+		case *waymark.BodyChunk:
+			answer, err := callLane[waymark.BodyChunk, waymark.BodyChunkAck](lane, call)
 			lane.mu.Lock()
 			if err == nil {
 				lane.handleTaken(s.now(), call, answer)
@@ -122,12 +122,12 @@
 }
 
 // handleParcel handles a call of another machine's sender that starts or completes a message.
-func (s *Store) handleParcel(ctx context.Context, parcel waymark.Parcel) (waymark.Wanted, error) {
+func (s *Store) handleParcel(ctx context.Context, parcel waymark.BulkMessage) (waymark.MissingBody, error) {
 	s.receiverMu.Lock()
 	s.receiver.state = s.committedState.Load()
 	message, wanted, err := s.receiver.receiveParcel(s.now(), parcel)
 	s.receiverMu.Unlock()
-	if err != nil || len(wanted.Sum) > 0 {
+	if err != nil || len(wanted.SHA256) > 0 {
 		return wanted, err
 	}
 	_, err = s.handleMessage(ctx, message)
@@ -135,7 +135,7 @@
 }
 
 // handleChunk handles a call of another machine's sender that carries a part of a body.
-func (s *Store) handleChunk(_ context.Context, chunk waymark.Chunk) (waymark.Taken, error) {
+func (s *Store) handleChunk(_ context.Context, chunk waymark.BodyChunk) (waymark.BodyChunkAck, error) {
 	s.receiverMu.Lock()
 	defer s.receiverMu.Unlock()
 	s.receiver.state = s.committedState.Load()
--- a/internal/store/order_identity_test.go
+++ b/internal/store/order_identity_test.go
@@ -20,7 +20,7 @@
 	enter(t, s, configuration(7))
 	enter(t, s, configuration(6))
 	enter(t, s, configuration(9))
-	conflicting := func(edition uint64) waymark.Enter {
+	conflicting := func(edition uint64) waymark.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = []byte("another")
 		return q
@@ -35,9 +35,9 @@
 			assert.Equal(t, rpc.KindOf(err), rpc.Conflict, "%s: edition %d: %v", when, e, err)
 			enter(t, s, configuration(e))
 		}
-		c := confirm(t, s, waymark.Confirm{})
+		c := confirm(t, s, waymark.CommittedStateRequest{})
 		assert.Equal(t, string(c.State.Body), "edition 9")
-		assert.Equal(t, len(c.State.Past), 0)
+		assert.Equal(t, len(c.State.Identities), 0)
 	}
 	checkOrders("at first")
 	assert.NilError(t, end())
@@ -59,7 +59,7 @@
 
 // TestRecallOmitsIdentities checks that a state sent to callers has no identities.
 func TestRecallOmitsIdentities(t *testing.T) {
-	st := &cairn.State{Edition: 3, Past: make([]cairn.Identity, 4)}
-	assert.Equal(t, len(withoutIdentities(st).Past), 0)
-	assert.Equal(t, len(st.Past), 4)
+	st := &cairn.State{Edition: 3, Identities: make([]cairn.Identity, 4)}
+	assert.Equal(t, len(withoutIdentities(st).Identities), 0)
+	assert.Equal(t, len(st.Identities), 4)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -90,11 +90,11 @@
 
 // newOn is New with a given way to open the journal.
 func newOn(open opener, settings *bootconfig.Settings, log zerolog.Logger) (*Store, error) {
-	if settings.ArchiveDir == "" {
+	if settings.DataDir == "" {
 		return nil, fmt.Errorf("archiveDir: expected the path of a directory for the store's journal, got none")
 	}
 	s := &Store{settings: settings, log: log, startedAt: time.Now(), events: make(chan event, maxQueue), seeds: make(chan []string, 1),
-		peers: map[string]*rpc.Peer{}, lanes: map[string]*lane{}, pending: map[uint64]event{}, seedAddrs: settings.Seeds(innerDockIndex),
+		peers: map[string]*rpc.Peer{}, lanes: map[string]*lane{}, pending: map[uint64]event{}, seedAddrs: settings.SeedAddresses(innerDockIndex),
 		diskState: diskState{open: open, stallTimeout: defaultStallTimeout, recoverInterval: defaultRecoverInterval}}
 	var stored []cairn.Record
 	var err error
@@ -115,7 +115,7 @@
 // Reload applies a settings file that has changed. Only the addresses of other machines are used.
 func (s *Store) Reload(settings *bootconfig.Settings) {
 	select {
-	case s.seeds <- settings.Seeds(innerDockIndex):
+	case s.seeds <- settings.SeedAddresses(innerDockIndex):
 	default:
 	}
 }
@@ -123,7 +123,7 @@
 // Serve takes part in the store until the context ends. It returns an error for a fault that needs
 // an operator.
 func (s *Store) Serve(ctx context.Context) error {
-	listener, err := rpc.Listen(s.settings.Inner(innerDockIndex))
+	listener, err := rpc.Listen(s.settings.InnerAddress(innerDockIndex))
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	shutdown := ctx.Done()
 	var graceEnded <-chan time.Time
 	for {
-		var out cairn.Out
+		var out cairn.Output
 		select {
 		case <-shutdown:
 			if s.lost != nil {
@@ -161,12 +161,12 @@
 			s.log.Warn().Msg("shutting down before the other machines could take over")
 			return s.close()
 		case <-statistics.C:
-			s.log.Info().Interface("counts", s.counts).Interface("sent", rpc.Sent()).Int64("diskBytes", s.size).Str("status", s.describe()).
+			s.log.Info().Interface("counts", s.counts).Interface("sent", rpc.SentCounts()).Int64("diskBytes", s.size).Str("status", s.describe()).
 				Msg("figures")
 			continue
 		case s.seedAddrs = <-s.seeds:
 			if s.machine != nil {
-				s.machine.Seeds(s.seedAddrs)
+				s.machine.SetSeeds(s.seedAddrs)
 			}
 			continue
 		case <-tick.C:
@@ -192,14 +192,14 @@
 		} else if err != nil {
 			return nil // the pending disk call may hang forever, so it is not waited for
 		}
-		if graceEnded != nil && s.machine != nil && s.machine.Left() {
+		if graceEnded != nil && s.machine != nil && s.machine.MayEnd() {
 			return s.close()
 		}
 	}
 }
 
 // step passes an event to the state machine and collects its output.
-func (s *Store) step(e event, all *cairn.Out) {
+func (s *Store) step(e event, all *cairn.Output) {
 	if e.inspect != nil { // called after the sync, so that it sees only synced state
 		s.inspections = append(s.inspections, e.inspect)
 		return
@@ -208,24 +208,24 @@
 	switch {
 	case e.Submit != nil:
 		s.counts.Submits++
-	case e.Ask != nil:
+	case e.Read != nil:
 		s.counts.Asks++
 	}
 	if e.done != nil {
 		s.pending[e.id] = e
 	}
 	out := s.machine.Step(s.now(), e.Event)
-	all.Sync = append(all.Sync, out.Sync...)
+	all.Persist = append(all.Persist, out.Persist...)
 	all.Send = append(all.Send, out.Send...)
-	all.Done = append(all.Done, out.Done...)
+	all.Results = append(all.Results, out.Results...)
 	all.Compact = all.Compact || out.Compact
 }
 
 // releaseOutput syncs the output's records and then sends its messages and answers. If the disk fails,
 // nothing of the output is released.
-func (s *Store) releaseOutput(ctx context.Context, out *cairn.Out) error {
-	if len(out.Sync) > 0 {
-		batch, err := encode(out.Sync)
+func (s *Store) releaseOutput(ctx context.Context, out *cairn.Output) error {
+	if len(out.Persist) > 0 {
+		batch, err := encode(out.Persist)
 		if err == nil {
 			err = s.runOnDisk(ctx, func() error { return s.journal.Append(batch) })
 		}
@@ -245,7 +245,7 @@
 		s.send(&out.Send[i])
 	}
 	view := s.machine.View()
-	for _, answer := range out.Done {
+	for _, answer := range out.Results {
 		switch answer.Outcome {
 		case cairn.Unavailable:
 			s.counts.Unavailable++
@@ -257,13 +257,13 @@
 			waiter.done <- result{answer, view}
 		}
 	}
-	if view.No != s.loggedView {
-		s.loggedView = view.No
-		s.log.Info().Uint64("view", view.No).Strs("chain", addrs(view.Chain)).Strs("core", addrs(view.Core)).Msg("view changed")
+	if view.Number != s.loggedView {
+		s.loggedView = view.Number
+		s.log.Info().Uint64("view", view.Number).Strs("chain", addrs(view.Chain)).Strs("core", addrs(view.Core)).Msg("view changed")
 	}
-	if lost := s.machine.Status().Lost; lost > majorityLostLogMillis && !s.majorityLostLogged {
+	if lost := s.machine.Status().MajorityLostMillis; lost > majorityLostLogMillis && !s.majorityLostLogged {
 		s.majorityLostLogged = true
-		s.log.Error().Strs("core", addrs(view.Core)).Strs("hears", addrs(s.machine.Status().Hears)).
+		s.log.Error().Strs("core", addrs(view.Core)).Strs("hears", addrs(s.machine.Status().Reachable)).
 			Msg("no majority of the core is reachable; orders are refused until one is, or until the core is rebuilt")
 	} else if lost == 0 && s.majorityLostLogged {
 		s.majorityLostLogged = false
@@ -276,7 +276,7 @@
 }
 
 // addrs returns the addresses of machines.
-func addrs(ids []cairn.Ident) (out []string) {
+func addrs(ids []cairn.MachineID) (out []string) {
 	for _, id := range ids {
 		out = append(out, id.Addr)
 	}
@@ -298,19 +298,19 @@
 		s.peers[message.To.Addr] = peer
 	}
 	s.mu.Unlock()
-	if rpc.Tell(peer, *message) != nil {
+	if rpc.Notify(peer, *message) != nil {
 		s.counts.Unsent++
 	}
 }
 
 // handleMessage receives a message of another machine. If the loop's queue is full, the message is
 // lost, as it could be on the network.
-func (s *Store) handleMessage(_ context.Context, message cairn.Message) (waymark.AskStatus, error) {
+func (s *Store) handleMessage(_ context.Context, message cairn.Message) (waymark.StatusRequest, error) {
 	select {
 	case s.events <- event{Event: cairn.Event{Message: &message}}:
 	default:
 	}
-	return waymark.AskStatus{}, nil
+	return waymark.StatusRequest{}, nil
 }
 
 // request passes an event to the loop and waits for its answer.
@@ -336,7 +336,7 @@
 			return answer, nil
 		case cairn.Unavailable:
 			return answer, rpc.Errorf(rpc.Unavailable, "the chain takes nothing now")
-		case cairn.Overtaken:
+		case cairn.Superseded:
 			return answer, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
 		case cairn.Refused:
 			return answer, rpc.Errorf(rpc.Conflict, "another order is committed under this number")
@@ -349,29 +349,29 @@
 }
 
 // handleEnter handles a call to submit a change.
-func (s *Store) handleEnter(ctx context.Context, request waymark.Enter) (waymark.Entered, error) {
+func (s *Store) handleEnter(ctx context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
 	if len(request.Change.Body) > maxChangeBytes {
-		return waymark.Entered{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(request.Change.Body))
+		return waymark.CommitResponse{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(request.Change.Body))
 	}
 	id := s.lastID.Add(1)
-	_, err := s.request(ctx, event{Event: cairn.Event{Submit: &cairn.Submit{ID: id, Change: request.Change, After: request.After}}, id: id})
-	return waymark.Entered{}, err
+	_, err := s.request(ctx, event{Event: cairn.Event{Submit: &cairn.Submit{ID: id, Change: request.Change, KnownPosition: request.LastKnown}}, id: id})
+	return waymark.CommitResponse{}, err
 }
 
 // handleConfirm handles a call to read the current state.
-func (s *Store) handleConfirm(ctx context.Context, request waymark.Confirm) (waymark.Confirmed, error) {
+func (s *Store) handleConfirm(ctx context.Context, request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
 	id := s.lastID.Add(1)
-	if request.Recall {
-		return s.recallCommitted(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
+	if request.AllowStale {
+		return s.recallCommitted(ctx, event{Event: cairn.Event{Read: &cairn.Read{ID: id}}, id: id})
 	}
-	answer, err := s.request(ctx, event{Event: cairn.Event{Ask: &cairn.Ask{ID: id}}, id: id})
+	answer, err := s.request(ctx, event{Event: cairn.Event{Read: &cairn.Read{ID: id}}, id: id})
 	if err != nil {
-		return waymark.Confirmed{}, err
+		return waymark.CommittedStateResponse{}, err
 	}
-	confirmed := waymark.Confirmed{View: newerView(answer.view, request.View)}
+	confirmed := waymark.CommittedStateResponse{View: newerView(answer.view, request.HeldView)}
 	if answer.State != nil {
 		confirmed.Last = answer.State.Last
-		if answer.State.Last.Seq > request.Have.Seq {
+		if answer.State.Last.Seq > request.LastKnown.Seq {
 			confirmed.State = withoutIdentities(answer.State)
 		}
 	}
@@ -385,30 +385,30 @@
 		return nil
 	}
 	out := *state
-	out.Past = nil
+	out.Identities = nil
 	return &out
 }
 
 // handleForget handles an operator's order to remove a machine that is gone for good from the core.
-func (s *Store) handleForget(ctx context.Context, request waymark.Forget) (waymark.Forgotten, error) {
+func (s *Store) handleForget(ctx context.Context, request waymark.RemoveNodeRequest) (waymark.RemoveNodeResponse, error) {
 	id := s.lastID.Add(1)
-	answer, err := s.requestWithin(ctx, event{Event: cairn.Event{Drop: &cairn.Drop{ID: id, Addr: request.Addr}}, id: id}, removalTimeout)
+	answer, err := s.requestWithin(ctx, event{Event: cairn.Event{Remove: &cairn.Remove{ID: id, Addr: request.Addr}}, id: id}, removalTimeout)
 	if err != nil {
-		return waymark.Forgotten{}, err
+		return waymark.RemoveNodeResponse{}, err
 	}
 	s.log.Info().Str("address", request.Addr).Msg("machine removed from the core by an operator's order")
-	return waymark.Forgotten{Core: addrs(answer.view.Core)}, nil
+	return waymark.RemoveNodeResponse{Members: addrs(answer.view.Core)}, nil
 }
 
 // handleRebuild handles an operator's order to start a new core from this machine's copy.
-func (s *Store) handleRebuild(ctx context.Context, request waymark.Rebuild) (waymark.Rebuilt, error) {
+func (s *Store) handleRebuild(ctx context.Context, request waymark.RebuildRequest) (waymark.RebuildResponse, error) {
 	id := s.lastID.Add(1)
-	answer, err := s.request(ctx, event{Event: cairn.Event{Rebuild: &cairn.Rebuild{ID: id, Last: request.Last}}, id: id})
+	answer, err := s.request(ctx, event{Event: cairn.Event{Rebuild: &cairn.Rebuild{ID: id, Last: request.LastEntry}}, id: id})
 	if err != nil {
-		return waymark.Rebuilt{}, err
+		return waymark.RebuildResponse{}, err
 	}
-	s.log.Warn().Uint64("view", answer.view.No).Msg("core rebuilt from this machine's copy by an operator's order")
-	return waymark.Rebuilt{View: answer.view.No}, nil
+	s.log.Warn().Uint64("view", answer.view.Number).Msg("core rebuilt from this machine's copy by an operator's order")
+	return waymark.RebuildResponse{View: answer.view.Number}, nil
 }
 
 // describe describes the machine's condition in words. It must be called on the loop.
@@ -418,19 +418,19 @@
 	}
 	status := s.machine.Status()
 	completeness, majority := "", ""
-	if status.Whole {
+	if status.Complete {
 		completeness = ", whole"
 	}
-	if status.Lost > 0 {
-		majority = fmt.Sprintf(", no majority of the core for %.0f ms", status.Lost)
+	if status.MajorityLostMillis > 0 {
+		majority = fmt.Sprintf(", no majority of the core for %.0f ms", status.MajorityLostMillis)
 	}
 	return fmt.Sprintf("%s, holds %d.%d%s, committed %d, leases %.0f ms, hears %v%s", status.Role, status.Last.View, status.Last.Seq, completeness, status.Committed.Seq,
-		status.Leased, addrs(status.Hears), majority)
+		status.LeaseMillis, addrs(status.Reachable), majority)
 }
 
 // newerView returns a view if it is newer than the caller's.
 func newerView(view cairn.View, knownNumber uint64) *cairn.View {
-	if view.No <= knownNumber {
+	if view.Number <= knownNumber {
 		return nil
 	}
 	return &view
@@ -439,16 +439,16 @@
 // recallCommitted asks the tail, and if there is no quick answer returns what this machine knows to be
 // committed. After a power loss of the whole site, gatekeepers that have just started need not wait
 // for the chain to recover: they held nothing before, so an older state does not take them back.
-func (s *Store) recallCommitted(ctx context.Context, e event) (waymark.Confirmed, error) {
+func (s *Store) recallCommitted(ctx context.Context, e event) (waymark.CommittedStateResponse, error) {
 	tailCtx, cancel := context.WithTimeout(ctx, recallDelay)
 	answer, err := s.request(tailCtx, e)
 	cancel()
 	if err == nil {
-		return waymark.Confirmed{View: newerView(answer.view, 0), Last: answer.State.Last, State: withoutIdentities(answer.State)}, nil
+		return waymark.CommittedStateResponse{View: newerView(answer.view, 0), Last: answer.State.Last, State: withoutIdentities(answer.State)}, nil
 	}
-	answers := make(chan waymark.Confirmed, 1)
+	answers := make(chan waymark.CommittedStateResponse, 1)
 	inspection := event{inspect: func() {
-		answers <- waymark.Confirmed{View: newerView(s.known.view, 0), State: withoutIdentities(s.known.state), Recalled: true}
+		answers <- waymark.CommittedStateResponse{View: newerView(s.known.view, 0), State: withoutIdentities(s.known.state), Stale: true}
 	}}
 	select {
 	case s.events <- inspection:
@@ -458,19 +458,19 @@
 	case confirmed := <-answers:
 		return confirmed, nil
 	case <-ctx.Done():
-		return waymark.Confirmed{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
+		return waymark.CommittedStateResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
 }
 
 // handleStatus handles a call for a description of the machine's condition.
-func (s *Store) handleStatus(ctx context.Context, _ waymark.AskStatus) (waymark.Status, error) {
-	answers := make(chan waymark.Status, 1)
+func (s *Store) handleStatus(ctx context.Context, _ waymark.StatusRequest) (waymark.StatusResponse, error) {
+	answers := make(chan waymark.StatusResponse, 1)
 	select {
 	case s.events <- event{inspect: func() {
 		view := s.known.view
-		answers <- waymark.Status{Lines: []string{
-			"station " + s.settings.Station,
-			fmt.Sprintf("view %d chain %v core %v", view.No, addrs(view.Chain), addrs(view.Core)),
+		answers <- waymark.StatusResponse{Lines: []string{
+			"station " + s.settings.Node,
+			fmt.Sprintf("view %d chain %v core %v", view.Number, addrs(view.Chain), addrs(view.Core)),
 			s.describe(),
 			fmt.Sprintf("disk %d bytes", s.size),
 		}}
@@ -481,6 +481,6 @@
 	case status := <-answers:
 		return status, nil
 	case <-ctx.Done():
-		return waymark.Status{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
+		return waymark.StatusResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,8 +53,8 @@
 	if seeds == nil {
 		seeds = []string{"127.0.0.1:1"}
 	}
-	return &bootconfig.Settings{Station: "s", IP: "127.0.0.1", InnerDocks: []int{port - innerDockIndex, port}, FirstStations: seeds, FirstRun: true,
-		ArchiveDir: t.TempDir()}
+	return &bootconfig.Settings{Node: "s", IP: "127.0.0.1", InnerPorts: []int{port - innerDockIndex, port}, SeedNodes: seeds, FirstRun: true,
+		DataDir: t.TempDir()}
 }
 
 // open creates a store on a disk with a hook.
@@ -96,12 +96,12 @@
 }
 
 // configuration returns a call that submits a configuration.
-func configuration(edition uint64) waymark.Enter {
-	return waymark.Enter{Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
+func configuration(edition uint64) waymark.CommitRequest {
+	return waymark.CommitRequest{Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
 }
 
 // enter submits a change. It retries while the chain is starting or the machine is busy.
-func enter(t *testing.T, s *Store, q waymark.Enter) {
+func enter(t *testing.T, s *Store, q waymark.CommitRequest) {
 	t.Helper()
 	for until := time.Now().Add(waitLimit); ; {
 		_, err := s.handleEnter(t.Context(), q)
@@ -115,7 +115,7 @@
 }
 
 // confirm reads the state. It retries while the chain is starting or the machine is busy.
-func confirm(t *testing.T, s *Store, q waymark.Confirm) waymark.Confirmed {
+func confirm(t *testing.T, s *Store, q waymark.CommittedStateRequest) waymark.CommittedStateResponse {
 	t.Helper()
 	for until := time.Now().Add(waitLimit); ; {
 		c, err := s.handleConfirm(t.Context(), q)
@@ -134,22 +134,22 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
-	enter(t, s, waymark.Enter{Change: cairn.Change{Kind: cairn.Evacuate, Zone: "a1"}})
+	enter(t, s, waymark.CommitRequest{Change: cairn.Change{Kind: cairn.Evacuate, Zone: "a1"}})
 	enter(t, s, configuration(6)) // acknowledged, and changes nothing
-	first := confirm(t, s, waymark.Confirm{})
+	first := confirm(t, s, waymark.CommittedStateRequest{})
 	assert.NilError(t, end())
 
 	set.FirstRun = false
 	s = open(t, set, noFault)
 	end = run(t, s)
-	again := confirm(t, s, waymark.Confirm{})
+	again := confirm(t, s, waymark.CommittedStateRequest{})
 	assert.Equal(t, string(again.State.Body), "edition 7")
 	assert.Equal(t, again.State.Edition, uint64(7))
 	_, evacuated := again.State.Evacuated["a1"]
 	assert.Assert(t, evacuated)
 	assert.Assert(t, again.Last.Seq >= first.Last.Seq, "%v after %v", again.Last, first.Last)
 	enter(t, s, configuration(8))
-	assert.Equal(t, confirm(t, s, waymark.Confirm{}).State.Edition, uint64(8))
+	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(8))
 	assert.NilError(t, end())
 }
 
@@ -158,15 +158,15 @@
 	s := open(t, settings(t), noFault)
 	run(t, s)
 	enter(t, s, configuration(1))
-	c := confirm(t, s, waymark.Confirm{})
+	c := confirm(t, s, waymark.CommittedStateRequest{})
 	assert.Equal(t, c.State.Edition, uint64(1))
 	assert.Equal(t, c.Last, c.State.Last)
 	assert.Equal(t, len(c.View.Core), 1)
-	assert.Assert(t, !c.Recalled)
-	again := confirm(t, s, waymark.Confirm{Have: c.Last})
+	assert.Assert(t, !c.Stale)
+	again := confirm(t, s, waymark.CommittedStateRequest{LastKnown: c.Last})
 	assert.Assert(t, again.State == nil)
 	assert.Equal(t, again.Last, c.Last)
-	_, err := s.handleEnter(t.Context(), waymark.Enter{Change: cairn.Change{Body: make([]byte, maxChangeBytes+1)}})
+	_, err := s.handleEnter(t.Context(), waymark.CommitRequest{Change: cairn.Change{Body: make([]byte, maxChangeBytes+1)}})
 	assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 }
 
@@ -177,9 +177,9 @@
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.NewServer()
-	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.AskStatus, error) {
+	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.StatusRequest, error) {
 		heard <- m
-		return waymark.AskStatus{}, nil
+		return waymark.StatusRequest{}, nil
 	})
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Close)
@@ -202,8 +202,8 @@
 			syncs++
 			assert.Check(t, len(done) == 0 && looked == 0 && s.counts.Sent == 0 && len(s.peers) == 0)
 		}
-		out := cairn.Out{Sync: []cairn.Record{{Committed: 1}}, Done: []cairn.Result{{ID: 1}},
-			Send: []cairn.Message{{To: cairn.Ident{Addr: ln.Addr().String()}, Beat: &cairn.Beat{View: 3}}}}
+		out := cairn.Output{Persist: []cairn.Record{{Committed: 1}}, Results: []cairn.Result{{ID: 1}},
+			Send: []cairn.Message{{To: cairn.MachineID{Addr: ln.Addr().String()}, Heartbeat: &cairn.Heartbeat{View: 3}}}}
 		err := s.releaseOutput(t.Context(), &out)
 		assert.Assert(t, syncs > 0)
 		if fails {
@@ -214,7 +214,7 @@
 		}
 		assert.NilError(t, err)
 		assert.Assert(t, len(done) == 1 && looked == 1)
-		assert.Equal(t, receive(t, heard).Beat.View, uint64(3))
+		assert.Equal(t, receive(t, heard).Heartbeat.View, uint64(3))
 	}
 }
 
@@ -226,14 +226,14 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
-	confirmed := confirm(t, s, waymark.Confirm{})
+	confirmed := confirm(t, s, waymark.CommittedStateRequest{})
 	enter(t, s, configuration(7)) // its record tells that the previous change is committed
 	assert.NilError(t, end())
 	self := confirmed.View.Core[0]
-	three := []cairn.Ident{self, {Addr: "127.0.0.2:1", Disk: "two"}, {Addr: "127.0.0.3:1", Disk: "three"}}
-	batch, err := encode([]cairn.Record{{View: &cairn.ViewRecord{View: cairn.View{No: confirmed.View.No + 1, Chain: three, Core: three}, Whole: true}}})
+	three := []cairn.MachineID{self, {Addr: "127.0.0.2:1", Disk: "two"}, {Addr: "127.0.0.3:1", Disk: "three"}}
+	batch, err := encode([]cairn.Record{{View: &cairn.ViewRecord{View: cairn.View{Number: confirmed.View.Number + 1, Chain: three, Core: three}, Complete: true}}})
 	assert.NilError(t, err)
-	journal, _, err := recordlog.Open(set.ArchiveDir)
+	journal, _, err := recordlog.Open(set.DataDir)
 	assert.NilError(t, err)
 	assert.NilError(t, journal.Append(batch))
 	assert.NilError(t, journal.Close())
@@ -241,21 +241,21 @@
 	set.FirstRun = false
 	s = open(t, set, noFault)
 	run(t, s)
-	known := confirm(t, s, waymark.Confirm{Recall: true})
-	assert.Assert(t, known.Recalled)
+	known := confirm(t, s, waymark.CommittedStateRequest{AllowStale: true})
+	assert.Assert(t, known.Stale)
 	assert.Equal(t, known.State.Edition, uint64(7))
 	assert.Equal(t, string(known.State.Body), "edition 7")
-	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
+	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
 	assert.Assert(t, err != nil, "local knowledge was returned as the tail's answer")
 
 	// A first start at which the two other machines never start.
 	set = settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1")
 	lone := open(t, set, noFault)
 	run(t, lone)
-	c := confirm(t, lone, waymark.Confirm{Recall: true})
-	assert.Assert(t, c.Recalled)
+	c := confirm(t, lone, waymark.CommittedStateRequest{AllowStale: true})
+	assert.Assert(t, c.Stale)
 	assert.Assert(t, c.State == nil || len(c.State.Body) == 0)
-	_, err = lone.handleConfirm(t.Context(), waymark.Confirm{})
+	_, err = lone.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
 	assert.Assert(t, err != nil, "a read succeeded without the other machines")
 	_, err = lone.handleEnter(t.Context(), configuration(1))
 	kind := rpc.KindOf(err)
@@ -274,21 +274,21 @@
 	assert.NilError(t, err)
 	_, err = s.handleEnter(t.Context(), configuration(1))
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
-	_, err = s.handleConfirm(t.Context(), waymark.Confirm{})
+	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = s.handleConfirm(ctx, waymark.Confirm{Recall: true})
+	_, err = s.handleConfirm(ctx, waymark.CommittedStateRequest{AllowStale: true})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unknown)
 }
 
 // TestDiskIsRequired checks the errors for a missing directory and for one that cannot be read.
 func TestDiskIsRequired(t *testing.T) {
 	set := settings(t)
-	set.ArchiveDir = ""
+	set.DataDir = ""
 	_, err := New(set, zerolog.Nop())
 	assert.ErrorContains(t, err, "archiveDir: ")
-	set.ArchiveDir = "/dev/null/x"
+	set.DataDir = "/dev/null/x"
 	_, err = New(set, zerolog.Nop())
 	assert.ErrorContains(t, err, "disk: ")
 }
@@ -300,11 +300,11 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(1))
-	confirm(t, s, waymark.Confirm{})
-	f, err := s.handleForget(t.Context(), waymark.Forget{Addr: "127.0.0.1:9"})
+	confirm(t, s, waymark.CommittedStateRequest{})
+	f, err := s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: "127.0.0.1:9"})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, f.Core, []string{set.Inner(innerDockIndex)})
-	_, err = s.handleForget(t.Context(), waymark.Forget{Addr: set.Inner(innerDockIndex)})
+	assert.DeepEqual(t, f.Members, []string{set.InnerAddress(innerDockIndex)})
+	_, err = s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: set.InnerAddress(innerDockIndex)})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 	assert.NilError(t, end())
 	assert.Assert(t, s.counts.Submits >= 1 && s.counts.Asks >= 1)
