--- a/internal/switchback/admission_test.go
+++ b/internal/switchback/admission_test.go
@@ -74,9 +74,9 @@
 	proxy := newTestProxy(t)
 	near, far := startWorker(t, "w-a1", "a", replyWorkerID, nil), inZone("b1", startWorker(t, "w-b1", "a", replyWorkerID, nil))
 	closingNear, closingFar := near, far // otherwise the near one would be preferred anyway
-	closingNear.Closing, closingFar.Closing = true, true
+	closingNear.Draining, closingFar.Draining = true, true
 	removedFar := far
-	removedFar.Gone = true
+	removedFar.Removed = true
 	checkWorkers := func(want ...string) {
 		t.Helper()
 		for range 12 {
@@ -90,13 +90,13 @@
 		}
 	}
 	proxy.receive(fullList(1, near, far), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", target: 1}}))
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 5, Evacuated: []string{"a1"}}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
 	checkWorkers("w-b1")
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 6, Evacuated: []string{"a1", "b1"}}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 6, Evacuated: []string{"a1", "b1"}}, nil)
 	checkWorkers()
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 5, Evacuated: []string{"a1"}}, nil) // an older list, from another registry
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil) // an older list, from another registry
 	checkWorkers()
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 7}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 7}, nil)
 	checkWorkers("w-a1", "w-b1")
 	proxy.receive(listChanges(2, closingNear), nil)
 	checkWorkers("w-b1")
@@ -117,11 +117,11 @@
 	a, b := startWorker(t, "w-a", "a", replyWorkerID, nil), startWorker(t, "w-b", "b", replyWorkerID, nil)
 	proxy.receive(fullList(9, a, b), newConfig(t, 5, []routeSpec{{prefix: "/", destination: "a"}}))
 	for _, edition := range []uint64{4, 5} {
-		proxy.receive(waymark.Signed{}, newConfig(t, edition, []routeSpec{{prefix: "/", destination: "b"}}))
+		proxy.receive(waymark.SessionResponse{}, newConfig(t, edition, []routeSpec{{prefix: "/", destination: "b"}}))
 		_, body := proxy.do("GET", "/", "", "")
 		assert.Equal(t, body, "w-a")
 	}
-	proxy.receive(waymark.Signed{}, newConfig(t, 6, []routeSpec{{prefix: "/", destination: "b"}}))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 6, []routeSpec{{prefix: "/", destination: "b"}}))
 	_, body := proxy.do("GET", "/", "", "")
 	assert.Equal(t, body, "w-b")
 }
@@ -134,23 +134,23 @@
 		name     string
 		final    bool
 		askedAgo float64 // milliseconds since the request to the registry
-		answer   waymark.Signed
+		answer   waymark.SessionResponse
 		leaseMs  float64 // end of the lease, in milliseconds from the request; 0 for no lease
 	}{
-		{"fresh", true, 0, waymark.Signed{}, maxLeaseMs},
-		{"the tail was asked before the request", true, 0, waymark.Signed{AsOf: -20000}, maxLeaseMs - 20000},
-		{"the tail was asked after the request", true, 10000, waymark.Signed{AsOf: 400}, maxLeaseMs + 400},
-		{"asked long ago", true, 61000, waymark.Signed{}, maxLeaseMs},
-		{"the tail was asked long ago", true, 0, waymark.Signed{AsOf: -61000}, maxLeaseMs - 61000},
-		{"stale", true, 0, waymark.Signed{Stale: true}, 0},
-		{"a configuration that is not here", true, 0, waymark.Signed{Edition: 2}, 0},
-		{"not final", false, 0, waymark.Signed{Stale: true}, 0},
+		{"fresh", true, 0, waymark.SessionResponse{}, maxLeaseMs},
+		{"the tail was asked before the request", true, 0, waymark.SessionResponse{AsOf: -20000}, maxLeaseMs - 20000},
+		{"the tail was asked after the request", true, 10000, waymark.SessionResponse{AsOf: 400}, maxLeaseMs + 400},
+		{"asked long ago", true, 61000, waymark.SessionResponse{}, maxLeaseMs},
+		{"the tail was asked long ago", true, 0, waymark.SessionResponse{AsOf: -61000}, maxLeaseMs - 61000},
+		{"stale", true, 0, waymark.SessionResponse{Stale: true}, 0},
+		{"a configuration that is not here", true, 0, waymark.SessionResponse{ConfigVersion: 2}, 0},
+		{"not final", false, 0, waymark.SessionResponse{Stale: true}, 0},
 	} {
 		proxy := newTestProxy(t, map[bool]string{true: "revocationFinal=true", false: "revocationFinal=false"}[test.final])
 		proxy.receive(stale(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil))),
 			newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/open/", destination: "a", withoutKey: true}}, tenantSpec{name: "ana"}))
-		if test.answer.Edition == 0 {
-			test.answer.Edition = 1
+		if test.answer.ConfigVersion == 0 {
+			test.answer.ConfigVersion = 1
 		}
 		proxy.runOnLoop(func() {
 			askedAt := proxy.clock.Now() - test.askedAgo
@@ -177,15 +177,15 @@
 // TestStaleAnswerKeepsLease checks that a stale or older answer neither extends nor shortens the lease.
 func TestStaleAnswerKeepsLease(t *testing.T) {
 	proxy := newTestProxy(t, "revocationFinal=true")
-	proxy.receive(waymark.Signed{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana"}))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana"}))
 	proxy.runOnLoop(func() {
 		held := proxy.keysValidUntil
 		now := proxy.clock.Now()
-		proxy.apply(&waymark.Signed{Stale: true, Edition: 1}, now+5000)
+		proxy.apply(&waymark.SessionResponse{Stale: true, ConfigVersion: 1}, now+5000)
 		assert.Check(t, proxy.keysValidUntil == held)
-		proxy.apply(&waymark.Signed{Edition: 1, AsOf: -9000}, now)
+		proxy.apply(&waymark.SessionResponse{ConfigVersion: 1, AsOf: -9000}, now)
 		assert.Check(t, proxy.keysValidUntil == held, "an older answer must not shorten the lease")
-		proxy.apply(&waymark.Signed{Edition: 1}, now+5000)
+		proxy.apply(&waymark.SessionResponse{ConfigVersion: 1}, now+5000)
 		assert.Check(t, proxy.keysValidUntil > held)
 	})
 }
@@ -194,7 +194,7 @@
 func (s *testProxy) setTokens(name string, tokens float64) {
 	s.runOnLoop(func() {
 		now := s.micros()
-		s.tenants.Slices(now, map[string]policy.TenantSlice{name: {Rate: 0.001, Burst: tokens, Floor: 0.001, FloorBurst: tokens, Tokens: tokens}}, now+60e6)
+		s.tenants.SetAllotments(now, map[string]policy.TenantAllotment{name: {Rate: 0.001, Burst: tokens, Minimum: 0.001, MinimumBurst: tokens, Tokens: tokens}}, now+60e6)
 	})
 }
 
@@ -241,7 +241,7 @@
 		res, _ := proxy.do("GET", "/", "Authorization: Bearer k-ana\r\n", "")
 		assert.Assert(t, res.StatusCode >= 500, name)
 		proxy.runOnLoop(func() {
-			held, _ := proxy.tenants.Holding(proxy.micros())
+			held, _ := proxy.tenants.Holdings(proxy.micros())
 			left := held["ana"].Tokens
 			assert.Check(t, left >= test.returned && left < test.returned+1, "%s: %v tokens left", name, left)
 		})
@@ -269,16 +269,16 @@
 		}
 		tokensLeft := make(chan int, 1)
 		tokensLeft <- test.granted
-		owner := newTestProxy(t).serveTokens(func(_ context.Context, q waymark.Tokens) (waymark.Granted, error) {
+		owner := newTestProxy(t).serveTokens(func(_ context.Context, q waymark.TokenRequest) (waymark.TokenResponse, error) {
 			count := <-tokensLeft
 			granted := min(count, q.Wanted["ana"])
 			tokensLeft <- count - granted
-			return waymark.Granted{Granted: map[string]int{"ana": granted}, Wait: map[string]float64{"ana": 1}}, nil
+			return waymark.TokenResponse{Granted: map[string]int{"ana": granted}, WaitMS: map[string]float64{"ana": 1}}, nil
 		})
 		proxy.receive(fullList(1, startWorker(t, "w", "a", slow, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 2}))
 		if test.local == 0 {
 			proxy.runOnLoop(func() {
-				proxy.membership.Mark, proxy.memberCount = 1, 3
+				proxy.membership.Checksum, proxy.memberCount = 1, 3
 				proxy.smallQuotas["ana"] = &smallQuota{mark: 1, owners: [2]string{owner, owner}, spare: int(test.spare)}
 			})
 		}
@@ -307,7 +307,7 @@
 }
 
 // serveTokens serves token requests to the proxy at an address of its own, which becomes the proxy's inner address.
-func (s *testProxy) serveTokens(do func(context.Context, waymark.Tokens) (waymark.Granted, error)) string {
+func (s *testProxy) serveTokens(do func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error)) string {
 	s.t.Helper()
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(s.t, err)
@@ -316,7 +316,7 @@
 	go func() { _ = server.Serve(ln) }()
 	s.t.Cleanup(server.Close)
 	port := ln.Addr().(*net.TCPAddr).Port
-	s.settings.InnerDocks = []int{port, port + 1}
+	s.settings.InnerPorts = []int{port, port + 1}
 	return ln.Addr().String()
 }
 
@@ -348,9 +348,9 @@
 			answer := owner.grantTokens
 			if test.silent {
 				proxy.tokenTimeout = 50 * time.Millisecond
-				answer = func(ctx context.Context, _ waymark.Tokens) (waymark.Granted, error) {
+				answer = func(ctx context.Context, _ waymark.TokenRequest) (waymark.TokenResponse, error) {
 					<-ctx.Done()
-					return waymark.Granted{}, ctx.Err()
+					return waymark.TokenResponse{}, ctx.Err()
 				}
 			}
 			addr := owner.serveTokens(answer)
@@ -358,7 +358,7 @@
 			byAddr[addr] = owner
 		}
 		// Find a tenant both of whose owners are the other gatekeepers.
-		membership := &waymark.Crowd{Mark: 1, Place: 0, Count: 3, Peers: peers}
+		membership := &waymark.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 3, Peers: peers}
 		tenant := ""
 		var owners [2]string
 		proxy.runOnLoop(func() {
@@ -373,11 +373,11 @@
 		assert.Assert(t, tenant != "")
 		routes := []routeSpec{{prefix: "/", destination: "a"}}
 		proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, received)), newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
-		proxy.receive(waymark.Signed{Crowd: membership}, nil)
+		proxy.receive(waymark.SessionResponse{Members: membership}, nil)
 		proxy.setTokens(tenant, test.own)
 		for i, tokens := range []float64{test.first, test.other} {
 			owner := byAddr[owners[i]]
-			owner.receive(waymark.Signed{Crowd: membership}, newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
+			owner.receive(waymark.SessionResponse{Members: membership}, newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
 			if tokens >= 0 {
 				owner.setTokens(tenant, tokens)
 			}
@@ -403,15 +403,15 @@
 	proxy := newTestProxy(t)
 	received := make(chan *workerRequest, 1)
 	took := make(chan time.Duration, 1)
-	owner := newTestProxy(t).serveTokens(func(context.Context, waymark.Tokens) (waymark.Granted, error) {
+	owner := newTestProxy(t).serveTokens(func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error) {
 		began := time.Now()
 		<-time.After(50 * time.Millisecond) // slow to answer
 		took <- time.Since(began)
-		return waymark.Granted{Granted: map[string]int{"ana": 1}}, nil
+		return waymark.TokenResponse{Granted: map[string]int{"ana": 1}}, nil
 	})
 	proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, received)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 2}))
 	proxy.runOnLoop(func() {
-		proxy.membership.Mark, proxy.memberCount = 1, 3
+		proxy.membership.Checksum, proxy.memberCount = 1, 3
 		proxy.smallQuotas["ana"] = &smallQuota{mark: 1, owners: [2]string{owner, owner}}
 	})
 	res, _ := proxy.do("GET", "/", "Authorization: Bearer k-ana\r\nX-Foxwood-Time-Left: 9000\r\n", "")
@@ -429,16 +429,16 @@
 	assert.NilError(t, err)
 	server := rpc.NewServer()
 	answers := make(chan error, 9)
-	slices := map[string]quota.Slice{"ana": {Rate: 1, Burst: 9, Floor: 1, FloorBurst: 9, Tokens: 9, Kick: 4}}
-	rpc.Handle(server, func(context.Context, waymark.Draw) (waymark.Drawn, error) {
-		return waymark.Drawn{Slices: waymark.Pack(slices), Lease: 60000}, <-answers
+	slices := map[string]quota.Allocation{"ana": {Rate: 1, Burst: 9, Minimum: 1, MinimumBurst: 9, Tokens: 9, StartBurst: 4}}
+	rpc.Handle(server, func(context.Context, waymark.AllocationRequest) (waymark.AllocationResponse, error) {
+		return waymark.AllocationResponse{Slices: waymark.EncodeSlices(slices), LeaseMS: 60000}, <-answers
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
 	config := newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 50})
-	held := func() (slice policy.TenantSlice) {
+	held := func() (slice policy.TenantAllotment) {
 		proxy.runOnLoop(func() {
-			holding, _ := proxy.tenants.Holding(proxy.micros())
+			holding, _ := proxy.tenants.Holdings(proxy.micros())
 			slice = holding["ana"]
 		})
 		return slice
@@ -448,18 +448,18 @@
 		answers <- a
 		proxy.allocate(context.Background())
 	}
-	proxy.receive(waymark.Signed{}, config)
+	proxy.receive(waymark.SessionResponse{}, config)
 	proxy.allocate(context.Background()) // there is no registry to ask
 	proxy.runOnLoop(func() { proxy.registry = rpc.NewPeer(listener.Addr().String()) })
 	allocate(failed)
-	assert.Equal(t, held().Floor, 0.0, "minimum while the members are not known")
-	proxy.receive(waymark.Signed{Crowd: &waymark.Crowd{Mark: 1, Place: 1, Count: 3}}, nil)
+	assert.Equal(t, held().Minimum, 0.0, "minimum while the members are not known")
+	proxy.receive(waymark.SessionResponse{Members: &waymark.MemberView{Checksum: 1, MemberIndex: 1, MemberCount: 3}}, nil)
 	allocate(failed)
-	assert.Equal(t, held().Floor, 0.0, "minimum while the members are not known")
+	assert.Equal(t, held().Minimum, 0.0, "minimum while the members are not known")
 	proxy.runOnLoop(func() { assert.Check(t, !proxy.startBurstTaken) })
-	proxy.receive(waymark.Signed{Settled: true}, nil)
+	proxy.receive(waymark.SessionResponse{Settled: true}, nil)
 	allocate(failed)
-	floor := held().Floor
+	floor := held().Minimum
 	assert.Assert(t, floor > 0 && floor <= 50.0/3+1, "%v", floor)
 	proxy.runOnLoop(func() { assert.Check(t, proxy.startBurstTaken) })
 	allocate(nil)
@@ -475,16 +475,16 @@
 	listener, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.NewServer()
-	var slices map[string]quota.Slice
-	rpc.Handle(server, func(context.Context, waymark.Draw) (waymark.Drawn, error) {
+	var slices map[string]quota.Allocation
+	rpc.Handle(server, func(context.Context, waymark.AllocationRequest) (waymark.AllocationResponse, error) {
 		if slices == nil {
-			return waymark.Drawn{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
+			return waymark.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 		}
-		return waymark.Drawn{Slices: waymark.Pack(slices), Lease: 60000}, nil
+		return waymark.AllocationResponse{Slices: waymark.EncodeSlices(slices), LeaseMS: 60000}, nil
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
-	proxy.receive(waymark.Signed{Settled: true, Again: true, Crowd: &waymark.Crowd{Mark: 1, Count: 3}},
+	proxy.receive(waymark.SessionResponse{Settled: true, RestartedRecently: true, Members: &waymark.MemberView{Checksum: 1, MemberCount: 3}},
 		newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 50}))
 	proxy.runOnLoop(func() {
 		proxy.registry = rpc.NewPeer(listener.Addr().String())
@@ -496,8 +496,8 @@
 		proxy.runOnLoop(func() { proxy.clock.Set(proxy.clock.Now()) })
 		proxy.allocate(context.Background())
 		proxy.runOnLoop(func() {
-			held, _ := proxy.tenants.Holding(proxy.micros())
-			for proxy.tenants.Spend(proxy.micros(), "ana") {
+			held, _ := proxy.tenants.Holdings(proxy.micros())
+			for proxy.tenants.TryTake(proxy.micros(), "ana") {
 				n++
 			}
 			n -= int(held["ana"].Tokens)
@@ -508,7 +508,7 @@
 	proxy.runOnLoop(func() { proxy.earlierBurstCounts, proxy.startBurstTaken = false, false })
 	assert.Assert(t, spendable() > 0)
 	assert.Equal(t, spendable(), 0)
-	slices = map[string]quota.Slice{"ana": {Kick: 4}}
+	slices = map[string]quota.Allocation{"ana": {StartBurst: 4}}
 	assert.Equal(t, spendable(), 0, "tokens after the start burst of the minimums was taken")
 	proxy.runOnLoop(func() { proxy.startBurstTaken = false })
 	assert.Equal(t, spendable(), 4)
@@ -518,8 +518,8 @@
 // TestSplitFollowsWeights checks that requests are split by weight, and that a weight of 0 gets none.
 func TestSplitFollowsWeights(t *testing.T) {
 	proxy := newTestProxy(t)
-	proxy.receive(waymark.Signed{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/b/", destination: "b"}, {prefix: "/c/", destination: "c"}}))
-	route := &timetable.Course{Split: []timetable.Share{{Destination: "c"}, {Destination: "a", Weight: 3}, {Destination: "b", Weight: 1}}}
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/b/", destination: "b"}, {prefix: "/c/", destination: "c"}}))
+	route := &timetable.Route{Split: []timetable.Share{{Destination: "c"}, {Destination: "a", Weight: 3}, {Destination: "b", Weight: 1}}}
 	const total = 8000
 	requests := map[string]int{}
 	proxy.runOnLoop(func() {
@@ -535,20 +535,20 @@
 // TestColdWorkerBudgetIsShared checks that the budget of a cold worker is divided among all gatekeepers.
 func TestColdWorkerBudgetIsShared(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
-	proxy.receive(waymark.Signed{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	proxy.runOnLoop(func() {
 		pool := proxy.pools["a"]
-		pool.config.ColdPerS = 10
+		pool.config.SlowStartPerS = 10
 		assert.Check(t, pool.coldSends(7, true) == 0, "no share was granted")
 		proxy.memberIndex, proxy.memberCount = 0, 1
 		assert.Check(t, pool.coldSends(7, true) == 0, "the member list alone must not grant a share")
 		now, sum := proxy.clock.Now(), 0
 		for index := range 6 {
-			proxy.slowStart.Take(slowstart.Grant{Current: slowstart.Part{Index: index, Count: 6}}, now, 60_000)
+			proxy.slowStart.Renew(slowstart.Grant{Current: slowstart.Share{Index: index, Count: 6}}, now, 60_000)
 			sum += pool.coldSends(7, true)
 		}
 		assert.Check(t, sum > 0 && sum <= 20, "%d requests a second, of at most 20", sum)
-		proxy.slowStart.Take(slowstart.Grant{Current: slowstart.Part{Count: 1}}, now-60_000, 60_000)
+		proxy.slowStart.Renew(slowstart.Grant{Current: slowstart.Share{Count: 1}}, now-60_000, 60_000)
 		assert.Check(t, pool.coldSends(7, true) == 0, "the lease has expired")
 	})
 }
@@ -557,10 +557,10 @@
 // leases, within the budget of a cold worker.
 func TestOutOfTouchGatekeeperLimitsRequests(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
-	proxy.receive(waymark.Signed{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	proxy.runOnLoop(func() {
 		pool := proxy.pools["a"]
-		pool.config.ColdPerS = 10
+		pool.config.SlowStartPerS = 10
 		now := proxy.clock.Now()
 		proxy.memberIndex, proxy.memberCount = 0, 6
 		proxy.tailStateAt = now
@@ -568,13 +568,13 @@
 		proxy.tailStateAt = now - outOfTouchMs - 60_000
 		sum := 0
 		for index := range 6 {
-			proxy.slowStart.Take(slowstart.Grant{Current: slowstart.Part{Index: index, Count: 6}}, now-60_000, 1000)
+			proxy.slowStart.Renew(slowstart.Grant{Current: slowstart.Share{Index: index, Count: 6}}, now-60_000, 1000)
 			sum += pool.coldSends(7, false)
 			assert.Check(t, pool.coldSends(7, true) == 0)
 		}
 		leased := 0
 		for index := range 6 {
-			proxy.slowStart.Take(slowstart.Grant{Current: slowstart.Part{Index: index, Count: 6}}, now, 60_000)
+			proxy.slowStart.Renew(slowstart.Grant{Current: slowstart.Share{Index: index, Count: 6}}, now, 60_000)
 			leased += pool.coldSends(7, true)
 		}
 		assert.Check(t, sum > 0 && leased > 0 && sum+leased <= 20, "%d and %d requests a second, of at most 20 together", sum, leased)
@@ -590,26 +590,26 @@
 func TestWorkersAreColdAfterEvacuationEnds(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
 	zoned := func(id, zone string) waymark.Worker {
-		return waymark.Worker{ID: id, Destination: "a", Addr: id + ":80", Zone: zone, Berths: 2}
+		return waymark.Worker{ID: id, Destination: "a", Addr: id + ":80", Zone: zone, Slots: 2}
 	}
 	proxy.receive(fullList(1, zoned("i-1", "a1"), zoned("i-2", "a2")), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	cold := func(id string) (ms float64) {
 		proxy.runOnLoop(func() {
 			pool := proxy.pools["a"]
-			pool.config.ColdPerS, pool.config.ColdS = 10, 3
+			pool.config.SlowStartPerS, pool.config.SlowStartS = 10, 3
 			ms = float64(pool.coldUntil(proxy.workers[id]))/1000 - proxy.clock.Now()
 		})
 		return ms
 	}
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 5, Evacuated: []string{"a1"}}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
 	assert.Assert(t, cold("i-1") <= 0)
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 6}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 6}, nil)
 	assert.Assert(t, cold("i-1") > 0 && cold("i-1") <= 3000, "%v ms", cold("i-1"))
 	assert.Assert(t, cold("i-2") <= 0, "its zone was never evacuated")
 	proxy.receive(listChanges(2, zoned("i-1", "a1")), nil)
 	assert.Assert(t, cold("i-1") > 0, "a list without cold times must not end it")
 	proxy.runOnLoop(func() { proxy.evacuationRevokedAt["a1"] -= 3000 })
 	assert.Assert(t, cold("i-1") <= 0, "the cold time has passed")
-	proxy.receive(waymark.Signed{HasEvac: true, Evac: 9, TakenBack: []string{"a2"}}, nil)
+	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 9, RevokedEvacuations: []string{"a2"}}, nil)
 	assert.Assert(t, cold("i-2") > 0, "evacuated and revoked without this gatekeeper having heard of it")
 }
--- a/internal/switchback/allocation.go
+++ b/internal/switchback/allocation.go
@@ -25,7 +25,7 @@
 				break
 			}
 			early := false
-			p.runOnLoop(func() { early = p.tenants.Low(p.micros()) || p.becameOwner() })
+			p.runOnLoop(func() { early = p.tenants.RunningLow(p.micros()) || p.becameOwner() })
 			if answered && early {
 				break
 			}
@@ -48,7 +48,7 @@
 
 // allocate sends one request for slices, and tells whether it was answered.
 func (p *Proxy) allocate(ctx context.Context) (answered bool) {
-	var request waymark.Draw
+	var request waymark.AllocationRequest
 	var askedAt float64
 	var peer *rpc.Peer
 	p.runOnLoop(func() {
@@ -72,7 +72,7 @@
 		}
 		p.allocatorPeer = rpc.NewPeer(peer.Addr())
 	}
-	answer, err := rpc.Call[waymark.Draw, waymark.Drawn](callCtx, p.allocatorPeer, request)
+	answer, err := rpc.Call[waymark.AllocationRequest, waymark.AllocationResponse](callCtx, p.allocatorPeer, request)
 	p.runOnLoop(func() {
 		p.counts.Allocations++
 		if err != nil {
@@ -83,37 +83,37 @@
 		answered = true
 		p.hasSlices = true
 		p.lastAllocationMs = p.clock.Now() - askedAt
-		p.slowStart.Take(answer.SlowStart, askedAt, answer.Lease)
-		fresh := p.clock.Now()-askedAt <= quota.TokensMs
-		slices := make(map[string]policy.TenantSlice, len(answer.Slices))
-		for name, s := range waymark.Unpack(answer.Slices) {
+		p.slowStart.Renew(answer.SlowStart, askedAt, answer.LeaseMS)
+		fresh := p.clock.Now()-askedAt <= quota.TokenValidityMs
+		slices := make(map[string]policy.TenantAllotment, len(answer.Slices))
+		for name, s := range waymark.DecodeSlices(answer.Slices) {
 			if !fresh { // too old: the allocator has given the tokens up by now
 				s.Tokens = 0
 			}
 			if p.startBurstTaken {
-				s.Kick = 0
+				s.StartBurst = 0
 			}
-			slices[name] = policy.TenantSlice(s)
+			slices[name] = policy.TenantAllotment(s)
 		}
 		p.startBurstTaken = true
-		p.tenants.Slices(p.micros(), slices, policy.Micros((askedAt+answer.Lease)*1000))
+		p.tenants.SetAllotments(p.micros(), slices, policy.Micros((askedAt+answer.LeaseMS)*1000))
 	})
 	return answered
 }
 
 // allocationRequest returns the next request for slices. It runs on the loop.
-func (p *Proxy) allocationRequest() waymark.Draw {
+func (p *Proxy) allocationRequest() waymark.AllocationRequest {
 	p.sequence++
 	p.updateOwned()
-	slices, leaseLeft := p.tenants.Holding(p.micros())
-	held := make(map[string]quota.Slice, len(slices))
+	slices, leaseLeft := p.tenants.Holdings(p.micros())
+	held := make(map[string]quota.Allocation, len(slices))
 	for name, s := range slices {
-		if s != (policy.TenantSlice{}) { // this gatekeeper holds nothing of most small quotas
-			held[name] = quota.Slice(s)
+		if s != (policy.TenantAllotment{}) { // this gatekeeper holds nothing of most small quotas
+			held[name] = quota.Allocation(s)
 		}
 	}
-	request := waymark.Draw{Station: p.settings.Station, Life: p.incarnation, Turn: p.sequence, Demand: map[string]float32{}, LeaseLeft: float64(leaseLeft) / 1000}
-	request.Hold(held)
+	request := waymark.AllocationRequest{Node: p.settings.Node, Incarnation: p.incarnation, Sequence: p.sequence, Demand: map[string]float32{}, LeaseLeft: float64(leaseLeft) / 1000}
+	request.SetHeldSlices(held)
 	for name, demand := range p.tenants.Demand(p.micros()) {
 		request.Demand[name] = float32(demand)
 	}
@@ -130,17 +130,17 @@
 	if p.hasSlices || !p.membersKnown || p.memberCount == 0 {
 		return
 	}
-	slices := map[string]policy.TenantSlice{}
-	for name, terms := range quota.Limited(p.config) {
-		slice := quota.Floor(name, terms, p.quotaBounds, p.memberIndex, p.memberCount)
+	slices := map[string]policy.TenantAllotment{}
+	for name, terms := range quota.LimitedTenants(p.config) {
+		slice := quota.MinimumAllocation(name, terms, p.quotaBounds, p.memberIndex, p.memberCount)
 		if p.startBurstTaken || p.earlierBurstCounts {
-			slice.Kick = 0
+			slice.StartBurst = 0
 		}
 		if !p.startBurstTaken { // the minimum has accrued since the process began
-			slice.Tokens = slice.Floor * (p.clock.Now() - clockStartMs) / 1000
+			slice.Tokens = slice.Minimum * (p.clock.Now() - clockStartMs) / 1000
 		}
-		slices[name] = policy.TenantSlice(slice)
+		slices[name] = policy.TenantAllotment(slice)
 	}
 	p.startBurstTaken = true
-	p.tenants.Slices(p.micros(), slices, 0)
+	p.tenants.SetAllotments(p.micros(), slices, 0)
 }
--- a/internal/switchback/connection_faults_test.go
+++ b/internal/switchback/connection_faults_test.go
@@ -255,7 +255,7 @@
 			go o.serve(c)
 		}
 	}()
-	return waymark.Worker{ID: id, Destination: destination, Addr: ln.Addr().String(), Zone: "a1", Berths: 8}
+	return waymark.Worker{ID: id, Destination: destination, Addr: ln.Addr().String(), Zone: "a1", Slots: 8}
 }
 
 // check checks the log after everything has ended. A loop that stops leaves connections open that were just being
@@ -514,7 +514,7 @@
 					proxy.receive(fullList(1, workers...), newConfig(t, 1, routes))
 					proxy.runOnLoop(func() {
 						limits := *proxy.clients.Limits
-						limits.ReadMost, limits.StallMost = 300, 300
+						limits.HeadTimeoutMS, limits.BodyStallTimeoutMS = 300, 300
 						proxy.clients.Limits = &limits
 					})
 					var clients sync.WaitGroup
--- a/internal/switchback/disconnect_test.go
+++ b/internal/switchback/disconnect_test.go
@@ -100,7 +100,7 @@
 			rests <- rest{begun + n, h.Sum32(), err}
 			return err == nil
 		})
-		proxy.receive(fullList(1, waymark.Worker{ID: "w", Destination: "a", Addr: addr, Zone: "a1", Berths: 8}), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
+		proxy.receive(fullList(1, waymark.Worker{ID: "w", Destination: "a", Addr: addr, Zone: "a1", Slots: 8}), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
 		c := proxy.dialLong().send(newRequest("POST", "/long", bodyHeader(size, false), ""))
 		_, err := io.CopyN(c.conn, bodyReader(size), 1<<20)
 		assert.NilError(t, err)
@@ -166,7 +166,7 @@
 	c.send(newRequest("POST", "/held", "", ""))
 	await(t, received)
 	set := *proxy.settings
-	set.FirstStations = []string{"127.0.0.1:2"}
+	set.SeedNodes = []string{"127.0.0.1:2"}
 	proxy.Reload(&set)
 	release <- true
 	res, _ = c.readResponse()
@@ -187,7 +187,7 @@
 		res, _ := proxy.do("GET", "/first/", "", "")
 		assert.Equal(t, res.StatusCode, 200)
 	}
-	proxy.receive(waymark.Signed{}, newConfig(t, 2, later))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 2, later))
 	for _, path := range []string{"/alike/", "/other/", "/first/"} {
 		for range 5 {
 			res, _ := proxy.do("GET", path, "", "")
--- a/internal/switchback/drain_test.go
+++ b/internal/switchback/drain_test.go
@@ -19,7 +19,7 @@
 func (s *testProxy) readiness(t *testing.T) func(path string) int {
 	ln, err := link.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
-	go ln.Accept(s.loop, func() *link.Client { return s.readinessClients.Make() })
+	go ln.Accept(s.loop, func() *link.ClientConn { return s.readinessClients.NewConn() })
 	t.Cleanup(func() { _ = ln.Close() })
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func(path string) int {
@@ -45,11 +45,11 @@
 		res, _ := proxy.do("GET", "/", "", "")
 		assert.Equal(t, res.StatusCode, 503, "status before the first configuration; 404 would tell clients not to retry")
 		checkRetryAfter(t, res)
-		proxy.receive(waymark.Signed{Stale: true}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+		proxy.receive(waymark.SessionResponse{Stale: true}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 		assert.Equal(t, check("/ready"), 503)
 		proxy.receive(stale(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil))), nil)
 		assert.Equal(t, check("/ready"), map[bool]int{true: 503, false: 200}[final])
-		proxy.receive(waymark.Signed{Edition: 1}, nil)
+		proxy.receive(waymark.SessionResponse{ConfigVersion: 1}, nil)
 		assert.Equal(t, check("/ready?x=1"), 200)
 		proxy.runOnLoop(func() { assert.Check(t, proxy.heartbeatRequest().Member.Ready) })
 		proxy.runOnLoop(func() { proxy.draining = true })
@@ -155,5 +155,5 @@
 	checkAnswer(before)
 	await(t, ended)
 	assert.Equal(t, ran.Load(), answered)
-	proxy.runOnLoop(func() { assert.Check(t, proxy.clients.Len() == 0) })
+	proxy.runOnLoop(func() { assert.Check(t, proxy.clients.OpenConns() == 0) })
 }
--- a/internal/switchback/fanout.go
+++ b/internal/switchback/fanout.go
@@ -42,10 +42,10 @@
 	mu            sync.Mutex
 	updated       chan struct{} // closed and replaced at each change
 	cache         *configcache.Cache
-	config        *timetable.Timetable // the newest configuration
-	zonePeers     []string             // addresses of the other ready members of the zone
-	knownPeers    map[string]zonePeer  // members of the zone by address, also some that have left
-	memberCount   int                  // of all members
+	config        *timetable.Config   // the newest configuration
+	zonePeers     []string            // addresses of the other ready members of the zone
+	knownPeers    map[string]zonePeer // members of the zone by address, also some that have left
+	memberCount   int                 // of all members
 	peers         map[string]*rpc.Peer
 	badSince      float64 // when the first of the consecutive bad heartbeats began, 0 if the last one was good
 	nextOfferAt   float64 // when the next offers are due
@@ -97,12 +97,12 @@
 func (r *fanout) outOfTouch(now float64) bool { return r.badSince > 0 && now-r.badSince > offerAfterMs }
 
 // receive stores what a registry has sent.
-func (r *fanout) receive(answer *waymark.Signed) {
+func (r *fanout) receive(answer *waymark.SessionResponse) {
 	r.withLock(func(now float64) {
-		r.cache.Hear(now, answer)
+		r.cache.ApplyAnswer(now, answer)
 		r.notify()
-		if answer.Crowd != nil {
-			r.setMembers(now, answer.Crowd)
+		if answer.Members != nil {
+			r.setMembers(now, answer.Members)
 		}
 		for _, addr := range r.zonePeers { // they are known to be members as of now
 			peer := r.knownPeers[addr]
@@ -113,11 +113,11 @@
 }
 
 // setMembers replaces the members of the zone. The lock is held.
-func (r *fanout) setMembers(now float64, members *waymark.Crowd) {
-	r.memberCount = members.Count
-	r.zonePeers = members.Peers[:min(len(members.Near), len(members.Peers))]
+func (r *fanout) setMembers(now float64, members *waymark.MemberView) {
+	r.memberCount = members.MemberCount
+	r.zonePeers = members.Peers[:min(len(members.ZonePeerIndexes), len(members.Peers))]
 	for i, addr := range r.zonePeers {
-		r.knownPeers[addr] = zonePeer{index: members.Near[i], seenAt: now}
+		r.knownPeers[addr] = zonePeer{index: members.ZonePeerIndexes[i], seenAt: now}
 	}
 	for addr, known := range r.knownPeers {
 		if now-known.seenAt > formerPeerMs {
@@ -147,7 +147,7 @@
 		return true
 	}
 	body, err := waymark.Inflate(compressed)
-	var config *timetable.Timetable
+	var config *timetable.Config
 	if err == nil {
 		config, err = timetable.Parse(body)
 	}
@@ -158,7 +158,7 @@
 	config.Raw = nil // the cache holds the compressed body to pass on
 	r := p.fanout
 	r.withLock(func(float64) {
-		if r.cache.Body(config.Edition, compressed) {
+		if r.cache.SetConfiguration(config.Version, compressed) {
 			r.config = config
 			r.notify()
 		}
@@ -170,12 +170,12 @@
 // only once. It tells whether it has asked any.
 func (p *Proxy) fetchFromHomes(ctx context.Context) bool {
 	r := p.fanout
-	var requests map[string]waymark.Subscribe
+	var requests map[string]waymark.SubscribeRequest
 	var limit float64
 	peers := map[string]*rpc.Peer{}
 	r.withLock(func(now float64) {
 		var bulk int
-		requests, bulk = r.cache.Plan(now, configcache.Zone{Name: p.settings.Zone, Self: p.settings.Inner(0), Ready: p.isReady.Load(), Near: r.zonePeers})
+		requests, bulk = r.cache.PlanRequests(now, configcache.ZonePeers{Name: p.settings.Zone, Self: p.settings.InnerAddress(0), SelfReady: p.isReady.Load(), Peers: r.zonePeers})
 		limit = homeWaitMs + min(float64(bulk/homeBytesPerMs), maxExtraHomeWaitMs)
 		for addr := range requests {
 			peers[addr] = r.peer(addr)
@@ -189,14 +189,14 @@
 	var all sync.WaitGroup
 	for addr, request := range requests {
 		all.Go(func() {
-			request.Wait = limit
-			answer, err := rpc.Call[waymark.Subscribe, waymark.Subscribed](ctx, peers[addr], request)
+			request.WaitMS = limit
+			answer, err := rpc.Call[waymark.SubscribeRequest, waymark.SubscribeResponse](ctx, peers[addr], request)
 			r.withLock(func(now float64) { // the times for which workers are cold count from the receipt, not from after parsing
-				r.cache.Stock(now, answer.Parts)
+				r.cache.AddParts(now, answer.Endpoints)
 				r.notify()
 			})
-			p.storeConfig(answer.Body)
-			r.withLock(func(now float64) { r.cache.Asked(now, addr, &request, err) })
+			p.storeConfig(answer.Config)
+			r.withLock(func(now float64) { r.cache.RecordAnswer(now, addr, &request, err) })
 		})
 	}
 	all.Wait()
@@ -205,16 +205,16 @@
 
 // handleSubscribe answers a zone peer, as its zone home. The answer is held back until all that the peer asks for is
 // here, or until the peer's time limit; a home that is out of touch answers at once.
-func (p *Proxy) handleSubscribe(ctx context.Context, request waymark.Subscribe) (answer waymark.Subscribed, err error) {
+func (p *Proxy) handleSubscribe(ctx context.Context, request waymark.SubscribeRequest) (answer waymark.SubscribeResponse, err error) {
 	r := p.fanout
-	wait := time.NewTimer(time.Duration(min(max(request.Wait, 0), maxSubscribeWaitMs) * float64(time.Millisecond)))
+	wait := time.NewTimer(time.Duration(min(max(request.WaitMS, 0), maxSubscribeWaitMs) * float64(time.Millisecond)))
 	defer wait.Stop()
 	for over := false; ; {
 		var updated chan struct{}
 		r.withLock(func(now float64) {
 			updated = r.updated
-			if over = over || request.Wait <= 0 || r.outOfTouch(now) || r.cache.Has(&request); over {
-				answer = r.cache.Give(now, &request)
+			if over = over || request.WaitMS <= 0 || r.outOfTouch(now) || r.cache.CanAnswer(&request); over {
+				answer = r.cache.Answer(now, &request)
 			}
 		})
 		if over {
@@ -235,15 +235,15 @@
 func (p *Proxy) applyCached() (changed bool) {
 	r := p.fanout
 	r.withLock(func(now float64) {
-		if r.config != nil && (p.config == nil || r.config.Edition > p.config.Edition) {
+		if r.config != nil && (p.config == nil || r.config.Version > p.config.Version) {
 			p.enforce(r.config)
 		}
-		if version, zones := r.cache.Evacuated(); version > p.evacuationVersion {
-			p.setEvacuated(version, zones, r.cache.TakenBack())
+		if version, zones := r.cache.EvacuatedZones(); version > p.evacuationVersion {
+			p.setEvacuated(version, zones, r.cache.TakeEndedEvacuations())
 			changed = true
 		}
-		p.rosterVersion = r.cache.Heard()
-		for name, version := range r.cache.Turns() {
+		p.rosterVersion = r.cache.AnnouncedVersion()
+		for name, version := range r.cache.Revisions() {
 			if version > p.workerListVersions[name] {
 				p.workerListVersions[name] = version
 				p.setWorkers(name, r.cache.Workers(now, name))
@@ -285,8 +285,8 @@
 	for _, entry := range list {
 		listed := &worker{Worker: entry}
 		listed.Destination = destination
-		if entry.Cold > 0 {
-			listed.coldUntil = policy.Micros((now + entry.Cold) * 1000)
+		if entry.SlowStartLeftMS > 0 {
+			listed.coldUntil = policy.Micros((now + entry.SlowStartLeftMS) * 1000)
 		}
 		if earlier := before[entry.ID]; earlier != nil && earlier.Addr == entry.Addr {
 			listed.misdirected = earlier.misdirected
@@ -327,68 +327,68 @@
 // offer asks a zone peer what it holds, and hands over what it lacks.
 func (p *Proxy) offer(ctx context.Context, to *rpc.Peer, known zonePeer) {
 	r := p.fanout
-	var offer waymark.Lend
+	var offer waymark.PeerSyncRequest
 	r.withLock(func(float64) {
 		offer = r.cache.Offer()
-		offer.Place, offer.Count = known.index, r.memberCount
+		offer.MemberIndex, offer.MemberCount = known.index, r.memberCount
 	})
 	offerCtx, cancel := context.WithTimeout(ctx, offerTimeout)
-	held, err := rpc.Call[waymark.Lend, waymark.Lent](offerCtx, to, offer)
+	held, err := rpc.Call[waymark.PeerSyncRequest, waymark.PeerSyncResponse](offerCtx, to, offer)
 	cancel()
-	if err != nil || held.Later {
+	if err != nil || held.TransferPending {
 		return
 	}
-	var handOver waymark.Lend
+	var handOver waymark.PeerSyncRequest
 	var lacking bool
 	r.withLock(func(now float64) {
-		handOver, lacking = r.cache.Lend(now, &held)
-		handOver.Place, handOver.Count = known.index, r.memberCount
+		handOver, lacking = r.cache.HandOver(now, &held)
+		handOver.MemberIndex, handOver.MemberCount = known.index, r.memberCount
 	})
-	if !lacking && (held.Placed || handOver.Count == 0) {
+	if !lacking && (held.KnowsMemberIndex || handOver.MemberCount == 0) {
 		return
 	}
 	ctx, cancel = context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	if _, err = rpc.Call[waymark.Lend, waymark.Lent](ctx, to, handOver); err == nil {
+	if _, err = rpc.Call[waymark.PeerSyncRequest, waymark.PeerSyncResponse](ctx, to, handOver); err == nil {
 		p.log.Info().Str("to", to.Addr()).Msg("handed state over to a zone peer")
 	}
 }
 
 // handleOffer accepts what a zone peer offers if it is more than what is held. This does not replace a session: a
 // gatekeeper that has received its state only this way accepts no keys if revocations are final.
-func (p *Proxy) handleOffer(_ context.Context, offer waymark.Lend) (held waymark.Lent, err error) {
+func (p *Proxy) handleOffer(_ context.Context, offer waymark.PeerSyncRequest) (held waymark.PeerSyncResponse, err error) {
 	r := p.fanout
-	if offer.Given {
+	if offer.HasState {
 		newer := false
 		r.withLock(func(now float64) {
-			r.cache.Borrow(now, &offer)
-			newer = offer.Edition > r.cache.Edition()
+			r.cache.AcceptHandover(now, &offer)
+			newer = offer.ConfigVersion > r.cache.Edition()
 			r.notify()
 		})
 		if newer {
-			p.storeConfig(offer.Body)
+			p.storeConfig(offer.Config)
 		}
 		r.withLock(func(float64) { r.handOverUntil = 0 })
 	}
 	indexKnown := false
 	p.runOnLoop(func() {
-		if offer.Given {
+		if offer.HasState {
 			changed := p.applyCached()
-			if offer.Count > 0 && p.memberCount == 0 {
+			if offer.MemberCount > 0 && p.memberCount == 0 {
 				// Minimums are reserved for this member index. The previous incarnation may have taken the start
 				// burst.
 				p.membersKnown, p.startBurstTaken = true, true
-				changed = p.setMemberIndex(offer.Place, offer.Count) || changed
+				changed = p.setMemberIndex(offer.MemberIndex, offer.MemberCount) || changed
 			}
 			p.updatePools(changed)
 		}
 		indexKnown = p.memberCount > 0
 	})
 	r.withLock(func(now float64) {
-		held = r.cache.Held()
-		held.Placed = indexKnown
-		if !offer.Given && r.cache.Exceeds(&offer) { // other zone peers offer the same at the same time
-			if held.Later = now < r.handOverUntil; !held.Later {
+		held = r.cache.HeldVersions()
+		held.KnowsMemberIndex = indexKnown
+		if !offer.HasState && r.cache.LacksAnyOf(&offer) { // other zone peers offer the same at the same time
+			if held.TransferPending = now < r.handOverUntil; !held.TransferPending {
 				r.handOverUntil = now + maxHandOverWaitMs
 			}
 		}
--- a/internal/switchback/fanout_test.go
+++ b/internal/switchback/fanout_test.go
@@ -25,8 +25,8 @@
 	port int
 
 	mu       sync.Mutex
-	answers  map[string]waymark.Signed // answers of the registry, by node
-	requests map[string][]waymark.Sign
+	answers  map[string]waymark.SessionResponse // answers of the registry, by node
+	requests map[string][]waymark.SessionRequest
 	registry *rpc.Server
 }
 
@@ -42,16 +42,16 @@
 
 // newTestZone starts the registry of a zone without gatekeepers.
 func newTestZone(t *testing.T) *testZone {
-	zone := &testZone{t: t, answers: map[string]waymark.Signed{}, requests: map[string][]waymark.Sign{}}
+	zone := &testZone{t: t, answers: map[string]waymark.SessionResponse{}, requests: map[string][]waymark.SessionRequest{}}
 	listener, err := rpc.Listen(registryHost + ":0")
 	assert.NilError(t, err)
 	zone.port = listener.Addr().(*net.TCPAddr).Port
 	zone.registry = rpc.NewServer()
-	rpc.Handle(zone.registry, func(_ context.Context, request waymark.Sign) (waymark.Signed, error) {
+	rpc.Handle(zone.registry, func(_ context.Context, request waymark.SessionRequest) (waymark.SessionResponse, error) {
 		zone.mu.Lock()
 		defer zone.mu.Unlock()
-		zone.requests[request.Member.Station] = append(zone.requests[request.Member.Station], request)
-		return zone.answers[request.Member.Station], nil
+		zone.requests[request.Member.Node] = append(zone.requests[request.Member.Node], request)
+		return zone.answers[request.Member.Node], nil
 	})
 	go func() { _ = zone.registry.Serve(listener) }()
 	t.Cleanup(zone.registry.Close)
@@ -64,13 +64,13 @@
 // start starts the n-th gatekeeper, which holds nothing yet.
 func (v *testZone) start(n int, final bool) (*Proxy, *rpc.Server) {
 	v.t.Helper()
-	settings := &bootconfig.Settings{Station: fmt.Sprint("g", n), Zone: "z", Region: "r", IP: fmt.Sprint("127.0.0.", 10+n),
-		InnerDocks: []int{v.port, v.port + 1}, FirstStations: []string{registryHost + ":1"},
-		SizeLimits: bootconfig.SizeLimits{Handles: 1000}}
+	settings := &bootconfig.Settings{Node: fmt.Sprint("g", n), Zone: "z", Region: "r", IP: fmt.Sprint("127.0.0.", 10+n),
+		InnerPorts: []int{v.port, v.port + 1}, SeedNodes: []string{registryHost + ":1"},
+		ResourceLimits: bootconfig.ResourceLimits{MaxOpenFiles: 1000}}
 	settings.Bounds.RevocationFinal, settings.Bounds.RevokeS = final, 5
 	p, err := New(settings, zerolog.Nop())
 	assert.NilError(v.t, err)
-	listener, err := rpc.Listen(settings.Inner(0))
+	listener, err := rpc.Listen(settings.InnerAddress(0))
 	assert.NilError(v.t, err)
 	server := rpc.NewServer()
 	rpc.Handle(server, p.handleSubscribe)
@@ -81,15 +81,15 @@
 }
 
 // heartbeat has a gatekeeper send one heartbeat, which is answered as given, and returns the request.
-func (v *testZone) heartbeat(p *Proxy, answer waymark.Signed) waymark.Sign {
+func (v *testZone) heartbeat(p *Proxy, answer waymark.SessionResponse) waymark.SessionRequest {
 	v.t.Helper()
 	v.mu.Lock()
-	v.answers[p.settings.Station] = answer
+	v.answers[p.settings.Node] = answer
 	v.mu.Unlock()
 	p.heartbeat(v.t.Context())
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	all := v.requests[p.settings.Station]
+	all := v.requests[p.settings.Node]
 	assert.Assert(v.t, len(all) > 0, "the registry received no heartbeat")
 	return all[len(all)-1]
 }
@@ -98,7 +98,7 @@
 func stateOf(p *Proxy) (version uint64, workers []string, ready, keys bool, members int) {
 	p.runOnLoop(func() {
 		if p.config != nil {
-			version = p.config.Edition
+			version = p.config.Version
 		}
 		for _, w := range p.workers {
 			workers = append(workers, w.Destination+"/"+w.ID)
@@ -109,12 +109,12 @@
 }
 
 // workerList returns the announcement and the content of a worker list.
-func workerList(version, since uint64, workers ...string) (*waymark.Marks, []waymark.Part) {
-	p := waymark.Part{Destination: "d", Version: version, Since: since}
+func workerList(version, since uint64, workers ...string) (*waymark.EndpointChanges, []waymark.DestinationEndpoints) {
+	p := waymark.DestinationEndpoints{Destination: "d", Version: version, Since: since}
 	for _, w := range workers {
 		p.Workers = append(p.Workers, waymark.Worker{ID: w, Addr: "127.0.0.1:9", Zone: "z"})
 	}
-	return &waymark.Marks{Version: version, Whole: since == 0, Behind: map[string]uint64{"d": 0}}, []waymark.Part{p}
+	return &waymark.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{"d": 0}}, []waymark.DestinationEndpoints{p}
 }
 
 // startTwo starts two gatekeepers that hold configuration 1 and one worker, and know each other. It returns the zone
@@ -123,11 +123,11 @@
 	first, firstServer := v.start(0, final)
 	second, secondServer := v.start(1, final)
 	marks, parts := workerList(1, 0, "w1")
-	v.heartbeat(first, waymark.Signed{Edition: 1, Body: configBody(1), Marks: marks, Parts: parts, Settled: true,
-		Crowd: &waymark.Crowd{Mark: 1, Place: 0, Count: 2, Peers: []string{v.addr(1)}, Near: []int{1}}})
-	v.heartbeat(second, waymark.Signed{Edition: 1, Body: configBody(1), Marks: marks, Parts: parts, Settled: true,
-		Crowd: &waymark.Crowd{Mark: 2, Place: 1, Count: 2, Peers: []string{v.addr(0)}, Near: []int{0}}})
-	if membership.HomeAmong([]string{v.addr(0), v.addr(1)}, "z", "d") == v.addr(0) {
+	v.heartbeat(first, waymark.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
+		Members: &waymark.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 2, Peers: []string{v.addr(1)}, ZonePeerIndexes: []int{1}}})
+	v.heartbeat(second, waymark.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
+		Members: &waymark.MemberView{Checksum: 2, MemberIndex: 1, MemberCount: 2, Peers: []string{v.addr(0)}, ZonePeerIndexes: []int{0}}})
+	if membership.OwnerAmong([]string{v.addr(0), v.addr(1)}, "z", "d") == v.addr(0) {
 		return first, second, firstServer
 	}
 	return second, first, secondServer
@@ -139,14 +139,14 @@
 	zone := newTestZone(t)
 	home, other, _ := zone.startTwo(true)
 	marks, parts := workerList(2, 1, "w2")
-	zone.heartbeat(home, waymark.Signed{Edition: 1, Marks: marks, Parts: parts})
-	zone.heartbeat(other, waymark.Signed{Edition: 1, Marks: marks})
+	zone.heartbeat(home, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks, Endpoints: parts})
+	zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
 	_, workers, ready, keys, _ := stateOf(other)
 	assert.Equal(t, len(workers), 2)
 	assert.Assert(t, ready && keys)
-	request := zone.heartbeat(other, waymark.Signed{Edition: 1})
-	assert.Assert(t, request.Want == nil)
-	assert.Equal(t, request.Roster, uint64(2))
+	request := zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1})
+	assert.Assert(t, request.WantEndpoints == nil)
+	assert.Equal(t, request.EndpointsVersion, uint64(2))
 }
 
 // TestRegistryReplacesFailedZoneHome: the registry sends what the zone home does not have, because the home is dead,
@@ -165,12 +165,12 @@
 			home, other, homeServer := zone.startTwo(false)
 			disable(home, homeServer)
 			marks, parts := workerList(2, 1, "w2")
-			zone.heartbeat(other, waymark.Signed{Edition: 1, Marks: marks})
-			request := zone.heartbeat(other, waymark.Signed{Edition: 1, Parts: parts})
-			assert.DeepEqual(t, request.Want, map[string]uint64{"d": 1})
+			zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
+			request := zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, Endpoints: parts})
+			assert.DeepEqual(t, request.WantEndpoints, map[string]uint64{"d": 1})
 			_, workers, _, _, _ := stateOf(other)
 			assert.Equal(t, len(workers), 2)
-			assert.Assert(t, zone.heartbeat(other, waymark.Signed{Edition: 1}).Want == nil)
+			assert.Assert(t, zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1}).WantEndpoints == nil)
 		})
 	}
 }
@@ -179,13 +179,13 @@
 func TestSubscribeWaitsForUpdate(t *testing.T) {
 	zone := newTestZone(t)
 	home, _, _ := zone.startTwo(false)
-	answers := make(chan waymark.Subscribed)
+	answers := make(chan waymark.SubscribeResponse)
 	go func() {
-		answer, _ := home.handleSubscribe(t.Context(), waymark.Subscribe{Edition: 2, Wait: maxSubscribeWaitMs})
+		answer, _ := home.handleSubscribe(t.Context(), waymark.SubscribeRequest{ConfigVersion: 2, WaitMS: maxSubscribeWaitMs})
 		answers <- answer
 	}()
 	home.storeConfig(configBody(2))
-	assert.DeepEqual(t, (<-answers).Body, configBody(2))
+	assert.DeepEqual(t, (<-answers).Config, configBody(2))
 }
 
 // TestRestartDuringRegistryLoss: a gatekeeper that starts while all registries are down serves with what a zone peer
@@ -198,7 +198,7 @@
 			zone.registry.Close()
 			homeServer.Close() // the process of the home ends, and another one starts without any state
 			number := 0
-			if home.settings.Station == "g1" {
+			if home.settings.Node == "g1" {
 				number = 1
 			}
 			restarted, _ := zone.start(number, final)
@@ -221,7 +221,7 @@
 			restarted.runOnLoop(func() {
 				assert.Check(t, !restarted.hasSession, "a hand-over is not a session")
 				assert.Check(t, restarted.memberIndex == number)
-				assert.Check(t, restarted.heartbeatRequest().Roster == 1, "version in the next heartbeat")
+				assert.Check(t, restarted.heartbeatRequest().EndpointsVersion == 1, "version in the next heartbeat")
 			})
 		})
 	}
@@ -231,16 +231,16 @@
 func TestOneHandOverAtATime(t *testing.T) {
 	zone := newTestZone(t)
 	p, _ := zone.start(0, false)
-	offer := waymark.Lend{Edition: 3}
+	offer := waymark.PeerSyncRequest{ConfigVersion: 3}
 	held, err := p.handleOffer(t.Context(), offer)
 	assert.NilError(t, err)
-	assert.Assert(t, !held.Later)
+	assert.Assert(t, !held.TransferPending)
 	held, _ = p.handleOffer(t.Context(), offer)
-	assert.Assert(t, held.Later)
-	offer.Given, offer.Body = true, configBody(3)
+	assert.Assert(t, held.TransferPending)
+	offer.HasState, offer.Config = true, configBody(3)
 	held, _ = p.handleOffer(t.Context(), offer)
-	assert.Equal(t, held.Edition, uint64(3))
-	held, _ = p.handleOffer(t.Context(), waymark.Lend{Edition: 3})
-	assert.Assert(t, !held.Later, "an offer of what is already held must not be put off")
-	assert.Assert(t, configcache.New().Exceeds(&offer))
+	assert.Equal(t, held.ConfigVersion, uint64(3))
+	held, _ = p.handleOffer(t.Context(), waymark.PeerSyncRequest{ConfigVersion: 3})
+	assert.Assert(t, !held.TransferPending, "an offer of what is already held must not be put off")
+	assert.Assert(t, configcache.New().LacksAnyOf(&offer))
 }
--- a/internal/switchback/handler.go
+++ b/internal/switchback/handler.go
@@ -48,8 +48,8 @@
 	retried         bool   // the client was refused before, or has lost as much time otherwise
 	routeNumber     int    // index of the route plus 1, 0 if load shedding is off
 
-	route     *timetable.Course
-	sender    *timetable.Sender
+	route     *timetable.Route
+	sender    *timetable.Tenant
 	forwarded bool      // it was forwarded to a worker
 	mirrored  *mirrored // nil if it is not to be mirrored
 }
@@ -78,8 +78,8 @@
 	load [3]float32 // reused for the load that a worker reports
 }
 
-// Handle implements link.Front: it serves one request of a client.
-func (f *handler) Handle(client *link.Client, msg *http1.Message) {
+// Handle implements link.RequestHandler: it serves one request of a client.
+func (f *handler) Handle(client *link.ClientConn, msg *http1.Message) {
 	p := f.p
 	p.counts.Requests++
 	config := p.config
@@ -87,53 +87,53 @@
 		p.refuse(client, http.StatusServiceUnavailable, notReadyRetryMs, "no configuration yet\n")
 		return
 	}
-	host, ok := msg.Single("Host")
+	host, ok := msg.Unique("Host")
 	if !ok {
-		client.Reject(http.StatusBadRequest, "not exactly one host\n")
+		client.RespondTextAndClose(http.StatusBadRequest, "not exactly one host\n")
 		return
 	}
-	id, ok := msg.Single(headerTryID)
+	id, ok := msg.Unique(headerTryID)
 	if !ok || len(id) == 0 || len(id) > maxTryIDBytes {
 		p.counts.Malformed++
-		client.Reject(http.StatusBadRequest, headerTryID+" is not there exactly once\n")
+		client.RespondTextAndClose(http.StatusBadRequest, headerTryID+" is not there exactly once\n")
 		return
 	}
 	path, _, _ := bytes.Cut(msg.Target, []byte{'?'})
-	route := config.Course(host, path)
+	route := config.Route(host, path)
 	if route == nil {
 		p.counts.NoRoute++
-		client.Reply(http.StatusNotFound, "", "no such route\n")
+		client.RespondText(http.StatusNotFound, "", "no such route\n")
 		return
 	}
-	timeLeft := route.Deadline * 1000
-	if text, ok := msg.Single(headerTimeLeft); ok {
+	timeLeft := route.DeadlineS * 1000
+	if text, ok := msg.Unique(headerTimeLeft); ok {
 		value, err := strconv.ParseFloat(string(text), 64)
 		if err != nil || !(value > 0) || math.IsInf(value, 0) {
 			p.counts.Malformed++
-			client.Reject(http.StatusBadRequest, headerTimeLeft+" is not a number of milliseconds\n")
+			client.RespondTextAndClose(http.StatusBadRequest, headerTimeLeft+" is not a number of milliseconds\n")
 			return
 		}
 		timeLeft = min(timeLeft, value)
 	} else if msg.Count(headerTimeLeft) > 1 {
 		p.counts.Malformed++
-		client.Reject(http.StatusBadRequest, headerTimeLeft+" stands twice\n")
+		client.RespondTextAndClose(http.StatusBadRequest, headerTimeLeft+" stands twice\n")
 		return
 	}
-	var sender *timetable.Sender
-	if config.HasSenders {
-		key, ok := msg.Single(headerAuthorization)
+	var sender *timetable.Tenant
+	if config.RequiresKeys {
+		key, ok := msg.Unique(headerAuthorization)
 		if ok && len(key) > len(bearerScheme) && bytes.EqualFold(key[:len(bearerScheme)], []byte(bearerScheme)) {
-			sender = config.Sender(bytes.TrimSpace(key[len(bearerScheme):]))
+			sender = config.TenantByKey(bytes.TrimSpace(key[len(bearerScheme):]))
 		}
-		if sender == nil && !route.Unsealed {
+		if sender == nil && !route.NoKeyRequired {
 			p.counts.NoKey++
-			client.Reply(http.StatusUnauthorized, "WWW-Authenticate: Bearer\r\n", "no such key\n")
+			client.RespondText(http.StatusUnauthorized, "WWW-Authenticate: Bearer\r\n", "no such key\n")
 			return
 		}
 	}
 	pool := p.destination(route)
 	attempt := &clientAttempt{id: string(id), pool: pool, route: route, sender: sender}
-	client.Value = attempt
+	client.UserData = attempt
 	p.requestStats.countRead(p.clock.Now(), attempt.kind(), attempt.caller())
 	if sender != nil && !p.keysValid() {
 		p.counts.NoKeyLease++
@@ -153,13 +153,13 @@
 	if p.shedder != nil && p.shedder.refuses(client, msg, route, attempt, sender, timeLeft) {
 		return
 	}
-	request := &gatekeeper.Request{Name: attempt.id, Class: pool.class(route), Left: timeLeft, Units: 1, Spread: 1, Homes: regions,
+	request := &gatekeeper.Request{Name: attempt.id, Class: pool.class(route), TimeLeft: timeLeft, EstimatedUnits: 1, GatekeeperCount: 1, Regions: regions,
 		Payload: f.payload(msg, sender)}
 	if sender != nil {
 		request.Plan, request.Customer = planOf(sender.Priority), uint64(sender.Index)+1
 	}
 	if sender != nil && sender.RatePerS > 0 {
-		attempt.retried = p.clientPatience[route.Index].Again(policy.Micros(timeLeft * 1000))
+		attempt.retried = p.clientPatience[route.Index].IsRetry(policy.Micros(timeLeft * 1000))
 		p.takeToken(client, attempt, request, sender)
 		return
 	}
@@ -167,35 +167,35 @@
 }
 
 // submit passes a request that its quota has admitted to the core of its destination.
-func (p *Proxy) submit(client *link.Client, attempt *clientAttempt, request *gatekeeper.Request) {
-	p.retryBudget.Request(p.micros(), attempt.pool.name)
+func (p *Proxy) submit(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request) {
+	p.retryBudget.CountRequest(p.micros(), attempt.pool.name)
 	if !client.SubmitTo(attempt.pool.core, request) { // an attempt with this id is open already
 		p.giveBack(client)
 	}
 }
 
 // refuse answers that nothing ran, and states in milliseconds when the client may retry.
-func (p *Proxy) refuse(client *link.Client, status int, retryMs float64, text string) {
+func (p *Proxy) refuse(client *link.ClientConn, status int, retryMs float64, text string) {
 	p.unserved(client)
-	client.Reply(status, "Retry-After: "+strconv.FormatFloat(max(retryMs, 1)/1000, 'f', 3, 64)+"\r\n", text)
+	client.RespondText(status, "Retry-After: "+strconv.FormatFloat(max(retryMs, 1)/1000, 'f', 3, 64)+"\r\n", text)
 }
 
 // unserved counts an attempt that ends without a worker's answer.
-func (p *Proxy) unserved(client *link.Client) {
-	if attempt, ok := client.Value.(*clientAttempt); ok {
+func (p *Proxy) unserved(client *link.ClientConn) {
+	if attempt, ok := client.UserData.(*clientAttempt); ok {
 		p.requestStats.countUnserved(p.clock.Now(), attempt.kind(), attempt.caller())
 	}
 }
 
-// Throttled implements link.Verdict: no worker will run the request any more. A safe request may have run already;
+// Throttled implements link.FinalResponder: no worker will run the request any more. A safe request may have run already;
 // then its token stays spent, and if a worker has answered with a failure, that is the answer.
-func (f *handler) Throttled(client *link.Client, request *gatekeeper.Request, retryMs float64) {
+func (f *handler) Throttled(client *link.ClientConn, request *gatekeeper.Request, retryMs float64) {
 	if f.passOn(client, request) {
 		f.p.counts.Failed++
 		return
 	}
 	f.p.counts.Refused++
-	if !request.Ran {
+	if !request.MayHaveRun {
 		f.p.giveBack(client)
 	}
 	if f.p.shedder != nil {
@@ -204,23 +204,23 @@
 	f.p.refuse(client, http.StatusServiceUnavailable, max(retryMs, 20), "too much to do\n")
 }
 
-// Failed implements link.Verdict: the request may have run. A worker's own answer is passed on, unless its status
+// Failed implements link.FinalResponder: the request may have run. A worker's own answer is passed on, unless its status
 // would tell the client that nothing ran.
-func (f *handler) Failed(client *link.Client, request *gatekeeper.Request) {
+func (f *handler) Failed(client *link.ClientConn, request *gatekeeper.Request) {
 	f.p.counts.Failed++
 	if !f.passOn(client, request) {
 		f.p.unserved(client)
-		client.Reply(http.StatusBadGateway, "", "no whole answer\n")
+		client.RespondText(http.StatusBadGateway, "", "no whole answer\n")
 	}
 }
 
 // passOn answers with the last failure that a worker has answered, if there is one that may be passed on.
-func (f *handler) passOn(client *link.Client, request *gatekeeper.Request) bool {
-	answer := request.Last
+func (f *handler) passOn(client *link.ClientConn, request *gatekeeper.Request) bool {
+	answer := request.LastError
 	if answer == nil || answer.Status < 300 || promisesNotRun(answer.Status) {
 		return false
 	}
-	client.Answer(answer.Status, answer.Head, answer.Body)
+	client.Respond(answer.Status, answer.HeaderLines, answer.Body)
 	return true
 }
 
@@ -231,12 +231,12 @@
 }
 
 // payload builds the request as it is sent to workers.
-func (f *handler) payload(msg *http1.Message, sender *timetable.Sender) *link.Payload {
+func (f *handler) payload(msg *http1.Message, sender *timetable.Tenant) *link.Payload {
 	text := make([]byte, 0, 512+len(msg.Target)+len(msg.Body))
 	text = append(append(text, msg.Method...), ' ')
 	text = append(append(text, msg.Target...), " HTTP/1.1\r\n"...)
 	connection := msg.Get("Connection")
-	msg.Each(func(name, value []byte) {
+	msg.EachField(func(name, value []byte) {
 		if isForwarded(name, connection) && !http1.EqualFold(name, headerAuthorization) {
 			text = append(append(append(append(text, name...), ": "...), value...), "\r\n"...)
 		}
@@ -245,9 +245,9 @@
 		text = append(append(append(text, headerSender+": "...), sender.Name...), "\r\n"...)
 	}
 	switch {
-	case msg.Large && msg.Length < 0:
+	case msg.Streamed && msg.Length < 0:
 		text = append(text, "Transfer-Encoding: chunked\r\n"...)
-	case msg.Large:
+	case msg.Streamed:
 		text = append(text, "Content-Length: "...)
 		text = append(strconv.AppendInt(text, int64(msg.Length), 10), "\r\n"...)
 	case len(msg.Body) > 0 || msg.Count("Content-Length") > 0 || msg.Count("Transfer-Encoding") > 0:
@@ -274,14 +274,14 @@
 	return true
 }
 
-// Left implements link.Reader: it returns the header that tells a worker how much time is left.
-func (f *handler) Left() string { return headerTimeLeft }
+// TimeLeftHeader implements link.ResponseReader: it returns the header that tells a worker how much time is left.
+func (f *handler) TimeLeftHeader() string { return headerTimeLeft }
 
-// Mine implements link.Matcher. A worker may send a second answer late, in place of the one that is due, so the
+// Mine implements link.ResponseMatcher. A worker may send a second answer late, in place of the one that is due, so the
 // attempt's id has to match. A refusal without an id is accepted only if the connection has carried nothing else:
 // otherwise it may be a late second answer to an earlier request, while this one runs.
 func (f *handler) Mine(execution *gatekeeper.Execution, msg *http1.Message, only bool) (mine, other bool) {
-	id, ok := msg.Single(headerTryID)
+	id, ok := msg.Unique(headerTryID)
 	switch {
 	case ok:
 	case msg.Count(headerTryID) == 0 && notRun(msg) && only:
@@ -302,7 +302,7 @@
 	return true, false
 }
 
-// Outcome implements link.Reader. Only the header for undelivered requests, or a status 421, proves that a request
+// Outcome implements link.ResponseReader. Only the header for undelivered requests, or a status 421, proves that a request
 // never ran.
 func (f *handler) Outcome(msg *http1.Message) gatekeeper.Outcome {
 	outcome := gatekeeper.Outcome{Status: policy.Failed, Load: f.loadOf(msg)}
@@ -317,14 +317,14 @@
 		}
 		outcome.Status = policy.OK
 	}
-	outcome.Answer = gatekeeper.Answer{Status: msg.Status, Head: f.forwardedHeaders(msg), Body: msg.Body}
+	outcome.Answer = gatekeeper.Answer{Status: msg.Status, HeaderLines: f.forwardedHeaders(msg), Body: msg.Body}
 	return outcome
 }
 
 // loadOf returns the load that a worker reports: running requests, waiting requests, slots. The result is overwritten
 // by the next call.
 func (f *handler) loadOf(msg *http1.Message) []float32 {
-	value, ok := msg.Single(headerWorkerLoad)
+	value, ok := msg.Unique(headerWorkerLoad)
 	if !ok {
 		return nil
 	}
@@ -354,8 +354,8 @@
 func (f *handler) forwardedHeaders(msg *http1.Message) []byte {
 	lines := f.buf[:0]
 	connection := msg.Get("Connection")
-	msg.Each(func(name, value []byte) {
-		if isForwarded(name, connection) || msg.Bare && http1.EqualFold(name, "Content-Length") {
+	msg.EachField(func(name, value []byte) {
+		if isForwarded(name, connection) || msg.HeadResponse && http1.EqualFold(name, "Content-Length") {
 			lines = append(append(append(append(lines, name...), ": "...), value...), "\r\n"...)
 		}
 	})
@@ -366,15 +366,15 @@
 // readinessHandler answers the platform's readiness checks.
 type readinessHandler struct{ p *Proxy }
 
-// Handle implements link.Front: it answers /ready with 200 or 503.
-func (d readinessHandler) Handle(client *link.Client, msg *http1.Message) {
+// Handle implements link.RequestHandler: it answers /ready with 200 or 503.
+func (d readinessHandler) Handle(client *link.ClientConn, msg *http1.Message) {
 	path, _, _ := bytes.Cut(msg.Target, []byte{'?'})
 	switch {
 	case string(path) != "/ready":
-		client.Reply(http.StatusNotFound, "", "no such path\n")
+		client.RespondText(http.StatusNotFound, "", "no such path\n")
 	case !d.p.ready():
-		client.Reply(http.StatusServiceUnavailable, "Retry-After: 0.5\r\n", "not ready\n")
+		client.RespondText(http.StatusServiceUnavailable, "Retry-After: 0.5\r\n", "not ready\n")
 	default:
-		client.Reply(http.StatusOK, "", "ok\n")
+		client.RespondText(http.StatusOK, "", "ok\n")
 	}
 }
--- a/internal/switchback/handler_test.go
+++ b/internal/switchback/handler_test.go
@@ -191,7 +191,7 @@
 
 	// The time limit is changed instead of waiting, so that the result does not depend on the machine's load.
 	test := proxy.dial().send("GET / HTTP/1.1\r\nHost: x.exam")
-	proxy.runOnLoop(func() { proxy.clients.Limits.ReadMost = 1e-6 })
+	proxy.runOnLoop(func() { proxy.clients.Limits.HeadTimeoutMS = 1e-6 })
 	res, err := http.ReadResponse(test.reader, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, res.StatusCode, http.StatusRequestTimeout)
--- a/internal/switchback/late_refusal_test.go
+++ b/internal/switchback/late_refusal_test.go
@@ -56,7 +56,7 @@
 func (s *testProxy) reuseAtOnce() {
 	s.runOnLoop(func() {
 		for _, pool := range s.poolList {
-			pool.fleet.Settle = 0
+			pool.fleet.SettleMS = 0
 		}
 	})
 }
--- a/internal/switchback/load_shedding.go
+++ b/internal/switchback/load_shedding.go
@@ -28,9 +28,9 @@
 // ShedAlike applies the level of the whole cluster. The other modes are for comparison in rehearsals: each gatekeeper
 // goes by its own pressure, and sheds by the same priority order (ShedSolitary) or at random (ShedDice).
 const (
-	ShedAlike ShedMode = iota
-	ShedSolitary
-	ShedDice
+	ShedByCluster ShedMode = iota
+	ShedByGatekeeper
+	ShedAtRandom
 )
 
 // Times, thresholds and weights of load shedding.
@@ -56,8 +56,8 @@
 	minRetryLossMs    = 150.0 // milliseconds by which a retried request has less than the route's whole time left
 	overloadLinkShare = 0.8   // fraction of the link at pressure 1
 
-	// ShedText is the body of the answer to a request that is shed.
-	ShedText = "shed by the level\n"
+	// ShedBody is the body of the answer to a request that is shed.
+	ShedBody = "shed by the level\n"
 )
 
 // destinationLoad is the load of one destination.
@@ -80,7 +80,7 @@
 type loadShedder struct {
 	p          *Proxy
 	mode       ShedMode
-	localLevel snowline.Post // the level that was received, and what is applied here
+	localLevel snowline.Follower // the level that was received, and what is applied here
 
 	load           snowline.Load // of all destinations
 	servedRate     float64       // requests served a second
@@ -100,7 +100,7 @@
 	tiersVersion   uint64 // configuration version that routeTiers goes by
 	tiersLevel     uint64 // number of the level whose work routeTiers goes by
 	counts         map[int]*tierCount
-	state          snowline.Standing
+	state          snowline.AppliedState
 	loggedAt       float64 // when what is refused was last logged
 	loggedRefusals string  // description of what is refused
 	loggedNumber   uint64  // of the level that was last logged
@@ -111,11 +111,11 @@
 	retrySalt      uint64  // varies the retry times of refused requests
 }
 
-// Shed turns load shedding on. It is to be called before Serve.
-func (p *Proxy) Shed(mode ShedMode) {
+// EnableShedding turns load shedding on. It is to be called before Serve.
+func (p *Proxy) EnableShedding(mode ShedMode) {
 	s := &loadShedder{p: p, mode: mode, load: snowline.Load{}, destinations: map[string]*destinationLoad{},
-		routeWork: map[int]float64{}, counts: map[int]*tierCount{}, state: snowline.Standing{Cut: policy.MarkOpen}}
-	s.localLevel.Solitary, s.localLevel.Loads = mode != ShedAlike, map[string]snowline.Load{}
+		routeWork: map[int]float64{}, counts: map[int]*tierCount{}, state: snowline.AppliedState{Threshold: policy.ShedNothing}}
+	s.localLevel.LocalOnly, s.localLevel.ServiceLoads = mode != ShedByCluster, map[string]snowline.Load{}
 	s.lastTick, s.cpuUsed = p.clock.Now(), processorTime()
 	s.loggedAt = s.lastTick
 	p.runOnLoop(func() {
@@ -126,14 +126,14 @@
 }
 
 // refuses answers a request that the level refuses, before it takes any token, and tells whether it did.
-func (s *loadShedder) refuses(client *link.Client, msg *http1.Message, route *timetable.Course, attempt *clientAttempt, sender *timetable.Sender, timeLeft float64) bool {
+func (s *loadShedder) refuses(client *link.ClientConn, msg *http1.Message, route *timetable.Route, attempt *clientAttempt, sender *timetable.Tenant, timeLeft float64) bool {
 	caller := ""
-	switch name := s.localLevel.Level().Caller; name {
+	switch name := s.localLevel.Level().CallerHeader; name {
 	case "":
 	case snowline.CallerAddress:
-		caller = client.Host()
+		caller = client.RemoteHost()
 	default:
-		if value, ok := msg.Single(name); ok {
+		if value, ok := msg.Unique(name); ok {
 			caller = string(value)
 		}
 	}
@@ -146,12 +146,12 @@
 		count = &tierCount{}
 		s.counts[tier] = count
 	}
-	cut := s.localLevel.CutOf(attempt.pool.name)
+	cut := s.localLevel.ThresholdFor(attempt.pool.name)
 	shed := policy.Sheds(mark, cut)
-	if s.mode == ShedDice {
-		shed = cut < policy.MarkOpen && rand.Float64() > s.load.Below(cut)/max(s.load.Sum(), 1e-9)
+	if s.mode == ShedAtRandom {
+		shed = cut < policy.ShedNothing && rand.Float64() > s.load.AdmittedBy(cut)/max(s.load.Sum(), 1e-9)
 	}
-	if !shed || route.Deadline*1000-timeLeft < minRetryLossMs {
+	if !shed || route.DeadlineS*1000-timeLeft < minRetryLossMs {
 		load.newLoad[policy.BinOf(mark)]++
 	}
 	if !shed {
@@ -161,18 +161,18 @@
 	}
 	count.Shed++
 	s.retrySalt++
-	s.p.refuse(client, http.StatusServiceUnavailable, float64(policy.ShedWait(mark, cut, s.retrySalt))/1000, ShedText)
+	s.p.refuse(client, http.StatusServiceUnavailable, float64(policy.ShedWait(mark, cut, s.retrySalt))/1000, ShedBody)
 	return true
 }
 
 // rank returns a request's tier and its mark in the priority order.
-func (s *loadShedder) rank(route *timetable.Course, sender *timetable.Sender, caller string) (tier int, mark policy.Mark) {
+func (s *loadShedder) rank(route *timetable.Route, sender *timetable.Tenant, caller string) (tier int, mark policy.ShedPosition) {
 	priority, tenant := 0, ""
 	if sender != nil {
 		priority, tenant = sender.Priority, sender.Name
 	}
 	tier = policy.Tier(priority, 0, 0) | s.tierOf(route)
-	return tier, s.localLevel.Level().Terms().Spot(priority, tier, tenant, caller)
+	return tier, s.localLevel.Level().Terms().Position(priority, tier, tenant, caller)
 }
 
 // loadOf returns the load of a destination.
@@ -186,40 +186,40 @@
 }
 
 // tierOf returns the route's part of a request's tier.
-func (s *loadShedder) tierOf(route *timetable.Course) int {
+func (s *loadShedder) tierOf(route *timetable.Route) int {
 	config, level := s.p.config, s.localLevel.Level()
-	if s.routeTiers == nil || s.tiersVersion != config.Edition || s.tiersLevel != level.Number {
-		figures := make([]policy.RouteFigures, len(config.Courses))
-		for i := range config.Courses {
-			row := &config.Courses[i]
-			figures[i] = policy.RouteFigures{Rank: row.Priority, Aim: policy.Micros(row.Target * 1e6)}
-			if level.Edition == config.Edition && i < len(level.Work) {
-				figures[i].Work = int(level.Work[i])
+	if s.routeTiers == nil || s.tiersVersion != config.Version || s.tiersLevel != level.Number {
+		figures := make([]policy.RouteProperties, len(config.Routes))
+		for i := range config.Routes {
+			row := &config.Routes[i]
+			figures[i] = policy.RouteProperties{Rank: row.Priority, LatencyTarget: policy.Micros(row.TargetS * 1e6)}
+			if level.Version == config.Version && i < len(level.RouteCosts) {
+				figures[i].WorkLog2 = int(level.RouteCosts[i])
 			}
 		}
 		s.routeTiers = s.routeTiers[:0]
-		for i, wait := range policy.Waits(figures) {
-			s.routeTiers = append(s.routeTiers, policy.Tier(0, config.Courses[i].Priority, wait))
+		for i, wait := range policy.RouteOrder(figures) {
+			s.routeTiers = append(s.routeTiers, policy.Tier(0, config.Routes[i].Priority, wait))
 		}
-		s.tiersVersion, s.tiersLevel = config.Edition, level.Number
+		s.tiersVersion, s.tiersLevel = config.Version, level.Number
 	}
 	return s.routeTiers[route.Index]
 }
 
 // noRoom counts a request that found no room.
-func (s *loadShedder) noRoom(client *link.Client) {
-	if attempt, ok := client.Value.(*clientAttempt); ok && attempt.pool != nil {
+func (s *loadShedder) noRoom(client *link.ClientConn) {
+	if attempt, ok := client.UserData.(*clientAttempt); ok && attempt.pool != nil {
 		s.loadOf(attempt.pool.name).noRoom++
 	}
 }
 
 // answered updates the work of a route and the load of its workers from a worker's answer.
 func (s *loadShedder) answered(execution *gatekeeper.Execution, msg *http1.Message) {
-	client, ok := execution.Request.Caller.(*link.Client)
+	client, ok := execution.Request.Responder.(*link.ClientConn)
 	if !ok {
 		return
 	}
-	attempt, ok := client.Value.(*clientAttempt)
+	attempt, ok := client.UserData.(*clientAttempt)
 	if !ok || attempt.pool == nil {
 		return
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	s.loadOf(attempt.pool.name).served++
-	if i := attempt.routeNumber - 1; i >= 0 && s.p.config != nil && s.configVersion == s.p.config.Edition {
+	if i := attempt.routeNumber - 1; i >= 0 && s.p.config != nil && s.configVersion == s.p.config.Version {
 		ms := attempt.pool.core.Elapsed(execution)
 		switch known := s.routeWork[i]; {
 		case known == 0:
@@ -253,10 +253,10 @@
 		return
 	}
 	s.lastTick = now
-	hashTurns := s.localLevel.Level().Turn - s.hashTurns
+	hashTurns := s.localLevel.Level().Rotation - s.hashTurns
 	s.hashTurns += hashTurns
 	clear(s.load)
-	clear(s.localLevel.Loads)
+	clear(s.localLevel.ServiceLoads)
 	s.servedRate = 0
 	for name, load := range s.destinations {
 		load.smooth(span, hashTurns)
@@ -264,10 +264,10 @@
 			s.load[bin] += rate
 		}
 		s.servedRate += load.servedRate
-		s.localLevel.Loads[name] = load.smoothedLoad
+		s.localLevel.ServiceLoads[name] = load.smoothedLoad
 	}
-	if config := s.p.config; config != nil && config.Edition != s.configVersion {
-		s.configVersion = config.Edition
+	if config := s.p.config; config != nil && config.Version != s.configVersion {
+		s.configVersion = config.Version
 		clear(s.routeWork)
 	}
 	s.updatePressure(span)
@@ -275,9 +275,9 @@
 	level := s.localLevel.Level()
 	if state != s.state || level.Number != s.loggedNumber {
 		refused := s.localLevel.Describe()
-		if refused != s.loggedRefusals || state.Alone != s.state.Alone || state.CutOff != s.state.CutOff {
-			s.p.log.Info().Uint64("number", level.Number).Uint32("cut", state.Cut).Str("refused", refused).
-				Bool("alone", state.Alone).Bool("cutOff", state.CutOff).Bool("aging", state.Aging).Str("why", level.Why).
+		if refused != s.loggedRefusals || state.ShedsAlone != s.state.ShedsAlone || state.Disconnected != s.state.Disconnected {
+			s.p.log.Info().Uint64("number", level.Number).Uint32("cut", state.Threshold).Str("refused", refused).
+				Bool("alone", state.ShedsAlone).Bool("cutOff", state.Disconnected).Bool("aging", state.Aging).Str("why", level.Reason).
 				Float64("own", s.pressure).Str("ownWhy", s.cause).Float64("lastHeldMs", now-s.loggedAt).Msg("shedding level")
 			s.loggedAt = now
 		}
@@ -293,7 +293,7 @@
 	}
 	x.smoothedLoad.Blend(x.newLoad, weight)
 	clear(x.newLoad)
-	x.smoothedLoad.Turn(hashTurns)
+	x.smoothedLoad.Rotate(hashTurns)
 	x.servedRate += weight * (x.served*1000/span - x.servedRate)
 	x.served = 0
 }
@@ -310,7 +310,7 @@
 			delete(s.destinations, name)
 			continue
 		}
-		bound, _, held := pool.core.Room()
+		bound, _, held := pool.core.Concurrency()
 		pressure := float64(held) / max(bound, 1) / overloadQueueRatio
 		if load.forwarded > 0 || load.noRoom > 0 {
 			pressure = max(pressure, min(load.noRoom/max(load.forwarded, 1)/overloadRefusalRatio, 2))
@@ -330,21 +330,21 @@
 		}
 	}
 	s.sharedPressure, s.cause = 0, "processor"
-	if share := s.p.settings.SizeLimits.CPUShare; share > 0 {
+	if share := s.p.settings.ResourceLimits.CPUCores; share > 0 {
 		used := processorTime()
 		busy := float64(used-s.cpuUsed) / 1e6 / span / share
 		s.cpuUsed = used
 		s.cpuShare += (1 - math.Exp(-span/resourceSpanMs)) * (busy - s.cpuShare)
 		s.sharedPressure = s.cpuShare / overloadCPUShare
 	}
-	sent := link.Sent()
-	s.linkShare += (1 - math.Exp(-span/resourceSpanMs)) * (snowline.LinePart(sent-s.linkSent, span, s.p.settings.SizeLimits.LineMbps) - s.linkShare)
+	sent := link.SentBytes()
+	s.linkShare += (1 - math.Exp(-span/resourceSpanMs)) * (snowline.BandwidthShare(sent-s.linkSent, span, s.p.settings.ResourceLimits.NetworkMbps) - s.linkShare)
 	s.linkSent = sent
 	if share := s.linkShare / overloadLinkShare; share > s.sharedPressure {
 		s.sharedPressure, s.cause = share, "link"
 	}
 	s.pressure = s.sharedPressure
-	if met := snowline.MostMeet(services); met >= s.pressure {
+	if met := snowline.MajorityPressure(services); met >= s.pressure {
 		s.pressure, s.cause = met, "room"
 	}
 }
@@ -361,10 +361,10 @@
 // report returns the next report to the registry. It runs on the loop.
 func (s *loadShedder) report() snowline.Report {
 	s.sequence++
-	report := snowline.Report{Station: s.p.settings.Station, Life: s.p.incarnation, Turn: s.sequence, Pressure: s.pressure, Why: s.cause, Served: s.servedRate,
-		Holds: s.localLevel.Level(), Edition: s.configVersion, Work: make(map[int]float32, len(s.routeWork)), Shared: s.sharedPressure, Services: map[string]snowline.Part{}}
+	report := snowline.Report{Node: s.p.settings.Node, Incarnation: s.p.incarnation, Sequence: s.sequence, Pressure: s.pressure, Reason: s.cause, AnswerRate: s.servedRate,
+		Level: s.localLevel.Level(), Version: s.configVersion, RouteCostsMs: make(map[int]float32, len(s.routeWork)), SharedPressure: s.sharedPressure, Services: map[string]snowline.ServiceReport{}}
 	for name, load := range s.destinations {
-		part := snowline.Part{Pressure: load.pressure, Served: load.servedRate, Load: make(map[uint32]float32, len(load.smoothedLoad))}
+		part := snowline.ServiceReport{Pressure: load.pressure, AnswerRate: load.servedRate, Load: make(map[uint32]float32, len(load.smoothedLoad))}
 		for bin, rate := range load.smoothedLoad {
 			part.Load[bin] = float32(rate)
 		}
@@ -373,7 +373,7 @@
 		}
 	}
 	for i, ms := range s.routeWork {
-		report.Work[i] = float32(ms)
+		report.RouteCostsMs[i] = float32(ms)
 	}
 	return report
 }
@@ -381,7 +381,7 @@
 // runReports reports the pressure to the registry: often while something is shed or nearly is, otherwise once a
 // second.
 func (p *Proxy) runReports(ctx context.Context) {
-	if p.shedder == nil || p.shedder.mode != ShedAlike {
+	if p.shedder == nil || p.shedder.mode != ShedByCluster {
 		return
 	}
 	s := p.shedder
@@ -389,11 +389,11 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		var registry *rpc.Peer
-		var request waymark.Strain
+		var request waymark.PressureReport
 		var askedAt float64
 		p.runOnLoop(func() {
 			if registry = p.registry; registry != nil {
-				askedAt, request = p.clock.Now(), waymark.Strain{Report: s.report()}
+				askedAt, request = p.clock.Now(), waymark.PressureReport{Report: s.report()}
 			}
 		})
 		if registry != nil {
@@ -404,20 +404,20 @@
 				peer = rpc.NewPeer(registry.Addr())
 			}
 			callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-			answer, err := rpc.Call[waymark.Strain, waymark.Eased](callCtx, peer, request)
+			answer, err := rpc.Call[waymark.PressureReport, waymark.SheddingLevel](callCtx, peer, request)
 			cancel()
 			p.runOnLoop(func() {
 				if err != nil {
 					s.reportsFailed++
 					return
 				}
-				s.localLevel.Hear(askedAt, answer.Level)
+				s.localLevel.Receive(askedAt, answer.Level)
 			})
 		}
 		for ctx.Err() == nil {
 			interval := calmReportInterval
 			p.runOnLoop(func() {
-				if s.nearOverload || s.state != (snowline.Standing{Cut: policy.MarkOpen}) || !s.localLevel.Open() || s.localLevel.Level().Number == 0 {
+				if s.nearOverload || s.state != (snowline.AppliedState{Threshold: policy.ShedNothing}) || !s.localLevel.Open() || s.localLevel.Level().Number == 0 {
 					interval = urgentReportInterval
 				}
 			})
@@ -432,7 +432,7 @@
 
 // shedsAlone tells whether only this gatekeeper is overloaded. The directory then names others.
 func (p *Proxy) shedsAlone() bool {
-	return p.shedder != nil && p.shedder.state.Alone && !p.shedder.state.CutOff
+	return p.shedder != nil && p.shedder.state.ShedsAlone && !p.shedder.state.Disconnected
 }
 
 // logCounters writes the counters to the log.
@@ -454,8 +454,8 @@
 func (s *loadShedder) statusLines() (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	now, level, state := s.p.clock.Now(), s.localLevel.Level(), s.state
-	add("shedding level %d turn %d refuses %s since %.0f ms: %s", level.Number, level.Turn, s.localLevel.Describe(), now-s.loggedAt, level.Why)
-	add("shedding alone %t cut off %t aging %t, own pressure %.2f (%s), cluster's %.2f", state.Alone, state.CutOff, state.Aging, s.pressure, s.cause, level.Pressure)
+	add("shedding level %d turn %d refuses %s since %.0f ms: %s", level.Number, level.Rotation, s.localLevel.Describe(), now-s.loggedAt, level.Reason)
+	add("shedding alone %t cut off %t aging %t, own pressure %.2f (%s), cluster's %.2f", state.ShedsAlone, state.Disconnected, state.Aging, s.pressure, s.cause, level.Pressure)
 	for _, tier := range slices.Sorted(maps.Keys(s.counts)) {
 		add("tier %s passed %d shed %d", tierName(tier), s.counts[tier].Passed, s.counts[tier].Shed)
 	}
--- a/internal/switchback/load_shedding_test.go
+++ b/internal/switchback/load_shedding_test.go
@@ -22,12 +22,12 @@
 	table, err := timetable.Parse([]byte(shedConfig))
 	assert.NilError(t, err)
 	shedder := &loadShedder{p: &Proxy{config: table}}
-	course := map[string]*timetable.Course{}
-	for i := range table.Courses {
-		course[table.Courses[i].Name] = &table.Courses[i]
+	course := map[string]*timetable.Route{}
+	for i := range table.Routes {
+		course[table.Routes[i].Name] = &table.Routes[i]
 	}
 	tier := func(route, key string) int {
-		got, mark := shedder.rank(course[route], table.Sender([]byte(key)), "c")
+		got, mark := shedder.rank(course[route], table.TenantByKey([]byte(key)), "c")
 		assert.Assert(t, mark == 0 || policy.TierOf(mark) == got)
 		return got
 	}
@@ -38,14 +38,14 @@
 	assert.Equal(t, tier("first", "k2"), tier("first", "k3"), "two tenants with the same priority")
 	assert.Equal(t, tier("slow", "none"), policy.Tier(0, 1, 1), "without a key, the highest priority")
 
-	work := make([]byte, len(table.Courses))
+	work := make([]byte, len(table.Routes))
 	work[course["quick"].Index], work[course["dear"].Index] = 5, 7
-	assert.Assert(t, shedder.localLevel.Hear(0, snowline.Level{Number: 1, Cut: policy.MarkOpen, Edition: 6, Work: work}))
+	assert.Assert(t, shedder.localLevel.Receive(0, snowline.Level{Number: 1, Threshold: policy.ShedNothing, Version: 6, RouteCosts: work}))
 	assert.Equal(t, tier("dear", "k1"), policy.Tier(0, 1, 0), "the work belongs to another configuration version")
-	assert.Assert(t, shedder.localLevel.Hear(0, snowline.Level{Number: 2, Cut: policy.MarkOpen, Edition: 7, Work: work, Never: 1}))
+	assert.Assert(t, shedder.localLevel.Receive(0, snowline.Level{Number: 2, Threshold: policy.ShedNothing, Version: 7, RouteCosts: work, NeverShedBelow: 1}))
 	assert.Equal(t, tier("dear", "k2"), policy.Tier(2, 1, 1))
 	assert.Equal(t, tier("slow", "k2"), policy.Tier(2, 1, 2))
-	_, mark := shedder.rank(course["slow"], table.Sender([]byte("k1")), "c")
+	_, mark := shedder.rank(course["slow"], table.TenantByKey([]byte("k1")), "c")
 	assert.Assert(t, !policy.Sheds(mark, 1), "a priority that is never shed")
 }
 
--- a/internal/switchback/metrics_test.go
+++ b/internal/switchback/metrics_test.go
@@ -9,7 +9,7 @@
 )
 
 // metricValue returns the value of a metric, by its name and the value of its label.
-func metricValue(t *testing.T, figures []metrics.Figure, name, label string) float64 {
+func metricValue(t *testing.T, figures []metrics.Sample, name, label string) float64 {
 	t.Helper()
 	for _, f := range figures {
 		if f.Name == name && (label == "" || len(f.Labels) == 1 && f.Labels[0].Value == label) {
--- a/internal/switchback/mirror_delivery.go
+++ b/internal/switchback/mirror_delivery.go
@@ -24,13 +24,13 @@
 	addr string
 }
 
-// ShadowAddress implements spur.Door.
+// ShadowAddress implements spur.TargetConnection.
 func (d targetConn) ShadowAddress() string { return d.addr }
 
 // deliver starts the deliveries that are due. The lock is held.
-func (s *mirror) deliver(ctx context.Context) {
+func (s *requestMirror) deliver(ctx context.Context) {
 	for s.deliveries < maxDeliveries && s.cpuBudget > 0 {
-		delivery, ok := s.engine.Next(s.now())
+		delivery, ok := s.engine.NextDelivery(s.now())
 		if !ok {
 			return
 		}
@@ -39,7 +39,7 @@
 			answered := s.send(ctx, delivery)
 			s.withEngine(func() {
 				s.deliveries--
-				s.engine.Told(s.now(), delivery.ID, answered)
+				s.engine.ReportDelivery(s.now(), delivery.ID, answered)
 			})
 			s.wake()
 		}()
@@ -48,12 +48,12 @@
 
 // send sends a mirrored request once and discards the answer. It sends nothing to an address that has become the
 // address of a live process meanwhile.
-func (s *mirror) send(ctx context.Context, delivery *spur.Delivery) (answered bool) {
+func (s *requestMirror) send(ctx context.Context, delivery *spur.Delivery) (answered bool) {
 	if live := s.liveAddresses.Load(); live == nil || (*live)[delivery.Address] {
 		s.counts.refused.Add(1)
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(delivery.Timeout*float64(time.Millisecond)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(delivery.TimeoutMs*float64(time.Millisecond)))
 	defer cancel()
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", delivery.Address)
--- a/internal/switchback/mirroring.go
+++ b/internal/switchback/mirroring.go
@@ -51,8 +51,8 @@
 
 // mirrored is a forwarded request on a route that the mirroring rule names.
 type mirrored struct {
-	route       *timetable.Course
-	sender      *timetable.Sender
+	route       *timetable.Route
+	sender      *timetable.Tenant
 	destination string
 	payload     *link.Payload
 	forwardedAt float64
@@ -64,16 +64,16 @@
 type note struct {
 	at          float64
 	request     *mirrored
-	isEnd       bool       // it is the end of the request, not its begin
-	answer      spur.Real  // the answer that the client got
-	cause       spur.Cause // other than Fine if the request can't be mirrored
+	isEnd       bool              // it is the end of the request, not its begin
+	answer      spur.LiveResponse // the answer that the client got
+	cause       spur.Cause        // other than Fine if the request can't be mirrored
 	neverRan    bool
-	queuedBytes int64            // bytes of the payload that were added to queuedBytes
-	call        func(*spur.Spur) // to be called; nil for the begin or end of a request
+	queuedBytes int64              // bytes of the payload that were added to queuedBytes
+	call        func(*spur.Engine) // to be called; nil for the begin or end of a request
 }
 
-// mirror is this gatekeeper's part of traffic mirroring.
-type mirror struct {
+// requestMirror is this gatekeeper's part of traffic mirroring.
+type requestMirror struct {
 	p              *Proxy
 	now            func() float64 // milliseconds of a monotonic clock, safe on any goroutine
 	notes          chan note
@@ -83,20 +83,20 @@
 	liveAddresses  atomic.Pointer[map[string]bool] // addresses of live processes, which are never mirror targets
 
 	// Owned by the loop.
-	rule             *spur.Order        // nil before the first
-	ruleNumber       uint64             // of the newest rule
-	selectedRoutes   []bool             // by index of the route
-	configVersion    uint64             // version of the configuration that selectedRoutes goes by
-	openRequests     int                // requests whose end is to be noted still
-	pendingCalls     []func(*spur.Spur) // functions that do not fit into notes yet
-	overloaded       bool               // overloaded, so nothing is mirrored
-	queuePressure    float64            // smoothed part of queued requests
-	cpuShare         float64            // smoothed part of the processor time allowed
+	rule             *spur.Rule           // nil before the first
+	ruleNumber       uint64               // of the newest rule
+	selectedRoutes   []bool               // by index of the route
+	configVersion    uint64               // version of the configuration that selectedRoutes goes by
+	openRequests     int                  // requests whose end is to be noted still
+	pendingCalls     []func(*spur.Engine) // functions that do not fit into notes yet
+	overloaded       bool                 // overloaded, so nothing is mirrored
+	queuePressure    float64              // smoothed part of queued requests
+	cpuShare         float64              // smoothed part of the processor time allowed
 	cpuUsed          time.Duration
 	lastTick         float64
 	lastHighPressure float64 // when pressure was last too high to resume
 	membersMark      uint64  // of members
-	members          []spur.Seat
+	members          []spur.Member
 	closed           bool // the last request of this process has been forwarded
 	unmirrored       bool // requests were forwarded while no rule was active, and the engine has not been told
 
@@ -107,7 +107,7 @@
 	notesLost atomic.Bool // notes were lost, so flows may be incomplete
 
 	mu           sync.Mutex // guards what follows
-	engine       *spur.Spur
+	engine       *spur.Engine
 	cpuBudget    time.Duration        // processor time that may still be used
 	cpuCountedAt time.Time            // when that was last computed
 	peers        map[string]*rpc.Peer // by address
@@ -117,48 +117,48 @@
 	wakeUp chan struct{} // starts the next turn at once
 }
 
-// Shadow has this gatekeeper mirror traffic where a mirroring rule says so. It is to be called before Serve.
-func (p *Proxy) Shadow() {
+// EnableMirroring has this gatekeeper mirror traffic where a mirroring rule says so. It is to be called before Serve.
+func (p *Proxy) EnableMirroring() {
 	start := time.Now()
 	p.startMirror(func() float64 { return 1 + float64(time.Since(start))/1e6 })
 }
 
 // startMirror turns mirroring on, with a clock that never returns 0.
 func (p *Proxy) startMirror(now func() float64) {
-	s := &mirror{p: p, now: now, notes: make(chan note, maxNotes), cpuCountedAt: time.Now(), cpuBudget: maxCPUBurst,
+	s := &requestMirror{p: p, now: now, notes: make(chan note, maxNotes), cpuCountedAt: time.Now(), cpuBudget: maxCPUBurst,
 		peers: map[string]*rpc.Peer{}, wakeUp: make(chan struct{}, 1)}
-	s.maxQueuedBytes = max(int64(p.settings.SizeLimits.MemoryMB)<<20/memoryDivisor, minMirrorBytes) / 2 // one half for queued notes, the other for the engine
-	s.engine = spur.New(spur.Config{Self: spur.Seat{Station: p.settings.Station, Life: p.incarnation, Region: p.settings.Region, Inner: p.settings.Inner(0)},
-		Now: s.now(), Room: int(s.maxQueuedBytes)})
+	s.maxQueuedBytes = max(int64(p.settings.ResourceLimits.MemoryMB)<<20/memoryDivisor, minMirrorBytes) / 2 // one half for queued notes, the other for the engine
+	s.engine = spur.New(spur.Config{Self: spur.Member{Node: p.settings.Node, Incarnation: p.incarnation, Region: p.settings.Region, InternalAddress: p.settings.InnerAddress(0)},
+		Now: s.now(), MaxBytes: int(s.maxQueuedBytes)})
 	s.maxBodyBytes.Store(math.MaxInt64)
 	s.cpuUsed, s.lastTick = processorTime(), s.now()
 	p.runOnLoop(func() {
 		p.mirror = s
-		p.clients.Ended = s.noteEnded
+		p.clients.OnRequestEnded = s.noteEnded
 		p.loop.Every(mirrorInterval, s.tick)
 	})
 }
 
 // receive takes a new rule, members and workers from a registry's answer. It runs on the loop.
-func (s *mirror) receive(answer *waymark.Signed, askedAt float64, changed bool) {
+func (s *requestMirror) receive(answer *waymark.SessionResponse, askedAt float64, changed bool) {
 	var number uint64
 	var body []byte
-	s.p.fanout.withLock(func(float64) { number, body = s.p.fanout.cache.Order() })
+	s.p.fanout.withLock(func(float64) { number, body = s.p.fanout.cache.MirrorOrder() })
 	s.noteUnmirrored()
 	if number > s.ruleNumber {
 		s.ruleNumber = number
-		rule, faults := spur.ReadOrder(body)
+		rule, faults := spur.ParseRule(body)
 		if len(faults) > 0 || rule == nil { // the registry has checked it before
 			s.p.log.Error().Uint64("number", number).Msg("received a mirroring rule that can't be read")
-			rule = &spur.Order{Number: number, Stopped: true}
+			rule = &spur.Rule{Number: number, Stopped: true}
 		}
 		s.rule, s.configVersion, s.selectedRoutes, changed = rule, 0, nil, true
 		s.p.log.Info().Uint64("number", rule.Number).Bool("stopped", rule.Stopped).Float64("share", rule.Share).Int("routes", len(rule.Routes)).Msg("mirroring rule received")
 		at := s.now()
-		s.tell(func(engine *spur.Spur) { engine.Put(at, rule) })
+		s.tell(func(engine *spur.Engine) { engine.SetRule(at, rule) })
 	}
 	if len(answer.Seats) > 0 {
-		s.membersMark, s.members, changed = answer.SeatsNow, answer.Seats, true
+		s.membersMark, s.members, changed = answer.SeatsChecksum, answer.Seats, true
 	}
 	if s.rule == nil {
 		return
@@ -166,41 +166,41 @@
 	if changed {
 		s.updateLive()
 	}
-	if !answer.Stale && answer.Settled && answer.SeatsNow != 0 && answer.SeatsNow == s.membersMark {
+	if !answer.Stale && answer.Settled && answer.SeatsChecksum != 0 && answer.SeatsChecksum == s.membersMark {
 		at, members := s.now(), s.members
-		asOf := at - (s.p.clock.Now() - askedAt) + answer.SeatsAt
-		s.tell(func(engine *spur.Spur) { engine.Members(at, asOf, members) })
+		asOf := at - (s.p.clock.Now() - askedAt) + answer.SeatsAsOf
+		s.tell(func(engine *spur.Engine) { engine.SetMembers(at, asOf, members) })
 	}
 }
 
 // noteUnmirrored tells the engine that requests were forwarded while nothing was to be mirrored.
-func (s *mirror) noteUnmirrored() {
+func (s *requestMirror) noteUnmirrored() {
 	if s.unmirrored {
 		s.unmirrored = false
 		at := s.now()
-		s.tell(func(engine *spur.Spur) {
-			engine.Begin(at, &spur.Sight{Header: func(string) ([]byte, bool) { return nil, false }})
+		s.tell(func(engine *spur.Engine) {
+			engine.StartRequest(at, &spur.RequestInfo{Header: func(string) ([]byte, bool) { return nil, false }})
 		})
 	}
 }
 
 // updateLive collects the addresses of live processes: workers, gatekeepers and registries. They must never be mirror
 // targets.
-func (s *mirror) updateLive() {
+func (s *requestMirror) updateLive() {
 	p := s.p
 	live := make(map[string]bool, len(p.workers)+len(s.members)+8)
 	for _, w := range p.workers {
 		live[w.Addr] = true
 	}
 	for i := range s.members {
-		live[s.members[i].Inner] = true
+		live[s.members[i].InternalAddress] = true
 	}
 	for dock := range 2 {
-		for _, addr := range p.settings.Seeds(dock) {
+		for _, addr := range p.settings.SeedAddresses(dock) {
 			live[addr] = true
 		}
 	}
-	for _, addr := range []string{p.settings.Gates.Counter, p.settings.Gates.Readiness, p.settings.CarrierAPI.Address, p.settings.Inner(0)} {
+	for _, addr := range []string{p.settings.Addresses.Clients, p.settings.Addresses.Readiness, p.settings.PlatformAPI.Address, p.settings.InnerAddress(0)} {
 		live[addr] = true
 	}
 	if p.registry != nil {
@@ -209,17 +209,17 @@
 	delete(live, "")
 	s.liveAddresses.Store(&live)
 	at := s.now()
-	s.tell(func(engine *spur.Spur) { engine.Live(at, live) })
+	s.tell(func(engine *spur.Engine) { engine.SetLiveAddresses(at, live) })
 }
 
 // tell queues a function for the engine, after all notes that were queued before.
-func (s *mirror) tell(call func(*spur.Spur)) {
+func (s *requestMirror) tell(call func(*spur.Engine)) {
 	s.pendingCalls = append(s.pendingCalls, call)
 	s.flush()
 }
 
 // flush queues the functions for which there is room.
-func (s *mirror) flush() {
+func (s *requestMirror) flush() {
 	for len(s.pendingCalls) > 0 && len(s.notes)+s.openRequests < cap(s.notes) { // the rest follows at the next tick
 		s.notes <- note{call: s.pendingCalls[0]}
 		s.pendingCalls = s.pendingCalls[1:]
@@ -227,31 +227,31 @@
 }
 
 // selects tells whether the rule names the route of a request.
-func (s *mirror) selects(route *timetable.Course) bool {
+func (s *requestMirror) selects(route *timetable.Route) bool {
 	if s.rule == nil || s.rule.Stopped {
 		s.unmirrored = true
 		return false
 	}
-	if config := s.p.config; s.selectedRoutes == nil || s.configVersion != config.Edition {
+	if config := s.p.config; s.selectedRoutes == nil || s.configVersion != config.Version {
 		named := map[string]bool{}
 		for _, r := range s.rule.Routes {
 			named[r] = true
 		}
-		s.configVersion, s.selectedRoutes = config.Edition, make([]bool, len(config.Courses))
-		for i := range config.Courses {
-			s.selectedRoutes[i] = named[config.Courses[i].Name]
+		s.configVersion, s.selectedRoutes = config.Version, make([]bool, len(config.Routes))
+		for i := range config.Routes {
+			s.selectedRoutes[i] = named[config.Routes[i].Name]
 		}
 	}
 	return route.Index < len(s.selectedRoutes) && s.selectedRoutes[route.Index]
 }
 
 // noteForwarded notes that a request was written to a worker for the first time. It runs on the loop.
-func (s *mirror) noteForwarded(execution *gatekeeper.Execution) {
-	client, ok := execution.Request.Caller.(*link.Client)
+func (s *requestMirror) noteForwarded(execution *gatekeeper.Execution) {
+	client, ok := execution.Request.Responder.(*link.ClientConn)
 	if !ok {
 		return
 	}
-	attempt, ok := client.Value.(*clientAttempt)
+	attempt, ok := client.UserData.(*clientAttempt)
 	if !ok || s.closed || attempt.forwarded || attempt.id != execution.Request.Name {
 		return
 	}
@@ -274,7 +274,7 @@
 }
 
 // wake starts the next turn at once.
-func (s *mirror) wake() {
+func (s *requestMirror) wake() {
 	select {
 	case s.wakeUp <- struct{}{}:
 	default:
@@ -282,8 +282,8 @@
 }
 
 // noteEnded notes what a request's client was answered. It runs on the loop.
-func (s *mirror) noteEnded(client *link.Client, request *gatekeeper.Request, ending link.Ending) {
-	attempt, ok := client.Value.(*clientAttempt)
+func (s *requestMirror) noteEnded(client *link.ClientConn, request *gatekeeper.Request, ending link.RequestEnding) {
+	attempt, ok := client.UserData.(*clientAttempt)
 	if !ok || attempt.mirrored == nil || attempt.id != request.Name {
 		return
 	}
@@ -296,21 +296,21 @@
 	note := note{at: s.now(), request: recorded, isEnd: true}
 	size := int64(len(recorded.payload.Head) + len(recorded.payload.Body))
 	switch {
-	case ending.Left:
-		note.cause = spur.GivenUp
-	case ending.Flowed || recorded.payload.Up != nil || int64(len(recorded.payload.Body)) > s.maxBodyBytes.Load():
-		note.cause = spur.TooLarge
-	case promisesNotRun(ending.Status) && !request.Ran:
+	case ending.ClientLeft:
+		note.cause = spur.NoAnswer
+	case ending.Streamed || recorded.payload.Upload != nil || int64(len(recorded.payload.Body)) > s.maxBodyBytes.Load():
+		note.cause = spur.BodyTooLarge
+	case promisesNotRun(ending.Status) && !request.MayHaveRun:
 		note.neverRan = true
-	case promisesNotRun(ending.Status), ending.Status == http.StatusBadGateway && (request.Last == nil || request.Last.Status != ending.Status):
-		note.cause = spur.GivenUp
+	case promisesNotRun(ending.Status), ending.Status == http.StatusBadGateway && (request.LastError == nil || request.LastError.Status != ending.Status):
+		note.cause = spur.NoAnswer
 	case s.overloaded:
-		note.cause = spur.Pressed
+		note.cause = spur.Overloaded
 	case s.queuedBytes.Load()+size > s.maxQueuedBytes:
-		note.cause = spur.Queue
+		note.cause = spur.GatekeeperFull
 		s.counts.noRoom.Add(1)
 	default:
-		note.answer = spur.Real{Status: ending.Status, TookMs: note.at - recorded.forwardedAt, Digest: xxh3.Hash(ending.Body)}
+		note.answer = spur.LiveResponse{Status: ending.Status, DurationMs: note.at - recorded.forwardedAt, BodyHash: xxh3.Hash(ending.Body)}
 		note.queuedBytes = size
 		s.queuedBytes.Add(size)
 	}
@@ -319,7 +319,7 @@
 
 // tick computes whether this gatekeeper is overloaded. If so, mirroring stops before anything else does. It runs on
 // the loop.
-func (s *mirror) tick() {
+func (s *requestMirror) tick() {
 	s.noteUnmirrored()
 	s.flush()
 	now := s.now()
@@ -330,12 +330,12 @@
 	s.lastTick = now
 	bound, held := 0.0, 0
 	for _, pool := range s.p.poolList {
-		poolBound, _, poolHeld := pool.core.Room()
+		poolBound, _, poolHeld := pool.core.Concurrency()
 		bound, held = bound+poolBound, held+poolHeld
 	}
 	s.queuePressure += (1 - math.Exp(-span/mirrorPressureSpanMs)) * (float64(held)/max(bound, minPressureBound)/overloadQueueRatio - s.queuePressure)
 	pressure := s.queuePressure
-	if share := s.p.settings.SizeLimits.CPUShare; share > 0 {
+	if share := s.p.settings.ResourceLimits.CPUCores; share > 0 {
 		cpuUsed := processorTime()
 		s.cpuShare += (1 - math.Exp(-span/mirrorPressureSpanMs)) * (float64(cpuUsed-s.cpuUsed)/1e6/span/share - s.cpuShare)
 		s.cpuUsed = cpuUsed
@@ -357,7 +357,7 @@
 	}
 	s.p.log.Info().Bool("pressed", s.overloaded).Float64("pressure", pressure).Msg("mirroring paused or resumed")
 	overloaded := s.overloaded
-	s.tell(func(engine *spur.Spur) { engine.Press(now, overloaded) })
+	s.tell(func(engine *spur.Engine) { engine.SetOverloaded(now, overloaded) })
 }
 
 // runMirror processes notes, collects flows and delivers them until the context ends.
@@ -390,14 +390,14 @@
 
 // turn starts the deliveries that are due and, if due is set, asks the other gatekeepers for their parts of the flows
 // that are collected here. It tells whether it has used up its processor time.
-func (s *mirror) turn(ctx context.Context, due bool) (rest bool) {
-	var requests []spur.Ask
+func (s *requestMirror) turn(ctx context.Context, due bool) (rest bool) {
+	var requests []spur.FetchRequest
 	s.withEngine(func() {
 		if due {
 			now := s.now()
-			for _, request := range s.engine.Asks(now) {
-				if request.To.Inner == s.p.settings.Inner(0) && request.To.Life == s.p.incarnation {
-					s.engine.Heard(now, request, s.engine.Answer(now, request))
+			for _, request := range s.engine.DueFetches(now) {
+				if request.To.InternalAddress == s.p.settings.InnerAddress(0) && request.To.Incarnation == s.p.incarnation {
+					s.engine.HandleResponse(now, request, s.engine.ServeFetch(now, request))
 				} else {
 					requests = append(requests, request)
 				}
@@ -416,7 +416,7 @@
 // withEngine calls f with the engine, after all notes that were queued before, and accounts for the processor time.
 // Notes are taken nowhere else: if the end of a request came before its begin, the ticket would stay open and no flow
 // would ever be complete.
-func (s *mirror) withEngine(f func()) {
+func (s *requestMirror) withEngine(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// Only the thread's own processor time counts, not time during which other threads had the processor.
@@ -434,7 +434,7 @@
 		}
 	}
 	if s.notesLost.Swap(false) {
-		s.engine.Gap(s.now())
+		s.engine.ReportGap(s.now())
 	}
 	f()
 	spent := threadTime() - began
@@ -452,24 +452,24 @@
 }
 
 // process passes a note to the engine. The lock is held.
-func (s *mirror) process(note *note) {
+func (s *requestMirror) process(note *note) {
 	switch {
 	case note.call != nil:
 		note.call(s.engine)
-		s.maxBodyBytes.Store(int64(s.engine.MaxBody()))
+		s.maxBodyBytes.Store(int64(s.engine.MaxBodyBytes()))
 		s.logStatus()
 	case !note.isEnd:
 		request := note.request
-		if request.ticket = s.engine.Begin(note.at, request.attributes()); request.ticket == 0 {
+		if request.ticket = s.engine.StartRequest(note.at, request.attributes()); request.ticket == 0 {
 			request.notSelected.Store(true)
 		}
 	case note.request.ticket == 0:
 	case note.neverRan:
-		s.engine.Forget(note.at, note.request.ticket)
-	case note.cause != spur.Fine:
-		s.engine.Drop(note.at, note.request.ticket, note.cause)
+		s.engine.DiscardTicket(note.at, note.request.ticket)
+	case note.cause != spur.NotBroken:
+		s.engine.DropRequest(note.at, note.request.ticket, note.cause)
 	default:
-		s.engine.End(note.at, note.request.ticket, note.request.request(), note.answer)
+		s.engine.FinishRequest(note.at, note.request.ticket, note.request.request(), note.answer)
 	}
 	if note.queuedBytes > 0 {
 		s.queuedBytes.Add(-note.queuedBytes)
@@ -477,12 +477,12 @@
 }
 
 // attributes returns what the engine selects requests by.
-func (c *mirrored) attributes() *spur.Sight {
-	sight := &spur.Sight{Route: c.route.Name, Destination: c.destination, Homes: c.route.Homes, Header: c.header}
+func (c *mirrored) attributes() *spur.RequestInfo {
+	sight := &spur.RequestInfo{Route: c.route.Name, Destination: c.destination, AllowedRegions: c.route.HomeRegions, Header: c.header}
 	if c.sender != nil {
 		sight.Tenant = c.sender.Name
-		if sight.Homes = commonRegions(c.route.Homes, c.sender.Homes); sight.Homes == nil && len(c.route.Homes)+len(c.sender.Homes) > 0 {
-			sight.Homes = []string{"\x00"} // no region, and so the request was not forwarded either
+		if sight.AllowedRegions = commonRegions(c.route.HomeRegions, c.sender.HomeRegions); sight.AllowedRegions == nil && len(c.route.HomeRegions)+len(c.sender.HomeRegions) > 0 {
+			sight.AllowedRegions = []string{"\x00"} // no region, and so the request was not forwarded either
 		}
 	}
 	return sight
@@ -535,7 +535,7 @@
 func (c *mirrored) request() *spur.Request {
 	request := &spur.Request{Body: c.payload.Body}
 	first := c.eachHeader(func(name, value []byte) {
-		request.Fields = append(request.Fields, spur.Field{Name: name, Value: value})
+		request.Fields = append(request.Fields, spur.HeaderField{Name: name, Value: value})
 	})
 	var rest []byte
 	request.Method, rest, _ = bytes.Cut(first, []byte{' '})
@@ -544,43 +544,43 @@
 }
 
 // logStatus logs the status if it has changed. The lock is held.
-func (s *mirror) logStatus() {
+func (s *requestMirror) logStatus() {
 	status := s.engine.Status(s.now())
-	if status.Order != s.loggedStatus.Order || status.On != s.loggedStatus.On || status.Why != s.loggedStatus.Why {
-		s.p.log.Info().Uint64("order", status.Order).Bool("on", status.On).Str("why", status.Why.String()).Msg("mirroring")
+	if status.RuleNumber != s.loggedStatus.RuleNumber || status.Active != s.loggedStatus.Active || status.InactiveCause != s.loggedStatus.InactiveCause {
+		s.p.log.Info().Uint64("order", status.RuleNumber).Bool("on", status.Active).Str("why", status.InactiveCause.String()).Msg("mirroring")
 	}
 	s.loggedStatus = status
 }
 
 // collect asks another gatekeeper for its parts of the flows that are collected here.
-func (s *mirror) collect(ctx context.Context, request spur.Ask) {
+func (s *requestMirror) collect(ctx context.Context, request spur.FetchRequest) {
 	s.mu.Lock()
-	peer := s.peers[request.To.Inner]
+	peer := s.peers[request.To.InternalAddress]
 	if peer == nil {
-		peer = rpc.NewPeer(request.To.Inner)
-		s.peers[request.To.Inner] = peer
+		peer = rpc.NewPeer(request.To.InternalAddress)
+		s.peers[request.To.InternalAddress] = peer
 	}
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	answer, err := rpc.Call[waymark.Gather, waymark.Gathered](ctx, peer, waymark.Gather{Ask: request})
+	answer, err := rpc.Call[waymark.CollectRequest, waymark.CollectResponse](ctx, peer, waymark.CollectRequest{Request: request})
 	s.withEngine(func() {
 		if err != nil {
 			peer.Close() // the next request uses another connection
-			if s.peers[request.To.Inner] == peer {
-				delete(s.peers, request.To.Inner)
+			if s.peers[request.To.InternalAddress] == peer {
+				delete(s.peers, request.To.InternalAddress)
 			}
-			s.engine.Missed(s.now(), request)
+			s.engine.FetchFailed(s.now(), request)
 			return
 		}
-		s.engine.Heard(s.now(), request, answer.Answer)
+		s.engine.HandleResponse(s.now(), request, answer.Answer)
 	})
 	s.wake()
 }
 
 // handleCollect answers a gatekeeper that collects flows. It answers later if mirroring has used more than its
 // processor time.
-func (p *Proxy) handleCollect(_ context.Context, request waymark.Gather) (answer waymark.Gathered, err error) {
+func (p *Proxy) handleCollect(_ context.Context, request waymark.CollectRequest) (answer waymark.CollectResponse, err error) {
 	m := p.mirror
 	if m == nil {
 		return answer, rpc.Errorf(rpc.Unavailable, "it copies nothing")
@@ -590,57 +590,59 @@
 			err = rpc.Errorf(rpc.Busy, "it has worked on copies for long enough")
 			return
 		}
-		answer.Answer = m.engine.Answer(m.now(), request.Ask)
+		answer.Answer = m.engine.ServeFetch(m.now(), request.Request)
 	})
 	return answer, err
 }
 
 // mirrorStatus answers with the state of mirroring.
-func (p *Proxy) mirrorStatus(context.Context, waymark.AskCopies) (answer waymark.Copies, err error) {
+func (p *Proxy) mirrorStatus(context.Context, waymark.MirrorStatusRequest) (answer waymark.MirrorStatusResponse, err error) {
 	m := p.mirror
 	if m == nil {
-		return waymark.Copies{Off: true}, nil
+		return waymark.MirrorStatusResponse{Disabled: true}, nil
 	}
-	m.withEngine(func() { answer = waymark.Copies{Status: m.engine.Status(m.now()), Own: m.counters()} })
+	m.withEngine(func() {
+		answer = waymark.MirrorStatusResponse{Status: m.engine.Status(m.now()), Counters: m.counters()}
+	})
 	return answer, nil
 }
 
 // counters returns this gatekeeper's own counters.
-func (s *mirror) counters() waymark.CopyCounts {
+func (s *requestMirror) counters() waymark.MirrorCounters {
 	counts := &s.counts
-	return waymark.CopyCounts{NoRoom: counts.noRoom.Load(), Lost: counts.lost.Load(), Refused: counts.refused.Load(), Sent: counts.sent.Load(), Hung: counts.hung.Load(),
-		Pressed: counts.pressed.Load(), WorkMs: uint64(counts.work.Load() / 1e6)}
+	return waymark.MirrorCounters{QueueFull: counts.noRoom.Load(), DroppedUnrecorded: counts.lost.Load(), Refused: counts.refused.Load(), Sent: counts.sent.Load(), TimedOut: counts.hung.Load(),
+		Suspended: counts.pressed.Load(), WorkMS: uint64(counts.work.Load() / 1e6)}
 }
 
 // logCounters writes the counters to the log. The lock is held.
-func (s *mirror) logCounters() {
+func (s *requestMirror) logCounters() {
 	status := s.engine.Status(s.now())
-	if status.Order == 0 {
+	if status.RuleNumber == 0 {
 		return
 	}
 	byCause := map[string]uint64{}
-	for cause, count := range status.Counts.By {
+	for cause, count := range status.Counts.BrokenByCause {
 		if count > 0 {
 			byCause[spur.Cause(cause).String()] = count
 		}
 	}
 	counts := status.Counts
-	s.p.log.Info().Uint64("order", status.Order).Bool("on", status.On).Uint64("chosen", counts.Chosen).Uint64("whole", counts.Whole).Uint64("broken", counts.Broken).
-		Interface("by", byCause).Uint64("delivered", counts.Delivered).Uint64("held", counts.Held).Int("open", status.Open).Int("bytes", status.Bytes).
+	s.p.log.Info().Uint64("order", status.RuleNumber).Bool("on", status.Active).Uint64("chosen", counts.Selected).Uint64("whole", counts.Complete).Uint64("broken", counts.Broken).
+		Interface("by", byCause).Uint64("delivered", counts.Delivered).Uint64("held", counts.Withheld).Int("open", status.OpenFlows).Int("bytes", status.UsedBytes).
 		Interface("own", s.counters()).Msg("mirroring counters")
 }
 
 // statusLines returns its lines of the status command.
-func (s *mirror) statusLines() (lines []string) {
+func (s *requestMirror) statusLines() (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	var status spur.Status
 	s.withEngine(func() { status = s.engine.Status(s.now()) })
 	counters, counts := s.counters(), status.Counts
 	add("copies order %d on %t why %s, %d journeys open, %d pieces not fetched, %d of %d bytes, settling %t, all told up to %.0f ms ago, members as of %.0f ms ago",
-		status.Order, status.On, status.Why, status.Open, status.Queued, status.Bytes, status.Room, status.Settling, status.CoverMs, status.ListMs)
-	add("copies chosen %d whole %d broken %d delivered %d held %d; sent %d hung %d refused %d, no room %d lost %d, worked %d ms", counts.Chosen, counts.Whole,
-		counts.Broken, counts.Delivered, counts.Held, counters.Sent, counters.Hung, counters.Refused, counters.NoRoom, counters.Lost, counters.WorkMs)
-	for cause, count := range counts.By {
+		status.RuleNumber, status.Active, status.InactiveCause, status.OpenFlows, status.QueuedItems, status.UsedBytes, status.MaxBytes, status.Settling, status.CoverageAgeMs, status.MembersAgeMs)
+	add("copies chosen %d whole %d broken %d delivered %d held %d; sent %d hung %d refused %d, no room %d lost %d, worked %d ms", counts.Selected, counts.Complete,
+		counts.Broken, counts.Delivered, counts.Withheld, counters.Sent, counters.TimedOut, counters.Refused, counters.QueueFull, counters.DroppedUnrecorded, counters.WorkMS)
+	for cause, count := range counts.BrokenByCause {
 		if count > 0 {
 			add("copies broken by %s %d", spur.Cause(cause), count)
 		}
@@ -650,7 +652,7 @@
 
 // handOver lets other gatekeepers fetch what was recorded, once all clients were answered. Only the end of the
 // process waits for it.
-func (s *mirror) handOver(limit time.Duration) {
+func (s *requestMirror) handOver(limit time.Duration) {
 	if s == nil {
 		return
 	}
@@ -658,7 +660,7 @@
 	began := time.Now()
 	s.withEngine(func() { s.engine.Close(s.now()) })
 	for emptied := false; !emptied && time.Since(began) < limit; time.Sleep(drainPollInterval) {
-		s.withEngine(func() { emptied = s.engine.Emptied(s.now()) })
+		s.withEngine(func() { emptied = s.engine.IsDrained(s.now()) })
 		if emptied {
 			break
 		}
--- a/internal/switchback/mirroring_test.go
+++ b/internal/switchback/mirroring_test.go
@@ -20,7 +20,7 @@
 // testMirror is a proxy that mirrors traffic, with a clock that the test sets.
 type testMirror struct {
 	*testProxy
-	tested     *mirror
+	tested     *requestMirror
 	clockMs    atomic.Int64
 	ruleNumber uint64 // number of the newest rule
 }
@@ -38,7 +38,7 @@
 func (c *testMirror) setRule(to string, more string) {
 	c.t.Helper()
 	c.ruleNumber++
-	c.receive(waymark.Signed{Shadow: c.ruleNumber, Order: fmt.Appendf(nil, `{"number":%d,"routes":["r0"],"share":1,"key":"0123456789","endS":10,`+
+	c.receive(waymark.SessionResponse{MirrorOrderNumber: c.ruleNumber, MirrorOrder: fmt.Appendf(nil, `{"number":%d,"routes":["r0"],"share":1,"key":"0123456789","endS":10,`+
 		`"journey":{"from":"cookie","name":"visit"},"headersOut":["X-Secret"],"shadows":[{"route":"r0","address":%q}]%s}`, c.ruleNumber, to, more)}, nil)
 	c.setMembers()
 }
@@ -46,7 +46,7 @@
 // setMembers passes the members to the proxy, which is the only one.
 func (c *testMirror) setMembers() {
 	c.t.Helper()
-	c.receive(waymark.Signed{Settled: true, SeatsNow: 5, Seats: []spur.Seat{{Station: c.settings.Station, Life: c.incarnation, Region: "a", Inner: c.settings.Inner(0)}}}, nil)
+	c.receive(waymark.SessionResponse{Settled: true, SeatsChecksum: 5, Seats: []spur.Member{{Node: c.settings.Node, Incarnation: c.incarnation, Region: "a", InternalAddress: c.settings.InnerAddress(0)}}}, nil)
 }
 
 // advance lets time pass, with a turn of the mirror every 500 ms.
@@ -103,14 +103,14 @@
 		bodies <- string(b)
 		_, _ = io.WriteString(w, strings.Repeat("thrown away", 1000))
 	})
-	proxy.receive(waymark.Signed{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}, {prefix: "/other/", destination: "a"}}, tenantSpec{name: "ann"}))
+	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}, {prefix: "/other/", destination: "a"}}, tenantSpec{name: "ann"}))
 	proxy.setRule(target, longTimeout)
 	proxy.advance(15) // flows that may have begun before the collector are not mirrored
 
 	// A request that waits for a worker has not been forwarded, so nothing is noted.
 	early := proxy.dial().send(newRequest("POST", "/one", visitHeaders+"Authorization: Bearer k-ann\r\n", "uno"))
 	for waits := 0; waits == 0; {
-		proxy.runOnLoop(func() { waits = proxy.pools["a"].core.Open() })
+		proxy.runOnLoop(func() { waits = proxy.pools["a"].core.OpenRequests() })
 	}
 	proxy.runOnLoop(func() {
 		assert.Check(t, proxy.tested.openRequests == 0 && len(proxy.tested.notes) == 0, "the request was noted before it was forwarded")
@@ -152,11 +152,11 @@
 		for _, out := range []string{"Authorization", "Cookie", "X-Secret", headerTryID, headerSender, headerTimeLeft} {
 			assert.Equal(t, r.Header.Get(out), "", out)
 		}
-		proxy.turnsUntil(func() bool { return proxy.engineCounts().CopiesDone > uint64(i) })
+		proxy.turnsUntil(func() bool { return proxy.engineCounts().CopiesAnswered > uint64(i) })
 	}
 	counts := proxy.engineCounts()
-	assert.Equal(t, counts.Whole, uint64(1))
-	assert.Equal(t, counts.Copies, uint64(2))
+	assert.Equal(t, counts.Complete, uint64(1))
+	assert.Equal(t, counts.CopiesIssued, uint64(2))
 	assert.Equal(t, proxy.tested.queuedBytes.Load(), int64(0))
 	assert.Equal(t, len(copies), 0, "requests that were mirrored twice, or on a route that the rule does not name")
 }
@@ -173,18 +173,18 @@
 		body    string
 		status  int
 	}{
-		{name: "no room", cause: spur.Queue, prepare: func(proxy *testMirror) {
+		{name: "no room", cause: spur.GatekeeperFull, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.maxQueuedBytes = 10 })
 		}, do: replyWorkerID, status: 200},
-		{name: "overload", cause: spur.Pressed, prepare: func(proxy *testMirror) {
+		{name: "overload", cause: spur.Overloaded, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.overloaded, proxy.tested.lastHighPressure = true, proxy.tested.now() })
 		}, do: replyWorkerID, status: 200},
-		{name: "a body over the limit", cause: spur.TooLarge, do: replyWorkerID, body: repeatedText(5000), status: 200},
-		{name: "a streamed body", cause: spur.TooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
-		{name: "a streamed answer", cause: spur.TooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
-		{name: "no complete answer", cause: spur.GivenUp, do: closeConn, status: 502},
-		{name: "it never ran", cause: spur.Fine, do: reply(503, notDeliveredLine, ""), status: 503},
-		{name: "a failure of the worker", cause: spur.Fine, do: reply(500, "", "no"), status: 500},
+		{name: "a body over the limit", cause: spur.BodyTooLarge, do: replyWorkerID, body: repeatedText(5000), status: 200},
+		{name: "a streamed body", cause: spur.BodyTooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
+		{name: "a streamed answer", cause: spur.BodyTooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
+		{name: "no complete answer", cause: spur.NoAnswer, do: closeConn, status: 502},
+		{name: "it never ran", cause: spur.NotBroken, do: reply(503, notDeliveredLine, ""), status: 503},
+		{name: "a failure of the worker", cause: spur.NotBroken, do: reply(500, "", "no"), status: 500},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			proxy := newTestMirror(t)
@@ -200,18 +200,18 @@
 				proxy.runOnLoop(func() { open = proxy.tested.openRequests })
 			}
 			proxy.tested.withEngine(func() {
-				if test.cause != spur.Fine {
+				if test.cause != spur.NotBroken {
 					assert.Check(t, proxy.tested.engine.Status(proxy.tested.now()).Counts.Lost == 1)
 				}
 			})
 			proxy.advance(20)
 			counts := proxy.engineCounts()
-			if test.cause != spur.Fine {
-				assert.Equal(t, counts.By[test.cause], uint64(1), "%v", counts)
+			if test.cause != spur.NotBroken {
+				assert.Equal(t, counts.BrokenByCause[test.cause], uint64(1), "%v", counts)
 				return
 			}
 			assert.Equal(t, counts.Broken, uint64(0), "%v", counts)
-			assert.Equal(t, counts.Whole, map[bool]uint64{true: 0, false: 1}[test.status == 503])
+			assert.Equal(t, counts.Complete, map[bool]uint64{true: 0, false: 1}[test.status == 503])
 		})
 	}
 }
@@ -234,7 +234,7 @@
 	assert.Assert(t, !proxy.tested.notesLost.Load())
 	proxy.advance(30)
 	counts := proxy.engineCounts()
-	assert.Equal(t, counts.Whole, uint64(0), "complete flows, although notes were lost")
+	assert.Equal(t, counts.Complete, uint64(0), "complete flows, although notes were lost")
 }
 
 // TestTargetThatBecomesLiveStopsMirroring: once the address of a mirror target belongs to a live worker, mirroring
@@ -253,20 +253,20 @@
 	proxy.receive(fullList(2, live, waymark.Worker{ID: "new", Destination: "b", Addr: target, Zone: "b1"}), nil)
 	proxy.tested.withEngine(func() {
 		status := proxy.tested.engine.Status(proxy.tested.now())
-		assert.Check(t, !status.On && status.Why == spur.Struck)
+		assert.Check(t, !status.Active && status.InactiveCause == spur.TargetIsLive)
 	})
-	delivery := &spur.Delivery{ID: 1, Address: target, Timeout: 1000}
+	delivery := &spur.Delivery{ID: 1, Address: target, TimeoutMs: 1000}
 	assert.Assert(t, !proxy.tested.send(t.Context(), delivery))
 	assert.Equal(t, proxy.tested.counts.refused.Load(), uint64(1))
 	proxy.advance(20)
 	assert.Equal(t, received.Load(), int64(0))
 	counts := proxy.engineCounts()
-	assert.Assert(t, counts.By[spur.Struck] == 1 && counts.Copies == 0, "%v", counts)
+	assert.Assert(t, counts.BrokenByCause[spur.TargetIsLive] == 1 && counts.CopiesIssued == 0, "%v", counts)
 	proxy.receive(fullList(3, live), nil)
 	proxy.tested.withEngine(func() {
-		assert.Check(t, !proxy.tested.engine.Status(proxy.tested.now()).On, "mirroring must not resume before a new rule")
+		assert.Check(t, !proxy.tested.engine.Status(proxy.tested.now()).Active, "mirroring must not resume before a new rule")
 	})
-	for _, inner := range []string{proxy.settings.Inner(0), proxy.settings.Seeds(0)[0]} {
+	for _, inner := range []string{proxy.settings.InnerAddress(0), proxy.settings.SeedAddresses(0)[0]} {
 		assert.Assert(t, (*proxy.tested.liveAddresses.Load())[inner], inner)
 	}
 }
@@ -312,11 +312,11 @@
 				res, _ := proxy.do("GET", "/other", "", "") // live requests are still served
 				assert.Equal(t, res.StatusCode, 200)
 				counts := proxy.engineCounts()
-				finished = counts.CopiesDone + counts.CopiesFailed
+				finished = counts.CopiesAnswered + counts.CopiesFailed
 				if flood {
 					assert.Equal(t, counts.CopiesFailed, uint64(0))
 				} else {
-					assert.Equal(t, counts.CopiesDone, uint64(0))
+					assert.Equal(t, counts.CopiesAnswered, uint64(0))
 				}
 			}
 			assert.Equal(t, calls.Load(), int64(4))
@@ -350,12 +350,12 @@
 	began := time.Now()
 	proxy.tested.handOver(0)
 	assert.Assert(t, time.Since(began) < testTimeout)
-	proxy.tested.withEngine(func() { assert.Check(t, !proxy.tested.engine.Emptied(proxy.tested.now())) })
+	proxy.tested.withEngine(func() { assert.Check(t, !proxy.tested.engine.IsDrained(proxy.tested.now())) })
 	idle := newTestMirror(t)
 	began = time.Now()
 	idle.tested.handOver(time.Hour) // nothing was ever mirrored
 	assert.Assert(t, time.Since(began) < testTimeout)
-	var none *mirror         // mirroring is off
+	var none *requestMirror  // mirroring is off
 	none.handOver(time.Hour) // there is nothing to wait for
 }
 
@@ -363,18 +363,18 @@
 func TestMirroringOff(t *testing.T) {
 	proxy := newTestProxy(t)
 	proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
-	proxy.receive(waymark.Signed{Shadow: 3, Order: []byte(`{"number":3,"stopped":true}`)}, nil)
+	proxy.receive(waymark.SessionResponse{MirrorOrderNumber: 3, MirrorOrder: []byte(`{"number":3,"stopped":true}`)}, nil)
 	res, _ := proxy.do("GET", "/", visitHeaders, "")
 	assert.Equal(t, res.StatusCode, 200)
 	proxy.runOnLoop(func() {
-		assert.Check(t, proxy.clients.Ended == nil && proxy.pools["a"].fleet.Sent == nil)
+		assert.Check(t, proxy.clients.OnRequestEnded == nil && proxy.pools["a"].fleet.OnSent == nil)
 		request := proxy.heartbeatRequest()
-		assert.Check(t, !request.Copies && request.Shadow == 3, "the rule has to be held for zone peers")
+		assert.Check(t, !request.MirrorsTraffic && request.MirrorOrderNumber == 3, "the rule has to be held for zone peers")
 	})
-	_, err := proxy.handleCollect(context.Background(), waymark.Gather{})
+	_, err := proxy.handleCollect(context.Background(), waymark.CollectRequest{})
 	assert.ErrorContains(t, err, "copies nothing")
-	answer, err := proxy.mirrorStatus(context.Background(), waymark.AskCopies{})
-	assert.Assert(t, err == nil && answer.Off)
+	answer, err := proxy.mirrorStatus(context.Background(), waymark.MirrorStatusRequest{})
+	assert.Assert(t, err == nil && answer.Disabled)
 }
 
 // TestNotesAreProcessedInOrder: while several goroutines use the engine, no request's end is processed before its
@@ -399,5 +399,5 @@
 		assert.Equal(t, res.StatusCode, 200)
 	}
 	counts := proxy.engineCounts()
-	assert.Equal(t, counts.Taken+counts.Lost, uint64(500), "%v", counts)
+	assert.Equal(t, counts.Copied+counts.Lost, uint64(500), "%v", counts)
 }
--- a/internal/switchback/outliers.go
+++ b/internal/switchback/outliers.go
@@ -22,9 +22,9 @@
 // on the loop.
 type outlierReporter struct {
 	p        *Proxy
-	judges   map[string]*bulletin.Desk  // by destination of which this gatekeeper is the zone home
-	verdicts map[string]*bulletin.Board // the newest verdicts of the zone home, by destination
-	active   map[string]bool            // destinations with verdicts in force
+	judges   map[string]*bulletin.Detector   // by destination of which this gatekeeper is the zone home
+	verdicts map[string]*bulletin.Subscriber // the newest verdicts of the zone home, by destination
+	active   map[string]bool                 // destinations with verdicts in force
 	counts   struct {
 		ReportsSent      uint64 `json:"Told"`
 		ReportsReceived  uint64 `json:"Heard"`
@@ -33,9 +33,9 @@
 	}
 }
 
-// Bulletin has this gatekeeper share outlier reports with its zone. It is to be called before Serve.
-func (p *Proxy) Bulletin() {
-	h := &outlierReporter{p: p, judges: map[string]*bulletin.Desk{}, verdicts: map[string]*bulletin.Board{}, active: map[string]bool{}}
+// EnableOutlierReports has this gatekeeper share outlier reports with its zone. It is to be called before Serve.
+func (p *Proxy) EnableOutlierReports() {
+	h := &outlierReporter{p: p, judges: map[string]*bulletin.Detector{}, verdicts: map[string]*bulletin.Subscriber{}, active: map[string]bool{}}
 	p.runOnLoop(func() {
 		p.outliers = h
 		p.loop.Every(outlierInterval, h.tick)
@@ -55,7 +55,7 @@
 			peers[addr] = p.fanout.peer(addr)
 		}
 	})
-	self := p.settings.Inner(0)
+	self := p.settings.InnerAddress(0)
 	ready := zonePeers
 	if p.isReady.Load() {
 		ready = append(slices.Clone(zonePeers), self)
@@ -63,25 +63,25 @@
 	now := p.clock.Now()
 	var calls []func()
 	for _, pool := range p.poolList {
-		zoneHome := membership.HomeAmong(ready, p.settings.Zone, pool.name)
+		zoneHome := membership.OwnerAmong(ready, p.settings.Zone, pool.name)
 		if observed := pool.core.Sightings(); len(observed) > 0 {
 			h.counts.ReportsSent++
-			report := waymark.Seen{From: self, Destination: pool.name, Sights: bulletin.Sights(observed)}
+			report := waymark.OutlierReport{From: self, Destination: pool.name, Reports: bulletin.EncodeReports(observed)}
 			if zoneHome == self {
-				h.judge(pool.name).Hear(now, self, report.Sights)
+				h.judge(pool.name).Receive(now, self, report.Reports)
 			} else if peer := peers[zoneHome]; peer != nil {
-				calls = append(calls, func() { _ = rpc.Tell(peer, report) })
+				calls = append(calls, func() { _ = rpc.Notify(peer, report) })
 			}
 		}
 		if zoneHome != self {
 			delete(h.judges, pool.name)
 		} else if judge := h.judges[pool.name]; judge != nil {
 			judge.Step(now, pool.usableWorkers())
-			if issue, due := judge.Issue(now); due {
+			if issue, due := judge.Announcement(now); due {
 				h.counts.VerdictsIssued++
-				h.receive(waymark.Posted{Destination: pool.name, Issue: issue})
+				h.receive(waymark.OutlierAnnouncement{Destination: pool.name, Announcement: issue})
 				for _, peer := range peers {
-					calls = append(calls, func() { _ = rpc.Tell(peer, waymark.Posted{Destination: pool.name, Issue: issue}) })
+					calls = append(calls, func() { _ = rpc.Notify(peer, waymark.OutlierAnnouncement{Destination: pool.name, Announcement: issue}) })
 				}
 			}
 		}
@@ -99,10 +99,10 @@
 }
 
 // judge returns the judge of a destination of which this gatekeeper is the zone home.
-func (h *outlierReporter) judge(destination string) *bulletin.Desk {
+func (h *outlierReporter) judge(destination string) *bulletin.Detector {
 	judge := h.judges[destination]
 	if judge == nil {
-		judge = bulletin.NewDesk(h.p.incarnation)
+		judge = bulletin.NewDetector(h.p.incarnation)
 		h.judges[destination] = judge
 	}
 	return judge
@@ -112,25 +112,25 @@
 func (s *pool) usableWorkers() map[uint32]int {
 	p, regions := s.p, map[uint32]int{}
 	for _, w := range p.workers {
-		if w.Destination == s.name && !w.Closing && !w.misdirected && !p.evacuated[w.Zone] {
-			regions[bulletin.Key(policy.Server(hash64(w.ID)))] = p.regionOf(w.Zone)
+		if w.Destination == s.name && !w.Draining && !w.misdirected && !p.evacuated[w.Zone] {
+			regions[bulletin.WorkerID(policy.Server(hash64(w.ID)))] = p.regionOf(w.Zone)
 		}
 	}
 	return regions
 }
 
 // receive takes the verdicts of a zone home. It runs on the loop.
-func (h *outlierReporter) receive(verdicts waymark.Posted) {
+func (h *outlierReporter) receive(verdicts waymark.OutlierAnnouncement) {
 	pool := h.p.pools[verdicts.Destination]
 	if pool == nil {
 		return
 	}
 	current := h.verdicts[verdicts.Destination]
 	if current == nil {
-		current = &bulletin.Board{}
+		current = &bulletin.Subscriber{}
 		h.verdicts[verdicts.Destination] = current
 	}
-	if current.Post(h.p.clock.Now(), verdicts.Issue) {
+	if current.Receive(h.p.clock.Now(), verdicts.Announcement) {
 		h.counts.VerdictsReceived++
 		h.apply(pool)
 	}
@@ -138,11 +138,11 @@
 
 // apply passes the verdicts that are in force now to the core of a pool.
 func (h *outlierReporter) apply(pool *pool) {
-	beliefs := h.verdicts[pool.name].Beliefs(h.p.clock.Now(), h.p.settings.Inner(0))
-	byServer := make(map[policy.Server]policy.Belief, len(beliefs))
+	beliefs := h.verdicts[pool.name].Verdicts(h.p.clock.Now(), h.p.settings.InnerAddress(0))
+	byServer := make(map[policy.Server]policy.Verdict, len(beliefs))
 	for _, w := range h.p.workers {
 		id := policy.Server(hash64(w.ID))
-		if belief, ok := beliefs[bulletin.Key(id)]; ok && w.Destination == pool.name {
+		if belief, ok := beliefs[bulletin.WorkerID(id)]; ok && w.Destination == pool.name {
 			byServer[id] = belief
 		}
 	}
@@ -152,18 +152,18 @@
 
 // handleReport receives what a zone peer has observed, as its zone home. A report for a destination that is not
 // served here is dropped.
-func (p *Proxy) handleReport(_ context.Context, report waymark.Seen) (answer waymark.Noted, err error) {
+func (p *Proxy) handleReport(_ context.Context, report waymark.OutlierReport) (answer waymark.OutlierAck, err error) {
 	p.loop.Post(func() {
 		if h := p.outliers; h != nil && p.pools[report.Destination] != nil {
 			h.counts.ReportsReceived++
-			h.judge(report.Destination).Hear(p.clock.Now(), report.From, report.Sights)
+			h.judge(report.Destination).Receive(p.clock.Now(), report.From, report.Reports)
 		}
 	})
 	return answer, nil
 }
 
 // handleVerdicts receives the verdicts of a zone home.
-func (p *Proxy) handleVerdicts(_ context.Context, verdicts waymark.Posted) (answer waymark.Noted, err error) {
+func (p *Proxy) handleVerdicts(_ context.Context, verdicts waymark.OutlierAnnouncement) (answer waymark.OutlierAck, err error) {
 	p.loop.Post(func() {
 		if p.outliers != nil {
 			p.outliers.receive(verdicts)
@@ -177,7 +177,7 @@
 	if h.counts.ReportsSent+h.counts.VerdictsReceived > 0 {
 		e := h.p.log.Info().Interface("counts", h.counts)
 		for name, d := range h.judges {
-			e = e.Uints64(name, []uint64{d.Outs, d.Backs, d.Calms})
+			e = e.Uints64(name, []uint64{d.Ejections, d.Readmissions, d.MassReadmissions})
 		}
 		e.Msg("outlier report counters")
 	}
@@ -188,9 +188,9 @@
 	now := h.p.clock.Now()
 	for _, name := range slices.Sorted(maps.Keys(h.verdicts)) {
 		out := 0
-		beliefs := h.verdicts[name].Beliefs(now, h.p.settings.Inner(0))
+		beliefs := h.verdicts[name].Verdicts(now, h.p.settings.InnerAddress(0))
 		for _, b := range beliefs {
-			if b == policy.Shunned || b == policy.OnTrial {
+			if b == policy.Unhealthy || b == policy.OnProbe {
 				out++
 			}
 		}
--- a/internal/switchback/pool.go
+++ b/internal/switchback/pool.go
@@ -17,7 +17,7 @@
 	p            *Proxy
 	name         string
 	core         *gatekeeper.Gatekeeper // queues the requests and decides which worker gets which
-	fleet        *link.Fleet            // the connections to the workers
+	fleet        *link.WorkerConns      // the connections to the workers
 	classes      []policy.Class
 	classIndexes map[classTerms]int    // index in classes, by terms
 	config       timetable.Destination // as configured
@@ -47,7 +47,7 @@
 )
 
 // answerLimits sets no limit to a worker's answer that is streamed: the configured limits are for what clients send.
-var answerLimits = http1.Limits{Large: math.MaxInt}
+var answerLimits = http1.Limits{StreamedBodyBytes: math.MaxInt}
 
 // planOf returns the plan of a tenant's priority in the decision module. Plans differ in rank only, since tenants'
 // buckets are checked before a request reaches a pool.
@@ -58,18 +58,18 @@
 func worthOf(priority int) float64 { return math.Exp2(-float64(min(max(priority, 0), routeRanks-1))) }
 
 // class returns the index of the class for a route in this pool, and adds the class if there is none.
-func (s *pool) class(route *timetable.Course) int {
-	terms := classTerms{route.Safe, route.Deadline, route.Target, route.Priority, route.Tries}
+func (s *pool) class(route *timetable.Route) int {
+	terms := classTerms{route.Safe, route.DeadlineS, route.TargetS, route.Priority, route.MaxAttempts}
 	if index, ok := s.classIndexes[terms]; ok {
 		return index
 	}
-	repeat := policy.Unsafe
+	repeat := policy.RepeatUnsafe
 	if route.Safe {
-		repeat = policy.Safe
+		repeat = policy.RepeatSafe
 	}
 	s.classes = append(s.classes, policy.Class{
-		Aim: policy.Micros(route.Target * 1e6), Deadline: policy.Micros(route.Deadline * 1e6), Worth: worthOf(route.Priority), LateWorth: 1,
-		Repeat: repeat, Attempts: route.Tries,
+		LatencyTarget: policy.Micros(route.TargetS * 1e6), Deadline: policy.Micros(route.DeadlineS * 1e6), Value: worthOf(route.Priority), LateValue: 1,
+		Repeat: repeat, MaxAttempts: route.MaxAttempts,
 	})
 	s.classIndexes[terms] = len(s.classes) - 1
 	s.core.SetClasses(append([]policy.Class(nil), s.classes...))
@@ -82,9 +82,9 @@
 		return s
 	}
 	s := &pool{p: p, name: name, classIndexes: map[classTerms]int{}}
-	s.fleet = link.NewFleet(p.loop, p.clock, p.handler, p.connectTimeoutMs, maxIdleMs, link.Transport{})
-	s.fleet.PartMost, s.fleet.KeepAlive = 2000, true
-	s.fleet.Limits = &answerLimits
+	s.fleet = link.NewWorkerConns(p.loop, p.clock, p.handler, p.connectTimeoutMs, maxIdleMs, link.Transport{})
+	s.fleet.PartialTimeoutMS, s.fleet.HonorKeepAlive = 2000, true
+	s.fleet.ResponseLimits = &answerLimits
 	planList := make([]policy.Plan, tenantRanks)
 	for i := range planList {
 		planList[i].Price = math.Exp2(-float64(routeRanks * i))
@@ -92,20 +92,20 @@
 	settings := policy.Settings{
 		// Each gatekeeper has a number of its own from the start, whatever its member index will be: gatekeepers with
 		// the same number order the workers in the same way and would all use the same few.
-		Self: int(hash64(p.settings.Station) >> 40), Gateways: max(p.memberCount, 1), Plans: planList, Tick: 1000, MaxAttempts: 1, Cancel: true, RetryAfter: true,
-		Largest: 1, HoldPart: holdFraction, Step: tickMicros, IdleStep: idleTickMicros, SafeAfter: safeRetryLatencies,
-		Turns: true, Learn: 1.5, Bound: policy.BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5},
-		ColdSends: s.coldSends, Reported: true, Beliefs: p.outliers != nil,
-		FurtherTry: func(int) bool { return p.retryBudget.Take(p.micros(), name) },
+		Index: int(hash64(p.settings.Node) >> 40), GatewayCount: max(p.memberCount, 1), Plans: planList, ClockTick: 1000, MaxAttempts: 1, CanCancel: true, SendRetryAfter: true,
+		MaxUnits: 1, MaxHoldFraction: holdFraction, TickInterval: tickMicros, IdleTickInterval: idleTickMicros, MoveAfterSilence: safeRetryLatencies,
+		Rotate: true, SlownessSeconds: 1.5, LimitTerms: policy.LimitTerms{GrowBelow: 0.8, CutAbove: 1, GrowKnee: 3, CutKnee: 5},
+		MaxColdSends: s.coldSends, UseLoadReports: true, ZoneVerdicts: p.outliers != nil,
+		AllowRetry: func(int) bool { return p.retryBudget.TryTake(p.micros(), name) },
 	}
 	// All pools share one alarm, which is set to the earliest time.
-	s.core = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: p.seed ^ hash64(name), Clock: p.clock, Fleet: s.fleet,
-		Counter: noCounter{}, Wake: func(at float64) { p.wake(at) }})
-	s.fleet.Attach(s.core)
+	s.core = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: p.seed ^ hash64(name), Clock: p.clock, Workers: s.fleet,
+		Counter: noCounter{}, RequestWakeUp: func(at float64) { p.wake(at) }})
+	s.fleet.SetCore(s.core)
 	if p.mirror != nil {
-		s.fleet.Sent = p.mirror.noteForwarded
+		s.fleet.OnSent = p.mirror.noteForwarded
 	}
-	s.core.Stand(p.ring())
+	s.core.SetZoneRank(p.ring())
 	p.pools[name] = s
 	p.poolList = append(p.poolList, s)
 	s.updateWorkers()
@@ -118,24 +118,24 @@
 // become cold, so it treats every worker as possibly cold.
 func (s *pool) coldSends(worker policy.Server, cold bool) int {
 	p, bounds := s.p, s.p.settings.Bounds
-	budget := s.config.ColdPerS*bounds.ColdExcess + bounds.ColdSlack
+	budget := s.config.SlowStartPerS*bounds.SlowStartExcess + bounds.SlowStartSlack
 	switch now := p.clock.Now(); {
 	case cold:
-		return p.slowStart.Sends(now, leasedBudgetFraction*budget, uint64(worker))
-	case s.config.ColdPerS <= 0 || p.memberCount <= 1 || now-p.tailStateAt < outOfTouchMs:
+		return p.slowStart.RequestsPerSecond(now, leasedBudgetFraction*budget, uint64(worker))
+	case s.config.SlowStartPerS <= 0 || p.memberCount <= 1 || now-p.tailStateAt < outOfTouchMs:
 		return -1
 	}
-	return p.slowStart.Standing(fallbackBudgetFraction*budget, uint64(worker), slowstart.Part{Index: p.memberIndex, Count: p.memberCount})
+	return p.slowStart.FallbackRequestsPerSecond(fallbackBudgetFraction*budget, uint64(worker), slowstart.Share{Index: p.memberIndex, Count: p.memberCount})
 }
 
 // coldUntil returns until when a worker is cold: according to the list, or because the evacuation of its zone was
 // revoked. Workers of such a zone may have become cold before the list says so.
 func (s *pool) coldUntil(w *worker) policy.Micros {
 	revokedAt, ok := s.p.evacuationRevokedAt[w.Zone]
-	if !ok || s.config.ColdPerS <= 0 {
+	if !ok || s.config.SlowStartPerS <= 0 {
 		return w.coldUntil
 	}
-	return max(w.coldUntil, policy.Micros((revokedAt+s.config.ColdS*1000)*1000))
+	return max(w.coldUntil, policy.Micros((revokedAt+s.config.SlowStartS*1000)*1000))
 }
 
 // updateWorkers passes the workers in force to the core, with those that must not get new requests marked as
@@ -147,18 +147,18 @@
 		if w.Destination != s.name {
 			continue
 		}
-		entry := policy.Entry{Server: policy.Server(hash64(w.ID)), State: policy.Ready, Region: p.regionOf(w.Zone), Dear: p.zoneCost(w.Zone),
+		entry := policy.Entry{Server: policy.Server(hash64(w.ID)), State: policy.Ready, Region: p.regionOf(w.Zone), CostFactor: p.zoneCost(w.Zone),
 			ColdUntil: s.coldUntil(w)}
-		if w.Closing || p.evacuated[w.Zone] || w.misdirected {
+		if w.Draining || p.evacuated[w.Zone] || w.misdirected {
 			entry.State = policy.Draining
 		}
 		if entry.State == policy.Ready {
 			s.fleet.Place(entry.Server, w.Addr, 0)
-			s.fleet.Lines(entry.Server, []byte(headerExpectWorker+": "+w.ID+"\r\n"))
+			s.fleet.SetHeaderLines(entry.Server, []byte(headerExpectWorker+": "+w.ID+"\r\n"))
 		}
 		entries = append(entries, entry)
 	}
-	s.core.Workers(policy.FullList, entries)
+	s.core.UpdateWorkers(policy.FullList, entries)
 }
 
 // hash64 returns the FNV-1a hash of a string.
@@ -173,4 +173,4 @@
 type noCounter struct{}
 
 // Add implements the counter and does nothing.
-func (noCounter) Add(*gatekeeper.Count) {}
+func (noCounter) Add(*gatekeeper.CounterCall) {}
--- a/internal/switchback/proxy.go
+++ b/internal/switchback/proxy.go
@@ -74,14 +74,14 @@
 	fanout      *fanout
 
 	// Owned by the loop.
-	clients             *link.Clients
-	readinessClients    *link.Clients // connections to the readiness address
+	clients             *link.ClientConns
+	readinessClients    *link.ClientConns // connections to the readiness address
 	limits              *http1.Limits
 	pools               map[string]*pool
-	poolList            []*pool              // of pools, by creation
-	wakeAt              float64              // when the loop's alarm is due, 0 if none is set
-	config              *timetable.Timetable // the configuration in force
-	evacuationVersion   uint64               // version of the list of evacuated zones in force
+	poolList            []*pool           // of pools, by creation
+	wakeAt              float64           // when the loop's alarm is due, 0 if none is set
+	config              *timetable.Config // the configuration in force
+	evacuationVersion   uint64            // version of the list of evacuated zones in force
 	evacuated           map[string]bool
 	evacuationRevokedAt map[string]float64 // when the evacuation of a zone was last revoked
 	slowStart           slowstart.Lease    // this gatekeeper's share of the budget of cold workers
@@ -89,7 +89,7 @@
 	rosterVersion       uint64             // version of all worker lists together that was announced last
 	workers             map[string]*worker
 	workerListVersions  map[string]uint64 // versions of the worker lists in force, by destination
-	membership          waymark.Crowd
+	membership          waymark.MemberView
 	quotaBounds         quota.Bounds
 	smallQuotas         map[string]*smallQuota // by name of the tenant
 	owned               ownedQuotas
@@ -103,11 +103,11 @@
 	memberIndex         int                     // index of this gatekeeper among all members
 	memberCount         int                     // number of gatekeepers that are members
 	regionBits          map[string]int          // bit of each region in a mask
-	tenants             *policy.Tenants
-	clientPatience      []policy.Patience // by route: how long its clients go on retrying
-	sequence            uint64            // sequence number of the messages to registries
-	registry            *rpc.Peer         // the registry that the session is with
-	retryBudget         *policy.Tries
+	tenants             *policy.TenantBuckets
+	clientPatience      []policy.RetryDetector // by route: how long its clients go on retrying
+	sequence            uint64                 // sequence number of the messages to registries
+	registry            *rpc.Peer              // the registry that the session is with
+	retryBudget         *policy.RetryBudget
 	keysValidUntil      float64 // until when keys may be accepted, if revocations are final
 	hasSession          bool    // a registry that was in touch with the tail has answered
 	membersKnown        bool    // the members were completely known at some time
@@ -118,13 +118,13 @@
 	counts              counts
 	requestStats        *requestStats
 	shedder             *loadShedder     // nil if load shedding is off
-	mirror              *mirror          // nil if traffic mirroring is off
+	mirror              *requestMirror   // nil if traffic mirroring is off
 	outliers            *outlierReporter // nil if outlier reports are not shared
 
 	isReady atomic.Bool // the readiness that was last logged and reported
 
 	// Owned by the session's goroutine.
-	registries       []waymark.Core       // all known registries
+	registries       []waymark.Registry   // all known registries
 	seedAddrs        []string             // addresses of registries in the settings
 	registryFailedAt map[string]time.Time // when a registry last failed
 	registryPeers    map[string]*rpc.Peer
@@ -167,32 +167,32 @@
 
 // New returns a proxy that does not serve yet. The options Shed, Bulletin and Shadow are to be called before Serve.
 func New(settings *bootconfig.Settings, log zerolog.Logger) (*Proxy, error) {
-	p := &Proxy{settings: settings, log: log, seed: rand.Uint64(), incarnation: rand.Uint64(), clock: gatekeeper.NewSteadyClock(clockStartMs),
+	p := &Proxy{settings: settings, log: log, seed: rand.Uint64(), incarnation: rand.Uint64(), clock: gatekeeper.NewMonotonicClock(clockStartMs),
 		pools: map[string]*pool{}, evacuated: map[string]bool{}, evacuationRevokedAt: map[string]float64{}, workers: map[string]*worker{}, regionBits: map[string]int{},
-		tenants: policy.NewTenants(), requestStats: newRequestStats(), smallQuotas: map[string]*smallQuota{}, ownedSince: map[string]float64{}, formerlyOwned: map[string]float64{}, servedAsBackup: map[string]bool{}, allocateNow: make(chan struct{}, 1), tokenClients: map[string]*tokenClient{}, registryFailedAt: map[string]time.Time{}, registryPeers: map[string]*rpc.Peer{},
+		tenants: policy.NewTenantBuckets(), requestStats: newRequestStats(), smallQuotas: map[string]*smallQuota{}, ownedSince: map[string]float64{}, formerlyOwned: map[string]float64{}, servedAsBackup: map[string]bool{}, allocateNow: make(chan struct{}, 1), tokenClients: map[string]*tokenClient{}, registryFailedAt: map[string]time.Time{}, registryPeers: map[string]*rpc.Peer{},
 		newSeeds: make(chan []string, 1), limits: &http1.Limits{}, tokenTimeout: maxTokenWait, connectTimeoutMs: connectTimeoutMs}
 	bounds := settings.Bounds
 	p.quotaBounds = quota.BoundsOf(&bounds)
-	p.retryBudget = policy.NewTries(p.micros(), policy.TriesRule{Window: policy.Micros(bounds.RetryWindowS * 1e6), Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack})
-	p.tenants.FloorFor = minimumValidity
+	p.retryBudget = policy.NewRetryBudget(p.micros(), policy.RetryBudgetRule{Window: policy.Micros(bounds.RetryWindowS * 1e6), Ratio: bounds.RetryRatio, Allowance: bounds.RetrySlack})
+	p.tenants.FloorDuration = minimumValidity
 	p.handler = &handler{p: p}
 	p.fanout, p.workerListVersions = newFanout(), map[string]uint64{}
-	p.seedAddrs = settings.Seeds(0)
+	p.seedAddrs = settings.SeedAddresses(0)
 	p.addRegistries(seedRegistries(p.seedAddrs))
-	tune(settings.SizeLimits.MemoryMB)
-	budget := link.NewBudget(settings.SizeLimits.Handles-reservedDescriptors, 32)
+	tune(settings.ResourceLimits.MemoryMB)
+	budget := link.NewBudget(settings.ResourceLimits.MaxOpenFiles-reservedDescriptors, 32)
 	loop, err := link.NewLoop(budget)
 	if err != nil {
 		return nil, err
 	}
 	p.loop = loop
-	loop.Flowing = settings.SizeLimits.MemoryMB << 20 / 8
+	loop.StreamBufferBytes = settings.ResourceLimits.MemoryMB << 20 / 8
 	loop.OnAlarm(p.advance)
 	p.runOnLoop(func() {
-		p.clients = link.NewClients(loop, p.clock, nil, p.handler)
+		p.clients = link.NewClientConns(loop, p.clock, nil, p.handler)
 		p.clients.Limits = &link.ClientLimits{HTTP: p.limits}
-		p.clients.Verdict = p.handler
-		p.readinessClients = link.NewClients(loop, p.clock, nil, readinessHandler{p})
+		p.clients.FinalResponder = p.handler
+		p.readinessClients = link.NewClientConns(loop, p.clock, nil, readinessHandler{p})
 		loop.Every(sweepInterval, func() {
 			p.clients.Sweep()
 			p.readinessClients.Sweep()
@@ -230,7 +230,7 @@
 func (p *Proxy) wake(at float64) {
 	if p.wakeAt == 0 || at < p.wakeAt {
 		p.wakeAt = at
-		p.loop.Wake(at - p.clock.Now())
+		p.loop.SetAlarm(at - p.clock.Now())
 	}
 }
 
@@ -238,26 +238,26 @@
 func (p *Proxy) advance() {
 	p.wakeAt = 0
 	for _, pool := range p.poolList {
-		pool.core.Advance()
+		pool.core.RunDueTimers()
 	}
 }
 
 // Serve answers clients until the context ends, and then drains: it returns once all accepted requests are answered
 // or the grace period is over.
 func (p *Proxy) Serve(ctx context.Context) error {
-	listener, err := link.Listen(p.settings.Gates.Counter)
+	listener, err := link.Listen(p.settings.Addresses.Clients)
 	if err != nil {
 		return err
 	}
-	go listener.Accept(p.loop, func() *link.Client { return p.clients.Make() })
-	if readinessAddr := p.settings.Gates.Readiness; readinessAddr != "" && readinessAddr != p.settings.Gates.Counter {
+	go listener.Accept(p.loop, func() *link.ClientConn { return p.clients.NewConn() })
+	if readinessAddr := p.settings.Addresses.Readiness; readinessAddr != "" && readinessAddr != p.settings.Addresses.Clients {
 		readinessListener, err := link.Listen(readinessAddr)
 		if err != nil {
 			return err
 		}
-		go readinessListener.Accept(p.loop, func() *link.Client { return p.readinessClients.Make() })
+		go readinessListener.Accept(p.loop, func() *link.ClientConn { return p.readinessClients.NewConn() })
 	}
-	rpcListener, err := rpc.Listen(p.settings.Inner(0))
+	rpcListener, err := rpc.Listen(p.settings.InnerAddress(0))
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 	go p.runReports(sessionCtx)
 	go p.runMirror(sessionCtx)
 	go p.runOffers(sessionCtx)
-	p.log.Info().Str("counter", p.settings.Gates.Counter).Msg("serving")
+	p.log.Info().Str("counter", p.settings.Addresses.Clients).Msg("serving")
 	<-ctx.Done()
 	deadline := time.Now().Add(time.Duration(p.settings.Bounds.GraceS*float64(time.Second)) - drainReserve/2)
 	p.drain(listener)
@@ -323,9 +323,9 @@
 				p.clients.CloseIdle()
 			}
 			for _, pool := range p.poolList {
-				openCount += pool.core.Open()
+				openCount += pool.core.OpenRequests()
 			}
-			openCount += p.clients.Len()
+			openCount += p.clients.OpenConns()
 		})
 		if !listening && openCount == 0 || elapsed > limit {
 			p.log.Info().Int("left", openCount).Dur("took", elapsed).Msg("drained")
@@ -353,14 +353,14 @@
 }
 
 // giveBack returns the token of a request that never ran.
-func (p *Proxy) giveBack(client *link.Client) {
-	attempt, ok := client.Value.(*clientAttempt)
+func (p *Proxy) giveBack(client *link.ClientConn) {
+	attempt, ok := client.UserData.(*clientAttempt)
 	if !ok {
 		return
 	}
 	if attempt.tokenTaken {
 		attempt.tokenTaken = false
-		p.tenants.GiveBack(p.micros(), attempt.tenant)
+		p.tenants.ReturnToken(p.micros(), attempt.tenant)
 	}
 	if small := p.smallQuotas[attempt.tenant]; attempt.ownerTokenTaken && small != nil {
 		attempt.ownerTokenTaken = false
@@ -370,7 +370,7 @@
 
 // destination returns the pool for a request of a route. If the route is split over several services, one is drawn at
 // random by weight.
-func (p *Proxy) destination(route *timetable.Course) *pool {
+func (p *Proxy) destination(route *timetable.Route) *pool {
 	i := 0
 	if len(route.Split) > 1 {
 		sum := 0.0
@@ -386,12 +386,12 @@
 }
 
 // allowedRegions returns a mask of the regions that may serve a request, or 0 for any region.
-func (p *Proxy) allowedRegions(route *timetable.Course, sender *timetable.Sender) uint64 {
-	mask := p.regionMask(route.Homes)
-	if sender == nil || len(sender.Homes) == 0 {
+func (p *Proxy) allowedRegions(route *timetable.Route, sender *timetable.Tenant) uint64 {
+	mask := p.regionMask(route.HomeRegions)
+	if sender == nil || len(sender.HomeRegions) == 0 {
 		return mask
 	}
-	if ownMask := p.regionMask(sender.Homes); mask == 0 {
+	if ownMask := p.regionMask(sender.HomeRegions); mask == 0 {
 		return ownMask
 	} else if mask&ownMask != 0 {
 		return mask & ownMask
@@ -461,29 +461,29 @@
 func (p *Proxy) logCounters() {
 	open := 0
 	for _, pool := range p.poolList {
-		open += pool.core.Open()
+		open += pool.core.OpenRequests()
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	p.log.Info().Interface("counts", p.counts).Interface("sent", rpc.Sent()).Int("open", open).Int("members", p.memberCount).Int("workers", len(p.workers)).
+	p.log.Info().Interface("counts", p.counts).Interface("sent", rpc.SentCounts()).Int("open", open).Int("members", p.memberCount).Int("workers", len(p.workers)).
 		Uint64("heapKB", m.HeapAlloc>>10).Uint64("sysKB", m.Sys>>10).Msg("counters since start")
 }
 
 // status answers with the lines that the operator's status command prints.
-func (p *Proxy) status(context.Context, waymark.AskStatus) (waymark.Status, error) {
-	var status waymark.Status
+func (p *Proxy) status(context.Context, waymark.StatusRequest) (waymark.StatusResponse, error) {
+	var status waymark.StatusResponse
 	p.runOnLoop(func() {
 		add := func(format string, a ...any) { status.Lines = append(status.Lines, fmt.Sprintf(format, a...)) }
-		add("station %s zone %s ready %t draining %t", p.settings.Station, p.settings.Zone, p.ready(), p.draining)
+		add("station %s zone %s ready %t draining %t", p.settings.Node, p.settings.Zone, p.ready(), p.draining)
 		if p.config != nil {
-			add("edition %s routes %d tenants %d", timetable.FormatEdition(p.config.Edition), len(p.config.Courses), len(p.config.Senders))
+			add("edition %s routes %d tenants %d", timetable.FormatVersion(p.config.Version), len(p.config.Routes), len(p.config.Tenants))
 		}
 		add("place %d of %d members, roster version %d", p.memberIndex, p.memberCount, p.rosterVersion)
 		for _, x := range p.poolList {
-			ready, listed := x.core.Size()
-			add("destination %s open %d workers %d of %d", x.name, x.core.Open(), ready, listed)
+			ready, listed := x.core.WorkerCounts()
+			add("destination %s open %d workers %d of %d", x.name, x.core.OpenRequests(), ready, listed)
 		}
-		slices, leaseLeft := p.tenants.Holding(p.micros())
+		slices, leaseLeft := p.tenants.Holdings(p.micros())
 		if p.shedder != nil {
 			status.Lines = append(status.Lines, p.shedder.statusLines()...)
 		}
@@ -492,7 +492,7 @@
 		}
 		add("slices' lease %d ms", leaseLeft/1000)
 		for name, x := range slices {
-			add("slice %s rate %.2f burst %.2f floor %.2f", name, x.Rate, x.Burst, x.Floor)
+			add("slice %s rate %.2f burst %.2f floor %.2f", name, x.Rate, x.Burst, x.Minimum)
 		}
 	})
 	if p.mirror != nil {
@@ -504,7 +504,7 @@
 // Reload takes the registries' addresses from changed settings. Everything else takes effect at the next start.
 func (p *Proxy) Reload(settings *bootconfig.Settings) {
 	select {
-	case p.newSeeds <- settings.Seeds(0):
+	case p.newSeeds <- settings.SeedAddresses(0):
 	default:
 	}
 }
--- a/internal/switchback/quota_owners.go
+++ b/internal/switchback/quota_owners.go
@@ -9,7 +9,7 @@
 
 // ownedQuotas are the small quotas that this gatekeeper owns, with what they were computed from.
 type ownedQuotas struct {
-	config      *timetable.Timetable
+	config      *timetable.Config
 	memberCount int
 	mark        uint64 // of ownersMark
 	names       []string
@@ -19,9 +19,9 @@
 // the mark of another one.
 func (p *Proxy) ownersMark() uint64 {
 	if p.draining {
-		return p.membership.Mark + 1
+		return p.membership.Checksum + 1
 	}
-	return p.membership.Mark
+	return p.membership.Checksum
 }
 
 // ownedNames returns the tenants whose small quota this gatekeeper owns. They are computed again if the configuration
@@ -30,8 +30,8 @@
 	owned := &p.owned
 	if mark := p.ownersMark(); owned.config != p.config || owned.memberCount != p.memberCount || owned.mark != mark {
 		*owned = ownedQuotas{config: p.config, memberCount: p.memberCount, mark: mark}
-		for name, terms := range quota.Limited(p.config) {
-			if p.isSmallQuota(terms) && p.smallQuotaOf(name).owners[0] == p.settings.Inner(0) {
+		for name, terms := range quota.LimitedTenants(p.config) {
+			if p.isSmallQuota(terms) && p.smallQuotaOf(name).owners[0] == p.settings.InnerAddress(0) {
 				owned.names = append(owned.names, name)
 			}
 		}
@@ -93,19 +93,19 @@
 	if terms, ok := p.termsOf(tenant); !ok || !p.isSmallQuota(terms) {
 		return
 	}
-	if owner := p.smallQuotaOf(tenant).owners[0]; owner != "" && owner != p.settings.Inner(0) {
+	if owner := p.smallQuotaOf(tenant).owners[0]; owner != "" && owner != p.settings.InnerAddress(0) {
 		p.tenants.Surrender(p.micros(), tenant)
 	}
 }
 
 // termsOf returns a tenant's quota in the configuration in force.
-func (p *Proxy) termsOf(tenant string) (quota.Terms, bool) {
-	for name, terms := range quota.Limited(p.config) {
+func (p *Proxy) termsOf(tenant string) (quota.Limit, bool) {
+	for name, terms := range quota.LimitedTenants(p.config) {
 		if name == tenant {
 			return terms, true
 		}
 	}
-	return quota.Terms{}, false
+	return quota.Limit{}, false
 }
 
 // ownersOf returns the first and the second owner of a tenant's small quota, chosen by rendezvous hashing among the
@@ -123,7 +123,7 @@
 		}
 	}
 	if !p.draining {
-		consider(p.settings.Inner(0))
+		consider(p.settings.InnerAddress(0))
 	}
 	for _, addr := range p.membership.Peers {
 		consider(addr)
--- a/internal/switchback/request_stats.go
+++ b/internal/switchback/request_stats.go
@@ -31,7 +31,7 @@
 }
 
 // kindOf returns the kind of a request to a service.
-func kindOf(route *timetable.Course, service string) requestKind {
+func kindOf(route *timetable.Route, service string) requestKind {
 	return requestKind{service: service, safe: route.Safe, priority: route.Priority}
 }
 
@@ -98,12 +98,12 @@
 
 // metrics returns the counters of all kinds, the number of starved tenants in the last complete window, and the
 // tenants with the highest unserved ratios in it.
-func (c *requestStats) metrics(now float64) (figures []metrics.Figure) {
+func (c *requestStats) metrics(now float64) (figures []metrics.Sample) {
 	c.rotate(now)
 	for kind, t := range c.kinds {
 		figures = append(figures,
-			metrics.Count("kind_requests_total", "Requests read, by service, repeatability and priority.", t.read, kind.labels()...),
-			metrics.Count("kind_unserved_total", "Requests that ended without a worker's answer, by service, repeatability and priority.", t.unserved, kind.labels()...))
+			metrics.Counter("kind_requests_total", "Requests read, by service, repeatability and priority.", t.read, kind.labels()...),
+			metrics.Counter("kind_unserved_total", "Requests that ended without a worker's answer, by service, repeatability and priority.", t.unserved, kind.labels()...))
 	}
 	starved := 0
 	var worst []string
--- a/internal/switchback/ring_test.go
+++ b/internal/switchback/ring_test.go
@@ -13,13 +13,13 @@
 func TestRingNeedsMemberIndex(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		crowd waymark.Crowd
-		want  policy.Ring
+		crowd waymark.MemberView
+		want  policy.RingPlace
 	}{
-		{"no members are known", waymark.Crowd{}, policy.Ring{}},
-		{"not among the members", waymark.Crowd{Place: -1, Count: 4, Near: []int{0, 2}}, policy.Ring{}},
-		{"alone in its zone", waymark.Crowd{Place: 1, Count: 4}, policy.Ring{Zone: hash64("a1"), Of: 1}},
-		{"between two zone peers", waymark.Crowd{Place: 2, Count: 4, Near: []int{0, 3}}, policy.Ring{Zone: hash64("a1"), Rank: 1, Of: 3}},
+		{"no members are known", waymark.MemberView{}, policy.RingPlace{}},
+		{"not among the members", waymark.MemberView{MemberIndex: -1, MemberCount: 4, ZonePeerIndexes: []int{0, 2}}, policy.RingPlace{}},
+		{"alone in its zone", waymark.MemberView{MemberIndex: 1, MemberCount: 4}, policy.RingPlace{Zone: hash64("a1"), Count: 1}},
+		{"between two zone peers", waymark.MemberView{MemberIndex: 2, MemberCount: 4, ZonePeerIndexes: []int{0, 3}}, policy.RingPlace{Zone: hash64("a1"), Index: 1, Count: 3}},
 	} {
 		proxy := newTestProxy(t)
 		proxy.runOnLoop(func() {
--- a/internal/switchback/session.go
+++ b/internal/switchback/session.go
@@ -38,7 +38,7 @@
 		peer = rpc.NewPeer(addr)
 		p.registryPeers[addr] = peer
 	}
-	var request waymark.Sign
+	var request waymark.SessionRequest
 	var askedAt float64
 	p.runOnLoop(func() {
 		request = p.heartbeatRequest()
@@ -47,7 +47,7 @@
 	})
 	began := p.fanout.now()
 	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-	answer, err := rpc.Call[waymark.Sign, waymark.Signed](callCtx, peer, request)
+	answer, err := rpc.Call[waymark.SessionRequest, waymark.SessionResponse](callCtx, peer, request)
 	cancel()
 	p.fanout.noteHeartbeat(began, err == nil && !answer.Stale)
 	p.runOnLoop(func() {
@@ -61,10 +61,10 @@
 		pause(ctx, p.retryDelay(failedRetryDelay))
 		return
 	}
-	if len(answer.Cores) > 0 && !answer.Stale {
-		p.dropReplaced(answer.Cores)
+	if len(answer.Registries) > 0 && !answer.Stale {
+		p.dropReplaced(answer.Registries)
 	}
-	p.addRegistries(answer.Cores)
+	p.addRegistries(answer.Registries)
 	if !p.received(ctx, &answer, askedAt) {
 		defer pause(ctx, unreadableConfigDelay) // it comes with each answer
 	}
@@ -90,13 +90,13 @@
 
 // received handles the answer to a heartbeat, and fetches the parts that were only announced from the zone homes. It
 // tells whether the configuration in it, if any, could be read.
-func (p *Proxy) received(ctx context.Context, answer *waymark.Signed, askedAt float64) (read bool) {
+func (p *Proxy) received(ctx context.Context, answer *waymark.SessionResponse, askedAt float64) (read bool) {
 	p.fanout.receive(answer)
-	read = p.storeConfig(answer.Body)
+	read = p.storeConfig(answer.Config)
 	p.runOnLoop(func() { p.apply(answer, askedAt) })
 	if p.fetchFromHomes(ctx) {
 		p.runOnLoop(func() {
-			p.apply(&waymark.Signed{AsOf: answer.AsOf, Stale: answer.Stale, Edition: answer.Edition, Again: answer.Again}, askedAt)
+			p.apply(&waymark.SessionResponse{AsOf: answer.AsOf, Stale: answer.Stale, ConfigVersion: answer.ConfigVersion, RestartedRecently: answer.RestartedRecently}, askedAt)
 		})
 	}
 	return read
@@ -120,18 +120,18 @@
 }
 
 // seedRegistries returns registries of which only the address is known.
-func seedRegistries(seeds []string) (registries []waymark.Core) {
+func seedRegistries(seeds []string) (registries []waymark.Registry) {
 	for _, s := range seeds {
-		registries = append(registries, waymark.Core{Addr: s})
+		registries = append(registries, waymark.Registry{Addr: s})
 	}
 	return registries
 }
 
 // dropReplaced drops registries that appear neither in the settings nor in the list of a registry that is in touch
 // with the tail: they have been replaced.
-func (p *Proxy) dropReplaced(current []waymark.Core) {
-	p.registries = slices.DeleteFunc(p.registries, func(c waymark.Core) bool {
-		if slices.Contains(p.seedAddrs, c.Addr) || slices.ContainsFunc(current, func(k waymark.Core) bool { return k.Addr == c.Addr }) {
+func (p *Proxy) dropReplaced(current []waymark.Registry) {
+	p.registries = slices.DeleteFunc(p.registries, func(c waymark.Registry) bool {
+		if slices.Contains(p.seedAddrs, c.Addr) || slices.ContainsFunc(current, func(k waymark.Registry) bool { return k.Addr == c.Addr }) {
 			return false
 		}
 		if peer := p.registryPeers[c.Addr]; peer != nil {
@@ -145,9 +145,9 @@
 
 // addRegistries adds registries to the known ones. One that is down now may be the only one that is up later, so none
 // is removed here.
-func (p *Proxy) addRegistries(registries []waymark.Core) {
+func (p *Proxy) addRegistries(registries []waymark.Registry) {
 	for _, c := range registries {
-		i := slices.IndexFunc(p.registries, func(k waymark.Core) bool { return k.Addr == c.Addr })
+		i := slices.IndexFunc(p.registries, func(k waymark.Registry) bool { return k.Addr == c.Addr })
 		switch {
 		case i < 0:
 			p.registries = append(p.registries, c)
@@ -165,8 +165,8 @@
 		distance int  // 0 in this zone, 1 in this region, 2 elsewhere
 		hash     uint64
 	}
-	rankOf := func(c waymark.Core) rank {
-		r := rank{failed: time.Since(p.registryFailedAt[c.Addr]) < registryPause, hash: hash64(c.Addr + p.settings.Station)}
+	rankOf := func(c waymark.Registry) rank {
+		r := rank{failed: time.Since(p.registryFailedAt[c.Addr]) < registryPause, hash: hash64(c.Addr + p.settings.Node)}
 		switch {
 		case c.Zone == p.settings.Zone:
 		case c.Zone == "" || p.settings.RegionOf(c.Zone) == p.settings.Region:
@@ -176,7 +176,7 @@
 		}
 		return r
 	}
-	best := slices.MinFunc(p.registries, func(a, b waymark.Core) int {
+	best := slices.MinFunc(p.registries, func(a, b waymark.Registry) int {
 		x, y := rankOf(a), rankOf(b)
 		switch {
 		case x.failed != y.failed && y.failed:
@@ -192,11 +192,11 @@
 }
 
 // heartbeatRequest returns the request for the next heartbeat. It runs on the loop.
-func (p *Proxy) heartbeatRequest() waymark.Sign {
-	request := waymark.Sign{Member: p.self(), Crowd: p.membership.Mark, Cores: p.registriesMark, Wait: heartbeatWaitMs}
-	p.fanout.withLock(func(float64) { p.fanout.cache.Question(&request) })
+func (p *Proxy) heartbeatRequest() waymark.SessionRequest {
+	request := waymark.SessionRequest{Member: p.self(), MembersChecksum: p.membership.Checksum, RegistriesChecksum: p.registriesMark, WaitMS: heartbeatWaitMs}
+	p.fanout.withLock(func(float64) { p.fanout.cache.FillHeartbeat(&request) })
 	if p.mirror != nil {
-		request.Copies, request.Seats = request.Shadow > 0, p.mirror.membersMark
+		request.MirrorsTraffic, request.SeatsChecksum = request.MirrorOrderNumber > 0, p.mirror.membersMark
 	}
 	return request
 }
@@ -204,22 +204,22 @@
 // self describes this gatekeeper as a member.
 func (p *Proxy) self() membership.Member {
 	p.sequence++
-	return membership.Member{Station: p.settings.Station, Zone: p.settings.Zone, Region: p.settings.Region, Life: p.incarnation, Turn: p.sequence,
-		Counter: p.settings.Gates.Counter, Inner: p.settings.Inner(0), Ready: p.ready(), Leaving: p.draining, Alone: p.shedsAlone()}
+	return membership.Member{Node: p.settings.Node, Zone: p.settings.Zone, Region: p.settings.Region, Incarnation: p.incarnation, Sequence: p.sequence,
+		ClientAddr: p.settings.Addresses.Clients, PeerAddr: p.settings.InnerAddress(0), Ready: p.ready(), Leaving: p.draining, Overloaded: p.shedsAlone()}
 }
 
 // apply puts what was received into force. It runs on the loop. Configurations, lists of evacuated zones and worker
 // lists are never replaced by older ones, whichever registry sends them.
-func (p *Proxy) apply(answer *waymark.Signed, askedAt float64) {
+func (p *Proxy) apply(answer *waymark.SessionResponse, askedAt float64) {
 	changed := p.applyCached()
 	p.membersKnown = p.membersKnown || answer.Settled
-	p.earlierBurstCounts = answer.Again
-	if answer.CoresNow != 0 {
-		p.registriesMark = answer.CoresNow
+	p.earlierBurstCounts = answer.RestartedRecently
+	if answer.RegistriesChecksum != 0 {
+		p.registriesMark = answer.RegistriesChecksum
 	}
-	if answer.Crowd != nil {
-		p.membership = *answer.Crowd
-		if index, count := p.membership.Place, p.membership.Count; count > 0 && index >= 0 {
+	if answer.Members != nil {
+		p.membership = *answer.Members
+		if index, count := p.membership.MemberIndex, p.membership.MemberCount; count > 0 && index >= 0 {
 			changed = p.setMemberIndex(index, count) || changed
 			p.updateRing()
 		}
@@ -227,7 +227,7 @@
 	if !answer.Stale {
 		p.tailStateAt = max(p.tailStateAt, askedAt+answer.AsOf)
 	}
-	if !answer.Stale && (p.config != nil && p.config.Edition >= answer.Edition) {
+	if !answer.Stale && (p.config != nil && p.config.Version >= answer.ConfigVersion) {
 		p.hasSession = true
 		p.keysValidUntil = max(p.keysValidUntil, askedAt+answer.AsOf+p.settings.Bounds.RevokeS*1000-keyLeaseMarginMs)
 	}
@@ -242,9 +242,9 @@
 func (p *Proxy) setMemberIndex(index, count int) bool {
 	changed := index != p.memberIndex || count != p.memberCount
 	p.memberIndex, p.memberCount = index, count
-	p.retryBudget.Members(p.micros(), count, index)
+	p.retryBudget.SetMembers(p.micros(), count, index)
 	for _, pool := range p.poolList {
-		pool.core.Among(index, count)
+		pool.core.SetMembership(index, count)
 	}
 	return changed
 }
@@ -252,14 +252,14 @@
 // ring returns the rank of this gatekeeper among those of its zone. It is empty while the gatekeeper does not know
 // its index among all members: otherwise all gatekeepers that start would use the same few workers until they know
 // it.
-func (p *Proxy) ring() policy.Ring {
-	if p.membership.Count == 0 || p.membership.Place < 0 {
-		return policy.Ring{}
+func (p *Proxy) ring() policy.RingPlace {
+	if p.membership.MemberCount == 0 || p.membership.MemberIndex < 0 {
+		return policy.RingPlace{}
 	}
-	r := policy.Ring{Zone: hash64(p.settings.Zone), Of: len(p.membership.Near) + 1}
-	for _, index := range p.membership.Near {
-		if index < p.membership.Place {
-			r.Rank++
+	r := policy.RingPlace{Zone: hash64(p.settings.Zone), Count: len(p.membership.ZonePeerIndexes) + 1}
+	for _, index := range p.membership.ZonePeerIndexes {
+		if index < p.membership.MemberIndex {
+			r.Index++
 		}
 	}
 	return r
@@ -269,7 +269,7 @@
 func (p *Proxy) updateRing() {
 	r := p.ring()
 	for _, pool := range p.poolList {
-		pool.core.Stand(r)
+		pool.core.SetZoneRank(r)
 	}
 }
 
@@ -287,50 +287,50 @@
 }
 
 // enforce puts a whole configuration into force.
-func (p *Proxy) enforce(config *timetable.Timetable) {
-	p.config, p.clientPatience = config, make([]policy.Patience, len(config.Courses))
+func (p *Proxy) enforce(config *timetable.Config) {
+	p.config, p.clientPatience = config, make([]policy.RetryDetector, len(config.Routes))
 	var limited []string
-	for name := range quota.Limited(config) {
+	for name := range quota.LimitedTenants(config) {
 		limited = append(limited, name)
 	}
-	p.tenants.Limits(p.micros(), limited)
-	p.retryBudget.Keep(func(service string) bool { return config.Destinations[service] != nil })
-	p.limits.Head, p.limits.Body, p.limits.Large = config.Limits.EnvelopeBytes, 0, config.Limits.BodyBytes
-	p.clients.Limits.ReadMost, p.clients.Limits.RestMost = config.Limits.EnvelopeS*1000, config.Limits.IdleS*1000
+	p.tenants.SetLimited(p.micros(), limited)
+	p.retryBudget.KeepServices(func(service string) bool { return config.Destinations[service] != nil })
+	p.limits.HeadBytes, p.limits.BufferedBodyBytes, p.limits.StreamedBodyBytes = config.Limits.HeadBytes, 0, config.Limits.BodyBytes
+	p.clients.Limits.HeadTimeoutMS, p.clients.Limits.IdleTimeoutMS = config.Limits.HeadS*1000, config.Limits.IdleS*1000
 	for name, destination := range config.Destinations {
 		pool := p.pool(name)
-		if pool.config = *destination; destination.BerthCap > 0 {
-			pool.fleet.PerWorker = max(destination.BerthCap/(2*max(p.memberCount, 1)), 2)
+		if pool.config = *destination; destination.SlotsPerWorker > 0 {
+			pool.fleet.MaxConnsPerWorker = max(destination.SlotsPerWorker/(2*max(p.memberCount, 1)), 2)
 		}
 	}
-	p.log.Info().Str("edition", timetable.FormatEdition(config.Edition)).Int("routes", len(config.Courses)).Msg("configuration in force")
+	p.log.Info().Str("edition", timetable.FormatVersion(config.Version)).Int("routes", len(config.Routes)).Msg("configuration in force")
 }
 
 // announce tells the registry at once that this gatekeeper is leaving. The heartbeat of the session may be held back
 // for another half second, during which the directory would go on naming this gatekeeper.
 func (p *Proxy) announce() {
-	var request waymark.Sign
+	var request waymark.SessionRequest
 	var registry *rpc.Peer
 	p.runOnLoop(func() { request, registry = p.heartbeatRequest(), p.registry })
 	if registry == nil {
 		return
 	}
-	request.Wait = 0
+	request.WaitMS = 0
 	peer := rpc.NewPeer(registry.Addr())
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, request)
+	_, _ = rpc.Call[waymark.SessionRequest, waymark.SessionResponse](ctx, peer, request)
 }
 
 // endSession tells the registry that the session is over.
 func (p *Proxy) endSession() {
-	var request waymark.Sign
+	var request waymark.SessionRequest
 	p.runOnLoop(func() { request = p.heartbeatRequest() })
-	request.Leaving, request.Wait = true, 0
+	request.Leaving, request.WaitMS = true, 0
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	if peer := p.registryPeers[p.chooseRegistry()]; peer != nil {
-		_, _ = rpc.Call[waymark.Sign, waymark.Signed](ctx, peer, request)
+		_, _ = rpc.Call[waymark.SessionRequest, waymark.SessionResponse](ctx, peer, request)
 	}
 }
--- a/internal/switchback/small_quotas.go
+++ b/internal/switchback/small_quotas.go
@@ -53,7 +53,7 @@
 
 // tokenRequest is a request that waits for its token.
 type tokenRequest struct {
-	client       *link.Client
+	client       *link.ClientConn
 	attempt      *clientAttempt
 	request      *gatekeeper.Request
 	tenant       string
@@ -63,18 +63,18 @@
 }
 
 // isSmall tells whether a tenant's quota is small.
-func (p *Proxy) isSmall(sender *timetable.Sender) bool {
-	return p.isSmallQuota(quota.TermsOf(sender))
+func (p *Proxy) isSmall(sender *timetable.Tenant) bool {
+	return p.isSmallQuota(quota.LimitOf(sender))
 }
 
 // isSmallQuota tells whether a quota is small for the current number of members.
-func (p *Proxy) isSmallQuota(terms quota.Terms) bool {
-	return p.memberCount > 1 && quota.Thin(terms, p.quotaBounds, p.memberCount)
+func (p *Proxy) isSmallQuota(terms quota.Limit) bool {
+	return p.memberCount > 1 && quota.IsSmall(terms, p.quotaBounds, p.memberCount)
 }
 
 // takeToken takes a token for a request from the tenant's bucket here or at the owner, and submits or refuses the
 // request.
-func (p *Proxy) takeToken(client *link.Client, attempt *clientAttempt, request *gatekeeper.Request, sender *timetable.Sender) {
+func (p *Proxy) takeToken(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request, sender *timetable.Tenant) {
 	attempt.tenant = sender.Name
 	if !p.isSmall(sender) {
 		p.takeLocal(client, attempt, request)
@@ -83,13 +83,13 @@
 	small := p.smallQuotaOf(sender.Name)
 	now := p.clock.Now()
 	switch {
-	case small.owners[0] == "" || small.owners[0] == p.settings.Inner(0):
+	case small.owners[0] == "" || small.owners[0] == p.settings.InnerAddress(0):
 		p.takeLocal(client, attempt, request)
 	case small.spare > 0:
 		small.spare--
 		attempt.ownerTokenTaken = true
 		p.submit(client, attempt, request)
-	case p.tenants.Spend(p.micros(), sender.Name): // a start burst, or the rest of a minimum
+	case p.tenants.TryTake(p.micros(), sender.Name): // a start burst, or the rest of a minimum
 		attempt.tokenTaken = true
 		p.submit(client, attempt, request)
 	case now < small.emptyUntil:
@@ -114,11 +114,11 @@
 }
 
 // takeLocal takes a token from the bucket here, and submits or refuses the request.
-func (p *Proxy) takeLocal(client *link.Client, attempt *clientAttempt, request *gatekeeper.Request) {
+func (p *Proxy) takeLocal(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request) {
 	now := p.micros()
 	ok, wait := p.tenants.Admit(now, attempt.tenant, attempt.retried)
 	if !ok {
-		if p.tenants.Lease(now) > 0 {
+		if p.tenants.LeaseLeft(now) > 0 {
 			p.counts.BucketEmpty++
 		} else {
 			p.counts.NoQuotaLease++
@@ -133,8 +133,8 @@
 // takeRemainder takes a token from what is left here of a small quota if neither owner has answered. It states no
 // demand to the allocator: owners have no lease when the allocator is overloaded, and if all gatekeepers then
 // requested all small quotas it would stay overloaded.
-func (p *Proxy) takeRemainder(client *link.Client, attempt *clientAttempt, request *gatekeeper.Request) {
-	if !p.tenants.Spend(p.micros(), attempt.tenant) {
+func (p *Proxy) takeRemainder(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request) {
+	if !p.tenants.TryTake(p.micros(), attempt.tenant) {
 		p.counts.NoQuotaLease++
 		p.refuseOverQuota(client, noOwnerRetry)
 		return
@@ -144,7 +144,7 @@
 }
 
 // refuseOverQuota answers that the tenant is over its quota and may retry after wait.
-func (p *Proxy) refuseOverQuota(client *link.Client, wait policy.Micros) {
+func (p *Proxy) refuseOverQuota(client *link.ClientConn, wait policy.Micros) {
 	p.counts.OverQuota++
 	p.refuse(client, 429, float64(wait)/1000, "over the quota\n")
 }
@@ -157,7 +157,7 @@
 		if waiting.toSecond {
 			addr = waiting.owners[1]
 		}
-		if addr == p.settings.Inner(0) {
+		if addr == p.settings.InnerAddress(0) {
 			p.resolve(waiting, false, 0, true)
 			return
 		}
@@ -203,7 +203,7 @@
 	owner.busy = true
 	batch := owner.waiting
 	owner.waiting = nil
-	request := waymark.Tokens{Wanted: map[string]int{}}
+	request := waymark.TokenRequest{Wanted: map[string]int{}}
 	for _, waiting := range batch {
 		request.Wanted[waiting.tenant]++
 	}
@@ -212,7 +212,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
-		answer, err := rpc.Call[waymark.Tokens, waymark.Granted](ctx, owner.peer, request)
+		answer, err := rpc.Call[waymark.TokenRequest, waymark.TokenResponse](ctx, owner.peer, request)
 		p.loop.Post(func() {
 			owner.busy = false
 			owner.noteResult(err)
@@ -231,7 +231,7 @@
 					answer.Granted[waiting.tenant]--
 					p.resolve(waiting, true, 0, false)
 				default:
-					p.resolve(waiting, false, answer.Wait[waiting.tenant], false)
+					p.resolve(waiting, false, answer.WaitMS[waiting.tenant], false)
 				}
 			}
 			p.flush(owner)
@@ -243,8 +243,8 @@
 // and the request uses what is left here.
 func (p *Proxy) resolve(waiting *tokenRequest, granted bool, waitMs float64, useOwn bool) {
 	small := p.smallQuotas[waiting.tenant]
-	connected := waiting.client.Waits() && waiting.client.Value == any(waiting.attempt)
-	waiting.request.Left = max(waiting.request.Left-(p.clock.Now()-waiting.waitingSince), 1) // the client has waited too
+	connected := waiting.client.AwaitsResponse() && waiting.client.UserData == any(waiting.attempt)
+	waiting.request.TimeLeft = max(waiting.request.TimeLeft-(p.clock.Now()-waiting.waitingSince), 1) // the client has waited too
 	switch {
 	case !connected: // the client has disconnected
 		if granted && small != nil {
@@ -266,22 +266,22 @@
 }
 
 // grantTokens answers another gatekeeper, as the owner of the tenants' quotas.
-func (p *Proxy) grantTokens(_ context.Context, request waymark.Tokens) (answer waymark.Granted, err error) {
-	answer = waymark.Granted{Granted: map[string]int{}, Wait: map[string]float64{}}
+func (p *Proxy) grantTokens(_ context.Context, request waymark.TokenRequest) (answer waymark.TokenResponse, err error) {
+	answer = waymark.TokenResponse{Granted: map[string]int{}, WaitMS: map[string]float64{}}
 	p.runOnLoop(func() {
 		now := p.micros()
-		if p.tenants.Lease(now) <= 0 || p.draining {
+		if p.tenants.LeaseLeft(now) <= 0 || p.draining {
 			err = rpc.Errorf(rpc.Unavailable, "no lease")
 			return
 		}
 		for tenant, count := range request.Wanted {
-			if p.smallQuotaOf(tenant).owners[0] != p.settings.Inner(0) {
+			if p.smallQuotaOf(tenant).owners[0] != p.settings.InnerAddress(0) {
 				p.servedAsBackup[tenant] = true
 			}
 			for range count {
 				ok, wait := p.tenants.Admit(now, tenant, false)
 				if !ok {
-					answer.Wait[tenant] = float64(wait) / 1000
+					answer.WaitMS[tenant] = float64(wait) / 1000
 					continue // and not break, since each request counts as demand
 				}
 				answer.Granted[tenant]++
--- a/internal/switchback/small_quotas_test.go
+++ b/internal/switchback/small_quotas_test.go
@@ -14,15 +14,15 @@
 
 // newSmallQuotaTest returns a proxy that knows the members of its region, and a tenant whose small quota is owned by the
 // other two.
-func newSmallQuotaTest(t *testing.T, answer func() (waymark.Granted, error)) (proxy *testProxy, tenant string) {
+func newSmallQuotaTest(t *testing.T, answer func() (waymark.TokenResponse, error)) (proxy *testProxy, tenant string) {
 	t.Helper()
 	proxy = newTestProxy(t)
 	var owners []string
 	for range 2 {
-		owners = append(owners, newTestProxy(t).serveTokens(func(context.Context, waymark.Tokens) (waymark.Granted, error) { return answer() }))
+		owners = append(owners, newTestProxy(t).serveTokens(func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error) { return answer() }))
 	}
 	ownAddr := proxy.serveTokens(proxy.grantTokens)
-	membership := &waymark.Crowd{Mark: 1, Count: 30, Peers: owners}
+	membership := &waymark.MemberView{Checksum: 1, MemberCount: 30, Peers: owners}
 	proxy.runOnLoop(func() {
 		proxy.membership = *membership
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m"} {
@@ -33,7 +33,7 @@
 	})
 	assert.Assert(t, tenant != "")
 	proxy.receive(fullList(1), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: tenant, rate: 2}))
-	proxy.receive(waymark.Signed{Crowd: membership}, nil)
+	proxy.receive(waymark.SessionResponse{Members: membership}, nil)
 	return proxy, tenant
 }
 
@@ -49,7 +49,9 @@
 // after each win, one lease without a renewal. Without demand from gatekeepers that are not owners the duty stayed
 // with one registry.
 func TestOwnersWithoutLeaseCauseNoDemand(t *testing.T) {
-	proxy, tenant := newSmallQuotaTest(t, func() (waymark.Granted, error) { return waymark.Granted{}, rpc.Errorf(rpc.Unavailable, "no lease") })
+	proxy, tenant := newSmallQuotaTest(t, func() (waymark.TokenResponse, error) {
+		return waymark.TokenResponse{}, rpc.Errorf(rpc.Unavailable, "no lease")
+	})
 	proxy.runOnLoop(func() { proxy.allocationRequest() }) // demand counts from the previous request on
 	for range 5 {
 		res, _ := proxy.do("GET", "/", "Authorization: Bearer k-"+tenant+"\r\n", "")
@@ -67,11 +69,11 @@
 // TestFormerOwnerReturnsTokens: what a former owner holds is returned for the next owner, once the other gatekeepers
 // have had time to learn of it. A process that is about to end returns it at once.
 func TestFormerOwnerReturnsTokens(t *testing.T) {
-	proxy, _ := newSmallQuotaTest(t, func() (waymark.Granted, error) { return waymark.Granted{}, nil })
+	proxy, _ := newSmallQuotaTest(t, func() (waymark.TokenResponse, error) { return waymark.TokenResponse{}, nil })
 	proxy.runOnLoop(func() {
 		owned := ""
 		for _, name := range []string{"n", "o", "p", "q", "r", "s", "t", "u", "v", "w", "x", "y", "z"} {
-			if proxy.ownersOf(name)[0] == proxy.settings.Inner(0) {
+			if proxy.ownersOf(name)[0] == proxy.settings.InnerAddress(0) {
 				owned = name
 			}
 		}
@@ -80,14 +82,14 @@
 		proxy.allocationRequest()
 		_, known := proxy.ownedSince[owned]
 		assert.Assert(t, known)
-		proxy.tenants.Slices(proxy.micros(), map[string]policy.TenantSlice{owned: {Rate: 1e-9, Burst: 4, Tokens: 3}}, proxy.micros()+1e9)
+		proxy.tenants.SetAllotments(proxy.micros(), map[string]policy.TenantAllotment{owned: {Rate: 1e-9, Burst: 4, Tokens: 3}}, proxy.micros()+1e9)
 		proxy.draining = true
 		request := proxy.allocationRequest()
 		assert.Equal(t, request.Returned[owned], float32(3))
 		assert.Equal(t, len(request.Holding[owned]), 7)
-		assert.Equal(t, request.Holding[owned], waymark.Slice{})
+		assert.Equal(t, request.Holding[owned], waymark.EncodedSlice{})
 		assert.Equal(t, len(proxy.allocationRequest().Returned), 0, "tokens are returned only once")
-		assert.Assert(t, !proxy.tenants.Spend(proxy.micros(), owned))
+		assert.Assert(t, !proxy.tenants.TryTake(proxy.micros(), owned))
 	})
 }
 
--- a/internal/switchback/streaming_test.go
+++ b/internal/switchback/streaming_test.go
@@ -94,7 +94,7 @@
 		n, err := io.Copy(io.Discard, r.Body)
 		return n == 0 && err == nil // otherwise the body was not read to its end
 	})
-	return waymark.Worker{ID: id, Destination: "a", Addr: addr, Zone: "a1", Berths: 8}
+	return waymark.Worker{ID: id, Destination: "a", Addr: addr, Zone: "a1", Slots: 8}
 }
 
 // dialLong is dial with a longer time limit, for much data on a busy machine.
@@ -107,7 +107,7 @@
 // trackHeld samples the bytes held by the loop, and returns a function for the maximum so far.
 func (s *testProxy) trackHeld() func() int {
 	highest := 0
-	s.runOnLoop(func() { s.loop.Every(time.Millisecond, func() { highest = max(highest, s.loop.Holding()) }) })
+	s.runOnLoop(func() { s.loop.Every(time.Millisecond, func() { highest = max(highest, s.loop.StreamMemoryBytes()) }) })
 	return func() (peak int) {
 		s.runOnLoop(func() { peak = highest })
 		return peak
@@ -119,7 +119,7 @@
 	held := make(chan bool)
 	go func() {
 		for ok := false; !ok; {
-			s.runOnLoop(func() { ok = condition(s.loop.Holding()) })
+			s.runOnLoop(func() { ok = condition(s.loop.StreamMemoryBytes()) })
 		}
 		close(held)
 	}()
@@ -131,7 +131,7 @@
 	s.t.Helper()
 	for range 3000 {
 		held := 0
-		s.runOnLoop(func() { held = s.loop.Holding() })
+		s.runOnLoop(func() { held = s.loop.StreamMemoryBytes() })
 		assert.Assert(s.t, held < maxHeld, "%d bytes held by the loop", held)
 	}
 }
@@ -186,7 +186,7 @@
 		})), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 		heldPeak := proxy.trackHeld()
 		c := proxy.dialLong().send(newRequest("GET", "/", "", ""))
-		proxy.awaitHeld(func(held int) bool { return held >= 64<<10 && proxy.loop.Waiting() >= 64<<10 })
+		proxy.awaitHeld(func(held int) bool { return held >= 64<<10 && proxy.loop.StreamUnsentBytes() >= 64<<10 })
 		proxy.checkHeld()
 		assert.Equal(t, len(poured), 0, "the worker could send the whole answer")
 		res, err := http.ReadResponse(c.reader, nil)
@@ -299,7 +299,7 @@
 		_ = writeBody(c.conn, hugeBody, false)
 		poured <- true
 	}()
-	proxy.awaitHeld(func(int) bool { return proxy.loop.Waiting() >= 64<<10 })
+	proxy.awaitHeld(func(int) bool { return proxy.loop.StreamUnsentBytes() >= 64<<10 })
 	proxy.checkHeld()
 	assert.Equal(t, len(poured), 0, "the client could send the whole body")
 	close(resume)
--- a/internal/switchback/testproxy_test.go
+++ b/internal/switchback/testproxy_test.go
@@ -62,10 +62,10 @@
 	p, err := New(settings, zerolog.Nop())
 	assert.NilError(t, err)
 	p.tokenTimeout, p.connectTimeoutMs = testTimeout, 6e4
-	p.retryBudget.Members(0, 1, 0) // otherwise it has no share of the retry budget
+	p.retryBudget.SetMembers(0, 1, 0) // otherwise it has no share of the retry budget
 	listener, err := link.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
-	go listener.Accept(p.loop, func() *link.Client { return p.clients.Make() })
+	go listener.Accept(p.loop, func() *link.ClientConn { return p.clients.NewConn() })
 	t.Cleanup(func() {
 		_ = listener.Close()
 		assert.Check(t, p.loop.Stop())
@@ -93,7 +93,7 @@
 }
 
 // newConfig returns a configuration. Without tenants no key is needed.
-func newConfig(t *testing.T, version uint64, routes []routeSpec, tenants ...tenantSpec) *timetable.Timetable {
+func newConfig(t *testing.T, version uint64, routes []routeSpec, tenants ...tenantSpec) *timetable.Config {
 	t.Helper()
 	orDefault := func(v, other float64) float64 {
 		if v == 0 {
@@ -124,7 +124,7 @@
 	list := func(columns string, rows [][]any) map[string]any {
 		return map[string]any{"columns": strings.Fields(columns), "rows": rows}
 	}
-	document := map[string]any{"edition": timetable.FormatEdition(version),
+	document := map[string]any{"edition": timetable.FormatVersion(version),
 		"courses":      list("name domain streetPrefix kind deadlineS targetS priority tries unsealed homeRegions destination", routeRows),
 		"destinations": list("name healthPath berthCap protocol tls", destinationRows),
 		"sizeLimits":   map[string]any{"envelopeBytes": 4096, "bodyBytes": 64 << 20, "envelopeS": 300, "idleS": 300}}
@@ -146,49 +146,49 @@
 }
 
 // receive passes an answer to the proxy, as from a registry.
-func (s *testProxy) receive(answer waymark.Signed, config *timetable.Timetable) {
+func (s *testProxy) receive(answer waymark.SessionResponse, config *timetable.Config) {
 	s.t.Helper()
 	if config != nil {
-		answer.Edition, answer.Body = config.Edition, waymark.Deflate(config.Raw)
+		answer.ConfigVersion, answer.Config = config.Version, waymark.Deflate(config.Raw)
 	}
 	var now float64
 	s.runOnLoop(func() { now = s.clock.Now() })
 	assert.Assert(s.t, s.received(s.t.Context(), &answer, now), "configuration can't be parsed")
 	s.runOnLoop(func() {
 		for _, pool := range s.poolList {
-			pool.fleet.PartMost = 6e4 // a stalled test machine must not look like a stalled worker
+			pool.fleet.PartialTimeoutMS = 6e4 // a stalled test machine must not look like a stalled worker
 		}
 	})
 }
 
 // fullList returns an answer with a complete list of workers.
-func fullList(version uint64, workers ...waymark.Worker) waymark.Signed {
+func fullList(version uint64, workers ...waymark.Worker) waymark.SessionResponse {
 	return listAnswer(version, 0, workers)
 }
 
 // listChanges returns an answer with the changes since the previous version.
-func listChanges(version uint64, workers ...waymark.Worker) waymark.Signed {
+func listChanges(version uint64, workers ...waymark.Worker) waymark.SessionResponse {
 	return listAnswer(version, version-1, workers)
 }
 
 // listAnswer returns an answer with the workers that changed since a version, or with all workers if that is 0.
-func listAnswer(version, since uint64, workers []waymark.Worker) waymark.Signed {
-	answer := waymark.Signed{Marks: &waymark.Marks{Version: version, Whole: since == 0, Behind: map[string]uint64{}}}
+func listAnswer(version, since uint64, workers []waymark.Worker) waymark.SessionResponse {
+	answer := waymark.SessionResponse{EndpointChanges: &waymark.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{}}}
 	for _, w := range workers {
-		i := slices.IndexFunc(answer.Parts, func(p waymark.Part) bool { return p.Destination == w.Destination })
+		i := slices.IndexFunc(answer.Endpoints, func(p waymark.DestinationEndpoints) bool { return p.Destination == w.Destination })
 		if i < 0 {
-			i = len(answer.Parts)
-			answer.Marks.Behind[w.Destination] = 0
-			answer.Parts = append(answer.Parts, waymark.Part{Destination: w.Destination, Version: version, Since: since})
+			i = len(answer.Endpoints)
+			answer.EndpointChanges.VersionsBehind[w.Destination] = 0
+			answer.Endpoints = append(answer.Endpoints, waymark.DestinationEndpoints{Destination: w.Destination, Version: version, Since: since})
 		}
 		w.Destination = ""
-		answer.Parts[i].Workers = append(answer.Parts[i].Workers, w)
+		answer.Endpoints[i].Workers = append(answer.Endpoints[i].Workers, w)
 	}
 	return answer
 }
 
 // stale marks an answer as coming from a registry that is out of touch with the tail.
-func stale(a waymark.Signed) waymark.Signed {
+func stale(a waymark.SessionResponse) waymark.SessionResponse {
 	a.Stale = true
 	return a
 }
@@ -261,7 +261,7 @@
 		}
 		return script(n, s)
 	})
-	return waymark.Worker{ID: id, Destination: destination, Addr: addr, Zone: "a1", Berths: 8}
+	return waymark.Worker{ID: id, Destination: destination, Addr: addr, Zone: "a1", Slots: 8}
 }
 
 // listenWorker opens the address of a worker. A connection ends when serve returns false.
--- a/internal/testing/soak/client.go
+++ b/internal/testing/soak/client.go
@@ -309,7 +309,7 @@
 	switch {
 	case response.Header.Get("X-Foxwood-Try-Id") != try.id && response.StatusCode < 300:
 		try.outcome = outcomeMismatched
-	case response.StatusCode < 300 && string(body) == standin.Body(try.id) && response.Header.Get("X-Foxwood-Postmark") != "":
+	case response.StatusCode < 300 && string(body) == standin.ResponseBody(try.id) && response.Header.Get("X-Foxwood-Postmark") != "":
 		try.outcome = outcomeServed
 	case response.StatusCode < 300:
 		try.outcome = outcomeMismatched
--- a/internal/testing/soak/findings.go
+++ b/internal/testing/soak/findings.go
@@ -13,16 +13,16 @@
 
 // The rules.
 const (
-	Short    Rule = "SHORT"    // too few requests were served over the whole run
-	Starved  Rule = "STARVED"  // a tenant, client or kind of request was hardly served, or a gatekeeper refused everything
-	Lost     Rule = "LOST"     // the connection was closed under a request without a fault that explains it
-	Twice    Rule = "TWICE"    // a request that is not safe to repeat ran more than once
-	Promise  Rule = "REFUSED"  // a request ran although it was refused, and refusing guarantees that it did not run
-	Mixed    Rule = "MIXED"    // a response belonged to a different request
-	Config   Rule = "CONFIG"   // an acknowledged configuration is not in effect
-	Acks     Rule = "ACKS"     // an operation was rejected or never acknowledged
-	Ends     Rule = "ENDS"     // a process exited unasked, or did not exit within its grace period
-	Recovers Rule = "RECOVERS" // too few requests are served after the last step and the recovery time
+	RuleTooFewServed             Rule = "SHORT"    // too few requests were served over the whole run
+	RuleStarvation               Rule = "STARVED"  // a tenant, client or kind of request was hardly served, or a gatekeeper refused everything
+	RuleRequestCut               Rule = "LOST"     // the connection was closed under a request without a fault that explains it
+	RuleRanTwice                 Rule = "TWICE"    // a request that is not safe to repeat ran more than once
+	RuleRanAfterRefusal          Rule = "REFUSED"  // a request ran although it was refused, and refusing guarantees that it did not run
+	RuleWrongResponse            Rule = "MIXED"    // a response belonged to a different request
+	RuleConfigurationNotInEffect Rule = "CONFIG"   // an acknowledged configuration is not in effect
+	RuleNotAcknowledged          Rule = "ACKS"     // an operation was rejected or never acknowledged
+	RuleUnexpectedExit           Rule = "ENDS"     // a process exited unasked, or did not exit within its grace period
+	RuleNotRecovered             Rule = "RECOVERS" // too few requests are served after the last step and the recovery time
 )
 
 const (
@@ -56,26 +56,26 @@
 	requests := r.clientPool.requests
 	overall := servedShare(requests)
 	if overall < minServedShare {
-		addFinding(Short, "%.1f%% of %d requests were served", 100*overall, len(requests))
+		addFinding(RuleTooFewServed, "%.1f%% of %d requests were served", 100*overall, len(requests))
 	}
 	recoveredBy := r.startedAt.Add(r.scenario.troubleEnd() + time.Duration(recoveryTimeS*float64(time.Second)))
 	lateRequests := slices.DeleteFunc(slices.Clone(requests), func(q *request) bool { return q.startedAt.Before(recoveredBy) })
 	if lateShare := servedShare(lateRequests); lateShare < recoveredShare {
-		addFinding(Recovers, "%.1f%% of %d requests were served later than %.0f s behind the last trouble", 100*lateShare, len(lateRequests), recoveryTimeS)
+		addFinding(RuleNotRecovered, "%.1f%% of %d requests were served later than %.0f s behind the last trouble", 100*lateShare, len(lateRequests), recoveryTimeS)
 	}
 	r.checkStarvation(overall, addFinding)
 	r.checkRefusingGatekeepers(addFinding)
 	r.checkAttempts(addFinding)
 	r.checkExits(addFinding)
 	if edition := formatEdition(r.operator.acknowledgedEdition); r.readBackEdition < edition || len(r.readBackEdition) != len(edition) {
-		addFinding(Config, "%s was acknowledged, %s is read back", edition, r.readBackEdition)
+		addFinding(RuleConfigurationNotInEffect, "%s was acknowledged, %s is read back", edition, r.readBackEdition)
 	}
 	for _, text := range r.routeFailures {
-		addFinding(Config, "the newest route at %s", text)
+		addFinding(RuleConfigurationNotInEffect, "the newest route at %s", text)
 	}
 	for _, op := range r.operator.operations {
 		if op.rejected || op.acknowledgedAt.IsZero() {
-			addFinding(Acks, "%s: %s", op.description, op.lastResponse)
+			addFinding(RuleNotAcknowledged, "%s: %s", op.description, op.lastResponse)
 		}
 	}
 	return findings
@@ -121,7 +121,7 @@
 		keys, grouped := groupBy(r.clientPool.requests, grouping.keyOf)
 		for _, key := range keys {
 			if groupShare := servedShare(grouped[key]); len(grouped[key]) >= starvedMinRequests && groupShare < starvedShare*overall {
-				addFinding(Starved, "%s %s: %.1f%% of %d requests were served, %.1f%% of all; %s", grouping.label, key, 100*groupShare, len(grouped[key]), 100*overall, unservedReasons(grouped[key]))
+				addFinding(RuleStarvation, "%s %s: %.1f%% of %d requests were served, %.1f%% of all; %s", grouping.label, key, 100*groupShare, len(grouped[key]), 100*overall, unservedReasons(grouped[key]))
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 			return !slices.ContainsFunc(tries, func(try *attempt) bool { return try.outcome != o })
 		}
 		if len(tries) >= refuserMinTries && len(tenants[key]) >= refuserMinTenants && 2*servedIn[key.window] > sentIn[key.window] && allEnded(outcomeRefused) {
-			addFinding(Starved, "%s refused all of %d tries from second %.0f on, others served most: %s", key.gatekeeper, len(tries),
+			addFinding(RuleStarvation, "%s refused all of %d tries from second %.0f on, others served most: %s", key.gatekeeper, len(tries),
 				float64(key.window)*refuserWindow.Seconds(), tries[0].reason)
 		}
 	}
@@ -196,23 +196,23 @@
 	for _, request := range r.clientPool.requests {
 		for i := range request.attempts {
 			try := &request.attempts[i]
-			runCount := r.ledger.Of(try.id)
+			runCount := r.ledger.RunCount(try.id)
 			switch {
 			case runCount > 1 && !requestKinds[request.kind].safe:
-				addFinding(Twice, "%s ran %d times", try.id, runCount)
+				addFinding(RuleRanTwice, "%s ran %d times", try.id, runCount)
 			case try.outcome == outcomeRefused && runCount > 0 && !requestKinds[request.kind].safe:
-				addFinding(Promise, "%s got %d %q and ran", try.id, try.status, try.reason)
+				addFinding(RuleRanAfterRefusal, "%s got %d %q and ran", try.id, try.status, try.reason)
 			case try.outcome == outcomeMismatched:
-				addFinding(Mixed, "%s got another answer", try.id)
+				addFinding(RuleWrongResponse, "%s got another answer", try.id)
 			case try.outcome == outcomeClosed && (runCount > 0 || try.endedAt.Sub(try.sentAt) > closeRaceTime):
 				gatekeeper := byAddress[try.gatekeeper]
 				if gatekeeper == nil || gatekeeper.hadUnplannedFault(try.sentAt.Add(-faultLeadTime), try.endedAt) {
 					continue
 				}
 				if gatekeeper.wasTerminating(try.sentAt, try.endedAt) || runCount == 0 {
-					addFinding(Lost, "%s at %s: cut %.2f s behind its sending, %d runs: %s", try.id, gatekeeper.name, try.endedAt.Sub(try.sentAt).Seconds(), runCount, try.reason)
+					addFinding(RuleRequestCut, "%s at %s: cut %.2f s behind its sending, %d runs: %s", try.id, gatekeeper.name, try.endedAt.Sub(try.sentAt).Seconds(), runCount, try.reason)
 				} else if cuts++; cuts > allowedCuts {
-					addFinding(Lost, "%s at %s: cut %.2f s behind its sending in calm times, %d runs: %s", try.id, gatekeeper.name, try.endedAt.Sub(try.sentAt).Seconds(), runCount, try.reason)
+					addFinding(RuleRequestCut, "%s at %s: cut %.2f s behind its sending in calm times, %d runs: %s", try.id, gatekeeper.name, try.endedAt.Sub(try.sentAt).Seconds(), runCount, try.reason)
 				}
 			}
 		}
@@ -253,12 +253,12 @@
 // checkExits finds processes that exited unasked and those that did not exit within their grace period.
 func (r *Run) checkExits(addFinding func(Rule, string, ...any)) {
 	for _, name := range r.forcedExits {
-		addFinding(Ends, "%s did not end within its grace", name)
+		addFinding(RuleUnexpectedExit, "%s did not end within its grace", name)
 	}
 	for _, p := range r.fleet.processes() {
 		for _, run := range p.runs {
 			if !run.endedAt.IsZero() && run.endedAt.Before(r.endedAt) && run.signalAt.IsZero() {
-				addFinding(Ends, "%s of %s ended by itself: %s", p.program, p.machine.name, run.exitStatus)
+				addFinding(RuleUnexpectedExit, "%s of %s ended by itself: %s", p.program, p.machine.name, run.exitStatus)
 			}
 		}
 	}
