--- a/internal/testing/soak/findings_test.go
+++ b/internal/testing/soak/findings_test.go
@@ -19,7 +19,7 @@
 	gatekeeper.processes = []*process{{fleet: f, machine: gatekeeper, program: Proxy, runs: runs}}
 	f.gatekeepers = []*machine{gatekeeper}
 	scenario := &Scenario{Size: Size{Tenants: 2, RatePerS: 10}}
-	run := &Run{scenario: scenario, fleet: f, tenants: makeTenants(scenario.Size), ledger: standin.NewLedger(),
+	run := &Run{scenario: scenario, fleet: f, tenants: makeTenants(scenario.Size), ledger: standin.NewExecutionLog(),
 		operator: &operator{}, clientPool: &clientPool{}, startedAt: startedAt, endedAt: startedAt.Add(time.Minute), readBackEdition: formatEdition(0)}
 	return run, gatekeeper
 }
@@ -52,24 +52,24 @@
 		want        []Rule
 	}{
 		{"all requests served", []*processRun{running()}, func(r *Run, m *machine) { r.addRequest(m, read, outcomeServed, 0, time.Second, 1) }, nil},
-		{"unsafe request ran twice", []*processRun{running()}, func(r *Run, m *machine) { r.addRequest(m, submit, outcomeServed, 0, time.Second, 2) }, []Rule{Twice}},
+		{"unsafe request ran twice", []*processRun{running()}, func(r *Run, m *machine) { r.addRequest(m, submit, outcomeServed, 0, time.Second, 2) }, []Rule{RuleRanTwice}},
 		{"safe request ran twice", []*processRun{running()}, func(r *Run, m *machine) { r.addRequest(m, read, outcomeServed, 0, time.Second, 2) }, nil},
 		{"refused request ran", []*processRun{running()}, func(r *Run, m *machine) {
 			r.addRequest(m, submit, outcomeRefused, 0, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
-		}, []Rule{Promise}},
+		}, []Rule{RuleRanAfterRefusal}},
 		{"request cut during graceful shutdown", []*processRun{{startedAt: startedAt, signal: syscall.SIGTERM, signalAt: startedAt, endedAt: startedAt.Add(5 * time.Second)}}, func(r *Run, m *machine) {
 			r.addRequest(m, submit, outcomeClosed, time.Second, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
-		}, []Rule{Lost}},
+		}, []Rule{RuleRequestCut}},
 		{"request cut by SIGKILL", []*processRun{{startedAt: startedAt, signal: syscall.SIGKILL, signalAt: startedAt.Add(2 * time.Second), endedAt: startedAt.Add(2 * time.Second)}}, func(r *Run, m *machine) {
 			r.addRequest(m, submit, outcomeClosed, time.Second, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
 			r.addRequest(m, submit, outcomeServed, 0, time.Second, 1)
 		}, nil},
-		{"process exited by itself", []*processRun{{startedAt: startedAt, endedAt: startedAt.Add(time.Second), exitStatus: "exit status 2"}}, func(r *Run, m *machine) { r.addRequest(m, read, outcomeServed, 0, time.Second, 1) }, []Rule{Ends}},
+		{"process exited by itself", []*processRun{{startedAt: startedAt, endedAt: startedAt.Add(time.Second), exitStatus: "exit status 2"}}, func(r *Run, m *machine) { r.addRequest(m, read, outcomeServed, 0, time.Second, 1) }, []Rule{RuleUnexpectedExit}},
 		{"kind of request hardly served", []*processRun{running()}, func(r *Run, m *machine) {
 			for k := range 100 {
 				r.addRequest(m, read, outcomeServed, time.Duration(k)*time.Second, time.Second, 1)
@@ -77,13 +77,13 @@
 			for range 14 {
 				r.addRequest(m, submit, outcomeFailed, 0, time.Second, 1)
 			}
-		}, []Rule{Starved}},
+		}, []Rule{RuleStarvation}},
 		{"too few requests served", []*processRun{running()}, func(r *Run, m *machine) {
 			r.addRequest(m, read, outcomeFailed, 0, time.Second, 1)
-		}, []Rule{Short}},
+		}, []Rule{RuleTooFewServed}},
 	} {
 		r, m := newTestRun(startedAt, c.runs...)
-		r.scenario.Warm = 30 * time.Second
+		r.scenario.WarmUp = 30 * time.Second
 		c.addRequests(r, m)
 		assert.DeepEqual(t, brokenRules(r), c.want)
 	}
@@ -94,8 +94,8 @@
 func TestSameSeedGivesSameScenario(t *testing.T) {
 	size := Size{Zones: 4, Gatekeepers: 20, Cores: 5, Workers: 40, Tenants: 10, RatePerS: 10}
 	for seed := range uint64(200) {
-		scenario := Draw(seed, size, 6)
-		assert.Equal(t, scenario.String(), Draw(seed, size, 6).String())
+		scenario := RandomScenario(seed, size, 6)
+		assert.Equal(t, scenario.String(), RandomScenario(seed, size, 6).String())
 		for _, step := range scenario.Steps {
 			assert.Assert(t, step.Count > 0 && step.endsAt() <= scenario.troubleEnd())
 			if step.Action == KillCores {
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -330,6 +330,6 @@
 	}
 }
 
-// Network returns the first two octets of the loopback addresses for the fleet of this process. They depend on the
+// LoopbackPrefix returns the first two octets of the loopback addresses for the fleet of this process. They depend on the
 // process ID, so that several soak tests can run on one machine.
-func Network() string { return fmt.Sprintf("127.%d", 64+os.Getpid()%128) }
+func LoopbackPrefix() string { return fmt.Sprintf("127.%d", 64+os.Getpid()%128) }
--- a/internal/testing/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -58,7 +58,7 @@
 // calls.
 type platform struct {
 	addr        string
-	ledger      *standin.Ledger
+	ledger      *standin.ExecutionLog
 	slowWorkers slowWorkerSet
 	address     func(n int) string // returns the address of the n-th worker
 	server      *http.Server
@@ -89,8 +89,8 @@
 	n := p.workersAdded
 	p.workersAdded++
 	p.mu.Unlock()
-	w := &standin.Worker{ID: fmt.Sprintf("w-%d", n), Service: service, Zone: zone, Ledger: p.ledger, Addr: p.address(n), Slots: workerSlots, Queue: workerQueue,
-		Idle: workerIdleTimeout, Work: func(w *standin.Worker) time.Duration {
+	w := &standin.Worker{ID: fmt.Sprintf("w-%d", n), Service: service, Zone: zone, Log: p.ledger, Addr: p.address(n), Slots: workerSlots, Queue: workerQueue,
+		IdleTimeout: workerIdleTimeout, WorkTime: func(w *standin.Worker) time.Duration {
 			return time.Duration(float64(workTime) * p.slowWorkers.factor(w) * (0.5 + rand.Float64()))
 		}}
 	if err := w.Start(); err != nil {
@@ -112,7 +112,7 @@
 		if w.removed {
 			continue
 		}
-		s.rows = append(s.rows, w.Row())
+		s.rows = append(s.rows, w.ListRow())
 	}
 	p.snapshots = append(p.snapshots, s)
 }
@@ -169,7 +169,7 @@
 	}
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(map[string]any{"nextToken": next, "roster": map[string]any{
-		"columns": standin.RowColumns(), "rows": rows[from:to]}})
+		"columns": standin.ListColumns(), "rows": rows[from:to]}})
 }
 
 // pickWorkers returns up to count random workers that are in service.
@@ -178,7 +178,7 @@
 	defer p.mu.Unlock()
 	for _, i := range rng.Perm(len(p.workers)) {
 		w := p.workers[i]
-		if !w.Closing() && !w.removed && len(picked) < count {
+		if !w.ShuttingDown() && !w.removed && len(picked) < count {
 			picked = append(picked, w)
 		}
 	}
@@ -187,7 +187,7 @@
 
 // replaceWorker takes a worker out of service gracefully and adds another one in its place.
 func (p *platform) replaceWorker(w *listedWorker) error {
-	w.Close()
+	w.BeginShutdown()
 	p.recordList()
 	if err := p.addWorker(w.Service, w.Zone, w.workTime); err != nil {
 		return err
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -25,11 +25,11 @@
 
 // Options say where and how a scenario is run.
 type Options struct {
-	Programs string    // directory of the built programs
-	Dir      string    // existing directory for settings, disks and logs
-	Network  string    // first two octets of the loopback addresses, such as 127.70
-	Log      io.Writer // receives the timeline; nil discards it
-	Memory   int64     // limit in bytes for all processes together, 0 for none; a run that exceeds it is stopped
+	ProgramDir     string    // directory of the built programs
+	WorkDir        string    // existing directory for settings, disks and logs
+	LoopbackPrefix string    // first two octets of the loopback addresses, such as 127.70
+	Timeline       io.Writer // receives the timeline; nil discards it
+	MaxMemoryBytes int64     // limit in bytes for all processes together, 0 for none; a run that exceeds it is stopped
 }
 
 // event is a line of the timeline.
@@ -43,7 +43,7 @@
 	scenario   *Scenario
 	options    Options
 	tenants    []tenant
-	ledger     *standin.Ledger
+	ledger     *standin.ExecutionLog
 	platform   *platform
 	fleet      *fleet
 	operator   *operator
@@ -61,16 +61,16 @@
 	routeFailures   []string // gatekeepers that do not serve the newest route, with the reason
 }
 
-// Play starts a deployment, runs the scenario and stops the deployment.
-func Play(ctx context.Context, scenario *Scenario, options Options) (*Run, error) {
-	run := &Run{scenario: scenario, options: options, tenants: makeTenants(scenario.Size), ledger: standin.NewLedger(), rng: rand.New(rand.NewPCG(scenario.Seed, 1))}
+// RunScenario starts a deployment, runs the scenario and stops the deployment.
+func RunScenario(ctx context.Context, scenario *Scenario, options Options) (*Run, error) {
+	run := &Run{scenario: scenario, options: options, tenants: makeTenants(scenario.Size), ledger: standin.NewExecutionLog(), rng: rand.New(rand.NewPCG(scenario.Seed, 1))}
 	address := func(octet, n int) string {
-		return fmt.Sprintf("%s.%d.%d", options.Network, octet+n/addressesPerOctet, 1+n%addressesPerOctet)
+		return fmt.Sprintf("%s.%d.%d", options.LoopbackPrefix, octet+n/addressesPerOctet, 1+n%addressesPerOctet)
 	}
 	run.platform = &platform{addr: net.JoinHostPort(address(platformOctet, 0), fmt.Sprint(portClients)), ledger: run.ledger, slowWorkers: slowWorkerSet{workers: map[*standin.Worker]bool{}},
 		address: func(n int) string { return net.JoinHostPort(address(workersOctet, n), fmt.Sprint(portClients)) }}
 	defer run.platform.stop()
-	run.fleet = newFleet(options.Dir, options.Programs, run.platform.addr, options.Network, scenario.Size)
+	run.fleet = newFleet(options.WorkDir, options.ProgramDir, run.platform.addr, options.LoopbackPrefix, scenario.Size)
 	if err := run.bringUp(ctx); err != nil {
 		run.fleet.stop()
 		return run, err
@@ -87,14 +87,14 @@
 	r.events = append(r.events, entry)
 	startedAt := r.startedAt
 	r.mu.Unlock()
-	if r.options.Log == nil {
+	if r.options.Timeline == nil {
 		return
 	}
 	since := "   start"
 	if !startedAt.IsZero() {
 		since = fmt.Sprintf("%7.2f s", entry.occurredAt.Sub(startedAt).Seconds())
 	}
-	fmt.Fprintf(r.options.Log, "%s  %s\n", since, entry.text)
+	fmt.Fprintf(r.options.Timeline, "%s  %s\n", since, entry.text)
 }
 
 // bringUp starts the workers, the platform and the fleet, and waits until all gatekeepers are ready.
@@ -178,7 +178,7 @@
 	for i, step := range r.scenario.Steps {
 		rng := rand.New(rand.NewPCG(r.scenario.Seed, uint64(i)+2))
 		group.Go(func() {
-			if sleep(clientCtx, time.Until(r.startedAt.Add(step.At))) {
+			if sleep(clientCtx, time.Until(r.startedAt.Add(step.Start))) {
 				r.runStep(clientCtx, step, rng)
 			}
 		})
@@ -208,7 +208,7 @@
 func (r *Run) watchUsage(ctx context.Context, endRun func()) {
 	for {
 		r.usage.sample(r.fleet)
-		if r.options.Memory > 0 && r.usage.memory > r.options.Memory {
+		if r.options.MaxMemoryBytes > 0 && r.usage.memory > r.options.MaxMemoryBytes {
 			r.logEvent("the processes hold %d MB, more than they may", r.usage.memory>>20)
 			endRun()
 		}
@@ -246,32 +246,32 @@
 	gatekeepers, cores := pickMachines(rng, r.fleet.gatekeepers, step.Count), pickMachines(rng, r.fleet.cores, step.Count)
 	switch step.Action {
 	case RestartGatekeepers:
-		forEachMachine(ctx, gatekeepers, step.Gap, r.restartMachine)
+		forEachMachine(ctx, gatekeepers, step.Interval, r.restartMachine)
 	case RestartCores:
-		forEachMachine(ctx, cores, step.Gap, r.restartMachine)
+		forEachMachine(ctx, cores, step.Interval, r.restartMachine)
 	case ReloadGatekeepers:
-		forEachMachine(ctx, gatekeepers, step.Gap, func(m *machine) { signalMachine(m, syscall.SIGHUP) })
+		forEachMachine(ctx, gatekeepers, step.Interval, func(m *machine) { signalMachine(m, syscall.SIGHUP) })
 	case KillGatekeepers:
-		forEachMachine(ctx, gatekeepers, step.Gap, killMachine)
+		forEachMachine(ctx, gatekeepers, step.Interval, killMachine)
 	case KillCores:
-		forEachMachine(ctx, cores, step.Gap, killMachine)
+		forEachMachine(ctx, cores, step.Interval, killMachine)
 	case KillAllCores:
 		forEachMachine(ctx, r.fleet.cores, 0, killMachine)
 	case KillAll:
 		forEachMachine(ctx, append(append([]*machine{}, r.fleet.cores...), r.fleet.gatekeepers...), 0, killMachine)
 	case FreezeGatekeepers:
-		forEachMachine(ctx, gatekeepers, step.Gap, func(m *machine) { freezeMachine(ctx, m, step.For) })
+		forEachMachine(ctx, gatekeepers, step.Interval, func(m *machine) { freezeMachine(ctx, m, step.Duration) })
 	case FreezeCores:
-		forEachMachine(ctx, cores, step.Gap, func(m *machine) { freezeMachine(ctx, m, step.For) })
-	case ChangeRoutes:
+		forEachMachine(ctx, cores, step.Interval, func(m *machine) { freezeMachine(ctx, m, step.Duration) })
+	case ChangeConfiguration:
 		for range step.Count {
 			r.logOperation(r.operator.changeConfiguration(ctx))
-			sleep(ctx, step.Gap)
+			sleep(ctx, step.Interval)
 		}
 	case EvacuateZone:
 		zone := r.fleet.zones[rng.IntN(len(r.fleet.zones))].name
 		r.logOperation(r.operator.evacuate(ctx, zone, false))
-		sleep(ctx, step.For)
+		sleep(ctx, step.Duration)
 		r.logOperation(r.operator.evacuate(context.WithoutCancel(ctx), zone, true))
 	default:
 		r.runWorkerStep(ctx, step, rng)
@@ -288,17 +288,17 @@
 			case CloseWorkers:
 				err = r.platform.replaceWorker(worker)
 			case CrashWorkers:
-				err = r.platform.crashWorker(worker, step.For)
+				err = r.platform.crashWorker(worker, step.Duration)
 			case SlowWorkers:
 				r.platform.slowWorkers.setSlow(worker.Worker, true)
-				sleep(ctx, step.For)
+				sleep(ctx, step.Duration)
 				r.platform.slowWorkers.setSlow(worker.Worker, false)
 			}
 			if err != nil {
 				r.logEvent("a worker: %v", err)
 			}
 		})
-		sleep(ctx, step.Gap)
+		sleep(ctx, step.Interval)
 	}
 	group.Wait()
 }
@@ -394,7 +394,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	logs, err := filepath.Glob(filepath.Join(r.options.Dir, "*.log"))
+	logs, err := filepath.Glob(filepath.Join(r.options.WorkDir, "*.log"))
 	if err != nil {
 		return err
 	}
--- a/internal/testing/soak/scenario.go
+++ b/internal/testing/soak/scenario.go
@@ -31,51 +31,51 @@
 // The actions. A restart sends SIGTERM and starts the process again after it has exited; a kill sends SIGKILL, and a
 // freeze sends SIGSTOP and later SIGCONT.
 const (
-	RestartGatekeepers Action = "restart gatekeepers"
-	KillGatekeepers    Action = "kill gatekeepers"
-	FreezeGatekeepers  Action = "freeze gatekeepers"
-	ReloadGatekeepers  Action = "reload gatekeepers"
-	RestartCores       Action = "restart core machines"
-	KillCores          Action = "kill core machines"
-	FreezeCores        Action = "freeze core machines"
-	KillAllCores       Action = "kill all core machines"
-	KillAll            Action = "kill all processes"
-	ChangeRoutes       Action = "change configuration"
-	EvacuateZone       Action = "evacuate a zone"
-	CloseWorkers       Action = "close workers"
-	CrashWorkers       Action = "crash workers"
-	SlowWorkers        Action = "slow workers"
+	RestartGatekeepers  Action = "restart gatekeepers"
+	KillGatekeepers     Action = "kill gatekeepers"
+	FreezeGatekeepers   Action = "freeze gatekeepers"
+	ReloadGatekeepers   Action = "reload gatekeepers"
+	RestartCores        Action = "restart core machines"
+	KillCores           Action = "kill core machines"
+	FreezeCores         Action = "freeze core machines"
+	KillAllCores        Action = "kill all core machines"
+	KillAll             Action = "kill all processes"
+	ChangeConfiguration Action = "change configuration"
+	EvacuateZone        Action = "evacuate a zone"
+	CloseWorkers        Action = "close workers"
+	CrashWorkers        Action = "crash workers"
+	SlowWorkers         Action = "slow workers"
 )
 
 // Step is an action of a scenario, applied to one or more targets in sequence.
 type Step struct {
-	At     time.Duration // from the start of the traffic
-	Action Action
-	Count  int           // how often the action is applied
-	Gap    time.Duration // between two applications
-	For    time.Duration // how long each one lasts; 0 for actions without a duration
+	Start    time.Duration // from the start of the traffic
+	Action   Action
+	Count    int           // how often the action is applied
+	Interval time.Duration // between two applications
+	Duration time.Duration // how long each one lasts; 0 for actions without a duration
 }
 
 // String returns the line that describes the step in reports.
 func (s Step) String() string {
-	return fmt.Sprintf("%5.1f s  %s, %d, %.1f s apart, for %.1f s", s.At.Seconds(), s.Action, s.Count, s.Gap.Seconds(), s.For.Seconds())
+	return fmt.Sprintf("%5.1f s  %s, %d, %.1f s apart, for %.1f s", s.Start.Seconds(), s.Action, s.Count, s.Interval.Seconds(), s.Duration.Seconds())
 }
 
 // endsAt returns when the last application of the step is over, from the start of the traffic.
-func (s Step) endsAt() time.Duration { return s.At + time.Duration(s.Count)*s.Gap + s.For }
+func (s Step) endsAt() time.Duration { return s.Start + time.Duration(s.Count)*s.Interval + s.Duration }
 
 // Scenario is a deployment together with the steps that are applied to it.
 type Scenario struct {
-	Seed  uint64
-	Size  Size
-	Warm  time.Duration // time with traffic before the first step
-	Calm  time.Duration // time with traffic after the last step
-	Steps []Step
+	Seed     uint64
+	Size     Size
+	WarmUp   time.Duration // time with traffic before the first step
+	CoolDown time.Duration // time with traffic after the last step
+	Steps    []Step
 }
 
 // troubleEnd returns when the last step is over, from the start of the traffic.
 func (s *Scenario) troubleEnd() time.Duration {
-	last := s.Warm
+	last := s.WarmUp
 	for _, step := range s.Steps {
 		last = max(last, step.endsAt())
 	}
@@ -83,7 +83,7 @@
 }
 
 // Length returns how long clients send requests.
-func (s *Scenario) Length() time.Duration { return s.troubleEnd() + s.Calm }
+func (s *Scenario) Length() time.Duration { return s.troubleEnd() + s.CoolDown }
 
 // String returns the deployment and all steps in the form used in reports.
 func (s *Scenario) String() string {
@@ -96,27 +96,27 @@
 	return text.String()
 }
 
-// Draw generates a scenario with the given number of steps from a seed. The same arguments give the same scenario.
-func Draw(seed uint64, size Size, steps int) *Scenario {
+// RandomScenario generates a scenario with the given number of steps from a seed. The same arguments give the same scenario.
+func RandomScenario(seed uint64, size Size, steps int) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0x50a1))
-	scenario := &Scenario{Seed: seed, Size: size, Warm: 6 * time.Second, Calm: 20 * time.Second}
-	nextStart := scenario.Warm
+	scenario := &Scenario{Seed: seed, Size: size, WarmUp: 6 * time.Second, CoolDown: 20 * time.Second}
+	nextStart := scenario.WarmUp
 	for range steps {
 		step := drawStep(rng, size)
-		step.At = nextStart
+		step.Start = nextStart
 		scenario.Steps = append(scenario.Steps, step)
 		nextStart += time.Duration(rng.Float64() * float64(4*time.Second)) // most steps overlap with the one before
 	}
 	return scenario
 }
 
-// Rolling returns a scenario that restarts all gatekeepers one after the other, rounds times, with a gap between
+// RollingRestartScenario returns a scenario that restarts all gatekeepers one after the other, rounds times, with a gap between
 // two restarts.
-func Rolling(seed uint64, size Size, rounds int, gap time.Duration) *Scenario {
-	scenario := &Scenario{Seed: seed, Size: size, Warm: 10 * time.Second, Calm: 20 * time.Second}
-	nextStart := scenario.Warm
+func RollingRestartScenario(seed uint64, size Size, rounds int, gap time.Duration) *Scenario {
+	scenario := &Scenario{Seed: seed, Size: size, WarmUp: 10 * time.Second, CoolDown: 20 * time.Second}
+	nextStart := scenario.WarmUp
 	for range rounds {
-		step := Step{At: nextStart, Action: RestartGatekeepers, Count: size.Gatekeepers, Gap: gap}
+		step := Step{Start: nextStart, Action: RestartGatekeepers, Count: size.Gatekeepers, Interval: gap}
 		scenario.Steps = append(scenario.Steps, step)
 		nextStart = step.endsAt()
 	}
@@ -129,7 +129,7 @@
 	weight int
 }{
 	{RestartGatekeepers, 5}, {KillGatekeepers, 2}, {FreezeGatekeepers, 2}, {ReloadGatekeepers, 2}, {RestartCores, 4}, {KillCores, 2},
-	{FreezeCores, 1}, {KillAllCores, 1}, {KillAll, 1}, {ChangeRoutes, 4}, {EvacuateZone, 1}, {CloseWorkers, 2}, {CrashWorkers, 1}, {SlowWorkers, 1},
+	{FreezeCores, 1}, {KillAllCores, 1}, {KillAll, 1}, {ChangeConfiguration, 4}, {EvacuateZone, 1}, {CloseWorkers, 2}, {CrashWorkers, 1}, {SlowWorkers, 1},
 }
 
 // drawAction draws an action according to actionWeights.
@@ -159,26 +159,26 @@
 	step := Step{Action: drawAction(rng), Count: 1}
 	switch step.Action {
 	case RestartGatekeepers, ReloadGatekeepers:
-		step.Count, step.Gap = portion(size.Gatekeepers, 0.1, 0.5), seconds(0, 0.8)
+		step.Count, step.Interval = portion(size.Gatekeepers, 0.1, 0.5), seconds(0, 0.8)
 	case KillGatekeepers:
 		step.Count = portion(size.Gatekeepers, 0.05, 0.4)
 	case FreezeGatekeepers:
-		step.Count, step.For = portion(size.Gatekeepers, 0.05, 0.3), seconds(0.3, 4)
+		step.Count, step.Duration = portion(size.Gatekeepers, 0.05, 0.3), seconds(0.3, 4)
 	case RestartCores:
-		step.Count, step.Gap = portion(size.Cores, 0.2, 1), seconds(2.5, 4)
+		step.Count, step.Interval = portion(size.Cores, 0.2, 1), seconds(2.5, 4)
 	case KillCores:
-		step.Count, step.Gap = 1+rng.IntN(max(size.Cores/3, 1)), seconds(1, 3)
+		step.Count, step.Interval = 1+rng.IntN(max(size.Cores/3, 1)), seconds(1, 3)
 	case FreezeCores:
-		step.For = seconds(0.3, 3)
-	case ChangeRoutes:
-		step.Count, step.Gap = 1+rng.IntN(8), seconds(0.1, 1)
+		step.Duration = seconds(0.3, 3)
+	case ChangeConfiguration:
+		step.Count, step.Interval = 1+rng.IntN(8), seconds(0.1, 1)
 	case EvacuateZone:
-		step.For = seconds(2, 6)
+		step.Duration = seconds(2, 6)
 	case CloseWorkers:
-		step.Count, step.Gap = portion(size.Workers, 0.02, 0.15), seconds(0, 0.2)
+		step.Count, step.Interval = portion(size.Workers, 0.02, 0.15), seconds(0, 0.2)
 	case CrashWorkers, SlowWorkers:
-		step.Count, step.For = portion(size.Workers, 0.02, 0.15), seconds(2, 6)
+		step.Count, step.Duration = portion(size.Workers, 0.02, 0.15), seconds(2, 6)
 	}
-	step.Gap = min(step.Gap, 12*time.Second/time.Duration(step.Count))
+	step.Interval = min(step.Interval, 12*time.Second/time.Duration(step.Count))
 	return step
 }
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -34,7 +34,7 @@
 // processes are copied to the directory that SOAK_LOGS names.
 func playScenario(t *testing.T, scenario *Scenario) *Run {
 	t.Helper()
-	run, err := Play(t.Context(), scenario, Options{Programs: programsDir, Dir: t.TempDir(), Network: Network(), Memory: 4 << 30})
+	run, err := RunScenario(t.Context(), scenario, Options{ProgramDir: programsDir, WorkDir: t.TempDir(), LoopbackPrefix: LoopbackPrefix(), MaxMemoryBytes: 4 << 30})
 	assert.NilError(t, err, scenario)
 	if text := run.Report(); t.Failed() || len(run.Findings()) > 0 {
 		t.Log(text)
@@ -55,9 +55,9 @@
 // the smallest tenants were served worst.
 func TestRollingRestartServesSmallTenants(t *testing.T) {
 	size := Size{Zones: 4, Gatekeepers: 24, Cores: 5, Workers: 72, Tenants: 120, RatePerS: 120}
-	scenario := Rolling(1, size, 1, 600*time.Millisecond)
+	scenario := RollingRestartScenario(1, size, 1, 600*time.Millisecond)
 	run := playScenario(t, scenario)
-	restartsBegin := run.startedAt.Add(scenario.Warm)
+	restartsBegin := run.startedAt.Add(scenario.WarmUp)
 	restartsEnd := run.startedAt.Add(scenario.troubleEnd())
 	var during []*request
 	for _, q := range run.clientPool.requests {
@@ -76,7 +76,7 @@
 func TestOverlappingFaults(t *testing.T) {
 	const seed, steps = 101, 6
 	size := Size{Zones: 4, Gatekeepers: 10, Cores: 5, Workers: 36, Tenants: 30, RatePerS: 80}
-	r := playScenario(t, Draw(seed, size, steps))
+	r := playScenario(t, RandomScenario(seed, size, steps))
 	for _, f := range r.Findings() {
 		t.Error(f)
 	}
--- a/internal/testing/standin/worker.go
+++ b/internal/testing/standin/worker.go
@@ -20,41 +20,41 @@
 	headerShadow         = "X-Foxwood-Shadow"
 )
 
-// Ledger records what workers ran. Its methods are safe for concurrent use.
-type Ledger struct {
-	mu     sync.Mutex
-	Runs   map[string]int // number of executions of each attempt, by its ID
-	Copies int            // copies for a shadow service that workers received
+// ExecutionLog records what workers ran. Its methods are safe for concurrent use.
+type ExecutionLog struct {
+	mu           sync.Mutex
+	Runs         map[string]int // number of executions of each attempt, by its ID
+	ShadowCopies int            // copies for a shadow service that workers received
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{Runs: map[string]int{}} }
+// NewExecutionLog returns an empty ledger.
+func NewExecutionLog() *ExecutionLog { return &ExecutionLog{Runs: map[string]int{}} }
 
-// Of returns how often the attempt with an ID was executed.
-func (l *Ledger) Of(id string) int {
+// RunCount returns how often the attempt with an ID was executed.
+func (l *ExecutionLog) RunCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Runs[id]
 }
 
-// CopyCount returns how many copies for a shadow service workers received.
-func (l *Ledger) CopyCount() int {
+// ShadowCopyCount returns how many copies for a shadow service workers received.
+func (l *ExecutionLog) ShadowCopyCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Copies
+	return l.ShadowCopies
 }
 
 // recordRun counts an execution of an attempt.
-func (l *Ledger) recordRun(id string) {
+func (l *ExecutionLog) recordRun(id string) {
 	l.mu.Lock()
 	l.Runs[id]++
 	l.mu.Unlock()
 }
 
 // recordCopy counts a copy for a shadow service.
-func (l *Ledger) recordCopy() {
+func (l *ExecutionLog) recordCopy() {
 	l.mu.Lock()
-	l.Copies++
+	l.ShadowCopies++
 	l.mu.Unlock()
 }
 
@@ -63,9 +63,9 @@
 type Worker struct {
 	ID, Service, Addr, Zone string
 	Slots, Queue            int                         // requests that may run and wait at the same time
-	Idle                    time.Duration               // after which an idle connection is closed
-	Work                    func(*Worker) time.Duration // returns the processing time of a request
-	Ledger                  *Ledger
+	IdleTimeout             time.Duration               // after which an idle connection is closed
+	WorkTime                func(*Worker) time.Duration // returns the processing time of a request
+	Log                     *ExecutionLog
 
 	slots  chan struct{}
 	server *http.Server
@@ -83,7 +83,7 @@
 		return err
 	}
 	w.slots = make(chan struct{}, w.Slots)
-	w.server = &http.Server{Handler: w, IdleTimeout: w.Idle}
+	w.server = &http.Server{Handler: w, IdleTimeout: w.IdleTimeout}
 	go func() { _ = w.server.Serve(listener) }()
 	return nil
 }
@@ -95,36 +95,36 @@
 	}
 }
 
-// Close starts a graceful shutdown: from now on each response ends its connection.
-func (w *Worker) Close() {
+// BeginShutdown starts a graceful shutdown: from now on each response ends its connection.
+func (w *Worker) BeginShutdown() {
 	w.mu.Lock()
 	w.closing = true
 	w.mu.Unlock()
 }
 
-// Closing reports whether Close was called.
-func (w *Worker) Closing() bool {
+// ShuttingDown reports whether Close was called.
+func (w *Worker) ShuttingDown() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.closing
 }
 
-// RowColumns returns the names of the columns that Row fills in the platform's list of workers.
-func RowColumns() []string {
+// ListColumns returns the names of the columns that Row fills in the platform's list of workers.
+func ListColumns() []string {
 	return []string{"destination", "address", "zone", "edition", "berths", "state", "coldS_time", "id"}
 }
 
-// Row returns the worker's row in the platform's list of workers.
-func (w *Worker) Row() []any {
+// ListRow returns the worker's row in the platform's list of workers.
+func (w *Worker) ListRow() []any {
 	state := "open_counter"
-	if w.Closing() {
+	if w.ShuttingDown() {
 		state = "closing"
 	}
 	return []any{w.Service, w.Addr, w.Zone, "v1", w.Slots, state, 0, w.ID}
 }
 
-// Body returns the response body for the attempt with an ID.
-func Body(id string) string { return "done " + id }
+// ResponseBody returns the response body for the attempt with an ID.
+func ResponseBody(id string) string { return "done " + id }
 
 // loadHeader returns the value of the load header: running, waiting and slots.
 func (w *Worker) loadHeader() string {
@@ -158,7 +158,7 @@
 	id := r.Header.Get(headerTryID)
 	header.Set(headerTryID, id)
 	if r.Header.Get(headerShadow) != "" {
-		w.Ledger.recordCopy()
+		w.Log.recordCopy()
 	}
 	if expected := r.Header.Get(headerExpectedWorker); expected != "" && expected != w.ID {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -176,16 +176,16 @@
 		w.reject(rw)
 		return
 	}
-	w.Ledger.recordRun(id)
-	time.Sleep(w.Work(w))
+	w.Log.recordRun(id)
+	time.Sleep(w.WorkTime(w))
 	w.adjustCounts(0, -1)
 	<-w.slots
 	header.Set(headerPostmark, w.ID)
 	header.Set(headerWorkerLoad, w.loadHeader())
-	if w.Closing() {
+	if w.ShuttingDown() {
 		header.Set("Connection", "close")
 	}
-	_, _ = rw.Write([]byte(Body(id)))
+	_, _ = rw.Write([]byte(ResponseBody(id)))
 }
 
 // reject answers that the request was not executed.
--- a/internal/timetable/lookup_bench_test.go
+++ b/internal/timetable/lookup_bench_test.go
@@ -17,9 +17,9 @@
 		type lookup struct{ host, path []byte }
 		lookups := make([]lookup, 1024)
 		for i := range lookups {
-			c := &table.Courses[i*7919%routes]
+			c := &table.Routes[i*7919%routes]
 			lookups[i] = lookup{[]byte(c.Domain), []byte(c.Prefix + "2f/some/where")}
-			if got := table.Course(lookups[i].host, lookups[i].path); got != c {
+			if got := table.Route(lookups[i].host, lookups[i].path); got != c {
 				b.Fatalf("%s%s: %v", c.Domain, lookups[i].path, got)
 			}
 		}
@@ -28,7 +28,7 @@
 			i := 0
 			for b.Loop() {
 				next := &lookups[i&1023]
-				table.Course(next.host, next.path)
+				table.Route(next.host, next.path)
 				i++
 			}
 		})
--- a/internal/timetable/parse.go
+++ b/internal/timetable/parse.go
@@ -21,7 +21,7 @@
 
 // Parse parses and checks a configuration. Its error is a *Fault, the first that was found. The document
 // must not be modified afterwards.
-func Parse(raw []byte) (*Timetable, error) {
+func Parse(raw []byte) (*Config, error) {
 	p := parser{}
 	table := p.parse(raw)
 	if len(p.faults) > 0 {
@@ -44,7 +44,7 @@
 	collectAll  bool // continue after a fault
 	faults      []Fault
 	faultyPaths map[string]bool // paths in faults
-	table       *Timetable
+	table       *Config
 
 	interned               map[string]string   // one copy of each string that is retained
 	internedLists          map[string][]string // one copy of each list, by its JSON text
@@ -98,7 +98,7 @@
 func (p *parser) stop() bool { return !p.collectAll && len(p.faults) > 0 }
 
 // parse parses a document. The result is complete only if there are no faults.
-func (p *parser) parse(raw []byte) *Timetable {
+func (p *parser) parse(raw []byte) *Config {
 	switch {
 	case exceedsMaxDepth(raw):
 		p.addFault(Unreadable, wholeDocument, "", "values nest deeper than %d", maxDepth)
@@ -112,7 +112,7 @@
 		p.addFault(Unreadable, wholeDocument, "", "the body is not a JSON object")
 		return nil
 	}
-	p.table = &Timetable{Raw: raw, Limits: defaultLimits, Destinations: make(map[string]*Destination)}
+	p.table = &Config{Raw: raw, Limits: defaultLimits, Destinations: make(map[string]*Destination)}
 	p.interned, p.internedLists, p.singleSplits = make(map[string]string), make(map[string][]string), make(map[string][]Share)
 
 	p.readEdition(root.Get("edition"))
@@ -147,12 +147,12 @@
 
 // readEdition reads the version of the configuration.
 func (p *parser) readEdition(value gjson.Result) {
-	version, ok := ParseEdition(value.Str)
+	version, ok := ParseVersion(value.Str)
 	if value.Type != gjson.String || !ok {
-		p.addFault(OddEdition, wholeDocument, "edition", "not eight hexadecimal digits")
+		p.addFault(InvalidVersion, wholeDocument, "edition", "not eight hexadecimal digits")
 		return
 	}
-	p.table.Edition, p.table.EditionText = version, p.intern(value.Str)
+	p.table.Version, p.table.VersionText = version, p.intern(value.Str)
 }
 
 // readLimits reads the limits on clients.
@@ -170,16 +170,16 @@
 		count   *int
 		seconds *float64
 	}{
-		{"envelopeBytes", &limits.EnvelopeBytes, nil},
+		{"envelopeBytes", &limits.HeadBytes, nil},
 		{"bodyBytes", &limits.BodyBytes, nil},
-		{"envelopeS", nil, &limits.EnvelopeS},
+		{"envelopeS", nil, &limits.HeadS},
 		{"idleS", nil, &limits.IdleS},
 	} {
 		value := value.Get(field.name)
 		if field.count != nil {
-			*field.count = p.readInteger(value, loc, field.name, *field.count, 1, OddLimit)
-		} else if *field.seconds = p.readNumber(value, loc, field.name, *field.seconds, OddLimit); *field.seconds == 0 {
-			p.addFault(OddLimit, loc, field.name, "0 is not above 0")
+			*field.count = p.readInteger(value, loc, field.name, *field.count, 1, InvalidLimit)
+		} else if *field.seconds = p.readNumber(value, loc, field.name, *field.seconds, InvalidLimit); *field.seconds == 0 {
+			p.addFault(InvalidLimit, loc, field.name, "0 is not above 0")
 		}
 	}
 }
@@ -191,26 +191,26 @@
 	faultsBefore := len(p.faults)
 	p.forEachRow(location{"destinations", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
 		destination := &Destination{
-			Name:       p.readString(cells[name], loc, "name"),
-			HealthPath: p.readString(cells[health], loc, "healthPath"),
-			BerthCap:   p.readInteger(cells[berths], loc, "berthCap", 0, 0, OddNumber),
-			ColdS:      p.readNumber(cells[cold], loc, "coldS", 0, OddNumber),
-			ColdPerS:   p.readNumber(cells[coldRate], loc, "coldPerS", 0, OddNumber),
-			Protocol:   p.readString(cells[protocol], loc, "protocol"),
-			TLS:        p.readBool(cells[tls], loc, "tls"),
+			Name:           p.readString(cells[name], loc, "name"),
+			HealthPath:     p.readString(cells[health], loc, "healthPath"),
+			SlotsPerWorker: p.readInteger(cells[berths], loc, "berthCap", 0, 0, InvalidNumber),
+			SlowStartS:     p.readNumber(cells[cold], loc, "coldS", 0, InvalidNumber),
+			SlowStartPerS:  p.readNumber(cells[coldRate], loc, "coldPerS", 0, InvalidNumber),
+			Protocol:       p.readString(cells[protocol], loc, "protocol"),
+			TLS:            p.readBool(cells[tls], loc, "tls"),
 		}
 		if destination.Name == "" {
-			p.addFault(NoName, loc, "name", "a destination needs a name")
+			p.addFault(MissingName, loc, "name", "a destination needs a name")
 			return
 		}
 		if p.table.Destinations[destination.Name] != nil {
-			p.addFault(SameName, loc, "name", "%q is there twice", destination.Name)
+			p.addFault(DuplicateName, loc, "name", "%q is there twice", destination.Name)
 		}
 		p.table.Destinations[destination.Name] = destination
 	})
 	// Rows or a whole table that could not be read may hold the names that courses use.
 	p.destinationsUnreadable = slices.ContainsFunc(p.faults[faultsBefore:], func(f Fault) bool {
-		return f.Kind == OddTable || f.Kind == RowLength || f.Kind == WrongType || f.Kind == NoName
+		return f.Kind == InvalidTable || f.Kind == RowLength || f.Kind == WrongType || f.Kind == MissingName
 	})
 }
 
@@ -222,23 +222,23 @@
 		"homeRegions", "destination",
 	}
 	if value.Type == gjson.Null {
-		p.addFault(NoCourses, wholeDocument, "courses", "the courses are left out")
+		p.addFault(MissingRoutes, wholeDocument, "courses", "the courses are left out")
 		return
 	}
 	p.courseByName, p.courseByMatch = make(map[string]int), make(map[routeMatch]int)
 	p.forEachRow(location{"courses", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
-		route := Course{
-			Name:     p.readString(cells[name], loc, "name"),
-			Domain:   p.intern(strings.ToLower(p.readString(cells[domain], loc, "domain"))),
-			Prefix:   p.readString(cells[prefix], loc, "streetPrefix"),
-			Deadline: p.readNumber(cells[deadline], loc, "deadlineS", 0, OddDeadline),
-			Priority: p.readInteger(cells[priority], loc, "priority", 0, -maxInteger, OddNumber),
-			Tries:    p.readInteger(cells[tries], loc, "tries", 1, 1, OddTries),
-			Unsealed: p.readBool(cells[unsealed], loc, "unsealed"),
-			Homes:    p.readList(cells[homes], loc, "homeRegions"),
-			Index:    len(p.table.Courses),
+		route := Route{
+			Name:          p.readString(cells[name], loc, "name"),
+			Domain:        p.intern(strings.ToLower(p.readString(cells[domain], loc, "domain"))),
+			Prefix:        p.readString(cells[prefix], loc, "streetPrefix"),
+			DeadlineS:     p.readNumber(cells[deadline], loc, "deadlineS", 0, InvalidDeadline),
+			Priority:      p.readInteger(cells[priority], loc, "priority", 0, -maxInteger, InvalidNumber),
+			MaxAttempts:   p.readInteger(cells[tries], loc, "tries", 1, 1, InvalidTries),
+			NoKeyRequired: p.readBool(cells[unsealed], loc, "unsealed"),
+			HomeRegions:   p.readList(cells[homes], loc, "homeRegions"),
+			Index:         len(p.table.Routes),
 		}
-		route.Target = p.readNumber(cells[target], loc, "targetS", route.Deadline, OddNumber)
+		route.TargetS = p.readNumber(cells[target], loc, "targetS", route.DeadlineS, InvalidNumber)
 		switch kindName := p.readString(cells[kind], loc, "kind"); kindName {
 		case "safe":
 			route.Safe = true
@@ -246,27 +246,27 @@
 		default:
 			p.addFault(UnknownKind, loc, "kind", "%.40q is neither safe nor unsafe", kindName)
 		}
-		if route.Deadline == 0 {
-			p.addFault(OddDeadline, loc, "deadlineS", "a course needs a deadline above 0")
+		if route.DeadlineS == 0 {
+			p.addFault(InvalidDeadline, loc, "deadlineS", "a course needs a deadline above 0")
 		}
 		if route.Name != "" {
 			p.checkUnique(p.courseByName, route.Name, loc, route.Index)
 		}
 		if route.Domain == "" {
-			p.addFault(NoDomain, loc, "domain", "a course needs a domain")
+			p.addFault(MissingDomain, loc, "domain", "a course needs a domain")
 		}
 		if !strings.HasPrefix(route.Prefix, "/") {
-			p.addFault(OddPrefix, loc, "streetPrefix", "%.40q does not start with a slash", route.Prefix)
+			p.addFault(InvalidPrefix, loc, "streetPrefix", "%.40q does not start with a slash", route.Prefix)
 		}
 		if route.Domain != "" && route.Prefix != "" {
 			match := routeMatch{route.Domain, route.Prefix}
 			if other, ok := p.courseByMatch[match]; ok {
-				p.addFault(SamePlace, loc, "", "courses[%d] has the same domain and prefix", other)
+				p.addFault(DuplicateRoute, loc, "", "courses[%d] has the same domain and prefix", other)
 			}
 			p.courseByMatch[match] = route.Index
 		}
 		route.Split = p.readSplit(cells[singleDestination], cells[split], loc)
-		p.table.Courses = append(p.table.Courses, route)
+		p.table.Routes = append(p.table.Routes, route)
 	})
 }
 
@@ -284,9 +284,9 @@
 		newShare := Share{Destination: p.readString(cells[destination], loc, "destination")}
 		p.checkDestination(newShare.Destination, loc)
 		if cells[share].Type == gjson.Null {
-			p.addFault(OddWeights, loc, "share", "the share is left out")
+			p.addFault(InvalidWeights, loc, "share", "the share is left out")
 		}
-		newShare.Weight = p.readNumber(cells[share], loc, "share", 0, OddWeights)
+		newShare.Weight = p.readNumber(cells[share], loc, "share", 0, InvalidWeights)
 		sum += newShare.Weight
 		shares = append(shares, newShare)
 	})
@@ -294,7 +294,7 @@
 	case len(p.faults) > faultsBefore:
 	case len(shares) > 0:
 		if sum == 0 || math.IsInf(sum, 0) {
-			p.addFault(OddWeights, loc, "split", "the shares sum to %g", sum)
+			p.addFault(InvalidWeights, loc, "split", "the shares sum to %g", sum)
 		}
 	case single != "":
 		if p.singleSplits[single] == nil {
@@ -302,7 +302,7 @@
 		}
 		return p.singleSplits[single]
 	case singleValue.Type == gjson.Null || singleValue.Type == gjson.String:
-		p.addFault(NoDestination, loc, "", "neither a destination nor a split")
+		p.addFault(MissingDestination, loc, "", "neither a destination nor a split")
 	}
 	return shares
 }
@@ -321,30 +321,30 @@
 	if value.Type == gjson.Null {
 		return
 	}
-	p.table.HasSenders = true
+	p.table.RequiresKeys = true
 	p.senderByName, p.table.senderByKey = make(map[string]int), make(map[string]int32)
 	p.forEachRow(location{"senders", -1, -1}, "", value, fields, func(loc location, cells []gjson.Result) {
-		tenant := Sender{
-			Name:     p.readString(cells[name], loc, "name"),
-			Passes:   p.readList(cells[passes], loc, "passes"),
-			Priority: p.readInteger(cells[priority], loc, "priority", 0, -maxInteger, OddNumber),
-			RatePerS: p.readNumber(cells[rate], loc, "ratePerS", 0, OddQuota),
-			Surge:    p.readNumber(cells[surge], loc, "surge", 0, OddQuota),
-			Homes:    p.readList(cells[homes], loc, "homeRegions"),
-			Index:    len(p.table.Senders),
+		tenant := Tenant{
+			Name:        p.readString(cells[name], loc, "name"),
+			APIKeys:     p.readList(cells[passes], loc, "passes"),
+			Priority:    p.readInteger(cells[priority], loc, "priority", 0, -maxInteger, InvalidNumber),
+			RatePerS:    p.readNumber(cells[rate], loc, "ratePerS", 0, InvalidQuota),
+			Burst:       p.readNumber(cells[surge], loc, "surge", 0, InvalidQuota),
+			HomeRegions: p.readList(cells[homes], loc, "homeRegions"),
+			Index:       len(p.table.Tenants),
 		}
 		if tenant.Name == "" {
-			p.addFault(NoName, loc, "name", "a sender needs a name")
+			p.addFault(MissingName, loc, "name", "a sender needs a name")
 		} else {
 			p.checkUnique(p.senderByName, tenant.Name, loc, tenant.Index)
 		}
-		for i, key := range tenant.Passes {
+		for i, key := range tenant.APIKeys {
 			if other, ok := p.table.senderByKey[key]; ok && int(other) != tenant.Index {
-				p.addFault(SameKey, loc, fmt.Sprintf("passes[%d]", i), "senders[%d] has the same key", other)
+				p.addFault(DuplicateKey, loc, fmt.Sprintf("passes[%d]", i), "senders[%d] has the same key", other)
 			}
 			p.table.senderByKey[key] = int32(tenant.Index)
 		}
-		p.table.Senders = append(p.table.Senders, tenant)
+		p.table.Tenants = append(p.table.Tenants, tenant)
 	})
 	delete(p.table.senderByKey, "") // a request without a key must not match a sender
 }
@@ -352,7 +352,7 @@
 // checkUnique adds a fault if an earlier row of the table has the same name.
 func (p *parser) checkUnique(names map[string]int, name string, loc location, index int) {
 	if _, ok := names[name]; ok {
-		p.addFault(SameName, loc, "name", "%.40q is there twice", name)
+		p.addFault(DuplicateName, loc, "name", "%.40q is there twice", name)
 	}
 	names[name] = index
 }
@@ -396,16 +396,16 @@
 	}
 	columns, rows := value.Get("columns"), value.Get("rows")
 	if !value.IsObject() || !columns.IsArray() || !rows.IsArray() {
-		p.addFault(OddTable, tableLoc, field, "neither columns with rows nor a list of objects")
+		p.addFault(InvalidTable, tableLoc, field, "neither columns with rows nor a list of objects")
 		return
 	}
 	var fieldOfColumn []int // index into fields of each column, -1 for an unknown column
 	columns.ForEach(func(_, column gjson.Result) bool {
 		fieldIndex := -1
 		if column.Type != gjson.String {
-			p.addFault(OddTable, tableLoc, field, "a column's name is not a text")
+			p.addFault(InvalidTable, tableLoc, field, "a column's name is not a text")
 		} else if fieldIndex = slices.Index(fields, column.Str); fieldIndex >= 0 && slices.Contains(fieldOfColumn, fieldIndex) {
-			p.addFault(OddTable, tableLoc, field, "%q is there twice", column.Str)
+			p.addFault(InvalidTable, tableLoc, field, "%q is there twice", column.Str)
 		}
 		fieldOfColumn = append(fieldOfColumn, fieldIndex)
 		return true
--- a/internal/timetable/timetable.go
+++ b/internal/timetable/timetable.go
@@ -12,16 +12,16 @@
 	"strings"
 )
 
-// Timetable is a valid configuration. It must not be modified: equal lists are shared between its parts.
-type Timetable struct {
-	Edition      uint64 // version
-	EditionText  string // the edition as it is written in the document
+// Config is a valid configuration. It must not be modified: equal lists are shared between its parts.
+type Config struct {
+	Version      uint64 // version
+	VersionText  string // the edition as it is written in the document
 	Raw          []byte // the document that was passed to Parse, not a copy
-	Courses      []Course
+	Routes       []Route
 	Destinations map[string]*Destination
 	Limits       Limits
-	Senders      []Sender
-	HasSenders   bool // an API key is required, even if there is no sender
+	Tenants      []Tenant
+	RequiresKeys bool // an API key is required, even if there is no sender
 
 	digest      uint64
 	domains     map[string]domainRoutes // key is the domain in lower case
@@ -29,16 +29,16 @@
 	senderByKey map[string]int32        // API key to index in Senders
 }
 
-// Course is a route: the domain and path prefix that it matches, and how matching requests are served.
-type Course struct {
+// Route is a route: the domain and path prefix that it matches, and how matching requests are served.
+type Route struct {
 	Name, Domain, Prefix string   // the domain is in lower case; the name may be empty
 	Safe                 bool     // requests may be executed more than once
-	Deadline, Target     float64  // seconds
+	DeadlineS, TargetS   float64  // seconds
 	Priority             int      // 0 is the highest
 	Split                []Share  // for a single destination one share of weight 1
-	Tries                int      // workers to which one request may be sent, at least 1
-	Unsealed             bool     // no API key is required
-	Homes                []string // regions
+	MaxAttempts          int      // workers to which one request may be sent, at least 1
+	NoKeyRequired        bool     // no API key is required
+	HomeRegions          []string // regions
 	Index                int      // in Courses
 }
 
@@ -51,29 +51,29 @@
 
 // Destination is a service. BerthCap and ColdPerS are 0 if the document does not set them.
 type Destination struct {
-	Name, HealthPath string
-	BerthCap         int     // concurrency slots: connections that one worker accepts from all gatekeepers together
-	ColdS, ColdPerS  float64 // slow start: seconds, and requests per second
-	Protocol         string
-	TLS              bool
+	Name, HealthPath          string
+	SlotsPerWorker            int     // concurrency slots: connections that one worker accepts from all gatekeepers together
+	SlowStartS, SlowStartPerS float64 // slow start: seconds, and requests per second
+	Protocol                  string
+	TLS                       bool
 }
 
 // Limits are the limits on a client: bytes of a request's head and body, seconds to send a head and to stay idle.
 type Limits struct {
-	EnvelopeBytes, BodyBytes int
-	EnvelopeS, IdleS         float64
+	HeadBytes, BodyBytes int
+	HeadS, IdleS         float64
 }
 
 // defaultLimits apply where the document does not set a limit.
-var defaultLimits = Limits{EnvelopeBytes: 16 << 10, BodyBytes: 64 << 20, EnvelopeS: 3, IdleS: 15}
+var defaultLimits = Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadS: 3, IdleS: 15}
 
-// Sender is a tenant. It has no rate limit if RatePerS is 0.
-type Sender struct {
+// Tenant is a tenant. It has no rate limit if RatePerS is 0.
+type Tenant struct {
 	Name            string
-	Passes          []string
+	APIKeys         []string
 	Priority        int
-	RatePerS, Surge float64
-	Homes           []string
+	RatePerS, Burst float64
+	HomeRegions     []string
 	Index           int // in Senders
 }
 
@@ -94,9 +94,9 @@
 // following parents a lookup compares each enclosing prefix once.
 type sortedRoute struct{ route, parent int32 }
 
-// Course returns the course of the host with the longest prefix of the path, or nil if none matches. The case
+// Route returns the course of the host with the longest prefix of the path, or nil if none matches. The case
 // and the port of the host are ignored. The path must not include a query.
-func (t *Timetable) Course(host, path []byte) *Course {
+func (t *Config) Route(host, path []byte) *Route {
 	routes, ok := t.domains[string(host)]
 	if !ok {
 		var buffer [256]byte
@@ -123,7 +123,7 @@
 	// prefixes of the path are among the parents from here on.
 	for i := low - 1; i >= 0; i = t.sorted[i].parent {
 		if prefix := t.prefixAt(i); len(prefix) <= len(path) && prefix == string(path[:len(prefix)]) {
-			return &t.Courses[t.sorted[i].route]
+			return &t.Routes[t.sorted[i].route]
 		}
 	}
 	return nil
@@ -131,7 +131,7 @@
 
 // longestPrefix returns the course with the longest prefix of the path, or nil. It looks up byPrefix the parts of the
 // path that end with a slash, from the longest to the shortest.
-func (t *Timetable) longestPrefix(routes domainRoutes, path []byte) *Course {
+func (t *Config) longestPrefix(routes domainRoutes, path []byte) *Route {
 	ends := make([]int, 0, 32)
 	for i, c := range path {
 		if c != '/' {
@@ -143,14 +143,14 @@
 	}
 	for _, end := range slices.Backward(ends) {
 		if course, ok := routes.byPrefix[string(path[:end])]; ok {
-			return &t.Courses[course]
+			return &t.Routes[course]
 		}
 	}
 	return nil
 }
 
 // findDomain finds the domain of a host that has upper case letters or a port. It lowers the letters in place.
-func (t *Timetable) findDomain(host []byte) (domainRoutes, bool) {
+func (t *Config) findDomain(host []byte) (domainRoutes, bool) {
 	for i, c := range host {
 		if 'A' <= c && c <= 'Z' {
 			host[i] = c + 'a' - 'A'
@@ -168,28 +168,28 @@
 }
 
 // prefixAt returns the prefix of an element of Timetable.sorted.
-func (t *Timetable) prefixAt(at int32) string { return t.Courses[t.sorted[at].route].Prefix }
+func (t *Config) prefixAt(at int32) string { return t.Routes[t.sorted[at].route].Prefix }
 
-// Sender returns the sender that has the API key, or nil.
-func (t *Timetable) Sender(key []byte) *Sender {
+// TenantByKey returns the sender that has the API key, or nil.
+func (t *Config) TenantByKey(key []byte) *Tenant {
 	if i, ok := t.senderByKey[string(key)]; ok {
-		return &t.Senders[i]
+		return &t.Tenants[i]
 	}
 	return nil
 }
 
 // Digest returns the xxh3 hash of the document.
-func (t *Timetable) Digest() uint64 { return t.digest }
+func (t *Config) Digest() uint64 { return t.digest }
 
 // buildIndex builds the lookup tables of Course. The configuration must have no faults.
-func (t *Timetable) buildIndex() {
-	t.Courses, t.Senders = slices.Clone(t.Courses), slices.Clone(t.Senders) // without unused capacity
-	t.sorted = make([]sortedRoute, len(t.Courses))
+func (t *Config) buildIndex() {
+	t.Routes, t.Tenants = slices.Clone(t.Routes), slices.Clone(t.Tenants) // without unused capacity
+	t.sorted = make([]sortedRoute, len(t.Routes))
 	for i := range t.sorted {
 		t.sorted[i] = sortedRoute{int32(i), -1}
 	}
 	slices.SortFunc(t.sorted, func(a, b sortedRoute) int {
-		x, y := &t.Courses[a.route], &t.Courses[b.route]
+		x, y := &t.Routes[a.route], &t.Routes[b.route]
 		if x.Domain != y.Domain {
 			return strings.Compare(x.Domain, y.Domain)
 		}
@@ -198,7 +198,7 @@
 	t.domains = make(map[string]domainRoutes)
 	for i := range t.sorted {
 		at := int32(i)
-		course := &t.Courses[t.sorted[at].route]
+		course := &t.Routes[t.sorted[at].route]
 		routes, ok := t.domains[course.Domain]
 		if !ok {
 			routes.first = at
@@ -232,8 +232,8 @@
 	}
 }
 
-// ParseEdition parses an edition: eight hexadecimal digits in upper or lower case.
-func ParseEdition(text string) (uint64, bool) {
+// ParseVersion parses an edition: eight hexadecimal digits in upper or lower case.
+func ParseVersion(text string) (uint64, bool) {
 	if len(text) != 8 || strings.ContainsAny(text, "+-_") {
 		return 0, false
 	}
@@ -241,5 +241,5 @@
 	return n, err == nil
 }
 
-// FormatEdition formats an edition in the form that ParseEdition accepts, in lower case.
-func FormatEdition(edition uint64) string { return fmt.Sprintf("%08x", edition) }
+// FormatVersion formats an edition in the form that ParseEdition accepts, in lower case.
+func FormatVersion(edition uint64) string { return fmt.Sprintf("%08x", edition) }
--- a/internal/timetable/timetable_test.go
+++ b/internal/timetable/timetable_test.go
@@ -30,7 +30,7 @@
 }
 
 // mustParse parses a valid document.
-func mustParse(t testing.TB, raw []byte) *Timetable {
+func mustParse(t testing.TB, raw []byte) *Config {
 	t.Helper()
 	table, err := Parse(raw)
 	assert.NilError(t, err)
@@ -39,30 +39,30 @@
 
 func TestParseReadsEveryField(t *testing.T) {
 	table := mustParse(t, []byte(validDocument))
-	assert.Equal(t, table.Edition, uint64(0x1c))
-	assert.Equal(t, table.EditionText, "0000001c")
+	assert.Equal(t, table.Version, uint64(0x1c))
+	assert.Equal(t, table.VersionText, "0000001c")
 	assert.Equal(t, string(table.Raw), validDocument)
 	assert.Equal(t, table.Digest(), xxh3.HashString(validDocument))
 	assert.DeepEqual(t, table.Limits, Limits{8192, 1024, 2, 0.5})
-	assert.DeepEqual(t, table.Courses, []Course{
+	assert.DeepEqual(t, table.Routes, []Route{
 		{
-			Name: "r-one", Domain: "birch.example", Prefix: "/a/", Safe: true, Deadline: 2, Target: 0.5, Priority: 2,
-			Split: []Share{{"oak", 90}, {"elm", 10}}, Tries: 2, Homes: []string{},
+			Name: "r-one", Domain: "birch.example", Prefix: "/a/", Safe: true, DeadlineS: 2, TargetS: 0.5, Priority: 2,
+			Split: []Share{{"oak", 90}, {"elm", 10}}, MaxAttempts: 2, HomeRegions: []string{},
 		},
 		{
-			Name: "r-two", Domain: "birch.example", Prefix: "/a/b/", Deadline: 2.5, Target: 2.5,
-			Split: []Share{{"oak", 1}}, Tries: 1, Unsealed: true, Homes: []string{"north"}, Index: 1,
+			Name: "r-two", Domain: "birch.example", Prefix: "/a/b/", DeadlineS: 2.5, TargetS: 2.5,
+			Split: []Share{{"oak", 1}}, MaxAttempts: 1, NoKeyRequired: true, HomeRegions: []string{"north"}, Index: 1,
 		},
 	})
 	assert.DeepEqual(t, table.Destinations, map[string]*Destination{
-		"oak": {Name: "oak", HealthPath: "/well", BerthCap: 110, ColdS: 3, ColdPerS: 10, Protocol: "h1"},
+		"oak": {Name: "oak", HealthPath: "/well", SlotsPerWorker: 110, SlowStartS: 3, SlowStartPerS: 10, Protocol: "h1"},
 		"elm": {Name: "elm", HealthPath: "/well", Protocol: "h1", TLS: true},
 	})
-	assert.DeepEqual(t, table.Senders, []Sender{
-		{Name: "t-one", Passes: []string{"k1", "k2"}, Priority: 1, RatePerS: 122, Surge: 30, Homes: []string{}},
-		{Name: "t-two", Passes: []string{"k3", "k3"}, Homes: []string{"north", "south"}, Index: 1},
+	assert.DeepEqual(t, table.Tenants, []Tenant{
+		{Name: "t-one", APIKeys: []string{"k1", "k2"}, Priority: 1, RatePerS: 122, Burst: 30, HomeRegions: []string{}},
+		{Name: "t-two", APIKeys: []string{"k3", "k3"}, HomeRegions: []string{"north", "south"}, Index: 1},
 	})
-	assert.Assert(t, table.HasSenders)
+	assert.Assert(t, table.RequiresKeys)
 	assert.Equal(t, len(Check([]byte(validDocument))), 0)
 }
 
@@ -97,20 +97,20 @@
 	table := mustParse(t, []byte(`{"edition":"FFFFFFFF",
 "courses":[{"domain":"a.example","streetPrefix":"/","kind":"safe","deadlineS":1,"destination":"oak","hue":1}],
 "destinations":[{"name":"oak"}],"senders":[]}`))
-	assert.Equal(t, table.Edition, uint64(0xffffffff))
-	assert.DeepEqual(t, table.Courses, []Course{{
-		Domain: "a.example", Prefix: "/", Safe: true, Deadline: 1, Target: 1, Split: []Share{{"oak", 1}}, Tries: 1,
+	assert.Equal(t, table.Version, uint64(0xffffffff))
+	assert.DeepEqual(t, table.Routes, []Route{{
+		Domain: "a.example", Prefix: "/", Safe: true, DeadlineS: 1, TargetS: 1, Split: []Share{{"oak", 1}}, MaxAttempts: 1,
 	}})
-	assert.Assert(t, table.HasSenders)
-	assert.Assert(t, table.Sender([]byte("")) == nil)
+	assert.Assert(t, table.RequiresKeys)
+	assert.Assert(t, table.TenantByKey([]byte("")) == nil)
 	assert.DeepEqual(t, table.Limits, defaultLimits)
 }
 
 func TestNoSendersMeansNoKeyRequired(t *testing.T) {
 	table := mustParse(t, []byte(`{"edition":"00000001","courses":[]}`))
-	assert.Assert(t, !table.HasSenders)
-	assert.Assert(t, table.Sender([]byte("k1")) == nil)
-	assert.Assert(t, table.Course([]byte("a.example"), []byte("/")) == nil)
+	assert.Assert(t, !table.RequiresKeys)
+	assert.Assert(t, table.TenantByKey([]byte("k1")) == nil)
+	assert.Assert(t, table.Route([]byte("a.example"), []byte("/")) == nil)
 }
 
 func TestParseReportsFault(t *testing.T) {
@@ -124,21 +124,21 @@
 		{Unreadable, "", `["north","south"]]]}}`, `["north","south"]]]}}{}`},
 		{Unreadable, "", `{"deep":[1]}`, strings.Repeat("[", 600) + strings.Repeat("]", 600)},
 		{Unreadable, "", `"deep"`, "\"\xff\""},
-		{OddEdition, "edition", `"edition":"0000001c",`, ``},
-		{OddEdition, "edition", `"0000001c"`, `28`},
-		{OddEdition, "edition", `"0000001c"`, `null`},
-		{OddEdition, "edition", `0000001c`, `000001c`},
-		{OddEdition, "edition", `0000001c`, `00000001c`},
-		{OddEdition, "edition", `0000001c`, `+000001c`},
-		{OddEdition, "edition", `0000001c`, `0000001g`},
-		{NoCourses, "courses", `"courses":{`, `"lost":{`},
-		{NoCourses, "courses", `"courses":{`, `"courses":null,"lost":{`},
-		{OddTable, "courses", `"courses":{`, `"courses":7,"lost":{`},
-		{OddTable, "courses", `"courses":{`, `"courses":{},"lost":{`},
-		{OddTable, "senders", `"senders":{`, `"senders":"{\"columns\":[],\"rows\":[]}","lost":{`},
-		{OddTable, "courses", `"destination","hue"]`, `"destination",7]`},
-		{OddTable, "courses", `"destination","hue"]`, `"destination","kind"]`},
-		{OddTable, "courses[0].split", `[{"destination":"oak","share":90},{"destination":"elm","share":10}]`, `"oak"`},
+		{InvalidVersion, "edition", `"edition":"0000001c",`, ``},
+		{InvalidVersion, "edition", `"0000001c"`, `28`},
+		{InvalidVersion, "edition", `"0000001c"`, `null`},
+		{InvalidVersion, "edition", `0000001c`, `000001c`},
+		{InvalidVersion, "edition", `0000001c`, `00000001c`},
+		{InvalidVersion, "edition", `0000001c`, `+000001c`},
+		{InvalidVersion, "edition", `0000001c`, `0000001g`},
+		{MissingRoutes, "courses", `"courses":{`, `"lost":{`},
+		{MissingRoutes, "courses", `"courses":{`, `"courses":null,"lost":{`},
+		{InvalidTable, "courses", `"courses":{`, `"courses":7,"lost":{`},
+		{InvalidTable, "courses", `"courses":{`, `"courses":{},"lost":{`},
+		{InvalidTable, "senders", `"senders":{`, `"senders":"{\"columns\":[],\"rows\":[]}","lost":{`},
+		{InvalidTable, "courses", `"destination","hue"]`, `"destination",7]`},
+		{InvalidTable, "courses", `"destination","hue"]`, `"destination","kind"]`},
+		{InvalidTable, "courses[0].split", `[{"destination":"oak","share":90},{"destination":"elm","share":10}]`, `"oak"`},
 		{RowLength, "courses[0]", `[],null,7]`, `[],null]`},
 		{RowLength, "courses[0]", `[],null,7]`, `[],null,7,null]`},
 		{RowLength, "senders[1]", `["north","south"]]`, `["north","south"],1]`},
@@ -163,48 +163,48 @@
 		{WrongType, "senders[0].ratePerS", `122`, `"122"`},
 		{WrongType, "sizeLimits", `{"envelopeBytes":8192,"bodyBytes":1024.0,"envelopeS":2,"idleS":0.5}`, `[]`},
 		{WrongType, "sizeLimits.envelopeBytes", `8192`, `8192.5`},
-		{NoName, "destinations[1].name", `["elm"`, `[null`},
-		{NoName, "senders[0].name", `"t-one"`, `""`},
-		{SameName, "courses[1].name", `"r-two"`, `"r-one"`},
-		{SameName, "destinations[1].name", `["elm"`, `["oak"`},
-		{SameName, "senders[1].name", `"t-two"`, `"t-one"`},
-		{SameKey, "senders[1].passes[1]", `["k3","k3"]`, `["k3","k2"]`},
-		{NoDomain, "courses[0].domain", `"Birch.example"`, `""`},
-		{NoDomain, "courses[0].domain", `"Birch.example"`, `null`},
-		{OddPrefix, "courses[0].streetPrefix", `"/a/"`, `"a/"`},
-		{OddPrefix, "courses[0].streetPrefix", `"/a/"`, `""`},
-		{OddPrefix, "courses[0].streetPrefix", `"/a/"`, `null`},
-		{SamePlace, "courses[1]", `"/a/b/"`, `"/a/"`},
+		{MissingName, "destinations[1].name", `["elm"`, `[null`},
+		{MissingName, "senders[0].name", `"t-one"`, `""`},
+		{DuplicateName, "courses[1].name", `"r-two"`, `"r-one"`},
+		{DuplicateName, "destinations[1].name", `["elm"`, `["oak"`},
+		{DuplicateName, "senders[1].name", `"t-two"`, `"t-one"`},
+		{DuplicateKey, "senders[1].passes[1]", `["k3","k3"]`, `["k3","k2"]`},
+		{MissingDomain, "courses[0].domain", `"Birch.example"`, `""`},
+		{MissingDomain, "courses[0].domain", `"Birch.example"`, `null`},
+		{InvalidPrefix, "courses[0].streetPrefix", `"/a/"`, `"a/"`},
+		{InvalidPrefix, "courses[0].streetPrefix", `"/a/"`, `""`},
+		{InvalidPrefix, "courses[0].streetPrefix", `"/a/"`, `null`},
+		{DuplicateRoute, "courses[1]", `"/a/b/"`, `"/a/"`},
 		{UnknownKind, "courses[0].kind", `"safe"`, `"Safe"`},
 		{UnknownKind, "courses[0].kind", `"safe"`, `null`},
-		{OddDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",0,`},
-		{OddDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",0.0,`},
-		{OddDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",-2,`},
-		{OddDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",1e999,`},
-		{OddDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",null,`},
-		{OddWeights, "courses[0].split[0].share", `"share":90`, `"share":-1`},
-		{OddWeights, "courses[0].split[0].share", `,"share":90`, ``},
-		{OddWeights, "courses[0].split", `"share":90},{"destination":"elm","share":10}`, `"share":0},{"destination":"elm","share":0.0}`},
-		{OddWeights, "courses[0].split", `"share":90},{"destination":"elm","share":10}`, `"share":1e308},{"destination":"elm","share":1e308}`},
-		{NoDestination, "courses[1]", `["north"],"oak"`, `["north"],null`},
-		{NoDestination, "courses[1]", `["north"],"oak"`, `["north"],""`},
-		{NoDestination, "courses[0]", `[{"destination":"oak","share":90},{"destination":"elm","share":10}]`, `[]`},
+		{InvalidDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",0,`},
+		{InvalidDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",0.0,`},
+		{InvalidDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",-2,`},
+		{InvalidDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",1e999,`},
+		{InvalidDeadline, "courses[0].deadlineS", `"safe",2,`, `"safe",null,`},
+		{InvalidWeights, "courses[0].split[0].share", `"share":90`, `"share":-1`},
+		{InvalidWeights, "courses[0].split[0].share", `,"share":90`, ``},
+		{InvalidWeights, "courses[0].split", `"share":90},{"destination":"elm","share":10}`, `"share":0},{"destination":"elm","share":0.0}`},
+		{InvalidWeights, "courses[0].split", `"share":90},{"destination":"elm","share":10}`, `"share":1e308},{"destination":"elm","share":1e308}`},
+		{MissingDestination, "courses[1]", `["north"],"oak"`, `["north"],null`},
+		{MissingDestination, "courses[1]", `["north"],"oak"`, `["north"],""`},
+		{MissingDestination, "courses[0]", `[{"destination":"oak","share":90},{"destination":"elm","share":10}]`, `[]`},
 		{UnknownDestination, "courses[1].destination", `["north"],"oak"`, `["north"],"ash"`},
 		{UnknownDestination, "courses[0].destination", `[],null,7]`, `[],"ash",7]`},
 		{UnknownDestination, "courses[0].split[1].destination", `"elm","share":10`, `"ash","share":0`},
 		{UnknownDestination, "courses[0].split[0].destination", `"destination":"oak",`, ``},
 		{UnknownDestination, "courses[0].split[0].destination", `"destinations":{`, `"lost":{`},
-		{OddTries, "courses[0].tries", `2,false,[],null`, `0,false,[],null`},
-		{OddTries, "courses[0].tries", `2,false,[],null`, `-1e300,false,[],null`},
-		{OddQuota, "senders[0].ratePerS", `122`, `-1`},
-		{OddQuota, "senders[0].surge", `30,[]`, `-0.5,[]`},
-		{OddLimit, "sizeLimits.envelopeBytes", `8192`, `0`},
-		{OddLimit, "sizeLimits.bodyBytes", `1024.0`, `-1`},
-		{OddLimit, "sizeLimits.envelopeS", `"envelopeS":2`, `"envelopeS":0`},
-		{OddLimit, "sizeLimits.idleS", `0.5}`, `-0.5}`},
-		{OddNumber, "courses[0].targetS", `2,0.5,2`, `2,-0.5,2`},
-		{OddNumber, "destinations[0].berthCap", `"/well",110`, `"/well",-1`},
-		{OddNumber, "destinations[0].coldPerS", `10.0`, `1e999`},
+		{InvalidTries, "courses[0].tries", `2,false,[],null`, `0,false,[],null`},
+		{InvalidTries, "courses[0].tries", `2,false,[],null`, `-1e300,false,[],null`},
+		{InvalidQuota, "senders[0].ratePerS", `122`, `-1`},
+		{InvalidQuota, "senders[0].surge", `30,[]`, `-0.5,[]`},
+		{InvalidLimit, "sizeLimits.envelopeBytes", `8192`, `0`},
+		{InvalidLimit, "sizeLimits.bodyBytes", `1024.0`, `-1`},
+		{InvalidLimit, "sizeLimits.envelopeS", `"envelopeS":2`, `"envelopeS":0`},
+		{InvalidLimit, "sizeLimits.idleS", `0.5}`, `-0.5}`},
+		{InvalidNumber, "courses[0].targetS", `2,0.5,2`, `2,-0.5,2`},
+		{InvalidNumber, "destinations[0].berthCap", `"/well",110`, `"/well",-1`},
+		{InvalidNumber, "destinations[0].coldPerS", `10.0`, `1e999`},
 	} {
 		t.Run(fmt.Sprintf("%s %s %.30s", test.kind, test.path, test.to), func(t *testing.T) {
 			raw := replaceInValid(t, test.from, test.to)
@@ -249,13 +249,13 @@
 		kinds = append(kinds, fault.Kind)
 		assert.Assert(t, !strings.Contains(fault.Error(), "k1"), "the fault contains an API key")
 	}
-	assert.DeepEqual(t, kinds, []FaultKind{OddLimit, UnknownKind, OddDeadline, OddPrefix, SameKey})
+	assert.DeepEqual(t, kinds, []FaultKind{InvalidLimit, UnknownKind, InvalidDeadline, InvalidPrefix, DuplicateKey})
 }
 
 func TestCheckIgnoresUnknownDestinationsIfTheirTableIsUnreadable(t *testing.T) {
 	faults := Check(replaceInValid(t, `"destinations":{`, `"destinations":7,"lost":{`))
 	assert.Equal(t, len(faults), 1, "%v", faults)
-	assert.Equal(t, faults[0].Kind, OddTable)
+	assert.Equal(t, faults[0].Kind, InvalidTable)
 }
 
 // routesDocument returns a document with a course for each pattern, a domain followed by a path prefix.
@@ -304,9 +304,9 @@
 		{strings.Repeat("a", 999), "/", ""},
 	} {
 		got := ""
-		if course := table.Course([]byte(test.host), []byte(test.path)); course != nil {
+		if course := table.Route([]byte(test.host), []byte(test.path)); course != nil {
 			got = course.Name
-			assert.Equal(t, course, &table.Courses[course.Index])
+			assert.Equal(t, course, &table.Routes[course.Index])
 		}
 		assert.Equal(t, got, test.want, "%s%s", test.host, test.path)
 	}
@@ -328,14 +328,14 @@
 	for _, patterns := range [][]string{patterns, patterns[:minExactRoutes-1], append(patterns, "a.test/bare")} { // with byPrefix, and twice without it
 		table := mustParse(t, routesDocument(patterns...))
 		for _, path := range paths {
-			var want *Course
-			for i := range table.Courses {
-				c := &table.Courses[i]
+			var want *Route
+			for i := range table.Routes {
+				c := &table.Routes[i]
 				if strings.HasPrefix(path, c.Prefix) && (want == nil || len(c.Prefix) > len(want.Prefix)) {
 					want = c
 				}
 			}
-			assert.Equal(t, table.Course([]byte("a.test"), []byte(path)), want, path)
+			assert.Equal(t, table.Route([]byte("a.test"), []byte(path)), want, path)
 		}
 	}
 }
@@ -344,9 +344,9 @@
 	table := mustParse(t, replaceInValid(t, `["k3","k3"]`, `["k3","k3",""]`))
 	for key, want := range map[string]string{"k1": "t-one", "k2": "t-one", "k3": "t-two", "K3": "", "k": "", "": ""} {
 		got := ""
-		if s := table.Sender([]byte(key)); s != nil {
+		if s := table.TenantByKey([]byte(key)); s != nil {
 			got = s.Name
-			assert.Equal(t, s, &table.Senders[s.Index])
+			assert.Equal(t, s, &table.Tenants[s.Index])
 		}
 		assert.Equal(t, got, want, key)
 	}
@@ -356,22 +356,22 @@
 	table := mustParse(t, []byte(validDocument))
 	host, path, key := []byte("BIRCH.example:8080"), []byte("/a/b/c"), []byte("k3")
 	assert.Equal(t, testing.AllocsPerRun(100, func() {
-		table.Course(host, path)
-		table.Sender(key)
+		table.Route(host, path)
+		table.TenantByKey(key)
 	}), 0.0)
 	assert.Equal(t, string(host), "BIRCH.example:8080")
 }
 
 func TestParseEdition(t *testing.T) {
 	for _, text := range []string{"00000000", "0000000c", "fffffffe"} {
-		version, ok := ParseEdition(text)
+		version, ok := ParseVersion(text)
 		assert.Assert(t, ok)
-		assert.Equal(t, FormatEdition(version), text)
+		assert.Equal(t, FormatVersion(version), text)
 	}
-	version, ok := ParseEdition("0000ABcd")
+	version, ok := ParseVersion("0000ABcd")
 	assert.Assert(t, ok && version == 0xabcd)
 	for _, text := range []string{"", "c", "0x00000c", "0000_00c", "-000000c", "0000000 ", "0000000é"} {
-		_, ok := ParseEdition(text)
+		_, ok := ParseVersion(text)
 		assert.Assert(t, !ok, text)
 	}
 }
@@ -386,18 +386,18 @@
 		if err != nil {
 			return
 		}
-		for i := range table.Courses {
-			c, sum := &table.Courses[i], 0.0
+		for i := range table.Routes {
+			c, sum := &table.Routes[i], 0.0
 			for _, s := range c.Split {
 				assert.Assert(t, table.Destinations[s.Destination] != nil)
 				sum += s.Weight
 			}
-			assert.Assert(t, sum > 0 && c.Deadline > 0 && c.Tries >= 1 && c.Index == i)
-			assert.Equal(t, table.Course([]byte(c.Domain), []byte(c.Prefix)), c)
+			assert.Assert(t, sum > 0 && c.DeadlineS > 0 && c.MaxAttempts >= 1 && c.Index == i)
+			assert.Equal(t, table.Route([]byte(c.Domain), []byte(c.Prefix)), c)
 		}
-		for i := range table.Senders {
-			for _, key := range table.Senders[i].Passes {
-				assert.Assert(t, key == "" || table.Sender([]byte(key)) == &table.Senders[i])
+		for i := range table.Tenants {
+			for _, key := range table.Tenants[i].APIKeys {
+				assert.Assert(t, key == "" || table.TenantByKey([]byte(key)) == &table.Tenants[i])
 			}
 		}
 	})
--- a/internal/trial/capture.go
+++ b/internal/trial/capture.go
@@ -24,25 +24,25 @@
 	return total
 }
 
-// Captures measures a gateway with and without a capture, in interleaved runs, and then the size of the
+// MeasureCapture measures a gateway with and without a capture, in interleaved runs, and then the size of the
 // capture and the time it takes to read it, to replay it, and to explain one request from it. It
 // writes the results as Markdown.
-func Captures(ctx context.Context, options Options, out io.Writer) error {
+func MeasureCapture(ctx context.Context, options Options, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "foxwood-trial")
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	options.Dir = dir
+	options.WorkDir = dir
 	options.Transports = []string{"one-at-a-time", "one-at-a-time " + captureSuffix}
-	table, err := Transports(ctx, options)
+	table, err := CompareTransports(ctx, options)
 	if err != nil {
 		return err
 	}
 	if err := table.Write(out); err != nil {
 		return err
 	}
-	segments, err := capture.Find(filepath.Join(dir, captureSuffix))
+	segments, err := capture.FindSegments(filepath.Join(dir, captureSuffix))
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	key := capture.Key{}
 	requests, lastName := 0, ""
 	began := time.Now()
-	records := capture.NewSet(segments, &key)
+	records := capture.NewMultiReader(segments, &key)
 	defer records.Close()
 	err = records.Each(func(record *capturepb.Record) {
 		switch record.GetKind() {
@@ -65,7 +65,7 @@
 	}
 	readTime := time.Since(began)
 	recordCount := records.Records()
-	replaySet := capture.NewSet(segments, &key)
+	replaySet := capture.NewMultiReader(segments, &key)
 	defer replaySet.Close()
 	began = time.Now()
 	report, err := replay.Run(replaySet, &key, replay.Options{})
@@ -73,11 +73,11 @@
 		return err
 	}
 	replayTime := time.Since(began)
-	explainSet := capture.NewSet(segments, &key)
+	explainSet := capture.NewMultiReader(segments, &key)
 	defer explainSet.Close()
 	began = time.Now()
-	if p, ok := capture.Locate(segments, lastName); ok {
-		explainSet.Skip(p)
+	if p, ok := capture.LocateRequest(segments, lastName); ok {
+		explainSet.StartAt(p)
 	}
 	if err := replay.Explain(io.Discard, explainSet, &key, lastName); err != nil {
 		return err
@@ -99,6 +99,6 @@
 | explaining the last request, by index and checkpoint | %.2f s |
 `, requests, recordCount, float64(size)/float64(max(recordCount, 1)), float64(size)/float64(max(requests, 1)),
 		float64(size)/float64(max(requests, 1)), float64(recordCount)/readTime.Seconds(), float64(report.Calls)/replayTime.Seconds(),
-		capturedSeconds/replayTime.Seconds(), report.Lives, len(report.Differences), explainTime.Seconds())
+		capturedSeconds/replayTime.Seconds(), report.Runs, len(report.Differences), explainTime.Seconds())
 	return err
 }
--- a/internal/trial/counters.go
+++ b/internal/trial/counters.go
@@ -13,13 +13,13 @@
 	"foxwood/policy"
 )
 
-// Counters measures, in simulated time, how well several gateways enforce the customers' quotas while
+// CounterFaults measures, in simulated time, how well several gateways enforce the customers' quotas while
 // the counter that they share is slow, silent, partitioned or replaced: units sent on beyond quotas and
 // ceilings, and units refused although the quota had them.
-type Counters struct {
-	Runs  int    // runs of each scenario
-	Seed  uint64 // of the first run; each further run adds 1
-	Gates int    // number of gateways; 0 means 4
+type CounterFaults struct {
+	Runs     int    // runs of each scenario
+	Seed     uint64 // of the first run; each further run adds 1
+	Gateways int    // number of gateways; 0 means 4
 }
 
 const (
@@ -42,10 +42,10 @@
 // counterSettings returns the gateways' settings: the plan basico without a ceiling, and the plan mayor.
 func counterSettings(gateways int, withCounter bool) policy.Settings {
 	settings := simSettings()
-	settings.Gateways, settings.Counter, settings.CounterTimeout = gateways, withCounter, 50e3
+	settings.GatewayCount, settings.HasCounter, settings.CounterTimeout = gateways, withCounter, 50e3
 	mayor := settings.Plans[0]
 	mayor.Price = 2
-	settings.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}, mayor}
+	settings.Plans = []policy.Plan{{Rate: 4, Burst: 12, Price: 1, OverrunCost: 1}, mayor}
 	return settings
 }
 
@@ -169,29 +169,29 @@
 	gateway := &simGateway{sim: w, index: index}
 	w.gateways[index] = gateway
 	settings := w.settings
-	settings.Self = index
+	settings.Index = index
 	w.sequence++
-	gateway.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: w.seed<<20 + uint64(w.sequence)*2 + 1, Clock: w.clock, Fleet: gateway, Counter: gateway,
-		Wake: func(atMs float64) {
+	gateway.Gatekeeper = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: w.seed<<20 + uint64(w.sequence)*2 + 1, Clock: w.clock, Workers: gateway, Counter: gateway,
+		RequestWakeUp: func(atMs float64) {
 			w.schedule(atMs, func() {
 				if !gateway.dead {
-					gateway.Advance()
+					gateway.RunDueTimers()
 				}
 			})
 		}})
-	gateway.Workers(policy.FullList, simWorkers())
+	gateway.UpdateWorkers(policy.FullList, simWorkers())
 }
 
 // Execute simulates a request sent to a worker. From then on its units are spent.
 func (g *simGateway) Execute(execution *gatekeeper.Execution) {
 	sim, sender := g.sim, g.sim.customers[execution.Request.Customer]
 	sim.executions++
-	now, units := sim.clock.Now(), execution.Request.Units
+	now, units := sim.clock.Now(), execution.Request.EstimatedUnits
 	sender.quota.overdraw(now, units, &sender.worstOverQuota)
 	sender.ceiling.overdraw(now, units, &sender.worstOverCeiling)
 	sim.schedule(now+meanServiceMs*sim.random.ExpFloat64(), func() {
 		if !g.dead {
-			g.Done(execution, gatekeeper.Outcome{Status: policy.OK})
+			g.ExecutionEnded(execution, gatekeeper.Outcome{Status: policy.OK})
 		}
 	})
 }
@@ -206,29 +206,29 @@
 // Throttled counts the units of a refused request if its quota had them.
 func (g *simGateway) Throttled(refused *gatekeeper.Request, _ float64) {
 	sender := g.sim.customers[refused.Customer]
-	if sender.quota.refill(g.sim.clock.Now()); sender.quota.tokens >= refused.Units {
-		sender.wronglyRefused += refused.Units
+	if sender.quota.refill(g.sim.clock.Now()); sender.quota.tokens >= refused.EstimatedUnits {
+		sender.wronglyRefused += refused.EstimatedUnits
 	}
 }
 
 // Add calls the counter. The lower half of the gateways reach one side of it, the upper half the other,
 // which matters while it is partitioned.
-func (g *simGateway) Add(call *gatekeeper.Count) {
+func (g *simGateway) Add(call *gatekeeper.CounterCall) {
 	sim := g.sim
 	sim.counterCalls++
-	answer := sim.counter.Call(sim.clock.Now(), g.index*2/len(sim.gateways), strconv.FormatUint(call.Name, 16), call.Amount, call.Life)
-	if answer.Heard == emulator.Nothing {
+	answer := sim.counter.Call(sim.clock.Now(), g.index*2/len(sim.gateways), strconv.FormatUint(call.Name, 16), call.Amount, call.TTL)
+	if answer.Outcome == emulator.NoResponse {
 		return // the gateway times the call out by itself
 	}
-	sim.schedule(answer.At, func() {
+	sim.schedule(answer.AtMS, func() {
 		switch {
 		case g.dead:
-		case answer.Heard == emulator.Added:
-			g.Counted(call, policy.OK, answer.Total)
-		case answer.Heard == emulator.TurnedAway:
-			g.Counted(call, policy.Full, 0)
+		case answer.Outcome == emulator.Added:
+			g.CounterCallEnded(call, policy.OK, answer.Total)
+		case answer.Outcome == emulator.Refused:
+			g.CounterCallEnded(call, policy.Full, 0)
 		default:
-			g.Counted(call, policy.Reset, 0)
+			g.CounterCallEnded(call, policy.Reset, 0)
 		}
 	})
 }
@@ -251,7 +251,7 @@
 		}
 		sender.askedUnits += units
 		gateway := w.gateways[receiver]
-		gateway.Take(&gatekeeper.Request{Customer: uint64(index), Plan: sender.plan, Left: 2000, Units: units, Spread: len(w.gateways), Caller: gateway})
+		gateway.Submit(&gatekeeper.Request{Customer: uint64(index), Plan: sender.plan, TimeLeft: 2000, EstimatedUnits: units, GatekeeperCount: len(w.gateways), Responder: gateway})
 		w.scheduleRequests(index, endMs)
 	})
 }
@@ -269,13 +269,13 @@
 }
 
 // gatewayCount returns the number of gateways.
-func (o *Counters) gatewayCount() int { return cmp.Or(o.Gates, 4) }
+func (o *CounterFaults) gatewayCount() int { return cmp.Or(o.Gateways, 4) }
 
 // simulate simulates one run of a scenario.
-func (o *Counters) simulate(scenario counterScenario, run int) (counterResult, error) {
+func (o *CounterFaults) simulate(scenario counterScenario, run int) (counterResult, error) {
 	seed, gatewayCount := o.Seed+uint64(run), o.gatewayCount()
 	sim := &counterSim{settings: counterSettings(gatewayCount, !scenario.noCounter), clock: gatekeeper.NewClock(), random: rand.New(rand.NewPCG(seed, 3)), seed: seed,
-		counter: emulator.NewCounter(emulator.CounterConfig{Each: counterCallMs, Queue: counterQueueMs, Seed: seed}), gateways: make([]*simGateway, gatewayCount)}
+		counter: emulator.NewCounter(emulator.CounterConfig{ServiceTimeMS: counterCallMs, MaxQueueMS: counterQueueMs, Seed: seed}), gateways: make([]*simGateway, gatewayCount)}
 	sim.clock.Set(simStartMs)
 	for _, group := range []struct {
 		size, plan    int
@@ -298,8 +298,8 @@
 		}
 		events = append(events, parsed)
 	}
-	for _, moment := range emulator.Moments(events) {
-		sim.schedule(simStartMs+moment.At, func() { moment.Do(sim.counter) })
+	for _, moment := range emulator.CounterChanges(events) {
+		sim.schedule(simStartMs+moment.AtMS, func() { moment.Apply(sim.counter) })
 	}
 	for index := range gatewayCount {
 		sim.startGateway(index)
@@ -342,8 +342,8 @@
 }
 
 // Write simulates all scenarios and writes the results as a Markdown table.
-func (o *Counters) Write(out io.Writer) error {
-	slack := counterSettings(o.gatewayCount(), true).Plans[planMayor].CeilingSlack
+func (o *CounterFaults) Write(out io.Writer) error {
+	slack := counterSettings(o.gatewayCount(), true).Plans[planMayor].CeilingTolerance
 	fmt.Fprintf(out, `%d runs of %.0f s of simulated time each, of %d gatekeepers; the trouble lasts from 10 s to 40 s. One mayor bank asks for
 7.1 times its quota, two of basico for 4 times, twelve stay inside theirs; %.0f%% of a bank's requests come to one gatekeeper,
 another every %.0f s. Units beyond quota and ceiling are at the worst moment, over rate and burst; the ceiling's slack is %g.
--- a/internal/trial/counters_test.go
+++ b/internal/trial/counters_test.go
@@ -14,12 +14,12 @@
 			if !scenario.restarts || gateways > 4 && !strings.HasPrefix(scenario.name, "replaced") { // the other scenarios take long with 24 gateways and cover nothing more
 				continue
 			}
-			counters := Counters{Seed: 7, Gates: gateways}
+			counters := CounterFaults{Seed: 7, Gateways: gateways}
 			got, err := counters.simulate(scenario, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			slack := counterSettings(gateways, true).Plans[planMayor].CeilingSlack
+			slack := counterSettings(gateways, true).Plans[planMayor].CeilingTolerance
 			if got.overCeiling > slack {
 				t.Errorf("%d gateways, %s: %.1f units beyond the ceiling, slack %g", gateways, scenario.name, got.overCeiling, slack)
 			}
--- a/internal/trial/events.go
+++ b/internal/trial/events.go
@@ -18,14 +18,14 @@
 	"foxwood/policy"
 )
 
-// Events measures the cost of writing a capture to the gateway's event loop alone, in simulated time and without
+// CaptureOverhead measures the cost of writing a capture to the gateway's event loop alone, in simulated time and without
 // a network. On a shared machine the CPU time of whole processes varies more from run to run than a
 // capture costs.
-type Events struct {
-	Runs     int    // runs with and runs without a capture, interleaved
-	Requests int    // requests of a run
-	Large    int    // requests in the large capture, from which some are explained
-	Seed     uint64 // of the first run; each further run adds 1
+type CaptureOverhead struct {
+	Runs          int    // runs with and runs without a capture, interleaved
+	Requests      int    // requests of a run
+	LargeRequests int    // requests in the large capture, from which some are explained
+	Seed          uint64 // of the first run; each further run adds 1
 }
 
 const (
@@ -67,20 +67,23 @@
 	if err != nil {
 		return 0, err
 	}
-	b.gateway = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: seed, Clock: b.clock, Fleet: b, Counter: b,
-		Wake: func(float64) {}, Recorder: recorder})
-	b.gateway.Workers(policy.FullList, simWorkers())
+	b.gateway = gatekeeper.New(gatekeeper.Config{Settings: settings, Seed: seed, Clock: b.clock, Workers: b, Counter: b,
+		RequestWakeUp: func(float64) {}, Recorder: recorder})
+	b.gateway.UpdateWorkers(policy.FullList, simWorkers())
 	for atMs, i := simStartMs, 0; i < n; i++ {
 		atMs += 1000 / requestsPerSecond * random.ExpFloat64()
 		for len(b.pending) > 0 && b.pending[0].doneAtMs <= atMs {
 			answered := b.pending[0]
 			b.pending = b.pending[1:]
 			b.clock.Set(answered.doneAtMs)
-			b.timeCall(func() { b.gateway.Advance(); b.gateway.Done(answered.execution, gatekeeper.Outcome{Status: policy.OK}) })
+			b.timeCall(func() {
+				b.gateway.RunDueTimers()
+				b.gateway.ExecutionEnded(answered.execution, gatekeeper.Outcome{Status: policy.OK})
+			})
 		}
 		b.clock.Set(atMs)
-		request := &gatekeeper.Request{Name: requestName(i), Customer: random.Uint64N(customerCount), Left: 2000, Units: 1, Spread: 1, Caller: b}
-		b.timeCall(func() { b.gateway.Advance(); b.gateway.Take(request) })
+		request := &gatekeeper.Request{Name: requestName(i), Customer: random.Uint64N(customerCount), TimeLeft: 2000, EstimatedUnits: 1, GatekeeperCount: 1, Responder: b}
+		b.timeCall(func() { b.gateway.RunDueTimers(); b.gateway.Submit(request) })
 	}
 	after, err := processCPUTime()
 	return after - before, err
@@ -99,7 +102,7 @@
 }
 
 // Write measures the cost of a capture, and then the use of a large capture, and writes the results as Markdown.
-func (o *Events) Write(out io.Writer) error {
+func (o *CaptureOverhead) Write(out io.Writer) error {
 	dir, err := os.MkdirTemp("", "foxwood-trial")
 	if err != nil {
 		return fmt.Errorf("trial: %w", err)
@@ -107,7 +110,7 @@
 	defer os.RemoveAll(dir)
 	records := uint64(0)
 	runCaptured := func(folder string, n int, seed uint64) (*loopBench, time.Duration, error) {
-		writer, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: seed + 1, KeptMost: 8 << 30})
+		writer, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n", RunID: seed + 1, MaxTotalBytes: 8 << 30})
 		if err != nil {
 			return nil, 0, err
 		}
@@ -156,15 +159,15 @@
 
 // measureLargeCapture writes a large capture and measures how long it takes to explain single requests from it, found
 // by index and checkpoint, and to replay all of it.
-func (o *Events) measureLargeCapture(out io.Writer, dir string, runCaptured func(string, int, uint64) (*loopBench, time.Duration, error)) error {
+func (o *CaptureOverhead) measureLargeCapture(out io.Writer, dir string, runCaptured func(string, int, uint64) (*loopBench, time.Duration, error)) error {
 	folder := filepath.Join(dir, "large")
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		return fmt.Errorf("trial: %w", err)
 	}
-	if _, _, err := runCaptured(folder, o.Large, o.Seed); err != nil {
+	if _, _, err := runCaptured(folder, o.LargeRequests, o.Seed); err != nil {
 		return err
 	}
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		return err
 	}
@@ -172,11 +175,11 @@
 	random := rand.New(rand.NewPCG(o.Seed, 2))
 	var explainSeconds []float64
 	for range 9 {
-		name := requestName(random.IntN(o.Large))
+		name := requestName(random.IntN(o.LargeRequests))
 		began := time.Now()
-		explainSet := capture.NewSet(segments, &key)
-		if p, ok := capture.Locate(segments, name); ok {
-			explainSet.Skip(p)
+		explainSet := capture.NewMultiReader(segments, &key)
+		if p, ok := capture.LocateRequest(segments, name); ok {
+			explainSet.StartAt(p)
 		}
 		err := replay.Explain(io.Discard, explainSet, &key, name)
 		explainSet.Close()
@@ -185,7 +188,7 @@
 		}
 		explainSeconds = append(explainSeconds, time.Since(began).Seconds())
 	}
-	replaySet := capture.NewSet(segments, &key)
+	replaySet := capture.NewMultiReader(segments, &key)
 	defer replaySet.Close()
 	began := time.Now()
 	report, err := replay.Run(replaySet, &key, replay.Options{})
--- a/internal/trial/proxy.go
+++ b/internal/trial/proxy.go
@@ -14,9 +14,9 @@
 // connections are closed before the next target is measured.
 const idleTimeout = 500 * time.Millisecond
 
-// Proxy serves the baseline of the comparison of transports: the standard library's ReverseProxy, which sends to
+// ServeReverseProxy serves the baseline of the comparison of transports: the standard library's ReverseProxy, which sends to
 // the workers in turn.
-func Proxy(listen string, workers []string) error {
+func ServeReverseProxy(listen string, workers []string) error {
 	var next atomic.Uint64
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
--- a/internal/trial/restarts.go
+++ b/internal/trial/restarts.go
@@ -20,9 +20,9 @@
 // its capture): units sent beyond the ceiling and the quota, counted across the restart, and units
 // refused although the quota had them.
 type Restarts struct {
-	Lives int     // number of simulated restarts
-	Seed  uint64  // of the customers' requests
-	Down  float64 // milliseconds between the kill and the restart
+	Count      int     // number of simulated restarts
+	Seed       uint64  // of the customers' requests
+	DowntimeMs float64 // milliseconds between the kill and the restart
 }
 
 // restartResult is the result of one restart, in units of the quota.
@@ -41,9 +41,9 @@
 
 // simSettings returns the settings of a single gateway with one plan that has a quota and a ceiling.
 func simSettings() policy.Settings {
-	return policy.Settings{Gateways: 1, Tick: 4000, MaxAttempts: 2, Cancel: true, RetryAfter: true, Largest: 3,
-		Classes: []policy.Class{{Aim: 400e3, Deadline: 2e6, Worth: 1}},
-		Plans:   []policy.Plan{{Rate: 19, Burst: 28, Price: 1, OverCost: 1, CeilingRate: 35, CeilingBurst: 53, CeilingSlack: 6}}}
+	return policy.Settings{GatewayCount: 1, ClockTick: 4000, MaxAttempts: 2, CanCancel: true, SendRetryAfter: true, MaxUnits: 3,
+		Classes: []policy.Class{{LatencyTarget: 400e3, Deadline: 2e6, Value: 1}},
+		Plans:   []policy.Plan{{Rate: 19, Burst: 28, Price: 1, OverrunCost: 1, CeilingRate: 35, CeilingBurst: 53, CeilingTolerance: 6}}}
 }
 
 // simWorkers returns three workers that are ready.
@@ -61,7 +61,7 @@
 func (noopEnvironment) Release(policy.Server) {}
 
 // Add never answers a call of the counter.
-func (noopEnvironment) Add(*gatekeeper.Count) {}
+func (noopEnvironment) Add(*gatekeeper.CounterCall) {}
 
 // Served ignores an answer.
 func (noopEnvironment) Served(*gatekeeper.Request, gatekeeper.Answer) {}
@@ -118,11 +118,11 @@
 func (w *restartSim) Execute(execution *gatekeeper.Execution) {
 	customer := execution.Request.Customer
 	ceiling := &w.ceilings[customer]
-	if !w.quotas[customer].take(w.clock.Now(), execution.Request.Units) && w.measuring {
-		w.result.overQuota += execution.Request.Units
+	if !w.quotas[customer].take(w.clock.Now(), execution.Request.EstimatedUnits) && w.measuring {
+		w.result.overQuota += execution.Request.EstimatedUnits
 	}
 	ceiling.refill(w.clock.Now())
-	if ceiling.tokens -= execution.Request.Units; ceiling.tokens < 0 && w.measuring {
+	if ceiling.tokens -= execution.Request.EstimatedUnits; ceiling.tokens < 0 && w.measuring {
 		w.result.overCeiling = max(w.result.overCeiling, -ceiling.tokens)
 	}
 	w.pending = append(w.pending, pendingExecution{execution, w.clock.Now() + 20 + 20*w.random.ExpFloat64()})
@@ -130,29 +130,29 @@
 
 // Throttled counts the units of a refused request if its quota had them.
 func (w *restartSim) Throttled(refused *gatekeeper.Request, _ float64) {
-	if w.quotas[refused.Customer].take(w.clock.Now(), refused.Units) && w.measuring {
-		w.result.wronglyRefused += refused.Units
+	if w.quotas[refused.Customer].take(w.clock.Now(), refused.EstimatedUnits) && w.measuring {
+		w.result.wronglyRefused += refused.EstimatedUnits
 	}
 }
 
 // startGateway starts a gateway, from an earlier state if one is given.
-func (w *restartSim) startGateway(recorder gatekeeper.Recorder, earlier *gatekeeper.Earlier, seed uint64) {
+func (w *restartSim) startGateway(recorder gatekeeper.Recorder, earlier *gatekeeper.PreviousProcess, seed uint64) {
 	w.pending = nil
-	w.gateway = gatekeeper.New(gatekeeper.Config{Settings: simSettings(), Seed: seed, Clock: w.clock, Fleet: w, Counter: w,
-		Wake: func(float64) {}, Recorder: recorder, Earlier: earlier})
-	w.gateway.Workers(policy.FullList, simWorkers())
+	w.gateway = gatekeeper.New(gatekeeper.Config{Settings: simSettings(), Seed: seed, Clock: w.clock, Workers: w, Counter: w,
+		RequestWakeUp: func(float64) {}, Recorder: recorder, Previous: earlier})
+	w.gateway.UpdateWorkers(policy.FullList, simWorkers())
 }
 
 // runFor simulates the given number of milliseconds.
 func (w *restartSim) runFor(ms float64) {
 	for end := w.clock.Now() + ms; w.clock.Now() < end; {
 		w.clock.Set(w.clock.Now() + simStepMs)
-		w.gateway.Advance()
+		w.gateway.RunDueTimers()
 		slices.SortStableFunc(w.pending, func(a, b pendingExecution) int { return cmp.Compare(a.doneAtMs, b.doneAtMs) })
 		for len(w.pending) > 0 && w.pending[0].doneAtMs <= w.clock.Now() {
 			execution := w.pending[0].execution
 			w.pending = w.pending[1:]
-			w.gateway.Done(execution, gatekeeper.Outcome{Status: policy.OK})
+			w.gateway.ExecutionEnded(execution, gatekeeper.Outcome{Status: policy.OK})
 		}
 		for i, rate := range askedRates {
 			units := 1 + 2*w.random.Float64()
@@ -160,7 +160,7 @@
 				if w.measuring {
 					w.result.askedUnits += units
 				}
-				w.gateway.Take(&gatekeeper.Request{Customer: uint64(i), Left: 2000, Units: units, Spread: 1, Caller: w})
+				w.gateway.Submit(&gatekeeper.Request{Customer: uint64(i), TimeLeft: 2000, EstimatedUnits: units, GatekeeperCount: 1, Responder: w})
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 		sim.quotas[i] = tokenBucket{19, 28, 28, simStartMs}
 		sim.ceilings[i] = tokenBucket{35, 53, 53, simStartMs}
 	}
-	recorder, err := capture.NewWriter(capture.Options{Patient: true, Folder: folder, Name: "n", Life: seed + 1, CheckpointEvery: 2 * time.Second})
+	recorder, err := capture.NewWriter(capture.WriterOptions{WaitForDisk: true, Folder: folder, Name: "n", RunID: seed + 1, CheckpointEvery: 2 * time.Second})
 	if err != nil {
 		return restartResult{}, err
 	}
@@ -204,13 +204,13 @@
 		return sim.result, nil
 	}
 	recorder.Close()
-	var earlier *gatekeeper.Earlier
+	var earlier *gatekeeper.PreviousProcess
 	if mode == startWarm {
 		if earlier, err = restoreAfterKill(folder); err != nil {
 			return restartResult{}, err
 		}
 	}
-	sim.clock.Set(sim.clock.Now() + o.Down)
+	sim.clock.Set(sim.clock.Now() + o.DowntimeMs)
 	sim.measuring = true
 	sim.startGateway(nil, earlier, seed+1)
 	sim.runFor(measuredMs)
@@ -218,7 +218,7 @@
 }
 
 // restoreAfterKill cuts off the last block of a capture, as a kill does, and returns the state restored from the rest.
-func restoreAfterKill(folder string) (*gatekeeper.Earlier, error) {
+func restoreAfterKill(folder string) (*gatekeeper.PreviousProcess, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.fcap"))
 	if err != nil || len(files) == 0 {
 		return nil, fmt.Errorf("trial: expected capture files (*.fcap), found none: %w", err)
@@ -232,22 +232,22 @@
 	if err := os.Truncate(last, offsets[len(offsets)-1]+1); err != nil {
 		return nil, fmt.Errorf("trial: %w", err)
 	}
-	segments, err := capture.Find(folder)
+	segments, err := capture.FindSegments(folder)
 	if err != nil {
 		return nil, err
 	}
 	key := capture.Key{}
-	records := capture.NewSet(segments, &key)
+	records := capture.NewMultiReader(segments, &key)
 	defer records.Close()
 	report, err := replay.Run(records, &key, replay.Options{})
 	if err != nil {
 		return nil, err
 	}
 	gateway, ok := report.Module.(*policy.Gateway)
-	if !ok || report.Ended {
-		return nil, fmt.Errorf("trial: expected the replay of a gateway whose capture was cut off, got %T, capture complete %v: %v", report.Module, report.Ended, report.Notes)
+	if !ok || report.Complete {
+		return nil, fmt.Errorf("trial: expected the replay of a gateway whose capture was cut off, got %T, capture complete %v: %v", report.Module, report.Complete, report.Notes)
 	}
-	return &gatekeeper.Earlier{State: gateway.Snapshot()}, nil
+	return &gatekeeper.PreviousProcess{State: gateway.Snapshot()}, nil
 }
 
 // Write simulates all restarts and writes the results as a Markdown table.
@@ -260,10 +260,10 @@
 
 | start | over the ceiling, units: median | worst | sent beyond the quota, %% of what was asked: median | p99 | refused though the quota had them, %%: median | p99 |
 | --- | ---: | ---: | ---: | ---: | ---: | ---: |
-`, o.Lives, o.Down)
+`, o.Count, o.DowntimeMs)
 	for _, mode := range []startMode{startCold, startWarm, neverKilled} {
 		var overCeiling, overQuota, refused []float64
-		for i := range o.Lives {
+		for i := range o.Count {
 			result, err := o.simulate(uint64(i), mode)
 			if err != nil {
 				return err
--- a/internal/trial/restarts_test.go
+++ b/internal/trial/restarts_test.go
@@ -7,7 +7,7 @@
 // test checks that the measurement shows it. A wrongly refused unit counts once: a bucket that stays a little
 // fuller than the gateway believes is not counted anew with each request.
 func TestWarmRestartKeepsQuotas(t *testing.T) {
-	restarts := Restarts{Lives: 1, Seed: 1, Down: 300}
+	restarts := Restarts{Count: 1, Seed: 1, DowntimeMs: 300}
 	var overQuota, refused [neverKilled + 1][]float64
 	for seed := range uint64(9) {
 		for mode := range neverKilled + 1 {
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -31,7 +31,7 @@
 func (o *measurement) requestCount() int {
 	count := 0
 	for _, c := range o.result.Classes {
-		for _, outcomeCount := range c.Ends {
+		for _, outcomeCount := range c.Outcomes {
 			count += outcomeCount
 		}
 	}
@@ -81,9 +81,9 @@
 		"machine of %d cores that also held the emulated workers and the load's sender. Latency is of served requests\n"+
 		"from the intended send time, in ms.\n"+
 		"Each figure is the median over the runs; behind ± is the distance of the quartiles. The worst run's p99.9 stands apart.\n",
-		t.Options.Runs, t.Options.For, t.Options.Settle, t.Options.Seed, runtime.NumCPU())
+		t.Options.Runs, t.Options.RunDuration, t.Options.WarmUp, t.Options.Seed, runtime.NumCPU())
 	for _, fleet := range t.Options.Fleets {
-		for _, loadFraction := range t.Options.Loads {
+		for _, loadFraction := range t.Options.LoadFractions {
 			fmt.Fprintf(&b, "\n### %s service times, %.0f%% of capacity (%.0f requests a second)\n\n", fleet.Name, loadFraction*100, loadFraction*fleet.Capacity())
 			b.WriteString("| transport | cuota p50 | p99 | p99.9 | worst | simulacion p99.9 | served % | links | CPU µs a request | calls a request | MB | sender p99.9 late, behind |\n")
 			b.WriteString("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
@@ -116,7 +116,7 @@
 	served, _ := medianAndSpread(runs, func(run *measurement) float64 {
 		servedCount := 0
 		for _, c := range run.result.Classes {
-			servedCount += c.Ends[load.Served]
+			servedCount += c.Outcomes[load.Served]
 		}
 		return 100 * float64(servedCount) / float64(max(run.requestCount(), 1))
 	})
@@ -128,11 +128,11 @@
 	rss, _ := medianAndSpread(runs, func(run *measurement) float64 { return float64(run.rssBytes) / (1 << 20) })
 	behind := 0
 	for _, r := range runs {
-		if r.result.Behind {
+		if r.result.FellBehind {
 			behind++
 		}
 	}
-	senderLag, _ := medianAndSpread(runs, func(run *measurement) float64 { return ms(run.result.Lag.ValueAtQuantile(99.9)) })
+	senderLag, _ := medianAndSpread(runs, func(run *measurement) float64 { return ms(run.result.SendLag.ValueAtQuantile(99.9)) })
 	fmt.Fprintf(b, "| %s | %.2f | %.2f | %.2f ± %.2f | %.2f | %.2f | %.2f | %.0f | %.0f ± %.0f | %.2f | %.0f | %.2f, %d of %d |\n", name,
 		p50, p99, p999, p999Spread, worst, otherP999, served, connections, cpu, cpuSpread, syscalls, rss, senderLag, behind, len(runs))
 }
--- a/internal/trial/transports.go
+++ b/internal/trial/transports.go
@@ -24,24 +24,24 @@
 
 // ServiceClass is a class of requests and the distribution of its service times.
 type ServiceClass struct {
-	Name  string
-	Part  float64       // share of the requests, relative to the other classes
-	Mean  time.Duration // mean service time
-	CV    float64       // coefficient of variation of the service time
-	Keyed bool          // unsafe requests, made repeatable by a key
-	Aim   time.Duration // target latency
+	Name            string
+	Share           float64       // share of the requests, relative to the other classes
+	MeanServiceTime time.Duration // mean service time
+	ServiceTimeCV   float64       // coefficient of variation of the service time
+	Keyed           bool          // unsafe requests, made repeatable by a key
+	LatencyTarget   time.Duration // target latency
 }
 
-// Fleets returns the two fleets with which transports are compared: one with service times of 1 to 5 ms, and one with
+// DefaultFleets returns the two fleets with which transports are compared: one with service times of 1 to 5 ms, and one with
 // the service times of the request classes cuota and simulacion at the production site.
-func Fleets() []Fleet {
+func DefaultFleets() []Fleet {
 	return []Fleet{
 		{Name: "short", Workers: 4, Cores: 2, Classes: []ServiceClass{
-			{Name: "cuota", Part: 0.8, Mean: 2 * time.Millisecond, CV: 0.4, Aim: 400 * time.Millisecond},
-			{Name: "simulacion", Part: 0.2, Mean: 4 * time.Millisecond, CV: 0.4, Keyed: true, Aim: 750 * time.Millisecond}}},
+			{Name: "cuota", Share: 0.8, MeanServiceTime: 2 * time.Millisecond, ServiceTimeCV: 0.4, LatencyTarget: 400 * time.Millisecond},
+			{Name: "simulacion", Share: 0.2, MeanServiceTime: 4 * time.Millisecond, ServiceTimeCV: 0.4, Keyed: true, LatencyTarget: 750 * time.Millisecond}}},
 		{Name: "site", Workers: 24, Cores: 2, Classes: []ServiceClass{
-			{Name: "cuota", Part: 0.8, Mean: 53 * time.Millisecond, CV: 0.9, Aim: 400 * time.Millisecond},
-			{Name: "simulacion", Part: 0.2, Mean: 87 * time.Millisecond, CV: 0.9, Keyed: true, Aim: 750 * time.Millisecond}}},
+			{Name: "cuota", Share: 0.8, MeanServiceTime: 53 * time.Millisecond, ServiceTimeCV: 0.9, LatencyTarget: 400 * time.Millisecond},
+			{Name: "simulacion", Share: 0.2, MeanServiceTime: 87 * time.Millisecond, ServiceTimeCV: 0.9, Keyed: true, LatencyTarget: 750 * time.Millisecond}}},
 	}
 }
 
@@ -49,8 +49,8 @@
 func (f *Fleet) Capacity() float64 {
 	mean, parts := 0.0, 0.0
 	for _, c := range f.Classes {
-		mean += c.Part * c.Mean.Seconds()
-		parts += c.Part
+		mean += c.Share * c.MeanServiceTime.Seconds()
+		parts += c.Share
 	}
 	return float64(f.Workers*f.Cores) / (mean / parts)
 }
@@ -63,7 +63,7 @@
 	args := []string{"emulate", "worker", "--workers", fmt.Sprint(f.Workers), "--cores", fmt.Sprint(f.Cores), "--queue", "400",
 		"--window", (2 * requestDeadline).String(), "--streams", "1000"}
 	for _, c := range f.Classes {
-		args = append(args, "--service", fmt.Sprintf("%s=%s/%g", c.Name, c.Mean, c.CV))
+		args = append(args, "--service", fmt.Sprintf("%s=%s/%g", c.Name, c.MeanServiceTime, c.ServiceTimeCV))
 	}
 	process, err := startSelf(nil, args...)
 	if err != nil {
@@ -91,7 +91,7 @@
 		if c.Keyed {
 			repeat = fmt.Sprintf("repeat = \"keyed\"\n  window_ms = %d", (2 * requestDeadline).Milliseconds())
 		}
-		fmt.Fprintf(&b, "class %q {\n  aim_ms = %d\n  deadline_ms = %d\n  %s\n}\n", c.Name, c.Aim.Milliseconds(), requestDeadline.Milliseconds(), repeat)
+		fmt.Fprintf(&b, "class %q {\n  aim_ms = %d\n  deadline_ms = %d\n  %s\n}\n", c.Name, c.LatencyTarget.Milliseconds(), requestDeadline.Milliseconds(), repeat)
 	}
 	kind, poolSettings := splitTransport(transport)
 	fmt.Fprintf(&b, "pool \"fleet\" {\n  transport = %q\n  idle_ms = 1000\n%s", kind, poolSettings)
@@ -175,20 +175,20 @@
 
 // Options sets what a comparison of transports measures, and for how long.
 type Options struct {
-	Fleets     []Fleet
-	Transports []string
-	Loads      []float64     // fractions of the capacity
-	Runs       int           // runs of each transport at each load
-	For        time.Duration // length of a run
-	Settle     time.Duration // part of a run at its start that is not counted
-	Seed       uint64        // of the first run's arrivals; each further run adds 1
-	Progress   io.Writer     // receives a line for each run
-	Dir        string        // folder for configurations and files of the targets; empty means a temporary one
+	Fleets        []Fleet
+	Transports    []string
+	LoadFractions []float64     // fractions of the capacity
+	Runs          int           // runs of each transport at each load
+	RunDuration   time.Duration // length of a run
+	WarmUp        time.Duration // part of a run at its start that is not counted
+	Seed          uint64        // of the first run's arrivals; each further run adds 1
+	Progress      io.Writer     // receives a line for each run
+	WorkDir       string        // folder for configurations and files of the targets; empty means a temporary one
 }
 
-// Transports compares transports on the same arrivals. The runs are interleaved: each run measures every transport
+// CompareTransports compares transports on the same arrivals. The runs are interleaved: each run measures every transport
 // once at each load, in turn.
-func Transports(ctx context.Context, options Options) (*Table, error) {
+func CompareTransports(ctx context.Context, options Options) (*Table, error) {
 	table := &Table{Options: options}
 	for _, fleet := range options.Fleets {
 		if err := fleet.measure(ctx, options, table); err != nil {
@@ -200,7 +200,7 @@
 
 // measure measures all transports with this fleet and adds the results to the table.
 func (f *Fleet) measure(ctx context.Context, options Options, table *Table) error {
-	dir := options.Dir
+	dir := options.WorkDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "foxwood-trial"); err != nil {
@@ -232,14 +232,14 @@
 	}
 	capacity := f.Capacity()
 	warmUp := options
-	warmUp.For, warmUp.Settle = time.Second, time.Second/2
+	warmUp.RunDuration, warmUp.WarmUp = time.Second, time.Second/2
 	for i := range targets { // warm each process up: first requests are slow
 		if _, err := targets[i].measure(ctx, f.loadPlan(warmUp, capacity/2, options.Seed), ports); err != nil {
 			return err
 		}
 	}
 	for run := range options.Runs {
-		for _, loadFraction := range options.Loads {
+		for _, loadFraction := range options.LoadFractions {
 			plan := f.loadPlan(options, loadFraction*capacity, options.Seed+uint64(run))
 			for i := range targets {
 				current := &targets[(i+run)%len(targets)] // rotate, so that each target goes first in some runs
@@ -261,9 +261,9 @@
 
 // loadPlan returns the load plan of a run.
 func (f *Fleet) loadPlan(options Options, rate float64, seed uint64) load.Plan {
-	plan := load.Plan{Rate: rate, Poisson: true, For: options.For, Settle: options.Settle, Customers: 20, PlanName: "mayor", Seed: seed, Body: 64}
+	plan := load.Plan{RatePerSecond: rate, Poisson: true, Duration: options.RunDuration, WarmUp: options.WarmUp, Customers: 20, TariffPlan: "mayor", Seed: seed, BodyBytes: 64}
 	for _, c := range f.Classes {
-		class := load.Class{Name: c.Name, Part: c.Part, Method: "GET", Deadline: requestDeadline, Units: 1}
+		class := load.Class{Name: c.Name, Weight: c.Share, Method: "GET", Deadline: requestDeadline, Units: 1}
 		if c.Keyed {
 			class.Method = "POST"
 		}
@@ -289,7 +289,7 @@
 	go func() {
 		var observed window
 		defer func() { observations <- observed }()
-		time.Sleep(plan.Settle)
+		time.Sleep(plan.WarmUp)
 		if observed.first, observed.err = t.resourceUsage(); observed.err != nil {
 			return
 		}
--- a/internal/waymark/quota.go
+++ b/internal/waymark/quota.go
@@ -7,21 +7,21 @@
 	"foxwood/internal/slowstart"
 )
 
-// Draw asks for a gatekeeper's slices of the quotas.
-type Draw struct {
-	Station   string             `cbor:"1,keyasint,omitempty"` // node
-	Life      uint64             `cbor:"2,keyasint,omitempty"` // incarnation
-	Turn      uint64             `cbor:"3,keyasint,omitempty"` // sequence number of the request
-	Demand    map[string]float32 `cbor:"4,keyasint,omitempty"`
-	Holding   map[string]Slice   `cbor:"5,keyasint,omitempty"`
-	LeaseLeft float64            `cbor:"6,keyasint,omitempty"`
-	Passed    bool               `cbor:"7,keyasint,omitempty"` // a registry has forwarded it
-	Returned  map[string]float32 `cbor:"8,keyasint,omitempty"` // tokens given up since the previous request
+// AllocationRequest asks for a gatekeeper's slices of the quotas.
+type AllocationRequest struct {
+	Node        string                  `cbor:"1,keyasint,omitempty"` // node
+	Incarnation uint64                  `cbor:"2,keyasint,omitempty"` // incarnation
+	Sequence    uint64                  `cbor:"3,keyasint,omitempty"` // sequence number of the request
+	Demand      map[string]float32      `cbor:"4,keyasint,omitempty"`
+	Holding     map[string]EncodedSlice `cbor:"5,keyasint,omitempty"`
+	LeaseLeft   float64                 `cbor:"6,keyasint,omitempty"`
+	Forwarded   bool                    `cbor:"7,keyasint,omitempty"` // a registry has forwarded it
+	Returned    map[string]float32      `cbor:"8,keyasint,omitempty"` // tokens given up since the previous request
 }
 
-// Held returns the slices that the gatekeeper holds, with the tokens that it has given up.
-func (d *Draw) Held() map[string]quota.Slice {
-	held := Unpack(d.Holding)
+// HeldSlices returns the slices that the gatekeeper holds, with the tokens that it has given up.
+func (d *AllocationRequest) HeldSlices() map[string]quota.Allocation {
+	held := DecodeSlices(d.Holding)
 	for name, tokens := range d.Returned {
 		s := held[name]
 		s.Returned = float64(tokens)
@@ -30,9 +30,9 @@
 	return held
 }
 
-// Hold sets the slices that the gatekeeper holds and the tokens that it has given up.
-func (d *Draw) Hold(held map[string]quota.Slice) {
-	d.Holding = Pack(held)
+// SetHeldSlices sets the slices that the gatekeeper holds and the tokens that it has given up.
+func (d *AllocationRequest) SetHeldSlices(held map[string]quota.Allocation) {
+	d.Holding = EncodeSlices(held)
 	for name, s := range held {
 		if s.Returned <= 0 {
 			continue
@@ -44,27 +44,27 @@
 	}
 }
 
-// Slice is the encoded form of a quota.Slice: seven of its fields in their order.
-type Slice [7]float32
+// EncodedSlice is the encoded form of a quota.Allocation: seven of its fields in their order.
+type EncodedSlice [7]float32
 
-// Pack encodes slices. Values are rounded down, so that a gatekeeper never gets more than it was allocated.
-func Pack(of map[string]quota.Slice) map[string]Slice {
-	out := make(map[string]Slice, len(of))
+// EncodeSlices encodes slices. Values are rounded down, so that a gatekeeper never gets more than it was allocated.
+func EncodeSlices(of map[string]quota.Allocation) map[string]EncodedSlice {
+	out := make(map[string]EncodedSlice, len(of))
 	for name, s := range of {
-		out[name] = Slice{
-			roundDown(s.Rate), roundDown(s.Burst), roundDown(s.Floor), roundDown(s.FloorBurst),
-			roundDown(s.Tokens), roundDown(s.Wants), roundDown(s.Kick),
+		out[name] = EncodedSlice{
+			roundDown(s.Rate), roundDown(s.Burst), roundDown(s.Minimum), roundDown(s.MinimumBurst),
+			roundDown(s.Tokens), roundDown(s.Waiting), roundDown(s.StartBurst),
 		}
 	}
 	return out
 }
 
-// Unpack decodes slices.
-func Unpack(of map[string]Slice) map[string]quota.Slice {
-	out := make(map[string]quota.Slice, len(of))
+// DecodeSlices decodes slices.
+func DecodeSlices(of map[string]EncodedSlice) map[string]quota.Allocation {
+	out := make(map[string]quota.Allocation, len(of))
 	for name, s := range of {
-		out[name] = quota.Slice{Rate: float64(s[0]), Burst: float64(s[1]), Floor: float64(s[2]), FloorBurst: float64(s[3]),
-			Tokens: float64(s[4]), Wants: float64(s[5]), Kick: float64(s[6])}
+		out[name] = quota.Allocation{Rate: float64(s[0]), Burst: float64(s[1]), Minimum: float64(s[2]), MinimumBurst: float64(s[3]),
+			Tokens: float64(s[4]), Waiting: float64(s[5]), StartBurst: float64(s[6])}
 	}
 	return out
 }
@@ -83,21 +83,21 @@
 	return float32(v)
 }
 
-// Drawn answers Draw. The lease counts from when the request was sent.
-type Drawn struct {
-	Slices map[string]Slice `cbor:"1,keyasint,omitempty"`
-	Lease  float64          `cbor:"2,keyasint,omitempty"` // milliseconds
+// AllocationResponse answers Draw. The lease counts from when the request was sent.
+type AllocationResponse struct {
+	Slices  map[string]EncodedSlice `cbor:"1,keyasint,omitempty"`
+	LeaseMS float64                 `cbor:"2,keyasint,omitempty"` // milliseconds
 	// SlowStart is the gatekeeper's share of the load that starting workers can take, for the same lease.
 	SlowStart slowstart.Grant `cbor:"3,keyasint,omitempty"`
 }
 
-// Tokens asks the owner of small quotas' token buckets for tokens, by tenant.
-type Tokens struct {
+// TokenRequest asks the owner of small quotas' token buckets for tokens, by tenant.
+type TokenRequest struct {
 	Wanted map[string]int `cbor:"1,keyasint,omitempty"`
 }
 
-// Granted answers Tokens.
-type Granted struct {
+// TokenResponse answers Tokens.
+type TokenResponse struct {
 	Granted map[string]int     `cbor:"1,keyasint,omitempty"`
-	Wait    map[string]float64 `cbor:"2,keyasint,omitempty"` // milliseconds to wait, for tenants that got no tokens
+	WaitMS  map[string]float64 `cbor:"2,keyasint,omitempty"` // milliseconds to wait, for tenants that got no tokens
 }
--- a/internal/waymark/shedding.go
+++ b/internal/waymark/shedding.go
@@ -2,21 +2,21 @@
 
 import "foxwood/internal/snowline"
 
-// Strain is a gatekeeper's pressure report for the shedding level. Like Draw it is forwarded at once to the registry
+// PressureReport is a gatekeeper's pressure report for the shedding level. Like Draw it is forwarded at once to the registry
 // that holds the duty: session answers may be held back, and gossip would take over a second for each control step.
-type Strain struct {
-	Report snowline.Report `cbor:"1,keyasint,omitempty"`
-	Passed bool            `cbor:"2,keyasint,omitempty"` // a registry has forwarded it
+type PressureReport struct {
+	Report    snowline.Report `cbor:"1,keyasint,omitempty"`
+	Forwarded bool            `cbor:"2,keyasint,omitempty"` // a registry has forwarded it
 }
 
-// Eased answers Strain and FixLevel with the current shedding level.
-type Eased struct {
+// SheddingLevel answers Strain and FixLevel with the current shedding level.
+type SheddingLevel struct {
 	Level snowline.Level `cbor:"1,keyasint,omitempty"`
 }
 
-// FixLevel is an operator's order that fixes the shedding level for a time, whatever the pressure is.
-type FixLevel struct {
-	Cut    uint32  `cbor:"1,keyasint,omitempty"`
-	ForMs  float64 `cbor:"2,keyasint,omitempty"` // 0 revokes an earlier order
-	Passed bool    `cbor:"3,keyasint,omitempty"` // a registry has forwarded it
+// FixSheddingLevel is an operator's order that fixes the shedding level for a time, whatever the pressure is.
+type FixSheddingLevel struct {
+	Cut        uint32  `cbor:"1,keyasint,omitempty"`
+	DurationMS float64 `cbor:"2,keyasint,omitempty"` // 0 revokes an earlier order
+	Forwarded  bool    `cbor:"3,keyasint,omitempty"` // a registry has forwarded it
 }
--- a/internal/waymark/status.go
+++ b/internal/waymark/status.go
@@ -1,7 +1,7 @@
 package waymark
 
-// AskStatus asks any process for its status.
-type AskStatus struct{}
+// StatusRequest asks any process for its status.
+type StatusRequest struct{}
 
-// Status answers AskStatus with lines of name and value for operators.
-type Status struct{ Lines []string }
+// StatusResponse answers AskStatus with lines of name and value for operators.
+type StatusResponse struct{ Lines []string }
--- a/internal/waymark/withdrawn.go
+++ b/internal/waymark/withdrawn.go
@@ -4,17 +4,17 @@
 // the platform's list was read, the bits below it are a sequence number.
 const TermShift = 32
 
-// Struck is a worker that must get no more requests: a registry found it missing from the platform's list while no
+// WithdrawnWorker is a worker that must get no more requests: a registry found it missing from the platform's list while no
 // registry held the duty of reading that list. Such records only remove workers, so they can be merged in any order.
 // At fences a record: it is the newest endpoint list version known when the record was made. A later version in which
 // the holder of the duty reports the worker, or any version of a later term, supersedes the record.
-type Struck struct {
-	ID string `cbor:"1,keyasint,omitempty"`
-	At uint64 `cbor:"2,keyasint,omitempty"`
+type WithdrawnWorker struct {
+	ID          string `cbor:"1,keyasint,omitempty"`
+	ListVersion uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Void reports whether the record is superseded by an endpoint list of the given version in which the worker last
+// Superseded reports whether the record is superseded by an endpoint list of the given version in which the worker last
 // changed at the version changed.
-func (s Struck) Void(version, changed uint64) bool {
-	return version>>TermShift > s.At>>TermShift || changed > s.At
+func (s WithdrawnWorker) Superseded(version, changed uint64) bool {
+	return version>>TermShift > s.ListVersion>>TermShift || changed > s.ListVersion
 }
--- a/internal/whiteout/child.go
+++ b/internal/whiteout/child.go
@@ -27,21 +27,21 @@
 		return 1
 	}
 	if mode == modeCopies {
-		return serveProgram(program, settings, func(proxy *switchback.Proxy) { proxy.Shadow() }, nil)
+		return serveProgram(program, settings, func(proxy *switchback.Proxy) { proxy.EnableMirroring() }, nil)
 	}
 	return serveProgram(program, settings, func(proxy *switchback.Proxy) {
-		proxy.Shed(map[string]switchback.ShedMode{"alike": switchback.ShedAlike, "whole": switchback.ShedAlike, "solitary": switchback.ShedSolitary, "dice": switchback.ShedDice}[mode])
-	}, func(control *bothy.Bothy) {
-		control.Shed(snowline.Options{On: true, Caller: callerHeader, Whole: mode == "whole"})
-	}, bothy.DutyLevel)
+		proxy.EnableShedding(map[string]switchback.ShedMode{"alike": switchback.ShedByCluster, "whole": switchback.ShedByCluster, "solitary": switchback.ShedByGatekeeper, "dice": switchback.ShedAtRandom}[mode])
+	}, func(control *bothy.Registry) {
+		control.EnableShedding(snowline.Options{On: true, CallerHeader: callerHeader, SingleThreshold: mode == "whole"})
+	}, bothy.DutyShedding)
 }
 
 // serveProgram serves one program until it is told to stop. The two callbacks set options that
 // only this test uses on a proxy (switchback) or on a control node (bothy); duties are the cluster duties
 // that a control node competes for.
-func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*switchback.Proxy), configureControl func(*bothy.Bothy), duties ...string) int {
+func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*switchback.Proxy), configureControl func(*bothy.Registry), duties ...string) int {
 	var err error
-	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", settings.Station).Logger()
+	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", settings.Node).Logger()
 	var runner cli.Runner
 	switch program {
 	case "cairn":
--- a/internal/whiteout/cluster.go
+++ b/internal/whiteout/cluster.go
@@ -56,7 +56,7 @@
 type cluster struct {
 	dir, netPrefix string // folder for the nodes' files; first two bytes of all addresses
 	mode           string // shedding mode, or modeCopies
-	ledger         *standin.Ledger
+	ledger         *standin.ExecutionLog
 	workers        []*standin.Worker
 	platform       *http.Server
 	proxies        []*process
@@ -65,7 +65,7 @@
 	mu             sync.Mutex
 	levelLog       []logLine
 	processes      []*process
-	lastCopies     [proxyCount]waymark.Copies // each proxy's last answer about its copies
+	lastCopies     [proxyCount]waymark.MirrorStatusResponse // each proxy's last answer about its copies
 }
 
 // ip returns the address of the n-th host of a part: 1 proxies, 2 core machines, 3 workers, 4 the
@@ -185,11 +185,11 @@
 func (c *cluster) serveRoster(w http.ResponseWriter, _ *http.Request) {
 	rows := [][]any{}
 	for _, worker := range c.workers {
-		rows = append(rows, worker.Row())
+		rows = append(rows, worker.ListRow())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"nextToken": nil, "roster": map[string]any{
-		"columns": standin.RowColumns(), "rows": rows}})
+		"columns": standin.ListColumns(), "rows": rows}})
 }
 
 // configure submits the configuration: routes, destinations, tenants and size limits.
@@ -272,7 +272,7 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	status, err := rpc.Call[waymark.AskStatus, waymark.Status](ctx, peer, waymark.AskStatus{})
+	status, err := rpc.Call[waymark.StatusRequest, waymark.StatusResponse](ctx, peer, waymark.StatusRequest{})
 	return strings.Join(status.Lines, "\n"), err
 }
 
--- a/internal/whiteout/copies.go
+++ b/internal/whiteout/copies.go
@@ -115,9 +115,9 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Copies runs the command "whiteout copies": it measures the cost of shadowing, prints the report and
+// RunCopiesCommand runs the command "whiteout copies": it measures the cost of shadowing, prints the report and
 // returns the exit code.
-func Copies(args []string) int {
+func RunCopiesCommand(args []string) int {
 	flags := flag.NewFlagSet("whiteout copies", flag.ContinueOnError)
 	outDir := flags.String("out", "", "folder for copies-live.md; empty: only print")
 	rounds := flags.Int("rounds", 2, "of off, a tenth, off, all; 1 to 10, about two and a half minutes each")
@@ -156,7 +156,7 @@
 		return "", nil, err
 	}
 	defer os.RemoveAll(dir)
-	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: modeCopies, ledger: standin.NewLedger()}
+	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: modeCopies, ledger: standin.NewExecutionLog()}
 	defer system.stop()
 	if err := system.start(ctx); err != nil {
 		return "", nil, err
@@ -236,11 +236,11 @@
 }
 
 // copyCounts returns the sum of all proxies' counts of copies.
-func (c *cluster) copyCounts() (total waymark.Copies) {
+func (c *cluster) copyCounts() (total waymark.MirrorStatusResponse) {
 	for i, proxy := range c.proxies {
 		peer := rpc.NewPeer(proxy.innerAddr)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		answer, err := rpc.Call[waymark.AskCopies, waymark.Copies](ctx, peer, waymark.AskCopies{})
+		answer, err := rpc.Call[waymark.MirrorStatusRequest, waymark.MirrorStatusResponse](ctx, peer, waymark.MirrorStatusRequest{})
 		cancel()
 		peer.Close()
 		if err != nil { // a call may time out on a busy machine: use the last answer
@@ -248,18 +248,18 @@
 		}
 		c.lastCopies[i] = answer
 		totals, counts := &total.Status.Counts, answer.Status.Counts
-		totals.Whole, totals.Broken, totals.Delivered, totals.Held, totals.Copies = totals.Whole+counts.Whole, totals.Broken+counts.Broken, totals.Delivered+counts.Delivered, totals.Held+counts.Held, totals.Copies+counts.Copies
-		for i, n := range counts.By {
-			totals.By[i] += n
+		totals.Complete, totals.Broken, totals.Delivered, totals.Withheld, totals.CopiesIssued = totals.Complete+counts.Complete, totals.Broken+counts.Broken, totals.Delivered+counts.Delivered, totals.Withheld+counts.Withheld, totals.CopiesIssued+counts.CopiesIssued
+		for i, n := range counts.BrokenByCause {
+			totals.BrokenByCause[i] += n
 		}
-		total.Own.WorkMs, total.Own.Pressed, total.Own.Lost, total.Own.NoRoom = total.Own.WorkMs+answer.Own.WorkMs, total.Own.Pressed+answer.Own.Pressed,
-			total.Own.Lost+answer.Own.Lost, total.Own.NoRoom+answer.Own.NoRoom
+		total.Counters.WorkMS, total.Counters.Suspended, total.Counters.DroppedUnrecorded, total.Counters.QueueFull = total.Counters.WorkMS+answer.Counters.WorkMS, total.Counters.Suspended+answer.Counters.Suspended,
+			total.Counters.DroppedUnrecorded+answer.Counters.DroppedUnrecorded, total.Counters.QueueFull+answer.Counters.QueueFull
 	}
 	return total
 }
 
 // copiesSent returns the number of copies that all proxies have sent so far.
-func (c *cluster) copiesSent() uint64 { return c.copyCounts().Status.Counts.Copies }
+func (c *cluster) copiesSent() uint64 { return c.copyCounts().Status.Counts.CopiesIssued }
 
 // proxyCPUTime returns the processor time that all proxies have used so far.
 func (c *cluster) proxyCPUTime() (total time.Duration) {
@@ -291,7 +291,7 @@
 
 // copyReport returns the report as Markdown and the violations: unsafe requests that ran twice, copies
 // that reached live workers, and copies that are duplicated, missing or do not belong to a whole journey.
-func copyReport(phases []*phaseCost, generator *loadGenerator, ledger *standin.Ledger, shadow *shadowServer, status waymark.Copies) (string, []string) {
+func copyReport(phases []*phaseCost, generator *loadGenerator, ledger *standin.ExecutionLog, shadow *shadowServer, status waymark.MirrorStatusResponse) (string, []string) {
 	var b strings.Builder
 	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	writeLine("| phase | copies sent | requests | p50 ms | p99 ms | p99.9 ms | processor µs a request | MB of a gatekeeper |")
@@ -337,7 +337,7 @@
 		} else if sent.outcome == outcomeUnknown {
 			unknown[caller] = true
 		}
-		if n := ledger.Of(sent.id); n > 1 && !services[sent.route].safe {
+		if n := ledger.RunCount(sent.id); n > 1 && !services[sent.route].safe {
 			ranTwice++
 		}
 	}
@@ -374,16 +374,16 @@
 	writeLine("\n| ledger | |\n| --- | ---: |")
 	writeLine("| requests | %d |", len(generator.requests))
 	writeLine("| unsafe requests that ran twice | %d |", ranTwice)
-	writeLine("| copies at live workers | %d |", ledger.CopyCount())
+	writeLine("| copies at live workers | %d |", ledger.ShadowCopyCount())
 	writeLine("| copies that came twice | %d |", receivedTwice)
 	writeLine("| journeys delivered as whole, with all their requests | %d |", whole)
 	writeLine("| of which the run's end or a stop cut the delivery off | %d |", incomplete)
 	writeLine("| journeys delivered as whole that lack or double a request | %d |", wrong)
-	writeLine("| gatekeepers pressed, times | %d |", status.Own.Pressed)
-	writeLine("| requests lost in a full queue | %d |", status.Own.Lost+status.Own.NoRoom)
-	writeLine("| journeys found whole, broken | %d, %d |", journeys.Whole, journeys.Broken)
+	writeLine("| gatekeepers pressed, times | %d |", status.Counters.Suspended)
+	writeLine("| requests lost in a full queue | %d |", status.Counters.DroppedUnrecorded+status.Counters.QueueFull)
+	writeLine("| journeys found whole, broken | %d, %d |", journeys.Complete, journeys.Broken)
 	var violations []string
-	for what, n := range map[string]int{"unsafe requests ran twice": ranTwice, "copies at live workers": ledger.CopyCount(), "copies came twice": receivedTwice,
+	for what, n := range map[string]int{"unsafe requests ran twice": ranTwice, "copies at live workers": ledger.ShadowCopyCount(), "copies came twice": receivedTwice,
 		"journeys delivered as whole lack or double a request": wrong} {
 		if n > 0 {
 			violations = append(violations, fmt.Sprintf("%d %s", n, what))
--- a/internal/whiteout/judge.go
+++ b/internal/whiteout/judge.go
@@ -123,11 +123,11 @@
 // judge checks the attempts of a run against the ledger of the workers and against the order of tiers.
 // If oneOrder is true, one order of tiers holds across all services; otherwise each service has its own,
 // because requests that a service with free capacity accepts take nothing from the others.
-func judge(attempts []*attempt, ledger *standin.Ledger, changes []levelChange, isolated []isolation, from, to time.Time, oneOrder bool) (v verdict) {
+func judge(attempts []*attempt, ledger *standin.ExecutionLog, changes []levelChange, isolated []isolation, from, to time.Time, oneOrder bool) (v verdict) {
 	slices.SortFunc(attempts, func(a, b *attempt) int { return a.sent.Compare(b.sent) })
 	v.attempts = len(attempts)
 	for _, current := range attempts {
-		ran := ledger.Of(current.id)
+		ran := ledger.RunCount(current.id)
 		if !services[current.route].safe && ran > 1 {
 			v.unsafeRanTwice++
 		}
--- a/internal/whiteout/judge_test.go
+++ b/internal/whiteout/judge_test.go
@@ -39,7 +39,7 @@
 		{"isolated proxy by itself", []*attempt{newAttempt("a", 1, 0, 0, 1, outcomeShed), newAttempt("b", 3, 0, 1, 1, outcomeOK)}, map[string]int{"b": 1},
 			[]isolation{{0, at(0.5), at(4)}}, verdict{attempts: 2, outOfOrder: 1}},
 	} {
-		ledger := standin.NewLedger()
+		ledger := standin.NewExecutionLog()
 		for id, n := range tc.runs {
 			ledger.Runs[id] = n
 		}
@@ -58,7 +58,7 @@
 	at := func(second float64) time.Time { return start.Add(time.Duration(second * float64(time.Second))) }
 	attempts := []*attempt{{id: "a", caller: "a", tenantTier: 1, route: 1, sent: at(1), ended: at(1), outcome: outcomeShed},
 		{id: "b", caller: "b", tenantTier: 2, route: 2, sent: at(2), ended: at(2), outcome: outcomeOK}}
-	ledger := &standin.Ledger{Runs: map[string]int{"b": 1}}
+	ledger := &standin.ExecutionLog{Runs: map[string]int{"b": 1}}
 	assert.Equal(t, judge(attempts, ledger, nil, nil, start, at(10), false).outOfOrder, 0)
 	assert.Equal(t, judge(attempts, ledger, nil, nil, start, at(10), true).outOfOrder, 1)
 	attempts[1].route = 1
--- a/internal/whiteout/whiteout.go
+++ b/internal/whiteout/whiteout.go
@@ -61,7 +61,7 @@
 		return runChild(args[1], args[2])
 	}
 	if len(args) > 0 && args[0] == "copies" {
-		return Copies(args[1:])
+		return RunCopiesCommand(args[1:])
 	}
 	flags := flag.NewFlagSet("whiteout", flag.ContinueOnError)
 	outDir := flags.String("out", "", "folder for overload.svg and overload-tables.md; empty: only print")
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: mode, ledger: standin.NewLedger()}
+	system := &cluster{dir: dir, netPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128), mode: mode, ledger: standin.NewExecutionLog()}
 	defer system.stop()
 	if err := system.start(ctx); err != nil {
 		return nil, err
--- a/internal/whiteout/worker.go
+++ b/internal/whiteout/worker.go
@@ -20,7 +20,7 @@
 		for j := range workersPerService {
 			worker := &standin.Worker{ID: fmt.Sprintf("%s-%d", s.name, j), Service: s.name, Zone: []string{"a", "b"}[j%2],
 				Addr: net.JoinHostPort(c.ip(3, i*workersPerService+j), fmt.Sprint(publicPort)), Slots: workerSlots, Queue: workerQueue,
-				Idle: workerIdle, Work: func(*standin.Worker) time.Duration { return s.serviceTime }, Ledger: c.ledger}
+				IdleTimeout: workerIdle, WorkTime: func(*standin.Worker) time.Duration { return s.serviceTime }, Log: c.ledger}
 			if err := worker.Start(); err != nil {
 				return err
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -51,8 +51,8 @@
 	maxDuration      = 0xffffffff // longest duration of a record in microseconds
 )
 
-// ErrShort reports that a record ends before its last field.
-var ErrShort = errors.New("record ends before its last field")
+// ErrTruncatedRecord reports that a record ends before its last field.
+var ErrTruncatedRecord = errors.New("record ends before its last field")
 
 // ReadFrame reads one frame, without its length, into buf or into a larger buffer if
 // needed. It returns io.EOF only if the input ends between two frames.
@@ -87,40 +87,40 @@
 	return buf, nil
 }
 
-// Batch decodes the records of one frame. Reading past the end gives zero values, and
+// EventFrame decodes the records of one frame. Reading past the end gives zero values, and
 // makes Err return ErrShort.
-type Batch struct {
-	Clock     policy.Micros // time of the events
+type EventFrame struct {
+	Time      policy.Micros // time of the events
 	Records   int           // number of records
 	rest      []byte        // the bytes not read yet
 	truncated bool
 }
 
-// NewBatch decodes the header of a frame that ReadFrame returned.
-func NewBatch(frame []byte) (Batch, error) {
+// NewEventFrame decodes the header of a frame that ReadFrame returned.
+func NewEventFrame(frame []byte) (EventFrame, error) {
 	if len(frame) < frameHeaderBytes {
-		return Batch{}, ErrShort
+		return EventFrame{}, ErrTruncatedRecord
 	}
-	return Batch{
+	return EventFrame{
 		Records: int(binary.BigEndian.Uint32(frame)),
-		Clock:   int64(binary.BigEndian.Uint64(frame[4:])),
+		Time:    int64(binary.BigEndian.Uint64(frame[4:])),
 		rest:    frame[frameHeaderBytes:],
 	}, nil
 }
 
-// Rest returns the number of bytes not read yet.
-func (d *Batch) Rest() int { return len(d.rest) }
+// Remaining returns the number of bytes not read yet.
+func (d *EventFrame) Remaining() int { return len(d.rest) }
 
 // Err returns ErrShort if a field was read past the end, and otherwise nil.
-func (d *Batch) Err() error {
+func (d *EventFrame) Err() error {
 	if d.truncated {
-		return ErrShort
+		return ErrTruncatedRecord
 	}
 	return nil
 }
 
 // take reads n bytes. Past the end it returns up to 8 zeros, enough for any number.
-func (d *Batch) take(n int) []byte {
+func (d *EventFrame) take(n int) []byte {
 	if n < 0 || n > len(d.rest) {
 		d.truncated = true
 		d.rest = nil
@@ -132,28 +132,28 @@
 }
 
 // U8 reads an unsigned 8-bit integer.
-func (d *Batch) U8() uint8 { return d.take(1)[0] }
+func (d *EventFrame) U8() uint8 { return d.take(1)[0] }
 
 // U16 reads an unsigned 16-bit integer.
-func (d *Batch) U16() uint16 { return binary.BigEndian.Uint16(d.take(2)) }
+func (d *EventFrame) U16() uint16 { return binary.BigEndian.Uint16(d.take(2)) }
 
 // U32 reads an unsigned 32-bit integer.
-func (d *Batch) U32() uint32 { return binary.BigEndian.Uint32(d.take(4)) }
+func (d *EventFrame) U32() uint32 { return binary.BigEndian.Uint32(d.take(4)) }
 
 // U64 reads an unsigned 64-bit integer.
-func (d *Batch) U64() uint64 { return binary.BigEndian.Uint64(d.take(8)) }
+func (d *EventFrame) U64() uint64 { return binary.BigEndian.Uint64(d.take(8)) }
 
 // F32 reads a 32-bit float.
-func (d *Batch) F32() float64 { return float64(math.Float32frombits(d.U32())) }
+func (d *EventFrame) F32() float64 { return float64(math.Float32frombits(d.U32())) }
 
 // Server reads a server's IPv4 address and port.
-func (d *Batch) Server() policy.Server {
+func (d *EventFrame) Server() policy.Server {
 	address := d.U32()
 	return policy.Server(uint64(address)<<16 | uint64(d.U16()))
 }
 
 // load reads the values of a load report.
-func (d *Batch) load() []float32 {
+func (d *EventFrame) load() []float32 {
 	n := int(d.U8())
 	if n == 0 {
 		return nil
@@ -170,7 +170,7 @@
 }
 
 // Born reads a BORN record: the seed of the instance's random numbers and its settings.
-func (d *Batch) Born() (seed uint64, text []byte) {
+func (d *EventFrame) Born() (seed uint64, text []byte) {
 	seed = d.U64()
 	n := d.U32()
 	if uint64(n) > uint64(len(d.rest)) {
@@ -181,30 +181,30 @@
 }
 
 // Note reads a NOTE_FROM record: the sending instance and its message.
-func (d *Batch) Note() (from int, data []byte) {
+func (d *EventFrame) Note() (from int, data []byte) {
 	from = int(d.U16())
 	return from, d.take(int(d.U16()))
 }
 
 // Added reads an ADDED record: the counter's name, how long the call took, its status and
 // the counter's total.
-func (d *Batch) Added() (name uint64, delay policy.Micros, status policy.Status, total float64) {
+func (d *EventFrame) Added() (name uint64, delay policy.Micros, status policy.Status, total float64) {
 	name, delay = d.U64(), int64(d.U32())
 	status = policy.Status(d.U16())
 	return name, delay, status, d.F32()
 }
 
 // Request reads a REQ record.
-func (d *Batch) Request() policy.Request {
+func (d *EventFrame) Request() policy.Request {
 	var r policy.Request
 	r.ID = d.U32()
 	r.Class, r.Plan = int(d.U16()), int(d.U16())
 	r.Customer = d.U64()
-	r.Left = int64(d.U32())
+	r.TimeLeft = int64(d.U32())
 	r.Units = d.F32()
-	r.Spread = countFromFloat(d.F32())
+	r.GatewayCount = countFromFloat(d.F32())
 	d.F32() // the index of the first gateway of the spread, which is not used
-	r.Again = d.U8()&flagRetry != 0
+	r.IsRetry = d.U8()&flagRetry != 0
 	return r
 }
 
@@ -220,20 +220,20 @@
 }
 
 // Outcome reads a DONE record.
-func (d *Batch) Outcome() policy.Outcome {
+func (d *EventFrame) Outcome() policy.Outcome {
 	var o policy.Outcome
 	o.ID, o.Latency = d.U32(), int64(d.U32())
 	o.Terminal = d.U8() != 0
 	o.Status = policy.Status(d.U16())
-	o.Settled, o.Used = float64(d.U16()), int(d.U16())
+	o.ActualUnits, o.QuotaUsed = float64(d.U16()), int(d.U16())
 	o.Attempt = int(d.U8())
 	o.Server = d.Server()
-	o.Load = d.load()
+	o.LoadReport = d.load()
 	return o
 }
 
 // ProbeDone skips a PROBE_DONE record.
-func (d *Batch) ProbeDone() {
+func (d *EventFrame) ProbeDone() {
 	d.Server()
 	d.U32()
 	d.U16()
@@ -241,7 +241,7 @@
 }
 
 // Streaming skips a STREAMING record.
-func (d *Batch) Streaming() {
+func (d *EventFrame) Streaming() {
 	d.U32()
 	d.U32()
 	d.U8()
@@ -249,7 +249,7 @@
 }
 
 // Sync reads a SYNC record: the kind of the server list and its entries.
-func (d *Batch) Sync() (policy.ListKind, []policy.Entry) {
+func (d *EventFrame) Sync() (policy.ListKind, []policy.Entry) {
 	d.U64()
 	kind := policy.ListKind(d.U8())
 	n := int(d.U32())
@@ -270,30 +270,30 @@
 	return kind, entries
 }
 
-// Reply collects the actions of one frame. It implements policy.Host for the instance
+// ActionFrame collects the actions of one frame. It implements policy.Host for the instance
 // that On selected last.
-type Reply struct {
+type ActionFrame struct {
 	buffer            []byte
 	selected, current int // the selected instance, and the one that the last action record belongs to
 }
 
 // Reset starts an empty frame.
-func (w *Reply) Reset() {
+func (w *ActionFrame) Reset() {
 	w.buffer = append(w.buffer[:0], 0, 0, 0, 0)
 	w.current = -1
 }
 
-// On selects the instance of the actions that follow.
-func (w *Reply) On(instance int) { w.selected = instance }
+// SelectInstance selects the instance of the actions that follow.
+func (w *ActionFrame) SelectInstance(instance int) { w.selected = instance }
 
 // Bytes returns the complete frame with its length.
-func (w *Reply) Bytes() []byte {
+func (w *ActionFrame) Bytes() []byte {
 	binary.BigEndian.PutUint32(w.buffer, uint32(len(w.buffer)-4))
 	return w.buffer
 }
 
 // begin starts an action record, after a record of the instance if that has changed.
-func (w *Reply) begin(c byte) {
+func (w *ActionFrame) begin(c byte) {
 	if w.current != w.selected {
 		w.current = w.selected
 		w.buffer = binary.BigEndian.AppendUint16(append(w.buffer, codeAt), uint16(w.selected))
@@ -301,19 +301,19 @@
 	w.buffer = append(w.buffer, c)
 }
 
-func (w *Reply) u32(v uint32) { w.buffer = binary.BigEndian.AppendUint32(w.buffer, v) }
-func (w *Reply) u64(v uint64) { w.buffer = binary.BigEndian.AppendUint64(w.buffer, v) }
-func (w *Reply) u16(v uint16) { w.buffer = binary.BigEndian.AppendUint16(w.buffer, v) }
+func (w *ActionFrame) u32(v uint32) { w.buffer = binary.BigEndian.AppendUint32(w.buffer, v) }
+func (w *ActionFrame) u64(v uint64) { w.buffer = binary.BigEndian.AppendUint64(w.buffer, v) }
+func (w *ActionFrame) u16(v uint16) { w.buffer = binary.BigEndian.AppendUint16(w.buffer, v) }
 
 // duration writes a duration, limited to the range of the field.
-func (w *Reply) duration(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxDuration))) }
-func (w *Reply) server(s policy.Server) {
+func (w *ActionFrame) duration(v policy.Micros) { w.u32(uint32(min(max(v, 0), maxDuration))) }
+func (w *ActionFrame) server(s policy.Server) {
 	w.u32(uint32(s >> 16))
 	w.u16(uint16(s))
 }
 
 // text writes a record of a text, truncated to maxTextBytes.
-func (w *Reply) text(c byte, t []byte) {
+func (w *ActionFrame) text(c byte, t []byte) {
 	if len(t) > maxTextBytes {
 		t = t[:maxTextBytes]
 	}
@@ -323,7 +323,7 @@
 }
 
 // Send implements policy.Host. It writes an ASSIGN record.
-func (w *Reply) Send(id uint32, server policy.Server, timeout policy.Micros) {
+func (w *ActionFrame) Send(id uint32, server policy.Server, timeout policy.Micros) {
 	w.begin(codeAssign)
 	w.u32(id)
 	w.server(server)
@@ -331,34 +331,34 @@
 }
 
 // Refuse implements policy.Host. It writes a TURN_AWAY record.
-func (w *Reply) Refuse(id uint32, retryAfter policy.Micros) {
+func (w *ActionFrame) Refuse(id uint32, retryAfter policy.Micros) {
 	w.begin(codeTurnAway)
 	w.u32(id)
 	w.duration(retryAfter)
 }
 
 // Fail implements policy.Host. It writes a LOSE record.
-func (w *Reply) Fail(id uint32) {
+func (w *ActionFrame) Fail(id uint32) {
 	w.begin(codeLose)
 	w.u32(id)
 }
 
 // Cancel implements policy.Host. It writes a CANCEL record.
-func (w *Reply) Cancel(id uint32, attempt int) {
+func (w *ActionFrame) Cancel(id uint32, attempt int) {
 	w.begin(codeCancel)
 	w.u32(id)
 	w.buffer = append(w.buffer, byte(attempt))
 }
 
 // Timer implements policy.Host. It writes a NOTIFY_ME record.
-func (w *Reply) Timer(token uint64, delay policy.Micros) {
+func (w *ActionFrame) Timer(token uint64, delay policy.Micros) {
 	w.begin(codeNotify)
 	w.u64(token)
 	w.duration(delay)
 }
 
 // Count implements policy.Host. It writes a TALLY record.
-func (w *Reply) Count(name uint64, amount float64, ttl policy.Micros) {
+func (w *ActionFrame) Count(name uint64, amount float64, ttl policy.Micros) {
 	w.begin(codeTally)
 	w.u64(name)
 	w.u32(math.Float32bits(float32(amount)))
@@ -366,7 +366,7 @@
 }
 
 // Log writes a DEBUG record, which the simulator logs.
-func (w *Reply) Log(t string) { w.text(codeDebug, []byte(t)) }
+func (w *ActionFrame) Log(t string) { w.text(codeDebug, []byte(t)) }
 
 // Die writes a DIE record, which reports a crash of the instance.
-func (w *Reply) Die(t string) { w.text(codeDie, []byte(t)) }
+func (w *ActionFrame) Die(t string) { w.text(codeDie, []byte(t)) }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -37,8 +37,8 @@
 
 // Cluster and Routes are the names of the cluster and of the route configuration.
 const (
-	Cluster = "foxwood-workers"
-	Routes  = "foxwood-routes"
+	ClusterName     = "foxwood-workers"
+	RouteConfigName = "foxwood-routes"
 )
 
 // maxWeight is the largest weight of an endpoint; the smallest is 1. The range is coarse, so that
@@ -49,16 +49,16 @@
 type Endpoint struct {
 	Address string
 	Zone    string
-	policy.Standing
+	policy.ServerStatus
 }
 
 // State is everything that is published.
 type State struct {
-	Endpoints []Endpoint
-	Bound     float64 // maximum of concurrent requests to all workers
-	Rules     []openapi.Rule
-	Connect   time.Duration // timeout for new connections
-	Attempts  int           // maximum per request
+	Endpoints      []Endpoint
+	MaxRequests    float64 // maximum of concurrent requests to all workers
+	Routes         []openapi.Route
+	ConnectTimeout time.Duration // timeout for new connections
+	MaxAttempts    int           // maximum per request
 }
 
 // Server is an aggregated discovery service (ADS) for any proxy.
@@ -103,8 +103,8 @@
 // Stop stops the server and ends all streams.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// Set publishes a state. Proxies get an update only if a resource has changed.
-func (s *Server) Set(state State) error {
+// Publish publishes a state. Proxies get an update only if a resource has changed.
+func (s *Server) Publish(state State) error {
 	resources := []proto.Message{clusterResource(state), endpointResource(state), routeResource(state)}
 	if slices.EqualFunc(resources, s.published, proto.Equal) {
 		return nil
@@ -127,10 +127,10 @@
 func clusterResource(state State) proto.Message {
 	ads := &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
 		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}
-	limit := wrapperspb.UInt32(uint32(max(math.Ceil(state.Bound), 1)))
+	limit := wrapperspb.UInt32(uint32(max(math.Ceil(state.MaxRequests), 1)))
 	return &clusterv3.Cluster{
-		Name:                 Cluster,
-		ConnectTimeout:       durationpb.New(state.Connect),
+		Name:                 ClusterName,
+		ConnectTimeout:       durationpb.New(state.ConnectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: ads},
 		LbPolicy:             clusterv3.Cluster_LEAST_REQUEST,
@@ -144,10 +144,10 @@
 func endpointResource(state State) proto.Message {
 	maxShare := 0.0
 	for _, endpoint := range state.Endpoints {
-		maxShare = max(maxShare, endpoint.Part)
+		maxShare = max(maxShare, endpoint.Weight)
 	}
 	zones := map[string]*endpointv3.LocalityLbEndpoints{}
-	result := &endpointv3.ClusterLoadAssignment{ClusterName: Cluster}
+	result := &endpointv3.ClusterLoadAssignment{ClusterName: ClusterName}
 	for _, endpoint := range state.Endpoints {
 		host, port, err := net.SplitHostPort(endpoint.Address)
 		n, err2 := strconv.ParseUint(port, 10, 16)
@@ -160,9 +160,9 @@
 			zones[endpoint.Zone] = zone
 			result.Endpoints = append(result.Endpoints, zone)
 		}
-		weight := max(math.Round(endpoint.Part/max(maxShare, 1e-9)*maxWeight), 1)
+		weight := max(math.Round(endpoint.Weight/max(maxShare, 1e-9)*maxWeight), 1)
 		zone.LbEndpoints = append(zone.LbEndpoints, &endpointv3.LbEndpoint{
-			HealthStatus:        healthStatus(endpoint.Standing),
+			HealthStatus:        healthStatus(endpoint.ServerStatus),
 			LoadBalancingWeight: wrapperspb.UInt32(uint32(weight)),
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
 				Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
@@ -177,11 +177,11 @@
 	return result
 }
 
-func healthStatus(s policy.Standing) corev3.HealthStatus {
+func healthStatus(s policy.ServerStatus) corev3.HealthStatus {
 	switch {
 	case s.State == policy.Draining:
 		return corev3.HealthStatus_DRAINING
-	case s.State != policy.Ready || s.Shut:
+	case s.State != policy.Ready || s.Unavailable:
 		return corev3.HealthStatus_UNHEALTHY
 	}
 	return corev3.HealthStatus_HEALTHY
@@ -190,20 +190,20 @@
 // routeResource returns the routes of the OpenAPI description.
 func routeResource(state State) proto.Message {
 	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
-	for _, r := range state.Rules {
+	for _, r := range state.Routes {
 		host.Routes = append(host.Routes, &routev3.Route{
 			Match: routeMatch(r),
 			Action: &routev3.Route_Route{Route: &routev3.RouteAction{
-				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: Cluster},
-				Timeout:          durationpb.New(time.Duration(r.Terms.Deadline) * time.Microsecond),
-				RetryPolicy:      retryPolicy(r.Terms, state.Attempts),
+				ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: ClusterName},
+				Timeout:          durationpb.New(time.Duration(r.Class.Deadline) * time.Microsecond),
+				RetryPolicy:      retryPolicy(r.Class, state.MaxAttempts),
 			}},
 		})
 	}
-	return &routev3.RouteConfiguration{Name: Routes, VirtualHosts: []*routev3.VirtualHost{host}}
+	return &routev3.RouteConfiguration{Name: RouteConfigName, VirtualHosts: []*routev3.VirtualHost{host}}
 }
 
-func routeMatch(rule openapi.Rule) *routev3.RouteMatch {
+func routeMatch(rule openapi.Route) *routev3.RouteMatch {
 	result := &routev3.RouteMatch{Headers: []*routev3.HeaderMatcher{{
 		Name: ":method",
 		HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{StringMatch: &matcherv3.StringMatcher{
@@ -235,11 +235,11 @@
 	result := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream", NumRetries: wrapperspb.UInt32(uint32(attempts - 1))}
 	const all = "connect-failure,refused-stream,reset,gateway-error"
 	switch {
-	case class.Repeat == policy.Safe:
+	case class.Repeat == policy.RepeatSafe:
 		result.RetryOn = all
-	case class.Repeat == policy.Keyed && class.Group == policy.GroupAll:
+	case class.Repeat == policy.RepeatKeyed && class.Dedup == policy.DedupFleet:
 		result.RetryOn = all
-		result.PerTryTimeout = durationpb.New(time.Duration(class.Window) * time.Microsecond / time.Duration(attempts))
+		result.PerTryTimeout = durationpb.New(time.Duration(class.RepeatWindow) * time.Microsecond / time.Duration(attempts))
 	}
 	return result
 }
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -75,15 +75,15 @@
 func testState() State {
 	return State{
 		Endpoints: []Endpoint{
-			{Address: "127.0.0.1:9001", Zone: "norte", Standing: policy.Standing{Server: 1, State: policy.Ready, Part: 1}},
-			{Address: "127.0.0.1:9002", Zone: "norte", Standing: policy.Standing{Server: 2, State: policy.Ready, Part: 0.5}},
-			{Address: "127.0.0.1:9003", Zone: "sur", Standing: policy.Standing{Server: 3, State: policy.Ready, Shut: true, Part: 0.01}},
+			{Address: "127.0.0.1:9001", Zone: "norte", ServerStatus: policy.ServerStatus{Server: 1, State: policy.Ready, Weight: 1}},
+			{Address: "127.0.0.1:9002", Zone: "norte", ServerStatus: policy.ServerStatus{Server: 2, State: policy.Ready, Weight: 0.5}},
+			{Address: "127.0.0.1:9003", Zone: "sur", ServerStatus: policy.ServerStatus{Server: 3, State: policy.Ready, Unavailable: true, Weight: 0.01}},
 		},
-		Bound: 24.3, Connect: 250 * time.Millisecond, Attempts: 3,
-		Rules: []openapi.Rule{
-			{Method: "POST", Segments: []string{"simulacion"}, Terms: policy.Class{Deadline: 2e6, Window: 1e6, Repeat: policy.Keyed}},
-			{Method: "POST", Segments: []string{"alta"}, Terms: policy.Class{Deadline: 2e6, Repeat: policy.Unsafe}},
-			{Method: "GET", Segments: []string{"cuota", ""}, Terms: policy.Class{Deadline: 2e6, Repeat: policy.Safe}},
+		MaxRequests: 24.3, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: 3,
+		Routes: []openapi.Route{
+			{Method: "POST", Segments: []string{"simulacion"}, Class: policy.Class{Deadline: 2e6, RepeatWindow: 1e6, Repeat: policy.RepeatKeyed}},
+			{Method: "POST", Segments: []string{"alta"}, Class: policy.Class{Deadline: 2e6, Repeat: policy.RepeatUnsafe}},
+			{Method: "GET", Segments: []string{"cuota", ""}, Class: policy.Class{Deadline: 2e6, Repeat: policy.RepeatSafe}},
 		},
 	}
 }
@@ -113,30 +113,30 @@
 	}
 	t.Cleanup(server.Stop)
 	state := testState()
-	if err := server.Set(state); err != nil {
+	if err := server.Publish(state); err != nil {
 		t.Fatal(err)
 	}
 	client := newProxy(t, server.Addr())
 	var cluster clusterv3.Cluster
 	client.ask(resource.ClusterType, "", nil)
 	client.ask(resource.ClusterType, "", client.receive(&cluster))
-	if most := cluster.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue(); cluster.GetName() != Cluster || most != 25 {
+	if most := cluster.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue(); cluster.GetName() != ClusterName || most != 25 {
 		t.Errorf("got cluster %s with at most %d requests, want at most 25", cluster.GetName(), most)
 	}
 	var assignment endpointv3.ClusterLoadAssignment
-	client.ask(resource.EndpointType, Cluster, nil)
+	client.ask(resource.EndpointType, ClusterName, nil)
 	first := client.receive(&assignment)
 	want := []endpointView{{9001, "norte", "HEALTHY", 20}, {9002, "norte", "HEALTHY", 10}, {9003, "sur", "UNHEALTHY", 1}}
 	if diff := cmp.Diff(want, endpoints(&assignment)); diff != "" {
 		t.Error(diff)
 	}
-	client.ask(resource.EndpointType, Cluster, first)
+	client.ask(resource.EndpointType, ClusterName, first)
 
-	if err := server.Set(state); err != nil { // no change, so no update
+	if err := server.Publish(state); err != nil { // no change, so no update
 		t.Fatal(err)
 	}
 	state.Endpoints[0].State = policy.Draining
-	if err := server.Set(state); err != nil {
+	if err := server.Publish(state); err != nil {
 		t.Fatal(err)
 	}
 	for { // the cluster may be sent again first, with the new version
--- a/policy/encoding_test.go
+++ b/policy/encoding_test.go
@@ -12,5 +12,5 @@
 func TestSettingsAndSnapshotsKeepTheirEncoding(t *testing.T) {
 	encoding.Check[policy.Settings](t, "Settings", json.Marshal, json.Unmarshal)
 	encoding.Check[policy.Snapshot](t, "Snapshot", json.Marshal, json.Unmarshal)
-	encoding.Check[policy.Draw](t, "Draw", json.Marshal, json.Unmarshal)
+	encoding.Check[policy.PeerDraw](t, "Draw", json.Marshal, json.Unmarshal)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -23,8 +23,8 @@
 
 func Example() {
 	settings := policy.Settings{
-		Gateways: 1, Tick: 1000, MaxAttempts: 2, RetryAfter: true,
-		Classes: []policy.Class{{Aim: 200e3, Deadline: 1e6, Worth: 1, Repeat: policy.Safe}},
+		GatewayCount: 1, ClockTick: 1000, MaxAttempts: 2, SendRetryAfter: true,
+		Classes: []policy.Class{{LatencyTarget: 200e3, Deadline: 1e6, Value: 1, Repeat: policy.RepeatSafe}},
 		Plans:   []policy.Plan{{Rate: 2, Burst: 2, Price: 1}},
 	}
 	g := policy.New(settings, 1)
@@ -32,7 +32,7 @@
 	g.Start(0, host)
 	g.Servers(0, host, policy.FullList, []policy.Entry{{Server: 10, State: policy.Ready}})
 	for id := range uint32(3) {
-		g.Request(0, host, policy.Request{ID: id, Customer: 7, Left: 1e6, Units: 1, Spread: 1})
+		g.Request(0, host, policy.Request{ID: id, Customer: 7, TimeLeft: 1e6, Units: 1, GatewayCount: 1})
 	}
 	g.Outcome(30e3, host, policy.Outcome{ID: 0, Status: policy.OK, Terminal: true, Latency: 30e3, Server: 10})
 	// Output:
--- a/policy/failure_test.go
+++ b/policy/failure_test.go
@@ -46,10 +46,10 @@
 )
 
 func newCluster() *cluster {
-	settings := Settings{Gateways: 2, Tick: 4000, MaxAttempts: 3, Cancel: true, RetryAfter: true, Largest: 1,
-		Classes:   []Class{{Aim: clusterTarget, Deadline: 2e6, Worth: 1, Repeat: Safe}},
-		Plans:     []Plan{{Rate: 1e6, Burst: 1e6, Price: 1}},
-		ColdShare: 0.16, ColdFor: 14e6, FallMultiple: 3, FallWindow: 1500e3}
+	settings := Settings{GatewayCount: 2, ClockTick: 4000, MaxAttempts: 3, CanCancel: true, SendRetryAfter: true, MaxUnits: 1,
+		Classes:      []Class{{LatencyTarget: clusterTarget, Deadline: 2e6, Value: 1, Repeat: RepeatSafe}},
+		Plans:        []Plan{{Rate: 1e6, Burst: 1e6, Price: 1}},
+		ColdCapacity: 0.16, ColdDuration: 14e6, OverloadMultiple: 3, OverloadWindow: 1500e3}
 	c := &cluster{now: 100e6, settings: settings, arrived: map[uint32]Micros{}}
 	for range 8 {
 		c.servers = append(c.servers, &clusterServer{up: true})
@@ -63,7 +63,7 @@
 
 func (c *cluster) restart(index int) {
 	settings := c.settings
-	settings.Self = index
+	settings.Index = index
 	for _, srv := range c.servers {
 		srv.inFlight -= srv.byGateway[index]
 		srv.byGateway[index] = 0
@@ -97,10 +97,10 @@
 // capacity is how many requests per second a server can do.
 func (c *cluster) capacity(srv *clusterServer) float64 {
 	warm := serverCores / serverWork * 1e6
-	if srv.startedAt == 0 || c.now-srv.startedAt >= c.settings.ColdFor {
+	if srv.startedAt == 0 || c.now-srv.startedAt >= c.settings.ColdDuration {
 		return warm
 	}
-	return warm * (0.16 + 0.84*float64(c.now-srv.startedAt)/float64(c.settings.ColdFor))
+	return warm * (0.16 + 0.84*float64(c.now-srv.startedAt)/float64(c.settings.ColdDuration))
 }
 
 func (h *clusterHost) Send(id uint32, to Server, _ Micros) {
@@ -131,11 +131,11 @@
 		return
 	}
 	if srv.arrivals = append(srv.arrivals, c.now); srv.startedAt > 0 {
-		for srv.arrivals[0] < c.now-c.settings.FallWindow {
+		for srv.arrivals[0] < c.now-c.settings.OverloadWindow {
 			srv.arrivals = srv.arrivals[1:]
 		}
 		c.maxColdLoad = max(c.maxColdLoad,
-			float64(len(srv.arrivals))/(c.settings.FallMultiple*c.capacity(srv)*float64(c.settings.FallWindow)/1e6))
+			float64(len(srv.arrivals))/(c.settings.OverloadMultiple*c.capacity(srv)*float64(c.settings.OverloadWindow)/1e6))
 	}
 	if srv.inFlight >= 24 {
 		end(1e3, Full)
@@ -175,8 +175,8 @@
 			id := uint32(len(c.arrived) + 1)
 			i := int(id) % 2
 			c.arrived[id] = c.now
-			c.gateways[i].Request(c.now, c.hosts[i], Request{ID: id, Customer: uint64(id % 50), Left: 2e6,
-				Units: 1, Spread: 2})
+			c.gateways[i].Request(c.now, c.hosts[i], Request{ID: id, Customer: uint64(id % 50), TimeLeft: 2e6,
+				Units: 1, GatewayCount: 2})
 		}
 	}
 	return c.served - before
@@ -331,7 +331,7 @@
 			old.coldSends = []Micros{b.now}
 			b.now += 60e3
 			for _, e := range list {
-				b.gateway.Servers(b.now, b.host, Delta, []Entry{e})
+				b.gateway.Servers(b.now, b.host, ListDelta, []Entry{e})
 			}
 			for _, id := range out { // the connections to the old process break
 				b.gateway.Outcome(b.now, b.host, Outcome{ID: id, Status: Reset, Latency: 60e3, Server: 1})
@@ -344,7 +344,7 @@
 				s.inFlight != 0 || len(s.coldSends) != 1 {
 				t.Errorf("the new record took over more than the cold sends: %+v", s)
 			}
-			b.gateway.Servers(b.now, b.host, Delta, nil)
+			b.gateway.Servers(b.now, b.host, ListDelta, nil)
 			if n := len(b.gateway.servers); n != 1 {
 				t.Errorf("%d servers are kept, want 1", n)
 			}
@@ -359,8 +359,8 @@
 // neither locks the customer out nor gives this gateway the whole ceiling.
 func TestFalseClaimsDoNotAffectOtherRequests(t *testing.T) {
 	for name, false1 := range map[string]Request{
-		"another plan":     {ID: 1, Plan: 0, Customer: 5, Left: 2e6, Units: 1, Spread: 2},
-		"no other gateway": {ID: 1, Plan: 1, Customer: 5, Left: 2e6, Units: 1, Spread: 1},
+		"another plan":     {ID: 1, Plan: 0, Customer: 5, TimeLeft: 2e6, Units: 1, GatewayCount: 2},
+		"no other gateway": {ID: 1, Plan: 1, Customer: 5, TimeLeft: 2e6, Units: 1, GatewayCount: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
@@ -456,7 +456,7 @@
 // ejection stays short.
 func TestDrainingServerIsNoAlternative(t *testing.T) {
 	b := newBench(testSettings(), 2)
-	b.gateway.Servers(b.now, b.host, Delta, []Entry{{Server: 1, State: Draining}})
+	b.gateway.Servers(b.now, b.host, ListDelta, []Entry{{Server: 1, State: Draining}})
 	s := b.gateway.byID[2]
 	for range 6 {
 		b.now += maxEjection
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -29,7 +29,7 @@
 }
 
 func newFleet(t *testing.T, settings Settings, gateways, servers int) *fleet {
-	settings.Gateways, settings.Counter, settings.CounterTimeout = gateways, true, 30e3
+	settings.GatewayCount, settings.HasCounter, settings.CounterTimeout = gateways, true, 30e3
 	f := &fleet{t: t, settings: settings, totals: map[uint64]float64{}, now: 100e6}
 	f.gateways, f.hosts = make([]*Gateway, gateways), make([]*recorder, gateways)
 	f.handled = make([]int, gateways)
@@ -41,22 +41,22 @@
 
 func (f *fleet) restart(index, servers int) {
 	settings := f.settings
-	settings.Self = index
+	settings.Index = index
 	f.gateways[index], f.hosts[index], f.handled[index] = New(settings, uint64(index)*2+1), newRecorder(), 0
 	f.gateways[index].Start(f.now, f.hosts[index])
 	var entries []Entry
 	for i := range servers {
 		entries = append(entries, Entry{Server: Server(i + 1), State: Ready, Weight: 1})
 	}
-	f.gateways[index].Servers(f.now, f.hosts[index], Cached, entries)
+	f.gateways[index].Servers(f.now, f.hosts[index], CachedList, entries)
 }
 
 // try sends a client's try through gateway i and reports whether it was sent on.
 func (f *fleet) try(index, plan int, customer uint64, left Micros) bool {
 	f.nextID++
 	gateway, host := f.gateways[index], f.hosts[index]
-	gateway.Request(f.now, host, Request{ID: f.nextID, Plan: plan, Customer: customer, Left: left, Units: 1,
-		Spread: len(f.gateways)})
+	gateway.Request(f.now, host, Request{ID: f.nextID, Plan: plan, Customer: customer, TimeLeft: left, Units: 1,
+		GatewayCount: len(f.gateways)})
 	f.answerCounter(index)
 	return f.answer(index, f.nextID)
 }
@@ -69,7 +69,7 @@
 		sentOn = sentOn || sent.id == id
 		f.attempts++
 		gateway.Outcome(f.now, host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 20e3,
-			Server: sent.to, Settled: f.actualUnits})
+			Server: sent.to, ActualUnits: f.actualUnits})
 	}
 	return sentOn
 }
@@ -86,11 +86,11 @@
 		f.callsInSecond++
 		if f.counterDown || f.maxCalls > 0 && f.callsInSecond > f.maxCalls {
 			f.lostCalls++
-			gateway.Counted(f.now, host, call.name, 30e3, Timeout, 0)
+			gateway.CounterResult(f.now, host, call.name, 30e3, Timeout, 0)
 			continue
 		}
 		f.totals[call.name] += call.amount
-		gateway.Counted(f.now, host, call.name, 1e3, OK, f.totals[call.name])
+		gateway.CounterResult(f.now, host, call.name, 1e3, OK, f.totals[call.name])
 	}
 }
 
@@ -133,8 +133,8 @@
 // smallPlan returns settings with a plan whose burst, divided among many gateways, is less than a request each.
 func smallPlan() Settings {
 	settings := testSettings()
-	settings.Plans = []Plan{{Rate: 4, Burst: 12, Price: 1, OverCost: 1}}
-	settings.Largest = 6
+	settings.Plans = []Plan{{Rate: 4, Burst: 12, Price: 1, OverrunCost: 1}}
+	settings.MaxUnits = 6
 	return settings
 }
 
@@ -180,7 +180,7 @@
 		{6, 200, 315, 1.2},   // four times the quota: 252 are right, and up to a quarter more is close enough
 	} {
 		set := smallPlan()
-		set.Plans[0].OverCost = c.over
+		set.Plans[0].OverrunCost = c.over
 		f := newFleet(t, set, 300, 200)
 		admitted := 0
 		for k := range 6000 {
@@ -226,7 +226,7 @@
 		t.Fatalf("%d answers and sends, want 1; %d counter names, want 0, as the client leaves before the counter answers", n, len(f.totals))
 	}
 	g, host := f.gateways[4], f.hosts[4]
-	g.Request(f.now, host, Request{ID: 9999, Customer: 5, Left: 2e6, Units: 1, Spread: 300})
+	g.Request(f.now, host, Request{ID: 9999, Customer: 5, TimeLeft: 2e6, Units: 1, GatewayCount: 300})
 	if len(host.counts) != 1 {
 		t.Fatal("the request made no draw")
 	}
@@ -234,7 +234,7 @@
 	if _, refused := host.refused[9999]; !refused {
 		t.Fatal("an unanswered draw holds its request past the client's time")
 	}
-	g.Counted(f.now+3e6, host, host.counts[0].name, 30e3, OK, 1)
+	g.CounterResult(f.now+3e6, host, host.counts[0].name, 30e3, OK, 1)
 	if len(host.sent) != 0 {
 		t.Fatal("sent after its final answer")
 	}
@@ -391,8 +391,8 @@
 	f := newFleet(t, settings, 300, 5)
 	for i := range 50 {
 		f.try(i, i%2, 5, 2e6)
-		f.gateways[i].Request(f.now, f.hosts[i], Request{ID: 1e6, Customer: 1, Left: 1e6, Units: 1,
-			Spread: 1 << 19})
+		f.gateways[i].Request(f.now, f.hosts[i], Request{ID: 1e6, Customer: 1, TimeLeft: 1e6, Units: 1,
+			GatewayCount: 1 << 19})
 		f.advance(1e3)
 	}
 }
@@ -403,7 +403,7 @@
 	f := newFleet(t, testSettings(), 300, 20)
 	cold := map[int]bool{}
 	for w := range 60 {
-		f.now += f.settings.FallWindow
+		f.now += f.settings.OverloadWindow
 		sends := 0
 		for i, g := range f.gateways {
 			s := &server{id: 99, entry: Entry{Server: 99, State: Ready, ReadyAt: f.now}}
@@ -413,7 +413,7 @@
 			}
 		}
 		// five answers per second over a subset of six, which all 300 gateways share
-		budget := f.settings.FallMultiple * f.settings.ColdShare * 300 * 5 / 6
+		budget := f.settings.OverloadMultiple * f.settings.ColdCapacity * 300 * 5 / 6
 		if float64(sends) > budget || float64(sends) < budget/4 {
 			t.Fatalf("window %d: %d sends to a cold server with a budget of %.0f, want a quarter of it to all of it", w, sends, budget)
 		}
@@ -428,7 +428,7 @@
 // they lack unreported use and count true units, whereas a ceiling counts estimates.
 func TestCeilingHoldsWithRestartsAndSilentCounter(t *testing.T) {
 	settings := testSettings()
-	settings.Settles = true
+	settings.SettlesUnits = true
 	p := &settings.Plans[1]
 	p.Rate, p.Burst = 18, 38
 	for _, silent := range []int{0, 2, 3} {
@@ -445,7 +445,7 @@
 			if f.try(step%2, 1, 5, 2e6) {
 				store--
 			}
-			if store < -p.CeilingSlack {
+			if store < -p.CeilingTolerance {
 				t.Fatalf("step %d: the ceiling's bucket is at %.1f, below its tolerance", step, store)
 			}
 		}
@@ -457,10 +457,10 @@
 // are lost, all gateways together stay within the ceiling.
 func TestSmallCeilingIsLeased(t *testing.T) {
 	settings := testSettings()
-	settings.Largest = 6
+	settings.MaxUnits = 6
 	settings.Plans = settings.Plans[1:2]
-	settings.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverCost: 1, CeilingRate: 40, CeilingBurst: 88,
-		CeilingSlack: 8}
+	settings.Plans[0] = Plan{Rate: 20, Burst: 44, Price: 2, OverrunCost: 1, CeilingRate: 40, CeilingBurst: 88,
+		CeilingTolerance: 8}
 	p := settings.Plans[0]
 	for _, c := range []struct {
 		name        string
@@ -498,8 +498,8 @@
 				if !c.few {
 					i = int(hash(uint64(ms), 5) % 7)
 				}
-				f.gateways[i].Request(f.now, f.hosts[i], Request{ID: f.nextID, Customer: 5, Left: 2e6, Units: 3,
-					Spread: 7})
+				f.gateways[i].Request(f.now, f.hosts[i], Request{ID: f.nextID, Customer: 5, TimeLeft: 2e6, Units: 3,
+					GatewayCount: 7})
 				f.answerCounter(i)
 			}
 			for i := range 7 {
@@ -508,7 +508,7 @@
 				store -= 3 * float64(f.attempts-before)
 				units += 3 * float64(f.attempts-before)
 			}
-			if store < -p.CeilingSlack {
+			if store < -p.CeilingTolerance {
 				t.Fatalf("%s: the ceiling's bucket is at %.1f after %d ms, below its tolerance", c.name, store,
 					ms)
 			}
@@ -569,7 +569,7 @@
 	got, all := 0, 0
 	for self := range 20 {
 		settings := smallPlan()
-		settings.Gateways, settings.Self = 80, self
+		settings.GatewayCount, settings.Index = 80, self
 		b := newBench(settings, 6)
 		for i := range 60 { // a request every 150 ms, each in flight for 100 ms
 			b.request(0, 0, uint64(i))
@@ -600,7 +600,7 @@
 	bound := g.inFlightLimit
 	for i := range uint32(6) {
 		at := 100e6 + Micros(i)*100e3
-		g.Request(at, host, Request{ID: i, Customer: uint64(i), Left: 2e6, Units: 1, Spread: 2})
+		g.Request(at, host, Request{ID: i, Customer: uint64(i), TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 		g.Outcome(at, host, Outcome{ID: i, Status: OK, Terminal: true, Latency: 750e3, Server: host.sent[i].to})
 	}
 	if g.inFlightLimit >= bound {
@@ -613,7 +613,7 @@
 // estimated, the share must stay whole for an outage of the counter.
 func TestSettlementOfDrawnTryLeavesOwnBucket(t *testing.T) {
 	settings := smallPlan()
-	settings.Settles = true
+	settings.SettlesUnits = true
 	f := newFleet(t, settings, 80, 20)
 	f.actualUnits = 6
 	if !f.try(3, 0, 5, 2e6) {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -9,17 +9,17 @@
 		t.Run(name, func(t *testing.T) {
 			old, now, oldHost := running(t, met)
 			s := old.Snapshot()
-			s.Handed()
+			s.PrepareHandover()
 			fresh, host := New(ceilingSettings(), 2), &quietHost{}
 			fresh.Start(now, host)
 			fresh.Recover(now, host, s, true)
-			fresh.Joined(s)
+			fresh.InheritStart(s)
 			fresh.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
 			before := oldHost.sent
 			sendRequests(old, oldHost, now, 10)
 			for range oldHost.sent - before {
-				fresh.Beside(now, Draw{Customer: 5, Spread: 1, Units: 1})
-				fresh.Beside(now, Draw{Customer: 5, Spread: 1, Units: 3, Settles: true}) // ceilings ignore settlements
+				fresh.RecordPeerDraw(now, PeerDraw{Customer: 5, GatewayCount: 1, Units: 1})
+				fresh.RecordPeerDraw(now, PeerDraw{Customer: 5, GatewayCount: 1, Units: 3, Settlement: true}) // ceilings ignore settlements
 			}
 			sendRequests(fresh, host, now, 60)
 			if all := oldHost.sent + host.sent; all != 30 {
@@ -34,15 +34,15 @@
 	room := func(others int) int {
 		settings := ceilingSettings()
 		settings.Plans[0].CeilingRate = 0
-		settings.ColdShare, settings.FallMultiple, settings.ColdFor, settings.FallWindow = 0.2, 3, 10*second, second
+		settings.ColdCapacity, settings.OverloadMultiple, settings.ColdDuration, settings.OverloadWindow = 0.2, 3, 10*second, second
 		g, h, now := New(settings, 1), &quietHost{}, Micros(1e12)
 		g.Start(now, h)
 		g.Servers(now, h, FullList, []Entry{{Server: 1, State: Ready, ReadyAt: now - second}})
 		for range others {
-			g.Beside(now, Draw{Server: 1, Spread: 1})
+			g.RecordPeerDraw(now, PeerDraw{Server: 1, GatewayCount: 1})
 		}
 		for id := range uint32(20) {
-			g.Request(now, h, Request{ID: id, Customer: 5, Left: 2e6, Units: 1, Spread: 1})
+			g.Request(now, h, Request{ID: id, Customer: 5, TimeLeft: 2e6, Units: 1, GatewayCount: 1})
 		}
 		return h.sent
 	}
@@ -59,10 +59,10 @@
 		c.unreported = 2
 	}
 	s := g.Snapshot()
-	s.Handed()
-	for _, c := range s.Clients {
-		if c.Untold != 0 {
-			t.Fatalf("%v unreported units are handed over, want 0", c.Untold)
+	s.PrepareHandover()
+	for _, c := range s.Customers {
+		if c.Unreported != 0 {
+			t.Fatalf("%v unreported units are handed over, want 0", c.Unreported)
 		}
 	}
 	for _, c := range g.customers {
@@ -76,7 +76,7 @@
 func TestUploadDoesNotCountBeforeLastByte(t *testing.T) {
 	g, now, host := running(t, 0)
 	upload := func(id uint32) {
-		g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Spread: 1, Filling: true})
+		g.Request(now, host, Request{ID: id, Customer: uint64(id), TimeLeft: 2e6, Units: 1, GatewayCount: 1, BodyPending: true})
 	}
 	most := int(g.inFlightLimit)
 	for id := range uint32(3 * most) {
@@ -86,8 +86,8 @@
 		t.Fatalf("%d of %d uploads were sent, want all", host.sent, 3*most)
 	}
 	for id := range uint32(most) { // as many as the limit allows become work
-		g.Filled(now, id)
-		g.Filled(now, id)
+		g.BodyReceived(now, id)
+		g.BodyReceived(now, id)
 	}
 	upload(1000)
 	if host.sent != 3*most || g.inFlight-g.inFlightBodies != most {
@@ -108,8 +108,8 @@
 func TestRequestWithConsumedBodyIsNotRetried(t *testing.T) {
 	for spent, want := range map[bool]int{false: 2, true: 1} {
 		g, now, host := running(t, 0)
-		g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
-		g.Outcome(now, host, Outcome{ID: 1, Status: ConnectFailed, Spent: spent, Server: 1})
+		g.Request(now, host, Request{ID: 1, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 1})
+		g.Outcome(now, host, Outcome{ID: 1, Status: ConnectFailed, BodyConsumed: spent, Server: 1})
 		if host.sent != want || (host.refused == 1) != spent {
 			t.Errorf("body consumed %v: %d attempts, %d refused", spent, host.sent, host.refused)
 		}
@@ -120,10 +120,10 @@
 func TestRequestKeepsMaxAttemptsOfArrival(t *testing.T) {
 	g, now, host := running(t, 0)
 	fewer := g.classes[0].Class
-	fewer.Attempts = 1
-	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
+	fewer.MaxAttempts = 1
+	g.Request(now, host, Request{ID: 1, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 1})
 	g.SetClasses(now, host, []Class{fewer})
-	g.Request(now, host, Request{ID: 2, Customer: 1, Left: 2e6, Units: 1, Spread: 1})
+	g.Request(now, host, Request{ID: 2, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 1})
 	for id := range uint32(2) {
 		g.Outcome(now, host, Outcome{ID: id + 1, Status: Failed, Server: 1})
 	}
@@ -135,7 +135,7 @@
 // A server that receives a long body is not silent.
 func TestProgressEndsSilence(t *testing.T) {
 	g, now, host := running(t, 0)
-	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 60e6, Units: 1, Spread: 1})
+	g.Request(now, host, Request{ID: 1, Customer: 1, TimeLeft: 60e6, Units: 1, GatewayCount: 1})
 	later := now + 5*second
 	g.now = later
 	silent := g.silence(g.byID[1])
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -12,14 +12,14 @@
 // tickDelay is the time to the next housekeeping tick. Without a request there is little to do, and ticks are
 // most of what an idle gateway costs.
 func (g *Gateway) tickDelay() Micros {
-	if busy := g.busyTickInterval(); len(g.requests) > 0 || g.settings.IdleStep < busy {
+	if busy := g.busyTickInterval(); len(g.requests) > 0 || g.settings.IdleTickInterval < busy {
 		return busy
 	}
-	return g.settings.IdleStep - g.now%g.settings.IdleStep // at the same time as other gateways of the process
+	return g.settings.IdleTickInterval - g.now%g.settings.IdleTickInterval // at the same time as other gateways of the process
 }
 
 // busyTickInterval is the interval of the tick while there are requests.
-func (g *Gateway) busyTickInterval() Micros { return cmp.Or(g.settings.Step, tickInterval) }
+func (g *Gateway) busyTickInterval() Micros { return cmp.Or(g.settings.TickInterval, tickInterval) }
 
 // armTick requests the next tick. It voids an earlier request for a later time.
 func (g *Gateway) armTick(after Micros) {
@@ -29,14 +29,14 @@
 
 // armBusyTick brings forward a tick that was requested while there was no request.
 func (g *Gateway) armBusyTick() {
-	if g.settings.IdleStep > 0 && g.tickDue-g.now > g.busyTickInterval() {
+	if g.settings.IdleTickInterval > 0 && g.tickDue-g.now > g.busyTickInterval() {
 		g.armTick(g.busyTickInterval())
 	}
 }
 
 // tickTimer handles a tick timer, unless a later request for a tick has made it void.
 func (g *Gateway) tickTimer() {
-	if g.settings.IdleStep > 0 && g.now < g.tickDue {
+	if g.settings.IdleTickInterval > 0 && g.now < g.tickDue {
 		return
 	}
 	g.tick()
@@ -47,9 +47,9 @@
 // time left, or after it has been held for a part of its latency target. A later refusal would leave the
 // client's next try too little time.
 func (g *Gateway) unsentDeadline(try Request) Micros {
-	deadline := g.now + try.Left/2 - 2*max(g.settings.Tick, milli)
-	if g.settings.HoldPart > 0 {
-		deadline = min(deadline, g.now+Micros(g.settings.HoldPart*float64(g.classes[try.Class].Aim)))
+	deadline := g.now + try.TimeLeft/2 - 2*max(g.settings.ClockTick, milli)
+	if g.settings.MaxHoldFraction > 0 {
+		deadline = min(deadline, g.now+Micros(g.settings.MaxHoldFraction*float64(g.classes[try.Class].LatencyTarget)))
 	}
 	return deadline
 }
@@ -77,10 +77,10 @@
 // maxSends is how many sends of ours a server may get per second, and whether that is limited.
 func (g *Gateway) maxSends(srv *server) (sends int, limited bool) {
 	cold := srv.entry.ColdUntil > g.now
-	if g.settings.ColdSends == nil {
+	if g.settings.MaxColdSends == nil {
 		return 0, cold
 	}
-	sends = g.settings.ColdSends(srv.id, cold)
+	sends = g.settings.MaxColdSends(srv.id, cold)
 	return sends, sends >= 0
 }
 
@@ -89,24 +89,24 @@
 func (g *Gateway) recordSend(srv *server) {
 	srv.lastUsed = g.now
 	switch {
-	case g.settings.ColdSends != nil:
+	case g.settings.MaxColdSends != nil:
 		srv.unsent++
 	case g.isCold(srv):
 		srv.coldSends = append(srv.coldSends, g.now)
 	}
 }
 
-// Left records that an attempt has been sent to its server. Only a gateway with Settings.ColdSends needs it.
-func (g *Gateway) Left(now Micros, id uint32, attempt int) {
+// AttemptSent records that an attempt has been sent to its server. Only a gateway with Settings.MaxColdSends needs it.
+func (g *Gateway) AttemptSent(now Micros, id uint32, attempt int) {
 	if att := g.findOpenAttempt(id, attempt); att != nil {
 		g.now = now
 		g.recordDeparture(att)
 	}
 }
 
-// MayLeave reports whether an attempt that has waited for a connection may be sent now: its server may have
+// MaySend reports whether an attempt that has waited for a connection may be sent now: its server may have
 // become cold since the decision, or our part of the server's budget may have shrunk.
-func (g *Gateway) MayLeave(now Micros, id uint32, attempt int) bool {
+func (g *Gateway) MaySend(now Micros, id uint32, attempt int) bool {
 	att := g.findOpenAttempt(id, attempt)
 	if att == nil {
 		return true
@@ -131,7 +131,7 @@
 
 // recordDeparture counts an attempt from now on among its server's sends of the last second.
 func (g *Gateway) recordDeparture(att *attempt) {
-	if att.departed || g.settings.ColdSends == nil {
+	if att.departed || g.settings.MaxColdSends == nil {
 		return
 	}
 	att.departed = true
@@ -145,7 +145,7 @@
 
 // expireSends drops sends that are older than any budget window.
 func (g *Gateway) expireSends(srv *server) {
-	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > max(g.settings.FallWindow, second) {
+	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > max(g.settings.OverloadWindow, second) {
 		srv.coldSends = srv.coldSends[1:]
 	}
 }
@@ -153,7 +153,7 @@
 // hasRecentSends reports whether a server that is no longer listed has sends that still count: it may be
 // listed again within the same second.
 func (g *Gateway) hasRecentSends(srv *server) bool {
-	if g.settings.ColdSends == nil {
+	if g.settings.MaxColdSends == nil {
 		return false
 	}
 	g.expireSends(srv)
@@ -167,37 +167,37 @@
 		req.retryGranted = false
 		return true
 	}
-	return g.settings.FurtherTry == nil || g.settings.FurtherTry(req.arrivalClass)
+	return g.settings.AllowRetry == nil || g.settings.AllowRetry(req.arrivalClass)
 }
 
 // mayMove reports whether a request may be taken from a silent server. With a retry budget it asks for a
 // retry first, and only safe requests are moved: without a retry the cancellation would end the request.
 func (g *Gateway) mayMove(req *request) bool {
-	if g.settings.FurtherTry == nil {
+	if g.settings.AllowRetry == nil {
 		return true
 	}
-	req.retryGranted = req.retryGranted || req.class.Repeat == Safe && g.settings.FurtherTry(req.arrivalClass)
+	req.retryGranted = req.retryGranted || req.class.Repeat == RepeatSafe && g.settings.AllowRetry(req.arrivalClass)
 	return req.retryGranted
 }
 
 // moveFromSilent takes safe requests from servers that have been silent for long, once each, if another
 // server can take them.
 func (g *Gateway) moveFromSilent() {
-	if g.settings.SafeAfter <= 0 || !g.settings.Cancel {
+	if g.settings.MoveAfterSilence <= 0 || !g.settings.CanCancel {
 		return
 	}
 	for _, srv := range g.servers {
 		for att := srv.head; att != nil; att = att.next {
 			req := att.request
 			if req.done || req.bodyPending || req.avoidServer != nil || req.inFlight != 1 ||
-				req.class.Repeat != Safe {
+				req.class.Repeat != RepeatSafe {
 				continue
 			}
 			expect := req.class.latency
 			if req.class.answers > 0 { // without answers its units say nothing about its latency
 				expect = req.class.expectedLatency(req.units)
 			}
-			maxSilence := max(g.settings.SafeAfter*expect*g.currentSlowness(srv), float64(req.class.Aim)/2)
+			maxSilence := max(g.settings.MoveAfterSilence*expect*g.currentSlowness(srv), float64(req.class.LatencyTarget)/2)
 			if min(g.silence(srv), float64(g.now-att.sent)) < maxSilence || !g.mayRetry(req) {
 				continue
 			}
@@ -210,27 +210,27 @@
 	}
 }
 
-// slownessWeight is the weight of a server's newest answer in its slowness. If Settings.Learn is set, an
+// slownessWeight is the weight of a server's newest answer in its slowness. If Settings.SlownessSeconds is set, an
 // answer counts for the time since the last one: with many gateways a server seldom answers each of them, and
 // an average over twenty answers would be out of date.
 func (g *Gateway) slownessWeight(srv *server) float64 {
-	if g.settings.Learn <= 0 {
+	if g.settings.SlownessSeconds <= 0 {
 		return slownessGain
 	}
-	return min(max(1-math.Exp(-float64(g.now-srv.slownessAt)/1e6/g.settings.Learn), slownessGain),
+	return min(max(1-math.Exp(-float64(g.now-srv.slownessAt)/1e6/g.settings.SlownessSeconds), slownessGain),
 		maxSlownessWeight)
 }
 
 const maxSlownessWeight = 0.3 // upper bound of the weight of one answer in a server's slowness
 
 // limitTerms returns where the limit on attempts moves: the settings, or the defaults.
-func (g *Gateway) limitTerms() BoundTerms {
-	set := g.settings.Bound
-	return BoundTerms{
-		Within:  cmp.Or(set.Within, growBelow),
-		Past:    cmp.Or(set.Past, cutAbove),
-		Knee:    cmp.Or(set.Knee, growKnee),
-		KneeCut: cmp.Or(set.KneeCut, cutKnee),
+func (g *Gateway) limitTerms() LimitTerms {
+	set := g.settings.LimitTerms
+	return LimitTerms{
+		GrowBelow: cmp.Or(set.GrowBelow, growBelow),
+		CutAbove:  cmp.Or(set.CutAbove, cutAbove),
+		GrowKnee:  cmp.Or(set.GrowKnee, growKnee),
+		CutKnee:   cmp.Or(set.CutKnee, cutKnee),
 	}
 }
 
@@ -244,10 +244,10 @@
 
 // retryHoldDeadline is how long a request that was sent before may be held for another attempt.
 func (g *Gateway) retryHoldDeadline(req *request) Micros {
-	if g.settings.HoldPart <= 0 || !req.held {
+	if g.settings.MaxHoldFraction <= 0 || !req.held {
 		return math.MaxInt64
 	}
-	return req.heldAt + Micros(g.settings.HoldPart*float64(req.class.Aim))
+	return req.heldAt + Micros(g.settings.MaxHoldFraction*float64(req.class.LatencyTarget))
 }
 
 // keepsWaiting reports whether a held request goes on waiting for another attempt. Otherwise one that no
@@ -269,7 +269,7 @@
 // which leaves the probe to safe ones; a service that gets only unsafe ones still probes its servers at some
 // time.
 func (g *Gateway) probeFrom(req *request, srv *server) Micros {
-	if req.class.Repeat == Unsafe {
+	if req.class.Repeat == RepeatUnsafe {
 		return srv.probeAt + srv.ejection
 	}
 	return srv.probeAt
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -18,7 +18,7 @@
 	for homes, want := range home {
 		for range 20 {
 			id++
-			g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1, Homes: homes})
+			g.Request(100e6, host, Request{ID: id, Customer: uint64(id), TimeLeft: 2e6, Units: 1, Regions: homes})
 			for _, status := range []Status{Full, OK} {
 				x := host.sent[len(host.sent)-1]
 				if x.id != id {
@@ -41,7 +41,7 @@
 		}
 	}
 	sent := len(host.sent)
-	g.Request(100e6, host, Request{ID: 9999, Customer: 9999, Left: 2e6, Units: 1, Homes: 1 << 5})
+	g.Request(100e6, host, Request{ID: 9999, Customer: 9999, TimeLeft: 2e6, Units: 1, Regions: 1 << 5})
 	g.Timer(102e6, host, tokenGiveUp<<32|9999)
 	if _, refused := host.refused[9999]; len(host.sent) != sent || !refused {
 		t.Fatalf("%d sent, refused %v, without a server in the allowed region; want 0 and true",
@@ -71,12 +71,12 @@
 // The limit on sends applies to a server that may be cold, even if the list does not say so.
 func TestMaybeColdServerIsLimited(t *testing.T) {
 	settings := testSettings()
-	settings.Gateways = 1
-	settings.ColdSends = func(Server, bool) int { return 2 }
+	settings.GatewayCount = 1
+	settings.MaxColdSends = func(Server, bool) int { return 2 }
 	g, host := startGateway(settings, 0)
 	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready}})
 	for id := range uint32(5) {
-		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), TimeLeft: 9e6, Units: 1})
 	}
 	assert.Equal(t, len(host.sent), 2)
 }
@@ -86,14 +86,14 @@
 func TestColdServerSendsAreLimitedPerSecond(t *testing.T) {
 	const most = 3
 	settings := testSettings()
-	settings.ColdSends = coldOnly(func() int { return most })
+	settings.MaxColdSends = coldOnly(func() int { return most })
 	g, host := startGateway(settings, 0)
 	now := Micros(100e6)
 	cold := []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}}
 	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
 	var sends []Micros
 	for id := uint32(1); now < 110e6; id++ {
-		g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
+		g.Request(now, host, Request{ID: id, Customer: uint64(id), TimeLeft: 2e6, Units: 1})
 		for ; len(sends) < len(host.sent); now += 100 {
 			sent := host.sent[len(sends)]
 			sends = append(sends, now)
@@ -125,9 +125,9 @@
 func TestColdServerSendsCountWhenTheyLeave(t *testing.T) {
 	const most = 3
 	settings := testSettings()
-	settings.Gateways = 1
+	settings.GatewayCount = 1
 	share := most
-	settings.ColdSends = coldOnly(func() int { return share })
+	settings.MaxColdSends = coldOnly(func() int { return share })
 	g, host := startGateway(settings, 0)
 	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready, ColdUntil: 200e6}})
 	room := func(at Micros) bool {
@@ -135,29 +135,29 @@
 		return g.hasColdSendBudget(g.byID[1])
 	}
 	for id := range uint32(most) {
-		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 9e6, Units: 1})
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), TimeLeft: 9e6, Units: 1})
 	}
 	assert.Equal(t, len(host.sent), most)
 	assert.Assert(t, !room(101500e3), "three attempts wait for a connection")
-	g.Left(101600e3, 0, 0)
-	g.Left(101600e3, 0, 0) // reported twice
+	g.AttemptSent(101600e3, 0, 0)
+	g.AttemptSent(101600e3, 0, 0) // reported twice
 	g.Outcome(101600e3, host, Outcome{ID: 1, Status: Reset, Server: 1, Terminal: true})
 	assert.Assert(t, !room(102e6), "one attempt left in this second, one may have, one waits")
-	assert.Assert(t, g.MayLeave(102e6, 2, 0))
+	assert.Assert(t, g.MaySend(102e6, 2, 0))
 	share = 2
-	assert.Assert(t, !g.MayLeave(102e6, 2, 0), "our part of the budget has shrunk")
+	assert.Assert(t, !g.MaySend(102e6, 2, 0), "our part of the budget has shrunk")
 	share = most
 	assert.Assert(t, room(102700e3), "only the waiting attempt counts")
-	g.Outcome(102700e3, host, Outcome{ID: 2, Status: Moot, Server: 1, Terminal: true})
+	g.Outcome(102700e3, host, Outcome{ID: 2, Status: NotSent, Server: 1, Terminal: true})
 	assert.Equal(t, g.byID[1].unsent, 0)
 	g.Outcome(102700e3, host, Outcome{ID: 0, Status: OK, Server: 1, Terminal: true})
 	assert.Equal(t, len(g.byID[1].coldSends), 1, "an attempt that has left counts once")
 
-	g.Request(104e6, host, Request{ID: 9, Customer: 9, Left: 9e6, Units: 1})
+	g.Request(104e6, host, Request{ID: 9, Customer: 9, TimeLeft: 9e6, Units: 1})
 	share = 0
-	assert.Assert(t, !g.MayLeave(104e6, 9, 0))
+	assert.Assert(t, !g.MaySend(104e6, 9, 0))
 	g.Servers(104e6, host, FullList, []Entry{{Server: 1, State: Ready}})
-	assert.Assert(t, g.MayLeave(104e6, 9, 0), "the server is warm")
+	assert.Assert(t, g.MaySend(104e6, 9, 0), "the server is warm")
 }
 
 // FurtherTry is asked once for each retry. Without budget a request is refused or, if it may have run and must not
@@ -165,14 +165,14 @@
 func TestRetryBudgetIsAskedOncePerRetry(t *testing.T) {
 	left, asked := 1, 0
 	settings := testSettings()
-	settings.FurtherTry = func(int) bool { asked++; left--; return left >= 0 }
+	settings.AllowRetry = func(int) bool { asked++; left--; return left >= 0 }
 	g, host := startGateway(settings, 4)
 	fail := func(id uint32, status Status) {
 		x := host.sent[len(host.sent)-1]
 		g.Outcome(100e6, host, Outcome{ID: id, Attempt: countAttempts(host, id) - 1, Status: status, Server: x.to,
 			Latency: 1e3})
 	}
-	g.Request(100e6, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
+	g.Request(100e6, host, Request{ID: 1, Customer: 1, TimeLeft: 2e6, Units: 1})
 	if asked != 0 {
 		t.Fatal("the budget was asked for a first try")
 	}
@@ -184,7 +184,7 @@
 	if _, refused := host.refused[1]; asked != 2 || len(host.sent) != 2 || !refused {
 		t.Fatalf("asked %d times, %d sent, refused %v; want 2, 2 and true", asked, len(host.sent), refused)
 	}
-	g.Request(100e6, host, Request{ID: 2, Class: 2, Customer: 2, Left: 1500e3, Units: 1})
+	g.Request(100e6, host, Request{ID: 2, Class: 2, Customer: 2, TimeLeft: 1500e3, Units: 1})
 	fail(2, Reset)
 	if _, refused := host.refused[2]; asked != 2 || refused || !host.failed[2] {
 		t.Fatalf("asked %d times, refused %v, failed %v; want 2, false and true", asked, refused, host.failed[2])
@@ -195,10 +195,10 @@
 // or not.
 func TestUnsentRequestIsRefusedAfterHoldPart(t *testing.T) {
 	settings := testSettings()
-	settings.HoldPart = 0.25
+	settings.MaxHoldFraction = 0.25
 	g, host := startGateway(settings, 0)
 	for id, again := range []bool{false, true} {
-		g.Request(100e6, host, Request{ID: uint32(id), Customer: 1, Left: 2e6, Units: 1, Again: again})
+		g.Request(100e6, host, Request{ID: uint32(id), Customer: 1, TimeLeft: 2e6, Units: 1, IsRetry: again})
 		req := g.requests[uint32(id)]
 		if req == nil {
 			t.Fatal("refused at once")
@@ -228,9 +228,9 @@
 		t.Run(name, func(t *testing.T) {
 			asked := 0
 			settings := testSettings()
-			settings.SafeAfter, settings.FurtherTry = 1, func(int) bool { asked++; return c.budget }
+			settings.MoveAfterSilence, settings.AllowRetry = 1, func(int) bool { asked++; return c.budget }
 			g, host := startGateway(settings, 2)
-			g.Request(100e6, host, Request{ID: 1, Class: c.class, Customer: 1, Left: 1500e3, Units: 1})
+			g.Request(100e6, host, Request{ID: 1, Class: c.class, Customer: 1, TimeLeft: 1500e3, Units: 1})
 			for now := Micros(100e6); now < 100e6+300e3; now += 10e3 {
 				g.Timer(now, host, tokenTick<<32)
 				if n := len(host.cancels); n > 0 && len(host.sent) == 1 {
@@ -254,9 +254,9 @@
 // A server with a high cost, such as one far away, is not used while a cheaper one is as good.
 func TestExpensiveServerIsTheLastChoice(t *testing.T) {
 	g, host := startGateway(testSettings(), 0)
-	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready, Dear: 10}, {Server: 2, State: Ready}})
+	g.Servers(100e6, host, FullList, []Entry{{Server: 1, State: Ready, CostFactor: 10}, {Server: 2, State: Ready}})
 	for id := range uint32(5) {
-		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), Left: 2e6, Units: 1})
+		g.Request(100e6, host, Request{ID: id, Customer: uint64(id), TimeLeft: 2e6, Units: 1})
 		if host.sent[id].to != 2 {
 			t.Fatalf("sent to server %d, want 2", host.sent[id].to)
 		}
@@ -269,18 +269,18 @@
 func TestLimitUsesConfiguredTerms(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		bound BoundTerms
+		bound LimitTerms
 		lat   Micros
 		cut   bool
 	}{
-		{"default terms, half of the target", BoundTerms{}, 150 * milli, true},
-		{"terms near the target, half of it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 150 * milli, false},
-		{"terms near the target, above it", BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}, 450 * milli,
+		{"default terms, half of the target", LimitTerms{}, 150 * milli, true},
+		{"terms near the target, half of it", LimitTerms{GrowBelow: 0.8, CutAbove: 1, GrowKnee: 3, CutKnee: 5}, 150 * milli, false},
+		{"terms near the target, above it", LimitTerms{GrowBelow: 0.8, CutAbove: 1, GrowKnee: 3, CutKnee: 5}, 450 * milli,
 			true},
 	} {
-		g := New(Settings{Gateways: 1, Classes: []Class{{Aim: 300 * milli, Deadline: 2 * second, Worth: 1}},
+		g := New(Settings{GatewayCount: 1, Classes: []Class{{LatencyTarget: 300 * milli, Deadline: 2 * second, Value: 1}},
 			Plans:       []Plan{{Price: 1}},
-			MaxAttempts: 1, Bound: c.bound}, 1)
+			MaxAttempts: 1, LimitTerms: c.bound}, 1)
 		g.now, g.inFlightLimit, g.listedCount = second, 20, 4
 		for range 200 {
 			g.now += 20 * milli
@@ -296,7 +296,7 @@
 // With few answers per second from a server, an average over twenty answers would be ten seconds old, so each
 // answer must weigh more.
 func TestInfrequentAnswerWeighsMore(t *testing.T) {
-	g := New(Settings{Gateways: 9, Learn: 1.5, Classes: []Class{{Aim: second}}, Plans: []Plan{{Price: 1}}}, 1)
+	g := New(Settings{GatewayCount: 9, SlownessSeconds: 1.5, Classes: []Class{{LatencyTarget: second}}, Plans: []Plan{{Price: 1}}}, 1)
 	g.now = 10 * second
 	s := &server{slownessAt: 9 * second}
 	if got := g.slownessWeight(s); got < 0.29 {
@@ -306,7 +306,7 @@
 	if got := g.slownessWeight(s); got != slownessGain {
 		t.Errorf("an answer after a millisecond weighs %.2f, want the least weight", got)
 	}
-	g.settings.Learn = 0
+	g.settings.SlownessSeconds = 0
 	s.slownessAt = 0
 	if got := g.slownessWeight(s); got != slownessGain {
 		t.Errorf("an answer weighs %.2f without the setting, want the least weight", got)
@@ -325,14 +325,14 @@
 		{"without such a fraction", 0, 2 * second},
 	} {
 		host := &timerHost{}
-		g := New(Settings{Gateways: 1, Tick: milli, MaxAttempts: 3, RetryAfter: true, HoldPart: c.part,
-			Classes: []Class{{Aim: 500 * milli, Deadline: 2 * second, Worth: 1, LateWorth: 1,
-				Repeat: Unsafe}}, Plans: []Plan{{Price: 1}}}, 1)
+		g := New(Settings{GatewayCount: 1, ClockTick: milli, MaxAttempts: 3, SendRetryAfter: true, MaxHoldFraction: c.part,
+			Classes: []Class{{LatencyTarget: 500 * milli, Deadline: 2 * second, Value: 1, LateValue: 1,
+				Repeat: RepeatUnsafe}}, Plans: []Plan{{Price: 1}}}, 1)
 		now := second
 		host.now = &now
 		g.Start(now, host)
 		g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
-		g.Request(now, host, Request{ID: 7, Left: 2 * second, Units: 1, Spread: 1})
+		g.Request(now, host, Request{ID: 7, TimeLeft: 2 * second, Units: 1, GatewayCount: 1})
 		if host.sends != 1 {
 			t.Fatalf("%s: %d sends, want 1", c.name, host.sends)
 		}
@@ -391,7 +391,7 @@
 		id++
 		g.Timer(now, host, tokenTick<<32)
 		before := len(host.sent)
-		g.Request(now, host, Request{ID: id, Class: 2, Customer: uint64(id), Left: 1e6, Units: 1})
+		g.Request(now, host, Request{ID: id, Class: 2, Customer: uint64(id), TimeLeft: 1e6, Units: 1})
 		if len(host.sent) == before {
 			g.ClientGone(now, host, id)
 			continue
@@ -417,7 +417,7 @@
 // before must not start a second series of ticks.
 func TestIdleGatewayTicksSeldom(t *testing.T) {
 	settings := testSettings()
-	settings.Step, settings.IdleStep = 20*milli, 100*milli
+	settings.TickInterval, settings.IdleTickInterval = 20*milli, 100*milli
 	g, host := startGateway(settings, 0)
 	now := Micros(100e6)
 	g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
@@ -426,9 +426,9 @@
 	assert.Equal(t, g.tickDue, now+100*milli)
 	idle := g.tickDue
 	now += 30 * milli
-	g.Request(now, host, Request{ID: 1, Customer: 1, Left: 2e6, Units: 1})
+	g.Request(now, host, Request{ID: 1, Customer: 1, TimeLeft: 2e6, Units: 1})
 	assert.Equal(t, g.tickDue, now+20*milli)
-	assert.Equal(t, g.settings.IdleStep-now%g.settings.IdleStep, 70*milli,
+	assert.Equal(t, g.settings.IdleTickInterval-now%g.settings.IdleTickInterval, 70*milli,
 		"idle ticks of several gateways coincide")
 	now += 20 * milli
 	g.Timer(now, host, tokenTick<<32)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -12,10 +12,10 @@
 	}
 	srv.reportedLoad, srv.reportedAt = float64(load[0]+load[1])/float64(load[2]), g.now
 	work := g.meanLatency() * g.currentSlowness(srv)
-	excess := Micros(float64(load[1]/load[2])*work + work - float64(class.Aim))
-	if !g.settings.Reported || load[1] < 1 || excess <= 0 {
+	excess := Micros(float64(load[1]/load[2])*work + work - float64(class.LatencyTarget))
+	if !g.settings.UseLoadReports || load[1] < 1 || excess <= 0 {
 		return
 	}
-	srv.fullUntil = max(srv.fullUntil, g.now+min(excess, class.Aim/2))
-	g.cutLimit(class.Aim / 4)
+	srv.fullUntil = max(srv.fullUntil, g.now+min(excess, class.LatencyTarget/2))
+	g.cutLimit(class.LatencyTarget / 4)
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -20,21 +20,21 @@
 		{name: "too few values", load: []float32{8}},
 	} {
 		settings := testSettings()
-		settings.Reported = !c.off
+		settings.UseLoadReports = !c.off
 		g, host := startGateway(settings, 0)
 		now := Micros(100e6)
 		g.Servers(now, host, FullList, []Entry{{Server: 1, State: Ready}})
-		aim := g.classes[0].Aim
+		aim := g.classes[0].LatencyTarget
 		send := func(id uint32) bool {
 			before := len(host.sent)
-			g.Request(now, host, Request{ID: id, Customer: uint64(id), Left: 10 * aim, Units: 1})
+			g.Request(now, host, Request{ID: id, Customer: uint64(id), TimeLeft: 10 * aim, Units: 1})
 			return len(host.sent) > before
 		}
 		if !send(1) {
 			t.Fatalf("%s: the first request was not sent", c.name)
 		}
 		bound := g.inFlightLimit
-		g.Outcome(now, host, Outcome{ID: 1, Status: OK, Server: 1, Latency: aim / 4, Load: c.load, Terminal: true})
+		g.Outcome(now, host, Outcome{ID: 1, Status: OK, Server: 1, Latency: aim / 4, LoadReport: c.load, Terminal: true})
 		if got := !send(2); got != c.full {
 			t.Errorf("%s: server full %v, want %v", c.name, got, c.full)
 		}
