--- a/policy/policy.go
+++ b/policy/policy.go
@@ -108,11 +108,11 @@
 		byID: map[Server]*server{}}
 	g.wheel = make([][]*customer, sharePeriod/tickInterval)
 	for _, class := range settings.Classes {
-		g.classes = append(g.classes, classState{Class: class, latency: float64(class.Aim) / 4})
+		g.classes = append(g.classes, classState{Class: class, latency: float64(class.LatencyTarget) / 4})
 	}
 	g.capWindow = second
 	for _, class := range settings.Classes {
-		g.capWindow = min(g.capWindow, class.Aim/2)
+		g.capWindow = min(g.capWindow, class.LatencyTarget/2)
 	}
 	g.capWindow = max(g.capWindow, milli)
 	for i, plan := range settings.Plans {
@@ -124,7 +124,7 @@
 
 // rankLevels gives each pair of class and plan its level in the strict order.
 func (g *Gateway) rankLevels() {
-	rank := func(i, j int) float64 { return -g.classes[i].Worth * g.plans[j].Price }
+	rank := func(i, j int) float64 { return -g.classes[i].Value * g.plans[j].Price }
 	var ranks []float64
 	for i := range g.classes {
 		for j := range g.plans {
@@ -165,7 +165,7 @@
 // refillRate is the plan's rate or, for a concurrency cap drawn from the counter, the rate that fills it.
 func (g *Gateway) refillRate(cust *customer) float64 {
 	if plan := cust.plan; plan.Rate <= 0 && g.needsDraw(cust) {
-		return capTargetFill * float64(plan.Open) / max(plan.attemptTime, 1) * 1e6
+		return capTargetFill * float64(plan.MaxInFlight) / max(plan.attemptTime, 1) * 1e6
 	}
 	return cust.plan.Rate
 }
@@ -246,8 +246,8 @@
 // each lease held for one more window, stays within the ceiling's burst and refill, however often gateways
 // restart and whatever each of them knows (docs/design/ceilings.md).
 func (g *Gateway) ceilingLeased(plan *planState) bool {
-	return g.settings.Counter && plan.CeilingRate > 0 && leasePool(plan) >= g.settings.Largest &&
-		plan.CeilingBurst < float64(g.settings.Gateways)*g.settings.Largest
+	return g.settings.HasCounter && plan.CeilingRate > 0 && leasePool(plan) >= g.settings.MaxUnits &&
+		plan.CeilingBurst < float64(g.settings.GatewayCount)*g.settings.MaxUnits
 }
 
 // leasePool is the number of units that one window leases of a ceiling.
@@ -266,7 +266,7 @@
 
 // reportUse runs once a second for each customer and reports use that the counter does not have yet.
 func (g *Gateway) reportUse(cust *customer) {
-	threshold := max(reportFraction/4*cust.plan.Burst/cust.gateways, maxDebt*g.settings.Largest)
+	threshold := max(reportFraction/4*cust.plan.Burst/cust.gateways, maxDebt*g.settings.MaxUnits)
 	if math.Abs(cust.unreported) > threshold && g.random() < g.callFraction {
 		g.callCounter(cust, nil)
 	}
@@ -299,11 +299,11 @@
 // mayAwaitCounter reports whether a request may wait for the counter: its client must not leave before.
 func (g *Gateway) mayAwaitCounter(req *request) bool {
 	return g.random() < g.callFraction &&
-		req.deadline-g.now >= g.settings.CounterTimeout+4*max(g.settings.Tick, milli)
+		req.deadline-g.now >= g.settings.CounterTimeout+4*max(g.settings.ClockTick, milli)
 }
 
-// Counted handles the answer to a counter call.
-func (g *Gateway) Counted(now Micros, host Host, name uint64, _ Micros, status Status, total float64) {
+// CounterResult handles the answer to a counter call.
+func (g *Gateway) CounterResult(now Micros, host Host, name uint64, _ Micros, status Status, total float64) {
 	g.beginEvent(now, host)
 	if growth := callGrowth * float64(now-g.lastCounterAnswer) / 1e6; status == OK {
 		if now-g.lastCounterAnswer < counterOutage { // the counter was not silent
@@ -339,11 +339,11 @@
 		return
 	}
 	req := &request{id: try.ID, class: &g.classes[try.Class], plan: &g.plans[try.Plan],
-		customer: g.customerFor(try), units: try.Units, bodyPending: try.Filling,
-		level: g.levels[try.Class][try.Plan], arrived: now, deadline: now + try.Left,
-		unsentDeadline: g.unsentDeadline(try), regions: try.Homes, arrivalClass: try.Class}
+		customer: g.customerFor(try), units: try.Units, bodyPending: try.BodyPending,
+		level: g.levels[try.Class][try.Plan], arrived: now, deadline: now + try.TimeLeft,
+		unsentDeadline: g.unsentDeadline(try), regions: try.Regions, arrivalClass: try.Class}
 	g.requests[try.ID] = req
-	req.arrived -= g.priorWait(req.class, try.Left, try.Again)
+	req.arrived -= g.priorWait(req.class, try.TimeLeft, try.IsRetry)
 	if g.tooLate(req) {
 		g.refuse(req, second)
 		return
@@ -403,9 +403,9 @@
 	case kind == drawLease:
 		window = Micros(plan.CeilingBurst / plan.CeilingRate / leaseWindows * 1e6)
 		pool = leasePool(plan)
-	case plan.Open > 0:
+	case plan.MaxInFlight > 0:
 		window = g.capWindow
-		pool = max(capTargetFill*float64(plan.Open)*float64(g.capWindow)/max(plan.attemptTime, 1), 1)
+		pool = max(capTargetFill*float64(plan.MaxInFlight)*float64(g.capWindow)/max(plan.attemptTime, 1), 1)
 	default:
 		window, pool = Micros(drawWindowFraction*plan.Burst/plan.Rate*1e6), plan.Burst
 	}
@@ -416,11 +416,11 @@
 // needsDraw reports whether our even part of a customer's bucket or cap holds less than one of the largest
 // requests, and we see too little of its traffic to know the shared state between two totals.
 func (g *Gateway) needsDraw(cust *customer) bool {
-	if cust.plan.Open > 0 {
-		return g.settings.Counter && float64(cust.plan.Open) < cust.gateways
+	if cust.plan.MaxInFlight > 0 {
+		return g.settings.HasCounter && float64(cust.plan.MaxInFlight) < cust.gateways
 	}
-	return g.settings.Counter && cust.plan.Rate > 0 && cust.gateways > fewGateways &&
-		cust.plan.Burst < cust.gateways*max(g.settings.Largest, 1)
+	return g.settings.HasCounter && cust.plan.Rate > 0 && cust.gateways > fewGateways &&
+		cust.plan.Burst < cust.gateways*max(g.settings.MaxUnits, 1)
 }
 
 // draw asks the counter for a request's units, or refuses it at once if the window is known to be spent. It
@@ -435,7 +435,7 @@
 		return false
 	}
 	amount := req.units
-	if kind == drawUnits && req.plan.Open > 0 {
+	if kind == drawUnits && req.plan.MaxInFlight > 0 {
 		amount = 1
 	}
 	g.awaitCounter(req)
@@ -504,7 +504,7 @@
 // gateways round up as make the sum right; otherwise hundreds with one send each would overload servers.
 func (g *Gateway) roundInTurns(amount float64, turn Micros, salt uint64) float64 {
 	offset := float64(uint64(g.now/turn)+salt>>44)*turnDistance +
-		float64(g.settings.Self)/float64(max(g.settings.Gateways, 1))
+		float64(g.settings.Index)/float64(max(g.settings.GatewayCount, 1))
 	return math.Floor(amount + offset - math.Floor(offset))
 }
 
@@ -525,8 +525,8 @@
 // holdDeadline is when a held request can no longer meet its latency target. The answer time counts up to a
 // fraction of it: else a class with a high remembered latency would never be admitted and measured again.
 func (g *Gateway) holdDeadline(req *request) Micros {
-	service := min(req.class.latency, maxServiceFraction*float64(req.class.Aim))
-	latest := req.deadline - 2*max(g.settings.Tick, milli)
+	service := min(req.class.latency, maxServiceFraction*float64(req.class.LatencyTarget))
+	latest := req.deadline - 2*max(g.settings.ClockTick, milli)
 	if !req.sent { // a refusal costs the client less with half its time left
 		latest = min(latest, req.unsentDeadline)
 		if req.leasedAt > 0 { // the lease lapses
@@ -534,7 +534,7 @@
 			latest = min(latest, req.leasedAt+(leaseWindows-2)*window-g.settings.CounterTimeout)
 		}
 	}
-	return min(req.arrived+req.class.Aim-Micros(service), latest)
+	return min(req.arrived+req.class.LatencyTarget-Micros(service), latest)
 }
 
 // dispatch sends held requests, highest rank first, while the limit on attempts in flight allows.
@@ -546,8 +546,8 @@
 			}
 			req := g.queue[level][i]
 			// Our share of a cap is ours to use, and at least one place, which draws keep within bounds.
-			capPart := max(1, int(float64(req.plan.Open)*g.currentShare(req.customer)))
-			if req.plan.Open > 0 && !req.sent && req.customer.inFlight >= capPart {
+			capPart := max(1, int(float64(req.plan.MaxInFlight)*g.currentShare(req.customer)))
+			if req.plan.MaxInFlight > 0 && !req.sent && req.customer.inFlight >= capPart {
 				// places come free sooner at other gateways, so holding it does not help
 				g.refuse(req, Micros(g.meanLatency()))
 				continue
@@ -571,8 +571,8 @@
 
 // endRequest gives the final answer to a request: a refusal only where a retry is harmless.
 func (g *Gateway) endRequest(req *request, wait Micros) {
-	harmless := !req.mayHaveRun || req.class.Repeat == Safe ||
-		req.class.Repeat == Keyed && req.class.Group == GroupAll
+	harmless := !req.mayHaveRun || req.class.Repeat == RepeatSafe ||
+		req.class.Repeat == RepeatKeyed && req.class.Dedup == DedupFleet
 	if harmless {
 		g.refuse(req, wait)
 	} else {
@@ -609,20 +609,20 @@
 	req.plan.attemptTime += (float64(now-att.sent) - req.plan.attemptTime) * attemptTimeGain
 	g.observe(att, outcome)
 	cust := req.customer
-	if outcome.Status == OK && outcome.Settled > 0 && g.settings.Settles &&
+	if outcome.Status == OK && outcome.ActualUnits > 0 && g.settings.SettlesUnits &&
 		!req.done && req.tokensTaken > 0 {
-		cust.tokens -= outcome.Settled - req.units
-		cust.sharedTokens -= outcome.Settled - req.units
-		g.recordUse(cust, outcome.Settled-req.units)
+		cust.tokens -= outcome.ActualUnits - req.units
+		cust.sharedTokens -= outcome.ActualUnits - req.units
+		g.recordUse(cust, outcome.ActualUnits-req.units)
 	}
-	mayHaveRun := outcome.Status != Full && outcome.Status != ConnectFailed && outcome.Status != Moot
+	mayHaveRun := outcome.Status != Full && outcome.Status != ConnectFailed && outcome.Status != NotSent
 	if mayHaveRun && !req.mayHaveRun {
 		req.mayHaveRun, req.ranOn, req.ranAt = true, att.server, att.sent
 	}
 	switch {
 	case req.done || outcome.Terminal || outcome.Status == OK:
 		g.finish(req)
-	case !outcome.Spent && g.mayRetry(req) && g.mayAttemptAgain(req):
+	case !outcome.BodyConsumed && g.mayRetry(req) && g.mayAttemptAgain(req):
 		g.enqueueHeld(req)
 		host.Timer(tokenGiveUp<<32|uint64(req.id), max(g.nextCheck(req)-now, 0))
 	default:
@@ -633,20 +633,20 @@
 
 // tooLate reports that an answer would come past the latency target with little value, or not in time at all.
 func (g *Gateway) tooLate(req *request) bool {
-	return g.now >= g.holdDeadline(req) && req.class.LateWorth < minLateValue ||
-		req.deadline-g.now < 4*max(g.settings.Tick, milli)
+	return g.now >= g.holdDeadline(req) && req.class.LateValue < minLateValue ||
+		req.deadline-g.now < 4*max(g.settings.ClockTick, milli)
 }
 
 // mayRetry reports whether a request may be sent again. One that may have run is repeated only as its class
 // allows, and one that is too late must not take a server's place from one that is not.
 func (g *Gateway) mayRetry(req *request) bool {
-	if len(req.attempts) >= cmp.Or(req.class.Attempts, g.settings.MaxAttempts, 1) || g.tooLate(req) {
+	if len(req.attempts) >= cmp.Or(req.class.MaxAttempts, g.settings.MaxAttempts, 1) || g.tooLate(req) {
 		return false
 	}
-	if !req.mayHaveRun || req.class.Repeat == Safe {
+	if !req.mayHaveRun || req.class.Repeat == RepeatSafe {
 		return true
 	}
-	return req.class.Repeat == Keyed && g.now-req.ranAt < req.class.Window-4*g.settings.Tick
+	return req.class.Repeat == RepeatKeyed && g.now-req.ranAt < req.class.RepeatWindow-4*g.settings.ClockTick
 }
 
 // ClientGone ends a request whose client has left.
@@ -686,9 +686,9 @@
 	oldClasses, oldQueue := g.classes, g.queue
 	g.classes = nil
 	for i, class := range classes {
-		state := classState{Class: class, latency: float64(class.Aim) / 4}
+		state := classState{Class: class, latency: float64(class.LatencyTarget) / 4}
 		if i < len(oldClasses) &&
-			oldClasses[i].Aim == class.Aim && oldClasses[i].Deadline == class.Deadline {
+			oldClasses[i].LatencyTarget == class.LatencyTarget && oldClasses[i].Deadline == class.Deadline {
 			state, state.Class = oldClasses[i], class
 		}
 		g.classes = append(g.classes, state)
@@ -716,7 +716,7 @@
 	level := len(g.queue) - 1
 	for i := range g.classes {
 		for j := range g.plans {
-			if g.classes[i].Worth*g.plans[j].Price <= req.class.Worth*req.plan.Price {
+			if g.classes[i].Value*g.plans[j].Price <= req.class.Value*req.plan.Price {
 				level = min(level, g.levels[i][j])
 			}
 		}
@@ -739,7 +739,7 @@
 	latency := float64(outcome.Latency)
 	wasProbing := srv.probing
 	srv.probing = false
-	g.applyLoadReport(srv, class, outcome.Load)
+	g.applyLoadReport(srv, class, outcome.LoadReport)
 	if outcome.Status == OK || outcome.Status == Full || outcome.Status == Failed {
 		srv.lastAnswer, g.lastAnswer, srv.silent = g.now, g.now, false // our own time-out is no answer
 	}
@@ -756,25 +756,25 @@
 			(min(ratio, maxSlowness)-g.currentSlowness(srv))*g.slownessWeight(srv)
 		srv.slownessAt = g.now
 		weight := min(max(float64(g.now-g.minRatioAt)/1e6, minRatioWeight), maxRatioWeight)
-		g.latencyRatio += (min(latency/float64(max(class.Aim, 1)), 3) - g.latencyRatio) * weight
+		g.latencyRatio += (min(latency/float64(max(class.LatencyTarget, 1)), 3) - g.latencyRatio) * weight
 		if g.ratioSamples++; g.ratioSamples == minRatioSamples || g.latencyRatio < g.minRatio {
 			g.minRatio = g.latencyRatio
 		}
 		g.minRatio += (g.latencyRatio - g.minRatio) * min(float64(g.now-g.minRatioAt)/float64(ratioDrift), 1)
 		g.minRatioAt = g.now
-		if terms := g.limitTerms(); g.latencyRatio <= terms.Within &&
-			g.latencyRatio <= terms.Knee*max(g.minRatio, g.minRatioIfUnsettled()) {
+		if terms := g.limitTerms(); g.latencyRatio <= terms.GrowBelow &&
+			g.latencyRatio <= terms.GrowKnee*max(g.minRatio, g.minRatioIfUnsettled()) {
 			if float64(g.inFlight+1) >= g.inFlightLimit/2 {
 				growth := min(growStep/g.inFlightLimit, maxGrowth*g.inFlightLimit)
 				g.inFlightLimit = min(g.inFlightLimit+growth, g.fleetPart(maxLimitPerServer))
 			}
-		} else if g.latencyRatio > terms.Past ||
-			g.latencyRatio > terms.KneeCut*g.minRatio && g.aboveStart() {
-			g.cutLimit(class.Aim / 2)
+		} else if g.latencyRatio > terms.CutAbove ||
+			g.latencyRatio > terms.CutKnee*g.minRatio && g.aboveStart() {
+			g.cutLimit(class.LatencyTarget / 2)
 		}
 	case Full:
 		srv.fullUntil = g.now + fullPause
-		g.cutLimit(class.Aim / 4)
+		g.cutLimit(class.LatencyTarget / 4)
 	case Timeout, ConnectFailed, Reset, Failed:
 		srv.failures++
 		if srv.failures > 1 || outcome.Status == Timeout || outcome.Status == Failed { // one may be chance
@@ -798,7 +798,7 @@
 
 // fleetPart is our part of an amount per server over the fleet.
 func (g *Gateway) fleetPart(n float64) float64 {
-	return n * float64(max(g.listedCount, 1)) / float64(max(g.settings.Gateways, 1))
+	return n * float64(max(g.listedCount, 1)) / float64(max(g.settings.GatewayCount, 1))
 }
 
 // expectedLatency is the latency to expect of a request: half of the class's average scales with its units.
@@ -829,7 +829,7 @@
 		if srv.ejected && g.now < srv.probeAt {
 			continue
 		}
-		for att := srv.head; att != nil && g.settings.Cancel && srv.silent; att = att.next { // a probe
+		for att := srv.head; att != nil && g.settings.CanCancel && srv.silent; att = att.next { // a probe
 			if req := att.request; !req.done && g.mayRetry(req) && g.mayMove(req) {
 				g.host.Cancel(req.id, att.index)
 			}
@@ -859,13 +859,13 @@
 // budget, judged by the measured rate of warm servers. Where none is warm, the remembered rate counts, and at
 // least one request at a time per server: otherwise an all-cold fleet would get nothing, unmeasured.
 func (g *Gateway) hasColdBudget(srv *server) bool {
-	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > g.settings.FallWindow {
+	for len(srv.coldSends) > 0 && g.now-srv.coldSends[0] > g.settings.OverloadWindow {
 		srv.coldSends = srv.coldSends[1:]
 	}
-	rate := max(g.warmRate, 1e6/g.meanLatency()/float64(max(g.settings.Gateways, 1)))
-	budget := coldBudgetFraction * g.settings.FallMultiple * g.warmFraction(srv) *
-		rate * float64(g.settings.FallWindow) / 1e6
-	turn := max(g.settings.FallWindow, tickInterval)
+	rate := max(g.warmRate, 1e6/g.meanLatency()/float64(max(g.settings.GatewayCount, 1)))
+	budget := coldBudgetFraction * g.settings.OverloadMultiple * g.warmFraction(srv) *
+		rate * float64(g.settings.OverloadWindow) / 1e6
+	turn := max(g.settings.OverloadWindow, tickInterval)
 	return float64(len(srv.coldSends)) < g.roundInTurns(budget, turn, hash(uint64(srv.id), 0))
 }
 
@@ -889,7 +889,7 @@
 		if srv.ejected && g.now < g.probeFrom(req, srv) {
 			continue
 		}
-		if req.mayHaveRun && req.class.Repeat == Keyed && !sameGroup(req.class.Group, req.ranOn, srv) {
+		if req.mayHaveRun && req.class.Repeat == RepeatKeyed && !sameGroup(req.class.Dedup, req.ranOn, srv) {
 			continue
 		}
 		cost := g.serverCost(srv)
@@ -922,8 +922,8 @@
 
 // costFactor is the cost of a server by the list: its weight and its zone.
 func (g *Gateway) costFactor(srv *server) float64 {
-	factor := cmp.Or(srv.entry.Dear, 1)
-	if g.settings.Weights && srv.entry.Weight > 0 {
+	factor := cmp.Or(srv.entry.CostFactor, 1)
+	if g.settings.UseWeights && srv.entry.Weight > 0 {
 		factor /= srv.entry.Weight
 	}
 	if srv.entry.Zone != g.settings.Zone {
@@ -943,7 +943,7 @@
 		if srv.listed { // attempts at a removed server do not enlarge the fleet
 			g.listedCount++
 		}
-		h := hash(uint64(srv.id), uint64(g.settings.Self)+1)
+		h := hash(uint64(srv.id), uint64(g.settings.Index)+1)
 		srv.order = -math.Log(float64(h>>11+1)/(1<<53)) * g.costFactor(srv)
 	}
 	g.orderByRing()
@@ -959,7 +959,7 @@
 // restarted or was gone gets a new record: open attempts stay with the old one, since their results say
 // nothing of the new process. Only sends that count against the cold budget carry over.
 func (g *Gateway) mergeList(kind ListKind, entries []Entry) {
-	if kind != Delta {
+	if kind != ListDelta {
 		for _, srv := range g.servers {
 			srv.listed = false
 		}
@@ -989,20 +989,20 @@
 
 // isCold reports whether a server has started recently.
 func (g *Gateway) isCold(srv *server) bool {
-	return srv.entry.ReadyAt > 0 && g.now-srv.entry.ReadyAt < g.settings.ColdFor
+	return srv.entry.ReadyAt > 0 && g.now-srv.entry.ReadyAt < g.settings.ColdDuration
 }
 
 // warmFraction is the least fraction of its capacity that a cold server has.
 func (g *Gateway) warmFraction(srv *server) float64 {
-	age := float64(g.now-srv.entry.ReadyAt) / float64(max(g.settings.ColdFor, 1))
-	return g.settings.ColdShare + (1-g.settings.ColdShare)*min(max(age, 0), 1)
+	age := float64(g.now-srv.entry.ReadyAt) / float64(max(g.settings.ColdDuration, 1))
+	return g.settings.ColdCapacity + (1-g.settings.ColdCapacity)*min(max(age, 0), 1)
 }
 
-func sameGroup(group Group, a, b *server) bool {
+func sameGroup(group DedupScope, a, b *server) bool {
 	switch group {
-	case GroupZone:
+	case DedupZone:
 		return a.entry.Zone == b.entry.Zone
-	case GroupCell:
+	case DedupCell:
 		return a.entry.Zone == b.entry.Zone && a.entry.Cell == b.entry.Cell
 	}
 	return true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -42,18 +42,18 @@
 // an expensive plan with a concurrency cap.
 func testSettings() Settings {
 	return Settings{
-		Gateways: 2, Tick: 4000, MaxAttempts: 4, Cancel: true, RetryAfter: true, Largest: 1,
+		GatewayCount: 2, ClockTick: 4000, MaxAttempts: 4, CanCancel: true, SendRetryAfter: true, MaxUnits: 1,
 		Classes: []Class{
-			{Aim: 500e3, Deadline: 2e6, Worth: 1, Repeat: Safe},
-			{Aim: 500e3, Deadline: 2e6, Worth: 2, Repeat: Keyed, Group: GroupCell, Window: 1e6},
-			{Aim: 400e3, Deadline: 1500e3, Worth: 5, Repeat: Unsafe},
+			{LatencyTarget: 500e3, Deadline: 2e6, Value: 1, Repeat: RepeatSafe},
+			{LatencyTarget: 500e3, Deadline: 2e6, Value: 2, Repeat: RepeatKeyed, Dedup: DedupCell, RepeatWindow: 1e6},
+			{LatencyTarget: 400e3, Deadline: 1500e3, Value: 5, Repeat: RepeatUnsafe},
 		},
 		Plans: []Plan{
-			{Rate: 10, Burst: 20, Price: 1, OverCost: 1},
-			{Rate: 10, Burst: 20, Price: 2, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
-			{Rate: 100, Burst: 200, Price: 3, Open: 4},
+			{Rate: 10, Burst: 20, Price: 1, OverrunCost: 1},
+			{Rate: 10, Burst: 20, Price: 2, CeilingRate: 20, CeilingBurst: 40, CeilingTolerance: 4},
+			{Rate: 100, Burst: 200, Price: 3, MaxInFlight: 4},
 		},
-		ColdShare: 0.2, ColdFor: 10e6, FallMultiple: 2, FallWindow: 1e6,
+		ColdCapacity: 0.2, ColdDuration: 10e6, OverloadMultiple: 2, OverloadWindow: 1e6,
 	}
 }
 
@@ -65,14 +65,14 @@
 	for i := range servers {
 		entries = append(entries, Entry{Server: Server(i + 1), State: Ready, Weight: 1, Cell: i / 2})
 	}
-	gateway.Servers(100e6, host, Cached, entries)
+	gateway.Servers(100e6, host, CachedList, entries)
 	return gateway, host
 }
 
 func TestBucketAdmitsOurShareOfBurst(t *testing.T) {
 	g, host := startGateway(testSettings(), 8)
 	for i := range uint32(20) {
-		g.Request(100e6, host, Request{ID: i, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+		g.Request(100e6, host, Request{ID: i, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 	}
 	if len(host.sent) != 10 || len(host.refused) != 10 {
 		t.Fatalf("sent %d, refused %d; want 10 and 10, as our part is half of a burst of 20", len(host.sent),
@@ -82,7 +82,7 @@
 	if wait := host.refused[10]; wait < 190e3 || wait > 210e3 {
 		t.Fatalf("told to wait %d us, want about 200000", wait)
 	}
-	g.Request(100e6+210e3, host, Request{ID: 99, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+	g.Request(100e6+210e3, host, Request{ID: 99, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 	if _, refused := host.refused[99]; refused {
 		t.Fatal("refused after the advised wait")
 	}
@@ -91,27 +91,27 @@
 func TestCeilingStartsEmptyAfterRestart(t *testing.T) {
 	g, host := startGateway(testSettings(), 8)
 	for i := range uint32(10) {
-		g.Request(100e6, host, Request{ID: i, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+		g.Request(100e6, host, Request{ID: i, Plan: 1, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 	}
 	if len(host.sent) != 0 {
 		t.Fatalf("sent %d at the start, want 0: the units may have been spent before a restart", len(host.sent))
 	}
-	g.Request(101e6, host, Request{ID: 50, Plan: 1, Customer: 1, Left: 2e6, Units: 1, Spread: 2})
+	g.Request(101e6, host, Request{ID: 50, Plan: 1, Customer: 1, TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 	if len(host.sent) != 1 {
 		t.Fatal("our part of the ceiling did not fill after the start")
 	}
 }
 
 func TestUnsafeRequestIsNotRetriedIfItMayHaveRun(t *testing.T) {
-	for status := Failed; status <= Moot; status++ {
+	for status := Failed; status <= NotSent; status++ {
 		g, host := startGateway(testSettings(), 4)
-		g.Request(100e6, host, Request{ID: 1, Class: 2, Customer: 1, Left: 1500e3, Units: 1, Spread: 2})
+		g.Request(100e6, host, Request{ID: 1, Class: 2, Customer: 1, TimeLeft: 1500e3, Units: 1, GatewayCount: 2})
 		if len(host.sent) != 1 {
 			t.Fatal("the request was not sent")
 		}
 		g.Outcome(100100e3, host, Outcome{ID: 1, Status: status, Server: host.sent[0].to, Latency: 100e3,
 			Terminal: status == OK})
-		ran := status != Full && status != ConnectFailed && status != Moot
+		ran := status != Full && status != ConnectFailed && status != NotSent
 		switch {
 		case status == OK && (host.failed[1] || len(host.sent) != 1):
 			t.Errorf("status %d: a request was retried or failed after a good answer", status)
@@ -135,7 +135,7 @@
 func (b *bench) request(class, plan int, customer uint64) uint32 {
 	b.nextID++
 	b.gateway.Request(b.now, b.host, Request{ID: b.nextID, Class: class, Plan: plan, Customer: customer,
-		Left: b.gateway.settings.Classes[class].Deadline, Units: 1, Spread: 2})
+		TimeLeft: b.gateway.settings.Classes[class].Deadline, Units: 1, GatewayCount: 2})
 	return b.nextID
 }
 
@@ -162,7 +162,7 @@
 	for i := range 200 {
 		b.now += 50e3
 		b.request(0, 0, uint64(i))
-		b.answer(3*b.gateway.settings.Classes[0].Aim, OK)
+		b.answer(3*b.gateway.settings.Classes[0].LatencyTarget, OK)
 	}
 	b.gateway.answerRate = 100 // the fleet works again
 	for b.gateway.inFlight < int(b.gateway.inFlightLimit)+1 {
@@ -269,7 +269,7 @@
 				b.nextID = sent
 				b.gateway, b.host = New(settings, 9), newRecorder()
 				b.gateway.Start(now, b.host)
-				b.gateway.Servers(now, b.host, Cached, []Entry{{Server: 1, State: Ready},
+				b.gateway.Servers(now, b.host, CachedList, []Entry{{Server: 1, State: Ready},
 					{Server: 2, State: Ready}})
 			}
 			b.now = now
@@ -284,7 +284,7 @@
 			} else {
 				store -= float64(len(b.host.sent) - n)
 			}
-			if store < -p.CeilingSlack {
+			if store < -p.CeilingTolerance {
 				t.Fatalf("step %d: the ceiling's bucket is at %.1f, below its tolerance", step, store)
 			}
 		}
@@ -293,7 +293,7 @@
 
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	b := newBench(testSettings(), 2)
-	b.gateway.Servers(b.now, b.host, Delta, []Entry{{Server: 1, State: Draining}})
+	b.gateway.Servers(b.now, b.host, ListDelta, []Entry{{Server: 1, State: Draining}})
 	for i := range 10 {
 		b.request(0, 0, uint64(i))
 		b.answer(10e3, OK)
@@ -319,7 +319,7 @@
 	settings := testSettings()
 	settings.Plans[0].Rate, settings.Plans[0].Burst = 1e6, 1e6
 	b := newBench(settings, 4)
-	b.gateway.Servers(b.now, b.host, Delta, []Entry{{Server: 9, State: Ready, ReadyAt: b.now}})
+	b.gateway.Servers(b.now, b.host, ListDelta, []Entry{{Server: 9, State: Ready, ReadyAt: b.now}})
 	b.gateway.inFlightLimit = 60
 	var cold, all, done int
 	for range 100 { // one second of a hundred requests
@@ -340,7 +340,7 @@
 		b.handled = len(b.host.sent)
 		b.gateway.Timer(b.now, b.host, tokenTick<<32)
 	}
-	if even := all / 5; cold == 0 || float64(cold) > settings.FallMultiple*0.3*float64(even) {
+	if even := all / 5; cold == 0 || float64(cold) > settings.OverloadMultiple*0.3*float64(even) {
 		t.Fatalf("the cold server got %d of %d requests", cold, all)
 	}
 }
@@ -354,7 +354,7 @@
 	if len(b.host.sent) != 2 || (b.host.sent[1].to-1)/2 != (first.to-1)/2 {
 		t.Fatalf("sent %v: the retry must stay in the cell", b.host.sent)
 	}
-	b.now += b.gateway.settings.Classes[1].Window
+	b.now += b.gateway.settings.Classes[1].RepeatWindow
 	b.gateway.Outcome(b.now, b.host, Outcome{ID: first.id, Attempt: 1, Status: Reset, Server: first.to,
 		Latency: 100e3})
 	if len(b.host.sent) != 2 || !b.host.failed[first.id] {
@@ -377,7 +377,7 @@
 		t.Fatal("sent with a limit of zero")
 	}
 	b.gateway.inFlightLimit = 10
-	b.now += b.gateway.settings.Classes[1].Window
+	b.now += b.gateway.settings.Classes[1].RepeatWindow
 	b.gateway.Timer(b.now, b.host, tokenTick<<32)
 	if len(b.host.sent) != 1 || !b.host.failed[first.id] {
 		t.Fatalf("sent %d times, failed %v; want 1 and true", len(b.host.sent), b.host.failed[first.id])
@@ -388,7 +388,7 @@
 // that lost its data, are not believed.
 func TestShareWithSilentOrEmptyCounter(t *testing.T) {
 	settings := testSettings()
-	settings.Counter = true
+	settings.HasCounter = true
 	b := newBench(settings, 8)
 	c := func() *customer { return b.gateway.customers[1] }
 	turn := func(reply func(countCall)) {
@@ -405,7 +405,7 @@
 	total := map[uint64]float64{}
 	honest := func(x countCall) {
 		total[x.name] += x.amount
-		b.gateway.Counted(b.now, b.host, x.name, 1000, OK, total[x.name])
+		b.gateway.CounterResult(b.now, b.host, x.name, 1000, OK, total[x.name])
 	}
 	load := func(reply func(countCall)) {
 		for range 6 {
@@ -420,11 +420,11 @@
 	if c().share < 0.9 {
 		t.Fatalf("share %.2f, want at least 0.9, as all use is ours", c().share)
 	}
-	load(func(x countCall) { b.gateway.Counted(b.now, b.host, x.name, 30000, Timeout, 0) })
+	load(func(x countCall) { b.gateway.CounterResult(b.now, b.host, x.name, 30000, Timeout, 0) })
 	if share := b.gateway.currentShare(c()); share != 0.5 {
 		t.Fatalf("share %.2f with a silent counter, want the even part", share)
 	}
-	load(func(x countCall) { b.gateway.Counted(b.now, b.host, x.name, 1000, OK, 0) })
+	load(func(x countCall) { b.gateway.CounterResult(b.now, b.host, x.name, 1000, OK, 0) })
 	if share := b.gateway.currentShare(c()); share != 0.5 {
 		t.Fatalf("share %.2f from totals below our own contribution, want the even part", share)
 	}
@@ -437,11 +437,11 @@
 
 func TestSettledUnitsAdjustBucket(t *testing.T) {
 	settings := testSettings()
-	settings.Settles = true
+	settings.SettlesUnits = true
 	b := newBench(settings, 2)
 	b.request(0, 0, 1)
 	before := b.gateway.customers[1].tokens
-	b.gateway.Outcome(b.now, b.host, Outcome{ID: b.nextID, Status: OK, Terminal: true, Settled: 5, Latency: 10})
+	b.gateway.Outcome(b.now, b.host, Outcome{ID: b.nextID, Status: OK, Terminal: true, ActualUnits: 5, Latency: 10})
 	if got := before - b.gateway.customers[1].tokens; got != 4 {
 		t.Fatalf("settling 5 units for an estimate of 1 took %.1f more, want 4", got)
 	}
@@ -453,13 +453,13 @@
 		b.request(0, 0, uint64(i+10))
 		b.answer(10e3, OK)
 	}
-	b.gateway.Request(b.now, b.host, Request{ID: 1, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
-		Again: true})
+	b.gateway.Request(b.now, b.host, Request{ID: 1, Customer: 2, TimeLeft: 1200e3, Units: 1, GatewayCount: 2,
+		IsRetry: true})
 	if _, refused := b.host.refused[1]; !refused {
 		t.Fatal("a retry 800 ms after its first try was admitted past its latency target of 500 ms")
 	}
-	b.gateway.Request(b.now, b.host, Request{ID: 2, Customer: 2, Left: 1900e3, Units: 1, Spread: 2,
-		Again: true})
+	b.gateway.Request(b.now, b.host, Request{ID: 2, Customer: 2, TimeLeft: 1900e3, Units: 1, GatewayCount: 2,
+		IsRetry: true})
 	if _, refused := b.host.refused[2]; refused {
 		t.Fatal("a retry within its latency target was refused")
 	}
@@ -470,7 +470,7 @@
 	f.Add([]byte("requests, outcomes, lists and timers in any order"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		settings := testSettings()
-		settings.Counter = true
+		settings.HasCounter = true
 		g, host := New(settings, 3), newRecorder()
 		now := Micros(1e6)
 		g.Start(now, host)
@@ -487,12 +487,12 @@
 			switch take() % 7 {
 			case 0:
 				g.Request(now, host, Request{ID: uint32(take()), Class: take()%5 - 1, Plan: take()%5 - 1,
-					Customer: uint64(take() % 4), Left: Micros(take()) * 1e4, Units: float64(take() % 7),
-					Spread: take() % 4})
+					Customer: uint64(take() % 4), TimeLeft: Micros(take()) * 1e4, Units: float64(take() % 7),
+					GatewayCount: take() % 4})
 			case 1:
 				g.Outcome(now, host, Outcome{ID: uint32(take()), Status: Status(take() % 8), Attempt: take() % 4,
-					Terminal: take()%2 == 0, Latency: Micros(take()) * 1e4, Used: take(),
-					Settled: float64(take() % 7)})
+					Terminal: take()%2 == 0, Latency: Micros(take()) * 1e4, QuotaUsed: take(),
+					ActualUnits: float64(take() % 7)})
 			case 2:
 				g.Servers(now, host, ListKind(take()%4), []Entry{{Server: Server(take() % 6),
 					State: State(take() % 3), Cell: take() % 3, Zone: take() % 2, ReadyAt: now * Micros(take()%2),
@@ -505,7 +505,7 @@
 				g.ClientGone(now, host, uint32(take()))
 			case 6:
 				for _, x := range host.counts {
-					g.Counted(now, host, x.name, 0, Status(take()%8), float64(take()))
+					g.CounterResult(now, host, x.name, 0, Status(take()%8), float64(take()))
 				}
 				host.counts = nil
 			}
@@ -520,7 +520,7 @@
 // gateways the sum was more than the servers bear.
 func TestMinimumLimitIsDividedAmongGateways(t *testing.T) {
 	settings := testSettings()
-	settings.Gateways = 12
+	settings.GatewayCount = 12
 	b := newBench(settings, 24)
 	for range 100 {
 		b.now += 1e6
@@ -563,14 +563,14 @@
 // once suppressed nine tenths of all calls.
 func TestCounterResetDoesNotReduceCalls(t *testing.T) {
 	settings := testSettings()
-	settings.Counter = true
+	settings.HasCounter = true
 	b := newBench(settings, 8)
 	for _, c := range []struct {
 		st   Status
 		want float64
 	}{{Reset, 1}, {Reset, 1}, {Timeout, callCutFactor}} {
 		b.now += second
-		b.gateway.Counted(b.now, b.host, 1, 1000, c.st, 0)
+		b.gateway.CounterResult(b.now, b.host, 1, 1000, c.st, 0)
 		if b.gateway.callFraction != c.want {
 			t.Errorf("after status %d the fraction of calls made is %.2f, want %.2f", c.st,
 				b.gateway.callFraction, c.want)
@@ -582,7 +582,7 @@
 // four gateways, each had all its requests at two or three of eight servers while the others were idle.
 func TestIdleLoadReportDoesNotCauseHerding(t *testing.T) {
 	settings := testSettings()
-	settings.InlineLoad, settings.Plans[0].Burst = []string{"inflight"}, 1000
+	settings.LoadReportFields, settings.Plans[0].Burst = []string{"inflight"}, 1000
 	b := newBench(settings, 8)
 	for range 10 { // each server reports now and then, one of them that it is idle
 		b.now += 50e3
@@ -596,7 +596,7 @@
 				load = 0
 			}
 			b.gateway.Outcome(b.now, b.host, Outcome{ID: sent.id, Status: OK, Terminal: true, Latency: 40e3,
-				Server: sent.to, Load: []float32{load}})
+				Server: sent.to, LoadReport: []float32{load}})
 		}
 	}
 	at := map[Server]int{}
@@ -645,7 +645,7 @@
 	f.try(0, 0, 6, 2e6)
 	f.hosts[0].counts = nil
 	g := f.gateways[0]
-	g.Request(f.now+1e3, f.hosts[0], Request{ID: 9999, Customer: 6, Left: 2e6, Units: 1, Spread: 2})
+	g.Request(f.now+1e3, f.hosts[0], Request{ID: 9999, Customer: 6, TimeLeft: 2e6, Units: 1, GatewayCount: 2})
 	if len(f.hosts[0].counts) != 0 {
 		t.Error("a call was made for a bucket that is nearly full")
 	}
@@ -661,8 +661,8 @@
 		b.answer(10e3, OK)
 	}
 	for id, again := range map[uint32]bool{1: false, 2: true} {
-		b.gateway.Request(b.now, b.host, Request{ID: id, Customer: 2, Left: 1200e3, Units: 1, Spread: 2,
-			Again: again})
+		b.gateway.Request(b.now, b.host, Request{ID: id, Customer: 2, TimeLeft: 1200e3, Units: 1, GatewayCount: 2,
+			IsRetry: again})
 		if _, refused := b.host.refused[id]; refused != again {
 			t.Errorf("marked as a retry %v: refused %v", again, refused)
 		}
--- a/policy/recover.go
+++ b/policy/recover.go
@@ -33,15 +33,15 @@
 		}
 	}
 	for i, rec := range snapshot.Plans {
-		g.plans[i].attemptTime = rec.Holds
+		g.plans[i].attemptTime = rec.AttemptTime
 	}
-	for _, index := range snapshot.Listed {
-		g.recoverCustomer(&snapshot.Clients[index], snapshot.Now, exact)
+	for _, index := range snapshot.KnownCustomers {
+		g.recoverCustomer(&snapshot.Customers[index], snapshot.Now, exact)
 	}
 	if now-snapshot.Now > maxFleetStateAge {
 		return
 	}
-	g.inFlightLimit, g.limitSet = snapshot.Bound, snapshot.BoundSet
+	g.inFlightLimit, g.limitSet = snapshot.InFlightLimit, snapshot.LimitSet
 	for _, index := range snapshot.Order { // the next server list drops those that it does not name
 		rec := snapshot.Servers[index]
 		srv := restoreServer(&rec)
--- a/policy/recover_test.go
+++ b/policy/recover_test.go
@@ -18,8 +18,8 @@
 
 // ceilingSettings returns a plan whose ceiling is smaller than its quota.
 func ceilingSettings() Settings {
-	return Settings{Gateways: 1, Tick: 4000, MaxAttempts: 2, Largest: 1, RetryAfter: true,
-		Classes: []Class{{Aim: 400e3, Deadline: 2e6, Worth: 1}},
+	return Settings{GatewayCount: 1, ClockTick: 4000, MaxAttempts: 2, MaxUnits: 1, SendRetryAfter: true,
+		Classes: []Class{{LatencyTarget: 400e3, Deadline: 2e6, Value: 1}},
 		Plans:   []Plan{{Rate: 1000, Burst: 1000, Price: 1, CeilingRate: 10, CeilingBurst: 30}}}
 }
 
@@ -39,7 +39,7 @@
 	for i := range n {
 		sent := host.sent
 		id := uint32(now/1000)%1e6*1000 + uint32(i) + 1
-		gateway.Request(now, host, Request{ID: id, Customer: 5, Left: 2e6, Units: 1, Spread: 1})
+		gateway.Request(now, host, Request{ID: id, Customer: 5, TimeLeft: 2e6, Units: 1, GatewayCount: 1})
 		if host.sent > sent {
 			gateway.Outcome(now, host, Outcome{ID: id, Status: OK, Latency: 1000, Server: 1})
 		}
@@ -117,7 +117,7 @@
 		t.Error("a snapshot of another version was restored")
 	}
 	s.Version--
-	s.Known = []int{99}
+	s.KnownRequests = []int{99}
 	if _, err := Restore(s); err == nil {
 		t.Error("a snapshot with an invalid index was restored")
 	}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -10,10 +10,10 @@
 	windowSteps   = 100  // steps that a window is counted in
 )
 
-// TriesRule is the budget: in any window of time, at most Ratio × requests + Slack retries.
-type TriesRule struct {
-	Window       Micros
-	Ratio, Slack float64
+// RetryBudgetRule is the budget: in any window of time, at most Ratio × requests + Slack retries.
+type RetryBudgetRule struct {
+	Window           Micros
+	Ratio, Allowance float64
 }
 
 // tryCount counts a service's requests and retries by steps of a window.
@@ -26,9 +26,9 @@
 // budgetPart is a gateway's index among all gateways; members is 0 while their number is not known.
 type budgetPart struct{ index, members int }
 
-// Tries is the retry budget of one gateway, for each service.
-type Tries struct {
-	rule      TriesRule
+// RetryBudget is the retry budget of one gateway, for each service.
+type RetryBudget struct {
+	rule      RetryBudgetRule
 	startedAt Micros
 	part      budgetPart // our current part
 	next      budgetPart // replaces part when a window has passed since nextAt
@@ -36,16 +36,16 @@
 	services  map[string]*tryCount
 }
 
-// NewTries returns the budget at the start of a process. For the first window it holds half of its allowance,
+// NewRetryBudget returns the budget at the start of a process. For the first window it holds half of its allowance,
 // since the process may have used its part before a restart.
-func NewTries(now Micros, rule TriesRule) *Tries {
-	return &Tries{rule: rule, startedAt: now, services: map[string]*tryCount{}}
+func NewRetryBudget(now Micros, rule RetryBudgetRule) *RetryBudget {
+	return &RetryBudget{rule: rule, startedAt: now, services: map[string]*tryCount{}}
 }
 
-// Members sets the number of gateways and our index among them, from 0. When there are fewer gateways than
+// SetMembers sets the number of gateways and our index among them, from 0. When there are fewer gateways than
 // before, our part grows only after a whole window: the missing ones have used their part of it, and may be
 // cut off and still running. Until the number is known there is no allowance.
-func (t *Tries) Members(now Micros, members, index int) {
+func (t *RetryBudget) SetMembers(now Micros, members, index int) {
 	t.adoptDuePart(now)
 	if next := (budgetPart{index, members}); next != t.next {
 		t.next, t.nextAt = next, now
@@ -56,14 +56,14 @@
 }
 
 // adoptDuePart adopts a larger part once it is due.
-func (t *Tries) adoptDuePart(now Micros) {
+func (t *RetryBudget) adoptDuePart(now Micros) {
 	if now-t.nextAt >= t.rule.Window {
 		t.part = t.next
 	}
 }
 
 // countAt returns the counts of a service, advanced to the present.
-func (t *Tries) countAt(now Micros, service string) *tryCount {
+func (t *RetryBudget) countAt(now Micros, service string) *tryCount {
 	count := t.services[service]
 	step := now / max(t.rule.Window/windowSteps, 1)
 	if count == nil {
@@ -81,8 +81,8 @@
 	return count
 }
 
-// Request counts a client's request for a service.
-func (t *Tries) Request(now Micros, service string) {
+// CountRequest counts a client's request for a service.
+func (t *RetryBudget) CountRequest(now Micros, service string) {
 	count := t.countAt(now, service)
 	count.requests[count.newestStep%(windowSteps+1)]++
 	count.requestSum++
@@ -90,12 +90,12 @@
 
 // allowance is our part of the allowance, in whole retries: the even part, and one more for the lowest
 // indexes if it does not divide evenly.
-func (t *Tries) allowance(now Micros) int {
+func (t *RetryBudget) allowance(now Micros) int {
 	t.adoptDuePart(now)
 	if t.part.members <= 0 {
 		return 0
 	}
-	total := int(t.rule.Slack * usedAllowance)
+	total := int(t.rule.Allowance * usedAllowance)
 	own := total / t.part.members
 	if t.part.index >= 0 && t.part.index < total%t.part.members {
 		own++
@@ -106,9 +106,9 @@
 	return own
 }
 
-// Take takes a retry of a service from the budget, or returns false if there is none left. Retries are
+// TryTake takes a retry of a service from the budget, or returns false if there is none left. Retries are
 // counted over one step more than a window, requests over one step less.
-func (t *Tries) Take(now Micros, service string) bool {
+func (t *RetryBudget) TryTake(now Micros, service string) bool {
 	count := t.countAt(now, service)
 	requests := count.requestSum - int(count.requests[(count.newestStep+1)%(windowSteps+1)])
 	if count.retrySum+1 > int(float64(requests)*t.rule.Ratio*usedRatio)+t.allowance(now) {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// Keep drops the counts of services for which named returns false.
-func (t *Tries) Keep(named func(service string) bool) {
+// KeepServices drops the counts of services for which named returns false.
+func (t *RetryBudget) KeepServices(named func(service string) bool) {
 	for service := range t.services {
 		if !named(service) {
 			delete(t.services, service)
--- a/policy/retry_detector.go
+++ b/policy/retry_detector.go
@@ -5,12 +5,12 @@
 	retryMargin  = 15 * milli // a client with this much less time left than the longest is on a retry
 )
 
-// Patience tells first tries of a kind of request from retries by the time their clients have left: a first
+// RetryDetector tells first tries of a kind of request from retries by the time their clients have left: a first
 // try has all of it, a retry has lost at least its wait.
-type Patience struct{ longest float64 }
+type RetryDetector struct{ longest float64 }
 
-// Again reports whether a client with this time left is on a retry.
-func (p *Patience) Again(timeLeft Micros) bool {
+// IsRetry reports whether a client with this time left is on a retry.
+func (p *RetryDetector) IsRetry(timeLeft Micros) bool {
 	current := float64(timeLeft)
 	p.longest = max(current, p.longest-(p.longest-current)*longestDecay)
 	return p.longest-current > float64(retryMargin)
--- a/policy/rotation.go
+++ b/policy/rotation.go
@@ -19,14 +19,14 @@
 	reportSeconds   = 0.5  // its weight falls by a factor of e in this many seconds
 )
 
-// Ring is a gateway's place among the gateways of its zone.
-type Ring struct {
-	Zone     uint64 // hash that all gateways of a zone share
-	Rank, Of int    // index among them, from 0, and their number; 0 if unknown
+// RingPlace is a gateway's place among the gateways of its zone.
+type RingPlace struct {
+	Zone         uint64 // hash that all gateways of a zone share
+	Index, Count int    // index among them, from 0, and their number; 0 if unknown
 }
 
-// Stand sets the gateway's place on the ring.
-func (g *Gateway) Stand(now Micros, host Host, ring Ring) {
+// SetRingPlace sets the gateway's place on the ring.
+func (g *Gateway) SetRingPlace(now Micros, host Host, ring RingPlace) {
 	if ring == g.ringPlace {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // subsetTerms returns the least number of servers used, and the seconds in which each gets a request.
 func (g *Gateway) subsetTerms() (minimum int, seconds float64) {
-	if g.settings.Turns {
+	if g.settings.Rotate {
 		return minRotation, rotationSeconds
 	}
 	return minSubset, subsetSeconds
@@ -48,7 +48,7 @@
 // one order, and start in it at even distances. With random orders, six of 27 servers for each of 63
 // gateways, some servers were used by twice as many gateways as others.
 func (g *Gateway) orderByRing() {
-	if !g.settings.Turns || g.ringPlace.Of <= 0 {
+	if !g.settings.Rotate || g.ringPlace.Count <= 0 {
 		return
 	}
 	regions := map[int][]*server{}
@@ -62,7 +62,7 @@
 			return cmp.Compare(hash(uint64(a.id), g.ringPlace.Zone), hash(uint64(b.id), g.ringPlace.Zone))
 		})
 		for i, srv := range list {
-			at := (float64(i)+0.5)/float64(len(list)) - float64(g.ringPlace.Rank)/float64(g.ringPlace.Of)
+			at := (float64(i)+0.5)/float64(len(list)) - float64(g.ringPlace.Index)/float64(g.ringPlace.Count)
 			srv.order = (at - math.Floor(at)) * g.costFactor(srv)
 		}
 	}
@@ -71,11 +71,11 @@
 // choiceFactor is the factor on a server's cost that keeps gateways, which see little of a server's load,
 // from all choosing the same one: random, or by rotation.
 func (g *Gateway) choiceFactor(srv *server) float64 {
-	if g.settings.Turns {
+	if g.settings.Rotate {
 		return g.reportedLoadFactor(srv) / g.sinceUsed(srv)
 	}
 	uniform := g.random()
-	exponent := cmp.Or(g.settings.Spread, defaultExponent) * max(1-fewGateways/float64(max(g.settings.Gateways, 1)), 0)
+	exponent := cmp.Or(g.settings.ChoiceExponent, defaultExponent) * max(1-fewGateways/float64(max(g.settings.GatewayCount, 1)), 0)
 	return (1 + tieBreakNoise*uniform) * math.Pow(-math.Log(1-uniform), exponent)
 }
 
--- a/policy/rotation_test.go
+++ b/policy/rotation_test.go
@@ -83,7 +83,7 @@
 				sim.end(id, true)
 			}
 			sim.gateways[h.index].Outcome(sim.now, h, Outcome{ID: id, Status: status, Latency: sim.now - sentAt,
-				Attempt: attempt, Server: to, Load: load})
+				Attempt: attempt, Server: to, LoadReport: load})
 		})
 	}
 	sim.after(800, func() {
@@ -118,7 +118,7 @@
 	}
 	c.ended[id] = true
 	c.total++
-	if ok && c.now-c.arrivals[id] <= c.class.Aim {
+	if ok && c.now-c.arrivals[id] <= c.class.LatencyTarget {
 		c.inTime++
 	}
 }
@@ -142,17 +142,17 @@
 		list = append(list, Entry{Server: id, State: Ready})
 	}
 	for i := range gateways {
-		settings := Settings{Self: int(hash(uint64(i), 99) >> 40), Gateways: gateways,
-			Plans: []Plan{{Price: 1}}, Classes: []Class{class}, Tick: 1000,
-			MaxAttempts: 1, Cancel: true, RetryAfter: true, Largest: 1, HoldPart: 0.22, Step: 20000, Spread: 1,
-			Learn: 1.5, Turns: turns,
-			Bound: BoundTerms{Within: 0.8, Past: 1, Knee: 3, KneeCut: 5}}
+		settings := Settings{Index: int(hash(uint64(i), 99) >> 40), GatewayCount: gateways,
+			Plans: []Plan{{Price: 1}}, Classes: []Class{class}, ClockTick: 1000,
+			MaxAttempts: 1, CanCancel: true, SendRetryAfter: true, MaxUnits: 1, MaxHoldFraction: 0.22, TickInterval: 20000, ChoiceExponent: 1,
+			SlownessSeconds: 1.5, Rotate: turns,
+			LimitTerms: LimitTerms{GrowBelow: 0.8, CutAbove: 1, GrowKnee: 3, CutKnee: 5}}
 		gateway, host := New(settings, uint64(i)*7+1), &simHost{simulation: sim, index: i,
 			attempts: map[uint32]int{}}
 		sim.gateways, sim.hosts = append(sim.gateways, gateway), append(sim.hosts, host)
 		gateway.Start(sim.now, host)
-		gateway.Stand(sim.now, host, Ring{Zone: hash(uint64(i%zones), 3), Rank: i / zones,
-			Of: (gateways + zones - 1 - i%zones) / zones})
+		gateway.SetRingPlace(sim.now, host, RingPlace{Zone: hash(uint64(i%zones), 3), Index: i / zones,
+			Count: (gateways + zones - 1 - i%zones) / zones})
 		gateway.Servers(sim.now, host, FullList, list)
 	}
 	return sim
@@ -169,8 +169,8 @@
 		id++
 		index := c.random.IntN(len(c.gateways))
 		c.arrivals[id] = c.now
-		c.gateways[index].Request(c.now, c.hosts[index], Request{ID: id, Customer: 1, Left: c.class.Deadline,
-			Units: 1, Spread: 1})
+		c.gateways[index].Request(c.now, c.hosts[index], Request{ID: id, Customer: 1, TimeLeft: c.class.Deadline,
+			Units: 1, GatewayCount: 1})
 		c.after(Micros(c.random.ExpFloat64()/rate*1e6), next)
 	}
 	next()
@@ -181,7 +181,7 @@
 // each of 63 gateways used six of 27 servers, some servers were used by twice as many gateways as others, and a
 // quarter of the requests was late.
 func TestRotationKeepsUnsafeRequestsInTime(t *testing.T) {
-	class := Class{Aim: 500e3, Deadline: 3000e3, Worth: 1, LateWorth: 1, Repeat: Unsafe, Attempts: 2}
+	class := Class{LatencyTarget: 500e3, Deadline: 3000e3, Value: 1, LateValue: 1, Repeat: RepeatUnsafe, MaxAttempts: 2}
 	share := func(turns bool) float64 {
 		c := newSimulation(turns, 63, 6, 27, class)
 		c.work = 120e3
@@ -202,7 +202,7 @@
 func TestRingCoversServersEvenly(t *testing.T) {
 	for _, i := range []struct{ gws, servers int }{{12, 27}, {10, 23}, {3, 60}, {1, 4}, {11, 137}} {
 		uses := func(n int) []map[Server]bool {
-			c := newSimulation(true, n, 1, i.servers, Class{Aim: second, Deadline: 2 * second})
+			c := newSimulation(true, n, 1, i.servers, Class{LatencyTarget: second, Deadline: 2 * second})
 			var all []map[Server]bool
 			for _, g := range c.gateways {
 				own := map[Server]bool{}
@@ -235,14 +235,14 @@
 // Guards against a rush on a server that many gateways start to use at the same time, for the first time or after a
 // while. They must not all treat it as the one that has waited longest.
 func TestNewServerIsNotRushed(t *testing.T) {
-	c := newSimulation(true, 60, 6, 4, Class{Aim: second, Deadline: 2 * second, Repeat: Unsafe})
+	c := newSimulation(true, 60, 6, 4, Class{LatencyTarget: second, Deadline: 2 * second, Repeat: RepeatUnsafe})
 	c.work = 20e3
 	c.arrive(600, 4*second)
 	fresh := Server(hash(77, 11))
 	c.servers[fresh] = &simServer{}
 	for round := range 2 {
 		for i, g := range c.gateways {
-			g.Servers(c.now, c.hosts[i], Delta, []Entry{{Server: fresh, State: Ready}})
+			g.Servers(c.now, c.hosts[i], ListDelta, []Entry{{Server: fresh, State: Ready}})
 		}
 		before := c.sends[fresh]
 		c.arrive(600, 100e3) // 60 requests to five servers: 12 are even
@@ -250,7 +250,7 @@
 			t.Errorf("round %d: %d of 60 requests went to the new server, want at most 20", round, n)
 		}
 		for i, g := range c.gateways { // it drains for a while
-			g.Servers(c.now, c.hosts[i], Delta, []Entry{{Server: fresh, State: Draining}})
+			g.Servers(c.now, c.hosts[i], ListDelta, []Entry{{Server: fresh, State: Draining}})
 		}
 		c.arrive(600, 2*second)
 	}
--- a/policy/shed_test.go
+++ b/policy/shed_test.go
@@ -10,14 +10,14 @@
 // Positions go by the tenant's rank, then the route's, then the order within the rank, then the hash.
 func TestShedOrder(t *testing.T) {
 	terms := ShedTerms{Key: 7}
-	of := func(tenant, route, waits int) Mark {
-		return terms.Spot(tenant, Tier(tenant, route, waits), "t", "c")
+	of := func(tenant, route, waits int) ShedPosition {
+		return terms.Position(tenant, Tier(tenant, route, waits), "t", "c")
 	}
-	for _, c := range []struct{ low, high Mark }{
+	for _, c := range []struct{ low, high ShedPosition }{
 		{of(0, 9, 9), of(1, 0, 0)},
 		{of(1, 2, 9), of(1, 3, 0)},
 		{of(1, 2, 0), of(1, 2, 1)},
-		{of(15, 15, 15), MarkOpen},
+		{of(15, 15, 15), ShedNothing},
 	} {
 		assert.Assert(t, c.low < c.high, "position %#x is not below %#x", c.low, c.high)
 	}
@@ -29,16 +29,16 @@
 func TestRouteOrder(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		routes []RouteFigures
+		routes []RouteProperties
 		want   []int
 	}{
-		{"longer target", []RouteFigures{{0, 800, 1}, {0, 500, 9}}, []int{1, 0}},
-		{"more work", []RouteFigures{{0, 500, 3}, {0, 500, 7}}, []int{0, 1}},
-		{"equal properties", []RouteFigures{{0, 500, 3}, {0, 500, 3}, {0, 600, 3}}, []int{0, 0, 1}},
-		{"other ranks", []RouteFigures{{0, 900, 0}, {1, 100, 0}, {1, 200, 0}}, []int{0, 0, 1}},
+		{"longer target", []RouteProperties{{0, 800, 1}, {0, 500, 9}}, []int{1, 0}},
+		{"more work", []RouteProperties{{0, 500, 3}, {0, 500, 7}}, []int{0, 1}},
+		{"equal properties", []RouteProperties{{0, 500, 3}, {0, 500, 3}, {0, 600, 3}}, []int{0, 0, 1}},
+		{"other ranks", []RouteProperties{{0, 900, 0}, {1, 100, 0}, {1, 200, 0}}, []int{0, 0, 1}},
 		{"none", nil, []int{}},
 	} {
-		got := Waits(c.routes)
+		got := RouteOrder(c.routes)
 		assert.DeepEqual(t, got, c.want)
 	}
 }
@@ -47,14 +47,14 @@
 func TestShedDecisionIsTheSameForACaller(t *testing.T) {
 	terms := ShedTerms{Key: 0xabcdef}
 	tier := Tier(2, 0, 0)
-	cut := Mark(tier)<<offsetBits | 1<<(offsetBits-1)
+	cut := ShedPosition(tier)<<offsetBits | 1<<(offsetBits-1)
 	below := map[string]int{}
 	const callers = 2000
 	for _, tenant := range []string{"one", "two"} {
 		for i := range callers {
 			name := fmt.Sprint(i)
-			spot := terms.Spot(2, tier, tenant, name)
-			assert.Equal(t, spot, terms.Spot(2, tier, tenant, name))
+			spot := terms.Position(2, tier, tenant, name)
+			assert.Equal(t, spot, terms.Position(2, tier, tenant, name))
 			if spot < cut {
 				below[tenant]++
 			}
@@ -72,12 +72,12 @@
 // Each turn moves a caller across a cut at most once, and over sixteen turns all callers are treated alike.
 func TestShedTurns(t *testing.T) {
 	tier := Tier(1, 0, 0)
-	for _, eighths := range []Mark{1, 4, 7} {
-		cut := Mark(tier)<<offsetBits | eighths<<(offsetBits-3)
+	for _, eighths := range []ShedPosition{1, 4, 7} {
+		cut := ShedPosition(tier)<<offsetBits | eighths<<(offsetBits-3)
 		for i := range 200 {
 			passed := 0
 			for turn := range uint64(16) {
-				if (ShedTerms{Key: 3, Turn: turn}).Spot(1, tier, "t", fmt.Sprint(i)) < cut {
+				if (ShedTerms{Key: 3, Turn: turn}).Position(1, tier, "t", fmt.Sprint(i)) < cut {
 					passed++
 				}
 			}
@@ -90,11 +90,11 @@
 
 // Tenants and the part of a tier that are never shed.
 func TestNeverShed(t *testing.T) {
-	terms := ShedTerms{Key: 5, Never: 1, Least: 0.25}
-	assert.Equal(t, terms.Spot(0, Tier(0, 5, 0), "t", "c"), Mark(0))
+	terms := ShedTerms{Key: 5, NeverBelowRank: 1, KeptFraction: 0.25}
+	assert.Equal(t, terms.Position(0, Tier(0, 5, 0), "t", "c"), ShedPosition(0))
 	kept := 0
 	for i := range 2000 {
-		if terms.Spot(4, Tier(4, 0, 0), "t", fmt.Sprint(i)) == 0 {
+		if terms.Position(4, Tier(4, 0, 0), "t", fmt.Sprint(i)) == 0 {
 			kept++
 		}
 	}
@@ -104,12 +104,12 @@
 // The waits are spread over callers, are longer for lower tiers, and are never zero.
 func TestShedWait(t *testing.T) {
 	terms := ShedTerms{Key: 5}
-	cut := Mark(Tier(1, 0, 0)) << offsetBits
+	cut := ShedPosition(Tier(1, 0, 0)) << offsetBits
 	last := Micros(0)
 	for rank := 1; rank < 4; rank++ {
 		least, most := Micros(1<<62), Micros(0)
 		for i := range 400 {
-			w := ShedWait(terms.Spot(rank, Tier(rank, 0, 0), "t", fmt.Sprint(i)), cut, uint64(i))
+			w := ShedWait(terms.Position(rank, Tier(rank, 0, 0), "t", fmt.Sprint(i)), cut, uint64(i))
 			least, most = min(least, w), max(most, w)
 		}
 		assert.Assert(t, least >= shedBaseWait/2 && most <= maxShedWait && most > least*3/2,
--- a/policy/state.go
+++ b/policy/state.go
@@ -29,7 +29,7 @@
 
 	regions      uint64  // bit set of the regions it may go to; 0 for any
 	arrivalClass int     // index of its class at its arrival
-	retryGranted bool    // Settings.FurtherTry already allowed its next attempt
+	retryGranted bool    // Settings.AllowRetry already allowed its next attempt
 	avoidServer  *server // its attempt there was cancelled because the server was silent
 }
 
@@ -68,7 +68,7 @@
 	fullUntil      Micros       // it gets no requests before
 	coldSends      []Micros     // sends that still count against its cold budget
 	unsent         int          // attempts decided on that have not been sent yet
-	verdict        Belief       // verdict of the zone's gateways
+	verdict        Verdict      // verdict of the zone's gateways
 	unreported     observations // observations for the next report
 	reportedLoad   float64      // requests per slot in its last load report
 	reportedAt     Micros       // time of that report
@@ -157,7 +157,7 @@
 	servers     []*server     // in our own order
 	byID        map[Server]*server
 	listedCount int // number of listed servers
-	ringPlace   Ring
+	ringPlace   RingPlace
 
 	inFlight       int     // attempts in flight
 	inFlightSilent int     // attempts at silent servers, part of inFlight
@@ -251,7 +251,7 @@
 // cancelAll cancels a request's open attempts.
 func (g *Gateway) cancelAll(req *request) {
 	for i := range req.attempts {
-		if req.attempts[i].open && g.settings.Cancel {
+		if req.attempts[i].open && g.settings.CanCancel {
 			g.host.Cancel(req.id, i)
 		}
 	}
@@ -277,7 +277,7 @@
 func (g *Gateway) refuse(req *request, wait Micros) {
 	g.returnUnits(req)
 	g.unqueue(req)
-	if !g.settings.RetryAfter {
+	if !g.settings.SendRetryAfter {
 		wait = 0
 	}
 	g.host.Refuse(req.id, wait)
--- a/policy/store.go
+++ b/policy/store.go
@@ -8,7 +8,7 @@
 
 // usesSharedBucket reports whether a customer's bucket is kept on the counter, for all gateways.
 func (g *Gateway) usesSharedBucket(cust *customer) bool {
-	return g.settings.Counter && cust.plan.Rate > 0 && cust.plan.Open == 0 && !g.needsDraw(cust)
+	return g.settings.HasCounter && cust.plan.Rate > 0 && cust.plan.MaxInFlight == 0 && !g.needsDraw(cust)
 }
 
 // advanceShared advances the estimate of the shared bucket: refill at the plan's rate less the others' use.
@@ -21,7 +21,7 @@
 
 // clampShared keeps that estimate within the burst, and its debt small: over quota, nothing is taken from it.
 func (g *Gateway) clampShared(cust *customer) {
-	cust.sharedTokens = max(min(cust.sharedTokens, cust.plan.Burst), -maxDebt*g.settings.Largest)
+	cust.sharedTokens = max(min(cust.sharedTokens, cust.plan.Burst), -maxDebt*g.settings.MaxUnits)
 }
 
 // windowPhase shifts a customer's counter windows, so that customers' windows end at different times.
@@ -52,7 +52,7 @@
 	since := float64(g.now-max(cust.totalAt, windowStart)) / 1e6
 	used := total - cust.ownInWindow - cust.othersInWindow // negative if requests cost less than estimated
 	cust.othersInWindow = total - cust.ownInWindow
-	if used < -g.settings.Largest { // the counter lost its data: rely on our own share
+	if used < -g.settings.MaxUnits { // the counter lost its data: rely on our own share
 		used = cust.othersRate * since
 		cust.sharedTokens = min(cust.sharedTokens, max(cust.tokens, 0)*cust.gateways)
 	}
@@ -76,7 +76,7 @@
 	if g.usesSharedBucket(cust) {
 		cust.ownUse += units
 		cust.unreported += units
-		threshold := max(reportFraction*max(cust.sharedTokens, 0)/cust.gateways, maxDebt*g.settings.Largest)
+		threshold := max(reportFraction*max(cust.sharedTokens, 0)/cust.gateways, maxDebt*g.settings.MaxUnits)
 		if cust.unreported > threshold && g.random() < g.callFraction {
 			g.callCounter(cust, nil)
 		}
@@ -106,7 +106,7 @@
 // awaitCounter lets a request wait for the counter, until shortly before its client gives up.
 func (g *Gateway) awaitCounter(req *request) {
 	req.awaitsCounter = true
-	latest := req.deadline - 2*max(g.settings.Tick, milli)
+	latest := req.deadline - 2*max(g.settings.ClockTick, milli)
 	g.host.Timer(tokenGiveUp<<32|uint64(req.id), max(latest-g.now, 0))
 }
 
@@ -136,7 +136,7 @@
 // count that requests claim: a single false claim of one gateway would give us the whole quota or ceiling.
 func (g *Gateway) customerFor(try Request) *customer {
 	key := recordKey(try.Customer, try.Plan)
-	cust, spread := g.customers[key], float64(min(max(try.Spread, 1), max(g.settings.Gateways, 1)))
+	cust, spread := g.customers[key], float64(min(max(try.GatewayCount, 1), max(g.settings.GatewayCount, 1)))
 	if cust == nil {
 		cust = &customer{key: key, plan: &g.plans[try.Plan], gateways: spread, refilledAt: g.now}
 		cust.share = 1 / cust.gateways
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -17,28 +17,28 @@
 	firstTryFraction = 0.5         // but at most this fraction of the burst beyond one token
 )
 
-// TenantSlice is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
+// TenantAllotment is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
 // Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
 // for the start of a process; they expire after startTokensLife. Wants, in a Holding, is the number of
 // requests that found no token since the last Holding. Returned, in a Holding, is the number of tokens given
 // up since then.
-type TenantSlice struct {
-	Rate, Burst, Floor, FloorBurst, Tokens, Wants, Kick, Returned float64
+type TenantAllotment struct {
+	Rate, Burst, Minimum, MinimumBurst, Tokens, Waiting, StartBurst, Returned float64
 }
 
 // tenantBucket is the token bucket of one tenant.
 type tenantBucket struct {
-	allotment      TenantSlice // without its Tokens and Kick, which were added
-	allotted       bool        // an allotment has been received
-	tokens         float64     // content of the bucket
-	filledAt       Micros      // when the bucket was last refilled
-	requests       float64     // requests since the last Demand
-	demand         float64     // smoothed requests per second
-	lastUsed       Micros      // time of the last request
-	unserved       float64     // requests that found no token since the last Holding
-	returned       float64     // tokens given up since the last Holding
-	startTokens    float64     // start-up tokens left
-	startTokensEnd Micros      // when they expire
+	allotment      TenantAllotment // without its Tokens and Kick, which were added
+	allotted       bool            // an allotment has been received
+	tokens         float64         // content of the bucket
+	filledAt       Micros          // when the bucket was last refilled
+	requests       float64         // requests since the last Demand
+	demand         float64         // smoothed requests per second
+	lastUsed       Micros          // time of the last request
+	unserved       float64         // requests that found no token since the last Holding
+	returned       float64         // tokens given up since the last Holding
+	startTokens    float64         // start-up tokens left
+	startTokensEnd Micros          // when they expire
 }
 
 // take takes a token, first from the bucket, which refills; the bucket must hold at least minTokens.
@@ -54,12 +54,12 @@
 	return true
 }
 
-// Tenants holds the tenants' buckets of one gateway. They start empty, since the process may have spent their
+// TenantBuckets holds the tenants' buckets of one gateway. They start empty, since the process may have spent their
 // content before a restart.
-type Tenants struct {
-	// FloorFor is how long the floors remain valid after the lease, 0 for ever. The allotter keeps them
+type TenantBuckets struct {
+	// FloorDuration is how long the floors remain valid after the lease, 0 for ever. The allotter keeps them
 	// reserved for a stated time, which must not end before.
-	FloorFor Micros
+	FloorDuration Micros
 
 	buckets  map[string]*tenantBucket
 	limited  map[string]bool // tenants that the configuration gives a limit
@@ -68,14 +68,14 @@
 	waitTurn uint64          // number of waits told, spreads them
 }
 
-// NewTenants returns empty buckets for a gateway.
-func NewTenants() *Tenants {
-	return &Tenants{buckets: map[string]*tenantBucket{}, limited: map[string]bool{}}
+// NewTenantBuckets returns empty buckets for a gateway.
+func NewTenantBuckets() *TenantBuckets {
+	return &TenantBuckets{buckets: map[string]*tenantBucket{}, limited: map[string]bool{}}
 }
 
-// Limits sets the tenants that have a limit. A tenant with a limit and no allotment is refused; one without a
+// SetLimited sets the tenants that have a limit. A tenant with a limit and no allotment is refused; one without a
 // limit always passes.
-func (t *Tenants) Limits(now Micros, names []string) {
+func (t *TenantBuckets) SetLimited(now Micros, names []string) {
 	clear(t.limited)
 	for _, name := range names {
 		t.limited[name] = true
@@ -88,7 +88,7 @@
 	}
 }
 
-func (t *Tenants) bucket(now Micros, name string) *tenantBucket {
+func (t *TenantBuckets) bucket(now Micros, name string) *tenantBucket {
 	bucket := t.buckets[name]
 	if bucket == nil {
 		bucket = &tenantBucket{filledAt: now, lastUsed: now}
@@ -97,13 +97,13 @@
 	return bucket
 }
 
-// Slices replaces the allotments, valid until a time. A bucket above its new burst gives up the rest. A
+// SetAllotments replaces the allotments, valid until a time. A bucket above its new burst gives up the rest. A
 // tenant with a limit that is not named keeps its floor only.
-func (t *Tenants) Slices(now Micros, allotments map[string]TenantSlice, until Micros) {
+func (t *TenantBuckets) SetAllotments(now Micros, allotments map[string]TenantAllotment, until Micros) {
 	for name, bucket := range t.buckets {
 		t.refill(bucket, now)
 		if _, ok := allotments[name]; !ok {
-			bucket.allotment.Rate, bucket.allotment.Burst = bucket.allotment.Floor, bucket.allotment.FloorBurst
+			bucket.allotment.Rate, bucket.allotment.Burst = bucket.allotment.Minimum, bucket.allotment.MinimumBurst
 		}
 	}
 	for name, allotment := range allotments {
@@ -112,17 +112,17 @@
 		if excess := bucket.tokens - allotment.Burst; excess > 0 {
 			bucket.tokens, bucket.returned = allotment.Burst, bucket.returned+excess
 		}
-		if allotment.Kick > 0 {
-			bucket.startTokens, bucket.startTokensEnd = allotment.Kick, now+startTokensLife
+		if allotment.StartBurst > 0 {
+			bucket.startTokens, bucket.startTokensEnd = allotment.StartBurst, now+startTokensLife
 		}
-		allotment.Tokens, allotment.Kick = 0, 0
+		allotment.Tokens, allotment.StartBurst = 0, 0
 		bucket.allotment, bucket.allotted = allotment, true
 	}
 	t.leaseEnd = until
 }
 
 // refill fills a bucket: at its allotted rate until the lease ends, then at its floor.
-func (t *Tenants) refill(bucket *tenantBucket, now Micros) {
+func (t *TenantBuckets) refill(bucket *tenantBucket, now Micros) {
 	if now <= bucket.filledAt {
 		return
 	}
@@ -132,11 +132,11 @@
 	}
 	if now > bucket.filledAt {
 		end := now
-		if t.FloorFor > 0 {
-			end = min(now, t.leaseEnd+t.FloorFor)
+		if t.FloorDuration > 0 {
+			end = min(now, t.leaseEnd+t.FloorDuration)
 		}
-		bucket.tokens = min(bucket.tokens+bucket.allotment.Floor*float64(max(end-bucket.filledAt, 0))/1e6,
-			bucket.allotment.FloorBurst)
+		bucket.tokens = min(bucket.tokens+bucket.allotment.Minimum*float64(max(end-bucket.filledAt, 0))/1e6,
+			bucket.allotment.MinimumBurst)
 		if end < now {
 			bucket.tokens = 0
 		}
@@ -145,17 +145,17 @@
 }
 
 // rate is the current refill rate of a bucket, in tokens per second.
-func (t *Tenants) fillRate(bucket *tenantBucket, now Micros) float64 {
+func (t *TenantBuckets) fillRate(bucket *tenantBucket, now Micros) float64 {
 	if now < t.leaseEnd {
 		return bucket.allotment.Rate
 	}
-	return bucket.allotment.Floor
+	return bucket.allotment.Minimum
 }
 
 // Admit takes a token for a request, or returns how long its client should wait. A retry leaves the last
 // tokens to first tries: where demand exceeds the quota most requests are retries, and an answer to one is
 // worth less after the time it has lost.
-func (t *Tenants) Admit(now Micros, name string, isRetry bool) (bool, Micros) {
+func (t *TenantBuckets) Admit(now Micros, name string, isRetry bool) (bool, Micros) {
 	if !t.limited[name] {
 		return true, 0
 	}
@@ -167,7 +167,7 @@
 	if isRetry {
 		burst := bucket.allotment.Burst
 		if now >= t.leaseEnd {
-			burst = bucket.allotment.FloorBurst
+			burst = bucket.allotment.MinimumBurst
 		}
 		minTokens += min(firstTryTokens, max(burst-1, 0)*firstTryFraction)
 	}
@@ -189,7 +189,7 @@
 
 // Retry takes a token for a request that Admit refused and that is still held, after a new allotment. It does
 // not count as demand.
-func (t *Tenants) Retry(now Micros, name string) bool {
+func (t *TenantBuckets) Retry(now Micros, name string) bool {
 	bucket := t.buckets[name]
 	if bucket == nil || !t.limited[name] {
 		return !t.limited[name]
@@ -198,9 +198,9 @@
 	return bucket.take(now, 1)
 }
 
-// Spend takes a token if there is one, without counting demand: for a request that otherwise asks another
+// TryTake takes a token if there is one, without counting demand: for a request that otherwise asks another
 // gateway's bucket.
-func (t *Tenants) Spend(now Micros, name string) bool {
+func (t *TenantBuckets) TryTake(now Micros, name string) bool {
 	bucket := t.buckets[name]
 	if bucket == nil || !t.limited[name] {
 		return false
@@ -209,21 +209,21 @@
 	return bucket.take(now, 1)
 }
 
-// GiveBack returns the token of a request that never reached a server.
-func (t *Tenants) GiveBack(now Micros, name string) {
+// ReturnToken returns the token of a request that never reached a server.
+func (t *TenantBuckets) ReturnToken(now Micros, name string) {
 	if bucket := t.buckets[name]; bucket != nil {
 		t.refill(bucket, now)
 		capacity := bucket.allotment.Burst
 		if now >= t.leaseEnd {
-			capacity = bucket.allotment.FloorBurst
+			capacity = bucket.allotment.MinimumBurst
 		}
 		bucket.tokens = min(bucket.tokens+1, capacity)
 	}
 }
 
-// Low reports whether a bucket that was used recently has no whole token, so that asking the allotter again
+// RunningLow reports whether a bucket that was used recently has no whole token, so that asking the allotter again
 // soon is worthwhile.
-func (t *Tenants) Low(now Micros) bool {
+func (t *TenantBuckets) RunningLow(now Micros) bool {
 	for _, bucket := range t.buckets {
 		t.refill(bucket, now)
 		if bucket.tokens < 1 && now-bucket.lastUsed < second/2 {
@@ -235,7 +235,7 @@
 
 // Demand returns the smoothed demand on each tenant, in requests per second. It measures from its previous
 // call.
-func (t *Tenants) Demand(now Micros) map[string]float64 {
+func (t *TenantBuckets) Demand(now Micros) map[string]float64 {
 	demand := make(map[string]float64, len(t.buckets))
 	span := float64(now-t.demandAt) / 1e6
 	t.demandAt = now
@@ -260,15 +260,15 @@
 	return demand
 }
 
-// Holding returns what is held and how much longer the lease lasts, for the next call to the allotter. Tokens
+// Holdings returns what is held and how much longer the lease lasts, for the next call to the allotter. Tokens
 // is the content of each bucket.
-func (t *Tenants) Holding(now Micros) (map[string]TenantSlice, Micros) {
-	held := make(map[string]TenantSlice, len(t.buckets))
+func (t *TenantBuckets) Holdings(now Micros) (map[string]TenantAllotment, Micros) {
+	held := make(map[string]TenantAllotment, len(t.buckets))
 	for name, bucket := range t.buckets {
 		if bucket.allotted || bucket.unserved > 0 || bucket.returned > 0 {
 			t.refill(bucket, now)
 			allotment := bucket.allotment
-			allotment.Tokens, allotment.Wants, allotment.Returned = bucket.tokens, bucket.unserved, bucket.returned
+			allotment.Tokens, allotment.Waiting, allotment.Returned = bucket.tokens, bucket.unserved, bucket.returned
 			held[name] = allotment
 			bucket.unserved, bucket.returned = 0, 0
 		}
@@ -276,12 +276,12 @@
 	return held, max(t.leaseEnd-now, 0)
 }
 
-// Lease returns how much longer the lease lasts.
-func (t *Tenants) Lease(now Micros) Micros { return max(t.leaseEnd-now, 0) }
+// LeaseLeft returns how much longer the lease lasts.
+func (t *TenantBuckets) LeaseLeft(now Micros) Micros { return max(t.leaseEnd-now, 0) }
 
 // Surrender gives up our part of a tenant's quota for others: its allotment, its tokens and its measured
 // demand. The next Holding reports the number of tokens. If that report is lost, nobody gets them.
-func (t *Tenants) Surrender(now Micros, name string) {
+func (t *TenantBuckets) Surrender(now Micros, name string) {
 	bucket := t.buckets[name]
 	if bucket == nil || !bucket.allotted {
 		return
@@ -292,13 +292,13 @@
 }
 
 // Idle reports whether a tenant has had no request for the given time.
-func (t *Tenants) Idle(now Micros, name string, since Micros) bool {
+func (t *TenantBuckets) Idle(now Micros, name string, since Micros) bool {
 	bucket := t.buckets[name]
 	return bucket == nil || now-bucket.lastUsed > since
 }
 
 // Forget drops the bucket of a removed tenant.
-func (t *Tenants) Forget(name string) {
+func (t *TenantBuckets) Forget(name string) {
 	delete(t.buckets, name)
 	delete(t.limited, name)
 }
--- a/policy/tenants_test.go
+++ b/policy/tenants_test.go
@@ -9,19 +9,19 @@
 // Follows one bucket: empty at the start, filled at its allotted rate, limited by a smaller burst, at its floor
 // after the lease, and empty after the end of the floor.
 func TestTenantBucketLifecycle(t *testing.T) {
-	b := NewTenants()
-	b.FloorFor = 10 * second
+	b := NewTenantBuckets()
+	b.FloorDuration = 10 * second
 	ok, _ := b.Admit(0, "nobody's", false)
 	assert.Assert(t, ok)
-	b.Limits(0, []string{"t"})
-	big := TenantSlice{Rate: 10, Burst: 8, Floor: 2, FloorBurst: 3}
-	small := TenantSlice{Rate: 1, Burst: 1.5, Floor: 1, FloorBurst: 1}
+	b.SetLimited(0, []string{"t"})
+	big := TenantAllotment{Rate: 10, Burst: 8, Minimum: 2, MinimumBurst: 3}
+	small := TenantAllotment{Rate: 1, Burst: 1.5, Minimum: 1, MinimumBurst: 1}
 	gift := big
 	gift.Tokens = 2
 	for _, c := range []struct {
 		name  string
 		at    Micros
-		slice *TenantSlice // received first, for a lease of 2.5 s
+		slice *TenantAllotment // received first, for a lease of 2.5 s
 		ask   int
 		on    int
 	}{
@@ -37,7 +37,7 @@
 		{"lower burst", 22 * second, &small, 20, 1},
 	} {
 		if c.slice != nil {
-			b.Slices(c.at, map[string]TenantSlice{"t": *c.slice}, c.at+5*second/2)
+			b.SetAllotments(c.at, map[string]TenantAllotment{"t": *c.slice}, c.at+5*second/2)
 		}
 		admitted := 0
 		for range c.ask {
@@ -55,14 +55,14 @@
 // The token of a request that never ran is returned, up to the burst. Demand counts all requests, admitted or not,
 // and a flood shows within a second.
 func TestTenantTokenReturnAndDemand(t *testing.T) {
-	b := NewTenants()
-	b.Limits(0, []string{"t", "u"})
-	b.Slices(0, map[string]TenantSlice{"t": {Rate: 1, Burst: 1, Tokens: 1}}, 100*second)
+	b := NewTenantBuckets()
+	b.SetLimited(0, []string{"t", "u"})
+	b.SetAllotments(0, map[string]TenantAllotment{"t": {Rate: 1, Burst: 1, Tokens: 1}}, 100*second)
 	ok, _ := b.Admit(0, "t", false)
 	assert.Assert(t, ok)
-	b.GiveBack(0, "t")
-	b.GiveBack(0, "t")
-	b.GiveBack(0, "nobody")
+	b.ReturnToken(0, "t")
+	b.ReturnToken(0, "t")
+	b.ReturnToken(0, "nobody")
 	admitted := 0
 	for range 3 {
 		if ok, _ := b.Admit(0, "t", false); ok {
@@ -70,7 +70,7 @@
 		}
 	}
 	assert.Equal(t, admitted, 1)
-	assert.Assert(t, b.Low(0))
+	assert.Assert(t, b.RunningLow(0))
 	for i := range 2 {
 		for range 100 {
 			b.Admit(Micros(i+1)*second/2, "t", false)
@@ -79,18 +79,18 @@
 	}
 	d := b.Demand(second)
 	assert.Assert(t, d["t"] > 100 && d["t"] < 210, "demand %v, want 100 to 210 per second", d)
-	b.Limits(second, []string{"u"})
+	b.SetLimited(second, []string{"u"})
 	ok, _ = b.Admit(second, "t", false)
 	assert.Assert(t, ok)
-	held, left := b.Holding(second)
+	held, left := b.Holdings(second)
 	assert.Assert(t, len(held) == 0 && left == 99*second)
 }
 
 // Clients refused at the same time are not told to return at the same time.
 func TestTenantWaitsAreSpread(t *testing.T) {
-	b := NewTenants()
-	b.Limits(0, []string{"t"})
-	b.Slices(0, map[string]TenantSlice{"t": {Rate: 2, Burst: 3}}, 100*second)
+	b := NewTenantBuckets()
+	b.SetLimited(0, []string{"t"})
+	b.SetAllotments(0, map[string]TenantAllotment{"t": {Rate: 2, Burst: 3}}, 100*second)
 	waits := map[Micros]int{}
 	for range 50 {
 		_, wait := b.Admit(0, "t", false)
@@ -101,7 +101,7 @@
 
 // Checks the budget of one gateway with ratio 0.2, allowance 62 and a window of 10 s.
 func TestRetryBudget(t *testing.T) {
-	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 62}
+	rule := RetryBudgetRule{Window: 10 * second, Ratio: 0.2, Allowance: 62}
 	for _, c := range []struct {
 		name     string
 		at       Micros
@@ -117,13 +117,13 @@
 		{"many gateways, a high index", 10 * second, 69, 43, 0, 0},
 		{"with requests", 10 * second, 69, 43, 100, 17},
 	} {
-		b := NewTries(0, rule)
-		b.Members(0, c.n, c.place)
+		b := NewRetryBudget(0, rule)
+		b.SetMembers(0, c.n, c.place)
 		for range c.requests {
-			b.Request(c.at, "s")
+			b.CountRequest(c.at, "s")
 		}
 		take := func(at Micros) (on int) {
-			for b.Take(at, "s") {
+			for b.TryTake(at, "s") {
 				on++
 			}
 			return on
@@ -135,38 +135,38 @@
 
 // When gateways go missing, our part grows only after a window: they have used their part of it, or go on using it.
 func TestRetryBudgetPartGrowsAfterWindow(t *testing.T) {
-	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 62}
-	b := NewTries(-rule.Window, rule)
+	rule := RetryBudgetRule{Window: 10 * second, Ratio: 0.2, Allowance: 62}
+	b := NewRetryBudget(-rule.Window, rule)
 	assert.Equal(t, b.allowance(0), 0, "the number of gateways is unknown")
-	b.Members(0, 1, 0)
+	b.SetMembers(0, 1, 0)
 	alone := b.allowance(0)
-	b.Members(0, 9, 8)
+	b.SetMembers(0, 9, 8)
 	ninth := b.allowance(0)
 	assert.Assert(t, ninth > 0 && 9*ninth <= alone, "a ninth of the allowance is %d of %d", ninth, alone)
-	b.Members(second, 2, 0) // reported by a process that has lost contact with the others
+	b.SetMembers(second, 2, 0) // reported by a process that has lost contact with the others
 	assert.Equal(t, b.allowance(second), ninth)
-	b.Members(3*second, 9, 8)
+	b.SetMembers(3*second, 9, 8)
 	assert.Equal(t, b.allowance(12*second), ninth)
-	b.Members(20*second, 3, 2)
+	b.SetMembers(20*second, 3, 2)
 	assert.Equal(t, b.allowance(30*second-1), ninth)
 	assert.Assert(t, b.allowance(30*second) > 2*ninth)
-	b.Members(31*second, 9, 8)
+	b.SetMembers(31*second, 9, 8)
 	assert.Equal(t, b.allowance(31*second), ninth, "a smaller part applies at once")
 }
 
 // With steady and uneven requests, no window has more retries than the rule allows.
 func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
-	rule := TriesRule{Window: 10 * second, Ratio: 0.2, Slack: 58}
-	b := NewTries(0, rule)
-	b.Members(0, 9, 3)
+	rule := RetryBudgetRule{Window: 10 * second, Ratio: 0.2, Allowance: 58}
+	b := NewRetryBudget(0, rule)
+	b.SetMembers(0, 9, 3)
 	var req, took []Micros
 	for ms := Micros(0); ms < 60e3; ms += 7 {
 		at := ms * milli
 		if ms/5000%3 != 1 {
-			b.Request(at, "s")
+			b.CountRequest(at, "s")
 			req = append(req, at)
 		}
-		if b.Take(at, "s") {
+		if b.TryTake(at, "s") {
 			took = append(took, at)
 		}
 	}
@@ -182,7 +182,7 @@
 		assert.Assert(t, float64(in(took, end)) <= 0.2*float64(in(req, end))+58.0/9)
 	}
 	assert.Assert(t, len(took) > 300)
-	b.Keep(func(string) bool { return false })
+	b.KeepServices(func(string) bool { return false })
 	assert.Equal(t, len(b.services), 0)
 }
 
@@ -194,9 +194,9 @@
 		at   Micros
 		on   int
 	}{{"at the start", 0, 3}, {"with refilled tokens", second, 4}, {"expired", 2 * second, 1}} {
-		b := NewTenants()
-		b.Limits(0, []string{"t"})
-		b.Slices(0, map[string]TenantSlice{"t": {Floor: 1, FloorBurst: 1, Kick: 3}}, 0)
+		b := NewTenantBuckets()
+		b.SetLimited(0, []string{"t"})
+		b.SetAllotments(0, map[string]TenantAllotment{"t": {Minimum: 1, MinimumBurst: 1, StartBurst: 3}}, 0)
 		admitted := 0
 		for range 10 {
 			if ok, _ := b.Admit(c.at, "t", false); ok {
@@ -204,12 +204,12 @@
 			}
 		}
 		assert.Equal(t, admitted, c.on, c.name)
-		held, _ := b.Holding(c.at)
-		assert.Equal(t, held["t"].Kick, 0.0)
+		held, _ := b.Holdings(c.at)
+		assert.Equal(t, held["t"].StartBurst, 0.0)
 	}
-	b := NewTenants()
-	b.Limits(0, []string{"t"})
-	b.Slices(0, map[string]TenantSlice{"t": {Kick: 1}}, 0)
+	b := NewTenantBuckets()
+	b.SetLimited(0, []string{"t"})
+	b.SetAllotments(0, map[string]TenantAllotment{"t": {StartBurst: 1}}, 0)
 	assert.Assert(t, b.Retry(0, "t") && !b.Retry(0, "t"))
 }
 
@@ -217,18 +217,18 @@
 func TestTenantRetriesLeaveTokensToFirstTries(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		slice        TenantSlice
+		slice        TenantAllotment
 		again, first int // of ten requests each, how many are admitted, retries first
 	}{
-		{"many tokens", TenantSlice{Rate: 10, Burst: 8, Tokens: 8}, 6, 2},
-		{"few tokens", TenantSlice{Rate: 10, Burst: 3, Tokens: 3}, 2, 1},
-		{"one token", TenantSlice{Rate: 10, Burst: 1, Tokens: 1}, 1, 0},
-		{"no tokens", TenantSlice{Rate: 10, Burst: 8}, 0, 0},
-		{"start-up tokens", TenantSlice{Rate: 10, Burst: 8, Kick: 3}, 3, 0},
+		{"many tokens", TenantAllotment{Rate: 10, Burst: 8, Tokens: 8}, 6, 2},
+		{"few tokens", TenantAllotment{Rate: 10, Burst: 3, Tokens: 3}, 2, 1},
+		{"one token", TenantAllotment{Rate: 10, Burst: 1, Tokens: 1}, 1, 0},
+		{"no tokens", TenantAllotment{Rate: 10, Burst: 8}, 0, 0},
+		{"start-up tokens", TenantAllotment{Rate: 10, Burst: 8, StartBurst: 3}, 3, 0},
 	} {
-		b := NewTenants()
-		b.Limits(0, []string{"t"})
-		b.Slices(0, map[string]TenantSlice{"t": c.slice}, 100*second)
+		b := NewTenantBuckets()
+		b.SetLimited(0, []string{"t"})
+		b.SetAllotments(0, map[string]TenantAllotment{"t": c.slice}, 100*second)
 		on := func(again bool) (n int) {
 			for range 10 {
 				if ok, _ := b.Admit(0, "t", again); ok {
@@ -242,14 +242,14 @@
 	}
 
 	wait := func(asked int) Micros {
-		b := NewTenants()
-		b.Limits(0, []string{"t"})
-		b.Slices(0, map[string]TenantSlice{"t": {Rate: 10, Burst: 1}}, 100*second)
+		b := NewTenantBuckets()
+		b.SetLimited(0, []string{"t"})
+		b.SetAllotments(0, map[string]TenantAllotment{"t": {Rate: 10, Burst: 1}}, 100*second)
 		for range asked {
 			b.Admit(0, "t", false)
 		}
 		b.Demand(second)
-		b.Slices(second, map[string]TenantSlice{"t": {Rate: 10, Burst: 0.5}}, 100*second)
+		b.SetAllotments(second, map[string]TenantAllotment{"t": {Rate: 10, Burst: 0.5}}, 100*second)
 		_, w := b.Admit(second, "t", false)
 		return w
 	}
@@ -259,26 +259,26 @@
 // A first try has all of its client's time and a retry has less, whatever the time is. If all clients have less
 // than before, that becomes the full time eventually.
 func TestRetryDetection(t *testing.T) {
-	var p Patience
+	var p RetryDetector
 	for _, c := range []struct {
 		left  Micros
 		again bool
 	}{{2000 * milli, false}, {1994 * milli, false}, {1960 * milli, true}, {700 * milli, true}, {2000 * milli,
 		false}, {3000 * milli, false},
 		{2000 * milli, true}} {
-		assert.Equal(t, p.Again(c.left), c.again, c.left)
+		assert.Equal(t, p.IsRetry(c.left), c.again, c.left)
 	}
 	for range 10000 {
-		p.Again(1000 * milli)
+		p.IsRetry(1000 * milli)
 	}
-	assert.Assert(t, !p.Again(1000*milli))
+	assert.Assert(t, !p.IsRetry(1000*milli))
 }
 
 // One request between two calls of Demand that are close together does not raise the rate. It once counted as four
 // per second, which drew the quota to this gateway from where it was needed.
 func TestSingleRequestIsNotAFlood(t *testing.T) {
-	b := NewTenants()
-	b.Limits(0, []string{"t"})
+	b := NewTenantBuckets()
+	b.SetLimited(0, []string{"t"})
 	b.Demand(0)
 	for i := range 20 {
 		now := Micros(i+1) * 120 * milli
@@ -303,20 +303,20 @@
 
 // Tokens above a lowered burst are reported once as returned, and so are those of a surrendered allotment.
 func TestTokensAboveLoweredBurstAreReturned(t *testing.T) {
-	b := NewTenants()
-	b.Limits(0, []string{"t"})
-	b.Slices(0, map[string]TenantSlice{"t": {Burst: 6, Tokens: 5}}, second)
-	b.Slices(0, map[string]TenantSlice{"t": {Burst: 2}}, second)
-	held, _ := b.Holding(0)
+	b := NewTenantBuckets()
+	b.SetLimited(0, []string{"t"})
+	b.SetAllotments(0, map[string]TenantAllotment{"t": {Burst: 6, Tokens: 5}}, second)
+	b.SetAllotments(0, map[string]TenantAllotment{"t": {Burst: 2}}, second)
+	held, _ := b.Holdings(0)
 	if s := held["t"]; s.Returned != 3 || s.Tokens != 2 {
 		t.Fatalf("%+v is held, want 2 tokens and 3 returned", s)
 	}
 	b.Surrender(0, "t")
-	held, _ = b.Holding(0)
-	if s := held["t"]; s != (TenantSlice{Returned: 2}) {
+	held, _ = b.Holdings(0)
+	if s := held["t"]; s != (TenantAllotment{Returned: 2}) {
 		t.Fatalf("%+v is held after a surrender, want 2 returned", s)
 	}
-	if held, _ = b.Holding(0); held["t"] != (TenantSlice{}) {
+	if held, _ = b.Holdings(0); held["t"] != (TenantAllotment{}) {
 		t.Fatalf("%+v is reported twice", held["t"])
 	}
 }
--- a/policy/transfer.go
+++ b/policy/transfer.go
@@ -3,8 +3,8 @@
 // Requests and answers whose bodies take long to transfer. A server starts with a request's last byte; until
 // then an attempt is in flight and takes none of its capacity.
 
-// Filled records that the last byte of a request's body has arrived.
-func (g *Gateway) Filled(now Micros, id uint32) {
+// BodyReceived records that the last byte of a request's body has arrived.
+func (g *Gateway) BodyReceived(now Micros, id uint32) {
 	req := g.requests[id]
 	if req == nil || !req.bodyPending {
 		return
--- a/policy/types.go
+++ b/policy/types.go
@@ -28,131 +28,131 @@
 // Server identifies a back-end server. The package only compares it.
 type Server uint64
 
-// Repeat says whether requests of a class may be run more than once.
-type Repeat int
+// Repeatability says whether requests of a class may be run more than once.
+type Repeatability int
 
 // The kinds of repeatability.
 const (
-	Safe   Repeat = iota // may be repeated freely
-	Keyed                // servers of a group drop repeats, within a time window
-	Unsafe               // must never run twice
+	RepeatSafe   Repeatability = iota // may be repeated freely
+	RepeatKeyed                       // servers of a group drop repeats, within a time window
+	RepeatUnsafe                      // must never run twice
 )
 
-// Group says which servers together drop repeats of a keyed request.
-type Group int
+// DedupScope says which servers together drop repeats of a keyed request.
+type DedupScope int
 
 // The groups of servers.
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // the servers of one zone
-	GroupCell              // the servers of one cell of a zone
+	DedupFleet DedupScope = iota // all servers
+	DedupZone                    // the servers of one zone
+	DedupCell                    // the servers of one cell of a zone
 )
 
 // Class is a class of requests.
 type Class struct {
-	Aim       Micros  `json:"Aim"`       // latency target, from the client's first try
-	Deadline  Micros  `json:"Deadline"`  // time that clients wait for an answer
-	Window    Micros  `json:"Window"`    // time for which servers drop repeats of a keyed request
-	Worth     float64 `json:"Worth"`     // value of an answer within the latency target
-	LateWorth float64 `json:"LateWorth"` // value of a later one
-	Repeat    Repeat  `json:"Repeat"`
-	Group     Group   `json:"Group"`
-	Attempts  int     `json:"Attempts"` // most attempts for a request; 0 for Settings.MaxAttempts
+	LatencyTarget Micros        `json:"Aim"`       // latency target, from the client's first try
+	Deadline      Micros        `json:"Deadline"`  // time that clients wait for an answer
+	RepeatWindow  Micros        `json:"Window"`    // time for which servers drop repeats of a keyed request
+	Value         float64       `json:"Worth"`     // value of an answer within the latency target
+	LateValue     float64       `json:"LateWorth"` // value of a later one
+	Repeat        Repeatability `json:"Repeat"`
+	Dedup         DedupScope    `json:"Group"`
+	MaxAttempts   int           `json:"Attempts"` // most attempts for a request; 0 for Settings.MaxAttempts
 }
 
 // Plan is what a customer pays for: quota, limits and price. A zero Rate, Open or CeilingRate means that there
 // is no such limit. Rates are in units per second, bursts in units.
 type Plan struct {
-	Rate         float64 `json:"Rate"`
-	Burst        float64 `json:"Burst"`
-	Open         int     `json:"Open"` // concurrency cap: most attempts in flight, for all gateways together
-	CeilingRate  float64 `json:"CeilingRate"`
-	CeilingBurst float64 `json:"CeilingBurst"`
-	CeilingSlack float64 `json:"CeilingSlack"` // units by which audits let a ceiling be passed; no decision uses it
-	Price        float64 `json:"Price"`        // relative to other plans
-	OverCost     float64 `json:"OverCost"`     // kept in settings and captures only; no decision uses it
+	Rate             float64 `json:"Rate"`
+	Burst            float64 `json:"Burst"`
+	MaxInFlight      int     `json:"Open"` // concurrency cap: most attempts in flight, for all gateways together
+	CeilingRate      float64 `json:"CeilingRate"`
+	CeilingBurst     float64 `json:"CeilingBurst"`
+	CeilingTolerance float64 `json:"CeilingSlack"` // units by which audits let a ceiling be passed; no decision uses it
+	Price            float64 `json:"Price"`        // relative to other plans
+	OverrunCost      float64 `json:"OverCost"`     // kept in settings and captures only; no decision uses it
 }
 
 // Settings are the settings of a gateway. A zero value means that the facility is absent.
 type Settings struct {
-	Self     int     `json:"Self"`     // index of this gateway among all
-	Gateways int     `json:"Gateways"` // number of gateways
-	Zone     int     `json:"Zone"`
-	Classes  []Class `json:"Classes"`
-	Plans    []Plan  `json:"Plans"`
-	Tick     Micros  `json:"Tick"` // granularity of the host's timers
-
-	Weights    bool     `json:"Weights"`    // weights in the server list tell the servers' sizes
-	InlineLoad []string `json:"InlineLoad"` // names of the load values that come with answers
-	Reported   bool     `json:"Reported"`   // decisions use them; they are: running, waiting, slots
-
-	MaxAttempts int  `json:"MaxAttempts"` // for a request
-	Cancel      bool `json:"Cancel"`      // the host can cancel attempts
-	RetryAfter  bool `json:"RetryAfter"`  // refusals tell clients how long to wait
-
-	Counter        bool    `json:"Counter"` // there is a counter
+	Index        int     `json:"Self"`     // index of this gateway among all
+	GatewayCount int     `json:"Gateways"` // number of gateways
+	Zone         int     `json:"Zone"`
+	Classes      []Class `json:"Classes"`
+	Plans        []Plan  `json:"Plans"`
+	ClockTick    Micros  `json:"Tick"` // granularity of the host's timers
+
+	UseWeights       bool     `json:"Weights"`    // weights in the server list tell the servers' sizes
+	LoadReportFields []string `json:"InlineLoad"` // names of the load values that come with answers
+	UseLoadReports   bool     `json:"Reported"`   // decisions use them; they are: running, waiting, slots
+
+	MaxAttempts    int  `json:"MaxAttempts"` // for a request
+	CanCancel      bool `json:"Cancel"`      // the host can cancel attempts
+	SendRetryAfter bool `json:"RetryAfter"`  // refusals tell clients how long to wait
+
+	HasCounter     bool    `json:"Counter"` // there is a counter
 	CounterTimeout Micros  `json:"CounterTimeout"`
-	Settles        bool    `json:"Settles"` // answers tell the true units of requests
-	Largest        float64 `json:"Largest"` // units of the largest request
+	SettlesUnits   bool    `json:"Settles"` // answers tell the true units of requests
+	MaxUnits       float64 `json:"Largest"` // units of the largest request
 
-	ColdShare      float64 `json:"ColdShare"`      // fraction of its capacity that a server has when it starts
-	FallMultiple   float64 `json:"FallMultiple"`   // multiple of its capacity that overloads a cold server,
-	ColdFor        Micros  `json:"ColdFor"`        // time after its start for which a server is cold
-	FallWindow     Micros  `json:"FallWindow"`     // sustained over this window
-	CrossZonePrice float64 `json:"CrossZonePrice"` // of a request to another zone
+	ColdCapacity     float64 `json:"ColdShare"`      // fraction of its capacity that a server has when it starts
+	OverloadMultiple float64 `json:"FallMultiple"`   // multiple of its capacity that overloads a cold server,
+	ColdDuration     Micros  `json:"ColdFor"`        // time after its start for which a server is cold
+	OverloadWindow   Micros  `json:"FallWindow"`     // sustained over this window
+	CrossZonePrice   float64 `json:"CrossZonePrice"` // of a request to another zone
 
 	// The following are left out of captures if they are not set.
 
-	// HoldPart is the fraction of its latency target after which a request that was never sent is refused at the
+	// MaxHoldFraction is the fraction of its latency target after which a request that was never sent is refused at the
 	// latest; 0 for no such limit.
-	HoldPart float64 `json:"HoldPart,omitempty"`
-	// SafeAfter is the number of expected latencies, but at least half a latency target, that a server may be
+	MaxHoldFraction float64 `json:"HoldPart,omitempty"`
+	// MoveAfterSilence is the number of expected latencies, but at least half a latency target, that a server may be
 	// silent before its safe requests are moved to another one, once; 0 for never.
-	SafeAfter float64 `json:"SafeAfter,omitempty"`
-	// Bound says where the limit on attempts in flight moves; zero values stand for the package's defaults.
-	Bound BoundTerms `json:"Bound,omitzero"`
-	// Spread is the exponent of the random factor in the choice of a server when there are many gateways. With 1
+	MoveAfterSilence float64 `json:"SafeAfter,omitempty"`
+	// LimitTerms says where the limit on attempts in flight moves; zero values stand for the package's defaults.
+	LimitTerms LimitTerms `json:"Bound,omitzero"`
+	// ChoiceExponent is the exponent of the random factor in the choice of a server when there are many gateways. With 1
 	// the requests for a server are proportional to its capacity. 0 stands for 0.5.
-	Spread float64 `json:"Spread,omitempty"`
-	// Turns makes the gateway use servers in rotation instead of at random.
-	Turns bool `json:"Turns,omitempty"`
-	// Learn is the time in seconds over which a server's slowness is averaged; 0 for twenty answers.
-	Learn float64 `json:"Learn,omitempty"`
-	// Step is the interval of the housekeeping tick; 0 for 10 ms.
-	Step Micros `json:"Step,omitempty"`
-	// IdleStep is the interval while there is no request; 0 for Step.
-	IdleStep Micros `json:"IdleStep,omitempty"`
-	// Beliefs enables the zone's verdicts on servers: observations are collected, and verdicts obeyed.
-	Beliefs bool `json:"Beliefs,omitempty"`
-	// FurtherTry is called once for each attempt after a request's first. It returns whether the retry budget
+	ChoiceExponent float64 `json:"Spread,omitempty"`
+	// Rotate makes the gateway use servers in rotation instead of at random.
+	Rotate bool `json:"Turns,omitempty"`
+	// SlownessSeconds is the time in seconds over which a server's slowness is averaged; 0 for twenty answers.
+	SlownessSeconds float64 `json:"Learn,omitempty"`
+	// TickInterval is the interval of the housekeeping tick; 0 for 10 ms.
+	TickInterval Micros `json:"Step,omitempty"`
+	// IdleTickInterval is the interval while there is no request; 0 for Step.
+	IdleTickInterval Micros `json:"IdleStep,omitempty"`
+	// ZoneVerdicts enables the zone's verdicts on servers: observations are collected, and verdicts obeyed.
+	ZoneVerdicts bool `json:"Beliefs,omitempty"`
+	// AllowRetry is called once for each attempt after a request's first. It returns whether the retry budget
 	// allows the attempt, and takes it from the budget. The class is the one that the request arrived with.
-	FurtherTry func(class int) bool `json:"-"`
-	// ColdSends returns how many sends of ours a server may get in any second, negative for no limit. cold tells
+	AllowRetry func(class int) bool `json:"-"`
+	// MaxColdSends returns how many sends of ours a server may get in any second, negative for no limit. cold tells
 	// whether the server is known to be cold (Entry.ColdUntil).
-	ColdSends func(s Server, cold bool) int `json:"-"`
+	MaxColdSends func(s Server, cold bool) int `json:"-"`
 }
 
-// BoundTerms say where the limit on attempts in flight moves. It goes by the mean ratio of the answers' latency to
+// LimitTerms say where the limit on attempts in flight moves. It goes by the mean ratio of the answers' latency to
 // their latency target.
-type BoundTerms struct {
-	Within  float64 `json:"Within"`  // ratio below which the limit rises
-	Past    float64 `json:"Past"`    // ratio above which it is cut
-	Knee    float64 `json:"Knee"`    // multiple of the least ratio seen from which on it rises no more
-	KneeCut float64 `json:"KneeCut"` // multiple of the least ratio seen from which on it is cut
+type LimitTerms struct {
+	GrowBelow float64 `json:"Within"`  // ratio below which the limit rises
+	CutAbove  float64 `json:"Past"`    // ratio above which it is cut
+	GrowKnee  float64 `json:"Knee"`    // multiple of the least ratio seen from which on it rises no more
+	CutKnee   float64 `json:"KneeCut"` // multiple of the least ratio seen from which on it is cut
 }
 
 // Request is a client's try that has arrived.
 type Request struct {
-	ID          uint32
-	Class, Plan int // indexes in Settings.Classes and Settings.Plans
-	Customer    uint64
-	Left        Micros  // time until the client gives up
-	Units       float64 // estimated cost, in units of quota
-	Spread      int     // number of gateways that the customer's requests come through
-	Again       bool    // the client marked it as a retry
-	Filling     bool    // the last byte of its body has not arrived; Gateway.Filled reports when it has
-
-	Homes uint64 // bit set of the regions whose servers it may go to; 0 for any
+	ID           uint32
+	Class, Plan  int // indexes in Settings.Classes and Settings.Plans
+	Customer     uint64
+	TimeLeft     Micros  // time until the client gives up
+	Units        float64 // estimated cost, in units of quota
+	GatewayCount int     // number of gateways that the customer's requests come through
+	IsRetry      bool    // the client marked it as a retry
+	BodyPending  bool    // the last byte of its body has not arrived; Gateway.BodyReceived reports when it has
+
+	Regions uint64 // bit set of the regions whose servers it may go to; 0 for any
 }
 
 // Status is the way an attempt, a probe or a counter call ended.
@@ -167,21 +167,21 @@
 	ConnectFailed               // without a connection; the request did not run
 	Reset                       // by a broken connection
 	Cancelled                   // by Host.Cancel
-	Moot                        // before it was sent; the request did not run
+	NotSent                     // before it was sent; the request did not run
 )
 
 // Outcome ends one attempt.
 type Outcome struct {
-	ID       uint32
-	Latency  Micros
-	Terminal bool // the client has its answer
-	Spent    bool // the body can't be sent again
-	Status   Status
-	Settled  float64 // true units of the request, 0 if unknown
-	Used     int     // 1 + percentage of the quota used, 0 if unknown; kept in captures, not used by decisions
-	Attempt  int     // number of the attempt, from 0
-	Server   Server
-	Load     []float32 // load report of the server; used by decisions only with Settings.Reported
+	ID           uint32
+	Latency      Micros
+	Terminal     bool // the client has its answer
+	BodyConsumed bool // the body can't be sent again
+	Status       Status
+	ActualUnits  float64 // true units of the request, 0 if unknown
+	QuotaUsed    int     // 1 + percentage of the quota used, 0 if unknown; kept in captures, not used by decisions
+	Attempt      int     // number of the attempt, from 0
+	Server       Server
+	LoadReport   []float32 // load report of the server; used by decisions only with Settings.UseLoadReports
 }
 
 // State is the state of a server in the server list.
@@ -198,23 +198,23 @@
 type Entry struct {
 	Server  Server  `json:"Server"`
 	State   State   `json:"State"`
-	Weight  float64 `json:"Weight"` // relative size, used with Settings.Weights
+	Weight  float64 `json:"Weight"` // relative size, used with Settings.UseWeights
 	Zone    int     `json:"Zone"`
 	Cell    int     `json:"Cell"`
 	ReadyAt Micros  `json:"ReadyAt"` // latest start, 0 for long ago
 
-	Region    int     `json:"Region,omitempty"`    // bit number in Request.Homes
-	Dear      float64 `json:"Dear,omitempty"`      // cost relative to other servers, 0 for 1
-	ColdUntil Micros  `json:"ColdUntil,omitempty"` // time until which Settings.ColdSends treats it as cold
+	Region     int     `json:"Region,omitempty"`    // bit number in Request.Regions
+	CostFactor float64 `json:"Dear,omitempty"`      // cost relative to other servers, 0 for 1
+	ColdUntil  Micros  `json:"ColdUntil,omitempty"` // time until which Settings.MaxColdSends treats it as cold
 }
 
-// Standing is the gateway's current assessment of a listed server, for other proxies that choose by it.
-type Standing struct {
-	Server Server
-	State  State
-	Shut   bool    // ejected after failures, or paused because it was full
-	Part   float64 // requests it should get, relative to the other servers
-	Zone   int
+// ServerStatus is the gateway's current assessment of a listed server, for other proxies that choose by it.
+type ServerStatus struct {
+	Server      Server
+	State       State
+	Unavailable bool    // ejected after failures, or paused because it was full
+	Weight      float64 // requests it should get, relative to the other servers
+	Zone        int
 }
 
 // ListKind says how to read a server list.
@@ -222,10 +222,10 @@
 
 // The kinds of list, with their numbers in the wire protocol.
 const (
-	Cached     ListKind = iota // a full list from a cache
+	CachedList ListKind = iota // a full list from a cache
 	FullList                   // a full list; servers it does not name are gone
 	ListFailed                 // no list; the last one stays in force
-	Delta                      // changes to the last list
+	ListDelta                  // changes to the last list
 )
 
 // Host carries out what a Gateway decides.
@@ -240,6 +240,6 @@
 	Cancel(id uint32, attempt int)
 	// Timer asks for one call of Gateway.Timer with the token, after a time.
 	Timer(token uint64, after Micros)
-	// Count adds to a named number on the counter, which keeps it for ttl; Gateway.Counted gets the total.
+	// Count adds to a named number on the counter, which keeps it for ttl; Gateway.CounterResult gets the total.
 	Count(name uint64, amount float64, ttl Micros)
 }
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -4,22 +4,22 @@
 
 // Health of servers as judged by all gateways of a zone together. With hundreds of servers one gateway meets
 // each too seldom to judge it. So the gateways report their observations to one process, which judges for all
-// and returns verdicts. Unless Settings.Beliefs is set, nothing here changes a decision.
+// and returns verdicts. Unless Settings.ZoneVerdicts is set, nothing here changes a decision.
 
-// Belief is the zone's verdict on the health of a server.
-type Belief uint8
+// Verdict is the zone's verdict on the health of a server.
+type Verdict uint8
 
 // The verdicts. A server without one is used by local observation alone.
 const (
-	Unknown Belief = iota
-	Watched        // some requests failed: good answers are reported too
-	Shunned        // no gateway may send to it
-	OnTrial        // only this gateway sends to it, one attempt at a time
-	Cleared        // it is healthy again after suspicion or a probe
+	NoVerdict Verdict = iota
+	Suspect           // some requests failed: good answers are reported too
+	Unhealthy         // no gateway may send to it
+	OnProbe           // only this gateway sends to it, one attempt at a time
+	Recovered         // it is healthy again after suspicion or a probe
 )
 
-// Sighting is what a gateway observed of a server since its last report.
-type Sighting struct {
+// Observation is what a gateway observed of a server since its last report.
+type Observation struct {
 	Server    Server
 	Good, Bad float64 // weighted number of answers, decaying with time
 }
@@ -56,7 +56,7 @@
 // observe handles the end of an attempt and counts it for the next report.
 func (g *Gateway) observe(att *attempt, outcome Outcome) {
 	g.recordOutcome(att, outcome)
-	if srv := att.server; g.settings.Beliefs && !att.silenceObserved && srv.entry.ColdUntil <= g.now {
+	if srv := att.server; g.settings.ZoneVerdicts && !att.silenceObserved && srv.entry.ColdUntil <= g.now {
 		switch outcome.Status {
 		case OK:
 			srv.unreported.add(g.now, 1, 0)
@@ -87,25 +87,25 @@
 	}
 }
 
-// Sightings returns what there is to report: observations of servers that failed, and of those with a
+// TakeObservations returns what there is to report: observations of servers that failed, and of those with a
 // verdict. What is returned is not returned again.
-func (g *Gateway) Sightings(now Micros) (list []Sighting) {
+func (g *Gateway) TakeObservations(now Micros) (list []Observation) {
 	g.now = now
 	for _, srv := range g.servers {
 		g.observeSilence(srv)
 		srv.unreported.decay(now)
-		isReport := srv.unreported.bad >= minObservation || srv.verdict >= Watched &&
+		isReport := srv.unreported.bad >= minObservation || srv.verdict >= Suspect &&
 			srv.unreported.good+srv.unreported.bad >= minObservation
 		if srv.listed && isReport {
-			list = append(list, Sighting{Server: srv.id, Good: srv.unreported.good, Bad: srv.unreported.bad})
+			list = append(list, Observation{Server: srv.id, Good: srv.unreported.good, Bad: srv.unreported.bad})
 			srv.unreported = observations{decayedAt: now}
 		}
 	}
 	return list
 }
 
-// Believe sets the zone's verdicts; a server that is not in the map has none.
-func (g *Gateway) Believe(now Micros, host Host, verdicts map[Server]Belief) {
+// SetVerdicts sets the zone's verdicts; a server that is not in the map has none.
+func (g *Gateway) SetVerdicts(now Micros, host Host, verdicts map[Server]Verdict) {
 	g.beginEvent(now, host)
 	for _, srv := range g.servers {
 		before := srv.verdict
@@ -113,10 +113,10 @@
 			continue
 		}
 		switch srv.verdict {
-		case OnTrial: // one failure ejects it locally again
+		case OnProbe: // one failure ejects it locally again
 			srv.ejected, srv.probing, srv.failures = false, false, failsToEject-1
 			srv.slowness, srv.slownessAt = min(g.currentSlowness(srv), maxRecoveredSlowness), now
-		case Cleared:
+		case Recovered:
 			srv.ejected, srv.probing, srv.silent, srv.failures, srv.ejection = false, false, false, 0, 0
 			srv.slowness, srv.slownessAt = min(g.currentSlowness(srv), maxRecoveredSlowness), now
 		}
@@ -128,10 +128,10 @@
 // are not used as probes where there are safe ones: a failed probe would lose them.
 func (g *Gateway) excluded(req *request, srv *server) bool {
 	switch srv.verdict {
-	case Shunned:
+	case Unhealthy:
 		return true
-	case OnTrial:
-		return srv.inFlight > 0 || req.class.Repeat == Unsafe && g.hasSafeClass()
+	case OnProbe:
+		return srv.inFlight > 0 || req.class.Repeat == RepeatUnsafe && g.hasSafeClass()
 	}
 	return false
 }
@@ -139,7 +139,7 @@
 // hasSafeClass reports whether safe requests have been answered.
 func (g *Gateway) hasSafeClass() bool {
 	for i := range g.classes {
-		if g.classes[i].Repeat == Safe && g.classes[i].answers > 0 {
+		if g.classes[i].Repeat == RepeatSafe && g.classes[i].answers > 0 {
 			return true
 		}
 	}
