--- a/capture/index.go
+++ b/capture/index.go
@@ -182,7 +182,7 @@
 	return Position{}, false
 }
 
-// StartAt makes a Set start at a place instead of at the start of its first segment.
+// StartAt makes a MultiReader start at a place instead of at the start of its first segment.
 func (s *MultiReader) StartAt(p Position) { s.current, s.start = p.Segment, p }
 
 // seek moves a reader that has read its segment's header to a block. The block is
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -86,7 +86,7 @@
 func (r *Reader) Records() int { return r.records }
 
 // Next returns the next record, which is valid until the next call, and its time. The
-// error is io.EOF after the segment's end block. A *Gap is returned once, and the records
+// error is io.EOF after the segment's end block. A *GapError is returned once, and the records
 // after it can be read by further calls. After any other error nothing more can be read.
 func (r *Reader) Next() (*capturepb.Record, policy.Micros, error) {
 	for len(r.undecoded) == 0 {
--- a/capture/segments.go
+++ b/capture/segments.go
@@ -112,10 +112,10 @@
 	current     int    // index of the current segment
 	previousMAC []byte // last MAC of the previous segment, nil if that segment could not be read to its end
 	records     int
-	start       Position // where to start, if Skip has set it
+	start       Position // where to start, if StartAt has set it
 }
 
-// NewMultiReader creates a Set that reads segments in the given order, which should be that of Find.
+// NewMultiReader creates a MultiReader that reads segments in the given order, which should be that of FindSegments.
 func NewMultiReader(segments []Segment, key *Key) *MultiReader {
 	return &MultiReader{key: key, segments: segments}
 }
@@ -162,8 +162,8 @@
 // Unwrap returns the underlying error.
 func (c *TruncatedError) Unwrap() error { return c.Err }
 
-// Next returns the next record of all segments, like Reader.Next. It returns a *Cut once for
-// each truncated segment and a *Gap once for each gap, and io.EOF after the last segment.
+// Next returns the next record of all segments, like Reader.Next. It returns a *TruncatedError once for
+// each truncated segment and a *GapError once for each gap, and io.EOF after the last segment.
 func (s *MultiReader) Next() (*capturepb.Record, policy.Micros, error) {
 	for {
 		if s.reader == nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Each calls record with every record, and fault with every *Cut and *Gap. It returns nil at
+// Each calls record with every record, and fault with every *TruncatedError and *GapError. It returns nil at
 // the end of the capture, or the first error after which nothing more can be read.
 func (s *MultiReader) Each(record func(*capturepb.Record), problem func(error)) error {
 	for {
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -22,9 +22,9 @@
 type WriterOptions struct {
 	Folder string
 	Name   string // the gatekeeper's name
-	RunID  uint64 // id of the run, see the function Life
+	RunID  uint64 // id of the run, see NewRunID
 	Key    Key
-	// SegmentBytes is the size in bytes at which a segment is ended, 64 MiB if zero. KeptMost
+	// SegmentBytes is the size in bytes at which a segment is ended, 64 MiB if zero. MaxTotalBytes
 	// is the total size in bytes of all segments of this name in the folder, above which the
 	// oldest are removed, 1 GiB if zero.
 	SegmentBytes, MaxTotalBytes int64
@@ -230,7 +230,7 @@
 	w.Stats.Blocks.Add(1)
 	w.Stats.Bytes.Add(uint64(len(out)))
 	// A checkpoint does not end a segment: each new segment gets one, so checkpoints larger
-	// than SegmentMost would start one segment after the other.
+	// than SegmentBytes would start one segment after the other.
 	if b.checkpoint == nil && w.size >= w.options.SegmentBytes {
 		if w.endSegment(); w.startSegment() != nil {
 			w.retryAt = time.Now().Add(retryInterval)
--- a/gatekeeper/gatekeeper.go
+++ b/gatekeeper/gatekeeper.go
@@ -90,7 +90,7 @@
 	Request       *Request
 	Worker        policy.Server
 	Timeout       float64 // milliseconds
-	TransportData any     // reserved for the Fleet
+	TransportData any     // reserved for the WorkerTransport
 
 	attempt int     // index of the attempt, from 0
 	started float64 // clock time in milliseconds
@@ -176,12 +176,12 @@
 	Clock         *Clock
 	Workers       WorkerTransport
 	Counter       CounterClient
-	RequestWakeUp func(at float64) // requests a call of Advance at a clock time in milliseconds
+	RequestWakeUp func(at float64) // requests a call of RunDueTimers at a clock time in milliseconds
 	// Recorder, if set, receives all calls into and out of the decision module.
 	Recorder Recorder
-	// Meter, if set, counts requests and attempts.
+	// Metrics, if set, counts requests and attempts.
 	Metrics Metrics
-	// Earlier, if set, is the last known state of the previous process of this gatekeeper.
+	// Previous, if set, is the last known state of the previous process of this gatekeeper.
 	Previous *PreviousProcess
 }
 
@@ -562,7 +562,7 @@
 
 // ResponseStarted reports that a worker's answer, of which o holds the head, is being streamed to
 // the caller. From now on no other execution can serve the request, so the decision
-// module gets the outcome of this one as final. Finish must follow.
+// module gets the outcome of this one as final. ResponseEnded must follow.
 func (g *Gatekeeper) ResponseStarted(x *Execution, o Outcome) {
 	if x.ended || x.Request.closed {
 		return
@@ -637,7 +637,7 @@
 	}
 	r.executions = append(r.executions, x)
 	r.openExecutions++
-	if x.bodyPending = r.BodyPending; !x.bodyPending { // otherwise Filled sets the timer
+	if x.bodyPending = r.BodyPending; !x.bodyPending { // otherwise BodyReceived sets the timer
 		g.timers.push(timer{due: x.started + x.Timeout, execution: x})
 	}
 	if g.reportDraw != nil {
--- a/gatekeeper/recorder.go
+++ b/gatekeeper/recorder.go
@@ -10,7 +10,7 @@
 	policy.Host
 	// Started records the module's start, with its settings and the seed of its random numbers.
 	Started(now policy.Micros, s policy.Settings, seed uint64)
-	// RequestNamed records the front end's name for a request, just before Requested. The module
+	// RequestNamed records the front end's name for a request, just before RequestReceived. The module
 	// itself does not get the name.
 	RequestNamed(id uint32, name string)
 	// RequestReceived records a new request.
--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -95,7 +95,7 @@
 	QuotaExcess     float64 // part by which a quota may be exceeded in a window of QuotaWindowS
 	QuotaSlack      float64 // requests in a window that are allowed beyond QuotaExcess
 	SlowStartExcess float64 // factor by which a worker's slow start rate may be exceeded
-	SlowStartSlack  float64 // requests that are allowed beyond ColdExcess
+	SlowStartSlack  float64 // requests that are allowed beyond SlowStartExcess
 	EvacuateS       float64
 	RecoveryS       float64
 	TTLMaxS         float64 // maximum validity of an answer with the addresses of gatekeepers
--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -52,7 +52,7 @@
 	Good, Bad uint16   // successes and failures, in tenths
 }
 
-// WorkerVerdict is the state of one worker. Triers are the peer addresses of the gatekeepers that send it trial
+// WorkerVerdict is the state of one worker. TrialSenders are the peer addresses of the gatekeepers that send it trial
 // requests.
 type WorkerVerdict struct {
 	_            struct{} `cbor:",toarray"`
@@ -120,12 +120,12 @@
 	noEjectionUntil     map[int]float64 // by group
 	announcedAt         float64
 	lastNotes           []WorkerVerdict
-	// Ejections and Backs count ejected and readmitted workers, Calms the times when all workers were
+	// Ejections and Readmissions count ejected and readmitted workers, MassReadmissions the times when all workers were
 	// readmitted.
 	Ejections, Readmissions, MassReadmissions uint64
 }
 
-// NewDetector returns a Desk. Each process draws the incarnation at random.
+// NewDetector returns a Detector. Each process draws the incarnation at random.
 func NewDetector(incarnation uint64) *Detector {
 	return &Detector{incarnation: incarnation, workers: map[uint32]*workerState{}, noEjectionUntil: map[int]float64{}, announcedAt: math.Inf(-1)}
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -224,16 +224,16 @@
 	return m
 }
 
-// RestoreElectorate restores the electorate that an earlier incarnation of this node got from Settled. If no
+// RestoreElectorate restores the electorate that an earlier incarnation of this node got from SoleElectorate. If no
 // address was ever removed from the core and the first electorate is the same, or if the number is the
 // same, there was no other electorate in between that any node still trusts. It must be called before
-// the first Electorate.
+// the first call of SetElectorate.
 func (m *Machine) RestoreElectorate(voters []string, edition uint64) {
 	m.rememberedEdition, m.rememberedVoters = edition, slices.Compact(slices.Sorted(slices.Values(voters)))
 }
 
 // SoleElectorate returns the electorate and its number if no node trusts any other, and nil otherwise. Only
-// this is what a later incarnation may Remember: an electorate just learned says nothing about those
+// this is what a later incarnation may RestoreElectorate: an electorate just learned says nothing about those
 // before it.
 func (m *Machine) SoleElectorate(now float64) (voters []string, edition uint64) {
 	if m.dropOldElectorates(now); len(m.electorates) != 1 || now < m.soleElectorateSince {
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -15,7 +15,7 @@
 // maxLifetimeMS is the longest lifetime of a total.
 const maxLifetimeMS = 60000.0
 
-// NewCounterTotals returns an empty Numbers.
+// NewCounterTotals returns an empty CounterTotals.
 func NewCounterTotals() *CounterTotals { return &CounterTotals{byName: map[string]expiringTotal{}} }
 
 // Add adds an amount to the total of a name and returns the new total. If the name is new
@@ -76,7 +76,7 @@
 }
 
 // Counter simulates the shared counter without doing any I/O: the caller passes the current
-// time and waits until the time given in the Answer. Callers reach the counter from one of
+// time and waits until the time given in the CounterResult. Callers reach the counter from one of
 // two sides, which a simulated network partition separates.
 type Counter struct {
 	Faults CounterFaults
@@ -85,7 +85,7 @@
 
 	config    CounterConfig
 	rng       *rand.Rand
-	sides     [2]*CounterTotals // the same Numbers on both sides, except during a partition
+	sides     [2]*CounterTotals // the same CounterTotals on both sides, except during a partition
 	splitBase *CounterTotals    // copy of the totals at the beginning of the partition
 	freeAt    [2]float64        // time at which each side has served its queue; without a partition only the first is used
 }
@@ -111,7 +111,7 @@
 type CounterResult struct {
 	Outcome CounterOutcome
 	AtMS    float64 // time of the response in milliseconds
-	Total   float64 // if Heard is Added
+	Total   float64 // if Outcome is Added
 }
 
 // Call adds an amount to the total of a name for a caller on side 0 or 1.
--- a/internal/emulator/counter_events.go
+++ b/internal/emulator/counter_events.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// CounterEvent is a fault that is injected into a counter. Times are in milliseconds; At
+// CounterEvent is a fault that is injected into a counter. Times are in milliseconds; AtMS
 // counts from the start.
 type CounterEvent struct {
 	AtMS, DurationMS float64 // beginning and duration
@@ -25,7 +25,7 @@
 }
 
 // counterKinds are the kinds of faults: the kind of value each requires ("" for none), and the
-// function that sets it; nil if the kind is not a field of CounterTrouble.
+// function that sets it; nil if the kind is not a field of CounterFaults.
 var counterKinds = map[string]struct {
 	valueKind string
 	apply     func(t *CounterFaults, v float64)
--- a/internal/emulator/request_log.go
+++ b/internal/emulator/request_log.go
@@ -16,7 +16,7 @@
 	totals       RequestTotals
 }
 
-// RequestTotals are the sums of a ledger.
+// RequestTotals are the sums of a request log.
 type RequestTotals struct {
 	Arrived   int `json:"arrived"`   // requests received
 	Ran       int `json:"ran"`       // requests that began to run
@@ -26,7 +26,7 @@
 	Faults    int `json:"faults"`    // requests with an injected fault
 }
 
-// NewRequestLog returns an empty ledger.
+// NewRequestLog returns an empty request log.
 func NewRequestLog() *RequestLog {
 	return &RequestLog{arrivalsByID: map[string]int{}, runsByID: map[string]int{}, runsByKey: map[string]int{}, firstRuns: map[string]time.Time{}}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -33,7 +33,7 @@
 // ClassResult is the result of a class.
 type ClassResult struct {
 	Name     string
-	Outcomes [endCount]int           // number of requests by End
+	Outcomes [endCount]int           // number of requests by Outcome
 	Latency  *hdrhistogram.Histogram // of served requests, from the intended send time
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -61,7 +61,7 @@
 	Sessions    []Session `cbor:"4,keyasint,omitempty"`
 	Renewals    []Renewal `cbor:"5,keyasint,omitempty"` // sessions of gatekeepers that were reported in full before
 	// SentAt is when the report was made, by the sender's clock, and never 0. If a process freezes before it
-	// sends a report, the ages in it are out of date; comparing At with that of other reports shows this.
+	// sends a report, the ages in it are out of date; comparing SentAt with that of other reports shows this.
 	SentAt float64 `cbor:"6,keyasint,omitempty"`
 }
 
@@ -153,7 +153,7 @@
 	restored map[string]float64
 }
 
-// New returns an empty Book. The caller draws the incarnation at random for each process:
+// New returns an empty Registry. The caller draws the incarnation at random for each process:
 // otherwise the reports of a restarted control node would look older than those before.
 func New(self string, incarnation uint64, now, lapseMs float64) *Registry {
 	if lapseMs <= 0 {
@@ -184,7 +184,7 @@
 }
 
 // FullReport returns the full report for the other control nodes. Lapsed sessions are included while they
-// are Known, so that a control node that has just started reserves the same quotas for them.
+// are in KnownNodes, so that a control node that has just started reserves the same quotas for them.
 func (b *Registry) FullReport(now float64) Report {
 	b.removeExpired(now)
 	b.sequence++
@@ -244,7 +244,7 @@
 	}
 }
 
-// ContentHash returns a hash of what Tell reports except ages and sequence numbers. While it is unchanged, a
+// ContentHash returns a hash of what FullReport reports except ages and sequence numbers. While it is unchanged, a
 // receiver of a full report only needs brief ones.
 func (b *Registry) ContentHash(now float64) uint64 {
 	b.removeExpired(now)
@@ -257,7 +257,7 @@
 	return hash.Sum64()
 }
 
-// BriefReport returns the report for receivers of a full report with the same Mark: it only renews sessions.
+// BriefReport returns the report for receivers of a full report with the same ContentHash: it only renews sessions.
 func (b *Registry) BriefReport(now float64) Report {
 	b.sequence++
 	page := Report{From: b.self, Incarnation: b.incarnation, Sequence: b.sequence, SentAt: math.Round(now) + 1}
@@ -364,7 +364,7 @@
 	return nodes
 }
 
-// Members returns the current member list. The caller must not change it; Turn and Load of members may
+// Members returns the current member list. The caller must not change it; Sequence and Load of members may
 // be a second old. It is requested at every heartbeat, so it is only computed again if a member has
 // joined, left, changed or may have lapsed.
 func (b *Registry) Members(now float64) MemberList {
--- a/internal/openapi/description.go
+++ b/internal/openapi/description.go
@@ -16,7 +16,7 @@
 	"foxwood/policy"
 )
 
-// Extension is the key of the OpenAPI extension with the Terms of an operation. A document may
+// Extension is the key of the OpenAPI extension with the OperationTerms of an operation. A document may
 // have one too, with defaults for all its operations. Units and class have no default.
 const Extension = "x-foxwood"
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -42,7 +42,7 @@
 	ready    func() bool
 }
 
-// NewProtocol returns a front. The function ready reports whether the gatekeeper accepts clients.
+// NewProtocol returns the protocol's implementation. The function ready reports whether the gatekeeper accepts clients.
 func NewProtocol(policySettings policy.Settings, names settings.Names, ready func() bool) *Protocol {
 	if policySettings.MaxUnits <= 0 { // the setting is optional
 		policySettings.MaxUnits = math.MaxInt32
@@ -250,7 +250,7 @@
 // ReportedUnits returns the actual cost of a request that a worker reports, or 0 if it reports none or more than
 // largest, the most that a request can cost.
 func ReportedUnits(message *http1.Message, largest float64) float64 {
-	if largest <= 0 { // as in NewFront
+	if largest <= 0 { // as in NewProtocol
 		largest = math.MaxInt32
 	}
 	text, _ := message.Unique(headerCostUnits)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,8 +1,8 @@
 // Package quota divides each tenant's rate limit among the gatekeepers and grants the parts under
 // leases.
 //
-// The control node that holds the allocation duty runs the active Allotter. Every other control node
-// keeps a standby Allotter supplied with the same limits and members, so that after a change of duty
+// The control node that holds the allocation duty runs the active Allocator. Every other control node
+// keeps a standby Allocator supplied with the same limits and members, so that after a change of duty
 // holder the new one knows which gatekeepers have lapsed. The package has no clock: every now is in
 // milliseconds of a steady clock.
 //
@@ -52,7 +52,7 @@
 type Limit struct{ RatePerS, Burst float64 }
 
 // Bounds is what all gatekeepers together may admit beyond a tenant's quota: a share Excess of it plus
-// Slack requests in any window of WindowS seconds. FloorKeepMs is how long the minimum of a lapsed
+// Slack requests in any window of WindowS seconds. MinimumRetentionMs is how long the minimum of a lapsed
 // gatekeeper stays reserved for it, in milliseconds (0 for ten minutes). A gatekeeper must stop using
 // its minimum before that, unless it is known to have ended.
 type Bounds struct{ WindowS, Excess, Slack, MinimumRetentionMs float64 }
@@ -61,13 +61,13 @@
 // by tenant.
 type Demand map[string]float64
 
-// Allocation is a gatekeeper's part of a quota. Rate and Burst are valid during the lease, Floor (the
-// minimum rate) and FloorBurst (the minimum burst) after it.
+// Allocation is a gatekeeper's part of a quota. Rate and Burst are valid during the lease, Minimum (the
+// minimum rate) and MinimumBurst (the minimum burst) after it.
 //
 // Tokens is, in a gatekeeper's report, the current content of its bucket; in an answer, the tokens to
-// be added to it, once, if the answer arrives within TokensMs of its request. Kick, in an answer or
-// from Floor, is the start burst: whole tokens above Burst that a new incarnation may use once in its
-// first two seconds, since its bucket starts empty. Wants, in a report, is the number of requests that
+// be added to it, once, if the answer arrives within TokenValidityMs of its request. StartBurst, in an answer or
+// from MinimumAllocation, is the start burst: whole tokens above Burst that a new incarnation may use once in its
+// first two seconds, since its bucket starts empty. Waiting, in a report, is the number of requests that
 // found no token since the last allocation request. Returned, in a report, is the number of tokens
 // given back since then, which are no longer in the bucket.
 type Allocation struct {
@@ -133,7 +133,7 @@
 	membersReceived       bool // a member list was received
 }
 
-// New returns an Allotter that does not grant anything before Begin.
+// New returns an Allocator that does not grant anything before Begin.
 func New(leaseMs float64, bounds Bounds) *Allocator {
 	if bounds.MinimumRetentionMs <= 0 {
 		bounds.MinimumRetentionMs = defaultMinimumRetentionMs
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -35,20 +35,20 @@
 	RestoreModule func(s policy.Snapshot) (gatekeeper.Module, error)
 	// Log, if set, gets every call as a line.
 	Log io.Writer
-	// Request, if not 0, limits the log to calls with this request number. Name, if set,
+	// LogRequestID, if not 0, limits the log to calls with this request number. Name, if set,
 	// limits it to calls for the request that the front end knows by this name.
 	LogRequestID   uint32
 	LogRequestName string
 	// Until, if not 0, is the time at which the replay stops.
 	Until policy.Micros
-	// Watch, if set, is called before each call of the module.
+	// BeforeCall, if set, is called before each call of the module.
 	BeforeCall func(m gatekeeper.Module, r *capturepb.Record, at policy.Micros)
-	// Decided, if set, gets each call that the module makes.
+	// OnDecision, if set, gets each call that the module makes.
 	OnDecision func(c Call, at policy.Micros)
-	// Swap, if set, is called before each call of the module, and returns the module to
+	// SwapModule, if set, is called before each call of the module, and returns the module to
 	// continue with.
 	SwapModule func(m gatekeeper.Module) gatekeeper.Module
-	// Named, if set, gets the front end's name for each request.
+	// OnRequestNamed, if set, gets the front end's name for each request.
 	OnRequestNamed func(id uint32, name string)
 	// Stop, if set, is called for each record, and ends the replay by returning true.
 	Stop func() bool
--- a/internal/slowstart/scale_bench_test.go
+++ b/internal/slowstart/scale_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkScaleAsk measures one call of Ask in a fleet of gatekeepers that each ask twice a second, and the memory
+// BenchmarkScaleAsk measures one call of Renew in a fleet of gatekeepers that each ask twice a second, and the memory
 // that the coordinator holds for each.
 func BenchmarkScaleAsk(b *testing.B) {
 	for _, n := range []int{100, 1000, 18_000} {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -46,7 +46,7 @@
 // nothing while those leases may be valid.
 func TestNoShareBeforeEarlierLeasesExpire(t *testing.T) {
 	for _, c := range []struct {
-		vacant, later, from float64 // later is the vacancy reported after Begin, from the time of the first share after it; all in milliseconds
+		vacant, later, from float64 // later is the vacancy reported after Start, from the time of the first share after it; all in milliseconds
 	}{
 		{0, 0, testLease + WindowMs},
 		{1000, 0, testLease + WindowMs - 1000},
--- a/internal/snowline/controller.go
+++ b/internal/snowline/controller.go
@@ -81,7 +81,7 @@
 // Rate returns the admitted rate in requests per second, 0 for no limit.
 func (v *Controller) Rate() float64 { return v.rate }
 
-// Resume continues with the threshold and the capacity of another Valve. A rate of 0 means that the
+// Resume continues with the threshold and the capacity of another Controller. A rate of 0 means that the
 // capacity is not known.
 func (v *Controller) Resume(now float64, threshold policy.ShedPosition, load Load, rate float64) {
 	*v = Controller{threshold: threshold, started: true, probeDelayMs: minProbeDelayMs, reducedAt: now, reduced: threshold < policy.ShedNothing, rate: rate, lastNearCapacityAt: now, followedLoadAt: now,
--- a/internal/snowline/holder.go
+++ b/internal/snowline/holder.go
@@ -22,7 +22,7 @@
 	MinServedShare float64 `cbor:"6,keyasint,omitempty"` // share of each tier that is never shed
 	CallerHeader   string  `cbor:"7,keyasint,omitempty"` // request header that names a tenant's caller
 
-	Version    uint64 `cbor:"8,keyasint,omitempty"` // version of the configuration whose routes Work refers to
+	Version    uint64 `cbor:"8,keyasint,omitempty"` // version of the configuration whose routes RouteCosts refers to
 	RouteCosts []byte `cbor:"9,keyasint,omitempty"` // cost of a request in doublings of a millisecond, by route
 
 	Reason string `cbor:"10,keyasint,omitempty"` // what caused the level, in words
@@ -31,7 +31,7 @@
 	// Capacity is the capacity estimated by the holder, for the next holder; it changes without a new number
 	// too.
 	Capacity float64 `cbor:"12,keyasint,omitempty"`
-	// ServiceThresholds are the thresholds of services that lack capacity. They apply in addition to Cut, which is for
+	// ServiceThresholds are the thresholds of services that lack capacity. They apply in addition to Threshold, which is for
 	// the resources that all services share. A map is never changed; each number has its own.
 	ServiceThresholds map[string]policy.ShedPosition `cbor:"13,keyasint,omitempty"`
 }
@@ -94,7 +94,7 @@
 // Holder computes the level at the control node that holds the shedding duty. The other nodes keep one
 // too and record the levels they pass on, in case they win the duty.
 type Holder struct {
-	// Never, Least and Caller are settings of this node: what is never shed, and the header that names
+	// NeverShedBelow, MinServedShare and CallerHeader are settings of this node: what is never shed, and the header that names
 	// callers, as in Level.
 	NeverShedBelow int
 	MinServedShare float64
--- a/internal/spur/collector.go
+++ b/internal/spur/collector.go
@@ -75,10 +75,10 @@
 	target           string
 }
 
-// DueFetches returns the fetches to make now, each from Ask.To.Inner. This gatekeeper itself can be among
-// them, and is fetched from without a socket: Heard(now, ask, s.Answer(now, ask)). At most one
-// fetch per member is open at a time. Asks also runs all time-based processing, so it must be
-// called about every 100 ms.
+// DueFetches returns the fetches to make now, each from FetchRequest.To.InternalAddress. This
+// gatekeeper itself can be among them, and is fetched from without a socket:
+// HandleResponse(now, request, s.ServeFetch(now, request)). At most one fetch per member is open at
+// a time. DueFetches also runs all time-based processing, so it must be called about every 100 ms.
 func (s *Engine) DueFetches(now float64) (requests []FetchRequest) {
 	s.advance(now)
 	for _, peer := range s.peers {
--- a/internal/spur/copy.go
+++ b/internal/spur/copy.go
@@ -11,7 +11,8 @@
 )
 
 // RequestCopy is a copied request for a mirror target. Its type differs from that of requests to live
-// workers, and its content is accessible only to Delivery.Send, which writes it to a Door.
+// workers, and its content is accessible only to Delivery.Send, which writes it to a
+// TargetConnection.
 type RequestCopy struct {
 	method, target string
 	fields         []HeaderField
--- a/internal/spur/delivery.go
+++ b/internal/spur/delivery.go
@@ -30,9 +30,9 @@
 }
 
 // Delivery is one copy to be sent once to its mirror target. The copies of one flow are issued in
-// order, each after Told has reported the result of the previous one.
+// order, each after ReportDelivery has reported the result of the previous one.
 type Delivery struct {
-	ID                 uint64  // for Told; unique in this incarnation
+	ID                 uint64  // for ReportDelivery; unique in this incarnation
 	Address            string  // of the mirror target
 	TimeoutMs          float64 // limit for the target's answer, in ms
 	Bytes              int
--- a/internal/spur/mirror.go
+++ b/internal/spur/mirror.go
@@ -3,14 +3,14 @@
 // checks that the flow is complete, and sends the copies in order to a mirror target. Answers of
 // mirror targets are discarded.
 //
-// The package does no I/O. A Spur receives events with the time of a monotonic clock in
+// The package does no I/O. An Engine receives events with the time of a monotonic clock in
 // milliseconds, and returns the calls to make, the responses to give and the copies to send.
 // docs/design/shadow.md describes the protocol and proves it.
 //
 // A flow is a series of requests with the same name (a header, cookie or trace ID) in which no
 // gap is longer than the rule's idle timeout. One request of a flow is a piece.
 //
-// A Spur is not safe for concurrent use.
+// An Engine is not safe for concurrent use.
 package spur
 
 import "fmt"
@@ -27,7 +27,7 @@
 // Cause is the reason why a flow is broken or left out. The list below is complete.
 type Cause uint8
 
-// The causes. Fine means that the flow is not broken.
+// The causes. NotBroken means that the flow is not broken.
 const (
 	NotBroken        Cause = iota
 	GatekeeperFull         // a gatekeeper had no memory or ticket left for a copy
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("cause %d", uint8(c))
 }
 
-// Causes returns all causes but Fine.
+// Causes returns all causes but NotBroken.
 func Causes() (all []Cause) {
 	for c := GatekeeperFull; c < causeCount; c++ {
 		all = append(all, c)
@@ -68,7 +68,7 @@
 	return all
 }
 
-// Config holds the settings of a Spur.
+// Config holds the settings of an Engine.
 type Config struct {
 	Self     Member
 	Now      float64 // start of the incarnation in ms, before its first request
@@ -104,12 +104,12 @@
 	UncertainOrder uint64 `cbor:"Doubt"` // pieces whose order within their flow is uncertain
 }
 
-// Status is the current state of a Spur. It is encoded by name, so renamed fields keep the old name
+// Status is the current state of an Engine. It is encoded by name, so renamed fields keep the old name
 // as a tag.
 type Status struct {
 	RuleNumber        uint64   `cbor:"Order"`   // number of the current rule, 0 without one
 	Active            bool     `cbor:"On"`      // requests are being copied
-	InactiveCause     Cause    `cbor:"Why"`     // Struck or Pressed if one of these has stopped copying
+	InactiveCause     Cause    `cbor:"Why"`     // TargetIsLive or Overloaded if one of these has stopped copying
 	OpenFlows         int      `cbor:"Open"`    // flows being collected here
 	WaitingFlows      int      `cbor:"Waiting"` // flows in delivery or queued for it
 	QueuedItems       int      `cbor:"Queued"`  // items not fetched yet
--- a/internal/spur/outbox.go
+++ b/internal/spur/outbox.go
@@ -94,8 +94,8 @@
 }
 
 // StartRequest is called once for every request, after it was first forwarded to a live worker; not for
-// retries. If the request is to be copied, it returns a ticket for which End or Drop must be called
-// once; otherwise it returns 0.
+// retries. If the request is to be copied, it returns a ticket for which FinishRequest or
+// DropRequest must be called once; otherwise it returns 0.
 func (s *Engine) StartRequest(now float64, request *RequestInfo) Ticket {
 	rule := s.rule
 	if rule != nil && !rule.Stopped && !rule.matches(request) {
@@ -174,8 +174,8 @@
 	return b
 }
 
-// MaxBodyBytes returns the largest body that End accepts, in bytes. For larger ones the caller can call
-// Drop at once.
+// MaxBodyBytes returns the largest body that FinishRequest accepts, in bytes. For larger ones the caller can
+// call DropRequest at once.
 func (s *Engine) MaxBodyBytes() int {
 	if s.rule == nil {
 		return 0
@@ -308,7 +308,7 @@
 }
 
 // Close marks the end of copying, after the last request of this incarnation. Fetches are still
-// served until Emptied returns true.
+// served until IsDrained returns true.
 func (s *Engine) Close(now float64) { s.closed = true }
 
 // IsDrained reports whether all items have been fetched, all flows handed over and all deliveries
--- a/internal/spur/selection.go
+++ b/internal/spur/selection.go
@@ -9,7 +9,7 @@
 )
 
 // FlowID identifies a flow: the hash of its name with the rule's key, equal at every gatekeeper.
-// Spot is compared with the rule's threshold; Rest selects the collector.
+// SelectionHash is compared with the rule's threshold; CollectorHash selects the collector.
 type FlowID struct {
 	SelectionHash uint64 `cbor:"1,keyasint"`
 	CollectorHash uint64 `cbor:"2,keyasint"`
--- a/internal/spur/wire.go
+++ b/internal/spur/wire.go
@@ -12,7 +12,7 @@
 }
 
 // FetchRequest is a collector's request to fetch items from a gatekeeper, about twice a second. It
-// acknowledges the items up to number After, which the gatekeeper then drops.
+// acknowledges the items up to number LastReceived, which the gatekeeper then drops.
 type FetchRequest struct {
 	To           Member  `cbor:"1,keyasint"`
 	From         Member  `cbor:"2,keyasint"`
@@ -27,7 +27,7 @@
 type FetchResponse struct {
 	From             Member        `cbor:"1,keyasint"`
 	UptimeMs         float64       `cbor:"2,keyasint,omitempty"` // since its incarnation started
-	FirstNumber      uint64        `cbor:"3,keyasint,omitempty"` // number of the first item; above After+1 if some were lost
+	FirstNumber      uint64        `cbor:"3,keyasint,omitempty"` // number of the first item; above LastReceived+1 if some were lost
 	Items            []Item        `cbor:"4,keyasint,omitempty"`
 	LagMs            float64       `cbor:"5,keyasint,omitempty"` // age of the oldest item or open request for this collector that is not in a response yet
 	Rule             EffectiveRule `cbor:"6,keyasint"`
@@ -50,7 +50,7 @@
 type Item struct {
 	Flow       FlowID          `cbor:"1,keyasint"`
 	AgeMs      float64         `cbor:"2,keyasint,omitempty"` // time since the request was forwarded
-	LostCause  Cause           `cbor:"3,keyasint,omitempty"` // not Fine: there is no copy, for this reason
+	LostCause  Cause           `cbor:"3,keyasint,omitempty"` // not NotBroken: there is no copy, for this reason
 	Copy       RequestCopy     `cbor:"4,keyasint,omitempty"`
 	Response   LiveResponse    `cbor:"5,keyasint,omitempty"`
 	ScopeHash  uint64          `cbor:"6,keyasint,omitempty"` // scope hash of the rule by which it was copied
@@ -62,7 +62,7 @@
 // HandedOverFlow is a flow that its collector hands over to the next one.
 type HandedOverFlow struct {
 	MembersHash uint64  `cbor:"1,keyasint,omitempty"` // hash of the last member list under which it was collected
-	FirstAgeMs  float64 `cbor:"2,keyasint,omitempty"` // age of its first piece at most; LastMs: age of its last piece at least
+	FirstAgeMs  float64 `cbor:"2,keyasint,omitempty"` // age of its first piece at most; LastAgeMs: age of its last piece at least
 	LastAgeMs   float64 `cbor:"3,keyasint,omitempty"`
 	Cause       Cause   `cbor:"4,keyasint,omitempty"`
 	Pieces      []Piece `cbor:"5,keyasint,omitempty"`
@@ -81,7 +81,7 @@
 // HandoverReport is a collector's report after it has handed over all flows that a change of members
 // reassigned. It covers the flows that it collected under the list and that the receiver now
 // collects. The sender knew no others; it had complete data of the flows that began less than
-// VouchMs ago; and no gatekeeper has used the list for UntilMs.
+// CompleteSinceMs ago; and no gatekeeper has used the list for UnusedSinceMs.
 type HandoverReport struct {
 	MembersHash     uint64     `cbor:"1,keyasint,omitempty"`
 	Members         []Member   `cbor:"2,keyasint,omitempty"`
--- a/internal/switchback/load_shedding.go
+++ b/internal/switchback/load_shedding.go
@@ -25,8 +25,8 @@
 // ShedMode is how a gatekeeper decides which requests to shed.
 type ShedMode int
 
-// ShedAlike applies the level of the whole cluster. The other modes are for comparison in rehearsals: each gatekeeper
-// goes by its own pressure, and sheds by the same priority order (ShedSolitary) or at random (ShedDice).
+// ShedByCluster applies the level of the whole cluster. The other modes are for comparison in rehearsals: each gatekeeper
+// goes by its own pressure, and sheds by the same priority order (ShedByGatekeeper) or at random (ShedAtRandom).
 const (
 	ShedByCluster ShedMode = iota
 	ShedByGatekeeper
--- a/internal/switchback/proxy.go
+++ b/internal/switchback/proxy.go
@@ -165,7 +165,7 @@
 	TokensUnanswered  uint64 `json:"AskedInVain"`
 }
 
-// New returns a proxy that does not serve yet. The options Shed, Bulletin and Shadow are to be called before Serve.
+// New returns a proxy that does not serve yet. The options EnableShedding, EnableOutlierReports and EnableMirroring are to be called before Serve.
 func New(settings *bootconfig.Settings, log zerolog.Logger) (*Proxy, error) {
 	p := &Proxy{settings: settings, log: log, seed: rand.Uint64(), incarnation: rand.Uint64(), clock: gatekeeper.NewMonotonicClock(clockStartMs),
 		pools: map[string]*pool{}, evacuated: map[string]bool{}, evacuationRevokedAt: map[string]float64{}, workers: map[string]*worker{}, regionBits: map[string]int{},
--- a/internal/testing/standin/worker.go
+++ b/internal/testing/standin/worker.go
@@ -1,5 +1,5 @@
 // Package standin provides the simulated workers that tests of the whole system run against. They implement the
-// protocol between gatekeepers and workers, and record in a ledger which requests they ran.
+// protocol between gatekeepers and workers, and record in an execution log which requests they ran.
 package standin
 
 import (
@@ -27,7 +27,7 @@
 	ShadowCopies int            // copies for a shadow service that workers received
 }
 
-// NewExecutionLog returns an empty ledger.
+// NewExecutionLog returns an empty execution log.
 func NewExecutionLog() *ExecutionLog { return &ExecutionLog{Runs: map[string]int{}} }
 
 // RunCount returns how often the attempt with an ID was executed.
@@ -102,14 +102,14 @@
 	w.mu.Unlock()
 }
 
-// ShuttingDown reports whether Close was called.
+// ShuttingDown reports whether BeginShutdown was called.
 func (w *Worker) ShuttingDown() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.closing
 }
 
-// ListColumns returns the names of the columns that Row fills in the platform's list of workers.
+// ListColumns returns the names of the columns that ListRow fills in the platform's list of workers.
 func ListColumns() []string {
 	return []string{"destination", "address", "zone", "edition", "berths", "state", "coldS_time", "id"}
 }
--- a/internal/timetable/parse.go
+++ b/internal/timetable/parse.go
@@ -50,9 +50,9 @@
 	internedLists          map[string][]string // one copy of each list, by its JSON text
 	singleSplits           map[string][]Share  // one copy of each split with a single destination, by the destination
 	destinationsUnreadable bool                // destinations may be missing from the table, so unknown ones are no fault
-	courseByMatch          map[routeMatch]int  // index in Courses
-	courseByName           map[string]int      // index in Courses
-	senderByName           map[string]int      // index in Senders
+	courseByMatch          map[routeMatch]int  // index in Routes
+	courseByName           map[string]int      // index in Routes
+	senderByName           map[string]int      // index in Tenants
 }
 
 // routeMatch is what a course matches requests by.
--- a/internal/timetable/timetable.go
+++ b/internal/timetable/timetable.go
@@ -15,7 +15,7 @@
 // Config is a valid configuration. It must not be modified: equal lists are shared between its parts.
 type Config struct {
 	Version      uint64 // version
-	VersionText  string // the edition as it is written in the document
+	VersionText  string // the version as it is written in the document
 	Raw          []byte // the document that was passed to Parse, not a copy
 	Routes       []Route
 	Destinations map[string]*Destination
@@ -26,10 +26,10 @@
 	digest      uint64
 	domains     map[string]domainRoutes // key is the domain in lower case
 	sorted      []sortedRoute           // by domain, then bytewise by prefix
-	senderByKey map[string]int32        // API key to index in Senders
+	senderByKey map[string]int32        // API key to index in Tenants
 }
 
-// Route is a route: the domain and path prefix that it matches, and how matching requests are served.
+// Route defines a route: the domain and path prefix that it matches, and how matching requests are served.
 type Route struct {
 	Name, Domain, Prefix string   // the domain is in lower case; the name may be empty
 	Safe                 bool     // requests may be executed more than once
@@ -39,17 +39,17 @@
 	MaxAttempts          int      // workers to which one request may be sent, at least 1
 	NoKeyRequired        bool     // no API key is required
 	HomeRegions          []string // regions
-	Index                int      // in Courses
+	Index                int      // in Routes
 }
 
-// Share is the share of a course's requests that goes to a destination. At least one weight of a course is
+// Share is the share of a route's requests that goes to a destination. At least one weight of a route is
 // positive; others may be 0.
 type Share struct {
 	Destination string
 	Weight      float64
 }
 
-// Destination is a service. BerthCap and ColdPerS are 0 if the document does not set them.
+// Destination is a service. SlotsPerWorker and SlowStartPerS are 0 if the document does not set them.
 type Destination struct {
 	Name, HealthPath          string
 	SlotsPerWorker            int     // concurrency slots: connections that one worker accepts from all gatekeepers together
@@ -67,20 +67,20 @@
 // defaultLimits apply where the document does not set a limit.
 var defaultLimits = Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadS: 3, IdleS: 15}
 
-// Tenant is a tenant. It has no rate limit if RatePerS is 0.
+// Tenant is a sender of the document. It has no rate limit if RatePerS is 0.
 type Tenant struct {
 	Name            string
 	APIKeys         []string
 	Priority        int
 	RatePerS, Burst float64
 	HomeRegions     []string
-	Index           int // in Senders
+	Index           int // in Tenants
 }
 
-// domainRoutes is the range of a domain in Timetable.sorted.
+// domainRoutes is the range of a domain in Config.sorted.
 type domainRoutes struct {
 	first, end int32
-	// byPrefix holds the indices in Courses by prefix, if the domain has many routes and all prefixes end with a
+	// byPrefix holds the indices in Routes by prefix, if the domain has many routes and all prefixes end with a
 	// slash. With it, the cost of a lookup depends on the depth of the path and not on the number of routes.
 	byPrefix   map[string]int32
 	maxSlashes int // number of slashes in the deepest prefix
@@ -89,12 +89,12 @@
 // minExactRoutes is the minimum number of routes of a domain for which byPrefix is built.
 const minExactRoutes = 16
 
-// sortedRoute is an element of Timetable.sorted: the index of a course, and the index in Timetable.sorted of
-// its parent, or -1. The parent is the course with the longest other prefix that is a prefix of its own. By
+// sortedRoute is an element of Config.sorted: the index of a route, and the index in Config.sorted of
+// its parent, or -1. The parent is the route with the longest other prefix that is a prefix of its own. By
 // following parents a lookup compares each enclosing prefix once.
 type sortedRoute struct{ route, parent int32 }
 
-// Route returns the course of the host with the longest prefix of the path, or nil if none matches. The case
+// Route returns the route of the host with the longest prefix of the path, or nil if none matches. The case
 // and the port of the host are ignored. The path must not include a query.
 func (t *Config) Route(host, path []byte) *Route {
 	routes, ok := t.domains[string(host)]
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// longestPrefix returns the course with the longest prefix of the path, or nil. It looks up byPrefix the parts of the
+// longestPrefix returns the route with the longest prefix of the path, or nil. It looks up byPrefix the parts of the
 // path that end with a slash, from the longest to the shortest.
 func (t *Config) longestPrefix(routes domainRoutes, path []byte) *Route {
 	ends := make([]int, 0, 32)
@@ -167,10 +167,10 @@
 	return routes, ok
 }
 
-// prefixAt returns the prefix of an element of Timetable.sorted.
+// prefixAt returns the prefix of an element of Config.sorted.
 func (t *Config) prefixAt(at int32) string { return t.Routes[t.sorted[at].route].Prefix }
 
-// TenantByKey returns the sender that has the API key, or nil.
+// TenantByKey returns the tenant that has the API key, or nil.
 func (t *Config) TenantByKey(key []byte) *Tenant {
 	if i, ok := t.senderByKey[string(key)]; ok {
 		return &t.Tenants[i]
@@ -181,7 +181,7 @@
 // Digest returns the xxh3 hash of the document.
 func (t *Config) Digest() uint64 { return t.digest }
 
-// buildIndex builds the lookup tables of Course. The configuration must have no faults.
+// buildIndex builds the lookup tables of Route. The configuration must have no faults.
 func (t *Config) buildIndex() {
 	t.Routes, t.Tenants = slices.Clone(t.Routes), slices.Clone(t.Tenants) // without unused capacity
 	t.sorted = make([]sortedRoute, len(t.Routes))
@@ -232,7 +232,7 @@
 	}
 }
 
-// ParseVersion parses an edition: eight hexadecimal digits in upper or lower case.
+// ParseVersion parses a version (the platform's edition): eight hexadecimal digits in upper or lower case.
 func ParseVersion(text string) (uint64, bool) {
 	if len(text) != 8 || strings.ContainsAny(text, "+-_") {
 		return 0, false
@@ -241,5 +241,5 @@
 	return n, err == nil
 }
 
-// FormatVersion formats an edition in the form that ParseEdition accepts, in lower case.
+// FormatVersion formats a version in the form that ParseVersion accepts, in lower case.
 func FormatVersion(edition uint64) string { return fmt.Sprintf("%08x", edition) }
--- a/internal/waymark/bulk.go
+++ b/internal/waymark/bulk.go
@@ -6,7 +6,7 @@
 // heartbeats don't wait behind them and a transfer that was interrupted continues where it stopped. Bodies are
 // identified by their hash, so that one which the receiver already holds, in whole or in part, is not sent again.
 
-// BulkMessage is a message without its large bodies, which Blobs lists in the order of the message.
+// BulkMessage is a message without its large bodies, which Bodies lists in the order of the message.
 type BulkMessage struct {
 	Message cairn.Message `cbor:"1,keyasint,omitempty"`
 	Bodies  []BodyRef     `cbor:"2,keyasint,omitempty"`
@@ -14,13 +14,13 @@
 
 // BodyRef identifies a body.
 type BodyRef struct {
-	Index          int    `cbor:"1,keyasint,omitempty"` // index among the message's bodies
-	SHA256         []byte `cbor:"2,keyasint,omitempty"` // SHA-256 of the inflated body
+	Index          int    `cbor:"1,keyasint,omitempty"` // among the message's bodies
+	SHA256         []byte `cbor:"2,keyasint,omitempty"` // of the inflated body
 	Length         int    `cbor:"3,keyasint,omitempty"` // inflated length in bytes
 	DeflatedLength int    `cbor:"4,keyasint,omitempty"` // deflated length in bytes
 }
 
-// MissingBody answers Parcel. It is empty if the message was accepted; otherwise it names the first missing body.
+// MissingBody answers BulkMessage. It is empty if the message was accepted; otherwise it names the first missing body.
 type MissingBody struct {
 	SHA256    []byte `cbor:"1,keyasint,omitempty"`
 	HeldBytes int    `cbor:"2,keyasint,omitempty"` // deflated bytes of the body that are already held
@@ -29,11 +29,11 @@
 // BodyChunk is a part of a deflated body.
 type BodyChunk struct {
 	Body   BodyRef `cbor:"1,keyasint,omitempty"`
-	Offset int     `cbor:"2,keyasint,omitempty"` // offset in bytes
+	Offset int     `cbor:"2,keyasint,omitempty"` // in bytes
 	Bytes  []byte  `cbor:"3,keyasint,omitempty"`
 }
 
-// BodyChunkAck answers Chunk with the number of bytes now held. If that is not the end of the chunk, the chunk was rejected
+// BodyChunkAck answers BodyChunk with the number of bytes now held. If that is not the end of the chunk, the chunk was rejected
 // because it does not continue what is held.
 type BodyChunkAck struct {
 	HeldBytes int `cbor:"1,keyasint,omitempty"`
--- a/internal/waymark/configstore.go
+++ b/internal/waymark/configstore.go
@@ -3,13 +3,13 @@
 import "foxwood/internal/cairn"
 
 // CommitRequest asks a configuration store to commit a change through the chain. It is answered when the tail has the change.
-// After is the newest entry that the caller knew of, for a change that must not undo later entries.
+// LastKnown is the newest entry that the caller knew of, for a change that must not undo later entries.
 type CommitRequest struct {
 	Change    cairn.Change
 	LastKnown cairn.LogPosition `cbor:"After,omitempty"`
 }
 
-// CommitResponse answers Enter: the change is committed.
+// CommitResponse answers CommitRequest: the change is committed.
 type CommitResponse struct{}
 
 // CommittedStateRequest asks a configuration store for the committed state as the tail of the chain confirms it.
@@ -20,7 +20,7 @@
 	AllowStale bool `cbor:"3,keyasint,omitempty"`
 }
 
-// CommittedStateResponse answers Confirm. State and View are set only if they are newer than what the caller holds.
+// CommittedStateResponse answers CommittedStateRequest. State and View are set only if they are newer than what the caller holds.
 type CommittedStateResponse struct {
 	Last  cairn.LogPosition `cbor:"1,keyasint,omitempty"`
 	State *cairn.State      `cbor:"2,keyasint,omitempty"`
@@ -29,19 +29,19 @@
 	Stale bool `cbor:"4,keyasint,omitempty"`
 }
 
-// RebuildRequest asks a configuration store to start a new core from the copy that it holds, which Last identifies.
+// RebuildRequest asks a configuration store to start a new core from the copy that it holds, which LastEntry identifies.
 type RebuildRequest struct {
 	LastEntry cairn.LogPosition `cbor:"Last"`
 }
 
-// RebuildResponse answers Rebuild with the number of the view that has started.
+// RebuildResponse answers RebuildRequest with the number of the view that has started.
 type RebuildResponse struct{ View uint64 }
 
 // RemoveNodeRequest asks a configuration store to remove from the core the permanently lost machine whose configuration store had
 // the address.
 type RemoveNodeRequest struct{ Addr string }
 
-// RemoveNodeResponse answers Forget with the remaining members of the core.
+// RemoveNodeResponse answers RemoveNodeRequest with the remaining members of the core.
 type RemoveNodeResponse struct {
 	Members []string `cbor:"Core"`
 }
--- a/internal/waymark/mirroring.go
+++ b/internal/waymark/mirroring.go
@@ -7,7 +7,7 @@
 	Request spur.FetchRequest `cbor:"1,keyasint,omitempty"`
 }
 
-// CollectResponse answers Gather.
+// CollectResponse answers CollectRequest.
 type CollectResponse struct {
 	Answer spur.FetchResponse `cbor:"1,keyasint,omitempty"`
 }
@@ -15,7 +15,7 @@
 // MirrorStatusRequest asks a gatekeeper for the state of its traffic mirroring.
 type MirrorStatusRequest struct{}
 
-// MirrorStatusResponse answers AskCopies. Off reports that the gatekeeper was started without traffic mirroring.
+// MirrorStatusResponse answers MirrorStatusRequest. Disabled reports that the gatekeeper was started without traffic mirroring.
 type MirrorStatusResponse struct {
 	Disabled bool           `cbor:"1,keyasint,omitempty"`
 	Status   spur.Status    `cbor:"2,keyasint,omitempty"`
--- a/internal/waymark/outliers.go
+++ b/internal/waymark/outliers.go
@@ -15,5 +15,5 @@
 	Announcement bulletin.Announcement `cbor:"2,keyasint,omitempty"`
 }
 
-// OutlierAck is the empty answer to Seen and Posted.
+// OutlierAck is the empty answer to OutlierReport and OutlierAnnouncement.
 type OutlierAck struct{}
--- a/internal/waymark/quota.go
+++ b/internal/waymark/quota.go
@@ -83,7 +83,7 @@
 	return float32(v)
 }
 
-// AllocationResponse answers Draw. The lease counts from when the request was sent.
+// AllocationResponse answers AllocationRequest. The lease counts from when the request was sent.
 type AllocationResponse struct {
 	Slices  map[string]EncodedSlice `cbor:"1,keyasint,omitempty"`
 	LeaseMS float64                 `cbor:"2,keyasint,omitempty"` // milliseconds
@@ -96,7 +96,7 @@
 	Wanted map[string]int `cbor:"1,keyasint,omitempty"`
 }
 
-// TokenResponse answers Tokens.
+// TokenResponse answers TokenRequest.
 type TokenResponse struct {
 	Granted map[string]int     `cbor:"1,keyasint,omitempty"`
 	WaitMS  map[string]float64 `cbor:"2,keyasint,omitempty"` // milliseconds to wait, for tenants that got no tokens
--- a/internal/waymark/session.go
+++ b/internal/waymark/session.go
@@ -8,7 +8,7 @@
 )
 
 // SessionRequest renews a gatekeeper's session at a registry and asks for updates. It is a long poll: the answer comes with the
-// first update, or when Wait is over.
+// first update, or when WaitMS is over.
 type SessionRequest struct {
 	Member             membership.Member `cbor:"1,keyasint,omitempty"`
 	ConfigVersion      uint64            `cbor:"2,keyasint,omitempty"` // configuration version held
@@ -18,13 +18,13 @@
 	RegistriesChecksum uint64            `cbor:"6,keyasint,omitempty"` // checksum of the registry list held
 	WaitMS             float64           `cbor:"7,keyasint,omitempty"`
 	Leaving            bool              `cbor:"8,keyasint,omitempty"`
-	// WantConfig and Want ask the registry for state that was announced and that the zone homes did not deliver: Body for the
-	// configuration, Want for endpoint lists, by destination with the version held.
+	// WantConfig and WantEndpoints ask the registry for state that was announced and that the zone homes did not deliver: the
+	// configuration, and endpoint lists by destination with the version held.
 	WantConfig    bool              `cbor:"9,keyasint,omitempty"`
 	WantEndpoints map[string]uint64 `cbor:"10,keyasint,omitempty"`
 
 	MirrorOrderNumber uint64 `cbor:"11,keyasint,omitempty"` // number of the traffic mirroring order held
-	// MirrorsTraffic reports that the gatekeeper mirrors traffic and so needs the seats of all members. Seats is the checksum of
+	// MirrorsTraffic reports that the gatekeeper mirrors traffic and so needs the seats of all members. SeatsChecksum is the checksum of
 	// those it holds.
 	MirrorsTraffic bool   `cbor:"12,keyasint,omitempty"`
 	SeatsChecksum  uint64 `cbor:"13,keyasint,omitempty"`
@@ -32,9 +32,9 @@
 	WithdrawnChecksum uint64 `cbor:"14,keyasint,omitempty"` // checksum of the withdrawn workers last received
 }
 
-// SessionResponse answers Sign with updates. What has not changed is left out.
+// SessionResponse answers SessionRequest with updates. What has not changed is left out.
 type SessionResponse struct {
-	// AsOf is when the tail of the configuration store's chain was last asked, relative to the arrival of Sign; it is
+	// AsOf is when the tail of the configuration store's chain was last asked, relative to the arrival of SessionRequest; it is
 	// negative if that was earlier. The answer holds everything that was acknowledged by then.
 	AsOf float64 `cbor:"1,keyasint,omitempty"`
 	// Stale reports that the tail has not been reached for long, so that another registry may know more.
@@ -49,7 +49,7 @@
 
 	ConfigVersion uint64 `cbor:"4,keyasint,omitempty"`
 	Config        []byte `cbor:"5,keyasint,omitempty"`  // a newer configuration, for its zone home and for callers that ask for it
-	ConfigBytes   int    `cbor:"14,keyasint,omitempty"` // its length in bytes, if Body is left out
+	ConfigBytes   int    `cbor:"14,keyasint,omitempty"` // its length in bytes, if Config is left out
 
 	EvacuationNumber uint64   `cbor:"6,keyasint,omitempty"`
 	HasEvacuated     bool     `cbor:"7,keyasint,omitempty"`
@@ -66,7 +66,7 @@
 	Registries         []Registry `cbor:"11,keyasint,omitempty"` // all known registries
 	RegistriesChecksum uint64     `cbor:"12,keyasint,omitempty"` // their checksum
 
-	MirrorOrderNumber uint64 `cbor:"20,keyasint,omitempty"` // number of the newer traffic mirroring order in Order
+	MirrorOrderNumber uint64 `cbor:"20,keyasint,omitempty"` // number of the newer traffic mirroring order in MirrorOrder
 	MirrorOrder       []byte `cbor:"16,keyasint,omitempty"`
 
 	Seats         []spur.Member `cbor:"17,keyasint,omitempty"` // of all members, for gatekeepers that mirror traffic
--- a/internal/waymark/shedding.go
+++ b/internal/waymark/shedding.go
@@ -2,14 +2,14 @@
 
 import "foxwood/internal/snowline"
 
-// PressureReport is a gatekeeper's pressure report for the shedding level. Like Draw it is forwarded at once to the registry
+// PressureReport is a gatekeeper's pressure report for the shedding level. Like AllocationRequest it is forwarded at once to the registry
 // that holds the duty: session answers may be held back, and gossip would take over a second for each control step.
 type PressureReport struct {
 	Report    snowline.Report `cbor:"1,keyasint,omitempty"`
 	Forwarded bool            `cbor:"2,keyasint,omitempty"` // a registry has forwarded it
 }
 
-// SheddingLevel answers Strain and FixLevel with the current shedding level.
+// SheddingLevel answers PressureReport and FixSheddingLevel with the current shedding level.
 type SheddingLevel struct {
 	Level snowline.Level `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/waymark/status.go
+++ b/internal/waymark/status.go
@@ -3,5 +3,5 @@
 // StatusRequest asks any process for its status.
 type StatusRequest struct{}
 
-// StatusResponse answers AskStatus with lines of name and value for operators.
+// StatusResponse answers StatusRequest with lines of name and value for operators.
 type StatusResponse struct{ Lines []string }
--- a/internal/waymark/subscribe.go
+++ b/internal/waymark/subscribe.go
@@ -3,7 +3,7 @@
 // EndpointChanges lists the destinations whose endpoints have changed, without the endpoints.
 type EndpointChanges struct {
 	Version uint64 `cbor:"1,keyasint,omitempty"` // of the full list of endpoints
-	// Complete reports that Behind holds every destination that has endpoints.
+	// Complete reports that VersionsBehind holds every destination that has endpoints.
 	Complete bool `cbor:"2,keyasint,omitempty"`
 	// VersionsBehind holds, by destination, the distance from Version back to the version of its last change.
 	VersionsBehind map[string]uint64 `cbor:"3,keyasint,omitempty"`
@@ -19,7 +19,7 @@
 }
 
 // SubscribeRequest asks the zone home for state that a registry has announced: a configuration and endpoint lists of at least
-// the given versions. It is answered when the zone home has all of them, or when Wait is over.
+// the given versions. It is answered when the zone home has all of them, or when WaitMS is over.
 type SubscribeRequest struct {
 	ConfigVersion    uint64            `cbor:"1,keyasint,omitempty"` // configuration version, 0 for none
 	EndpointVersions map[string]uint64 `cbor:"2,keyasint,omitempty"` // endpoint list versions by destination
@@ -28,7 +28,7 @@
 	HeldVersions map[string]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// SubscribeResponse answers Subscribe. What the zone home does not have is left out.
+// SubscribeResponse answers SubscribeRequest. What the zone home does not have is left out.
 type SubscribeResponse struct {
 	Config    []byte                 `cbor:"1,keyasint,omitempty"`
 	Endpoints []DestinationEndpoints `cbor:"2,keyasint,omitempty"`
@@ -40,14 +40,14 @@
 	ConfigVersion    uint64            `cbor:"1,keyasint,omitempty"` // configuration version
 	EvacuationNumber uint64            `cbor:"2,keyasint,omitempty"` // number of the set of evacuated zones
 	EndpointVersions map[string]uint64 `cbor:"3,keyasint,omitempty"` // endpoint list versions by destination
-	EndpointsVersion uint64            `cbor:"4,keyasint,omitempty"` // version of the full list that Held amounts to
+	EndpointsVersion uint64            `cbor:"4,keyasint,omitempty"` // version of the full list that EndpointVersions amounts to
 
 	Config    []byte                 `cbor:"5,keyasint,omitempty"`
 	Evacuated []string               `cbor:"6,keyasint,omitempty"`
 	Endpoints []DestinationEndpoints `cbor:"7,keyasint,omitempty"`
 	HasState  bool                   `cbor:"8,keyasint,omitempty"` // this is the second message
 
-	// MemberIndex and Count are the peer's index among all members and the number of members, as last received.
+	// MemberIndex and MemberCount are the peer's index among all members and the number of members, as last received.
 	MemberIndex int `cbor:"9,keyasint,omitempty"`
 	MemberCount int `cbor:"10,keyasint,omitempty"`
 
@@ -55,7 +55,7 @@
 	MirrorOrder       []byte `cbor:"12,keyasint,omitempty"`
 }
 
-// PeerSyncResponse answers Lend with the versions that the peer holds.
+// PeerSyncResponse answers PeerSyncRequest with the versions that the peer holds.
 type PeerSyncResponse struct {
 	ConfigVersion     uint64            `cbor:"1,keyasint,omitempty"`
 	EvacuationNumber  uint64            `cbor:"2,keyasint,omitempty"`
--- a/internal/waymark/withdrawn.go
+++ b/internal/waymark/withdrawn.go
@@ -6,7 +6,7 @@
 
 // WithdrawnWorker is a worker that must get no more requests: a registry found it missing from the platform's list while no
 // registry held the duty of reading that list. Such records only remove workers, so they can be merged in any order.
-// At fences a record: it is the newest endpoint list version known when the record was made. A later version in which
+// ListVersion fences a record: it is the newest endpoint list version known when the record was made. A later version in which
 // the holder of the duty reports the worker, or any version of a later term, supersedes the record.
 type WithdrawnWorker struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -88,7 +88,7 @@
 }
 
 // EventFrame decodes the records of one frame. Reading past the end gives zero values, and
-// makes Err return ErrShort.
+// makes Err return ErrTruncatedRecord.
 type EventFrame struct {
 	Time      policy.Micros // time of the events
 	Records   int           // number of records
@@ -111,7 +111,7 @@
 // Remaining returns the number of bytes not read yet.
 func (d *EventFrame) Remaining() int { return len(d.rest) }
 
-// Err returns ErrShort if a field was read past the end, and otherwise nil.
+// Err returns ErrTruncatedRecord if a field was read past the end, and otherwise nil.
 func (d *EventFrame) Err() error {
 	if d.truncated {
 		return ErrTruncatedRecord
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -35,7 +35,7 @@
 	"foxwood/policy"
 )
 
-// Cluster and Routes are the names of the cluster and of the route configuration.
+// ClusterName and RouteConfigName are the names of the cluster and of the route configuration.
 const (
 	ClusterName     = "foxwood-workers"
 	RouteConfigName = "foxwood-routes"
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -160,7 +160,7 @@
 	assert.Assert(t, g.MaySend(104e6, 9, 0), "the server is warm")
 }
 
-// FurtherTry is asked once for each retry. Without budget a request is refused or, if it may have run and must not
+// AllowRetry is asked once for each retry. Without budget a request is refused or, if it may have run and must not
 // be repeated, failed.
 func TestRetryBudgetIsAskedOncePerRetry(t *testing.T) {
 	left, asked := 1, 0
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -10,7 +10,7 @@
 	windowSteps   = 100  // steps that a window is counted in
 )
 
-// RetryBudgetRule is the budget: in any window of time, at most Ratio × requests + Slack retries.
+// RetryBudgetRule is the budget: in any window of time, at most Ratio × requests + Allowance retries.
 type RetryBudgetRule struct {
 	Window           Micros
 	Ratio, Allowance float64
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -39,7 +39,7 @@
 // TierOf returns the tier of a position.
 func TierOf(m ShedPosition) int { return int(m >> offsetBits) }
 
-// BinOf returns the bin that counts the load at a position; BinMark returns the position at which a bin
+// BinOf returns the bin that counts the load at a position; BinStart returns the position at which a bin
 // begins.
 func BinOf(m ShedPosition) uint32        { return m / (1 << offsetBits / BinsPerTier) }
 func BinStart(bin uint32) ShedPosition   { return bin * (1 << offsetBits / BinsPerTier) }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -145,7 +145,7 @@
 	SpentWindow    [2]int64 `json:"Spent"`
 }
 
-// ServerRecord is one server. Out holds its attempts in flight, oldest first, as pairs of request index and
+// ServerRecord is one server. InFlight holds its attempts in flight, oldest first, as pairs of request index and
 // attempt number.
 type ServerRecord struct {
 	Entry
@@ -173,7 +173,7 @@
 	Calls []CounterCallRecord `json:"Out"`
 }
 
-// CounterCallRecord is one counter call in progress. Request and Client are -1 if there is none.
+// CounterCallRecord is one counter call in progress. Request and Customer are -1 if there is none.
 type CounterCallRecord struct {
 	Request  int     `json:"Request"`
 	Customer int     `json:"Client"`
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -19,8 +19,8 @@
 
 // TenantAllotment is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
 // Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
-// for the start of a process; they expire after startTokensLife. Wants, in a Holding, is the number of
-// requests that found no token since the last Holding. Returned, in a Holding, is the number of tokens given
+// for the start of a process; they expire after startTokensLife. Wants, in Holdings, is the number of
+// requests that found no token since the last Holdings. Returned, in Holdings, is the number of tokens given
 // up since then.
 type TenantAllotment struct {
 	Rate, Burst, Minimum, MinimumBurst, Tokens, Waiting, StartBurst, Returned float64
@@ -35,8 +35,8 @@
 	requests       float64         // requests since the last Demand
 	demand         float64         // smoothed requests per second
 	lastUsed       Micros          // time of the last request
-	unserved       float64         // requests that found no token since the last Holding
-	returned       float64         // tokens given up since the last Holding
+	unserved       float64         // requests that found no token since the last Holdings
+	returned       float64         // tokens given up since the last Holdings
 	startTokens    float64         // start-up tokens left
 	startTokensEnd Micros          // when they expire
 }
@@ -280,7 +280,7 @@
 func (t *TenantBuckets) LeaseLeft(now Micros) Micros { return max(t.leaseEnd-now, 0) }
 
 // Surrender gives up our part of a tenant's quota for others: its allotment, its tokens and its measured
-// demand. The next Holding reports the number of tokens. If that report is lost, nobody gets them.
+// demand. The next Holdings reports the number of tokens. If that report is lost, nobody gets them.
 func (t *TenantBuckets) Surrender(now Micros, name string) {
 	bucket := t.buckets[name]
 	if bucket == nil || !bucket.allotted {
--- a/policy/types.go
+++ b/policy/types.go
@@ -60,7 +60,7 @@
 	MaxAttempts   int           `json:"Attempts"` // most attempts for a request; 0 for Settings.MaxAttempts
 }
 
-// Plan is what a customer pays for: quota, limits and price. A zero Rate, Open or CeilingRate means that there
+// Plan is what a customer pays for: quota, limits and price. A zero Rate, MaxInFlight or CeilingRate means that there
 // is no such limit. Rates are in units per second, bursts in units.
 type Plan struct {
 	Rate             float64 `json:"Rate"`
@@ -120,7 +120,7 @@
 	SlownessSeconds float64 `json:"Learn,omitempty"`
 	// TickInterval is the interval of the housekeeping tick; 0 for 10 ms.
 	TickInterval Micros `json:"Step,omitempty"`
-	// IdleTickInterval is the interval while there is no request; 0 for Step.
+	// IdleTickInterval is the interval while there is no request; 0 for TickInterval.
 	IdleTickInterval Micros `json:"IdleStep,omitempty"`
 	// ZoneVerdicts enables the zone's verdicts on servers: observations are collected, and verdicts obeyed.
 	ZoneVerdicts bool `json:"Beliefs,omitempty"`
--- a/policy/verdicts_test.go
+++ b/policy/verdicts_test.go
@@ -99,7 +99,7 @@
 		g.SetVerdicts(now, host, map[Server]Verdict{3 - to: Unhealthy, to: Suspect})
 		id++
 		g.Request(now, host, Request{ID: id, TimeLeft: 9 * second, Units: 1})
-		if status != NotSent { // Moot: no answer
+		if status != NotSent { // NotSent: no answer
 			now += 50 * milli
 			g.Outcome(now, host, Outcome{ID: id, Latency: 50 * milli, Status: status, Server: to})
 		}
