--- a/internal/whiteout/child.go
+++ b/internal/whiteout/child.go
@@ -27,10 +27,10 @@
 		return 1
 	}
 	if mode == modeCopies {
-		return serveProgram(program, settings, func(proxy *switchback.Proxy) { proxy.EnableMirroring() }, nil)
+		return serveProgram(program, settings, func(server *switchback.Proxy) { server.EnableMirroring() }, nil)
 	}
-	return serveProgram(program, settings, func(proxy *switchback.Proxy) {
-		proxy.EnableShedding(map[string]switchback.ShedMode{"alike": switchback.ShedByCluster, "whole": switchback.ShedByCluster, "solitary": switchback.ShedByGatekeeper, "dice": switchback.ShedAtRandom}[mode])
+	return serveProgram(program, settings, func(server *switchback.Proxy) {
+		server.EnableShedding(map[string]switchback.ShedMode{"alike": switchback.ShedByCluster, "whole": switchback.ShedByCluster, "solitary": switchback.ShedByGatekeeper, "dice": switchback.ShedAtRandom}[mode])
 	}, func(control *bothy.Registry) {
 		control.EnableShedding(snowline.Options{On: true, CallerHeader: callerHeader, SingleThreshold: mode == "whole"})
 	}, bothy.DutyShedding)
@@ -53,11 +53,11 @@
 		}
 		runner = control
 	case "switchback":
-		var proxy *switchback.Proxy
-		if proxy, err = switchback.New(settings, log); err == nil {
-			configureProxy(proxy)
+		var server *switchback.Proxy
+		if server, err = switchback.New(settings, log); err == nil {
+			configureProxy(server)
 		}
-		runner = proxy
+		runner = server
 	default:
 		err = fmt.Errorf("unknown program %q: expected cairn, bothy or switchback", program)
 	}
--- a/internal/whiteout/clients.go
+++ b/internal/whiteout/clients.go
@@ -126,9 +126,9 @@
 }
 
 // delist excludes a proxy from further requests, as service discovery does when it no longer lists it.
-func (c *loadGenerator) delist(proxy int) {
+func (c *loadGenerator) delist(index int) {
 	c.mu.Lock()
-	c.delisted[proxy] = true
+	c.delisted[index] = true
 	c.mu.Unlock()
 }
 
@@ -137,8 +137,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		if proxy := rand.IntN(len(c.proxyAddrs)); proxy != excluded && !c.delisted[proxy] {
-			return proxy
+		if index := rand.IntN(len(c.proxyAddrs)); index != excluded && !c.delisted[index] {
+			return index
 		}
 	}
 }
@@ -179,14 +179,14 @@
 // perform sends attempts for a request until one succeeds, fails for good, or the attempts or the deadline
 // are used up. A refused request is retried at another proxy after the time given in Retry-After.
 func (c *loadGenerator) perform(req *request, sender tenant, caller string) {
-	proxy := -1
+	proxyIndex := -1
 	for made := 0; ; made++ {
-		proxy = c.chooseProxy(proxy)
+		proxyIndex = c.chooseProxy(proxyIndex)
 		timeLeft := requestDeadline - time.Since(req.start)
 		if timeLeft < 20*time.Millisecond {
 			break
 		}
-		result, retryAfter := c.attemptOnce(req, sender, caller, proxy, timeLeft)
+		result, retryAfter := c.attemptOnce(req, sender, caller, proxyIndex, timeLeft)
 		req.outcome, req.latency = result.outcome, time.Since(req.start)
 		mayRetry := result.outcome == outcomeShed || result.outcome == outcomeRefused || result.outcome == outcomeNotSent || result.outcome == outcomeUnknown && services[req.route].safe
 		if !mayRetry || made+1 >= maxAttempts {
@@ -198,16 +198,16 @@
 }
 
 // attemptOnce sends one attempt, records it, and returns it with the time to wait before the next.
-func (c *loadGenerator) attemptOnce(req *request, sender tenant, caller string, proxy int, timeLeft time.Duration) (*attempt, time.Duration) {
+func (c *loadGenerator) attemptOnce(req *request, sender tenant, caller string, proxyIndex int, timeLeft time.Duration) (*attempt, time.Duration) {
 	target := services[req.route]
 	c.mu.Lock()
 	c.attemptSeq++
-	result := &attempt{id: fmt.Sprintf("try-%d", c.attemptSeq), proxy: proxy, caller: sender.name + "/" + caller, tenantTier: sender.tier, route: req.route, sent: time.Now()}
+	result := &attempt{id: fmt.Sprintf("try-%d", c.attemptSeq), proxy: proxyIndex, caller: sender.name + "/" + caller, tenantTier: sender.tier, route: req.route, sent: time.Now()}
 	c.attempts = append(c.attempts, result)
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeLeft)
 	defer cancel()
-	outcome, retryAfter := c.send(ctx, target, sender, caller, proxy, result.id, timeLeft)
+	outcome, retryAfter := c.send(ctx, target, sender, caller, proxyIndex, result.id, timeLeft)
 	c.mu.Lock()
 	result.outcome, result.ended = outcome, time.Now()
 	c.mu.Unlock()
@@ -215,12 +215,12 @@
 }
 
 // send makes the HTTP call of one attempt and returns its outcome and the time in Retry-After.
-func (c *loadGenerator) send(ctx context.Context, target service, sender tenant, caller string, proxy int, id string, timeLeft time.Duration) (int, time.Duration) {
+func (c *loadGenerator) send(ctx context.Context, target service, sender tenant, caller string, proxyIndex int, id string, timeLeft time.Duration) (int, time.Duration) {
 	method, body := http.MethodPost, io.Reader(bytes.NewReader([]byte(id)))
 	if target.safe {
 		method, body = http.MethodGet, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.proxyAddrs[proxy]+"/"+target.name+"/x", body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.proxyAddrs[proxyIndex]+"/"+target.name+"/x", body)
 	if err != nil {
 		return outcomeNotSent, 0
 	}
@@ -230,7 +230,7 @@
 		"Authorization": "Bearer " + sender.key, callerHeader: caller} {
 		req.Header.Set(name, value)
 	}
-	res, err := c.httpClients[proxy].Do(req)
+	res, err := c.httpClients[proxyIndex].Do(req)
 	if err != nil {
 		var opErr *net.OpError
 		if errors.As(err, &opErr) && opErr.Op == "dial" {
