--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -10,7 +10,7 @@
 	"io"
 	"os"
 
-	"foxwood/internal/settings"
+	"foxwood/internal/gateway/settings"
 	"foxwood/internal/wire"
 	"foxwood/policy"
 )
--- a/cmd/bothy/main.go
+++ b/cmd/bothy/main.go
@@ -11,13 +11,13 @@
 	"github.com/rs/zerolog"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/bothy"
 	"foxwood/internal/cli"
-	"foxwood/internal/snowline"
+	"foxwood/internal/control/registry"
+	"foxwood/internal/control/shedding"
 )
 
 func main() {
-	var shedding snowline.Options
+	var shedding shedding.Options
 	var probesPerSecond float64
 	os.Exit(cli.Main(cli.Program{Name: "bothy", Summary: "Keep sessions, workers and duties, and answer outside callers",
 		DefineFlags: func(flags *flag.FlagSet) {
@@ -33,9 +33,9 @@
 		NewRunner: func(settings *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
 			var duties []string
 			if shedding.On {
-				duties = append(duties, bothy.DutyShedding)
+				duties = append(duties, registry.DutyShedding)
 			}
-			registry := bothy.New(settings, log, duties...)
+			registry := registry.New(settings, log, duties...)
 			if shedding.On {
 				registry.EnableShedding(shedding)
 			}
--- a/cmd/brocken/main.go
+++ b/cmd/brocken/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"foxwood/internal/brocken"
+	"foxwood/internal/dataplane/mirror/simulation"
 )
 
-func main() { os.Exit(brocken.Main(os.Args[1:])) }
+func main() { os.Exit(simulation.Main(os.Args[1:])) }
--- a/cmd/cairn/main.go
+++ b/cmd/cairn/main.go
@@ -8,12 +8,12 @@
 
 	"foxwood/internal/bootconfig"
 	"foxwood/internal/cli"
-	"foxwood/internal/store"
+	"foxwood/internal/configstore"
 )
 
 func main() {
 	os.Exit(cli.Main(cli.Program{Name: "cairn", Summary: "Keep what operators have ordered, on disk",
 		NewRunner: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
-			return store.New(set, log)
+			return configstore.New(set, log)
 		}}))
 }
--- a/cmd/forecast/main.go
+++ b/cmd/forecast/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"foxwood/internal/forecast"
+	"foxwood/internal/testing/faultgen"
 )
 
-func main() { os.Exit(forecast.Main(os.Args[1:])) }
+func main() { os.Exit(faultgen.Main(os.Args[1:])) }
--- a/cmd/switchback/main.go
+++ b/cmd/switchback/main.go
@@ -9,12 +9,12 @@
 
 	"foxwood/internal/bootconfig"
 	"foxwood/internal/cli"
-	"foxwood/internal/snowline"
-	"foxwood/internal/switchback"
+	"foxwood/internal/control/shedding"
+	"foxwood/internal/dataplane/proxy"
 )
 
 func main() {
-	var shed snowline.Options
+	var shed shedding.Options
 	var outlierReports, mirroring bool
 	os.Exit(cli.Main(cli.Program{Name: "switchback", Summary: "Forward clients' requests to workers",
 		DefineFlags: func(f *flag.FlagSet) {
@@ -23,9 +23,9 @@
 			f.BoolVar(&mirroring, "shadow", false, "mirror traffic where a mirroring rule says so")
 		}, CheckFlags: shed.Check,
 		NewRunner: func(set *bootconfig.Settings, log zerolog.Logger) (cli.Runner, error) {
-			p, err := switchback.New(set, log)
+			p, err := proxy.New(set, log)
 			if err == nil && shed.On {
-				p.EnableShedding(switchback.ShedByCluster)
+				p.EnableShedding(proxy.ShedByCluster)
 			}
 			if err == nil && outlierReports {
 				p.EnableOutlierReports()
--- a/cmd/whiteout/main.go
+++ b/cmd/whiteout/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"foxwood/internal/whiteout"
+	"foxwood/internal/testing/overloadtest"
 )
 
-func main() { os.Exit(whiteout.Main(os.Args[1:])) }
+func main() { os.Exit(overloadtest.Main(os.Args[1:])) }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,11 +18,11 @@
 	"github.com/rs/zerolog"
 
 	"foxwood/internal/bootconfig"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/mirror"
 	"foxwood/internal/metrics"
 	"foxwood/internal/rpc"
-	"foxwood/internal/spur"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // Runner is a process that serves.
@@ -213,7 +213,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		for _, fault := range timetable.Check(text) {
+		for _, fault := range routeconfig.Check(text) {
 			fmt.Printf("%s: %s\n", c.table, fault.Error())
 			faulty = true
 		}
@@ -223,7 +223,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		_, faults := spur.ParseRule(text)
+		_, faults := mirror.ParseRule(text)
 		for i := range faults {
 			fmt.Printf("%s: %s\n", c.shadow, faults[i].Error())
 			faulty = true
@@ -266,7 +266,7 @@
 	for _, addr := range flags.Args() {
 		peer := rpc.NewPeer(addr)
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
-		answer, err := rpc.Call[waymark.StatusRequest, waymark.StatusResponse](ctx, peer, waymark.StatusRequest{})
+		answer, err := rpc.Call[api.StatusRequest, api.StatusResponse](ctx, peer, api.StatusRequest{})
 		cancel()
 		peer.Close()
 		if err != nil {
--- a/internal/cli/forget.go
+++ b/internal/cli/forget.go
@@ -11,7 +11,7 @@
 	"github.com/google/subcommands"
 
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // forget is the command that removes a permanently lost machine from the core.
@@ -37,7 +37,7 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
-	answer, err := rpc.Call[waymark.RemoveNodeRequest, waymark.RemoveNodeResponse](ctx, peer, waymark.RemoveNodeRequest{Addr: flags.Arg(0)})
+	answer, err := rpc.Call[api.RemoveNodeRequest, api.RemoveNodeResponse](ctx, peer, api.RemoveNodeRequest{Addr: flags.Arg(0)})
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/cli/rebuild.go
+++ b/internal/cli/rebuild.go
@@ -9,9 +9,9 @@
 
 	"github.com/google/subcommands"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // rebuild is the command that starts a new core after the permanent loss of the majority.
@@ -31,7 +31,7 @@
 }
 
 func (c *rebuild) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	var last cairn.LogPosition
+	var last chain.LogPosition
 	if n, err := fmt.Sscanf(c.lastEntry, "%d.%d", &last.View, &last.Seq); c.at == "" || n != 2 || err != nil {
 		fmt.Fprintf(os.Stderr, "rebuild: expected -at with an address and -copy with VIEW.NUMBER, got %q and %q\n", c.at, c.lastEntry)
 		return subcommands.ExitUsageError
@@ -40,7 +40,7 @@
 	defer cancel()
 	peer := rpc.NewPeer(c.at)
 	defer peer.Close()
-	answer, err := rpc.Call[waymark.RebuildRequest, waymark.RebuildResponse](ctx, peer, waymark.RebuildRequest{LastEntry: last})
+	answer, err := rpc.Call[api.RebuildRequest, api.RebuildResponse](ctx, peer, api.RebuildRequest{LastEntry: last})
 	if err != nil {
 		return fail(fmt.Errorf("%s: %w (the cairn is or was just in contact with a majority of the core, or has a different copy, or another cairn has a newer one)", c.at, err))
 	}
--- a/internal/cli/shadow.go
+++ b/internal/cli/shadow.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/subcommands"
 
+	"foxwood/internal/dataplane/mirror"
 	"foxwood/internal/rpc"
-	"foxwood/internal/spur"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // shadow is the command that controls traffic mirroring. Unlike an order of shed, a mirroring order is committed to the
@@ -86,11 +86,11 @@
 // status prints the mirroring status of each gatekeeper and the sums over all of them.
 func (c *shadow) status(ctx context.Context, addrs []string) subcommands.ExitStatus {
 	exit := subcommands.ExitSuccess
-	var total spur.Counts
+	var total mirror.Counts
 	for _, addr := range addrs {
 		peer := rpc.NewPeer(addr)
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
-		answer, err := rpc.Call[waymark.MirrorStatusRequest, waymark.MirrorStatusResponse](ctx, peer, waymark.MirrorStatusRequest{})
+		answer, err := rpc.Call[api.MirrorStatusRequest, api.MirrorStatusResponse](ctx, peer, api.MirrorStatusRequest{})
 		cancel()
 		peer.Close()
 		switch {
@@ -119,7 +119,7 @@
 	fmt.Printf("all: chosen %d, whole %d, broken %d, delivered %d, held %d\n", total.Selected, total.Complete, total.Broken, total.Delivered, total.Withheld)
 	for i, n := range total.BrokenByCause {
 		if n > 0 {
-			fmt.Printf("  broken by %s: %d\n", spur.Cause(i), n)
+			fmt.Printf("  broken by %s: %d\n", mirror.Cause(i), n)
 		}
 	}
 	return exit
--- a/internal/cli/shed.go
+++ b/internal/cli/shed.go
@@ -9,9 +9,9 @@
 
 	"github.com/google/subcommands"
 
+	"foxwood/internal/control/shedding"
 	"foxwood/internal/rpc"
-	"foxwood/internal/snowline"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -53,7 +53,7 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	order := waymark.FixSheddingLevel{Cut: policy.ShedNothing, DurationMS: float64(c.duration.Milliseconds())}
+	order := api.FixSheddingLevel{Cut: policy.ShedNothing, DurationMS: float64(c.duration.Milliseconds())}
 	switch {
 	case c.auto:
 		order.DurationMS = 0
@@ -64,13 +64,13 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := rpc.Call[waymark.FixSheddingLevel, waymark.SheddingLevel](ctx, peer, order); err != nil {
+	if _, err := rpc.Call[api.FixSheddingLevel, api.SheddingLevel](ctx, peer, order); err != nil {
 		return fail(err)
 	}
 	if c.auto {
 		fmt.Println("the level is agreed upon again")
 		return subcommands.ExitSuccess
 	}
-	fmt.Printf("refused for %v: %s\n", c.duration, snowline.Describe(order.Cut))
+	fmt.Printf("refused for %v: %s\n", c.duration, shedding.Describe(order.Cut))
 	return subcommands.ExitSuccess
 }
--- a/internal/command/capture.go
+++ b/internal/command/capture.go
@@ -14,7 +14,7 @@
 	"foxwood/capture"
 	"foxwood/capture/capturepb"
 	"foxwood/gatekeeper"
-	"foxwood/internal/config"
+	"foxwood/internal/gateway/config"
 	"foxwood/internal/replay"
 	"foxwood/policy"
 )
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/service"
+	"foxwood/internal/gateway/service"
 )
 
 func newCheck() *cobra.Command {
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/emulator"
+	"foxwood/internal/testing/emulator"
 )
 
 func newEmulate() *cobra.Command {
--- a/internal/command/import.go
+++ b/internal/command/import.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/nginx"
+	"foxwood/internal/gateway/nginx"
 )
 
 func newImport() *cobra.Command {
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/load"
+	"foxwood/internal/testing/load"
 )
 
 // errBehindSchedule fails a run in which the generator sent requests late: its results don't
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -12,12 +12,12 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/trial"
+	"foxwood/internal/testing/benchmark"
 )
 
 func newMeasure() *cobra.Command {
 	group := &cobra.Command{Use: "measure", Short: "Run benchmarks on this machine"}
-	options := trial.Options{Progress: os.Stderr}
+	options := benchmark.Options{Progress: os.Stderr}
 	var fleets []string
 	var outFile string
 	transports := &cobra.Command{
@@ -28,7 +28,7 @@
 			"Markdown. Nothing else should run on the machine.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, f := range trial.DefaultFleets() {
+			for _, f := range benchmark.DefaultFleets() {
 				if slices.Contains(fleets, f.Name) {
 					options.Fleets = append(options.Fleets, f)
 				}
@@ -38,7 +38,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			table, err := trial.CompareTransports(ctx, options)
+			table, err := benchmark.CompareTransports(ctx, options)
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 		Short:  "The baseline: Go's ReverseProxy in front of workers",
 		Hidden: true,
 		Args:   noArgs,
-		RunE:   func(*cobra.Command, []string) error { return trial.ServeReverseProxy(listen, workers) },
+		RunE:   func(*cobra.Command, []string) error { return benchmark.ServeReverseProxy(listen, workers) },
 	}
 	proxy.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to serve at")
 	proxy.Flags().StringSliceVar(&workers, "workers", nil, "addresses of workers")
@@ -80,7 +80,7 @@
 }
 
 func newMeasureCounter() *cobra.Command {
-	var options trial.CounterFaults
+	var options benchmark.CounterFaults
 	cmd := &cobra.Command{
 		Use:   "counter",
 		Short: "Simulate how well several gatekeepers enforce quotas while their counter fails",
@@ -94,8 +94,8 @@
 }
 
 func newMeasureCapture() *cobra.Command {
-	options := trial.Options{Progress: os.Stderr, LoadFractions: []float64{0.5}, Fleets: trial.DefaultFleets()[:1]}
-	events := trial.CaptureOverhead{Runs: 15, Requests: 100000}
+	options := benchmark.Options{Progress: os.Stderr, LoadFractions: []float64{0.5}, Fleets: benchmark.DefaultFleets()[:1]}
+	events := benchmark.CaptureOverhead{Runs: 15, Requests: 100000}
 	var lives int
 	cmd := &cobra.Command{
 		Use:   "capture",
@@ -104,14 +104,14 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			if err := trial.MeasureCapture(ctx, options, cmd.OutOrStdout()); err != nil {
+			if err := benchmark.MeasureCapture(ctx, options, cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			events.Seed = options.Seed
 			if err := events.Write(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			restarts := trial.Restarts{Count: lives, Seed: options.Seed, DowntimeMs: 300}
+			restarts := benchmark.Restarts{Count: lives, Seed: options.Seed, DowntimeMs: 300}
 			return restarts.Write(cmd.OutOrStdout())
 		},
 	}
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"foxwood/internal/service"
+	"foxwood/internal/gateway/service"
 )
 
 // Exit statuses.
--- a/internal/store/bulk.go
+++ b/internal/configstore/bulk.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"maps"
 	"slices"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // Messages with large bodies (log entries, snapshots, answers of the tail) are transferred in
@@ -34,15 +34,15 @@
 )
 
 // bodyPointers returns pointers to a message's bodies in a fixed order.
-func bodyPointers(message *cairn.Message) (pointers []*[]byte) {
-	state := func(s *cairn.State) {
+func bodyPointers(message *chain.Message) (pointers []*[]byte) {
+	state := func(s *chain.State) {
 		pointers = append(pointers, &s.Body)
 		for _, name := range slices.Sorted(maps.Keys(s.Orders)) {
 			order := s.Orders[name]
 			pointers = append(pointers, &order.Body) // points to a copy of the order: the body must not be replaced through it (see withBodies)
 		}
 	}
-	entries := func(entries []cairn.Entry) {
+	entries := func(entries []chain.Entry) {
 		for i := range entries {
 			pointers = append(pointers, &entries[i].Change.Body)
 		}
@@ -62,7 +62,7 @@
 }
 
 // isBulky reports whether a message is transferred in chunks.
-func isBulky(message *cairn.Message) bool {
+func isBulky(message *chain.Message) bool {
 	for _, body := range bodyPointers(message) {
 		if len(*body) >= minBulkBody {
 			return true
@@ -73,7 +73,7 @@
 
 // withBodies returns a copy of a message with the given bodies, by index, in place of its own. The
 // message itself is not modified, because it shares its parts with the state machine.
-func withBodies(message cairn.Message, bodies map[int][]byte) cairn.Message {
+func withBodies(message chain.Message, bodies map[int][]byte) chain.Message {
 	index := 0
 	next := func(body []byte) []byte {
 		if other, ok := bodies[index]; ok {
@@ -82,7 +82,7 @@
 		index++
 		return body
 	}
-	state := func(s cairn.State) cairn.State {
+	state := func(s chain.State) chain.State {
 		s.Body = next(s.Body)
 		if s.Orders = maps.Clone(s.Orders); s.Orders != nil {
 			for _, name := range slices.Sorted(maps.Keys(s.Orders)) {
@@ -93,7 +93,7 @@
 		}
 		return s
 	}
-	entries := func(list []cairn.Entry) []cairn.Entry {
+	entries := func(list []chain.Entry) []chain.Entry {
 		list = slices.Clone(list)
 		for i := range list {
 			list[i].Change.Body = next(list[i].Change.Body)
@@ -126,12 +126,12 @@
 // messageKey identifies messages of which a newer one replaces an older one in the queue.
 type messageKey struct {
 	kind            byte
-	position        cairn.LogPosition
+	position        chain.LogPosition
 	incarnation, id uint64
 }
 
 // keyOf returns a message's key and the view it belongs to; 0 for messages of no view.
-func keyOf(message *cairn.Message) (key messageKey, view uint64) {
+func keyOf(message *chain.Message) (key messageKey, view uint64) {
 	switch {
 	case message.Append != nil:
 		key.kind, view = 'a', message.Append.View
@@ -150,7 +150,7 @@
 
 // packedBlob is a compressed body with its hash.
 type packedBlob struct {
-	waymark.BodyRef
+	api.BodyRef
 	packed []byte
 }
 
@@ -174,8 +174,8 @@
 		}
 	}
 	digest := sha256.Sum256(raw)
-	packed := waymark.Deflate(raw)
-	body := packedBlob{waymark.BodyRef{SHA256: digest[:], Length: len(raw), DeflatedLength: len(packed)}, packed}
+	packed := api.Deflate(raw)
+	body := packedBlob{api.BodyRef{SHA256: digest[:], Length: len(raw), DeflatedLength: len(packed)}, packed}
 	if p.bodies = append(p.bodies, cachedBody{raw, body}); len(p.bodies) > maxCachedBodies {
 		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
@@ -186,9 +186,9 @@
 type transfer struct {
 	key        messageKey
 	view       uint64
-	message    cairn.Message
-	number     uint64               // number of the message; a replacement gets another
-	parcel     *waymark.BulkMessage // nil until its bodies are compressed
+	message    chain.Message
+	number     uint64           // number of the message; a replacement gets another
+	parcel     *api.BulkMessage // nil until its bodies are compressed
 	blobs      []packedBlob
 	progressAt float64 // when the receiver last accepted a part of it
 }
@@ -198,14 +198,14 @@
 	queue           []*transfer
 	lastNumber      uint64
 	chunkSize       int
-	wanted          *waymark.MissingBody // the body that the receiver asked for and how much of it the receiver holds; nil if unknown
-	calledAt        float64              // when the current call was made
-	emptyCallMillis float64              // milliseconds that a call without data takes
-	noCallBefore    float64              // no call before this time
+	wanted          *api.MissingBody // the body that the receiver asked for and how much of it the receiver holds; nil if unknown
+	calledAt        float64          // when the current call was made
+	emptyCallMillis float64          // milliseconds that a call without data takes
+	noCallBefore    float64          // no call before this time
 }
 
 // enqueue queues a message and reports whether there was room for it.
-func (c *sender) enqueue(now float64, message cairn.Message) bool {
+func (c *sender) enqueue(now float64, message chain.Message) bool {
 	key, view := keyOf(&message)
 	if view > 0 { // messages of older views would be refused by the receiver
 		c.queue = slices.DeleteFunc(c.queue, func(queued *transfer) bool { return queued.view > 0 && queued.view < view })
@@ -227,7 +227,7 @@
 
 // needsPacking returns the first message if its bodies must be compressed before the next call, and its
 // number; otherwise the number is 0.
-func (c *sender) needsPacking() (message cairn.Message, number uint64) {
+func (c *sender) needsPacking() (message chain.Message, number uint64) {
 	if len(c.queue) == 0 || c.queue[0].parcel != nil {
 		return message, 0
 	}
@@ -235,8 +235,8 @@
 }
 
 // makeParcel compresses a message's bodies. It can take long, so it must be called without a lock.
-func (p *packCache) makeParcel(message cairn.Message) (*waymark.BulkMessage, []packedBlob) {
-	emptied, parcel, blobs := map[int][]byte{}, &waymark.BulkMessage{}, []packedBlob(nil)
+func (p *packCache) makeParcel(message chain.Message) (*api.BulkMessage, []packedBlob) {
+	emptied, parcel, blobs := map[int][]byte{}, &api.BulkMessage{}, []packedBlob(nil)
 	for i, body := range bodyPointers(&message) {
 		if len(*body) >= minBulkBody {
 			emptied[i] = nil
@@ -251,7 +251,7 @@
 }
 
 // setPacked accepts the compressed form of the message with the given number.
-func (c *sender) setPacked(number uint64, parcel *waymark.BulkMessage, blobs []packedBlob) {
+func (c *sender) setPacked(number uint64, parcel *api.BulkMessage, blobs []packedBlob) {
 	if len(c.queue) > 0 && c.queue[0].number == number {
 		c.queue[0].parcel, c.queue[0].blobs = parcel, blobs
 	}
@@ -287,14 +287,14 @@
 		}
 		c.chunkSize = min(max(c.chunkSize, minChunk), maxChunk)
 		end := min(c.wanted.HeldBytes+c.chunkSize, len(body.packed))
-		return &waymark.BodyChunk{Body: body.BodyRef, Offset: c.wanted.HeldBytes, Bytes: body.packed[c.wanted.HeldBytes:end]}, 0
+		return &api.BodyChunk{Body: body.BodyRef, Offset: c.wanted.HeldBytes, Bytes: body.packed[c.wanted.HeldBytes:end]}, 0
 	}
 	c.wanted = nil
 	return first.parcel, 0
 }
 
 // handleWanted processes the answer to a parcel.
-func (c *sender) handleWanted(now float64, parcel *waymark.BulkMessage, answer waymark.MissingBody) {
+func (c *sender) handleWanted(now float64, parcel *api.BulkMessage, answer api.MissingBody) {
 	c.emptyCallMillis = now - c.calledAt
 	if len(c.queue) == 0 {
 		return
@@ -309,7 +309,7 @@
 }
 
 // abandon gives up a parcel that the receiver will never accept.
-func (c *sender) abandon(now float64, parcel *waymark.BulkMessage) {
+func (c *sender) abandon(now float64, parcel *api.BulkMessage) {
 	if len(c.queue) > 0 && c.queue[0].parcel == parcel {
 		c.advance(now)
 	}
@@ -324,7 +324,7 @@
 }
 
 // handleTaken processes the answer to a chunk.
-func (c *sender) handleTaken(now float64, sent *waymark.BodyChunk, answer waymark.BodyChunkAck) {
+func (c *sender) handleTaken(now float64, sent *api.BodyChunk, answer api.BodyChunkAck) {
 	switch elapsed := now - c.calledAt - c.emptyCallMillis; {
 	case elapsed <= growChunkMillis:
 		c.chunkSize *= 2
@@ -355,13 +355,13 @@
 type receiver struct {
 	partial  []*partialBody
 	complete []*completeBody
-	state    *cairn.State // the committed state; its bodies need not be transferred
+	state    *chain.State // the committed state; its bodies need not be transferred
 	hashes   packCache    // cache of the hashes of those bodies, without compressed data
 }
 
 // partialBody is a body of which not all chunks have arrived.
 type partialBody struct {
-	waymark.BodyRef
+	api.BodyRef
 	data []byte
 }
 
@@ -374,7 +374,7 @@
 
 // receiveParcel processes a message whose large bodies were left out: it returns the complete
 // message, or the first body that is still needed.
-func (d *receiver) receiveParcel(now float64, parcel waymark.BulkMessage) (message cairn.Message, wanted waymark.MissingBody, err error) {
+func (d *receiver) receiveParcel(now float64, parcel api.BulkMessage) (message chain.Message, wanted api.MissingBody, err error) {
 	bodies := map[int][]byte{}
 	total := 0
 	for _, body := range parcel.Bodies {
@@ -389,7 +389,7 @@
 			if partial := d.findPartial(body); partial != nil {
 				received = len(partial.data)
 			}
-			return message, waymark.MissingBody{SHA256: body.SHA256, HeldBytes: received}, nil
+			return message, api.MissingBody{SHA256: body.SHA256, HeldBytes: received}, nil
 		}
 		bodies[body.Index] = raw
 	}
@@ -397,7 +397,7 @@
 }
 
 // findPartial returns the incomplete body with the given hash and lengths, or nil.
-func (d *receiver) findPartial(body waymark.BodyRef) *partialBody {
+func (d *receiver) findPartial(body api.BodyRef) *partialBody {
 	for _, candidate := range d.partial {
 		if bytes.Equal(candidate.SHA256, body.SHA256) && candidate.DeflatedLength == body.DeflatedLength && candidate.Length == body.Length {
 			return candidate
@@ -408,7 +408,7 @@
 
 // findBody returns a complete body that is held already, from an earlier message or from the state, or
 // nil.
-func (d *receiver) findBody(now float64, body waymark.BodyRef) []byte {
+func (d *receiver) findBody(now float64, body api.BodyRef) []byte {
 	d.complete = slices.DeleteFunc(d.complete, func(held *completeBody) bool { return now-held.usedAt > blobLifetime })
 	for _, held := range d.complete {
 		if bytes.Equal(held.sum, body.SHA256) {
@@ -419,7 +419,7 @@
 	if d.state == nil {
 		return nil
 	}
-	answer := cairn.Message{ReadAnswer: &cairn.ReadAnswer{State: d.state}}
+	answer := chain.Message{ReadAnswer: &chain.ReadAnswer{State: d.state}}
 	for _, raw := range bodyPointers(&answer) {
 		if len(*raw) == body.Length && bytes.Equal(d.hashes.hash(*raw), body.SHA256) {
 			return *raw
@@ -436,7 +436,7 @@
 		}
 	}
 	digest := sha256.Sum256(raw)
-	if p.bodies = append(p.bodies, cachedBody{raw, packedBlob{BodyRef: waymark.BodyRef{SHA256: digest[:]}}}); len(p.bodies) > 2 {
+	if p.bodies = append(p.bodies, cachedBody{raw, packedBlob{BodyRef: api.BodyRef{SHA256: digest[:]}}}); len(p.bodies) > 2 {
 		p.bodies = slices.Delete(p.bodies, 0, 1)
 	}
 	return digest[:]
@@ -444,13 +444,13 @@
 
 // receiveChunk processes a part of a body. If too much is held, the bodies that were used least
 // recently are dropped.
-func (d *receiver) receiveChunk(now float64, chunk waymark.BodyChunk) (waymark.BodyChunkAck, error) {
+func (d *receiver) receiveChunk(now float64, chunk api.BodyChunk) (api.BodyChunkAck, error) {
 	body := chunk.Body
 	if body.DeflatedLength <= 0 || body.DeflatedLength > maxPartialBytes || body.Length <= 0 || body.Length > maxBlobBytes || len(body.SHA256) != sha256.Size || len(chunk.Bytes) > maxChunk {
-		return waymark.BodyChunkAck{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", body.DeflatedLength)
+		return api.BodyChunkAck{}, rpc.Errorf(rpc.Invalid, "a chunk of a body of %d bytes", body.DeflatedLength)
 	}
 	if d.findBody(now, body) != nil {
-		return waymark.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
+		return api.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
 	}
 	partial := d.findPartial(body)
 	if partial == nil {
@@ -458,7 +458,7 @@
 	}
 	d.partial = append(slices.DeleteFunc(d.partial, func(other *partialBody) bool { return other == partial }), partial) // the most recently used is last
 	if chunk.Offset != len(partial.data) || chunk.Offset+len(chunk.Bytes) > body.DeflatedLength {
-		return waymark.BodyChunkAck{HeldBytes: len(partial.data)}, nil
+		return api.BodyChunkAck{HeldBytes: len(partial.data)}, nil
 	}
 	partial.data = append(partial.data, chunk.Bytes...)
 	for total := 0; len(d.partial) > 1; total = 0 {
@@ -471,15 +471,15 @@
 		d.partial = slices.Delete(d.partial, 0, 1)
 	}
 	if len(partial.data) < body.DeflatedLength {
-		return waymark.BodyChunkAck{HeldBytes: len(partial.data)}, nil
+		return api.BodyChunkAck{HeldBytes: len(partial.data)}, nil
 	}
 	d.partial = d.partial[:len(d.partial)-1]
-	raw, err := waymark.Inflate(partial.data)
+	raw, err := api.Inflate(partial.data)
 	if err != nil || len(raw) != body.Length {
-		return waymark.BodyChunkAck{}, nil // the transfer of this body starts over
+		return api.BodyChunkAck{}, nil // the transfer of this body starts over
 	}
 	if sum := sha256.Sum256(raw); !bytes.Equal(sum[:], body.SHA256) {
-		return waymark.BodyChunkAck{}, nil
+		return api.BodyChunkAck{}, nil
 	}
 	d.complete = append(d.complete, &completeBody{body.SHA256, raw, now})
 	for total := 0; len(d.complete) > 1; total = 0 {
@@ -491,5 +491,5 @@
 		}
 		d.complete = slices.Delete(d.complete, 0, 1)
 	}
-	return waymark.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
+	return api.BodyChunkAck{HeldBytes: body.DeflatedLength}, nil
 }
--- a/internal/store/bulk_test.go
+++ b/internal/configstore/bulk_test.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // routes returns the body of a configuration with n routes with random names.
@@ -34,20 +34,20 @@
 func repeatedBody(n int, with byte) []byte { return bytes.Repeat([]byte{with}, n) }
 
 // entry returns an entry of view 3 that sets a configuration.
-func entry(seq uint64, body []byte) cairn.Entry {
-	return cairn.Entry{LogPosition: cairn.LogPosition{Seq: seq, View: 3}, Prev: cairn.LogPosition{Seq: seq - 1, View: 3},
-		Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: seq, Body: body}}
+func entry(seq uint64, body []byte) chain.Entry {
+	return chain.Entry{LogPosition: chain.LogPosition{Seq: seq, View: 3}, Prev: chain.LogPosition{Seq: seq - 1, View: 3},
+		Change: chain.Change{Kind: chain.PutConfiguration, Edition: seq, Body: body}}
 }
 
 // snapshotMessage returns a message with a snapshot.
-func snapshotMessage(view, seq uint64, body []byte, tail ...cairn.Entry) cairn.Message {
-	return cairn.Message{Snapshot: &cairn.SnapshotTransfer{View: view, Snapshot: cairn.LogSnapshot{Uncommitted: tail,
-		State: cairn.State{Last: cairn.LogPosition{Seq: seq, View: view}, Edition: seq, Body: body}}}}
+func snapshotMessage(view, seq uint64, body []byte, tail ...chain.Entry) chain.Message {
+	return chain.Message{Snapshot: &chain.SnapshotTransfer{View: view, Snapshot: chain.LogSnapshot{Uncommitted: tail,
+		State: chain.State{Last: chain.LogPosition{Seq: seq, View: view}, Edition: seq, Body: body}}}}
 }
 
 // exchange makes a sender's next call to a receiver, encoded as on the network; duration gives the
 // time of the call by its size. It returns a completed message and the number of bytes sent.
-func exchange(t testing.TB, c *sender, p *packCache, d *receiver, now float64, duration func(sent int) float64, connected bool) (got *cairn.Message, sent int, idle bool) {
+func exchange(t testing.TB, c *sender, p *packCache, d *receiver, now float64, duration func(sent int) float64, connected bool) (got *chain.Message, sent int, idle bool) {
 	t.Helper()
 	if message, number := c.needsPacking(); number > 0 {
 		parcel, blobs := p.makeParcel(message)
@@ -57,7 +57,7 @@
 	switch call := call.(type) {
 	case nil:
 		return nil, 0, wait < 0
-	case *waymark.BulkMessage:
+	case *api.BulkMessage:
 		sent = rpc.FrameSize(*call, true)
 		if !connected {
 			c.handleFailure(now)
@@ -69,7 +69,7 @@
 			got = &message
 		}
 		c.handleWanted(now+duration(sent), call, onWire(t, wanted))
-	case *waymark.BodyChunk:
+	case *api.BodyChunk:
 		sent = rpc.FrameSize(*call, true)
 		if !connected {
 			c.handleFailure(now)
@@ -95,7 +95,7 @@
 func constantTime(int) float64 { return 1 }
 
 // exchangeAll makes calls until the queue is empty and returns the received messages.
-func exchangeAll(t *testing.T, c *sender, d *receiver, now float64) (got []cairn.Message, sent int) {
+func exchangeAll(t *testing.T, c *sender, d *receiver, now float64) (got []chain.Message, sent int) {
 	t.Helper()
 	var p packCache
 	for calls := 0; ; calls++ {
@@ -115,23 +115,23 @@
 // the sender's copy is not modified.
 func TestMessagesArriveUnchanged(t *testing.T) {
 	a, b, small := repeatedBody(minBulkBody, 'a'), repeatedBody(3*maxChunk, 'b'), []byte("small")
-	state := cairn.State{Last: cairn.LogPosition{Seq: 7, View: 2}, Edition: 4, Body: a, Evacuated: map[string]uint64{"z": 3}, LastZoneChange: map[string]cairn.LogPosition{"z": {Seq: 3, View: 1}},
-		Orders: map[string]cairn.NamedOrder{"x": {Number: 2, Body: b}, "w": {Number: 1, Body: small}, "y": {Number: 3, Body: a}}}
+	state := chain.State{Last: chain.LogPosition{Seq: 7, View: 2}, Edition: 4, Body: a, Evacuated: map[string]uint64{"z": 3}, LastZoneChange: map[string]chain.LogPosition{"z": {Seq: 3, View: 1}},
+		Orders: map[string]chain.NamedOrder{"x": {Number: 2, Body: b}, "w": {Number: 1, Body: small}, "y": {Number: 3, Body: a}}}
 	for _, c := range []struct {
 		name  string
-		m     cairn.Message
+		m     chain.Message
 		bulky bool
 	}{
-		{"append", cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, a), entry(9, small), entry(10, nil), entry(11, b)}}}, true},
-		{"snapshot", cairn.Message{Snapshot: &cairn.SnapshotTransfer{View: 3, Snapshot: cairn.LogSnapshot{State: state, Uncommitted: []cairn.Entry{entry(8, a), entry(9, b)}}}}, true},
-		{"enter", cairn.Message{ForwardedChange: &cairn.ForwardedChange{ID: 7, Incarnation: 8, Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: 3, Body: b}}}, true},
-		{"answer", cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 7, Incarnation: 8, State: &state}}, true},
-		{"answer without a state", cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 7, Incarnation: 8}}, false},
-		{"small", cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, small)}}}, false},
-		{"heartbeat", cairn.Message{Heartbeat: &cairn.Heartbeat{View: 3}}, false},
+		{"append", chain.Message{Append: &chain.Append{View: 3, Entries: []chain.Entry{entry(8, a), entry(9, small), entry(10, nil), entry(11, b)}}}, true},
+		{"snapshot", chain.Message{Snapshot: &chain.SnapshotTransfer{View: 3, Snapshot: chain.LogSnapshot{State: state, Uncommitted: []chain.Entry{entry(8, a), entry(9, b)}}}}, true},
+		{"enter", chain.Message{ForwardedChange: &chain.ForwardedChange{ID: 7, Incarnation: 8, Change: chain.Change{Kind: chain.PutConfiguration, Edition: 3, Body: b}}}, true},
+		{"answer", chain.Message{ReadAnswer: &chain.ReadAnswer{ID: 7, Incarnation: 8, State: &state}}, true},
+		{"answer without a state", chain.Message{ReadAnswer: &chain.ReadAnswer{ID: 7, Incarnation: 8}}, false},
+		{"small", chain.Message{Append: &chain.Append{View: 3, Entries: []chain.Entry{entry(8, small)}}}, false},
+		{"heartbeat", chain.Message{Heartbeat: &chain.Heartbeat{View: 3}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.m.From, c.m.To = cairn.MachineID{Addr: "a:1", Disk: "x"}, cairn.MachineID{Addr: "b:1", Disk: "y"}
+			c.m.From, c.m.To = chain.MachineID{Addr: "a:1", Disk: "x"}, chain.MachineID{Addr: "b:1", Disk: "y"}
 			assert.Equal(t, isBulky(&c.m), c.bulky)
 			before := onWire(t, c.m)
 			var queue sender
@@ -237,7 +237,7 @@
 // sender, nor a new view makes the transfer start over.
 func TestSnapshotOverSlowLink(t *testing.T) {
 	body := routes(3000, 1)
-	packed := len(waymark.Deflate(body))
+	packed := len(api.Deflate(body))
 	for _, c := range slowLinks(120) {
 		t.Run(c.name, func(t *testing.T) {
 			got := c.link.transfer(t, body)
@@ -264,7 +264,7 @@
 // simulated time.
 func BenchmarkSnapshot(b *testing.B) {
 	body := routes(50000, 1)
-	packed := len(waymark.Deflate(body))
+	packed := len(api.Deflate(body))
 	for _, c := range slowLinks(2000) {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
@@ -286,19 +286,19 @@
 func TestHeldBodiesAreNotSentAgain(t *testing.T) {
 	body := routes(2000, 2)
 	var c sender
-	d := &receiver{state: &cairn.State{Body: bytes.Clone(body)}}
+	d := &receiver{state: &chain.State{Body: bytes.Clone(body)}}
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
 	got, sent := exchangeAll(t, &c, d, 0)
 	assert.Assert(t, len(got) == 1 && sent < 1000, "%d", sent)
 	assert.Assert(t, bytes.Equal(got[0].Snapshot.Snapshot.State.Body, body))
 
 	d = &receiver{}
-	assert.Assert(t, c.enqueue(0, cairn.Message{Append: &cairn.Append{View: 3, Entries: []cairn.Entry{entry(8, body)}}}))
+	assert.Assert(t, c.enqueue(0, chain.Message{Append: &chain.Append{View: 3, Entries: []chain.Entry{entry(8, body)}}}))
 	_, first := exchangeAll(t, &c, d, 0)
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
 	_, second := exchangeAll(t, &c, d, 100)
 	assert.Assert(t, first > 20000 && second < 1000, "%d, %d", first, second)
-	d.findBody(100+2*blobLifetime, waymark.BodyRef{Length: 1})
+	d.findBody(100+2*blobLifetime, api.BodyRef{Length: 1})
 	assert.Equal(t, len(d.complete), 0, "complete bodies must be dropped after their lifetime")
 }
 
@@ -310,13 +310,13 @@
 	add := func(view, seq uint64) bool {
 		e := entry(seq, body)
 		e.View = view
-		return c.enqueue(0, cairn.Message{Append: &cairn.Append{View: view, Entries: []cairn.Entry{e}}})
+		return c.enqueue(0, chain.Message{Append: &chain.Append{View: view, Entries: []chain.Entry{e}}})
 	}
 	for range 99 {
 		assert.Assert(t, add(3, 8))
 		assert.Assert(t, c.enqueue(0, snapshotMessage(3, 40, body)))
-		assert.Assert(t, c.enqueue(0, cairn.Message{ForwardedChange: &cairn.ForwardedChange{ID: 1, Incarnation: 1, Change: cairn.Change{Body: body}}}))
-		assert.Assert(t, c.enqueue(0, cairn.Message{ReadAnswer: &cairn.ReadAnswer{ID: 1, Incarnation: 1, State: &cairn.State{Body: body}}}))
+		assert.Assert(t, c.enqueue(0, chain.Message{ForwardedChange: &chain.ForwardedChange{ID: 1, Incarnation: 1, Change: chain.Change{Body: body}}}))
+		assert.Assert(t, c.enqueue(0, chain.Message{ReadAnswer: &chain.ReadAnswer{ID: 1, Incarnation: 1, State: &chain.State{Body: body}}}))
 	}
 	assert.Equal(t, len(c.queue), 4)
 	assert.Assert(t, c.enqueue(0, snapshotMessage(3, 41, body)))
@@ -343,7 +343,7 @@
 		var cache packCache
 		d := &receiver{}
 		sent, calls, now := 0, 0, 0.0
-		var tail []cairn.Entry
+		var tail []chain.Entry
 		repeat := func() {
 			if longer {
 				tail = append(slices.Clone(tail), entry(41+uint64(calls), []byte("small")))
@@ -355,7 +355,7 @@
 			repeat()
 			return 3000
 		}
-		for got := (*cairn.Message)(nil); got == nil; calls++ {
+		for got := (*chain.Message)(nil); got == nil; calls++ {
 			var n int
 			got, n, _ = exchange(t, &c, &cache, d, now, takes, true)
 			sent += n
@@ -363,7 +363,7 @@
 			assert.Assert(t, calls < 40)
 		}
 		assert.Assert(t, now > transferTimeout, "%.0f ms", now)
-		assert.Assert(t, float64(sent) < 1.1*float64(len(waymark.Deflate(body))), "%d bytes", sent)
+		assert.Assert(t, float64(sent) < 1.1*float64(len(api.Deflate(body))), "%d bytes", sent)
 	}
 }
 
@@ -387,17 +387,17 @@
 	got, sent := exchangeAll(t, &c, d, 1)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, len(got[0].Snapshot.Snapshot.Uncommitted), 1)
-	assert.Assert(t, sent < len(waymark.Deflate(body))-received+2000)
+	assert.Assert(t, sent < len(api.Deflate(body))-received+2000)
 }
 
 // TestChunkSizeFollowsLinkSpeed checks that chunks grow while the link is fast, beyond the time of
 // a call without data, and shrink to the minimum when it becomes slow.
 func TestChunkSizeFollowsLinkSpeed(t *testing.T) {
 	const far = 500.0
-	b := packedBlob{waymark.BodyRef{SHA256: repeatedBody(32, 1), Length: 1 << 30, DeflatedLength: 64 << 20}, make([]byte, 64<<20)}
-	c := sender{queue: []*transfer{{parcel: &waymark.BulkMessage{}, blobs: []packedBlob{b}}}}
+	b := packedBlob{api.BodyRef{SHA256: repeatedBody(32, 1), Length: 1 << 30, DeflatedLength: 64 << 20}, make([]byte, 64<<20)}
+	c := sender{queue: []*transfer{{parcel: &api.BulkMessage{}, blobs: []packedBlob{b}}}}
 	c.nextCall(0)
-	c.handleWanted(far, c.queue[0].parcel, waymark.MissingBody{SHA256: b.SHA256})
+	c.handleWanted(far, c.queue[0].parcel, api.MissingBody{SHA256: b.SHA256})
 	now := far
 	for _, line := range []struct {
 		perMs float64
@@ -405,12 +405,12 @@
 	}{{15000, maxChunk}, {250, 32 << 10}, {100, minChunk}, {10, minChunk}, {15000, maxChunk}} {
 		for range 8 {
 			call, _ := c.nextCall(now)
-			chunk := call.(*waymark.BodyChunk)
+			chunk := call.(*api.BodyChunk)
 			now += far + float64(len(chunk.Bytes))/line.perMs
-			c.handleTaken(now, chunk, waymark.BodyChunkAck{HeldBytes: chunk.Offset + len(chunk.Bytes)})
+			c.handleTaken(now, chunk, api.BodyChunkAck{HeldBytes: chunk.Offset + len(chunk.Bytes)})
 		}
 		call, _ := c.nextCall(now)
-		assert.Equal(t, len(call.(*waymark.BodyChunk).Bytes), line.chunk, "%.0f bytes a ms", line.perMs)
+		assert.Equal(t, len(call.(*api.BodyChunk).Bytes), line.chunk, "%.0f bytes a ms", line.perMs)
 	}
 }
 
@@ -422,7 +422,7 @@
 	blob := cache.pack(body)
 	target := &receiver{}
 	send := func(from int, bytes []byte) int {
-		taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: blob.BodyRef, Offset: from, Bytes: bytes})
+		taken, err := target.receiveChunk(0, api.BodyChunk{Body: blob.BodyRef, Offset: from, Bytes: bytes})
 		assert.NilError(t, err)
 		return taken.HeldBytes
 	}
@@ -442,16 +442,16 @@
 	other := blob.BodyRef
 	other.SHA256 = repeatedBody(32, 'x') // the hash of a different body
 	for from := 0; from < len(blob.packed); from += minChunk {
-		taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: other, Offset: from, Bytes: blob.packed[from:min(from+minChunk, len(blob.packed))]})
+		taken, err := target.receiveChunk(0, api.BodyChunk{Body: other, Offset: from, Bytes: blob.packed[from:min(from+minChunk, len(blob.packed))]})
 		assert.NilError(t, err)
 		assert.Assert(t, taken.HeldBytes < len(blob.packed))
 	}
 	assert.Assert(t, target.findBody(0, other) == nil)
 
 	for i := range byte(40) { // bodies that are started and never completed
-		x := waymark.BodyRef{SHA256: repeatedBody(32, i), Length: 20 << 20, DeflatedLength: 20 << 20}
+		x := api.BodyRef{SHA256: repeatedBody(32, i), Length: 20 << 20, DeflatedLength: 20 << 20}
 		for from := 0; from < 1<<20; {
-			taken, err := target.receiveChunk(0, waymark.BodyChunk{Body: x, Offset: from, Bytes: make([]byte, maxChunk)})
+			taken, err := target.receiveChunk(0, api.BodyChunk{Body: x, Offset: from, Bytes: make([]byte, maxChunk)})
 			assert.NilError(t, err)
 			assert.Equal(t, taken.HeldBytes, from+maxChunk)
 			from = taken.HeldBytes
@@ -462,11 +462,11 @@
 		n += cap(x.data)
 	}
 	assert.Assert(t, n <= maxPartialBytes)
-	for _, bad := range []waymark.BodyRef{{}, {SHA256: repeatedBody(32, 1), Length: 1, DeflatedLength: maxPartialBytes + 1}, {SHA256: repeatedBody(32, 1), Length: maxBlobBytes + 1, DeflatedLength: 1}, {SHA256: repeatedBody(3, 1), Length: 1, DeflatedLength: 1}} {
-		_, err := target.receiveChunk(0, waymark.BodyChunk{Body: bad})
+	for _, bad := range []api.BodyRef{{}, {SHA256: repeatedBody(32, 1), Length: 1, DeflatedLength: maxPartialBytes + 1}, {SHA256: repeatedBody(32, 1), Length: maxBlobBytes + 1, DeflatedLength: 1}, {SHA256: repeatedBody(3, 1), Length: 1, DeflatedLength: 1}} {
+		_, err := target.receiveChunk(0, api.BodyChunk{Body: bad})
 		assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 	}
-	_, _, err := target.receiveParcel(0, waymark.BulkMessage{Bodies: []waymark.BodyRef{{SHA256: repeatedBody(32, 1), Length: maxBlobBytes, DeflatedLength: 1}, {SHA256: repeatedBody(32, 2), Length: 1, DeflatedLength: 1}}})
+	_, _, err := target.receiveParcel(0, api.BulkMessage{Bodies: []api.BodyRef{{SHA256: repeatedBody(32, 1), Length: maxBlobBytes, DeflatedLength: 1}, {SHA256: repeatedBody(32, 2), Length: 1, DeflatedLength: 1}}})
 	assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 }
 
@@ -474,7 +474,7 @@
 // is. A full window of entries after a state used to be one frame, which was refused from 32 MB on
 // and then repeated without end.
 func TestNoCallExceedsChunkSize(t *testing.T) {
-	var tail []cairn.Entry
+	var tail []chain.Entry
 	for seq := range uint64(8) {
 		tail = append(tail, entry(8+seq, routes(1000, seq)))
 	}
@@ -521,13 +521,13 @@
 // TestEarlierReleaseGetsWholeMessage checks that a receiver without chunked transfer gets the
 // message in one frame.
 func TestEarlierReleaseGetsWholeMessage(t *testing.T) {
-	got := make(chan cairn.Message, 1)
+	got := make(chan chain.Message, 1)
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.NewServer()
-	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.StatusRequest, error) {
+	rpc.Handle(server, func(_ context.Context, m chain.Message) (api.StatusRequest, error) {
 		got <- m
-		return waymark.StatusRequest{}, nil
+		return api.StatusRequest{}, nil
 	})
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Close)
@@ -560,7 +560,7 @@
 	a, _ := start("127.0.0.1", true)
 	b, _ := start("127.0.0.2", true)
 	_, stop := start("127.0.0.3", true)
-	put := func(edition uint64) waymark.CommitRequest {
+	put := func(edition uint64) api.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = routes(3000, edition)
 		return q
@@ -577,7 +577,7 @@
 	}
 	enter(t, c, put(edition+1))
 	for _, s := range []*Store{a, b, c} {
-		got := confirm(t, s, waymark.CommittedStateRequest{})
+		got := confirm(t, s, api.CommittedStateRequest{})
 		assert.Equal(t, got.State.Edition, edition+1)
 		assert.Assert(t, bytes.Equal(got.State.Body, routes(3000, edition+1)))
 	}
--- a/internal/cairn/core_growth_test.go
+++ b/internal/configstore/chain/core_growth_test.go
@@ -1,4 +1,4 @@
-package cairn
+package chain
 
 import (
 	"testing"
--- a/internal/cairn/rebuild.go
+++ b/internal/configstore/chain/rebuild.go
@@ -1,4 +1,4 @@
-package cairn
+package chain
 
 // If so many machines are gone for good that no majority of the core can return, an operator may have a
 // new core started from one complete copy. This step is not agreed on by a quorum: the operator must
--- a/internal/cairn/types.go
+++ b/internal/configstore/chain/types.go
@@ -9,7 +9,7 @@
 //
 // The package reads no clock, opens no sockets or files, and takes all randomness from a seed in
 // its configuration, so that a run can be repeated.
-package cairn
+package chain
 
 // MachineID identifies a machine together with its disk. A machine that has lost its disk gets a new
 // Disk and counts as a different machine.
--- a/internal/store/disk.go
+++ b/internal/configstore/disk.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"foxwood/internal/cairn"
-	"foxwood/internal/recordlog"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/configstore/recordlog"
 )
 
 // A disk that cannot be written (no space, a fault) counts as lost. The state machine that has stepped
@@ -58,8 +58,8 @@
 
 // committedSnapshot is what was committed and synced last.
 type committedSnapshot struct {
-	view  cairn.View
-	state *cairn.State
+	view  chain.View
+	state *chain.State
 }
 
 // diskLoss describes a disk that cannot be written.
@@ -100,7 +100,7 @@
 
 // readJournal opens the journal and reads all records. If rewrite is set, it also writes them once
 // more in full. It does not modify the fields that belong to the loop.
-func (s *Store) readJournal(rewrite bool) (journal, []cairn.Record, error) {
+func (s *Store) readJournal(rewrite bool) (journal, []chain.Record, error) {
 	if err := os.MkdirAll(s.settings.DataDir, 0o755); err != nil {
 		return nil, nil, err
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	records := make([]cairn.Record, len(stored))
+	records := make([]chain.Record, len(stored))
 	for i, encoded := range stored {
 		if err := cbor.Unmarshal(encoded, &records[i]); err != nil {
 			return nil, nil, errors.Join(&errUndecodable{i, err}, log.Close())
@@ -126,7 +126,7 @@
 }
 
 // encode encodes records for the journal.
-func encode(records []cairn.Record) ([][]byte, error) {
+func encode(records []chain.Record) ([][]byte, error) {
 	batch := make([][]byte, len(records))
 	for i := range records {
 		encoded, err := cbor.Marshal(records[i])
@@ -139,9 +139,9 @@
 }
 
 // startMachine starts a new state machine from what the disk holds.
-func (s *Store) startMachine(stored []cairn.Record) {
+func (s *Store) startMachine(stored []chain.Record) {
 	firstStart := s.settings.FirstRun && !s.hadRecords
-	s.machine = cairn.New(cairn.Config{Self: cairn.MachineID{Addr: s.settings.InnerAddress(innerDockIndex)}, Seeds: s.seedAddrs, FirstRun: firstStart, Seed: rand.Uint64()}, stored, s.now())
+	s.machine = chain.New(chain.Config{Self: chain.MachineID{Addr: s.settings.InnerAddress(innerDockIndex)}, Seeds: s.seedAddrs, FirstRun: firstStart, Seed: rand.Uint64()}, stored, s.now())
 	s.hadRecords = s.hadRecords || len(stored) > 0
 	s.lost, s.size = nil, s.journal.Size()
 	s.known = committedSnapshot{s.machine.View(), s.machine.State()}
@@ -218,9 +218,9 @@
 func (s *Store) answerPending() {
 	for id, waiter := range s.pending {
 		delete(s.pending, id)
-		outcome := cairn.Unknown
+		outcome := chain.Unknown
 		if waiter.Read != nil {
-			outcome = cairn.Unavailable
+			outcome = chain.Unavailable
 		}
 		s.answer(waiter, outcome)
 	}
@@ -236,18 +236,18 @@
 	case e.inspect != nil:
 		e.inspect()
 	case e.done != nil:
-		s.answer(e, cairn.Unavailable)
+		s.answer(e, chain.Unavailable)
 	}
 }
 
 // answer answers a request and counts the outcome.
-func (s *Store) answer(e event, outcome cairn.Outcome) {
-	if outcome == cairn.Unknown {
+func (s *Store) answer(e event, outcome chain.Outcome) {
+	if outcome == chain.Unknown {
 		s.counts.Unknown++
 	} else {
 		s.counts.Unavailable++
 	}
-	e.done <- result{Result: cairn.Result{ID: e.id, Outcome: outcome}}
+	e.done <- result{Result: chain.Result{ID: e.id, Outcome: outcome}}
 }
 
 // loseDisk discards a state machine that has stepped ahead of its disk.
@@ -270,7 +270,7 @@
 	}
 	lost.tries++
 	var log journal
-	var stored []cairn.Record
+	var stored []chain.Record
 	err := s.runOnDisk(ctx, func() (err error) {
 		if s.journal != nil {
 			_ = s.journal.Close() // its error was reported before
--- a/internal/store/disk_test.go
+++ b/internal/configstore/disk_test.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"bytes"
@@ -18,10 +18,10 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/recordlog"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/configstore/recordlog"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // TestMain keeps the directories in memory, where a sync does not wait for a busy disk.
@@ -152,7 +152,7 @@
 // statusText returns the lines of a store's status.
 func statusText(t *testing.T, s *Store) string {
 	t.Helper()
-	status, err := s.handleStatus(t.Context(), waymark.StatusRequest{})
+	status, err := s.handleStatus(t.Context(), api.StatusRequest{})
 	assert.NilError(t, err)
 	return strings.Join(status.Lines, "\n")
 }
@@ -171,11 +171,11 @@
 	began := time.Now()
 	_, err := s.handleEnter(t.Context(), configuration(99))
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
+	_, err = s.handleConfirm(t.Context(), api.CommittedStateRequest{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	_, err = s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: "127.0.0.1:9"})
+	_, err = s.handleForget(t.Context(), api.RemoveNodeRequest{Addr: "127.0.0.1:9"})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable, "%v", err)
-	known, err := s.handleConfirm(t.Context(), waymark.CommittedStateRequest{AllowStale: true})
+	known, err := s.handleConfirm(t.Context(), api.CommittedStateRequest{AllowStale: true})
 	assert.NilError(t, err)
 	assert.Assert(t, known.Stale, "expected local knowledge, got an answer of the tail")
 	if edition > 0 {
@@ -207,7 +207,7 @@
 			s, log := f.newStore(t, set)
 			end := run(t, s)
 			enter(t, s, configuration(1))
-			confirm(t, s, waymark.CommittedStateRequest{})
+			confirm(t, s, api.CommittedStateRequest{})
 			f.appendFailure.Store(&c.failure)
 			f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrReplaceFailed, c.failure.err)})
 			_, err := s.handleEnter(t.Context(), configuration(2))
@@ -221,7 +221,7 @@
 			f.appendFailure.Store(nil)
 			f.replaceFailure.Store(nil)
 			waitForStatus(t, s, "sole")
-			back := confirm(t, s, waymark.CommittedStateRequest{})
+			back := confirm(t, s, api.CommittedStateRequest{})
 			want := uint64(1)
 			if c.kept {
 				want = 2
@@ -236,7 +236,7 @@
 			set.FirstRun = false
 			s = open(t, set, noFault)
 			run(t, s)
-			assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
+			assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(3))
 		})
 	}
 }
@@ -248,14 +248,14 @@
 	s, _ := f.newStore(t, settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"))
 	f.appendFailure.Store(&failure{err: unix.ENOSPC})
 	f.replaceFailure.Store(&failure{err: unix.ENOSPC})
-	var out cairn.Output
+	var out chain.Output
 	s.step(event{}, &out)
 	assert.Assert(t, len(out.Persist) > 0 && len(out.Send) > 0)
 	err := s.releaseOutput(t.Context(), &out)
 	assert.ErrorIs(t, err, unix.ENOSPC)
 	s.loseDisk(err)
 	for range 9 {
-		s.refuse(event{Event: cairn.Event{Message: &cairn.Message{}}})
+		s.refuse(event{Event: chain.Event{Message: &chain.Message{}}})
 		assert.NilError(t, s.recoverDisk(t.Context()))
 	}
 	assert.Assert(t, s.lost != nil && s.lost.tries == 9 && s.machine == nil)
@@ -269,7 +269,7 @@
 func TestRestartAfterLostDisk(t *testing.T) {
 	f := &fault{}
 	s, _ := f.newStore(t, settings(t))
-	var out cairn.Output
+	var out chain.Output
 	s.step(event{}, &out)
 	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	before := s.machine
@@ -304,7 +304,7 @@
 		assert.Assert(t, strings.Contains(statusText(t, s), "disk lost"))
 		f.openFailure.Store(nil)
 		enter(t, s, configuration(1))
-		assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(1))
+		assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(1))
 		assert.Equal(t, log.count("disk lost"), 1)
 	}
 }
@@ -315,7 +315,7 @@
 	f := &fault{}
 	set := settings(t)
 	s, _ := f.newStore(t, set)
-	var out cairn.Output
+	var out chain.Output
 	s.step(event{}, &out)
 	assert.NilError(t, s.releaseOutput(t.Context(), &out))
 	assert.NilError(t, s.journal.Append([][]byte{{0xff}}))
@@ -348,7 +348,7 @@
 	s, log := f.newStore(t, settings(t))
 	end := run(t, s)
 	f.replaceFailure.Store(&failure{err: fmt.Errorf("%w: %w", recordlog.ErrReplaceFailed, unix.ENOSPC)})
-	big := func(edition uint64) waymark.CommitRequest {
+	big := func(edition uint64) api.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = make([]byte, 5<<20)
 		return q
@@ -356,10 +356,10 @@
 	for edition := range uint64(3) {
 		enter(t, s, big(edition+1))
 	}
-	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
+	assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(3))
 	f.replaceFailure.Store(nil)
 	enter(t, s, big(4))
-	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(4))
+	assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(4))
 	assert.NilError(t, end())
 	assert.Equal(t, s.counts.Lost, uint64(0))
 	assert.Assert(t, s.counts.Uncompacted >= 3 && s.counts.Compacted >= 1)
@@ -374,7 +374,7 @@
 	waitForStatus(t, s, "disk lost")
 	f.replaceFailure.Store(nil)
 	enter(t, s, configuration(2))
-	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(2))
+	assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(2))
 }
 
 // TestHangingDisk checks that pending and new requests are refused and nothing is sent; once the
@@ -388,7 +388,7 @@
 	enter(t, s, configuration(1))
 	resume := make(chan struct{})
 	answers := map[uint64]chan result{}
-	for i, e := range []cairn.Event{{Submit: &cairn.Submit{Change: configuration(2).Change}}, {Read: &cairn.Read{}}} {
+	for i, e := range []chain.Event{{Submit: &chain.Submit{Change: configuration(2).Change}}, {Read: &chain.Read{}}} {
 		id := uint64(1e9) + uint64(i)
 		answers[id] = make(chan result, 1)
 		if e.Submit != nil {
@@ -403,23 +403,23 @@
 	}
 	for id, got := range answers { // not subject to the time limit of a call
 		if o := receive(t, got).Outcome; id == 1e9 {
-			assert.Assert(t, o != cairn.OK, "the change was acknowledged although the disk hangs")
+			assert.Assert(t, o != chain.OK, "the change was acknowledged although the disk hangs")
 		} else {
-			assert.Equal(t, o, cairn.Unavailable)
+			assert.Equal(t, o, chain.Unavailable)
 		}
 	}
 	assert.Assert(t, strings.Contains(statusText(t, s), "disk hangs"))
 	sent := s.counts.Sent
 	for range 3 {
 		checkRefused(t, s, 1)
-		_, err := s.handleMessage(t.Context(), cairn.Message{})
+		_, err := s.handleMessage(t.Context(), chain.Message{})
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, s.counts.Sent, sent)
 	close(resume)
 	waitForStatus(t, s, "sole")
 	enter(t, s, configuration(3))
-	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(3))
+	assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(3))
 	assert.Assert(t, log.count("disk hangs") >= 1)
 	assert.Assert(t, log.count("disk answers again") >= 1)
 	assert.NilError(t, end())
--- a/internal/store/lane.go
+++ b/internal/configstore/lane.go
@@ -1,13 +1,13 @@
-package store
+package configstore
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // laneCallTimeout is the time limit of a call, which may wait behind other data on a slow link.
@@ -24,7 +24,7 @@
 }
 
 // sendBulk queues a message to be transferred in chunks and reports whether there was room for it.
-func (s *Store) sendBulk(m *cairn.Message) bool {
+func (s *Store) sendBulk(m *chain.Message) bool {
 	s.mu.Lock()
 	sendLane := s.lanes[m.To.Addr]
 	if sendLane == nil {
@@ -84,8 +84,8 @@
 			case <-lane.wake:
 			case <-time.After(time.Duration(wait * 1e6)):
 			}
-		case *waymark.BulkMessage:
-			answer, err := callLane[waymark.BulkMessage, waymark.MissingBody](lane, call)
+		case *api.BulkMessage:
+			answer, err := callLane[api.BulkMessage, api.MissingBody](lane, call)
 			lane.mu.Lock()
 			switch kind := rpc.KindOf(err); {
 			case err == nil:
@@ -101,8 +101,8 @@
 				lane.handleFailure(s.now())
 			}
 			lane.mu.Unlock()
-		case *waymark.BodyChunk:
-			answer, err := callLane[waymark.BodyChunk, waymark.BodyChunkAck](lane, call)
+		case *api.BodyChunk:
+			answer, err := callLane[api.BodyChunk, api.BodyChunkAck](lane, call)
 			lane.mu.Lock()
 			if err == nil {
 				lane.handleTaken(s.now(), call, answer)
@@ -122,7 +122,7 @@
 }
 
 // handleParcel handles a call of another machine's sender that starts or completes a message.
-func (s *Store) handleParcel(ctx context.Context, parcel waymark.BulkMessage) (waymark.MissingBody, error) {
+func (s *Store) handleParcel(ctx context.Context, parcel api.BulkMessage) (api.MissingBody, error) {
 	s.receiverMu.Lock()
 	s.receiver.state = s.committedState.Load()
 	message, wanted, err := s.receiver.receiveParcel(s.now(), parcel)
@@ -135,7 +135,7 @@
 }
 
 // handleChunk handles a call of another machine's sender that carries a part of a body.
-func (s *Store) handleChunk(_ context.Context, chunk waymark.BodyChunk) (waymark.BodyChunkAck, error) {
+func (s *Store) handleChunk(_ context.Context, chunk api.BodyChunk) (api.BodyChunkAck, error) {
 	s.receiverMu.Lock()
 	defer s.receiverMu.Unlock()
 	s.receiver.state = s.committedState.Load()
--- a/internal/store/metrics.go
+++ b/internal/configstore/metrics.go
@@ -1,9 +1,9 @@
-package store
+package configstore
 
 import (
 	"context"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/metrics"
 )
 
@@ -51,7 +51,7 @@
 }
 
 // machineFigures returns the metrics of the state machine.
-func machineFigures(status cairn.Status) []metrics.Sample {
+func machineFigures(status chain.Status) []metrics.Sample {
 	return []metrics.Sample{
 		metrics.BoolGauge("whole", "Whether this machine holds all that was acknowledged.", status.Complete),
 		metrics.BoolGauge("chain_role", "The machine's part in the chain.", true, metrics.Label{Name: "role", Value: status.Role}),
--- a/internal/store/metrics_test.go
+++ b/internal/configstore/metrics_test.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"testing"
--- a/internal/store/order_identity_test.go
+++ b/internal/configstore/order_identity_test.go
@@ -1,13 +1,13 @@
-package store
+package configstore
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // TestOrderNumberStaysTaken checks that after a restart, a snapshot on a real disk and newer orders
@@ -20,7 +20,7 @@
 	enter(t, s, configuration(7))
 	enter(t, s, configuration(6))
 	enter(t, s, configuration(9))
-	conflicting := func(edition uint64) waymark.CommitRequest {
+	conflicting := func(edition uint64) api.CommitRequest {
 		q := configuration(edition)
 		q.Change.Body = []byte("another")
 		return q
@@ -35,7 +35,7 @@
 			assert.Equal(t, rpc.KindOf(err), rpc.Conflict, "%s: edition %d: %v", when, e, err)
 			enter(t, s, configuration(e))
 		}
-		c := confirm(t, s, waymark.CommittedStateRequest{})
+		c := confirm(t, s, api.CommittedStateRequest{})
 		assert.Equal(t, string(c.State.Body), "edition 9")
 		assert.Equal(t, len(c.State.Identities), 0)
 	}
@@ -59,7 +59,7 @@
 
 // TestRecallOmitsIdentities checks that a state sent to callers has no identities.
 func TestRecallOmitsIdentities(t *testing.T) {
-	st := &cairn.State{Edition: 3, Identities: make([]cairn.Identity, 4)}
+	st := &chain.State{Edition: 3, Identities: make([]chain.Identity, 4)}
 	assert.Equal(t, len(withoutIdentities(st).Identities), 0)
 	assert.Equal(t, len(st.Identities), 4)
 }
--- a/internal/store/store.go
+++ b/internal/configstore/store.go
@@ -3,7 +3,7 @@
 // What a step must persist is synced before any message or answer of that step is released; steps
 // that arrive together share one sync. If the disk fails or hangs (see disk.go), the process keeps
 // running: it sends nothing to other machines and answers every caller.
-package store
+package configstore
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"github.com/rs/zerolog"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/recordlog"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/configstore/recordlog"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 const (
@@ -40,7 +40,7 @@
 	settings  *bootconfig.Settings
 	log       zerolog.Logger
 	startedAt time.Time
-	machine   *cairn.Machine // nil while the disk is lost
+	machine   *chain.Machine // nil while the disk is lost
 	events    chan event
 	lastID    atomic.Uint64
 	seeds     chan []string
@@ -51,7 +51,7 @@
 
 	receiverMu     sync.Mutex // not taken by the loop, because unpacking a body takes long
 	receiver       receiver
-	committedState atomic.Pointer[cairn.State] // the committed state; other machines need not send its bodies
+	committedState atomic.Pointer[chain.State] // the committed state; other machines need not send its bodies
 
 	// Fields owned by the loop.
 	pending            map[uint64]event
@@ -70,7 +70,7 @@
 
 // event is an input of the loop: an event of the state machine or a function to call.
 type event struct {
-	cairn.Event
+	chain.Event
 	id      uint64
 	done    chan<- result
 	inspect func() // called on the loop in place of an event
@@ -78,8 +78,8 @@
 
 // result is the state machine's answer together with the view at that time.
 type result struct {
-	cairn.Result
-	view cairn.View
+	chain.Result
+	view chain.View
 }
 
 // New opens the disk and continues from what it holds. If the disk has a fault that may pass, the
@@ -96,7 +96,7 @@
 	s := &Store{settings: settings, log: log, startedAt: time.Now(), events: make(chan event, maxQueue), seeds: make(chan []string, 1),
 		peers: map[string]*rpc.Peer{}, lanes: map[string]*lane{}, pending: map[uint64]event{}, seedAddrs: settings.SeedAddresses(innerDockIndex),
 		diskState: diskState{open: open, stallTimeout: defaultStallTimeout, recoverInterval: defaultRecoverInterval}}
-	var stored []cairn.Record
+	var stored []chain.Record
 	var err error
 	if s.journal, stored, err = s.readJournal(false); err == nil {
 		s.startMachine(stored)
@@ -149,14 +149,14 @@
 	shutdown := ctx.Done()
 	var graceEnded <-chan time.Time
 	for {
-		var out cairn.Output
+		var out chain.Output
 		select {
 		case <-shutdown:
 			if s.lost != nil {
 				return s.close() // without a disk the machine is not in the chain, so it need not hand over
 			}
 			shutdown, graceEnded = nil, time.After(time.Duration(s.settings.Bounds.GraceS*leaveShareOfGrace*float64(time.Second)))
-			s.step(event{Event: cairn.Event{Leave: true}}, &out)
+			s.step(event{Event: chain.Event{Leave: true}}, &out)
 		case <-graceEnded:
 			s.log.Warn().Msg("shutting down before the other machines could take over")
 			return s.close()
@@ -199,7 +199,7 @@
 }
 
 // step passes an event to the state machine and collects its output.
-func (s *Store) step(e event, all *cairn.Output) {
+func (s *Store) step(e event, all *chain.Output) {
 	if e.inspect != nil { // called after the sync, so that it sees only synced state
 		s.inspections = append(s.inspections, e.inspect)
 		return
@@ -223,7 +223,7 @@
 
 // releaseOutput syncs the output's records and then sends its messages and answers. If the disk fails,
 // nothing of the output is released.
-func (s *Store) releaseOutput(ctx context.Context, out *cairn.Output) error {
+func (s *Store) releaseOutput(ctx context.Context, out *chain.Output) error {
 	if len(out.Persist) > 0 {
 		batch, err := encode(out.Persist)
 		if err == nil {
@@ -247,9 +247,9 @@
 	view := s.machine.View()
 	for _, answer := range out.Results {
 		switch answer.Outcome {
-		case cairn.Unavailable:
+		case chain.Unavailable:
 			s.counts.Unavailable++
-		case cairn.Unknown:
+		case chain.Unknown:
 			s.counts.Unknown++
 		}
 		if waiter, ok := s.pending[answer.ID]; ok {
@@ -276,7 +276,7 @@
 }
 
 // addrs returns the addresses of machines.
-func addrs(ids []cairn.MachineID) (out []string) {
+func addrs(ids []chain.MachineID) (out []string) {
 	for _, id := range ids {
 		out = append(out, id.Addr)
 	}
@@ -284,7 +284,7 @@
 }
 
 // send sends a message to another machine without waiting for it.
-func (s *Store) send(message *cairn.Message) {
+func (s *Store) send(message *chain.Message) {
 	if s.counts.Sent++; isBulky(message) {
 		if !s.sendBulk(message) {
 			s.counts.Unsent++
@@ -305,12 +305,12 @@
 
 // handleMessage receives a message of another machine. If the loop's queue is full, the message is
 // lost, as it could be on the network.
-func (s *Store) handleMessage(_ context.Context, message cairn.Message) (waymark.StatusRequest, error) {
+func (s *Store) handleMessage(_ context.Context, message chain.Message) (api.StatusRequest, error) {
 	select {
-	case s.events <- event{Event: cairn.Event{Message: &message}}:
+	case s.events <- event{Event: chain.Event{Message: &message}}:
 	default:
 	}
-	return waymark.StatusRequest{}, nil
+	return api.StatusRequest{}, nil
 }
 
 // request passes an event to the loop and waits for its answer.
@@ -332,13 +332,13 @@
 	select {
 	case answer := <-done:
 		switch answer.Outcome {
-		case cairn.OK:
+		case chain.OK:
 			return answer, nil
-		case cairn.Unavailable:
+		case chain.Unavailable:
 			return answer, rpc.Errorf(rpc.Unavailable, "the chain takes nothing now")
-		case cairn.Superseded:
+		case chain.Superseded:
 			return answer, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
-		case cairn.Refused:
+		case chain.Refused:
 			return answer, rpc.Errorf(rpc.Conflict, "another order is committed under this number")
 		}
 		return answer, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
@@ -349,26 +349,26 @@
 }
 
 // handleEnter handles a call to submit a change.
-func (s *Store) handleEnter(ctx context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+func (s *Store) handleEnter(ctx context.Context, request api.CommitRequest) (api.CommitResponse, error) {
 	if len(request.Change.Body) > maxChangeBytes {
-		return waymark.CommitResponse{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(request.Change.Body))
+		return api.CommitResponse{}, rpc.Errorf(rpc.Invalid, "a change of %d bytes", len(request.Change.Body))
 	}
 	id := s.lastID.Add(1)
-	_, err := s.request(ctx, event{Event: cairn.Event{Submit: &cairn.Submit{ID: id, Change: request.Change, KnownPosition: request.LastKnown}}, id: id})
-	return waymark.CommitResponse{}, err
+	_, err := s.request(ctx, event{Event: chain.Event{Submit: &chain.Submit{ID: id, Change: request.Change, KnownPosition: request.LastKnown}}, id: id})
+	return api.CommitResponse{}, err
 }
 
 // handleConfirm handles a call to read the current state.
-func (s *Store) handleConfirm(ctx context.Context, request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+func (s *Store) handleConfirm(ctx context.Context, request api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 	id := s.lastID.Add(1)
 	if request.AllowStale {
-		return s.recallCommitted(ctx, event{Event: cairn.Event{Read: &cairn.Read{ID: id}}, id: id})
+		return s.recallCommitted(ctx, event{Event: chain.Event{Read: &chain.Read{ID: id}}, id: id})
 	}
-	answer, err := s.request(ctx, event{Event: cairn.Event{Read: &cairn.Read{ID: id}}, id: id})
+	answer, err := s.request(ctx, event{Event: chain.Event{Read: &chain.Read{ID: id}}, id: id})
 	if err != nil {
-		return waymark.CommittedStateResponse{}, err
+		return api.CommittedStateResponse{}, err
 	}
-	confirmed := waymark.CommittedStateResponse{View: newerView(answer.view, request.HeldView)}
+	confirmed := api.CommittedStateResponse{View: newerView(answer.view, request.HeldView)}
 	if answer.State != nil {
 		confirmed.Last = answer.State.Last
 		if answer.State.Last.Seq > request.LastKnown.Seq {
@@ -380,7 +380,7 @@
 
 // withoutIdentities returns a state as it is sent to callers: without the identities of
 // configurations, which only the head needs.
-func withoutIdentities(state *cairn.State) *cairn.State {
+func withoutIdentities(state *chain.State) *chain.State {
 	if state == nil {
 		return nil
 	}
@@ -390,25 +390,25 @@
 }
 
 // handleForget handles an operator's order to remove a machine that is gone for good from the core.
-func (s *Store) handleForget(ctx context.Context, request waymark.RemoveNodeRequest) (waymark.RemoveNodeResponse, error) {
+func (s *Store) handleForget(ctx context.Context, request api.RemoveNodeRequest) (api.RemoveNodeResponse, error) {
 	id := s.lastID.Add(1)
-	answer, err := s.requestWithin(ctx, event{Event: cairn.Event{Remove: &cairn.Remove{ID: id, Addr: request.Addr}}, id: id}, removalTimeout)
+	answer, err := s.requestWithin(ctx, event{Event: chain.Event{Remove: &chain.Remove{ID: id, Addr: request.Addr}}, id: id}, removalTimeout)
 	if err != nil {
-		return waymark.RemoveNodeResponse{}, err
+		return api.RemoveNodeResponse{}, err
 	}
 	s.log.Info().Str("address", request.Addr).Msg("machine removed from the core by an operator's order")
-	return waymark.RemoveNodeResponse{Members: addrs(answer.view.Core)}, nil
+	return api.RemoveNodeResponse{Members: addrs(answer.view.Core)}, nil
 }
 
 // handleRebuild handles an operator's order to start a new core from this machine's copy.
-func (s *Store) handleRebuild(ctx context.Context, request waymark.RebuildRequest) (waymark.RebuildResponse, error) {
+func (s *Store) handleRebuild(ctx context.Context, request api.RebuildRequest) (api.RebuildResponse, error) {
 	id := s.lastID.Add(1)
-	answer, err := s.request(ctx, event{Event: cairn.Event{Rebuild: &cairn.Rebuild{ID: id, Last: request.LastEntry}}, id: id})
+	answer, err := s.request(ctx, event{Event: chain.Event{Rebuild: &chain.Rebuild{ID: id, Last: request.LastEntry}}, id: id})
 	if err != nil {
-		return waymark.RebuildResponse{}, err
+		return api.RebuildResponse{}, err
 	}
 	s.log.Warn().Uint64("view", answer.view.Number).Msg("core rebuilt from this machine's copy by an operator's order")
-	return waymark.RebuildResponse{View: answer.view.Number}, nil
+	return api.RebuildResponse{View: answer.view.Number}, nil
 }
 
 // describe describes the machine's condition in words. It must be called on the loop.
@@ -429,7 +429,7 @@
 }
 
 // newerView returns a view if it is newer than the caller's.
-func newerView(view cairn.View, knownNumber uint64) *cairn.View {
+func newerView(view chain.View, knownNumber uint64) *chain.View {
 	if view.Number <= knownNumber {
 		return nil
 	}
@@ -439,16 +439,16 @@
 // recallCommitted asks the tail, and if there is no quick answer returns what this machine knows to be
 // committed. After a power loss of the whole site, gatekeepers that have just started need not wait
 // for the chain to recover: they held nothing before, so an older state does not take them back.
-func (s *Store) recallCommitted(ctx context.Context, e event) (waymark.CommittedStateResponse, error) {
+func (s *Store) recallCommitted(ctx context.Context, e event) (api.CommittedStateResponse, error) {
 	tailCtx, cancel := context.WithTimeout(ctx, recallDelay)
 	answer, err := s.request(tailCtx, e)
 	cancel()
 	if err == nil {
-		return waymark.CommittedStateResponse{View: newerView(answer.view, 0), Last: answer.State.Last, State: withoutIdentities(answer.State)}, nil
+		return api.CommittedStateResponse{View: newerView(answer.view, 0), Last: answer.State.Last, State: withoutIdentities(answer.State)}, nil
 	}
-	answers := make(chan waymark.CommittedStateResponse, 1)
+	answers := make(chan api.CommittedStateResponse, 1)
 	inspection := event{inspect: func() {
-		answers <- waymark.CommittedStateResponse{View: newerView(s.known.view, 0), State: withoutIdentities(s.known.state), Stale: true}
+		answers <- api.CommittedStateResponse{View: newerView(s.known.view, 0), State: withoutIdentities(s.known.state), Stale: true}
 	}}
 	select {
 	case s.events <- inspection:
@@ -458,17 +458,17 @@
 	case confirmed := <-answers:
 		return confirmed, nil
 	case <-ctx.Done():
-		return waymark.CommittedStateResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
+		return api.CommittedStateResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
 }
 
 // handleStatus handles a call for a description of the machine's condition.
-func (s *Store) handleStatus(ctx context.Context, _ waymark.StatusRequest) (waymark.StatusResponse, error) {
-	answers := make(chan waymark.StatusResponse, 1)
+func (s *Store) handleStatus(ctx context.Context, _ api.StatusRequest) (api.StatusResponse, error) {
+	answers := make(chan api.StatusResponse, 1)
 	select {
 	case s.events <- event{inspect: func() {
 		view := s.known.view
-		answers <- waymark.StatusResponse{Lines: []string{
+		answers <- api.StatusResponse{Lines: []string{
 			"station " + s.settings.Node,
 			fmt.Sprintf("view %d chain %v core %v", view.Number, addrs(view.Chain), addrs(view.Core)),
 			s.describe(),
@@ -481,6 +481,6 @@
 	case status := <-answers:
 		return status, nil
 	case <-ctx.Done():
-		return waymark.StatusResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
+		return api.StatusResponse{}, rpc.Errorf(rpc.Unknown, "the loop did not answer")
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/configstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package configstore
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/recordlog"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/configstore/recordlog"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // waitLimit is the time limit for anything the tests wait for. Only a failure takes that long.
@@ -96,12 +96,12 @@
 }
 
 // configuration returns a call that submits a configuration.
-func configuration(edition uint64) waymark.CommitRequest {
-	return waymark.CommitRequest{Change: cairn.Change{Kind: cairn.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
+func configuration(edition uint64) api.CommitRequest {
+	return api.CommitRequest{Change: chain.Change{Kind: chain.PutConfiguration, Edition: edition, Body: []byte("edition " + strconv.FormatUint(edition, 10))}}
 }
 
 // enter submits a change. It retries while the chain is starting or the machine is busy.
-func enter(t *testing.T, s *Store, q waymark.CommitRequest) {
+func enter(t *testing.T, s *Store, q api.CommitRequest) {
 	t.Helper()
 	for until := time.Now().Add(waitLimit); ; {
 		_, err := s.handleEnter(t.Context(), q)
@@ -115,7 +115,7 @@
 }
 
 // confirm reads the state. It retries while the chain is starting or the machine is busy.
-func confirm(t *testing.T, s *Store, q waymark.CommittedStateRequest) waymark.CommittedStateResponse {
+func confirm(t *testing.T, s *Store, q api.CommittedStateRequest) api.CommittedStateResponse {
 	t.Helper()
 	for until := time.Now().Add(waitLimit); ; {
 		c, err := s.handleConfirm(t.Context(), q)
@@ -134,22 +134,22 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
-	enter(t, s, waymark.CommitRequest{Change: cairn.Change{Kind: cairn.Evacuate, Zone: "a1"}})
+	enter(t, s, api.CommitRequest{Change: chain.Change{Kind: chain.Evacuate, Zone: "a1"}})
 	enter(t, s, configuration(6)) // acknowledged, and changes nothing
-	first := confirm(t, s, waymark.CommittedStateRequest{})
+	first := confirm(t, s, api.CommittedStateRequest{})
 	assert.NilError(t, end())
 
 	set.FirstRun = false
 	s = open(t, set, noFault)
 	end = run(t, s)
-	again := confirm(t, s, waymark.CommittedStateRequest{})
+	again := confirm(t, s, api.CommittedStateRequest{})
 	assert.Equal(t, string(again.State.Body), "edition 7")
 	assert.Equal(t, again.State.Edition, uint64(7))
 	_, evacuated := again.State.Evacuated["a1"]
 	assert.Assert(t, evacuated)
 	assert.Assert(t, again.Last.Seq >= first.Last.Seq, "%v after %v", again.Last, first.Last)
 	enter(t, s, configuration(8))
-	assert.Equal(t, confirm(t, s, waymark.CommittedStateRequest{}).State.Edition, uint64(8))
+	assert.Equal(t, confirm(t, s, api.CommittedStateRequest{}).State.Edition, uint64(8))
 	assert.NilError(t, end())
 }
 
@@ -158,28 +158,28 @@
 	s := open(t, settings(t), noFault)
 	run(t, s)
 	enter(t, s, configuration(1))
-	c := confirm(t, s, waymark.CommittedStateRequest{})
+	c := confirm(t, s, api.CommittedStateRequest{})
 	assert.Equal(t, c.State.Edition, uint64(1))
 	assert.Equal(t, c.Last, c.State.Last)
 	assert.Equal(t, len(c.View.Core), 1)
 	assert.Assert(t, !c.Stale)
-	again := confirm(t, s, waymark.CommittedStateRequest{LastKnown: c.Last})
+	again := confirm(t, s, api.CommittedStateRequest{LastKnown: c.Last})
 	assert.Assert(t, again.State == nil)
 	assert.Equal(t, again.Last, c.Last)
-	_, err := s.handleEnter(t.Context(), waymark.CommitRequest{Change: cairn.Change{Body: make([]byte, maxChangeBytes+1)}})
+	_, err := s.handleEnter(t.Context(), api.CommitRequest{Change: chain.Change{Body: make([]byte, maxChangeBytes+1)}})
 	assert.Equal(t, rpc.KindOf(err), rpc.Invalid)
 }
 
 // TestNothingIsSentBeforeSync checks that at the time of a sync nothing of its step has been
 // sent or answered, and that if the sync fails nothing ever is.
 func TestNothingIsSentBeforeSync(t *testing.T) {
-	heard := make(chan cairn.Message, 9)
+	heard := make(chan chain.Message, 9)
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := rpc.NewServer()
-	rpc.Handle(server, func(_ context.Context, m cairn.Message) (waymark.StatusRequest, error) {
+	rpc.Handle(server, func(_ context.Context, m chain.Message) (api.StatusRequest, error) {
 		heard <- m
-		return waymark.StatusRequest{}, nil
+		return api.StatusRequest{}, nil
 	})
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Close)
@@ -202,8 +202,8 @@
 			syncs++
 			assert.Check(t, len(done) == 0 && looked == 0 && s.counts.Sent == 0 && len(s.peers) == 0)
 		}
-		out := cairn.Output{Persist: []cairn.Record{{Committed: 1}}, Results: []cairn.Result{{ID: 1}},
-			Send: []cairn.Message{{To: cairn.MachineID{Addr: ln.Addr().String()}, Heartbeat: &cairn.Heartbeat{View: 3}}}}
+		out := chain.Output{Persist: []chain.Record{{Committed: 1}}, Results: []chain.Result{{ID: 1}},
+			Send: []chain.Message{{To: chain.MachineID{Addr: ln.Addr().String()}, Heartbeat: &chain.Heartbeat{View: 3}}}}
 		err := s.releaseOutput(t.Context(), &out)
 		assert.Assert(t, syncs > 0)
 		if fails {
@@ -226,12 +226,12 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(7))
-	confirmed := confirm(t, s, waymark.CommittedStateRequest{})
+	confirmed := confirm(t, s, api.CommittedStateRequest{})
 	enter(t, s, configuration(7)) // its record tells that the previous change is committed
 	assert.NilError(t, end())
 	self := confirmed.View.Core[0]
-	three := []cairn.MachineID{self, {Addr: "127.0.0.2:1", Disk: "two"}, {Addr: "127.0.0.3:1", Disk: "three"}}
-	batch, err := encode([]cairn.Record{{View: &cairn.ViewRecord{View: cairn.View{Number: confirmed.View.Number + 1, Chain: three, Core: three}, Complete: true}}})
+	three := []chain.MachineID{self, {Addr: "127.0.0.2:1", Disk: "two"}, {Addr: "127.0.0.3:1", Disk: "three"}}
+	batch, err := encode([]chain.Record{{View: &chain.ViewRecord{View: chain.View{Number: confirmed.View.Number + 1, Chain: three, Core: three}, Complete: true}}})
 	assert.NilError(t, err)
 	journal, _, err := recordlog.Open(set.DataDir)
 	assert.NilError(t, err)
@@ -241,21 +241,21 @@
 	set.FirstRun = false
 	s = open(t, set, noFault)
 	run(t, s)
-	known := confirm(t, s, waymark.CommittedStateRequest{AllowStale: true})
+	known := confirm(t, s, api.CommittedStateRequest{AllowStale: true})
 	assert.Assert(t, known.Stale)
 	assert.Equal(t, known.State.Edition, uint64(7))
 	assert.Equal(t, string(known.State.Body), "edition 7")
-	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
+	_, err = s.handleConfirm(t.Context(), api.CommittedStateRequest{})
 	assert.Assert(t, err != nil, "local knowledge was returned as the tail's answer")
 
 	// A first start at which the two other machines never start.
 	set = settings(t, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1")
 	lone := open(t, set, noFault)
 	run(t, lone)
-	c := confirm(t, lone, waymark.CommittedStateRequest{AllowStale: true})
+	c := confirm(t, lone, api.CommittedStateRequest{AllowStale: true})
 	assert.Assert(t, c.Stale)
 	assert.Assert(t, c.State == nil || len(c.State.Body) == 0)
-	_, err = lone.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
+	_, err = lone.handleConfirm(t.Context(), api.CommittedStateRequest{})
 	assert.Assert(t, err != nil, "a read succeeded without the other machines")
 	_, err = lone.handleEnter(t.Context(), configuration(1))
 	kind := rpc.KindOf(err)
@@ -267,18 +267,18 @@
 func TestFullQueueIsBusy(t *testing.T) {
 	s := open(t, settings(t), noFault) // its loop is not running
 	for range maxQueue {
-		_, err := s.handleMessage(t.Context(), cairn.Message{})
+		_, err := s.handleMessage(t.Context(), chain.Message{})
 		assert.NilError(t, err)
 	}
-	_, err := s.handleMessage(t.Context(), cairn.Message{}) // dropped without blocking the sender
+	_, err := s.handleMessage(t.Context(), chain.Message{}) // dropped without blocking the sender
 	assert.NilError(t, err)
 	_, err = s.handleEnter(t.Context(), configuration(1))
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
-	_, err = s.handleConfirm(t.Context(), waymark.CommittedStateRequest{})
+	_, err = s.handleConfirm(t.Context(), api.CommittedStateRequest{})
 	assert.Equal(t, rpc.KindOf(err), rpc.Busy)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = s.handleConfirm(ctx, waymark.CommittedStateRequest{AllowStale: true})
+	_, err = s.handleConfirm(ctx, api.CommittedStateRequest{AllowStale: true})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unknown)
 }
 
@@ -300,11 +300,11 @@
 	s := open(t, set, noFault)
 	end := run(t, s)
 	enter(t, s, configuration(1))
-	confirm(t, s, waymark.CommittedStateRequest{})
-	f, err := s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: "127.0.0.1:9"})
+	confirm(t, s, api.CommittedStateRequest{})
+	f, err := s.handleForget(t.Context(), api.RemoveNodeRequest{Addr: "127.0.0.1:9"})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, f.Members, []string{set.InnerAddress(innerDockIndex)})
-	_, err = s.handleForget(t.Context(), waymark.RemoveNodeRequest{Addr: set.InnerAddress(innerDockIndex)})
+	_, err = s.handleForget(t.Context(), api.RemoveNodeRequest{Addr: set.InnerAddress(innerDockIndex)})
 	assert.Equal(t, rpc.KindOf(err), rpc.Unavailable)
 	assert.NilError(t, end())
 	assert.Assert(t, s.counts.Submits >= 1 && s.counts.Asks >= 1)
--- a/internal/configcache/configcache.go
+++ b/internal/control/configcache/configcache.go
@@ -12,8 +12,8 @@
 	"maps"
 	"slices"
 
-	"foxwood/internal/membership"
-	"foxwood/internal/waymark"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/rpc/api"
 )
 
 // ConfigurationKey is the key that selects the zone home of the configuration, in the same key space as
@@ -59,7 +59,7 @@
 
 // cachedWorker is a worker with the version at which it last changed.
 type cachedWorker struct {
-	waymark.Worker
+	api.Worker
 	coldUntil      float64 // end of the cold period
 	changedVersion uint64
 }
@@ -91,7 +91,7 @@
 
 // FillHeartbeat fills the heartbeat's fields that state what is held. Data still missing is requested
 // from the registry: by then the zone homes have been asked.
-func (c *Cache) FillHeartbeat(heartbeat *waymark.SessionRequest) {
+func (c *Cache) FillHeartbeat(heartbeat *api.SessionRequest) {
 	heartbeat.ConfigVersion, heartbeat.EvacuationNumber, heartbeat.EndpointsVersion, heartbeat.WantConfig, heartbeat.WantEndpoints, heartbeat.MirrorOrderNumber = c.edition, c.evacuationVersion, c.announcedVersion, c.announcedEdition > c.edition, nil, c.mirrorOrderNumber
 	heartbeat.WithdrawnChecksum = c.withdrawnHash
 	for name, d := range c.destinations {
@@ -105,7 +105,7 @@
 }
 
 // ApplyAnswer applies a registry's answer, except for the configuration's body.
-func (c *Cache) ApplyAnswer(now float64, answer *waymark.SessionResponse) {
+func (c *Cache) ApplyAnswer(now float64, answer *api.SessionResponse) {
 	if answer.ConfigVersion > c.announcedEdition {
 		c.announcedEdition, c.announcedBytes = answer.ConfigVersion, answer.ConfigBytes
 	}
@@ -142,7 +142,7 @@
 
 // AddParts adds workers of destinations. Changes relative to a version that is not held are ignored,
 // as they would leave a gap.
-func (c *Cache) AddParts(now float64, parts []waymark.DestinationEndpoints) {
+func (c *Cache) AddParts(now float64, parts []api.DestinationEndpoints) {
 	for _, part := range parts {
 		if d := c.destination(part.Destination); part.Version > d.version && (part.Since == 0 || part.Since <= d.version) {
 			d.apply(part.Version, part.Workers, part.Since == 0, now)
@@ -151,7 +151,7 @@
 }
 
 // apply applies the workers of a version: the full list, or the changes since the version held.
-func (d *destination) apply(version uint64, workers []waymark.Worker, whole bool, now float64) {
+func (d *destination) apply(version uint64, workers []api.Worker, whole bool, now float64) {
 	if whole { // changes between the old version and this one are unknown
 		clear(d.workers)
 		clear(d.removed)
@@ -235,7 +235,7 @@
 // withdraw removes from use the workers that registries withdrew while nobody held the duty of the
 // endpoint list. Later data of a duty holder takes precedence; until it has been received here, the
 // workers stay withdrawn.
-func (c *Cache) withdraw(answer *waymark.SessionResponse) {
+func (c *Cache) withdraw(answer *api.SessionResponse) {
 	if answer.WithdrawnChecksum != 0 {
 		c.withdrawnHash = answer.WithdrawnChecksum
 	}
@@ -252,7 +252,7 @@
 		}
 	}
 	maps.DeleteFunc(c.withdrawn, func(id string, knownVersion uint64) bool {
-		withdrawal := waymark.WithdrawnWorker{ListVersion: knownVersion}
+		withdrawal := api.WithdrawnWorker{ListVersion: knownVersion}
 		for _, d := range c.destinations {
 			if worker, ok := d.workers[id]; ok {
 				return withdrawal.Superseded(d.version, worker.changedVersion)
@@ -264,12 +264,12 @@
 
 // Workers returns a destination's workers as they are to be used: one that was withdrawn is marked
 // as closing.
-func (c *Cache) Workers(now float64, name string) []waymark.Worker {
+func (c *Cache) Workers(now float64, name string) []api.Worker {
 	list := c.listedWorkers(now, name)
 	for i := range list {
 		if knownVersion, ok := c.withdrawn[list[i].ID]; ok {
 			d := c.destinations[name]
-			list[i].Draining = list[i].Draining || !(waymark.WithdrawnWorker{ListVersion: knownVersion}).Superseded(d.version, d.workers[list[i].ID].changedVersion)
+			list[i].Draining = list[i].Draining || !(api.WithdrawnWorker{ListVersion: knownVersion}).Superseded(d.version, d.workers[list[i].ID].changedVersion)
 		}
 	}
 	return list
@@ -277,12 +277,12 @@
 
 // listedWorkers returns a destination's workers with the rest of their cold periods. The time spent
 // in this cache is subtracted, so that passing a worker on never prolongs its cold period.
-func (c *Cache) listedWorkers(now float64, name string) []waymark.Worker {
+func (c *Cache) listedWorkers(now float64, name string) []api.Worker {
 	d := c.destinations[name]
 	if d == nil {
 		return nil
 	}
-	list := make([]waymark.Worker, 0, len(d.workers))
+	list := make([]api.Worker, 0, len(d.workers))
 	for _, id := range slices.Sorted(maps.Keys(d.workers)) {
 		cached := d.workers[id]
 		cached.SlowStartLeftMS = max(cached.coldUntil-now, 0)
@@ -292,18 +292,18 @@
 }
 
 // wholePart returns the full list of a destination's workers as a message part.
-func (c *Cache) wholePart(now float64, name string) waymark.DestinationEndpoints {
-	return waymark.DestinationEndpoints{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
+func (c *Cache) wholePart(now float64, name string) api.DestinationEndpoints {
+	return api.DestinationEndpoints{Destination: name, Version: c.destinations[name].version, Workers: c.listedWorkers(now, name)}
 }
 
 // changesSince returns a destination's workers for a peer that holds heldVersion: only the changes
 // since then if all of them are known, or else the full list.
-func (c *Cache) changesSince(now float64, name string, heldVersion uint64) waymark.DestinationEndpoints {
+func (c *Cache) changesSince(now float64, name string, heldVersion uint64) api.DestinationEndpoints {
 	d := c.destinations[name]
 	if heldVersion == 0 || heldVersion < d.changesSince {
 		return c.wholePart(now, name)
 	}
-	part := waymark.DestinationEndpoints{Destination: name, Version: d.version, Since: heldVersion}
+	part := api.DestinationEndpoints{Destination: name, Version: d.version, Since: heldVersion}
 	for _, w := range c.listedWorkers(now, name) {
 		if d.workers[w.ID].changedVersion > heldVersion {
 			part.Workers = append(part.Workers, w)
@@ -311,7 +311,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.removed)) {
 		if d.removed[id].changedVersion > heldVersion {
-			part.Workers = append(part.Workers, waymark.Worker{ID: id, Removed: true})
+			part.Workers = append(part.Workers, api.Worker{ID: id, Removed: true})
 		}
 	}
 	return part
@@ -329,12 +329,12 @@
 // with the answer. Each version is requested from a zone home once. The registry has to supply what
 // is missing after that, and what has no other owner to ask: if this gatekeeper is the owner
 // itself, if there is none, or if the owner has just failed.
-func (c *Cache) PlanRequests(now float64, zone ZonePeers) (requests map[string]waymark.SubscribeRequest, bodyBytes int) {
+func (c *Cache) PlanRequests(now float64, zone ZonePeers) (requests map[string]api.SubscribeRequest, bodyBytes int) {
 	ready := zone.Peers
 	if zone.SelfReady {
 		ready = append(slices.Clone(ready), zone.Self)
 	}
-	requests = map[string]waymark.SubscribeRequest{}
+	requests = map[string]api.SubscribeRequest{}
 	owner := func(service string) string {
 		addr := membership.OwnerAmong(ready, zone.Name, service)
 		if addr == zone.Self || now < c.avoidUntil[addr] {
@@ -345,7 +345,7 @@
 	if c.announcedEdition > max(c.edition, c.requestedEdition) && c.edition > 0 {
 		c.requestedEdition = c.announcedEdition
 		if addr := owner(ConfigurationKey); addr != "" {
-			requests[addr] = waymark.SubscribeRequest{ConfigVersion: c.announcedEdition}
+			requests[addr] = api.SubscribeRequest{ConfigVersion: c.announcedEdition}
 			bodyBytes = c.announcedBytes
 		}
 	}
@@ -367,7 +367,7 @@
 }
 
 // RecordAnswer records how a zone home answered a request; err is not nil if it did not.
-func (c *Cache) RecordAnswer(now float64, owner string, request *waymark.SubscribeRequest, err error) {
+func (c *Cache) RecordAnswer(now float64, owner string, request *api.SubscribeRequest, err error) {
 	maps.DeleteFunc(c.avoidUntil, func(_ string, until float64) bool { return until <= now })
 	if err != nil || !c.CanAnswer(request) {
 		c.avoidUntil[owner] = now + ownerRetryDelayMs
@@ -375,7 +375,7 @@
 }
 
 // CanAnswer reports whether everything that a peer requests is held.
-func (c *Cache) CanAnswer(request *waymark.SubscribeRequest) bool {
+func (c *Cache) CanAnswer(request *api.SubscribeRequest) bool {
 	for name, version := range request.EndpointVersions {
 		if d := c.destinations[name]; d == nil || d.version < version {
 			return false
@@ -385,7 +385,7 @@
 }
 
 // Answer returns what is held of a peer's request. Data older than requested is left out.
-func (c *Cache) Answer(now float64, request *waymark.SubscribeRequest) (answer waymark.SubscribeResponse) {
+func (c *Cache) Answer(now float64, request *api.SubscribeRequest) (answer api.SubscribeResponse) {
 	if request.ConfigVersion > 0 && c.edition >= request.ConfigVersion {
 		answer.Config = c.body
 	}
@@ -398,8 +398,8 @@
 }
 
 // HeldVersions returns the versions held, as the answer to a peer's offer.
-func (c *Cache) HeldVersions() waymark.PeerSyncResponse {
-	held := waymark.PeerSyncResponse{ConfigVersion: c.edition, EvacuationNumber: c.evacuationVersion, EndpointVersions: map[string]uint64{}, MirrorOrderNumber: c.mirrorOrderNumber}
+func (c *Cache) HeldVersions() api.PeerSyncResponse {
+	held := api.PeerSyncResponse{ConfigVersion: c.edition, EvacuationNumber: c.evacuationVersion, EndpointVersions: map[string]uint64{}, MirrorOrderNumber: c.mirrorOrderNumber}
 	for name, d := range c.destinations {
 		held.EndpointVersions[name] = d.version
 	}
@@ -407,9 +407,9 @@
 }
 
 // Offer returns the versions that could be handed over.
-func (c *Cache) Offer() waymark.PeerSyncRequest {
+func (c *Cache) Offer() api.PeerSyncRequest {
 	held := c.HeldVersions()
-	offer := waymark.PeerSyncRequest{ConfigVersion: held.ConfigVersion, EvacuationNumber: held.EvacuationNumber, EndpointVersions: held.EndpointVersions, EndpointsVersion: c.announcedVersion, MirrorOrderNumber: held.MirrorOrderNumber}
+	offer := api.PeerSyncRequest{ConfigVersion: held.ConfigVersion, EvacuationNumber: held.EvacuationNumber, EndpointVersions: held.EndpointVersions, EndpointsVersion: c.announcedVersion, MirrorOrderNumber: held.MirrorOrderNumber}
 	for _, d := range c.destinations {
 		if d.version < c.announcedVersion { // the destinations held are then not complete for that version
 			offer.EndpointsVersion = 0
@@ -419,7 +419,7 @@
 }
 
 // LacksAnyOf reports whether an offer contains data that is missing here.
-func (c *Cache) LacksAnyOf(offer *waymark.PeerSyncRequest) bool {
+func (c *Cache) LacksAnyOf(offer *api.PeerSyncRequest) bool {
 	for name, version := range offer.EndpointVersions {
 		if d := c.destinations[name]; d == nil || d.version < version {
 			return true
@@ -429,7 +429,7 @@
 }
 
 // HandOver returns the data that a peer lacks, and whether there is any.
-func (c *Cache) HandOver(now float64, held *waymark.PeerSyncResponse) (handover waymark.PeerSyncRequest, nonEmpty bool) {
+func (c *Cache) HandOver(now float64, held *api.PeerSyncResponse) (handover api.PeerSyncRequest, nonEmpty bool) {
 	handover = c.Offer()
 	handover.HasState = true
 	if handover.ConfigVersion > held.ConfigVersion {
@@ -452,7 +452,7 @@
 // AcceptHandover applies data that a peer hands over, except for the configuration's body. A cache to which
 // nothing has been announced yet also adopts the sender's announced version: registries then send
 // only newer data, and learn from that version which terms there have been.
-func (c *Cache) AcceptHandover(now float64, handover *waymark.PeerSyncRequest) {
+func (c *Cache) AcceptHandover(now float64, handover *api.PeerSyncRequest) {
 	c.SetEvacuatedZones(handover.EvacuationNumber, handover.Evacuated)
 	c.SetMirrorOrder(handover.MirrorOrderNumber, handover.MirrorOrder)
 	c.AddParts(now, handover.Endpoints)
--- a/internal/configcache/withdrawn_test.go
+++ b/internal/control/configcache/withdrawn_test.go
@@ -7,21 +7,21 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
-const firstOfTerm = 1 << waymark.TermShift
+const firstOfTerm = 1 << api.TermShift
 
-func part(version, since uint64, workers ...waymark.Worker) waymark.DestinationEndpoints {
-	return waymark.DestinationEndpoints{Destination: "d", Version: version, Since: since, Workers: workers}
+func part(version, since uint64, workers ...api.Worker) api.DestinationEndpoints {
+	return api.DestinationEndpoints{Destination: "d", Version: version, Since: since, Workers: workers}
 }
 
-func announcement(version uint64, p waymark.DestinationEndpoints) *waymark.SessionResponse {
-	return &waymark.SessionResponse{EndpointChanges: &waymark.EndpointChanges{Version: version, VersionsBehind: map[string]uint64{"d": version - p.Version}}, Endpoints: []waymark.DestinationEndpoints{p}}
+func announcement(version uint64, p api.DestinationEndpoints) *api.SessionResponse {
+	return &api.SessionResponse{EndpointChanges: &api.EndpointChanges{Version: version, VersionsBehind: map[string]uint64{"d": version - p.Version}}, Endpoints: []api.DestinationEndpoints{p}}
 }
 
-func withdrawals(mark uint64, list ...waymark.WithdrawnWorker) *waymark.SessionResponse {
-	return &waymark.SessionResponse{Withdrawn: list, WithdrawnChecksum: mark}
+func withdrawals(mark uint64, list ...api.WithdrawnWorker) *api.SessionResponse {
+	return &api.SessionResponse{Withdrawn: list, WithdrawnChecksum: mark}
 }
 
 // usableWorkers returns the workers that requests may be sent to.
@@ -37,26 +37,26 @@
 // TestWithdrawnWorkerIsNotUsed: a worker that was withdrawn without a duty holder is not used until
 // later data of a duty holder has been received here.
 func TestWithdrawnWorkerIsNotUsed(t *testing.T) {
-	a, b, c := waymark.Worker{ID: "a"}, waymark.Worker{ID: "b"}, waymark.Worker{ID: "c"}
+	a, b, c := api.Worker{ID: "a"}, api.Worker{ID: "b"}, api.Worker{ID: "c"}
 	const version = 3*firstOfTerm | 7
 	initial := announcement(version, part(version, 0, a, b))
-	withdrawal := withdrawals(1, waymark.WithdrawnWorker{ID: "a", ListVersion: version})
+	withdrawal := withdrawals(1, api.WithdrawnWorker{ID: "a", ListVersion: version})
 	for _, c := range []struct {
 		name    string
-		answers []*waymark.SessionResponse
+		answers []*api.SessionResponse
 		want    []string
 	}{
-		{"no withdrawal", []*waymark.SessionResponse{initial}, []string{"a", "b"}},
-		{"withdrawn", []*waymark.SessionResponse{initial, withdrawal}, []string{"b"}},
-		{"withdrawn before the workers are received", []*waymark.SessionResponse{withdrawal, initial}, []string{"b"}},
-		{"the same term announces another worker", []*waymark.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, c))}, []string{"b", "c"}},
-		{"the same term announces the worker later", []*waymark.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"a", "b"}},
-		{"the same term announces the worker later, the withdrawal arrives late", []*waymark.SessionResponse{initial, announcement(version+1, part(version+1, version, a)), withdrawal}, []string{"a", "b"}},
-		{"the next term is announced, its workers are not received yet", []*waymark.SessionResponse{initial, withdrawal,
-			{EndpointChanges: &waymark.EndpointChanges{Version: 4*firstOfTerm | 1, VersionsBehind: map[string]uint64{"d": 0}}}}, []string{"b"}},
-		{"the next term's workers are received", []*waymark.SessionResponse{initial, withdrawal, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c))}, []string{"a", "b", "c"}},
-		{"a withdrawal from before the term arrives late", []*waymark.SessionResponse{initial, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c)), withdrawal}, []string{"a", "b", "c"}},
-		{"withdrawn twice, the newer version counts", []*waymark.SessionResponse{initial, withdrawals(2, waymark.WithdrawnWorker{ID: "a", ListVersion: version + 2}), withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"b"}},
+		{"no withdrawal", []*api.SessionResponse{initial}, []string{"a", "b"}},
+		{"withdrawn", []*api.SessionResponse{initial, withdrawal}, []string{"b"}},
+		{"withdrawn before the workers are received", []*api.SessionResponse{withdrawal, initial}, []string{"b"}},
+		{"the same term announces another worker", []*api.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, c))}, []string{"b", "c"}},
+		{"the same term announces the worker later", []*api.SessionResponse{initial, withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"a", "b"}},
+		{"the same term announces the worker later, the withdrawal arrives late", []*api.SessionResponse{initial, announcement(version+1, part(version+1, version, a)), withdrawal}, []string{"a", "b"}},
+		{"the next term is announced, its workers are not received yet", []*api.SessionResponse{initial, withdrawal,
+			{EndpointChanges: &api.EndpointChanges{Version: 4*firstOfTerm | 1, VersionsBehind: map[string]uint64{"d": 0}}}}, []string{"b"}},
+		{"the next term's workers are received", []*api.SessionResponse{initial, withdrawal, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c))}, []string{"a", "b", "c"}},
+		{"a withdrawal from before the term arrives late", []*api.SessionResponse{initial, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b, c)), withdrawal}, []string{"a", "b", "c"}},
+		{"withdrawn twice, the newer version counts", []*api.SessionResponse{initial, withdrawals(2, api.WithdrawnWorker{ID: "a", ListVersion: version + 2}), withdrawal, announcement(version+1, part(version+1, version, a))}, []string{"b"}},
 	} {
 		cache := New()
 		for _, answer := range c.answers {
@@ -72,11 +72,11 @@
 	revision = cache.Revisions()["d"]
 	cache.ApplyAnswer(0, withdrawal)
 	assert.Equal(t, cache.Revisions()["d"], revision)
-	var heartbeat waymark.SessionRequest
+	var heartbeat api.SessionRequest
 	cache.FillHeartbeat(&heartbeat)
 	assert.Equal(t, heartbeat.WithdrawnChecksum, uint64(1))
 	// Zone peers get the duty holder's data unchanged.
-	given := cache.Answer(0, &waymark.SubscribeRequest{EndpointVersions: map[string]uint64{"d": version}})
+	given := cache.Answer(0, &api.SubscribeRequest{EndpointVersions: map[string]uint64{"d": version}})
 	assert.Assert(t, !given.Endpoints[0].Workers[0].Draining)
 	cache.ApplyAnswer(0, announcement(4*firstOfTerm|1, part(4*firstOfTerm|1, 0, a, b)))
 	assert.Equal(t, len(cache.withdrawn), 0)
@@ -88,17 +88,17 @@
 func TestWithdrawalsCommute(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		all := []waymark.Worker{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}
+		all := []api.Worker{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}
 		const version = firstOfTerm | 1
 		cache := New()
 		cache.ApplyAnswer(0, announcement(version, part(version, 0, all...)))
 		withdrawn := map[string]bool{}
-		var delayed []*waymark.SessionResponse
+		var delayed []*api.SessionResponse
 		for range 12 {
-			var list []waymark.WithdrawnWorker
+			var list []api.WithdrawnWorker
 			for _, worker := range all {
 				if rng.IntN(4) == 0 {
-					list = append(list, waymark.WithdrawnWorker{ID: worker.ID, ListVersion: version + uint64(rng.IntN(3))})
+					list = append(list, api.WithdrawnWorker{ID: worker.ID, ListVersion: version + uint64(rng.IntN(3))})
 				}
 			}
 			answer := withdrawals(rng.Uint64()|1, list...)
--- a/internal/election/election.go
+++ b/internal/control/election/election.go
@@ -262,7 +262,7 @@
 			return
 		}
 		if slices.Equal(voters, last.voters) && shrunk == last.shrunk {
-			// The view has changed but not the voters. Addresses were only added to the core (internal/cairn), so
+			// The view has changed but not the voters. Addresses were only added to the core (internal/configstore/chain), so
 			// there was no other electorate in between either.
 			last.edition, last.confirmedAt = edition, max(last.confirmedAt, queriedAt)
 			return
--- a/internal/election/encoding_test.go
+++ b/internal/control/election/encoding_test.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/election"
+	"foxwood/internal/control/election"
 	"foxwood/internal/rpc"
 	"foxwood/internal/testing/encoding"
 )
--- a/internal/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -18,7 +18,7 @@
 	return (limit.RatePerS*testBounds.WindowS+limit.Burst)*(1+testBounds.Excess) + testBounds.Slack
 }
 
-const leaseMs = 1300.0 // milliseconds, as in internal/bothy
+const leaseMs = 1300.0 // milliseconds, as in internal/control/registry
 
 // newStartedAllocator returns an allocator whose first lease is over, and the ids of its n
 // gatekeepers; it has one tenant, "t".
@@ -202,7 +202,7 @@
 	c.vacantSince, c.vacantUntil, c.beginPending = c.now, c.now+vacantMs, true
 }
 
-// useMinimums does what a gatekeeper does that reaches no allocator, as internal/switchback does.
+// useMinimums does what a gatekeeper does that reaches no allocator, as internal/dataplane/proxy does.
 func (c *cluster) useMinimums(i int) {
 	self := c.gatekeepers[i]
 	if self.allocated {
--- a/internal/quota/settings.go
+++ b/internal/control/quota/settings.go
@@ -4,7 +4,7 @@
 	"iter"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/timetable"
+	"foxwood/internal/control/routeconfig"
 )
 
 // BoundsOf returns the bounds given by the boot configuration.
@@ -13,12 +13,12 @@
 }
 
 // LimitOf returns the quota of a tenant of the timetable.
-func LimitOf(sender *timetable.Tenant) Limit {
+func LimitOf(sender *routeconfig.Tenant) Limit {
 	return Limit{RatePerS: sender.RatePerS, Burst: sender.Burst}
 }
 
 // LimitedTenants iterates over the tenants of a configuration that have a quota, by name.
-func LimitedTenants(table *timetable.Config) iter.Seq2[string, Limit] {
+func LimitedTenants(table *routeconfig.Config) iter.Seq2[string, Limit] {
 	return func(yield func(string, Limit) bool) {
 		for i := range table.Tenants {
 			if sender := &table.Tenants[i]; sender.RatePerS > 0 && !yield(sender.Name, LimitOf(sender)) {
--- a/internal/bothy/coldstartsim_test.go
+++ b/internal/control/registry/coldstartsim_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/configcache"
-	"foxwood/internal/election"
-	"foxwood/internal/membership"
-	"foxwood/internal/slowstart"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/election"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/slowstart"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -96,7 +96,7 @@
 // listSnapshot is the platform's list at one time.
 type listSnapshot struct {
 	at        float64
-	list      []waymark.Worker
+	list      []api.Worker
 	coldUntil map[string]float64
 }
 
@@ -111,7 +111,7 @@
 	isolated    bool                  // cut off from all registries
 	frozenUntil float64
 	cache       *configcache.Cache
-	peers       waymark.MemberView
+	peers       api.MemberView
 	lease       slowstart.Lease
 	gateway     *policy.Gateway
 	requests    uint32
@@ -127,13 +127,13 @@
 
 func newSimWorld(t *testing.T, seed uint64, fault simFault) *simWorld {
 	w := &simWorld{t: t, fault: fault, random: rand.New(rand.NewPCG(seed, 7)), now: 100, workers: map[policy.Server]*simWorker{}}
-	var machines []cairn.MachineID
+	var machines []chain.MachineID
 	var addrs []string
 	for i := range 4 {
 		addrs = append(addrs, fmt.Sprintf("10.%d.0.1:7460", i+1))
-		machines = append(machines, cairn.MachineID{Addr: fmt.Sprintf("10.%d.0.1:7461", i+1), Disk: "first"})
+		machines = append(machines, chain.MachineID{Addr: fmt.Sprintf("10.%d.0.1:7461", i+1), Disk: "first"})
 	}
-	parsed, err := timetable.Parse([]byte(configuration))
+	parsed, err := routeconfig.Parse([]byte(configuration))
 	assert.NilError(t, err)
 	for i := range 4 {
 		settings := &bootconfig.Settings{Node: fmt.Sprint("sorting-", i), IP: fmt.Sprintf("10.%d.0.1", i+1), InnerPorts: []int{7460, 7475},
@@ -143,7 +143,7 @@
 		registry.clock = func() float64 { return w.now }
 		registry.sessions = membership.New(addrs[i], uint64(i+1), w.now, sessionTimeoutMs)
 		registry.election = election.New(addrs[i], uint64(i+1), w.now, dutyLeaseMs, true, dutyEndpoints, dutyQuota)
-		registry.view = cairn.View{Number: 1, Chain: machines, Core: machines, Epoch: 1, Seats: 4}
+		registry.view = chain.View{Number: 1, Chain: machines, Core: machines, Epoch: 1, Seats: 4}
 		registry.configuration = parsed
 		registry.updateRegistries()
 		w.registries = append(w.registries, &simRegistry{Registry: registry, addr: addrs[i]})
@@ -194,7 +194,7 @@
 func (g *simGatekeeper) restart() {
 	world := g.world
 	world.lastID++
-	g.incarnation, g.heartbeats, g.cache, g.peers = uint64(world.lastID), 0, configcache.New(), waymark.MemberView{}
+	g.incarnation, g.heartbeats, g.cache, g.peers = uint64(world.lastID), 0, configcache.New(), api.MemberView{}
 	g.lease = slowstart.Lease{}
 	g.attempts, g.timers = map[uint32]int{}, nil
 	g.gateway = policy.New(policy.Settings{GatewayCount: 9, Index: int(g.incarnation), ClockTick: 1000, MaxAttempts: 1, CanCancel: true, SendRetryAfter: true, MaxUnits: 1, Rotate: true,
@@ -252,7 +252,7 @@
 		return
 	}
 	g.heartbeats++
-	heartbeat := waymark.SessionRequest{Member: membership.Member{Node: g.node, Zone: g.zone, Region: "r0", Incarnation: g.incarnation, Sequence: g.heartbeats, PeerAddr: g.node + ":1", Ready: true},
+	heartbeat := api.SessionRequest{Member: membership.Member{Node: g.node, Zone: g.zone, Region: "r0", Incarnation: g.incarnation, Sequence: g.heartbeats, PeerAddr: g.node + ":1", Ready: true},
 		MembersChecksum: g.peers.Checksum}
 	g.cache.FillHeartbeat(&heartbeat)
 	answer, err := registries[0].handleHeartbeat(g.world.t.Context(), heartbeat)
@@ -283,7 +283,7 @@
 		return
 	}
 	g.allocations++
-	answer, err := g.world.registries[i].allocate(waymark.AllocationRequest{Node: g.node, Incarnation: g.incarnation, Sequence: g.allocations})
+	answer, err := g.world.registries[i].allocate(api.AllocationRequest{Node: g.node, Incarnation: g.incarnation, Sequence: g.allocations})
 	if err == nil {
 		g.lease.Renew(answer.SlowStart, g.world.now, answer.LeaseMS)
 	}
@@ -303,12 +303,12 @@
 }
 
 // platformList returns the platform's list with its delay, but with the current cold periods.
-func (w *simWorld) platformList() []waymark.Worker {
+func (w *simWorld) platformList() []api.Worker {
 	i := len(w.lists) - 1
 	for i > 0 && w.lists[i].at > w.now-simListLagMs {
 		i--
 	}
-	var list []waymark.Worker
+	var list []api.Worker
 	for _, worker := range w.lists[i].list {
 		worker.SlowStartLeftMS = max(w.lists[i].coldUntil[worker.ID]-w.now, 0)
 		list = append(list, worker)
@@ -323,7 +323,7 @@
 		if w.now < worker.downUntil {
 			continue
 		}
-		list.list = append(list.list, waymark.Worker{ID: worker.id, Destination: "a", Addr: worker.id + ":80", Zone: worker.zone, Slots: 2})
+		list.list = append(list.list, api.Worker{ID: worker.id, Destination: "a", Addr: worker.id + ":80", Zone: worker.zone, Slots: 2})
 		list.coldUntil[worker.id] = worker.coldUntil
 	}
 	w.lists = append(w.lists, list)
--- a/internal/bothy/controlcost_test.go
+++ b/internal/control/registry/controlcost_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/configcache"
-	"foxwood/internal/membership"
-	"foxwood/internal/quota"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // These tests measure the cost of control traffic in simulated time: the state machines of
@@ -37,7 +37,7 @@
 type costGatekeeper struct {
 	member         membership.Member
 	cache          *configcache.Cache
-	peers          waymark.MemberView
+	peers          api.MemberView
 	cores          uint64
 	edition        uint64
 	registry       int // index of its registry
@@ -53,7 +53,7 @@
 // costRun is a simulated fleet and its measurements.
 type costRun struct {
 	now            float64
-	workers        map[string]waymark.Worker
+	workers        map[string]api.Worker
 	registries     []*Registry
 	received, sent []int // bytes of each registry
 	cpu            []time.Duration
@@ -66,7 +66,7 @@
 
 // newCostRun returns a fleet of registries, gatekeepers and workers that do not know each other yet.
 func newCostRun(gatekeepers, workers int) *costRun {
-	c := &costRun{workers: map[string]waymark.Worker{}, gatekeeperAt: map[string]*costGatekeeper{}, bytesByCall: map[string]int{}, smallQuotas: map[string]bool{}}
+	c := &costRun{workers: map[string]api.Worker{}, gatekeeperAt: map[string]*costGatekeeper{}, bytesByCall: map[string]int{}, smallQuotas: map[string]bool{}}
 	zones := ""
 	for zone := range costZoneCount {
 		zones += fmt.Sprintf("z%d = \"r%d\"\n", zone, zone%2)
@@ -113,7 +113,7 @@
 
 // setWorker puts a worker onto the platform's list.
 func (c *costRun) setWorker(i int, closing bool) {
-	worker := waymark.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("huvo", i%3), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/200, i%200),
+	worker := api.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("huvo", i%3), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/200, i%200),
 		Zone: fmt.Sprint("z", i%costZoneCount), Version: "v1", Slots: 2, Draining: closing}
 	c.workers[worker.ID] = worker
 }
@@ -121,7 +121,7 @@
 // configure gives all registries a configuration whose quotas are proportional to the fleet.
 func (c *costRun) configure(edition uint64, gatekeepers int) {
 	document := fmt.Sprintf(`{"edition":%q,"courses":{"columns":["name","domain","streetPrefix","kind","deadlineS","targetS","priority","tries","destination"],"rows":[`,
-		timetable.FormatVersion(edition))
+		routeconfig.FormatVersion(edition))
 	for i := range costRouteCount {
 		document += fmt.Sprintf(`%s["r-%d-%d","h%d.example","/p%d/","safe",2,0.3,1,2,"huvo%d"]`, []string{",", ""}[boolToInt(i == 0)], i, edition, i%7, i, i%3)
 	}
@@ -132,7 +132,7 @@
 	}
 	document += `]}}`
 	for _, registry := range c.registries {
-		registry.applyState(cairn.State{Edition: edition, Body: []byte(document), Last: cairn.LogPosition{Seq: edition}})
+		registry.applyState(chain.State{Edition: edition, Body: []byte(document), Last: chain.LogPosition{Seq: edition}})
 	}
 	for name, limit := range quota.LimitedTenants(c.registries[0].configuration) {
 		c.smallQuotas[name] = quota.IsSmall(limit, quota.BoundsOf(&c.registries[0].settings.Bounds), gatekeepers)
@@ -149,7 +149,7 @@
 // pollPlatform applies the platform's list in the first registry, and sends the changes to the
 // others.
 func (c *costRun) pollPlatform() {
-	list := make([]waymark.Worker, 0, len(c.workers))
+	list := make([]api.Worker, 0, len(c.workers))
 	for _, worker := range c.workers {
 		list = append(list, worker)
 	}
@@ -158,7 +158,7 @@
 		return
 	}
 	for i, registry := range c.registries[1:] {
-		request := waymark.EndpointListRequest{HeldVersion: registry.endpoints.version}
+		request := api.EndpointListRequest{HeldVersion: registry.endpoints.version}
 		changes, _ := first.handleEndpointsRequest(context.Background(), request)
 		c.countRegistryCall(i+1, 0, request, changes)
 		registry.endpoints.merge(c.now, &changes)
@@ -202,8 +202,8 @@
 	registry := c.registries[gatekeeper.registry]
 	gatekeeper.sequence++
 	gatekeeper.member.Sequence = gatekeeper.sequence
-	heartbeat := waymark.SessionRequest{Member: gatekeeper.member, MembersChecksum: gatekeeper.peers.Checksum, RegistriesChecksum: gatekeeper.cores, WaitMS: 500}
-	var answer waymark.SessionResponse
+	heartbeat := api.SessionRequest{Member: gatekeeper.member, MembersChecksum: gatekeeper.peers.Checksum, RegistriesChecksum: gatekeeper.cores, WaitMS: 500}
+	var answer api.SessionResponse
 	c.measureCPU(&gatekeeper.cpu, func() { gatekeeper.cache.FillHeartbeat(&heartbeat) })
 	c.measureCPU(&c.cpu[gatekeeper.registry], func() {
 		registry.sessions.Heartbeat(c.now, heartbeat.Member)
@@ -218,7 +218,7 @@
 }
 
 // applyAnswer applies a heartbeat's answer, and requests missing data from zone homes.
-func (c *costRun) applyAnswer(gatekeeper *costGatekeeper, answer *waymark.SessionResponse) {
+func (c *costRun) applyAnswer(gatekeeper *costGatekeeper, answer *api.SessionResponse) {
 	gatekeeper.cache.ApplyAnswer(c.now, answer)
 	if len(answer.Config) > 0 && answer.ConfigVersion > gatekeeper.edition {
 		gatekeeper.cache.SetConfiguration(answer.ConfigVersion, answer.Config)
@@ -235,7 +235,7 @@
 		if c.fullLists {
 			request.HeldVersions = nil
 		}
-		var ownerAnswer waymark.SubscribeResponse
+		var ownerAnswer api.SubscribeResponse
 		if owner.cache.CanAnswer(&request) {
 			ownerAnswer = owner.cache.Answer(c.now, &request)
 		}
@@ -253,7 +253,7 @@
 // requestAllocation simulates an allocation request; the first registry holds the duty.
 func (c *costRun) requestAllocation(gatekeeper *costGatekeeper) {
 	gatekeeper.sequence++
-	request := waymark.AllocationRequest{Node: gatekeeper.member.Node, Incarnation: gatekeeper.member.Incarnation, Sequence: gatekeeper.sequence, Demand: map[string]float32{}, Holding: waymark.EncodeSlices(gatekeeper.allocations),
+	request := api.AllocationRequest{Node: gatekeeper.member.Node, Incarnation: gatekeeper.member.Incarnation, Sequence: gatekeeper.sequence, Demand: map[string]float32{}, Holding: api.EncodeSlices(gatekeeper.allocations),
 		LeaseLeft: max(gatekeeper.leaseEnd-c.now, 0)}
 	for name := range c.smallQuotas {
 		switch owner := membership.OwnerAmong(append(gatekeeper.peers.Peers[:len(gatekeeper.peers.Peers):len(gatekeeper.peers.Peers)], gatekeeper.member.PeerAddr), "", name); {
@@ -264,21 +264,21 @@
 		}
 	}
 	holder := c.registries[0]
-	var answer waymark.AllocationResponse
+	var answer api.AllocationResponse
 	c.measureCPU(&c.cpu[0], func() {
 		demand := quota.Demand{}
 		for name, waiting := range request.Demand {
 			demand[name] = float64(waiting)
 		}
-		allocations := holder.allocator.Allocate(c.now, memberID(request.Node, request.Incarnation), request.Sequence, demand, waymark.DecodeSlices(request.Holding), request.LeaseLeft)
-		answer = waymark.AllocationResponse{Slices: waymark.EncodeSlices(allocations), LeaseMS: allocationLeaseMs}
+		allocations := holder.allocator.Allocate(c.now, memberID(request.Node, request.Incarnation), request.Sequence, demand, api.DecodeSlices(request.Holding), request.LeaseLeft)
+		answer = api.AllocationResponse{Slices: api.EncodeSlices(allocations), LeaseMS: allocationLeaseMs}
 	})
 	c.countCall(gatekeeper, request, answer, "draw")
 	if gatekeeper.registry != 0 {
 		request.Forwarded = true
 		c.countRegistryCall(gatekeeper.registry, 0, request, answer)
 	}
-	for name, allocation := range waymark.DecodeSlices(answer.Slices) {
+	for name, allocation := range api.DecodeSlices(answer.Slices) {
 		if allocation != (quota.Allocation{}) {
 			gatekeeper.allocations[name] = allocation
 		}
@@ -299,7 +299,7 @@
 			if i == j {
 				continue
 			}
-			message := waymark.Gossip{From: registry.settings.InnerAddress(registryPort), Zone: registry.settings.Zone, Page: full, EndpointsVersion: registry.endpoints.version}
+			message := api.Gossip{From: registry.settings.InnerAddress(registryPort), Zone: registry.settings.Zone, Page: full, EndpointsVersion: registry.endpoints.version}
 			key := receiver.settings.InnerAddress(registryPort)
 			if last := registry.reported[key]; last.contentHash == contentHash && c.now-last.sentAt < fullReportIntervalMs {
 				message.Page = brief
@@ -307,7 +307,7 @@
 				registry.reported[key] = fullReport{contentHash: contentHash, sentAt: c.now}
 			}
 			c.measureCPU(&c.cpu[j], func() { receiver.receiveReport(message.From, message.Zone, message.Page) })
-			c.countRegistryCall(i, j, message, waymark.GossipResponse{EndpointsVersion: receiver.endpoints.version, Incarnation: receiver.incarnation})
+			c.countRegistryCall(i, j, message, api.GossipResponse{EndpointsVersion: receiver.endpoints.version, Incarnation: receiver.incarnation})
 		}
 	}
 }
@@ -399,7 +399,7 @@
 
 // BenchmarkControl prints the table of docs/measurements/control-cost.md:
 //
-//	go test ./internal/bothy -run xxx -bench Control -benchtime 1x
+//	go test ./internal/control/registry -run xxx -bench Control -benchtime 1x
 func BenchmarkControl(b *testing.B) {
 	for _, n := range []int{10, 70, 300} {
 		for _, mode := range []string{"calm", "changes", "changes, whole lists"} {
--- a/internal/bothy/electorate_test.go
+++ b/internal/control/registry/electorate_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/election"
+	"foxwood/internal/control/election"
 )
 
 // TestReadElectorate: a complete file is read, a malformed one is ignored, and only a missing file
--- a/internal/bothy/encoding_test.go
+++ b/internal/control/registry/encoding_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"os"
--- a/internal/bothy/endpoints.go
+++ b/internal/control/registry/endpoints.go
@@ -1,11 +1,11 @@
-package bothy
+package registry
 
 import (
 	"maps"
 	"math"
 	"slices"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // endpointList is the workers that the platform lists, with the version at which each last changed,
@@ -27,7 +27,7 @@
 
 // listedWorker is a worker on the platform's list, or one that has recently left it.
 type listedWorker struct {
-	waymark.Worker
+	api.Worker
 	changedVersion uint64
 	coldUntil      float64 // end of the cold period, by this process's clock
 	goneAt         float64
@@ -37,7 +37,7 @@
 }
 
 const (
-	termShift       = waymark.TermShift
+	termShift       = api.TermShift
 	coldToleranceMs = 300.0   // milliseconds by which two readings of one cold period may differ
 	goneRetentionMs = 30000.0 // milliseconds that a removed worker is remembered
 )
@@ -56,7 +56,7 @@
 
 // applyPlatformList applies a complete list of the platform, and reports whether anything has
 // changed.
-func (l *endpointList) applyPlatformList(now float64, term uint64, list []waymark.Worker) bool {
+func (l *endpointList) applyPlatformList(now float64, term uint64, list []api.Worker) bool {
 	version := l.nextVersion(term)
 	if l.version>>termShift < term { // the last changes of the previous holder may be unknown here
 		l.changesSince, l.termStart = version, version
@@ -89,7 +89,7 @@
 }
 
 // apply records one worker, and reports whether that changes anything.
-func (l *endpointList) apply(now float64, update waymark.Worker, version uint64) bool {
+func (l *endpointList) apply(now float64, update api.Worker, version uint64) bool {
 	coldUntil := 0.0 // not cold
 	if update.SlowStartLeftMS > 0 {
 		coldUntil = now + update.SlowStartLeftMS
@@ -121,11 +121,11 @@
 }
 
 // since returns the changes since a version, nil if there are none.
-func (l *endpointList) since(now float64, heldVersion uint64) *waymark.EndpointList {
+func (l *endpointList) since(now float64, heldVersion uint64) *api.EndpointList {
 	if heldVersion == l.version || l.version == 0 || heldVersion > l.version {
 		return nil
 	}
-	answer := &waymark.EndpointList{Version: l.version, Complete: heldVersion < l.changesSince || heldVersion == 0}
+	answer := &api.EndpointList{Version: l.version, Complete: heldVersion < l.changesSince || heldVersion == 0}
 	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
 		listed := l.workers[id]
 		if answer.Complete && listed.Removed || !answer.Complete && listed.changedVersion <= heldVersion {
@@ -139,7 +139,7 @@
 }
 
 // merge applies a newer endpoint list of another registry.
-func (l *endpointList) merge(now float64, update *waymark.EndpointList) bool {
+func (l *endpointList) merge(now float64, update *api.EndpointList) bool {
 	if update == nil || update.Version <= l.version {
 		return false
 	}
--- a/internal/bothy/httpapi.go
+++ b/internal/control/registry/httpapi.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 const (
@@ -41,8 +41,8 @@
 	control, directory := http.NewServeMux(), http.NewServeMux()
 	control.HandleFunc("PUT /timetable", b.putConfiguration)
 	control.HandleFunc("GET /timetable", b.getConfiguration)
-	control.HandleFunc("POST /evacuate/{zone}", b.evacuationHandler(cairn.Evacuate))
-	control.HandleFunc("DELETE /evacuate/{zone}", b.evacuationHandler(cairn.EndEvacuation))
+	control.HandleFunc("POST /evacuate/{zone}", b.evacuationHandler(chain.Evacuate))
+	control.HandleFunc("DELETE /evacuate/{zone}", b.evacuationHandler(chain.EndEvacuation))
 	b.addMirrorRoutes(control)
 	directory.HandleFunc("GET /resolve", b.handleResolve)
 	handlers := map[string]*http.ServeMux{}
@@ -109,14 +109,14 @@
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "the body was not read whole: %v", err))
 		return
 	}
-	configuration, err := timetable.Parse(body)
+	configuration, err := routeconfig.Parse(body)
 	if err != nil {
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", err))
 		return
 	}
-	if err := b.submit(r.Context(), cairn.Change{Kind: cairn.PutConfiguration, Edition: configuration.Version, Body: body}); err != nil {
+	if err := b.submit(r.Context(), chain.Change{Kind: chain.PutConfiguration, Edition: configuration.Version, Body: body}); err != nil {
 		if rpc.KindOf(err) == rpc.Conflict {
-			b.log.Warn().Str("edition", timetable.FormatVersion(configuration.Version)).Msg("refused a different configuration with a committed edition")
+			b.log.Warn().Str("edition", routeconfig.FormatVersion(configuration.Version)).Msg("refused a different configuration with a committed edition")
 		}
 		b.writeError(w, err)
 		return
@@ -124,21 +124,21 @@
 	b.mu.Lock()
 	b.counters.ConfigurationsStored++
 	b.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]string{"edition": timetable.FormatVersion(configuration.Version)})
+	writeJSON(w, http.StatusOK, map[string]string{"edition": routeconfig.FormatVersion(configuration.Version)})
 }
 
 // submit submits a change to the configuration store, and returns before the caller's timeout.
-func (b *Registry) submit(ctx context.Context, change cairn.Change) error {
+func (b *Registry) submit(ctx context.Context, change chain.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	_, err := rpc.Call[waymark.CommitRequest, waymark.CommitResponse](ctx, b.store, waymark.CommitRequest{Change: change})
+	_, err := rpc.Call[api.CommitRequest, api.CommitResponse](ctx, b.store, api.CommitRequest{Change: change})
 	return err
 }
 
 // readFromTail returns the committed state as confirmed by the tail of the chain. State recalled
 // from a machine's disk may be old and is refused.
-func (b *Registry) readFromTail(ctx context.Context, held cairn.LogPosition) (answer waymark.CommittedStateResponse, err error) {
-	answer, err = rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](ctx, b.store, waymark.CommittedStateRequest{LastKnown: held})
+func (b *Registry) readFromTail(ctx context.Context, held chain.LogPosition) (answer api.CommittedStateResponse, err error) {
+	answer, err = rpc.Call[api.CommittedStateRequest, api.CommittedStateResponse](ctx, b.store, api.CommittedStateRequest{LastKnown: held})
 	if err == nil && answer.Stale {
 		err = rpc.Errorf(rpc.Stale, "the tail did not answer")
 	}
@@ -149,7 +149,7 @@
 func (b *Registry) getConfiguration(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), b.storeTimeout)
 	defer cancel()
-	answer, err := b.readFromTail(ctx, cairn.LogPosition{})
+	answer, err := b.readFromTail(ctx, chain.LogPosition{})
 	switch {
 	case err != nil:
 		b.writeError(w, err)
@@ -166,21 +166,21 @@
 // a later change. It is therefore bound to the position that the tail confirms first, and dropped
 // if the caller has disconnected by then: the end of a connection arrives right behind the order.
 // If the zone has been changed in between, all of this is repeated.
-func (b *Registry) submitZoneChange(ctx context.Context, change cairn.Change) (err error) {
+func (b *Registry) submitZoneChange(ctx context.Context, change chain.Change) (err error) {
 	bounded, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
 	b.mu.Lock()
 	held := b.committed.Last
 	b.mu.Unlock()
 	for range maxZoneAttempts {
-		var answer waymark.CommittedStateResponse
+		var answer api.CommittedStateResponse
 		if answer, err = b.readFromTail(bounded, held); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
 			return rpc.Errorf(rpc.Unavailable, "the caller has left")
 		}
-		_, err = rpc.Call[waymark.CommitRequest, waymark.CommitResponse](bounded, b.store, waymark.CommitRequest{Change: change, LastKnown: answer.Last})
+		_, err = rpc.Call[api.CommitRequest, api.CommitResponse](bounded, b.store, api.CommitRequest{Change: change, LastKnown: answer.Last})
 		if rpc.KindOf(err) != rpc.Stale {
 			return err
 		}
@@ -189,7 +189,7 @@
 }
 
 // evacuationHandler returns the handler for the start or the end of a zone's evacuation.
-func (b *Registry) evacuationHandler(kind cairn.ChangeKind) http.HandlerFunc {
+func (b *Registry) evacuationHandler(kind chain.ChangeKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("zone")
 		b.mu.Lock()
@@ -200,7 +200,7 @@
 			b.writeError(w, rpc.Errorf(rpc.NotFound, "no zone %q", zone))
 			return
 		}
-		if err := b.submitZoneChange(r.Context(), cairn.Change{Kind: kind, Zone: zone}); err != nil {
+		if err := b.submitZoneChange(r.Context(), chain.Change{Kind: kind, Zone: zone}); err != nil {
 			b.writeError(w, err)
 			return
 		}
--- a/internal/bothy/httpapi_test.go
+++ b/internal/control/registry/httpapi_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/membership"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/membership"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // testTimeout is the limit of every wait: only what never happens takes that long.
@@ -37,10 +37,10 @@
 type testRegistry struct {
 	*Registry
 	t         *testing.T
-	submitted chan cairn.Change
+	submitted chan chain.Change
 	// Answers of the configuration store.
 	refusal error
-	confirm func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error)
+	confirm func(api.CommittedStateRequest) (api.CommittedStateResponse, error)
 }
 
 // serveRPC answers calls at an address of its own, which it returns.
@@ -62,23 +62,23 @@
 		Zones: map[string]string{"a1": "a", "b 1": "b"}, SeedNodes: append([]string{"127.0.0.1:80"}, others...),
 		Addresses: bootconfig.ServiceAddresses{Control: "control", Resolver: "directory"},
 		Bounds:    bootconfig.Bounds{TTLMaxS: 5, QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 20}}
-	registry := &testRegistry{Registry: New(settings, zerolog.Nop()), t: t, submitted: make(chan cairn.Change, 99)}
+	registry := &testRegistry{Registry: New(settings, zerolog.Nop()), t: t, submitted: make(chan chain.Change, 99)}
 	registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+		rpc.Handle(server, func(_ context.Context, request api.CommitRequest) (api.CommitResponse, error) {
 			registry.submitted <- request.Change
-			return waymark.CommitResponse{}, registry.refusal
+			return api.CommitResponse{}, registry.refusal
 		})
-		rpc.Handle(server, func(_ context.Context, request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+		rpc.Handle(server, func(_ context.Context, request api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 			return registry.confirm(request)
 		})
 	}))
 	t.Cleanup(registry.store.Close)
 	registry.storeTimeout = testTimeout
-	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-		return waymark.CommittedStateResponse{}, nil
+	registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+		return api.CommittedStateResponse{}, nil
 	}
 	for err := error(io.EOF); err != nil; { // the connection is up before a test begins, also on a busy machine
-		_, err = rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](t.Context(), registry.store, waymark.CommittedStateRequest{})
+		_, err = rpc.Call[api.CommittedStateRequest, api.CommittedStateResponse](t.Context(), registry.store, api.CommittedStateRequest{})
 	}
 	return registry
 }
@@ -112,8 +112,8 @@
 	} {
 		registry := newTestRegistry(t)
 		registry.refusal = rpc.Errorf(kind, "so it is")
-		registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-			return waymark.CommittedStateResponse{}, registry.refusal
+		registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+			return api.CommittedStateResponse{}, registry.refusal
 		}
 		for _, c := range []struct{ method, path, body string }{
 			{"PUT", "/timetable", configuration}, {"GET", "/timetable", ""}, {"POST", "/evacuate/a1", ""}, {"DELETE", "/evacuate/a1", ""},
@@ -139,20 +139,20 @@
 	response := registry.request("control", "PUT", "/timetable", strings.NewReader(text))
 	assert.Equal(t, response.Code, 200)
 	change := <-registry.submitted
-	assert.Equal(t, change.Kind, cairn.PutConfiguration)
+	assert.Equal(t, change.Kind, chain.PutConfiguration)
 	assert.Equal(t, change.Edition, uint64(12))
 	assert.Equal(t, string(change.Body), text)
 
-	registry.confirm = func(request waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+	registry.confirm = func(request api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 		assert.Check(t, !request.AllowStale && request.LastKnown.Seq == 0, "the complete state must be read from the tail")
-		return waymark.CommittedStateResponse{State: &cairn.State{Body: change.Body}}, nil
+		return api.CommittedStateResponse{State: &chain.State{Body: change.Body}}, nil
 	}
 	response = registry.request("control", "GET", "/timetable", nil)
 	assert.Equal(t, response.Code, 200)
 	assert.Equal(t, response.Body.String(), text)
-	for _, state := range []*cairn.State{nil, {Last: cairn.LogPosition{Seq: 3}}} {
-		registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-			return waymark.CommittedStateResponse{State: state}, nil
+	for _, state := range []*chain.State{nil, {Last: chain.LogPosition{Seq: 3}}} {
+		registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+			return api.CommittedStateResponse{State: state}, nil
 		}
 		assert.Equal(t, registry.request("control", "GET", "/timetable", nil).Code, 404)
 	}
@@ -201,11 +201,11 @@
 	registry := newTestRegistry(t)
 	for _, c := range []struct {
 		method, path, zone string
-		kind               cairn.ChangeKind
+		kind               chain.ChangeKind
 	}{
-		{"POST", "/evacuate/a1", "a1", cairn.Evacuate},
-		{"DELETE", "/evacuate/a1", "a1", cairn.EndEvacuation},
-		{"POST", "/evacuate/b%201", "b 1", cairn.Evacuate},
+		{"POST", "/evacuate/a1", "a1", chain.Evacuate},
+		{"DELETE", "/evacuate/a1", "a1", chain.EndEvacuation},
+		{"POST", "/evacuate/b%201", "b 1", chain.Evacuate},
 	} {
 		assert.Equal(t, registry.request("control", c.method, c.path, nil).Code, 200)
 		change := <-registry.submitted
@@ -280,8 +280,8 @@
 	page := func(next string, rows ...string) string {
 		return `{"roster":{` + columns + `,"rows":[` + strings.Join(rows, ",") + `]},"nextToken":` + next + `}`
 	}
-	want := func(id string, change ...func(*waymark.Worker)) waymark.Worker {
-		worker := waymark.Worker{ID: id, Destination: "d", Addr: "10.0.0.1:80", Zone: "a1", Version: "v1", Slots: 2, SlowStartLeftMS: 500}
+	want := func(id string, change ...func(*api.Worker)) api.Worker {
+		worker := api.Worker{ID: id, Destination: "d", Addr: "10.0.0.1:80", Zone: "a1", Version: "v1", Slots: 2, SlowStartLeftMS: 500}
 		for _, apply := range change {
 			apply(&worker)
 		}
@@ -290,23 +290,23 @@
 	for _, c := range []struct {
 		name  string
 		pages map[string]string
-		want  []waymark.Worker
+		want  []api.Worker
 		fault string
 	}{
-		{"one page", map[string]string{"": page("null", row("i-1"), row("i-2"))}, []waymark.Worker{want("i-1"), want("i-2")}, ""},
-		{"an empty token ends the list", map[string]string{"": page(`""`, row("i-1"))}, []waymark.Worker{want("i-1")}, ""},
+		{"one page", map[string]string{"": page("null", row("i-1"), row("i-2"))}, []api.Worker{want("i-1"), want("i-2")}, ""},
+		{"an empty token ends the list", map[string]string{"": page(`""`, row("i-1"))}, []api.Worker{want("i-1")}, ""},
 		{"no token", map[string]string{"": `{"roster":{` + columns + `,"rows":[]}}`}, nil, ""},
 		{"pages", map[string]string{"": page(`"p 2&x"`, row("i-1")), "p 2&x": page(`"p3"`), "p3": page("null", row("i-2"))},
-			[]waymark.Worker{want("i-1"), want("i-2")}, ""},
+			[]api.Worker{want("i-1"), want("i-2")}, ""},
 		{"another order, new columns", map[string]string{"": `{"new":1,"roster":{"columns":["id","hue","state","address","destination"],` +
 			`"rows":[["i-1",7,"closing","10.0.0.2:80","d"]]},"nextToken":null}`},
-			[]waymark.Worker{{ID: "i-1", Destination: "d", Addr: "10.0.0.2:80", Draining: true}}, ""},
+			[]api.Worker{{ID: "i-1", Destination: "d", Addr: "10.0.0.2:80", Draining: true}}, ""},
 		{"nulls", map[string]string{"": page("null", `["d","10.0.0.1:80",null,null,null,"open_counter",null,"i-1"]`)},
-			[]waymark.Worker{want("i-1", func(worker *waymark.Worker) {
+			[]api.Worker{want("i-1", func(worker *api.Worker) {
 				worker.Zone, worker.Version, worker.Slots, worker.SlowStartLeftMS = "", "", 0, 0
 			})}, ""},
 		{"an unknown state", map[string]string{"": page("null", strings.Replace(row("i-1"), "open_counter", "ending", 1))},
-			[]waymark.Worker{want("i-1", closing)}, ""},
+			[]api.Worker{want("i-1", closing)}, ""},
 		{"a row too short", map[string]string{"": page("null", row("i-1"), `["d"]`)}, nil, "without id"},
 		{"an id that is a number", map[string]string{"": page("null", strings.Replace(row("i-1"), `"i-1"`, "7", 1))}, nil, "without id"},
 		{"no address", map[string]string{"": page("null", strings.Replace(row("i-1"), `"10.0.0.1:80"`, "null", 1))}, nil, "without id or address"},
--- a/internal/bothy/metrics_test.go
+++ b/internal/control/registry/metrics_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"strings"
@@ -6,14 +6,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/cairn"
+	"foxwood/internal/configstore/chain"
 )
 
 func TestMetrics(t *testing.T) {
 	registry := newTestRegistry(t)
 	registry.request("control", "PUT", "/timetable", strings.NewReader("{"))
 	registry.mu.Lock()
-	registry.view = cairn.View{Number: 7, Core: []cairn.MachineID{{Addr: "127.0.0.1:7461"}}}
+	registry.view = chain.View{Number: 7, Core: []chain.MachineID{{Addr: "127.0.0.1:7461"}}}
 	registry.mu.Unlock()
 	values := map[string]float64{}
 	for _, figure := range registry.Figures(t.Context()) {
--- a/internal/bothy/mirroring.go
+++ b/internal/control/registry/mirroring.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"github.com/zeebo/xxh3"
 
-	"foxwood/internal/cairn"
-	"foxwood/internal/membership"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/dataplane/mirror"
 	"foxwood/internal/rpc"
-	"foxwood/internal/spur"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 const (
@@ -46,7 +46,7 @@
 		b.writeError(w, rpc.Errorf(rpc.Invalid, "the body was not read whole: %v", err))
 		return
 	}
-	order, faults := spur.ParseRule(body)
+	order, faults := mirror.ParseRule(body)
 	if order != nil && len(faults) == 0 {
 		b.mu.Lock()
 		faults = order.LiveTargetFaults(b.reservedAddresses())
@@ -68,7 +68,7 @@
 	case err != nil:
 		b.writeError(w, err)
 	case !committed:
-		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", order.CheckSuccessor(&spur.Rule{Number: max(current.Number, order.Number)})))
+		b.writeError(w, rpc.Errorf(rpc.Invalid, "%v", order.CheckSuccessor(&mirror.Rule{Number: max(current.Number, order.Number)})))
 	default:
 		b.log.Info().Uint64("number", order.Number).Msg("operator submitted a traffic-mirroring order")
 		writeJSON(w, http.StatusOK, map[string]string{"number": strconv.FormatUint(order.Number, 10)})
@@ -76,7 +76,7 @@
 }
 
 // joinFaults returns the texts of all faults in one line.
-func joinFaults(faults []spur.Fault) string {
+func joinFaults(faults []mirror.Fault) string {
 	var messages []string
 	for i := range faults {
 		messages = append(messages, faults[i].Error())
@@ -86,18 +86,18 @@
 
 // submitMirrorOrder submits an order to the configuration store, and returns the state that the
 // tail holds afterwards.
-func (b *Registry) submitMirrorOrder(ctx context.Context, number uint64, body []byte) (cairn.State, error) {
-	if err := b.submit(ctx, cairn.Change{Kind: cairn.SetOrder, Name: OrderMirroring, Number: number, Body: body}); err != nil {
-		return cairn.State{}, err
+func (b *Registry) submitMirrorOrder(ctx context.Context, number uint64, body []byte) (chain.State, error) {
+	if err := b.submit(ctx, chain.Change{Kind: chain.SetOrder, Name: OrderMirroring, Number: number, Body: body}); err != nil {
+		return chain.State{}, err
 	}
 	return b.committedState(ctx)
 }
 
 // committedState returns the committed state as confirmed by the tail.
-func (b *Registry) committedState(ctx context.Context) (state cairn.State, err error) {
+func (b *Registry) committedState(ctx context.Context) (state chain.State, err error) {
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	answer, err := b.readFromTail(ctx, cairn.LogPosition{})
+	answer, err := b.readFromTail(ctx, chain.LogPosition{})
 	if err == nil && answer.State != nil {
 		state = *answer.State
 	}
@@ -105,7 +105,7 @@
 }
 
 // committedMirrorOrder returns the order in force as confirmed by the tail.
-func (b *Registry) committedMirrorOrder(ctx context.Context) (cairn.NamedOrder, error) {
+func (b *Registry) committedMirrorOrder(ctx context.Context) (chain.NamedOrder, error) {
 	state, err := b.committedState(ctx)
 	return state.Orders[OrderMirroring], err
 }
@@ -136,7 +136,7 @@
 			b.writeError(w, err)
 			return
 		}
-		if order, _ := spur.ParseRule(current.Body); current.Number == 0 || order != nil && order.Stopped {
+		if order, _ := mirror.ParseRule(current.Body); current.Number == 0 || order != nil && order.Stopped {
 			writeJSON(w, http.StatusOK, map[string]string{"number": strconv.FormatUint(current.Number, 10)})
 			return
 		}
@@ -179,7 +179,7 @@
 
 // addMirrorUpdates adds a newer traffic-mirroring order to an answer, and the seats (all
 // gatekeepers that collect mirrored requests) for a gatekeeper that mirrors. The lock is held.
-func (b *Registry) addMirrorUpdates(now, receivedAt float64, members membership.MemberList, heartbeat *waymark.SessionRequest, answer *waymark.SessionResponse) (updated bool) {
+func (b *Registry) addMirrorUpdates(now, receivedAt float64, members membership.MemberList, heartbeat *api.SessionRequest, answer *api.SessionResponse) (updated bool) {
 	if order := b.committed.Orders[OrderMirroring]; order.Number > heartbeat.MirrorOrderNumber {
 		answer.MirrorOrderNumber, answer.MirrorOrder, updated = order.Number, order.Body, true
 	}
@@ -188,11 +188,11 @@
 		return updated
 	}
 	answer.SeatsAsOf = asOf - maxReportAgeMs - receivedAt
-	var seats []spur.Member
+	var seats []mirror.Member
 	var description strings.Builder
 	for i := range members.Members {
 		if member := &members.Members[i]; member.ClientAddr != "" && !member.Leaving { // a gatekeeper that is leaving hands over what it has collected
-			seats = append(seats, spur.Member{Node: member.Node, Incarnation: member.Incarnation, Region: member.Region, InternalAddress: member.PeerAddr})
+			seats = append(seats, mirror.Member{Node: member.Node, Incarnation: member.Incarnation, Region: member.Region, InternalAddress: member.PeerAddr})
 			_, _ = fmt.Fprintf(&description, "%q %d %q %q\n", member.Node, member.Incarnation, member.Region, member.PeerAddr)
 		}
 	}
@@ -206,9 +206,9 @@
 }
 
 // logMirrorOrder logs a traffic-mirroring order that has come into force. The lock is held.
-func (b *Registry) logMirrorOrder(previous cairn.NamedOrder) {
+func (b *Registry) logMirrorOrder(previous chain.NamedOrder) {
 	if current := b.committed.Orders[OrderMirroring]; current.Number != previous.Number {
-		order, _ := spur.ParseRule(current.Body)
+		order, _ := mirror.ParseRule(current.Body)
 		b.log.Info().Uint64("number", current.Number).Bool("stopped", order == nil || order.Stopped).Msg("traffic-mirroring order in force")
 	}
 }
--- a/internal/bothy/mirroring_test.go
+++ b/internal/control/registry/mirroring_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"github.com/zeebo/xxh3"
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/cairn"
-	"foxwood/internal/membership"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/membership"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 func mirrorOrderJSON(number int, address string) string {
@@ -21,18 +21,18 @@
 }
 
 // keepOrders makes the scripted configuration store keep orders as the chain does.
-func (r *testRegistry) keepOrders(held cairn.NamedOrder) *cairn.NamedOrder {
+func (r *testRegistry) keepOrders(held chain.NamedOrder) *chain.NamedOrder {
 	r.store.Close()
 	r.store = rpc.NewPeer(serveRPC(r.t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+		rpc.Handle(server, func(_ context.Context, request api.CommitRequest) (api.CommitResponse, error) {
 			if r.refusal == nil && request.Change.Number > held.Number {
-				held = cairn.NamedOrder{Number: request.Change.Number, Body: request.Change.Body}
+				held = chain.NamedOrder{Number: request.Change.Number, Body: request.Change.Body}
 			}
 			r.submitted <- request.Change
-			return waymark.CommitResponse{}, r.refusal
+			return api.CommitResponse{}, r.refusal
 		})
-		rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-			return waymark.CommittedStateResponse{State: &cairn.State{Orders: map[string]cairn.NamedOrder{OrderMirroring: held}}}, nil
+		rpc.Handle(server, func(context.Context, api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+			return api.CommittedStateResponse{State: &chain.State{Orders: map[string]chain.NamedOrder{OrderMirroring: held}}}, nil
 		})
 	}))
 	r.t.Cleanup(r.store.Close)
@@ -43,9 +43,9 @@
 // invalid one is refused with its fault.
 func TestMirrorOrder(t *testing.T) {
 	registry := newTestRegistry(t)
-	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{{ID: "w", Destination: "a", Addr: "10.0.0.1:80"}})
+	registry.endpoints.applyPlatformList(0, 1, []api.Worker{{ID: "w", Destination: "a", Addr: "10.0.0.1:80"}})
 	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "p", Incarnation: 1, Sequence: 1, ClientAddr: "10.0.0.2:80", PeerAddr: "10.0.0.2:7460"})
-	held := registry.keepOrders(cairn.NamedOrder{})
+	held := registry.keepOrders(chain.NamedOrder{})
 	put := func(body string) (int, string) {
 		w := registry.request("control", "PUT", "/shadow", strings.NewReader(body))
 		return w.Code, w.Body.String()
@@ -101,12 +101,12 @@
 func TestMirrorOrderInHeartbeatAnswer(t *testing.T) {
 	registry := newTestRegistry(t)
 	registry.start = registry.start.Add(-60e9) // all members are known
-	answerWithoutOrder := registry.heartbeat(waymark.SessionRequest{MirrorsTraffic: true})
+	answerWithoutOrder := registry.heartbeat(api.SessionRequest{MirrorsTraffic: true})
 	assert.Equal(t, answerWithoutOrder.MirrorOrderNumber, uint64(0))
 	committed := committedState(4, 12)
-	committed.Orders = map[string]cairn.NamedOrder{OrderMirroring: {Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}}
-	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 4}, State: committed}, nil)
-	heartbeat := waymark.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4}
+	committed.Orders = map[string]chain.NamedOrder{OrderMirroring: {Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}}
+	registry.confirmState(api.CommittedStateResponse{Last: chain.LogPosition{Seq: 4}, State: committed}, nil)
+	heartbeat := api.SessionRequest{ConfigVersion: 12, EvacuationNumber: 4}
 	answer := registry.heartbeat(heartbeat) // like a gatekeeper that has just started
 	assert.Equal(t, answer.MirrorOrderNumber, uint64(7))
 	assert.Equal(t, string(answer.MirrorOrder), mirrorOrderJSON(7, "10.0.0.9:80"))
@@ -135,10 +135,10 @@
 func TestRepeatedMirrorOrderIsAcknowledged(t *testing.T) {
 	registry := newTestRegistry(t)
 	order3, order4 := mirrorOrderJSON(3, "10.0.0.9:80"), mirrorOrderJSON(4, "10.0.0.9:80")
-	identity := func(number uint64, body string) cairn.Identity {
-		return cairn.Identity{Number: number, Digest: xxh3.Hash128([]byte(body)).Bytes()}
+	identity := func(number uint64, body string) chain.Identity {
+		return chain.Identity{Number: number, Digest: xxh3.Hash128([]byte(body)).Bytes()}
 	}
-	held := registry.keepOrders(cairn.NamedOrder{Number: 4, Body: []byte(order4), Identities: []cairn.Identity{identity(3, order3), identity(4, order4)}})
+	held := registry.keepOrders(chain.NamedOrder{Number: 4, Body: []byte(order4), Identities: []chain.Identity{identity(3, order3), identity(4, order4)}})
 	put := func(body string) int {
 		return registry.request("control", "PUT", "/shadow", strings.NewReader(body)).Code
 	}
--- a/internal/bothy/partition_test.go
+++ b/internal/control/registry/partition_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/cairn"
-	"foxwood/internal/election"
-	"foxwood/internal/membership"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/election"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/shedding"
 	"foxwood/internal/rpc"
-	"foxwood/internal/snowline"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // useTestClock makes a registry use a clock that the test controls, in milliseconds.
@@ -66,7 +66,7 @@
 }
 
 // withdrawnIDs returns the IDs of the withdrawn workers in an answer.
-func withdrawnIDs(answer waymark.SessionResponse) (ids []string) {
+func withdrawnIDs(answer api.SessionResponse) (ids []string) {
 	for _, withdrawal := range answer.Withdrawn {
 		ids = append(ids, withdrawal.ID)
 	}
@@ -90,9 +90,9 @@
 	registry.settings.PlatformAPI.RatePerS = 3
 	rows := open1 + "," + open2
 	requests := registry.serveList(nil, &rows)
-	registry.endpoints.applyPlatformList(registry.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	registry.endpoints.applyPlatformList(registry.now(), 1, []api.Worker{worker("i-1"), worker("i-2")})
 	version := registry.endpoints.version
-	heartbeat := waymark.SessionRequest{EndpointsVersion: version}
+	heartbeat := api.SessionRequest{EndpointsVersion: version}
 
 	for range 100 { // another registry holds the duty
 		registry.announceHolder(other, election.Tenure{Duty: dutyEndpoints, Term: 1})
@@ -108,7 +108,7 @@
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1))
 	answer := registry.heartbeat(heartbeat)
-	assert.DeepEqual(t, answer.Withdrawn, []waymark.WithdrawnWorker{{ID: "i-1", ListVersion: version}})
+	assert.DeepEqual(t, answer.Withdrawn, []api.WithdrawnWorker{{ID: "i-1", ListVersion: version}})
 	assert.Assert(t, answer.EndpointChanges == nil && answer.Endpoints == nil, "only withdrawals are announced")
 	heartbeat.WithdrawnChecksum = answer.WithdrawnChecksum
 	assert.Assert(t, registry.heartbeat(heartbeat).Withdrawn == nil, "the gatekeeper holds that list already")
@@ -125,7 +125,7 @@
 	assert.Equal(t, registry.endpoints.version, version)
 
 	// Withdrawals of another registry are merged, also of a worker that is unknown here.
-	gossipAnswer, err := registry.handleGossip(t.Context(), waymark.Gossip{From: other, Withdrawn: []waymark.WithdrawnWorker{{ID: "i-9", ListVersion: version}, {ID: "i-1", ListVersion: version - 1}}})
+	gossipAnswer, err := registry.handleGossip(t.Context(), api.Gossip{From: other, Withdrawn: []api.WithdrawnWorker{{ID: "i-9", ListVersion: version}, {ID: "i-1", ListVersion: version - 1}}})
 	assert.NilError(t, err)
 	assert.Equal(t, gossipAnswer.EndpointsVersion, version)
 	heartbeat.WithdrawnChecksum = answer.WithdrawnChecksum
@@ -135,9 +135,9 @@
 	// next term all.
 	holder := newEndpointList()
 	holder.merge(0, registry.endpoints.since(registry.now(), 0))
-	holder.applyPlatformList(registry.now(), 1, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	holder.applyPlatformList(registry.now(), 1, []api.Worker{worker("i-1", closing), worker("i-2")})
 	peer := rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.EndpointListRequest) (waymark.EndpointList, error) {
+		rpc.Handle(server, func(_ context.Context, request api.EndpointListRequest) (api.EndpointList, error) {
 			return *holder.since(0, request.HeldVersion), nil
 		})
 	}))
@@ -148,33 +148,33 @@
 		}
 	}
 	fetchFromHolder()
-	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.SessionRequest{})), []string{"i-2", "i-9"})
-	holder.applyPlatformList(registry.now(), 2, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(api.SessionRequest{})), []string{"i-2", "i-9"})
+	holder.applyPlatformList(registry.now(), 2, []api.Worker{worker("i-1", closing), worker("i-2")})
 	fetchFromHolder()
-	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).Withdrawn == nil)
-	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []waymark.WithdrawnWorker{{ID: "i-2", ListVersion: version}}), "a withdrawal of the previous term that arrives late")
+	assert.Assert(t, registry.heartbeat(api.SessionRequest{}).Withdrawn == nil)
+	assert.Assert(t, !registry.withdrawals.merge(registry.endpoints, []api.WithdrawnWorker{{ID: "i-2", ListVersion: version}}), "a withdrawal of the previous term that arrives late")
 }
 
 // TestMissingWorkerIsWithdrawnOnSecondList: a page may lack a worker because another one was
 // removed during the reading.
 func TestMissingWorkerIsWithdrawnOnSecondList(t *testing.T) {
 	endpoints := newEndpointList()
-	endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	endpoints.applyPlatformList(0, 1, []api.Worker{worker("i-1"), worker("i-2")})
 	var withdrawn withdrawals
-	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
-	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1"), worker("i-2")}))
-	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
+	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1")}))
+	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1"), worker("i-2")}))
+	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1")}))
 	withdrawn.observeHolder(10, "somebody")
-	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}), "a holder of the duty may have read the list in between")
-	assert.Assert(t, withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1")}))
+	assert.Assert(t, !withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1")}), "a holder of the duty may have read the list in between")
+	assert.Assert(t, withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1")}))
 	all, hash := withdrawn.snapshot()
-	assert.DeepEqual(t, all, []waymark.WithdrawnWorker{{ID: "i-2", ListVersion: endpoints.version}})
+	assert.DeepEqual(t, all, []api.WithdrawnWorker{{ID: "i-2", ListVersion: endpoints.version}})
 	assert.Assert(t, hash != 0)
 	// Versions known to gatekeepers but not to this registry count too.
 	withdrawn = withdrawals{newestVersion: endpoints.version + 3}
-	withdrawn.applyPlatformList(endpoints, []waymark.Worker{worker("i-1", closing), worker("i-2")})
+	withdrawn.applyPlatformList(endpoints, []api.Worker{worker("i-1", closing), worker("i-2")})
 	all, _ = withdrawn.snapshot()
-	assert.DeepEqual(t, all, []waymark.WithdrawnWorker{{ID: "i-1", ListVersion: endpoints.version + 3}})
+	assert.DeepEqual(t, all, []api.WithdrawnWorker{{ID: "i-1", ListVersion: endpoints.version + 3}})
 }
 
 // TestListReadDuringFreezeIsIgnored: a process that is frozen while it reads the list has an old
@@ -185,19 +185,19 @@
 	rows := closing1 + "," + open2
 	frozenMs := int64(0)
 	requests := registry.serveList(func() { now.Add(frozenMs) }, &rows)
-	registry.endpoints.applyPlatformList(registry.now(), 1, []waymark.Worker{worker("i-1"), worker("i-2")})
+	registry.endpoints.applyPlatformList(registry.now(), 1, []api.Worker{worker("i-1"), worker("i-2")})
 	registry.stepElections(now, 2000)
 	frozenMs = 20_000
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1))
-	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).Withdrawn == nil)
+	assert.Assert(t, registry.heartbeat(api.SessionRequest{}).Withdrawn == nil)
 	registry.stepElections(now, 1000)
 	registry.pollPlatform(t.Context())
 	assert.Equal(t, requests.Load(), int64(1), "another registry may have won the duty meanwhile, in a message not yet read")
 	frozenMs = 0
 	registry.stepElections(now, 600)
 	registry.pollPlatform(t.Context())
-	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(waymark.SessionRequest{})), []string{"i-1"})
+	assert.DeepEqual(t, withdrawnIDs(registry.heartbeat(api.SessionRequest{})), []string{"i-1"})
 }
 
 // winDuty makes a registry its own electorate, and steps until it holds the duty in a term above
@@ -279,22 +279,22 @@
 		ended := make(chan struct{})
 		t.Cleanup(func() { close(ended) })
 		registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-			rpc.Handle(server, func(context.Context, waymark.CommitRequest) (waymark.CommitResponse, error) {
+			rpc.Handle(server, func(context.Context, api.CommitRequest) (api.CommitResponse, error) {
 				if hangs {
 					<-ended
 				}
 				if storeError == nil { // an order may be under way, its outcome is unknown
-					return waymark.CommitResponse{}, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
+					return api.CommitResponse{}, rpc.Errorf(rpc.Unknown, "the chain did not answer in time")
 				}
-				return waymark.CommitResponse{}, storeError
+				return api.CommitResponse{}, storeError
 			})
-			rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			rpc.Handle(server, func(context.Context, api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 				if hangs {
 					<-ended
 				}
 				recalled := committedState(5, 12, "a1")
-				recalled.Orders = map[string]cairn.NamedOrder{OrderMirroring: {Number: 3, Body: []byte(mirrorOrderJSON(3, "10.0.0.9:80"))}}
-				return waymark.CommittedStateResponse{Stale: true, State: recalled}, storeError
+				recalled.Orders = map[string]chain.NamedOrder{OrderMirroring: {Number: 3, Body: []byte(mirrorOrderJSON(3, "10.0.0.9:80"))}}
+				return api.CommittedStateResponse{Stale: true, State: recalled}, storeError
 			})
 		}))
 		t.Cleanup(registry.store.Close)
@@ -314,13 +314,13 @@
 func TestStateExpiresDuringFreeze(t *testing.T) {
 	registry := newTestRegistry(t)
 	now := useTestClock(registry)
-	registry.EnableShedding(snowline.Options{})
-	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
+	registry.EnableShedding(shedding.Options{})
+	registry.confirmState(api.CommittedStateResponse{Last: chain.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
 	registry.winDuty(now, 0)
 	registry.sessions.Heartbeat(registry.now(), membership.Member{Node: "p", Zone: "a1", Region: "a", Incarnation: 1, Sequence: 1, ClientAddr: "10.0.0.1:80", Ready: true})
 	const path = "/resolve?name=x.example&region=a&zone=a1"
 	assert.Equal(t, registry.request("directory", "GET", path, nil).Code, 200)
-	assert.Assert(t, registry.heartbeat(waymark.SessionRequest{}).AsOf > -20_000)
+	assert.Assert(t, registry.heartbeat(api.SessionRequest{}).AsOf > -20_000)
 	registry.mu.Lock()
 	registry.sessions.Leave(registry.now(), "p", 1)
 	registry.mu.Unlock()
@@ -331,21 +331,21 @@
 	assert.Assert(t, response.Header().Get("Retry-After") != "")
 	for name, call := range map[string]func() error{
 		"draw": func() error {
-			_, err := registry.handleQuotaRequest(t.Context(), waymark.AllocationRequest{Node: "p", Incarnation: 1, Sequence: 1})
+			_, err := registry.handleQuotaRequest(t.Context(), api.AllocationRequest{Node: "p", Incarnation: 1, Sequence: 1})
 			return err
 		},
 		"level": func() error {
-			_, err := registry.handleFixLevel(t.Context(), waymark.FixSheddingLevel{Cut: 1, DurationMS: 5})
+			_, err := registry.handleFixLevel(t.Context(), api.FixSheddingLevel{Cut: 1, DurationMS: 5})
 			return err
 		},
 		"strain": func() error {
-			_, err := registry.handleLoadReport(t.Context(), waymark.PressureReport{})
+			_, err := registry.handleLoadReport(t.Context(), api.PressureReport{})
 			return err
 		},
 	} {
 		assert.Equal(t, rpc.KindOf(call()), rpc.Unavailable, name)
 	}
-	answer := registry.heartbeat(waymark.SessionRequest{})
+	answer := registry.heartbeat(api.SessionRequest{})
 	assert.Assert(t, answer.Stale)
 	assert.Assert(t, answer.AsOf <= -20_000, "%v", answer.AsOf)
 }
@@ -357,14 +357,14 @@
 	for _, c := range []struct{ method, path string }{{"POST", "/evacuate/a1"}, {"DELETE", "/evacuate/a1"}, {"DELETE", "/shadow"}} {
 		for _, disconnects := range []bool{true, false} {
 			registry := newTestRegistry(t)
-			current := cairn.NamedOrder{Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}
+			current := chain.NamedOrder{Number: 7, Body: []byte(mirrorOrderJSON(7, "10.0.0.9:80"))}
 			ctx, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
-			registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+			registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 				if disconnects {
 					disconnect()
 				}
-				return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 9, View: 3}, State: &cairn.State{Orders: map[string]cairn.NamedOrder{OrderMirroring: current}}}, nil
+				return api.CommittedStateResponse{Last: chain.LogPosition{Seq: 9, View: 3}, State: &chain.State{Orders: map[string]chain.NamedOrder{OrderMirroring: current}}}, nil
 			}
 			response := httptest.NewRecorder()
 			registry.handlers()["control"].ServeHTTP(response, httptest.NewRequestWithContext(ctx, c.method, c.path, nil))
@@ -380,22 +380,22 @@
 // again after the new position.
 func TestZoneChangeIsRetriedAfterConflict(t *testing.T) {
 	registry := newTestRegistry(t)
-	var positions []cairn.LogPosition
+	var positions []chain.LogPosition
 	registry.store.Close()
 	registry.store = rpc.NewPeer(serveRPC(t, func(server *rpc.Server) {
-		rpc.Handle(server, func(_ context.Context, request waymark.CommitRequest) (waymark.CommitResponse, error) {
+		rpc.Handle(server, func(_ context.Context, request api.CommitRequest) (api.CommitResponse, error) {
 			if positions = append(positions, request.LastKnown); len(positions) == 1 {
-				return waymark.CommitResponse{}, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
+				return api.CommitResponse{}, rpc.Errorf(rpc.Stale, "the zone was changed meanwhile")
 			}
-			return waymark.CommitResponse{}, nil
+			return api.CommitResponse{}, nil
 		})
-		rpc.Handle(server, func(context.Context, waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-			return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 5 + uint64(len(positions)), View: 1}}, nil
+		rpc.Handle(server, func(context.Context, api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+			return api.CommittedStateResponse{Last: chain.LogPosition{Seq: 5 + uint64(len(positions)), View: 1}}, nil
 		})
 	}))
 	t.Cleanup(registry.store.Close)
 	assert.Equal(t, registry.request("control", "POST", "/evacuate/a1", nil).Code, 200)
-	assert.DeepEqual(t, positions, []cairn.LogPosition{{Seq: 5, View: 1}, {Seq: 6, View: 1}})
+	assert.DeepEqual(t, positions, []chain.LogPosition{{Seq: 5, View: 1}, {Seq: 6, View: 1}})
 }
 
 // TestDisconnectIsNoticedWhileReadingTail: a request and the end of its connection are in the
@@ -411,9 +411,9 @@
 		control.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+	registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 		<-(<-requestContext).Done()
-		return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}}, nil
+		return api.CommittedStateResponse{Last: chain.LogPosition{Seq: 1}}, nil
 	}
 	connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 	assert.NilError(t, err)
@@ -440,8 +440,8 @@
 func TestFixLevelNeedsTail(t *testing.T) {
 	registry := newTestRegistry(t)
 	now := useTestClock(registry)
-	registry.EnableShedding(snowline.Options{})
-	registry.confirmState(waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
+	registry.EnableShedding(shedding.Options{})
+	registry.confirmState(api.CommittedStateResponse{Last: chain.LogPosition{Seq: 1}, State: committedState(1, 12)}, nil)
 	registry.mu.Lock()
 	registry.election = election.New(registry.settings.InnerAddress(registryPort), 1, registry.now(), dutyLeaseMs, true, dutyEndpoints, DutyShedding)
 	registry.mu.Unlock()
@@ -452,23 +452,23 @@
 			registry.stepElection(t.Context())
 			_, held = registry.election.Holds(registry.now(), DutyShedding)
 		}
-		_, err := registry.handleFixLevel(ctx, waymark.FixSheddingLevel{Cut: 5, DurationMS: 1000})
+		_, err := registry.handleFixLevel(ctx, api.FixSheddingLevel{Cut: 5, DurationMS: 1000})
 		return err
 	}
 	assert.NilError(t, fixLevel(t.Context()))
 	ctx, disconnect := context.WithCancel(t.Context())
 	defer disconnect()
-	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
+	registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
 		disconnect()
-		return waymark.CommittedStateResponse{Last: cairn.LogPosition{Seq: 1}}, nil
+		return api.CommittedStateResponse{Last: chain.LogPosition{Seq: 1}}, nil
 	}
 	assert.Assert(t, fixLevel(ctx) != nil)
-	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-		return waymark.CommittedStateResponse{Stale: true}, nil
+	registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+		return api.CommittedStateResponse{Stale: true}, nil
 	}
 	assert.Equal(t, rpc.KindOf(fixLevel(t.Context())), rpc.Stale)
-	registry.confirm = func(waymark.CommittedStateRequest) (waymark.CommittedStateResponse, error) {
-		return waymark.CommittedStateResponse{}, rpc.Errorf(rpc.Unavailable, "no tail")
+	registry.confirm = func(api.CommittedStateRequest) (api.CommittedStateResponse, error) {
+		return api.CommittedStateResponse{}, rpc.Errorf(rpc.Unavailable, "no tail")
 	}
 	assert.Equal(t, rpc.KindOf(fixLevel(t.Context())), rpc.Unavailable)
 }
--- a/internal/bothy/platform.go
+++ b/internal/control/registry/platform.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 const (
@@ -81,7 +81,7 @@
 }
 
 // readPlatformList reads all pages of the platform's list, and returns their number too.
-func (b *Registry) readPlatformList(ctx context.Context) (list []waymark.Worker, pages int, err error) {
+func (b *Registry) readPlatformList(ctx context.Context) (list []api.Worker, pages int, err error) {
 	token := ""
 	for n := 0; ; n++ {
 		if n > maxPlatformPages {
@@ -125,7 +125,7 @@
 }
 
 // parseWorkers returns the workers in the rows of a page.
-func (p *platformPage) parseWorkers() ([]waymark.Worker, error) {
+func (p *platformPage) parseWorkers() ([]api.Worker, error) {
 	columns := map[string]int{}
 	for i, column := range p.Roster.Columns {
 		columns[column] = i
@@ -135,7 +135,7 @@
 			return nil, fmt.Errorf("platform's list has no column %q, got %q", required, p.Roster.Columns)
 		}
 	}
-	list := make([]waymark.Worker, 0, len(p.Roster.Rows))
+	list := make([]api.Worker, 0, len(p.Roster.Rows))
 	for _, row := range p.Roster.Rows {
 		textOf := func(column string) string {
 			i, ok := columns[column]
@@ -153,7 +153,7 @@
 			number, _ := row[i].(float64)
 			return number
 		}
-		worker := waymark.Worker{ID: textOf("id"), Destination: textOf("destination"), Addr: textOf("address"), Zone: textOf("zone"),
+		worker := api.Worker{ID: textOf("id"), Destination: textOf("destination"), Addr: textOf("address"), Zone: textOf("zone"),
 			Version: textOf("edition"), Slots: int(numberOf("berths")), Draining: strings.TrimSpace(textOf("state")) != "open_counter",
 			SlowStartLeftMS: numberOf("coldS_time") * 1000}
 		if worker.ID == "" || worker.Addr == "" {
--- a/internal/bothy/probe_test.go
+++ b/internal/control/registry/probe_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"net/http"
@@ -7,14 +7,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // TestTakeDueProbes: new and cold workers are probed, neither old nor closing ones.
 func TestTakeDueProbes(t *testing.T) {
 	endpoints := newEndpointList()
-	endpoints.applyPlatformList(100, 1, []waymark.Worker{worker("old"), worker("cold", coldFor(3000)), worker("away", coldFor(3000), closing)})
-	endpoints.applyPlatformList(500, 1, []waymark.Worker{worker("old"), worker("cold", coldFor(2600)), worker("away", coldFor(2600), closing), worker("new")})
+	endpoints.applyPlatformList(100, 1, []api.Worker{worker("old"), worker("cold", coldFor(3000)), worker("away", coldFor(3000), closing)})
+	endpoints.applyPlatformList(500, 1, []api.Worker{worker("old"), worker("cold", coldFor(2600)), worker("away", coldFor(2600), closing), worker("new")})
 	assert.DeepEqual(t, endpoints.takeDueProbes(600, 1), []string{"cold"})
 	assert.DeepEqual(t, endpoints.takeDueProbes(600, 9), []string{"new"}) // each one once in two seconds
 	assert.Equal(t, len(endpoints.takeDueProbes(1000, 9)), 0)
@@ -26,14 +26,14 @@
 // Otherwise a worker that has just become cold would be announced as warm again by the next poll.
 func TestProbeOverridesList(t *testing.T) {
 	endpoints := newEndpointList()
-	endpoints.applyPlatformList(100, 1, []waymark.Worker{worker("a")})
+	endpoints.applyPlatformList(100, 1, []api.Worker{worker("a")})
 	before := endpoints.version
 	assert.Assert(t, !endpoints.applyProbe(200, 1, "a", 0), "the probe agrees with the list")
 	assert.Assert(t, endpoints.applyProbe(200, 1, "a", 4000))
 	assert.Assert(t, endpoints.version > before)
 	assert.Equal(t, endpoints.since(300, before).Workers[0].SlowStartLeftMS, 3900.0)
-	assert.Assert(t, !endpoints.applyPlatformList(600, 1, []waymark.Worker{worker("a")}), "the probe overrides the list")
-	assert.Assert(t, endpoints.applyPlatformList(2600, 1, []waymark.Worker{worker("a")}), "the probe's answer has expired")
+	assert.Assert(t, !endpoints.applyPlatformList(600, 1, []api.Worker{worker("a")}), "the probe overrides the list")
+	assert.Assert(t, endpoints.applyPlatformList(2600, 1, []api.Worker{worker("a")}), "the probe's answer has expired")
 	assert.Assert(t, !endpoints.applyProbe(2700, 1, "b", 4000), "an unknown worker")
 }
 
--- a/internal/bothy/registry.go
+++ b/internal/control/registry/registry.go
@@ -7,7 +7,7 @@
 // One mutex protects all state. Each periodic loop brings one kind of outside information up to
 // date: what the configuration store has committed, what the other registries know, what the
 // platform lists, and which duties are vacant.
-package bothy
+package registry
 
 import (
 	"context"
@@ -20,15 +20,15 @@
 	"github.com/rs/zerolog"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/cairn"
-	"foxwood/internal/election"
-	"foxwood/internal/membership"
-	"foxwood/internal/quota"
+	"foxwood/internal/configstore/chain"
+	"foxwood/internal/control/election"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/control/shedding"
+	"foxwood/internal/dataplane/slowstart"
 	"foxwood/internal/rpc"
-	"foxwood/internal/slowstart"
-	"foxwood/internal/snowline"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // Names of the duties.
@@ -84,14 +84,14 @@
 	otherRegistries     []string           // the other registries that gatekeepers may use
 	observers           map[string]float64 // when registries outside the core last sent a report
 	zoneRegions         map[string]string  // zones of the settings, with their regions
-	committed           cairn.State
+	committed           chain.State
 	packedConfiguration []byte // the committed configuration in compressed form
-	configuration       *timetable.Config
-	view                cairn.View
+	configuration       *routeconfig.Config
+	view                chain.View
 	tailConfirmedAt     float64 // start of the last request that the tail answered
 	tailUnreachable     bool    // the tail has not answered for staleAfterMs
 	core                []string
-	coreMachines        []waymark.Registry // all core machines known, and a hash of the list
+	coreMachines        []api.Registry // all core machines known, and a hash of the list
 	coreMachinesHash    uint64
 	storedElectorate    []string // the electorate on the disk, and its epoch
 	storedEpoch         uint64
@@ -100,7 +100,7 @@
 	evacuationVersion   uint64
 	evacuatedZones      []string
 	memberListVersion   uint64
-	peerLists           map[peerListKey]*waymark.MemberView // for the member list of version peerListsVersion
+	peerLists           map[peerListKey]*api.MemberView // for the member list of version peerListsVersion
 	peerListsVersion    uint64
 	memberCount         int
 	incarnation         uint64
@@ -114,7 +114,7 @@
 	stopped             bool
 
 	storeTimeout time.Duration    // for calls to this machine's configuration store
-	shedding     *snowline.Holder // nil if load shedding is off
+	shedding     *shedding.Holder // nil if load shedding is off
 
 	probeRate, probeBudget float64 // probes per second, and how many may be sent now
 }
@@ -328,7 +328,7 @@
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, b.storeTimeout)
 	defer cancel()
-	answer, err := rpc.Call[waymark.CommittedStateRequest, waymark.CommittedStateResponse](ctx, b.store, waymark.CommittedStateRequest{LastKnown: have, HeldView: view, AllowStale: have.Seq == 0})
+	answer, err := rpc.Call[api.CommittedStateRequest, api.CommittedStateResponse](ctx, b.store, api.CommittedStateRequest{LastKnown: have, HeldView: view, AllowStale: have.Seq == 0})
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counters.TailReads++
@@ -364,21 +364,21 @@
 }
 
 // isNewer reports whether position a is after the other one in the chain's log.
-func isNewer(a, other cairn.LogPosition) bool { return a.Seq > other.Seq }
+func isNewer(a, other chain.LogPosition) bool { return a.Seq > other.Seq }
 
 // applyState puts a newer committed state into force. The lock is held.
-func (b *Registry) applyState(state cairn.State) {
+func (b *Registry) applyState(state chain.State) {
 	previousEdition, previousOrder := b.committed.Edition, b.committed.Orders[OrderMirroring]
 	b.committed = state
 	b.logMirrorOrder(previousOrder)
 	if state.Edition != previousEdition && len(state.Body) > 0 {
-		b.packedConfiguration = waymark.Deflate(state.Body)
-		configuration, err := timetable.Parse(state.Body)
+		b.packedConfiguration = api.Deflate(state.Body)
+		configuration, err := routeconfig.Parse(state.Body)
 		if err != nil { // it was validated before it was committed
 			b.log.Error().Err(err).Uint64("edition", state.Edition).Msg("committed configuration cannot be parsed")
 		} else {
 			b.configuration = configuration
-			b.log.Info().Str("edition", timetable.FormatVersion(state.Edition)).Int("routes", len(configuration.Routes)).Msg("configuration in force")
+			b.log.Info().Str("edition", routeconfig.FormatVersion(state.Edition)).Int("routes", len(configuration.Routes)).Msg("configuration in force")
 		}
 	}
 	var zones []string
@@ -421,7 +421,7 @@
 		}
 		reports = append(reports, report)
 	}
-	message := waymark.Gossip{From: b.settings.InnerAddress(registryPort), Zone: b.settings.Zone, EndpointsVersion: b.endpoints.version}
+	message := api.Gossip{From: b.settings.InnerAddress(registryPort), Zone: b.settings.Zone, EndpointsVersion: b.endpoints.version}
 	message.Withdrawn, _ = b.withdrawals.snapshot()
 	b.mu.Unlock()
 	var calls sync.WaitGroup
@@ -431,7 +431,7 @@
 			defer cancel()
 			message, peer, previous := message, report.to, report.last
 			message.Page = report.page
-			answer, err := rpc.Call[waymark.Gossip, waymark.GossipResponse](ctx, peer, message)
+			answer, err := rpc.Call[api.Gossip, api.GossipResponse](ctx, peer, message)
 			b.mu.Lock()
 			delete(b.reporting, peer.Addr())
 			switch {
@@ -511,7 +511,7 @@
 	if version <= heldVersion {
 		return
 	}
-	newer, err := rpc.Call[waymark.EndpointListRequest, waymark.EndpointList](ctx, peer, waymark.EndpointListRequest{HeldVersion: heldVersion})
+	newer, err := rpc.Call[api.EndpointListRequest, api.EndpointList](ctx, peer, api.EndpointListRequest{HeldVersion: heldVersion})
 	if err != nil {
 		return
 	}
@@ -524,7 +524,7 @@
 }
 
 // handleGossip handles another registry's report. Registries outside the core become observers.
-func (b *Registry) handleGossip(ctx context.Context, message waymark.Gossip) (waymark.GossipResponse, error) {
+func (b *Registry) handleGossip(ctx context.Context, message api.Gossip) (api.GossipResponse, error) {
 	b.receiveReport(message.From, message.Zone, message.Page)
 	b.mu.Lock()
 	if self := b.settings.InnerAddress(registryPort); message.From != self && !slices.Contains(b.otherRegistries, message.From) {
@@ -534,7 +534,7 @@
 		}
 	}
 	peer := b.peers[message.From]
-	answer := waymark.GossipResponse{EndpointsVersion: b.endpoints.version, Incarnation: b.incarnation}
+	answer := api.GossipResponse{EndpointsVersion: b.endpoints.version, Incarnation: b.incarnation}
 	b.withdrawals.newestVersion = max(b.withdrawals.newestVersion, message.EndpointsVersion)
 	if b.withdrawals.merge(b.endpoints, message.Withdrawn) {
 		b.notifyWaiters()
@@ -552,12 +552,12 @@
 
 // handleEndpointsRequest returns the changes of the endpoints since the version that the caller
 // holds.
-func (b *Registry) handleEndpointsRequest(_ context.Context, request waymark.EndpointListRequest) (waymark.EndpointList, error) {
+func (b *Registry) handleEndpointsRequest(_ context.Context, request api.EndpointListRequest) (api.EndpointList, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changes := b.endpoints.since(b.now(), request.HeldVersion)
 	if changes == nil {
-		return waymark.EndpointList{}, nil
+		return api.EndpointList{}, nil
 	}
 	return *changes, nil
 }
--- a/internal/bothy/scale_bench_test.go
+++ b/internal/control/registry/scale_bench_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"encoding/json"
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"foxwood/internal/membership"
+	"foxwood/internal/control/membership"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // BenchmarkScaleControl extends the table of BenchmarkControl, for docs/CAPACITY.md.
 //
-//	go test ./internal/bothy -run xxx -bench ScaleControl -benchtime 1x
+//	go test ./internal/control/registry -run xxx -bench ScaleControl -benchtime 1x
 func BenchmarkScaleControl(b *testing.B) {
 	for _, n := range []int{30, 100, 300, 1000} {
 		for _, mode := range []string{"calm", "changes"} {
@@ -45,11 +45,11 @@
 					ClientAddr: fmt.Sprintf("10.%d.%d.%d:8206", i>>16, i>>8&255, i&255), PeerAddr: fmt.Sprintf("10.%d.%d.%d:7460", i>>16, i>>8&255, i&255), Ready: true})
 			}
 			members := sessions.Members(0)
-			var peers *waymark.MemberView
+			var peers *api.MemberView
 			for b.Loop() {
 				peers = newPeerList(members, &members.Members[n/2])
 			}
-			b.ReportMetric(float64(rpc.FrameSize(waymark.SessionResponse{Members: peers}, false)), "B/crowd")
+			b.ReportMetric(float64(rpc.FrameSize(api.SessionResponse{Members: peers}, false)), "B/crowd")
 			b.ReportMetric(float64(len(peers.Peers)), "peers")
 		})
 	}
@@ -59,9 +59,9 @@
 // change including the answers to another registry and to a gatekeeper, and the memory of a worker.
 func BenchmarkScaleRoster(b *testing.B) {
 	for _, n := range []int{250, 2500, 25_000, 200_000} {
-		list := make([]waymark.Worker, n)
+		list := make([]api.Worker, n)
 		for i := range list {
-			list[i] = waymark.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("service-", i%max(n/21, 1)), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+			list[i] = api.Worker{ID: fmt.Sprintf("i-%010x", i*7919), Destination: fmt.Sprint("service-", i%max(n/21, 1)), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 				Zone: fmt.Sprint("z", i%81), Version: "v1", Slots: 2}
 		}
 		var stats runtime.MemStats
@@ -99,17 +99,17 @@
 		fleet := newCostRun(30, 3)
 		registry := fleet.registries[0]
 		for i := range destinations {
-			registry.endpoints.apply(0, waymark.Worker{ID: fmt.Sprint("s", i), Destination: fmt.Sprint("service-", i), Addr: "10.1.1.1:1"}, 1<<termShift|2)
+			registry.endpoints.apply(0, api.Worker{ID: fmt.Sprint("s", i), Destination: fmt.Sprint("service-", i), Addr: "10.1.1.1:1"}, 1<<termShift|2)
 		}
 		registry.endpoints.version = 1<<termShift | 3
 		registry.endpoints.destinationVersions["service-1"] = registry.endpoints.version
 		for _, gatekeeper := range fleet.gatekeepers {
 			registry.sessions.Heartbeat(0, gatekeeper.member)
 		}
-		heartbeat := waymark.SessionRequest{Member: fleet.gatekeepers[0].member, EndpointsVersion: 1<<termShift | 2, ConfigVersion: 1}
+		heartbeat := api.SessionRequest{Member: fleet.gatekeepers[0].member, EndpointsVersion: 1<<termShift | 2, ConfigVersion: 1}
 		b.Run(fmt.Sprint(destinations), func(b *testing.B) {
 			for b.Loop() {
-				var answer waymark.SessionResponse
+				var answer api.SessionResponse
 				registry.addConfigurationAndEndpoints(0, registry.sessions.Members(0), &heartbeat, &answer)
 			}
 		})
--- a/internal/bothy/sessions.go
+++ b/internal/control/registry/sessions.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -10,17 +10,17 @@
 
 	"github.com/zeebo/xxh3"
 
-	"foxwood/internal/election"
-	"foxwood/internal/membership"
-	"foxwood/internal/quota"
+	"foxwood/internal/control/election"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // handleHeartbeat renews a gatekeeper's session and answers with updates: at once if there are any,
 // or else when the first one comes or the wait is over.
-func (b *Registry) handleHeartbeat(ctx context.Context, heartbeat waymark.SessionRequest) (waymark.SessionResponse, error) {
+func (b *Registry) handleHeartbeat(ctx context.Context, heartbeat api.SessionRequest) (api.SessionResponse, error) {
 	b.mu.Lock()
 	b.counters.Heartbeats++
 	receivedAt := b.now()
@@ -59,7 +59,7 @@
 
 // heartbeatAnswer returns the answer to a heartbeat in the current state, and whether it contains
 // updates. The lock is held.
-func (b *Registry) heartbeatAnswer(heartbeat waymark.SessionRequest, receivedAt float64) (answer waymark.SessionResponse, updated bool) {
+func (b *Registry) heartbeatAnswer(heartbeat api.SessionRequest, receivedAt float64) (answer api.SessionResponse, updated bool) {
 	now := b.now()
 	answer.AsOf = b.tailConfirmedAt - receivedAt
 	answer.Stale = b.tailConfirmedAt == 0 || now-b.tailConfirmedAt > staleAfterMs || b.outsideCore()
@@ -117,9 +117,9 @@
 
 // peerList returns the other members as seen by a gatekeeper. It is computed once for each version
 // of the member list.
-func (b *Registry) peerList(members membership.MemberList, gatekeeper *membership.Member) *waymark.MemberView {
+func (b *Registry) peerList(members membership.MemberList, gatekeeper *membership.Member) *api.MemberView {
 	if b.peerListsVersion != members.Version {
-		b.peerLists, b.peerListsVersion = map[peerListKey]*waymark.MemberView{}, members.Version
+		b.peerLists, b.peerListsVersion = map[peerListKey]*api.MemberView{}, members.Version
 	}
 	key := peerListKey{gatekeeper.Node, gatekeeper.Zone, gatekeeper.Region}
 	list := b.peerLists[key]
@@ -131,8 +131,8 @@
 }
 
 // newPeerList returns the ready members of the gatekeeper's region, those of its own zone first.
-func newPeerList(members membership.MemberList, gatekeeper *membership.Member) *waymark.MemberView {
-	list := &waymark.MemberView{}
+func newPeerList(members membership.MemberList, gatekeeper *membership.Member) *api.MemberView {
+	list := &api.MemberView{}
 	list.MemberIndex, list.MemberCount = members.MemberIndex(gatekeeper.Node)
 	hash := xxh3.New()
 	_, _ = fmt.Fprint(hash, list.MemberIndex, list.MemberCount)
@@ -161,20 +161,20 @@
 
 // updateCoreMachines updates the list of known core machines and its hash. The lock is held.
 func (b *Registry) updateCoreMachines() {
-	var machines []waymark.Registry
+	var machines []api.Registry
 	if !b.outsideCore() {
-		machines = append(machines, waymark.Registry{Addr: b.settings.InnerAddress(registryPort), Zone: b.settings.Zone})
+		machines = append(machines, api.Registry{Addr: b.settings.InnerAddress(registryPort), Zone: b.settings.Zone})
 	}
 	for _, addr := range b.otherRegistries {
-		machines = append(machines, waymark.Registry{Addr: addr, Zone: b.peerZones[addr]})
+		machines = append(machines, api.Registry{Addr: addr, Zone: b.peerZones[addr]})
 	}
-	slices.SortFunc(machines, func(a, b waymark.Registry) int { return strings.Compare(a.Addr, b.Addr) })
+	slices.SortFunc(machines, func(a, b api.Registry) int { return strings.Compare(a.Addr, b.Addr) })
 	b.coreMachines, b.coreMachinesHash = machines, xxh3.HashString(fmt.Sprint(machines))|1
 }
 
 // handleQuotaRequest answers a gatekeeper's allocation request here or forwards it to the holder of
 // the duty.
-func (b *Registry) handleQuotaRequest(ctx context.Context, request waymark.AllocationRequest) (waymark.AllocationResponse, error) {
+func (b *Registry) handleQuotaRequest(ctx context.Context, request api.AllocationRequest) (api.AllocationResponse, error) {
 	b.mu.Lock()
 	holder := b.election.Holder(b.now(), dutyQuota)
 	if holder == b.settings.InnerAddress(registryPort) {
@@ -184,20 +184,20 @@
 	peer := b.peers[holder]
 	b.mu.Unlock()
 	if peer == nil || request.Forwarded {
-		return waymark.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
+		return api.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 	}
 	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, callTimeout/2)
 	defer cancel()
-	return rpc.Call[waymark.AllocationRequest, waymark.AllocationResponse](ctx, peer, request)
+	return rpc.Call[api.AllocationRequest, api.AllocationResponse](ctx, peer, request)
 }
 
 // allocate answers an allocation request as the holder of the duty. The lock is held.
-func (b *Registry) allocate(request waymark.AllocationRequest) (waymark.AllocationResponse, error) {
+func (b *Registry) allocate(request api.AllocationRequest) (api.AllocationResponse, error) {
 	b.counters.AllocationRequests++
 	now := b.now()
 	if _, ok := b.election.Holds(now, dutyQuota); !ok || b.configuration == nil {
-		return waymark.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "the duty is lost")
+		return api.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "the duty is lost")
 	}
 	demand := make(quota.Demand, len(request.Demand))
 	for name, waiting := range request.Demand {
@@ -209,7 +209,7 @@
 	allocations := b.allocator.Allocate(now, id, request.Sequence, demand, request.HeldSlices(), request.LeaseLeft)
 	b.counters.AllocationNanos += uint64(time.Since(startedAt))
 	if allocations == nil {
-		return waymark.AllocationResponse{}, rpc.Errorf(rpc.Stale, "an asking that was overtaken")
+		return api.AllocationResponse{}, rpc.Errorf(rpc.Stale, "an asking that was overtaken")
 	}
 	if b.sessions.RestartedWithin(now, request.Node, b.startBurstWindowMs()) { // an earlier holder of the duty may have granted the start burst already
 		for name, allocation := range allocations {
@@ -217,7 +217,7 @@
 			allocations[name] = allocation
 		}
 	}
-	return waymark.AllocationResponse{Slices: waymark.EncodeSlices(allocations), LeaseMS: allocationLeaseMs, SlowStart: b.slowStart.Renew(now, id)}, nil
+	return api.AllocationResponse{Slices: api.EncodeSlices(allocations), LeaseMS: allocationLeaseMs, SlowStart: b.slowStart.Renew(now, id)}, nil
 }
 
 // updateQuotaLimits passes the tenants' quotas to the allocator. The lock is held.
@@ -289,29 +289,29 @@
 }
 
 // handleElectionMessage handles an election message of another registry.
-func (b *Registry) handleElectionMessage(_ context.Context, message election.Message) (waymark.StatusRequest, error) {
+func (b *Registry) handleElectionMessage(_ context.Context, message election.Message) (api.StatusRequest, error) {
 	b.mu.Lock()
 	if b.stopped {
 		b.mu.Unlock()
-		return waymark.StatusRequest{}, nil
+		return api.StatusRequest{}, nil
 	}
 	output := b.election.Step(b.now(), election.Event{Kind: election.Received, Message: message})
 	b.applyDutyChanges(output)
 	b.mu.Unlock()
 	b.sendElectionMessages(output)
-	return waymark.StatusRequest{}, nil
+	return api.StatusRequest{}, nil
 }
 
 // handleStatus returns the lines that the command status prints.
-func (b *Registry) handleStatus(context.Context, waymark.StatusRequest) (waymark.StatusResponse, error) {
+func (b *Registry) handleStatus(context.Context, api.StatusRequest) (api.StatusResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	var status waymark.StatusResponse
+	var status api.StatusResponse
 	addLine := func(format string, args ...any) { status.Lines = append(status.Lines, fmt.Sprintf(format, args...)) }
 	addLine("station %s", b.settings.Node)
 	addLine("view %d chain %v core %v", b.view.Number, b.view.Chain, b.view.Core)
-	addLine("edition %s change %d", timetable.FormatVersion(b.committed.Edition), b.committed.Last.Seq)
+	addLine("edition %s change %d", routeconfig.FormatVersion(b.committed.Edition), b.committed.Last.Seq)
 	addLine("tail asked %.0f ms ago", now-b.tailConfirmedAt)
 	addLine("evacuated %v", b.evacuatedZones)
 	for _, duty := range []string{dutyEndpoints, dutyQuota} {
--- a/internal/bothy/shedding.go
+++ b/internal/control/registry/shedding.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
+	"foxwood/internal/control/shedding"
 	"foxwood/internal/rpc"
-	"foxwood/internal/snowline"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -23,8 +23,8 @@
 )
 
 // EnableShedding enables load shedding. It must be called before Serve.
-func (b *Registry) EnableShedding(options snowline.Options) {
-	b.shedding = snowline.NewHolder(rand.Uint64() | 1)
+func (b *Registry) EnableShedding(options shedding.Options) {
+	b.shedding = shedding.NewHolder(rand.Uint64() | 1)
 	b.shedding.NeverShedBelow, b.shedding.MinServedShare, b.shedding.CallerHeader, b.shedding.SingleThreshold = options.NeverShedBelow, options.MinServedShare, options.CallerHeader, options.SingleThreshold
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	level := b.shedding.Level()
-	b.log.Info().Uint64("number", level.Number).Uint32("cut", level.Threshold).Str("refused", snowline.DescribeAll(level.Threshold, level.ServiceThresholds)).Str("why", level.Reason).
+	b.log.Info().Uint64("number", level.Number).Uint32("cut", level.Threshold).Str("refused", shedding.DescribeAll(level.Threshold, level.ServiceThresholds)).Str("why", level.Reason).
 		Uint64("turn", level.Rotation).Float64("lastHeldMs", now-since).Float64("offered", b.shedding.Load().Sum()).Float64("fits", b.shedding.AdmittedRate()).
 		Interface("fitsAt", b.shedding.ServiceRates()).
 		Msg("shedding level")
@@ -73,14 +73,14 @@
 
 // handleLoadReport handles a gatekeeper's load report here or forwards it to the holder of the
 // duty.
-func (b *Registry) handleLoadReport(ctx context.Context, request waymark.PressureReport) (answer waymark.SheddingLevel, err error) {
+func (b *Registry) handleLoadReport(ctx context.Context, request api.PressureReport) (answer api.SheddingLevel, err error) {
 	b.mu.Lock()
 	now := b.now()
 	if _, ok := b.election.Holds(now, DutyShedding); ok {
 		defer b.mu.Unlock()
 		b.shedding.Receive(now, request.Report)
 		b.stepSheddingLevel()
-		return waymark.SheddingLevel{Level: b.shedding.Level()}, nil
+		return api.SheddingLevel{Level: b.shedding.Level()}, nil
 	}
 	peer := b.peers[b.election.Holder(now, DutyShedding)]
 	b.mu.Unlock()
@@ -90,7 +90,7 @@
 	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
-	if answer, err = rpc.Call[waymark.PressureReport, waymark.SheddingLevel](ctx, peer, request); err == nil {
+	if answer, err = rpc.Call[api.PressureReport, api.SheddingLevel](ctx, peer, request); err == nil {
 		b.mu.Lock()
 		b.shedding.Observe(answer.Level)
 		b.mu.Unlock()
@@ -100,7 +100,7 @@
 
 // handleFixLevel handles an operator's order to fix the level. Like an order for a zone it has no
 // number: it is dropped if the tail is not reached, or if the caller has disconnected by then.
-func (b *Registry) handleFixLevel(ctx context.Context, request waymark.FixSheddingLevel) (answer waymark.SheddingLevel, err error) {
+func (b *Registry) handleFixLevel(ctx context.Context, request api.FixSheddingLevel) (answer api.SheddingLevel, err error) {
 	if request.Cut > policy.ShedNothing || !(request.DurationMS >= 0 && request.DurationMS <= maxFixMs) {
 		return answer, rpc.Errorf(rpc.Invalid, "no such cut, or not for a time up to a day")
 	}
@@ -123,8 +123,8 @@
 	if _, ok := b.election.Holds(now, DutyShedding); ok {
 		defer b.mu.Unlock()
 		b.shedding.Override(now, max(request.Cut, 1), request.DurationMS)
-		b.log.Info().Str("refused", snowline.Describe(request.Cut)).Float64("forMs", request.DurationMS).Msg("an operator's order for the shedding level")
-		return waymark.SheddingLevel{Level: b.shedding.Level()}, nil
+		b.log.Info().Str("refused", shedding.Describe(request.Cut)).Float64("forMs", request.DurationMS).Msg("an operator's order for the shedding level")
+		return api.SheddingLevel{Level: b.shedding.Level()}, nil
 	}
 	peer := b.peers[b.election.Holder(now, DutyShedding)]
 	b.mu.Unlock()
@@ -134,7 +134,7 @@
 	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return rpc.Call[waymark.FixSheddingLevel, waymark.SheddingLevel](ctx, peer, request)
+	return rpc.Call[api.FixSheddingLevel, api.SheddingLevel](ctx, peer, request)
 }
 
 // sheddingStatusLines returns the lines of the status on load shedding. The lock is held.
@@ -146,7 +146,7 @@
 	addLine := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	addLine("duty %s held by %s", DutyShedding, b.election.Holder(now, DutyShedding))
 	addLine("shedding level %d turn %d refuses %s, never shed: priority below %d, least of a tier %.2f, callers by %q",
-		level.Number, level.Rotation, snowline.DescribeAll(level.Threshold, level.ServiceThresholds), level.NeverShedBelow, level.MinServedShare, level.CallerHeader)
+		level.Number, level.Rotation, shedding.DescribeAll(level.Threshold, level.ServiceThresholds), level.NeverShedBelow, level.MinServedShare, level.CallerHeader)
 	if _, ok := b.election.Holds(now, DutyShedding); ok {
 		addLine("shedding level stands for %.0f ms: %s; offered %.1f/s, fits %.1f/s (0: not known), at services %v", now-b.shedding.ChangedAt(), level.Reason,
 			b.shedding.Load().Sum(), b.shedding.AdmittedRate(), b.shedding.ServiceRates())
--- a/internal/bothy/startlog.go
+++ b/internal/control/registry/startlog.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"foxwood/internal/quota"
+	"foxwood/internal/control/quota"
 )
 
 // A gatekeeper that starts takes its start burst (the first tokens of its quotas) once, and two
--- a/internal/bothy/startlog_test.go
+++ b/internal/control/registry/startlog_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"os"
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/membership"
-	"foxwood/internal/waymark"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/rpc/api"
 )
 
 // newRegistryOnDisk returns a registry with a folder and a clock that the test sets.
@@ -25,7 +25,7 @@
 // says that an earlier incarnation started recently.
 func sendHeartbeat(t *testing.T, registry *Registry, node string, incarnation uint64) (restarted bool) {
 	t.Helper()
-	answer, err := registry.handleHeartbeat(t.Context(), waymark.SessionRequest{Member: membership.Member{Node: node, Incarnation: incarnation, Sequence: 1}})
+	answer, err := registry.handleHeartbeat(t.Context(), api.SessionRequest{Member: membership.Member{Node: node, Incarnation: incarnation, Sequence: 1}})
 	assert.NilError(t, err)
 	return answer.RestartedRecently
 }
