--- a/internal/bothy/updates.go
+++ b/internal/control/registry/updates.go
@@ -1,12 +1,12 @@
-package bothy
+package registry
 
 import (
 	"maps"
 	"slices"
 
-	"foxwood/internal/configcache"
-	"foxwood/internal/membership"
-	"foxwood/internal/waymark"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/rpc/api"
 )
 
 // maxZoneHomeBodyBytes is the size of a compressed configuration up to which it is distributed
@@ -17,7 +17,7 @@
 // heartbeat's answer, and reports whether there are any. Traffic between zones is expensive:
 // configurations and workers go only to the zone homes, to a gatekeeper that holds nothing yet, and
 // to one that did not get them from its zone homes. The lock is held.
-func (b *Registry) addConfigurationAndEndpoints(now float64, members membership.MemberList, heartbeat *waymark.SessionRequest, answer *waymark.SessionResponse) (updated bool) {
+func (b *Registry) addConfigurationAndEndpoints(now float64, members membership.MemberList, heartbeat *api.SessionRequest, answer *api.SessionResponse) (updated bool) {
 	gatekeeper := &heartbeat.Member
 	isOwnerOrNone := func(service string) bool {
 		owner := membership.Owner(members, gatekeeper.Zone, service)
@@ -56,11 +56,11 @@
 }
 
 // marksSince returns which destinations have changed since a version, nil if none have.
-func (l *endpointList) marksSince(heldVersion uint64) *waymark.EndpointChanges {
+func (l *endpointList) marksSince(heldVersion uint64) *api.EndpointChanges {
 	if heldVersion >= l.version {
 		return nil
 	}
-	marks := &waymark.EndpointChanges{Version: l.version, Complete: heldVersion < l.termStart || heldVersion == 0, VersionsBehind: map[string]uint64{}}
+	marks := &api.EndpointChanges{Version: l.version, Complete: heldVersion < l.termStart || heldVersion == 0, VersionsBehind: map[string]uint64{}}
 	for name := range l.destinationVersions {
 		if version := l.destinationVersion(name); marks.Complete || version > heldVersion {
 			marks.VersionsBehind[name] = l.version - version
@@ -71,11 +71,11 @@
 
 // partSince returns a destination's workers for a gatekeeper that holds heldVersion, nil if that is
 // current.
-func (l *endpointList) partSince(now float64, name string, heldVersion uint64) *waymark.DestinationEndpoints {
+func (l *endpointList) partSince(now float64, name string, heldVersion uint64) *api.DestinationEndpoints {
 	if l.destinationVersion(name) <= heldVersion || l.destinationVersions[name] == 0 {
 		return nil
 	}
-	part := &waymark.DestinationEndpoints{Destination: name, Version: l.version, Since: heldVersion}
+	part := &api.DestinationEndpoints{Destination: name, Version: l.version, Since: heldVersion}
 	if heldVersion < max(l.termStart, l.destinationChangesSince[name]) {
 		part.Since = 0
 	}
--- a/internal/bothy/updates_test.go
+++ b/internal/control/registry/updates_test.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/configcache"
-	"foxwood/internal/membership"
-	"foxwood/internal/waymark"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/rpc/api"
 )
 
 // membersOfZone returns ready members of the zone z.
@@ -32,28 +32,28 @@
 		}
 	}
 	registry := &Registry{endpoints: newEndpointList()}
-	registry.committed.Edition, registry.packedConfiguration = 7, waymark.Deflate([]byte("seven"))
-	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a")})
+	registry.committed.Edition, registry.packedConfiguration = 7, api.Deflate([]byte("seven"))
+	registry.endpoints.applyPlatformList(0, 1, []api.Worker{worker("a")})
 	olderVersion := registry.endpoints.version
-	registry.endpoints.applyPlatformList(0, 1, []waymark.Worker{worker("a", closing)})
+	registry.endpoints.applyPlatformList(0, 1, []api.Worker{worker("a", closing)})
 	for _, c := range []struct {
 		name       string
 		members    membership.MemberList
-		heartbeat  waymark.SessionRequest
+		heartbeat  api.SessionRequest
 		body, part bool
 	}{
-		{"zone home of the configuration", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, configurationOwner == workersOwner},
-		{"zone home of the workers", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: workersOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, configurationOwner == workersOwner, true},
-		{"another gatekeeper", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, false, false},
-		{"another that requests the configuration", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion, WantConfig: true}, true, false},
-		{"another that requests the workers", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: registry.endpoints.version,
+		{"zone home of the configuration", members, api.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, configurationOwner == workersOwner},
+		{"zone home of the workers", members, api.SessionRequest{Member: membership.Member{PeerAddr: workersOwner}, ConfigVersion: 5, EndpointsVersion: olderVersion}, configurationOwner == workersOwner, true},
+		{"another gatekeeper", members, api.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, false, false},
+		{"another that requests the configuration", members, api.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion, WantConfig: true}, true, false},
+		{"another that requests the workers", members, api.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: registry.endpoints.version,
 			WantEndpoints: map[string]uint64{"d": olderVersion}}, false, true},
-		{"another that holds nothing", members, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}}, true, true},
-		{"there is no zone home", membership.MemberList{}, waymark.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, true},
+		{"another that holds nothing", members, api.SessionRequest{Member: membership.Member{PeerAddr: other}}, true, true},
+		{"there is no zone home", membership.MemberList{}, api.SessionRequest{Member: membership.Member{PeerAddr: other}, ConfigVersion: 5, EndpointsVersion: olderVersion}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.heartbeat.Member.Zone = "z"
-			var answer waymark.SessionResponse
+			var answer api.SessionResponse
 			assert.Assert(t, registry.addConfigurationAndEndpoints(0, c.members, &c.heartbeat, &answer))
 			assert.Equal(t, answer.ConfigVersion, uint64(7))
 			assert.Equal(t, len(answer.Config) > 0, c.body)
@@ -61,8 +61,8 @@
 			assert.Equal(t, answer.EndpointChanges != nil, c.heartbeat.EndpointsVersion < registry.endpoints.version)
 		})
 	}
-	var answer waymark.SessionResponse
-	heartbeat := waymark.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner, Zone: "z"}, ConfigVersion: 7, EndpointsVersion: registry.endpoints.version}
+	var answer api.SessionResponse
+	heartbeat := api.SessionRequest{Member: membership.Member{PeerAddr: configurationOwner, Zone: "z"}, ConfigVersion: 7, EndpointsVersion: registry.endpoints.version}
 	assert.Assert(t, !registry.addConfigurationAndEndpoints(0, members, &heartbeat, &answer), "no updates")
 }
 
@@ -79,7 +79,7 @@
 		for _, name := range names {
 			caches[name] = configcache.New()
 		}
-		list := map[string]waymark.Worker{}
+		list := map[string]api.Worker{}
 		for range 120 {
 			now += 400
 			for range 1 + random.IntN(3) {
@@ -88,9 +88,9 @@
 				case 0:
 					delete(list, id)
 				case 1:
-					list[id] = worker(id, closing, func(w *waymark.Worker) { w.Destination = "d" + id[1:2] })
+					list[id] = worker(id, closing, func(w *api.Worker) { w.Destination = "d" + id[1:2] })
 				default:
-					list[id] = worker(id, func(w *waymark.Worker) { w.Destination = "d" + id[1:2] })
+					list[id] = worker(id, func(w *api.Worker) { w.Destination = "d" + id[1:2] })
 				}
 			}
 			if random.IntN(15) == 0 { // a new holder, which may lack the last changes
@@ -100,7 +100,7 @@
 			if random.IntN(20) == 0 {
 				now += 31_000 // removed workers are forgotten
 			}
-			var all []waymark.Worker
+			var all []api.Worker
 			for _, w := range list {
 				all = append(all, w)
 			}
@@ -115,9 +115,9 @@
 				cache, registry := caches[name], registries[random.IntN(2)]
 				members := membersOfZone(names[random.IntN(2):]...)
 				sendHeartbeat := func() {
-					q := waymark.SessionRequest{Member: membership.Member{PeerAddr: name, Zone: "z"}}
+					q := api.SessionRequest{Member: membership.Member{PeerAddr: name, Zone: "z"}}
 					cache.FillHeartbeat(&q)
-					var answer waymark.SessionResponse
+					var answer api.SessionResponse
 					registry.addConfigurationAndEndpoints(now, members, &q, &answer)
 					cache.ApplyAnswer(now, &answer)
 				}
--- a/internal/bothy/withdrawals.go
+++ b/internal/control/registry/withdrawals.go
@@ -1,4 +1,4 @@
-package bothy
+package registry
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // The duty to read the platform's list needs a majority of the core. If there is none, perhaps for
@@ -49,8 +49,8 @@
 // applyPlatformList withdraws workers by a complete list, and reports whether there are new ones. A
 // list read while the platform changes may lack a worker, so a missing worker is withdrawn only
 // when the second list in a row lacks it.
-func (w *withdrawals) applyPlatformList(endpoints *endpointList, list []waymark.Worker) (added bool) {
-	listed := make(map[string]waymark.Worker, len(list))
+func (w *withdrawals) applyPlatformList(endpoints *endpointList, list []api.Worker) (added bool) {
+	listed := make(map[string]api.Worker, len(list))
 	for _, current := range list {
 		listed[current.ID] = current
 	}
@@ -64,14 +64,14 @@
 		if known.Draining || known.Removed || ok && !current.Draining || !ok && !w.missing[id] {
 			continue
 		}
-		added = w.add(waymark.WithdrawnWorker{ID: id, ListVersion: version}) || added
+		added = w.add(api.WithdrawnWorker{ID: id, ListVersion: version}) || added
 	}
 	w.missing = missing
 	return added
 }
 
 // add records a withdrawal, and reports whether its worker had none before.
-func (w *withdrawals) add(withdrawal waymark.WithdrawnWorker) bool {
+func (w *withdrawals) add(withdrawal api.WithdrawnWorker) bool {
 	version, ok := w.versions[withdrawal.ID]
 	if w.versions == nil {
 		w.versions = map[string]uint64{}
@@ -81,7 +81,7 @@
 }
 
 // merge adds the withdrawals of another registry, and reports whether there are new ones.
-func (w *withdrawals) merge(endpoints *endpointList, list []waymark.WithdrawnWorker) (added bool) {
+func (w *withdrawals) merge(endpoints *endpointList, list []api.WithdrawnWorker) (added bool) {
 	for _, withdrawal := range list {
 		if !withdrawal.Superseded(endpoints.version, endpoints.workerVersion(withdrawal.ID)) {
 			added = w.add(withdrawal) || added
@@ -93,18 +93,18 @@
 // dropSuperseded drops the withdrawals that later data of a duty holder replaces.
 func (w *withdrawals) dropSuperseded(endpoints *endpointList) {
 	maps.DeleteFunc(w.versions, func(id string, version uint64) bool {
-		return waymark.WithdrawnWorker{ID: id, ListVersion: version}.Superseded(endpoints.version, endpoints.workerVersion(id))
+		return api.WithdrawnWorker{ID: id, ListVersion: version}.Superseded(endpoints.version, endpoints.workerVersion(id))
 	})
 }
 
 // snapshot returns all withdrawals, and a hash of the list; 0 if there are none.
-func (w *withdrawals) snapshot() (all []waymark.WithdrawnWorker, hash uint64) {
+func (w *withdrawals) snapshot() (all []api.WithdrawnWorker, hash uint64) {
 	if len(w.versions) == 0 {
 		return nil, 0
 	}
 	ids := slices.Sorted(maps.Keys(w.versions))
 	for _, id := range ids {
-		all = append(all, waymark.WithdrawnWorker{ID: id, ListVersion: w.versions[id]})
+		all = append(all, api.WithdrawnWorker{ID: id, ListVersion: w.versions[id]})
 	}
 	return all, xxh3.HashString(strings.Join(ids, "\x00")) | 1
 }
@@ -118,7 +118,7 @@
 }
 
 // withdrawWithoutHolder applies a list that was read without the duty. The lock is held.
-func (b *Registry) withdrawWithoutHolder(startedAt float64, version uint64, pages int, list []waymark.Worker) {
+func (b *Registry) withdrawWithoutHolder(startedAt float64, version uint64, pages int, list []api.Worker) {
 	now := b.now()
 	w := &b.withdrawals
 	if b.endpoints.version != version || now-startedAt > maxListAgeMs || !w.dutyVacant(now) {
--- a/internal/timetable/parse_bench_test.go
+++ b/internal/control/routeconfig/parse_bench_test.go
@@ -1,4 +1,4 @@
-package timetable
+package routeconfig
 
 import (
 	"fmt"
--- a/internal/timetable/size_bench_test.go
+++ b/internal/control/routeconfig/size_bench_test.go
@@ -1,4 +1,4 @@
-package timetable
+package routeconfig
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 // BenchmarkScale measures the size of configurations with various numbers of routes and tenants, for docs/CAPACITY.md:
 // heldB is the heap in use without the document, bodyB the document, and packedB the document deflated.
 //
-//	go test ./internal/timetable -run xxx -bench Scale -benchtime 1x
+//	go test ./internal/control/routeconfig -run xxx -bench Scale -benchtime 1x
 func BenchmarkScale(b *testing.B) {
 	heapBytes := func() float64 {
 		var m runtime.MemStats
--- a/internal/timetable/timetable.go
+++ b/internal/control/routeconfig/timetable.go
@@ -2,7 +2,7 @@
 // (courses in the document), the services that serve them (destinations), and the tenants that API keys
 // belong to (senders). Parse accepts a complete document or rejects it with a fault. A parsed configuration
 // is never modified, so any number of goroutines may read it.
-package timetable
+package routeconfig
 
 import (
 	"bytes"
--- a/internal/snowline/load.go
+++ b/internal/control/shedding/load.go
@@ -9,7 +9,7 @@
 // threshold of its own, and the received level ages out.
 //
 // Times are in milliseconds of the caller's steady clock. Only ages are sent between machines.
-package snowline
+package shedding
 
 import (
 	"maps"
--- a/internal/snowline/pressure.go
+++ b/internal/control/shedding/pressure.go
@@ -1,4 +1,4 @@
-package snowline
+package shedding
 
 import (
 	"cmp"
--- a/internal/batch/batch_test.go
+++ b/internal/dataplane/batch/batch_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 
-	"foxwood/internal/batch/batchpb"
+	"foxwood/internal/dataplane/batch/batchpb"
 )
 
 // TestCodecMatchesProtobuf checks that the handwritten codec and the generated code read each
--- a/internal/batch/server.go
+++ b/internal/dataplane/batch/server.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"foxwood/internal/batch/batchpb"
+	"foxwood/internal/dataplane/batch/batchpb"
 )
 
 // Handler serves the worker's side of the batch protocol with net/http. It passes each item to
--- a/internal/h2/h2_test.go
+++ b/internal/dataplane/h2/h2_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/net/http2/hpack"
 	"pgregory.net/rapid"
 
+	"foxwood/internal/dataplane/http1"
 	_ "foxwood/internal/fixedseed"
-	"foxwood/internal/http1"
 )
 
 // fakeServer is the server's side of a session in memory. It parses what the session writes
--- a/internal/h2/read.go
+++ b/internal/dataplane/h2/read.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 const frameHeaderBytes = 9 // RFC 9113, section 4.1
--- a/internal/h2/session.go
+++ b/internal/dataplane/h2/session.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 // Limits on what a peer may make a session store, in bytes unless stated otherwise.
--- a/internal/link/batch.go
+++ b/internal/dataplane/link/batch.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/batch"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/batch"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
--- a/internal/link/client.go
+++ b/internal/dataplane/link/client.go
@@ -7,7 +7,7 @@
 	"syscall"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 // RequestHandler handles the requests that arrive on client connections.
--- a/internal/link/counter_test.go
+++ b/internal/dataplane/link/counter_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
--- a/internal/link/fake_worker_test.go
+++ b/internal/dataplane/link/fake_worker_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/batch/batchpb"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/batch/batchpb"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
--- a/internal/link/fleet.go
+++ b/internal/dataplane/link/fleet.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/lanes"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/pipelining"
 	"foxwood/policy"
 )
 
@@ -74,7 +74,7 @@
 	reader      ResponseReader
 	clock       *gatekeeper.Clock
 	transport   Transport
-	estimator   *lanes.Estimator
+	estimator   *pipelining.Estimator
 	workers     map[policy.Server]*workerRecord
 	dialTimeout time.Duration // for opening a connection
 	maxIdleMS   float64       // how long a connection may stay idle
@@ -128,7 +128,7 @@
 		dialTimeout: time.Duration(connectMS * float64(time.Millisecond)), maxIdleMS: idleMS,
 		PartialTimeoutMS: maxPartialMS, SettleMS: settleMS}
 	workerConns.matcher, _ = reader.(ResponseMatcher)
-	workerConns.estimator = lanes.NewEstimator(workerConns.terms)
+	workerConns.estimator = pipelining.NewEstimator(workerConns.terms)
 	return workerConns
 }
 
@@ -157,10 +157,10 @@
 // terms returns the rules by which requests of a class share a connection. Requests with an
 // idempotency key may share one if every worker discards duplicates for as long as a repeat
 // can arrive.
-func (f *WorkerConns) terms(class int) lanes.ClassTerms {
+func (f *WorkerConns) terms(class int) pipelining.ClassTerms {
 	c := f.core.Class(class)
 	share := c.Repeat == policy.RepeatSafe || c.Repeat == policy.RepeatKeyed && c.Dedup == policy.DedupFleet && c.RepeatWindow >= c.Deadline
-	return lanes.ClassTerms{TargetMS: float64(c.LatencyTarget) / 1000, MayShare: share}
+	return pipelining.ClassTerms{TargetMS: float64(c.LatencyTarget) / 1000, MayShare: share}
 }
 
 // Place sets the address of a worker that accepts executions, and the time when its process
--- a/internal/link/http2.go
+++ b/internal/dataplane/link/http2.go
@@ -5,8 +5,8 @@
 	"strconv"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/h2"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/h2"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
--- a/internal/link/limits.go
+++ b/internal/dataplane/link/limits.go
@@ -4,7 +4,7 @@
 	"cmp"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 // ClientLimits replaces the default limits on client connections with configured ones. A field
--- a/internal/link/pipeline.go
+++ b/internal/dataplane/link/pipeline.go
@@ -6,8 +6,8 @@
 	"strconv"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/lanes"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/pipelining"
 	"foxwood/policy"
 )
 
@@ -23,12 +23,12 @@
 	outputOffset    int64 // stream offset of the first byte of output
 	sequence        uint64
 	requests        []pipelinedRequest
-	pending         []lanes.PendingRequest // timing of requests, in the same order
-	echoes          bool                   // the worker copies the sequence number
-	noEcho          bool                   // the worker does not copy it
-	closing         bool                   // the last response announced that the connection closes
-	partialSequence uint64                 // sequence number of the request whose response is incomplete
-	lastReadAt      float64                // time of the last input, in milliseconds
+	pending         []pipelining.PendingRequest // timing of requests, in the same order
+	echoes          bool                        // the worker copies the sequence number
+	noEcho          bool                        // the worker does not copy it
+	closing         bool                        // the last response announced that the connection closes
+	partialSequence uint64                      // sequence number of the request whose response is incomplete
+	lastReadAt      float64                     // time of the last input, in milliseconds
 }
 
 type pipelinedRequest struct {
@@ -77,7 +77,7 @@
 	l.output = workerConns.message(l.output, execution, workerConns.transport.EchoHeader, l.sequence)
 	request.endOffset = l.outputOffset + int64(len(l.output))
 	l.requests = append(l.requests, request)
-	l.pending = append(l.pending, lanes.PendingRequest{Class: execution.Request.Class, StartedAt: workerConns.clock.Now()})
+	l.pending = append(l.pending, pipelining.PendingRequest{Class: execution.Request.Class, StartedAt: workerConns.clock.Now()})
 }
 
 func (l *pipelineProtocol) takeOutput() []byte {
@@ -215,7 +215,7 @@
 // pipelineChooser uses the lanes package to choose the connection for a request.
 type pipelineChooser struct {
 	pool      *muxPool
-	pipelines []lanes.Pipeline
+	pipelines []pipelining.Pipeline
 	conns     []*muxConn
 }
 
@@ -225,7 +225,7 @@
 	for _, t := range pool.conns {
 		l := t.protocol.(*pipelineProtocol)
 		if t.room() > 0 {
-			c.pipelines = append(c.pipelines, lanes.Pipeline{Pending: l.pending, MaxPending: l.maxInFlight()})
+			c.pipelines = append(c.pipelines, pipelining.Pipeline{Pending: l.pending, MaxPending: l.maxInFlight()})
 			c.conns = append(c.conns, t)
 		}
 	}
@@ -235,5 +235,5 @@
 	if choice >= 0 {
 		return c.conns[choice], false
 	}
-	return nil, choice == lanes.OpenNew
+	return nil, choice == pipelining.OpenNew
 }
--- a/internal/link/streaming.go
+++ b/internal/dataplane/link/streaming.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
--- a/internal/link/watch.go
+++ b/internal/dataplane/link/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 const (
--- a/internal/spur/gap.go
+++ b/internal/dataplane/mirror/gap.go
@@ -1,4 +1,4 @@
-package spur
+package mirror
 
 // ReportGap reports that requests were forwarded whose start events were lost. Their flows are unknown,
 // so it skips an item number in every outbox: each collector then knows that any of its flows may
--- a/internal/spur/mirror.go
+++ b/internal/dataplane/mirror/mirror.go
@@ -11,7 +11,7 @@
 // gap is longer than the rule's idle timeout. One request of a flow is a piece.
 //
 // An Engine is not safe for concurrent use.
-package spur
+package mirror
 
 import "fmt"
 
--- a/internal/spur/rule_test.go
+++ b/internal/dataplane/mirror/rule_test.go
@@ -1,4 +1,4 @@
-package spur
+package mirror
 
 import (
 	"bytes"
--- a/internal/brocken/clients.go
+++ b/internal/dataplane/mirror/simulation/clients.go
@@ -1,4 +1,4 @@
-package brocken
+package simulation
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"foxwood/internal/spur"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // targetConnection records what is sent to a mirror target.
@@ -84,9 +84,9 @@
 	s.lastID++
 	live := &liveRequest{request: request, piece: s.lastID}
 	now := gatekeeper.clock(s.now)
-	info := &spur.RequestInfo{Route: route.name, Destination: route.destination, Tenant: request.flow.tenant, Header: func(h string) ([]byte, bool) { return []byte(request.flow.name), h == "X-Visit" }}
+	info := &mirror.RequestInfo{Route: route.name, Destination: route.destination, Tenant: request.flow.tenant, Header: func(h string) ([]byte, bool) { return []byte(request.flow.name), h == "X-Visit" }}
 	id, selected := gatekeeper.engine.SelectedFlow(info)
-	if id != (spur.FlowID{}) {
+	if id != (mirror.FlowID{}) {
 		s.ledger.recordSelection(request.flow.name, gatekeeper.engine.Rule().Number, selected)
 	}
 	s.ledger.recordRun(s, request, live.piece, selected)
@@ -113,12 +113,12 @@
 	now, chance := gatekeeper.clock(s.now), s.random.IntN(10_000)
 	switch {
 	case chance < 3:
-		gatekeeper.engine.DropRequest(now, live.ticket, spur.BodyTooLarge)
+		gatekeeper.engine.DropRequest(now, live.ticket, mirror.BodyTooLarge)
 	case chance < 6, s.plan.Fault == "careless" && chance < 300:
-		gatekeeper.engine.DropRequest(now, live.ticket, spur.NoAnswer)
+		gatekeeper.engine.DropRequest(now, live.ticket, mirror.NoAnswer)
 	default:
-		gatekeeper.engine.FinishRequest(now, live.ticket, &spur.Request{Method: []byte("POST"), Target: []byte("/" + routes[live.request.route].name), Body: fmt.Appendf(nil, "%d", live.piece),
-			Fields: []spur.HeaderField{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, spur.LiveResponse{Status: 200, DurationMs: tookMs})
+		gatekeeper.engine.FinishRequest(now, live.ticket, &mirror.Request{Method: []byte("POST"), Target: []byte("/" + routes[live.request.route].name), Body: fmt.Appendf(nil, "%d", live.piece),
+			Fields: []mirror.HeaderField{{Name: []byte("Host"), Value: []byte("hut.example")}, {Name: []byte("Authorization"), Value: []byte("Bearer secret")}}}, mirror.LiveResponse{Status: 200, DurationMs: tookMs})
 	}
 }
 
--- a/internal/brocken/ledger.go
+++ b/internal/dataplane/mirror/simulation/ledger.go
@@ -1,4 +1,4 @@
-package brocken
+package simulation
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	"foxwood/internal/spur"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // liveRun is a request that a live worker ran and to which the mirroring rule applies.
@@ -22,13 +22,13 @@
 	complete bool
 	of       int
 	pieces   []int
-	id       spur.FlowID
+	id       mirror.FlowID
 }
 
 // deliveryKey identifies a flow and the incarnation of its collector.
 type deliveryKey struct {
 	incarnation uint64
-	flow        spur.FlowID
+	flow        mirror.FlowID
 }
 
 // selectionKey identifies a flow and a rule.
@@ -47,10 +47,10 @@
 	deliveries     []*deliveredFlow
 	selections     map[selectionKey]bool
 	ruleTimes      map[uint64]float64
-	brokenByDay    [days]map[spur.Cause]int // broken flows by the day on which they ended
-	completeByDay  [days]int                // complete flows by the day on which they ended
-	flowsByHour    [days * 24][3]int        // selected flows by the hour in which they began: all, complete, others
-	totals         spur.Counts
+	brokenByDay    [days]map[mirror.Cause]int // broken flows by the day on which they ended
+	completeByDay  [days]int                  // complete flows by the day on which they ended
+	flowsByHour    [days * 24][3]int          // selected flows by the hour in which they began: all, complete, others
+	totals         mirror.Counts
 	maxOpenByHour  [days * 24]int // largest number of flows being collected in each hour
 	maxBytes       int            // largest memory use of a gatekeeper's engine
 
@@ -73,13 +73,13 @@
 	ledger := &ledger{unsafeRuns: map[int]int{}, liveRuns: map[string][]liveRun{}, flowOf: map[int]string{}, copiesSent: map[int]int{}, openDeliveries: map[deliveryKey]*deliveredFlow{},
 		selections: map[selectionKey]bool{}, ruleTimes: map[uint64]float64{}}
 	for i := range ledger.brokenByDay {
-		ledger.brokenByDay[i] = map[spur.Cause]int{}
+		ledger.brokenByDay[i] = map[mirror.Cause]int{}
 	}
 	return ledger
 }
 
 // recordRule records when a rule was set.
-func (l *ledger) recordRule(now float64, rule *spur.Rule) { l.ruleTimes[rule.Number] = now }
+func (l *ledger) recordRule(now float64, rule *mirror.Rule) { l.ruleTimes[rule.Number] = now }
 
 // recordRun records that a live worker ran a request.
 func (l *ledger) recordRun(sim *simulation, request *clientRequest, piece int, selected bool) {
@@ -109,7 +109,7 @@
 }
 
 // recordCopy records a copy that is sent, and checks its content and address.
-func (l *ledger) recordCopy(sim *simulation, gatekeeper *gatekeeperNode, delivery *spur.Delivery, message []byte) {
+func (l *ledger) recordCopy(sim *simulation, gatekeeper *gatekeeperNode, delivery *mirror.Delivery, message []byte) {
 	verdict := &l.verdict
 	verdict.Copies++
 	header, body, _ := bytes.Cut(message, []byte("\r\n\r\n"))
@@ -138,7 +138,7 @@
 	key := deliveryKey{gatekeeper.incarnation, delivery.Flow}
 	delivered := l.openDeliveries[key]
 	if delivery.Position == 1 && (delivered == nil || len(delivered.pieces) != 1 || delivered.pieces[0] != piece) {
-		delivered = &deliveredFlow{complete: delivery.Cause == spur.NotBroken, of: delivery.FlowSize, id: delivery.Flow}
+		delivered = &deliveredFlow{complete: delivery.Cause == mirror.NotBroken, of: delivery.FlowSize, id: delivery.Flow}
 		l.openDeliveries[key] = delivered
 		l.deliveries = append(l.deliveries, delivered)
 	}
@@ -152,7 +152,7 @@
 	dayIndex := min(max(int((sim.now-idleTimeoutS*second)/day), 0), days-1)
 	counts, previous := status.Counts, gatekeeper.lastCounts
 	gatekeeper.lastCounts = counts
-	for _, cause := range spur.Causes() {
+	for _, cause := range mirror.Causes() {
 		if added := int(counts.BrokenByCause[cause] - previous.BrokenByCause[cause]); added != 0 {
 			l.brokenByDay[dayIndex][cause] += added
 			l.totals.BrokenByCause[cause] += uint64(added)
--- a/internal/brocken/main.go
+++ b/internal/dataplane/mirror/simulation/main.go
@@ -1,4 +1,4 @@
-package brocken
+package simulation
 
 import (
 	"flag"
--- a/internal/brocken/planted_faults.go
+++ b/internal/dataplane/mirror/simulation/planted_faults.go
@@ -1,12 +1,12 @@
-package brocken
+package simulation
 
-import "foxwood/internal/spur"
+import "foxwood/internal/dataplane/mirror"
 
 // Planted faults in the calls between gatekeepers.
 
 // forgeResponse returns a response in the name of a gatekeeper that gave none, if the planted fault
 // does that.
-func (s *simulation) forgeResponse(gatekeeper, peer *gatekeeperNode, request spur.FetchRequest) (spur.FetchResponse, bool) {
+func (s *simulation) forgeResponse(gatekeeper, peer *gatekeeperNode, request mirror.FetchRequest) (mirror.FetchResponse, bool) {
 	alive := peer.running && peer.incarnation == request.To.Incarnation
 	switch {
 	case s.plan.Fault == "cut" && alive && peer.isolated && !gatekeeper.isolated, s.plan.Fault == "death" && !alive:
@@ -14,21 +14,21 @@
 		response.From, response.Items, response.FirstNumber, response.Done = request.To, nil, request.LastReceived+1, !alive
 		return response, true
 	}
-	return spur.FetchResponse{}, false
+	return mirror.FetchResponse{}, false
 }
 
 // ownResponse returns a response with the gatekeeper's own effective rules.
-func (s *simulation) ownResponse(gatekeeper *gatekeeperNode) spur.FetchResponse {
+func (s *simulation) ownResponse(gatekeeper *gatekeeperNode) mirror.FetchResponse {
 	now := gatekeeper.clock(s.now)
-	return gatekeeper.engine.ServeFetch(now, spur.FetchRequest{To: s.member(gatekeeper), From: spur.Member{Node: "nobody"}, HistoryMs: 1})
+	return gatekeeper.engine.ServeFetch(now, mirror.FetchRequest{To: s.member(gatekeeper), From: mirror.Member{Node: "nobody"}, HistoryMs: 1})
 }
 
 // applyFault changes a response as the planted fault does.
-func (s *simulation) applyFault(gatekeeper *gatekeeperNode, response spur.FetchResponse) spur.FetchResponse {
+func (s *simulation) applyFault(gatekeeper *gatekeeperNode, response mirror.FetchResponse) mirror.FetchResponse {
 	switch s.plan.Fault {
 	case "loss":
 		for i := range response.Items {
-			if item := &response.Items[i]; item.LostCause != spur.NotBroken {
+			if item := &response.Items[i]; item.LostCause != mirror.NotBroken {
 				item.Flow.CollectorHash++
 			}
 		}
--- a/internal/brocken/report.go
+++ b/internal/dataplane/mirror/simulation/report.go
@@ -1,4 +1,4 @@
-package brocken
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"foxwood/internal/spur"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // percent formats a part of a whole.
@@ -64,7 +64,7 @@
 			judged[dayIndex] += n
 		}
 	}
-	for _, cause := range spur.Causes() {
+	for _, cause := range mirror.Causes() {
 		if totals.BrokenByCause[cause] == 0 {
 			continue
 		}
--- a/internal/brocken/simulation.go
+++ b/internal/dataplane/mirror/simulation/simulation.go
@@ -2,7 +2,7 @@
 // mirroring engines (package spur) of many gatekeepers, with simulated clients, live workers, mirror
 // targets, calls between gatekeepers, and incidents. A ledger records all events and checks that no
 // guarantee of mirroring is violated. The result depends only on the plan and its seed.
-package brocken
+package simulation
 
 import (
 	"container/heap"
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"foxwood/internal/spur"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // Times are in ms, from the beginning of the week.
@@ -87,7 +87,7 @@
 	name          string
 	region        string
 	incarnation   uint64
-	engine        *spur.Engine
+	engine        *mirror.Engine
 	running       bool // the process is running
 	ready         bool
 	isolated      bool
@@ -97,20 +97,20 @@
 	clockDrift    float64
 	clockOffset   float64
 	openRequests  map[int]*liveRequest // by piece
-	lastCounts    spur.Counts
+	lastCounts    mirror.Counts
 }
 
 // liveRequest is a real request that a live worker is running.
 type liveRequest struct {
 	request *clientRequest
 	piece   int
-	ticket  spur.Ticket
+	ticket  mirror.Ticket
 }
 
 // memberSnapshot is the member list from a time on.
 type memberSnapshot struct {
 	at      float64
-	members []spur.Member
+	members []mirror.Member
 }
 
 // simulation is the state of a simulated week.
@@ -125,8 +125,8 @@
 	published     []*gatekeeperNode // listed by the directory
 	viewLag       []float64         // by control server: age of its member list
 	downUntil     []float64         // by control server: time until which it does not answer
-	rule          *spur.Rule
-	faultyRule    *spur.Rule // rule with another key, for the planted fault "choice"
+	rule          *mirror.Rule
+	faultyRule    *mirror.Rule // rule with another key, for the planted fault "choice"
 	liveAddresses map[string]bool
 	liveSince     map[string]float64 // time from which a live worker serves at a mirror target's address
 	hanging       map[string]bool    // addresses of mirror targets that do not answer
@@ -230,7 +230,7 @@
 		"shadows":[{"destination":"rates","address":%q,"region":"north"},{"destination":"deals","address":%q,"region":"north"},{"destination":"numbers","address":%q,"region":"north"}],
 		"tenantsOut":[%q],"region":"north","endS":%d,"spanS":86400,"patienceS":7200,"timeoutS":5%s}`,
 		number, share, key, s.targets["rates"], s.targets["deals"], s.targets["numbers"], excludedTenant, idleTimeoutS, extraFields)
-	rule, faults := spur.ParseRule([]byte(body))
+	rule, faults := mirror.ParseRule([]byte(body))
 	if len(faults) > 0 {
 		panic(faults[0].Error())
 	}
@@ -266,9 +266,9 @@
 	s.incarnations++
 	gatekeeper.incarnation, gatekeeper.running, gatekeeper.ready, gatekeeper.isolated, gatekeeper.leaving = s.incarnations<<20|uint64(s.random.IntN(1<<20)), true, false, false, false
 	gatekeeper.clockDrift, gatekeeper.clockOffset = s.uniform(-50e-6, 50e-6), s.uniform(day, 2*day)
-	gatekeeper.openRequests, gatekeeper.lastCounts, gatekeeper.controlServer = map[int]*liveRequest{}, spur.Counts{}, s.random.IntN(3)
+	gatekeeper.openRequests, gatekeeper.lastCounts, gatekeeper.controlServer = map[int]*liveRequest{}, mirror.Counts{}, s.random.IntN(3)
 	maxBytes := 48 << 20
-	gatekeeper.engine = spur.New(spur.Config{Self: s.member(gatekeeper), Now: gatekeeper.clock(s.now), MaxBytes: maxBytes, PollIntervalMs: s.plan.PollIntervalS * second})
+	gatekeeper.engine = mirror.New(mirror.Config{Self: s.member(gatekeeper), Now: gatekeeper.clock(s.now), MaxBytes: maxBytes, PollIntervalMs: s.plan.PollIntervalS * second})
 	gatekeeper.knownWorkers = 0
 	incarnation := gatekeeper.incarnation
 	s.scheduleIn(s.uniform(0.5, 1.5)*second, func() {
@@ -280,13 +280,13 @@
 }
 
 // member returns the gatekeeper's current incarnation as a member.
-func (s *simulation) member(gatekeeper *gatekeeperNode) spur.Member {
-	return spur.Member{Node: gatekeeper.name, Incarnation: gatekeeper.incarnation, Region: gatekeeper.region, InternalAddress: gatekeeper.name}
+func (s *simulation) member(gatekeeper *gatekeeperNode) mirror.Member {
+	return mirror.Member{Node: gatekeeper.name, Incarnation: gatekeeper.incarnation, Region: gatekeeper.region, InternalAddress: gatekeeper.name}
 }
 
 // updateMembers records the gatekeepers that are members now.
 func (s *simulation) updateMembers() {
-	var members []spur.Member
+	var members []mirror.Member
 	for _, gatekeeper := range s.gatekeepers {
 		if gatekeeper.running && !gatekeeper.isolated && !gatekeeper.leaving {
 			members = append(members, s.member(gatekeeper))
@@ -344,7 +344,7 @@
 		return
 	}
 	now := gatekeeper.clock(s.now)
-	listed := slices.ContainsFunc(snapshot.members, func(member spur.Member) bool {
+	listed := slices.ContainsFunc(snapshot.members, func(member mirror.Member) bool {
 		return member.Node == gatekeeper.name && member.Incarnation == gatekeeper.incarnation
 	})
 	if !listed && !gatekeeper.ready {
@@ -363,7 +363,7 @@
 }
 
 // ruleFor returns the rule that a gatekeeper gets.
-func (s *simulation) ruleFor(gatekeeper *gatekeeperNode) *spur.Rule {
+func (s *simulation) ruleFor(gatekeeper *gatekeeperNode) *mirror.Rule {
 	if s.plan.Fault == "choice" && gatekeeper.index == 2 {
 		return s.faultyRule
 	}
@@ -385,7 +385,7 @@
 }
 
 // fetch carries a fetch to its gatekeeper and the response back, with delays and losses.
-func (s *simulation) fetch(gatekeeper *gatekeeperNode, request spur.FetchRequest) {
+func (s *simulation) fetch(gatekeeper *gatekeeperNode, request mirror.FetchRequest) {
 	peer := s.gatekeepers[slices.IndexFunc(s.gatekeepers, func(k *gatekeeperNode) bool { return k.name == request.To.InternalAddress })]
 	incarnation := gatekeeper.incarnation
 	onFailure := func() {
@@ -421,7 +421,7 @@
 			if err != nil {
 				panic(err)
 			}
-			response = spur.FetchResponse{}
+			response = mirror.FetchResponse{}
 			if err := cbor.Unmarshal(encoded, &response); err != nil {
 				panic(err)
 			}
--- a/internal/spur/wire.go
+++ b/internal/dataplane/mirror/wire.go
@@ -1,4 +1,4 @@
-package spur
+package mirror
 
 // EffectiveRule is the effective rule of a gatekeeper: its member list and its selection of flows.
 // Gatekeepers with equal effective rules treat every flow alike.
--- a/internal/bulletin/bulletin.go
+++ b/internal/dataplane/outlier/bulletin.go
@@ -9,7 +9,7 @@
 // readmitted. Whatever is not renewed expires: without an owner each gatekeeper judges alone.
 //
 // Times are in milliseconds of the caller's steady clock. Only ages are sent between processes.
-package bulletin
+package outlier
 
 import (
 	"cmp"
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/dataplane/outlier/bulletin_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package outlier
 
 import (
 	"fmt"
--- a/internal/lanes/lanes.go
+++ b/internal/dataplane/pipelining/lanes.go
@@ -2,7 +2,7 @@
 // which requests may be pipelined behind others, where responses come in order, and how long a
 // request may wait for others to join its batch. It learns the response times of each class of
 // requests. It does no I/O and has no clock: times are milliseconds given by the caller.
-package lanes
+package pipelining
 
 import "math"
 
--- a/internal/lanes/lanes_test.go
+++ b/internal/dataplane/pipelining/lanes_test.go
@@ -1,4 +1,4 @@
-package lanes
+package pipelining
 
 import (
 	"math"
--- a/internal/switchback/admission_test.go
+++ b/internal/dataplane/proxy/admission_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/quota"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/slowstart"
 	"foxwood/internal/rpc"
-	"foxwood/internal/slowstart"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
 // inZone returns the worker, moved to a zone.
-func inZone(zone string, w waymark.Worker) waymark.Worker {
+func inZone(zone string, w api.Worker) api.Worker {
 	w.Zone = zone
 	return w
 }
@@ -90,13 +90,13 @@
 		}
 	}
 	proxy.receive(fullList(1, near, far), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", target: 1}}))
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
 	checkWorkers("w-b1")
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 6, Evacuated: []string{"a1", "b1"}}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 6, Evacuated: []string{"a1", "b1"}}, nil)
 	checkWorkers()
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil) // an older list, from another registry
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil) // an older list, from another registry
 	checkWorkers()
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 7}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 7}, nil)
 	checkWorkers("w-a1", "w-b1")
 	proxy.receive(listChanges(2, closingNear), nil)
 	checkWorkers("w-b1")
@@ -117,11 +117,11 @@
 	a, b := startWorker(t, "w-a", "a", replyWorkerID, nil), startWorker(t, "w-b", "b", replyWorkerID, nil)
 	proxy.receive(fullList(9, a, b), newConfig(t, 5, []routeSpec{{prefix: "/", destination: "a"}}))
 	for _, edition := range []uint64{4, 5} {
-		proxy.receive(waymark.SessionResponse{}, newConfig(t, edition, []routeSpec{{prefix: "/", destination: "b"}}))
+		proxy.receive(api.SessionResponse{}, newConfig(t, edition, []routeSpec{{prefix: "/", destination: "b"}}))
 		_, body := proxy.do("GET", "/", "", "")
 		assert.Equal(t, body, "w-a")
 	}
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 6, []routeSpec{{prefix: "/", destination: "b"}}))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 6, []routeSpec{{prefix: "/", destination: "b"}}))
 	_, body := proxy.do("GET", "/", "", "")
 	assert.Equal(t, body, "w-b")
 }
@@ -134,17 +134,17 @@
 		name     string
 		final    bool
 		askedAgo float64 // milliseconds since the request to the registry
-		answer   waymark.SessionResponse
+		answer   api.SessionResponse
 		leaseMs  float64 // end of the lease, in milliseconds from the request; 0 for no lease
 	}{
-		{"fresh", true, 0, waymark.SessionResponse{}, maxLeaseMs},
-		{"the tail was asked before the request", true, 0, waymark.SessionResponse{AsOf: -20000}, maxLeaseMs - 20000},
-		{"the tail was asked after the request", true, 10000, waymark.SessionResponse{AsOf: 400}, maxLeaseMs + 400},
-		{"asked long ago", true, 61000, waymark.SessionResponse{}, maxLeaseMs},
-		{"the tail was asked long ago", true, 0, waymark.SessionResponse{AsOf: -61000}, maxLeaseMs - 61000},
-		{"stale", true, 0, waymark.SessionResponse{Stale: true}, 0},
-		{"a configuration that is not here", true, 0, waymark.SessionResponse{ConfigVersion: 2}, 0},
-		{"not final", false, 0, waymark.SessionResponse{Stale: true}, 0},
+		{"fresh", true, 0, api.SessionResponse{}, maxLeaseMs},
+		{"the tail was asked before the request", true, 0, api.SessionResponse{AsOf: -20000}, maxLeaseMs - 20000},
+		{"the tail was asked after the request", true, 10000, api.SessionResponse{AsOf: 400}, maxLeaseMs + 400},
+		{"asked long ago", true, 61000, api.SessionResponse{}, maxLeaseMs},
+		{"the tail was asked long ago", true, 0, api.SessionResponse{AsOf: -61000}, maxLeaseMs - 61000},
+		{"stale", true, 0, api.SessionResponse{Stale: true}, 0},
+		{"a configuration that is not here", true, 0, api.SessionResponse{ConfigVersion: 2}, 0},
+		{"not final", false, 0, api.SessionResponse{Stale: true}, 0},
 	} {
 		proxy := newTestProxy(t, map[bool]string{true: "revocationFinal=true", false: "revocationFinal=false"}[test.final])
 		proxy.receive(stale(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil))),
@@ -177,15 +177,15 @@
 // TestStaleAnswerKeepsLease checks that a stale or older answer neither extends nor shortens the lease.
 func TestStaleAnswerKeepsLease(t *testing.T) {
 	proxy := newTestProxy(t, "revocationFinal=true")
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana"}))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana"}))
 	proxy.runOnLoop(func() {
 		held := proxy.keysValidUntil
 		now := proxy.clock.Now()
-		proxy.apply(&waymark.SessionResponse{Stale: true, ConfigVersion: 1}, now+5000)
+		proxy.apply(&api.SessionResponse{Stale: true, ConfigVersion: 1}, now+5000)
 		assert.Check(t, proxy.keysValidUntil == held)
-		proxy.apply(&waymark.SessionResponse{ConfigVersion: 1, AsOf: -9000}, now)
+		proxy.apply(&api.SessionResponse{ConfigVersion: 1, AsOf: -9000}, now)
 		assert.Check(t, proxy.keysValidUntil == held, "an older answer must not shorten the lease")
-		proxy.apply(&waymark.SessionResponse{ConfigVersion: 1}, now+5000)
+		proxy.apply(&api.SessionResponse{ConfigVersion: 1}, now+5000)
 		assert.Check(t, proxy.keysValidUntil > held)
 	})
 }
@@ -269,11 +269,11 @@
 		}
 		tokensLeft := make(chan int, 1)
 		tokensLeft <- test.granted
-		owner := newTestProxy(t).serveTokens(func(_ context.Context, q waymark.TokenRequest) (waymark.TokenResponse, error) {
+		owner := newTestProxy(t).serveTokens(func(_ context.Context, q api.TokenRequest) (api.TokenResponse, error) {
 			count := <-tokensLeft
 			granted := min(count, q.Wanted["ana"])
 			tokensLeft <- count - granted
-			return waymark.TokenResponse{Granted: map[string]int{"ana": granted}, WaitMS: map[string]float64{"ana": 1}}, nil
+			return api.TokenResponse{Granted: map[string]int{"ana": granted}, WaitMS: map[string]float64{"ana": 1}}, nil
 		})
 		proxy.receive(fullList(1, startWorker(t, "w", "a", slow, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 2}))
 		if test.local == 0 {
@@ -307,7 +307,7 @@
 }
 
 // serveTokens serves token requests to the proxy at an address of its own, which becomes the proxy's inner address.
-func (s *testProxy) serveTokens(do func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error)) string {
+func (s *testProxy) serveTokens(do func(context.Context, api.TokenRequest) (api.TokenResponse, error)) string {
 	s.t.Helper()
 	ln, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(s.t, err)
@@ -348,9 +348,9 @@
 			answer := owner.grantTokens
 			if test.silent {
 				proxy.tokenTimeout = 50 * time.Millisecond
-				answer = func(ctx context.Context, _ waymark.TokenRequest) (waymark.TokenResponse, error) {
+				answer = func(ctx context.Context, _ api.TokenRequest) (api.TokenResponse, error) {
 					<-ctx.Done()
-					return waymark.TokenResponse{}, ctx.Err()
+					return api.TokenResponse{}, ctx.Err()
 				}
 			}
 			addr := owner.serveTokens(answer)
@@ -358,7 +358,7 @@
 			byAddr[addr] = owner
 		}
 		// Find a tenant both of whose owners are the other gatekeepers.
-		membership := &waymark.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 3, Peers: peers}
+		membership := &api.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 3, Peers: peers}
 		tenant := ""
 		var owners [2]string
 		proxy.runOnLoop(func() {
@@ -373,11 +373,11 @@
 		assert.Assert(t, tenant != "")
 		routes := []routeSpec{{prefix: "/", destination: "a"}}
 		proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, received)), newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
-		proxy.receive(waymark.SessionResponse{Members: membership}, nil)
+		proxy.receive(api.SessionResponse{Members: membership}, nil)
 		proxy.setTokens(tenant, test.own)
 		for i, tokens := range []float64{test.first, test.other} {
 			owner := byAddr[owners[i]]
-			owner.receive(waymark.SessionResponse{Members: membership}, newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
+			owner.receive(api.SessionResponse{Members: membership}, newConfig(t, 1, routes, tenantSpec{name: tenant, rate: 2}))
 			if tokens >= 0 {
 				owner.setTokens(tenant, tokens)
 			}
@@ -403,11 +403,11 @@
 	proxy := newTestProxy(t)
 	received := make(chan *workerRequest, 1)
 	took := make(chan time.Duration, 1)
-	owner := newTestProxy(t).serveTokens(func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error) {
+	owner := newTestProxy(t).serveTokens(func(context.Context, api.TokenRequest) (api.TokenResponse, error) {
 		began := time.Now()
 		<-time.After(50 * time.Millisecond) // slow to answer
 		took <- time.Since(began)
-		return waymark.TokenResponse{Granted: map[string]int{"ana": 1}}, nil
+		return api.TokenResponse{Granted: map[string]int{"ana": 1}}, nil
 	})
 	proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, received)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 2}))
 	proxy.runOnLoop(func() {
@@ -430,8 +430,8 @@
 	server := rpc.NewServer()
 	answers := make(chan error, 9)
 	slices := map[string]quota.Allocation{"ana": {Rate: 1, Burst: 9, Minimum: 1, MinimumBurst: 9, Tokens: 9, StartBurst: 4}}
-	rpc.Handle(server, func(context.Context, waymark.AllocationRequest) (waymark.AllocationResponse, error) {
-		return waymark.AllocationResponse{Slices: waymark.EncodeSlices(slices), LeaseMS: 60000}, <-answers
+	rpc.Handle(server, func(context.Context, api.AllocationRequest) (api.AllocationResponse, error) {
+		return api.AllocationResponse{Slices: api.EncodeSlices(slices), LeaseMS: 60000}, <-answers
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
@@ -448,16 +448,16 @@
 		answers <- a
 		proxy.allocate(context.Background())
 	}
-	proxy.receive(waymark.SessionResponse{}, config)
+	proxy.receive(api.SessionResponse{}, config)
 	proxy.allocate(context.Background()) // there is no registry to ask
 	proxy.runOnLoop(func() { proxy.registry = rpc.NewPeer(listener.Addr().String()) })
 	allocate(failed)
 	assert.Equal(t, held().Minimum, 0.0, "minimum while the members are not known")
-	proxy.receive(waymark.SessionResponse{Members: &waymark.MemberView{Checksum: 1, MemberIndex: 1, MemberCount: 3}}, nil)
+	proxy.receive(api.SessionResponse{Members: &api.MemberView{Checksum: 1, MemberIndex: 1, MemberCount: 3}}, nil)
 	allocate(failed)
 	assert.Equal(t, held().Minimum, 0.0, "minimum while the members are not known")
 	proxy.runOnLoop(func() { assert.Check(t, !proxy.startBurstTaken) })
-	proxy.receive(waymark.SessionResponse{Settled: true}, nil)
+	proxy.receive(api.SessionResponse{Settled: true}, nil)
 	allocate(failed)
 	floor := held().Minimum
 	assert.Assert(t, floor > 0 && floor <= 50.0/3+1, "%v", floor)
@@ -476,15 +476,15 @@
 	assert.NilError(t, err)
 	server := rpc.NewServer()
 	var slices map[string]quota.Allocation
-	rpc.Handle(server, func(context.Context, waymark.AllocationRequest) (waymark.AllocationResponse, error) {
+	rpc.Handle(server, func(context.Context, api.AllocationRequest) (api.AllocationResponse, error) {
 		if slices == nil {
-			return waymark.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
+			return api.AllocationResponse{}, rpc.Errorf(rpc.Unavailable, "nobody has the duty")
 		}
-		return waymark.AllocationResponse{Slices: waymark.EncodeSlices(slices), LeaseMS: 60000}, nil
+		return api.AllocationResponse{Slices: api.EncodeSlices(slices), LeaseMS: 60000}, nil
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
-	proxy.receive(waymark.SessionResponse{Settled: true, RestartedRecently: true, Members: &waymark.MemberView{Checksum: 1, MemberCount: 3}},
+	proxy.receive(api.SessionResponse{Settled: true, RestartedRecently: true, Members: &api.MemberView{Checksum: 1, MemberCount: 3}},
 		newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: "ana", rate: 50}))
 	proxy.runOnLoop(func() {
 		proxy.registry = rpc.NewPeer(listener.Addr().String())
@@ -518,8 +518,8 @@
 // TestSplitFollowsWeights checks that requests are split by weight, and that a weight of 0 gets none.
 func TestSplitFollowsWeights(t *testing.T) {
 	proxy := newTestProxy(t)
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/b/", destination: "b"}, {prefix: "/c/", destination: "c"}}))
-	route := &timetable.Route{Split: []timetable.Share{{Destination: "c"}, {Destination: "a", Weight: 3}, {Destination: "b", Weight: 1}}}
+	proxy.receive(api.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}, {prefix: "/b/", destination: "b"}, {prefix: "/c/", destination: "c"}}))
+	route := &routeconfig.Route{Split: []routeconfig.Share{{Destination: "c"}, {Destination: "a", Weight: 3}, {Destination: "b", Weight: 1}}}
 	const total = 8000
 	requests := map[string]int{}
 	proxy.runOnLoop(func() {
@@ -535,7 +535,7 @@
 // TestColdWorkerBudgetIsShared checks that the budget of a cold worker is divided among all gatekeepers.
 func TestColdWorkerBudgetIsShared(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	proxy.runOnLoop(func() {
 		pool := proxy.pools["a"]
 		pool.config.SlowStartPerS = 10
@@ -557,7 +557,7 @@
 // leases, within the budget of a cold worker.
 func TestOutOfTouchGatekeeperLimitsRequests(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	proxy.runOnLoop(func() {
 		pool := proxy.pools["a"]
 		pool.config.SlowStartPerS = 10
@@ -589,8 +589,8 @@
 // the list may not say yet that they are.
 func TestWorkersAreColdAfterEvacuationEnds(t *testing.T) {
 	proxy := newTestProxy(t, "coldExcess=1.5", "coldSlack=5")
-	zoned := func(id, zone string) waymark.Worker {
-		return waymark.Worker{ID: id, Destination: "a", Addr: id + ":80", Zone: zone, Slots: 2}
+	zoned := func(id, zone string) api.Worker {
+		return api.Worker{ID: id, Destination: "a", Addr: id + ":80", Zone: zone, Slots: 2}
 	}
 	proxy.receive(fullList(1, zoned("i-1", "a1"), zoned("i-2", "a2")), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 	cold := func(id string) (ms float64) {
@@ -601,15 +601,15 @@
 		})
 		return ms
 	}
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 5, Evacuated: []string{"a1"}}, nil)
 	assert.Assert(t, cold("i-1") <= 0)
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 6}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 6}, nil)
 	assert.Assert(t, cold("i-1") > 0 && cold("i-1") <= 3000, "%v ms", cold("i-1"))
 	assert.Assert(t, cold("i-2") <= 0, "its zone was never evacuated")
 	proxy.receive(listChanges(2, zoned("i-1", "a1")), nil)
 	assert.Assert(t, cold("i-1") > 0, "a list without cold times must not end it")
 	proxy.runOnLoop(func() { proxy.evacuationRevokedAt["a1"] -= 3000 })
 	assert.Assert(t, cold("i-1") <= 0, "the cold time has passed")
-	proxy.receive(waymark.SessionResponse{HasEvacuated: true, EvacuationNumber: 9, RevokedEvacuations: []string{"a2"}}, nil)
+	proxy.receive(api.SessionResponse{HasEvacuated: true, EvacuationNumber: 9, RevokedEvacuations: []string{"a2"}}, nil)
 	assert.Assert(t, cold("i-2") > 0, "evacuated and revoked without this gatekeeper having heard of it")
 }
--- a/internal/switchback/allocation.go
+++ b/internal/dataplane/proxy/allocation.go
@@ -1,12 +1,12 @@
-package switchback
+package proxy
 
 import (
 	"context"
 	"time"
 
-	"foxwood/internal/quota"
+	"foxwood/internal/control/quota"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -48,7 +48,7 @@
 
 // allocate sends one request for slices, and tells whether it was answered.
 func (p *Proxy) allocate(ctx context.Context) (answered bool) {
-	var request waymark.AllocationRequest
+	var request api.AllocationRequest
 	var askedAt float64
 	var peer *rpc.Peer
 	p.runOnLoop(func() {
@@ -72,7 +72,7 @@
 		}
 		p.allocatorPeer = rpc.NewPeer(peer.Addr())
 	}
-	answer, err := rpc.Call[waymark.AllocationRequest, waymark.AllocationResponse](callCtx, p.allocatorPeer, request)
+	answer, err := rpc.Call[api.AllocationRequest, api.AllocationResponse](callCtx, p.allocatorPeer, request)
 	p.runOnLoop(func() {
 		p.counts.Allocations++
 		if err != nil {
@@ -86,7 +86,7 @@
 		p.slowStart.Renew(answer.SlowStart, askedAt, answer.LeaseMS)
 		fresh := p.clock.Now()-askedAt <= quota.TokenValidityMs
 		slices := make(map[string]policy.TenantAllotment, len(answer.Slices))
-		for name, s := range waymark.DecodeSlices(answer.Slices) {
+		for name, s := range api.DecodeSlices(answer.Slices) {
 			if !fresh { // too old: the allocator has given the tokens up by now
 				s.Tokens = 0
 			}
@@ -102,7 +102,7 @@
 }
 
 // allocationRequest returns the next request for slices. It runs on the loop.
-func (p *Proxy) allocationRequest() waymark.AllocationRequest {
+func (p *Proxy) allocationRequest() api.AllocationRequest {
 	p.sequence++
 	p.updateOwned()
 	slices, leaseLeft := p.tenants.Holdings(p.micros())
@@ -112,7 +112,7 @@
 			held[name] = quota.Allocation(s)
 		}
 	}
-	request := waymark.AllocationRequest{Node: p.settings.Node, Incarnation: p.incarnation, Sequence: p.sequence, Demand: map[string]float32{}, LeaseLeft: float64(leaseLeft) / 1000}
+	request := api.AllocationRequest{Node: p.settings.Node, Incarnation: p.incarnation, Sequence: p.sequence, Demand: map[string]float32{}, LeaseLeft: float64(leaseLeft) / 1000}
 	request.SetHeldSlices(held)
 	for name, demand := range p.tenants.Demand(p.micros()) {
 		request.Demand[name] = float32(demand)
--- a/internal/switchback/connection_faults_test.go
+++ b/internal/dataplane/proxy/connection_faults_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // The tests in this file cause faults at every byte of what goes over a connection, and record all exchanges in a log
@@ -238,7 +238,7 @@
 }
 
 // listen opens the address of a worker.
-func (o *connScript) listen(t *testing.T, id, destination string) waymark.Worker {
+func (o *connScript) listen(t *testing.T, id, destination string) api.Worker {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -255,7 +255,7 @@
 			go o.serve(c)
 		}
 	}()
-	return waymark.Worker{ID: id, Destination: destination, Addr: ln.Addr().String(), Zone: "a1", Slots: 8}
+	return api.Worker{ID: id, Destination: destination, Addr: ln.Addr().String(), Zone: "a1", Slots: 8}
 }
 
 // check checks the log after everything has ended. A loop that stops leaves connections open that were just being
@@ -344,7 +344,7 @@
 	t.Run("exchanges", func(t *testing.T) {
 		proxy := newTestProxy(t)
 		routes, scripts := make([]routeSpec, len(cases)), make([]*connScript, len(cases))
-		var workers []waymark.Worker
+		var workers []api.Worker
 		for number, oneCase := range cases {
 			destination := fmt.Sprint("d", number)
 			routes[number] = routeSpec{prefix: fmt.Sprintf("/%d/", number), destination: destination, unsafe: !oneCase.safe, target: 0.3}
@@ -503,7 +503,7 @@
 					prefix := newPrefix()
 					script := &connScript{prefix: prefix, log: log, shape: answerShapes[0]}
 					worker := script.listen(t, "", "")
-					var workers []waymark.Worker
+					var workers []api.Worker
 					var routes []routeSpec
 					for n := range 400 { // each has a destination of its own
 						w := worker
--- a/internal/switchback/disconnect_test.go
+++ b/internal/dataplane/proxy/disconnect_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // TestDisconnectCancelsRunningRequest: a worker that runs a request learns at once that the client has closed its
@@ -100,7 +100,7 @@
 			rests <- rest{begun + n, h.Sum32(), err}
 			return err == nil
 		})
-		proxy.receive(fullList(1, waymark.Worker{ID: "w", Destination: "a", Addr: addr, Zone: "a1", Slots: 8}), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
+		proxy.receive(fullList(1, api.Worker{ID: "w", Destination: "a", Addr: addr, Zone: "a1", Slots: 8}), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}}))
 		c := proxy.dialLong().send(newRequest("POST", "/long", bodyHeader(size, false), ""))
 		_, err := io.CopyN(c.conn, bodyReader(size), 1<<20)
 		assert.NilError(t, err)
@@ -187,7 +187,7 @@
 		res, _ := proxy.do("GET", "/first/", "", "")
 		assert.Equal(t, res.StatusCode, 200)
 	}
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 2, later))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 2, later))
 	for _, path := range []string{"/alike/", "/other/", "/first/"} {
 		for range 5 {
 			res, _ := proxy.do("GET", path, "", "")
--- a/internal/switchback/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/link"
-	"foxwood/internal/waymark"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/rpc/api"
 )
 
 // readiness returns a function that makes readiness checks at an address of its own.
@@ -45,11 +45,11 @@
 		res, _ := proxy.do("GET", "/", "", "")
 		assert.Equal(t, res.StatusCode, 503, "status before the first configuration; 404 would tell clients not to retry")
 		checkRetryAfter(t, res)
-		proxy.receive(waymark.SessionResponse{Stale: true}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
+		proxy.receive(api.SessionResponse{Stale: true}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
 		assert.Equal(t, check("/ready"), 503)
 		proxy.receive(stale(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil))), nil)
 		assert.Equal(t, check("/ready"), map[bool]int{true: 503, false: 200}[final])
-		proxy.receive(waymark.SessionResponse{ConfigVersion: 1}, nil)
+		proxy.receive(api.SessionResponse{ConfigVersion: 1}, nil)
 		assert.Equal(t, check("/ready?x=1"), 200)
 		proxy.runOnLoop(func() { assert.Check(t, proxy.heartbeatRequest().Member.Ready) })
 		proxy.runOnLoop(func() { proxy.draining = true })
--- a/internal/switchback/fanout.go
+++ b/internal/dataplane/proxy/fanout.go
@@ -1,14 +1,14 @@
-package switchback
+package proxy
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"foxwood/internal/configcache"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -42,7 +42,7 @@
 	mu            sync.Mutex
 	updated       chan struct{} // closed and replaced at each change
 	cache         *configcache.Cache
-	config        *timetable.Config   // the newest configuration
+	config        *routeconfig.Config // the newest configuration
 	zonePeers     []string            // addresses of the other ready members of the zone
 	knownPeers    map[string]zonePeer // members of the zone by address, also some that have left
 	memberCount   int                 // of all members
@@ -97,7 +97,7 @@
 func (r *fanout) outOfTouch(now float64) bool { return r.badSince > 0 && now-r.badSince > offerAfterMs }
 
 // receive stores what a registry has sent.
-func (r *fanout) receive(answer *waymark.SessionResponse) {
+func (r *fanout) receive(answer *api.SessionResponse) {
 	r.withLock(func(now float64) {
 		r.cache.ApplyAnswer(now, answer)
 		r.notify()
@@ -113,7 +113,7 @@
 }
 
 // setMembers replaces the members of the zone. The lock is held.
-func (r *fanout) setMembers(now float64, members *waymark.MemberView) {
+func (r *fanout) setMembers(now float64, members *api.MemberView) {
 	r.memberCount = members.MemberCount
 	r.zonePeers = members.Peers[:min(len(members.ZonePeerIndexes), len(members.Peers))]
 	for i, addr := range r.zonePeers {
@@ -146,10 +146,10 @@
 	if len(compressed) == 0 {
 		return true
 	}
-	body, err := waymark.Inflate(compressed)
-	var config *timetable.Config
+	body, err := api.Inflate(compressed)
+	var config *routeconfig.Config
 	if err == nil {
-		config, err = timetable.Parse(body)
+		config, err = routeconfig.Parse(body)
 	}
 	if err != nil {
 		p.log.Error().Err(err).Msg("received a configuration that can't be parsed")
@@ -170,7 +170,7 @@
 // only once. It tells whether it has asked any.
 func (p *Proxy) fetchFromHomes(ctx context.Context) bool {
 	r := p.fanout
-	var requests map[string]waymark.SubscribeRequest
+	var requests map[string]api.SubscribeRequest
 	var limit float64
 	peers := map[string]*rpc.Peer{}
 	r.withLock(func(now float64) {
@@ -190,7 +190,7 @@
 	for addr, request := range requests {
 		all.Go(func() {
 			request.WaitMS = limit
-			answer, err := rpc.Call[waymark.SubscribeRequest, waymark.SubscribeResponse](ctx, peers[addr], request)
+			answer, err := rpc.Call[api.SubscribeRequest, api.SubscribeResponse](ctx, peers[addr], request)
 			r.withLock(func(now float64) { // the times for which workers are cold count from the receipt, not from after parsing
 				r.cache.AddParts(now, answer.Endpoints)
 				r.notify()
@@ -205,7 +205,7 @@
 
 // handleSubscribe answers a zone peer, as its zone home. The answer is held back until all that the peer asks for is
 // here, or until the peer's time limit; a home that is out of touch answers at once.
-func (p *Proxy) handleSubscribe(ctx context.Context, request waymark.SubscribeRequest) (answer waymark.SubscribeResponse, err error) {
+func (p *Proxy) handleSubscribe(ctx context.Context, request api.SubscribeRequest) (answer api.SubscribeResponse, err error) {
 	r := p.fanout
 	wait := time.NewTimer(time.Duration(min(max(request.WaitMS, 0), maxSubscribeWaitMs) * float64(time.Millisecond)))
 	defer wait.Stop()
@@ -273,7 +273,7 @@
 }
 
 // setWorkers replaces the workers of a destination.
-func (p *Proxy) setWorkers(destination string, list []waymark.Worker) {
+func (p *Proxy) setWorkers(destination string, list []api.Worker) {
 	now := p.clock.Now()
 	before := map[string]*worker{}
 	for id, entry := range p.workers {
@@ -327,18 +327,18 @@
 // offer asks a zone peer what it holds, and hands over what it lacks.
 func (p *Proxy) offer(ctx context.Context, to *rpc.Peer, known zonePeer) {
 	r := p.fanout
-	var offer waymark.PeerSyncRequest
+	var offer api.PeerSyncRequest
 	r.withLock(func(float64) {
 		offer = r.cache.Offer()
 		offer.MemberIndex, offer.MemberCount = known.index, r.memberCount
 	})
 	offerCtx, cancel := context.WithTimeout(ctx, offerTimeout)
-	held, err := rpc.Call[waymark.PeerSyncRequest, waymark.PeerSyncResponse](offerCtx, to, offer)
+	held, err := rpc.Call[api.PeerSyncRequest, api.PeerSyncResponse](offerCtx, to, offer)
 	cancel()
 	if err != nil || held.TransferPending {
 		return
 	}
-	var handOver waymark.PeerSyncRequest
+	var handOver api.PeerSyncRequest
 	var lacking bool
 	r.withLock(func(now float64) {
 		handOver, lacking = r.cache.HandOver(now, &held)
@@ -349,14 +349,14 @@
 	}
 	ctx, cancel = context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	if _, err = rpc.Call[waymark.PeerSyncRequest, waymark.PeerSyncResponse](ctx, to, handOver); err == nil {
+	if _, err = rpc.Call[api.PeerSyncRequest, api.PeerSyncResponse](ctx, to, handOver); err == nil {
 		p.log.Info().Str("to", to.Addr()).Msg("handed state over to a zone peer")
 	}
 }
 
 // handleOffer accepts what a zone peer offers if it is more than what is held. This does not replace a session: a
 // gatekeeper that has received its state only this way accepts no keys if revocations are final.
-func (p *Proxy) handleOffer(_ context.Context, offer waymark.PeerSyncRequest) (held waymark.PeerSyncResponse, err error) {
+func (p *Proxy) handleOffer(_ context.Context, offer api.PeerSyncRequest) (held api.PeerSyncResponse, err error) {
 	r := p.fanout
 	if offer.HasState {
 		newer := false
--- a/internal/switchback/fanout_test.go
+++ b/internal/dataplane/proxy/fanout_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/configcache"
-	"foxwood/internal/membership"
+	"foxwood/internal/control/configcache"
+	"foxwood/internal/control/membership"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // testZone is a zone of gatekeepers and a registry, over loopback addresses. Nothing runs by itself: the test decides
@@ -25,8 +25,8 @@
 	port int
 
 	mu       sync.Mutex
-	answers  map[string]waymark.SessionResponse // answers of the registry, by node
-	requests map[string][]waymark.SessionRequest
+	answers  map[string]api.SessionResponse // answers of the registry, by node
+	requests map[string][]api.SessionRequest
 	registry *rpc.Server
 }
 
@@ -35,19 +35,19 @@
 
 // configBody returns a compressed configuration.
 func configBody(edition int) []byte {
-	return waymark.Deflate(fmt.Appendf(nil, `{"edition":"%08x","courses":{"columns":["name","domain","streetPrefix","kind","deadlineS","targetS","priority","destination"],`+
+	return api.Deflate(fmt.Appendf(nil, `{"edition":"%08x","courses":{"columns":["name","domain","streetPrefix","kind","deadlineS","targetS","priority","destination"],`+
 		`"rows":[["r","h.example","/","safe",2,0.3,1,"d"]]},"destinations":{"columns":["name","healthPath","berthCap"],"rows":[["d","/health",110]]},`+
 		`"sizeLimits":{"envelopeBytes":16384,"bodyBytes":67108864,"envelopeS":3,"idleS":15}}`, edition))
 }
 
 // newTestZone starts the registry of a zone without gatekeepers.
 func newTestZone(t *testing.T) *testZone {
-	zone := &testZone{t: t, answers: map[string]waymark.SessionResponse{}, requests: map[string][]waymark.SessionRequest{}}
+	zone := &testZone{t: t, answers: map[string]api.SessionResponse{}, requests: map[string][]api.SessionRequest{}}
 	listener, err := rpc.Listen(registryHost + ":0")
 	assert.NilError(t, err)
 	zone.port = listener.Addr().(*net.TCPAddr).Port
 	zone.registry = rpc.NewServer()
-	rpc.Handle(zone.registry, func(_ context.Context, request waymark.SessionRequest) (waymark.SessionResponse, error) {
+	rpc.Handle(zone.registry, func(_ context.Context, request api.SessionRequest) (api.SessionResponse, error) {
 		zone.mu.Lock()
 		defer zone.mu.Unlock()
 		zone.requests[request.Member.Node] = append(zone.requests[request.Member.Node], request)
@@ -81,7 +81,7 @@
 }
 
 // heartbeat has a gatekeeper send one heartbeat, which is answered as given, and returns the request.
-func (v *testZone) heartbeat(p *Proxy, answer waymark.SessionResponse) waymark.SessionRequest {
+func (v *testZone) heartbeat(p *Proxy, answer api.SessionResponse) api.SessionRequest {
 	v.t.Helper()
 	v.mu.Lock()
 	v.answers[p.settings.Node] = answer
@@ -109,12 +109,12 @@
 }
 
 // workerList returns the announcement and the content of a worker list.
-func workerList(version, since uint64, workers ...string) (*waymark.EndpointChanges, []waymark.DestinationEndpoints) {
-	p := waymark.DestinationEndpoints{Destination: "d", Version: version, Since: since}
+func workerList(version, since uint64, workers ...string) (*api.EndpointChanges, []api.DestinationEndpoints) {
+	p := api.DestinationEndpoints{Destination: "d", Version: version, Since: since}
 	for _, w := range workers {
-		p.Workers = append(p.Workers, waymark.Worker{ID: w, Addr: "127.0.0.1:9", Zone: "z"})
+		p.Workers = append(p.Workers, api.Worker{ID: w, Addr: "127.0.0.1:9", Zone: "z"})
 	}
-	return &waymark.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{"d": 0}}, []waymark.DestinationEndpoints{p}
+	return &api.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{"d": 0}}, []api.DestinationEndpoints{p}
 }
 
 // startTwo starts two gatekeepers that hold configuration 1 and one worker, and know each other. It returns the zone
@@ -123,10 +123,10 @@
 	first, firstServer := v.start(0, final)
 	second, secondServer := v.start(1, final)
 	marks, parts := workerList(1, 0, "w1")
-	v.heartbeat(first, waymark.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
-		Members: &waymark.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 2, Peers: []string{v.addr(1)}, ZonePeerIndexes: []int{1}}})
-	v.heartbeat(second, waymark.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
-		Members: &waymark.MemberView{Checksum: 2, MemberIndex: 1, MemberCount: 2, Peers: []string{v.addr(0)}, ZonePeerIndexes: []int{0}}})
+	v.heartbeat(first, api.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
+		Members: &api.MemberView{Checksum: 1, MemberIndex: 0, MemberCount: 2, Peers: []string{v.addr(1)}, ZonePeerIndexes: []int{1}}})
+	v.heartbeat(second, api.SessionResponse{ConfigVersion: 1, Config: configBody(1), EndpointChanges: marks, Endpoints: parts, Settled: true,
+		Members: &api.MemberView{Checksum: 2, MemberIndex: 1, MemberCount: 2, Peers: []string{v.addr(0)}, ZonePeerIndexes: []int{0}}})
 	if membership.OwnerAmong([]string{v.addr(0), v.addr(1)}, "z", "d") == v.addr(0) {
 		return first, second, firstServer
 	}
@@ -139,12 +139,12 @@
 	zone := newTestZone(t)
 	home, other, _ := zone.startTwo(true)
 	marks, parts := workerList(2, 1, "w2")
-	zone.heartbeat(home, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks, Endpoints: parts})
-	zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
+	zone.heartbeat(home, api.SessionResponse{ConfigVersion: 1, EndpointChanges: marks, Endpoints: parts})
+	zone.heartbeat(other, api.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
 	_, workers, ready, keys, _ := stateOf(other)
 	assert.Equal(t, len(workers), 2)
 	assert.Assert(t, ready && keys)
-	request := zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1})
+	request := zone.heartbeat(other, api.SessionResponse{ConfigVersion: 1})
 	assert.Assert(t, request.WantEndpoints == nil)
 	assert.Equal(t, request.EndpointsVersion, uint64(2))
 }
@@ -165,12 +165,12 @@
 			home, other, homeServer := zone.startTwo(false)
 			disable(home, homeServer)
 			marks, parts := workerList(2, 1, "w2")
-			zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
-			request := zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1, Endpoints: parts})
+			zone.heartbeat(other, api.SessionResponse{ConfigVersion: 1, EndpointChanges: marks})
+			request := zone.heartbeat(other, api.SessionResponse{ConfigVersion: 1, Endpoints: parts})
 			assert.DeepEqual(t, request.WantEndpoints, map[string]uint64{"d": 1})
 			_, workers, _, _, _ := stateOf(other)
 			assert.Equal(t, len(workers), 2)
-			assert.Assert(t, zone.heartbeat(other, waymark.SessionResponse{ConfigVersion: 1}).WantEndpoints == nil)
+			assert.Assert(t, zone.heartbeat(other, api.SessionResponse{ConfigVersion: 1}).WantEndpoints == nil)
 		})
 	}
 }
@@ -179,9 +179,9 @@
 func TestSubscribeWaitsForUpdate(t *testing.T) {
 	zone := newTestZone(t)
 	home, _, _ := zone.startTwo(false)
-	answers := make(chan waymark.SubscribeResponse)
+	answers := make(chan api.SubscribeResponse)
 	go func() {
-		answer, _ := home.handleSubscribe(t.Context(), waymark.SubscribeRequest{ConfigVersion: 2, WaitMS: maxSubscribeWaitMs})
+		answer, _ := home.handleSubscribe(t.Context(), api.SubscribeRequest{ConfigVersion: 2, WaitMS: maxSubscribeWaitMs})
 		answers <- answer
 	}()
 	home.storeConfig(configBody(2))
@@ -231,7 +231,7 @@
 func TestOneHandOverAtATime(t *testing.T) {
 	zone := newTestZone(t)
 	p, _ := zone.start(0, false)
-	offer := waymark.PeerSyncRequest{ConfigVersion: 3}
+	offer := api.PeerSyncRequest{ConfigVersion: 3}
 	held, err := p.handleOffer(t.Context(), offer)
 	assert.NilError(t, err)
 	assert.Assert(t, !held.TransferPending)
@@ -240,7 +240,7 @@
 	offer.HasState, offer.Config = true, configBody(3)
 	held, _ = p.handleOffer(t.Context(), offer)
 	assert.Equal(t, held.ConfigVersion, uint64(3))
-	held, _ = p.handleOffer(t.Context(), waymark.PeerSyncRequest{ConfigVersion: 3})
+	held, _ = p.handleOffer(t.Context(), api.PeerSyncRequest{ConfigVersion: 3})
 	assert.Assert(t, !held.TransferPending, "an offer of what is already held must not be put off")
 	assert.Assert(t, configcache.New().LacksAnyOf(&offer))
 }
--- a/internal/switchback/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"strconv"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
-	"foxwood/internal/timetable"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
 	"foxwood/policy"
 )
 
@@ -48,8 +48,8 @@
 	retried         bool   // the client was refused before, or has lost as much time otherwise
 	routeNumber     int    // index of the route plus 1, 0 if load shedding is off
 
-	route     *timetable.Route
-	sender    *timetable.Tenant
+	route     *routeconfig.Route
+	sender    *routeconfig.Tenant
 	forwarded bool      // it was forwarded to a worker
 	mirrored  *mirrored // nil if it is not to be mirrored
 }
@@ -119,7 +119,7 @@
 		client.RespondTextAndClose(http.StatusBadRequest, headerTimeLeft+" stands twice\n")
 		return
 	}
-	var sender *timetable.Tenant
+	var sender *routeconfig.Tenant
 	if config.RequiresKeys {
 		key, ok := msg.Unique(headerAuthorization)
 		if ok && len(key) > len(bearerScheme) && bytes.EqualFold(key[:len(bearerScheme)], []byte(bearerScheme)) {
@@ -231,7 +231,7 @@
 }
 
 // payload builds the request as it is sent to workers.
-func (f *handler) payload(msg *http1.Message, sender *timetable.Tenant) *link.Payload {
+func (f *handler) payload(msg *http1.Message, sender *routeconfig.Tenant) *link.Payload {
 	text := make([]byte, 0, 512+len(msg.Target)+len(msg.Body))
 	text = append(append(text, msg.Method...), ' ')
 	text = append(append(text, msg.Target...), " HTTP/1.1\r\n"...)
--- a/internal/switchback/handler_test.go
+++ b/internal/dataplane/proxy/handler_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"fmt"
--- a/internal/switchback/load_shedding.go
+++ b/internal/dataplane/proxy/load_shedding.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"golang.org/x/sys/unix"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/control/shedding"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
 	"foxwood/internal/rpc"
-	"foxwood/internal/snowline"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -67,8 +67,8 @@
 	workerLoad                  float64 // smoothed load of the workers, from their reports
 	workersReported             bool    // a worker has reported since the last tick
 
-	newLoad      snowline.Load // requests by bin of the priority order, since the last tick
-	smoothedLoad snowline.Load // the same a second, smoothed
+	newLoad      shedding.Load // requests by bin of the priority order, since the last tick
+	smoothedLoad shedding.Load // the same a second, smoothed
 	served       float64       // since the last tick
 	servedRate   float64       // a second, smoothed
 }
@@ -80,9 +80,9 @@
 type loadShedder struct {
 	p          *Proxy
 	mode       ShedMode
-	localLevel snowline.Follower // the level that was received, and what is applied here
+	localLevel shedding.Follower // the level that was received, and what is applied here
 
-	load           snowline.Load // of all destinations
+	load           shedding.Load // of all destinations
 	servedRate     float64       // requests served a second
 	cpuShare       float64       // smoothed part of the processor time allowed
 	cpuUsed        time.Duration
@@ -100,7 +100,7 @@
 	tiersVersion   uint64 // configuration version that routeTiers goes by
 	tiersLevel     uint64 // number of the level whose work routeTiers goes by
 	counts         map[int]*tierCount
-	state          snowline.AppliedState
+	state          shedding.AppliedState
 	loggedAt       float64 // when what is refused was last logged
 	loggedRefusals string  // description of what is refused
 	loggedNumber   uint64  // of the level that was last logged
@@ -113,9 +113,9 @@
 
 // EnableShedding turns load shedding on. It is to be called before Serve.
 func (p *Proxy) EnableShedding(mode ShedMode) {
-	s := &loadShedder{p: p, mode: mode, load: snowline.Load{}, destinations: map[string]*destinationLoad{},
-		routeWork: map[int]float64{}, counts: map[int]*tierCount{}, state: snowline.AppliedState{Threshold: policy.ShedNothing}}
-	s.localLevel.LocalOnly, s.localLevel.ServiceLoads = mode != ShedByCluster, map[string]snowline.Load{}
+	s := &loadShedder{p: p, mode: mode, load: shedding.Load{}, destinations: map[string]*destinationLoad{},
+		routeWork: map[int]float64{}, counts: map[int]*tierCount{}, state: shedding.AppliedState{Threshold: policy.ShedNothing}}
+	s.localLevel.LocalOnly, s.localLevel.ServiceLoads = mode != ShedByCluster, map[string]shedding.Load{}
 	s.lastTick, s.cpuUsed = p.clock.Now(), processorTime()
 	s.loggedAt = s.lastTick
 	p.runOnLoop(func() {
@@ -126,11 +126,11 @@
 }
 
 // refuses answers a request that the level refuses, before it takes any token, and tells whether it did.
-func (s *loadShedder) refuses(client *link.ClientConn, msg *http1.Message, route *timetable.Route, attempt *clientAttempt, sender *timetable.Tenant, timeLeft float64) bool {
+func (s *loadShedder) refuses(client *link.ClientConn, msg *http1.Message, route *routeconfig.Route, attempt *clientAttempt, sender *routeconfig.Tenant, timeLeft float64) bool {
 	caller := ""
 	switch name := s.localLevel.Level().CallerHeader; name {
 	case "":
-	case snowline.CallerAddress:
+	case shedding.CallerAddress:
 		caller = client.RemoteHost()
 	default:
 		if value, ok := msg.Unique(name); ok {
@@ -166,7 +166,7 @@
 }
 
 // rank returns a request's tier and its mark in the priority order.
-func (s *loadShedder) rank(route *timetable.Route, sender *timetable.Tenant, caller string) (tier int, mark policy.ShedPosition) {
+func (s *loadShedder) rank(route *routeconfig.Route, sender *routeconfig.Tenant, caller string) (tier int, mark policy.ShedPosition) {
 	priority, tenant := 0, ""
 	if sender != nil {
 		priority, tenant = sender.Priority, sender.Name
@@ -179,14 +179,14 @@
 func (s *loadShedder) loadOf(name string) *destinationLoad {
 	load := s.destinations[name]
 	if load == nil {
-		load = &destinationLoad{newLoad: snowline.Load{}, smoothedLoad: snowline.Load{}}
+		load = &destinationLoad{newLoad: shedding.Load{}, smoothedLoad: shedding.Load{}}
 		s.destinations[name] = load
 	}
 	return load
 }
 
 // tierOf returns the route's part of a request's tier.
-func (s *loadShedder) tierOf(route *timetable.Route) int {
+func (s *loadShedder) tierOf(route *routeconfig.Route) int {
 	config, level := s.p.config, s.localLevel.Level()
 	if s.routeTiers == nil || s.tiersVersion != config.Version || s.tiersLevel != level.Number {
 		figures := make([]policy.RouteProperties, len(config.Routes))
@@ -302,7 +302,7 @@
 // their destinations, whichever is higher. One slow destination affects only the clients that use it.
 func (s *loadShedder) updatePressure(span float64) {
 	weight := 1 - math.Exp(-span/pressureSpanMs)
-	var services []snowline.Service
+	var services []shedding.Service
 	s.nearOverload = s.pressure >= urgentPressure
 	for name, load := range s.destinations {
 		pool := s.p.pools[name]
@@ -326,7 +326,7 @@
 		}
 		s.nearOverload = s.nearOverload || load.pressure >= urgentPressure
 		if load.requestRate > 0.1 {
-			services = append(services, snowline.Service{Pressure: load.pressure, Rate: load.requestRate})
+			services = append(services, shedding.Service{Pressure: load.pressure, Rate: load.requestRate})
 		}
 	}
 	s.sharedPressure, s.cause = 0, "processor"
@@ -338,13 +338,13 @@
 		s.sharedPressure = s.cpuShare / overloadCPUShare
 	}
 	sent := link.SentBytes()
-	s.linkShare += (1 - math.Exp(-span/resourceSpanMs)) * (snowline.BandwidthShare(sent-s.linkSent, span, s.p.settings.ResourceLimits.NetworkMbps) - s.linkShare)
+	s.linkShare += (1 - math.Exp(-span/resourceSpanMs)) * (shedding.BandwidthShare(sent-s.linkSent, span, s.p.settings.ResourceLimits.NetworkMbps) - s.linkShare)
 	s.linkSent = sent
 	if share := s.linkShare / overloadLinkShare; share > s.sharedPressure {
 		s.sharedPressure, s.cause = share, "link"
 	}
 	s.pressure = s.sharedPressure
-	if met := snowline.MajorityPressure(services); met >= s.pressure {
+	if met := shedding.MajorityPressure(services); met >= s.pressure {
 		s.pressure, s.cause = met, "room"
 	}
 }
@@ -359,12 +359,12 @@
 }
 
 // report returns the next report to the registry. It runs on the loop.
-func (s *loadShedder) report() snowline.Report {
+func (s *loadShedder) report() shedding.Report {
 	s.sequence++
-	report := snowline.Report{Node: s.p.settings.Node, Incarnation: s.p.incarnation, Sequence: s.sequence, Pressure: s.pressure, Reason: s.cause, AnswerRate: s.servedRate,
-		Level: s.localLevel.Level(), Version: s.configVersion, RouteCostsMs: make(map[int]float32, len(s.routeWork)), SharedPressure: s.sharedPressure, Services: map[string]snowline.ServiceReport{}}
+	report := shedding.Report{Node: s.p.settings.Node, Incarnation: s.p.incarnation, Sequence: s.sequence, Pressure: s.pressure, Reason: s.cause, AnswerRate: s.servedRate,
+		Level: s.localLevel.Level(), Version: s.configVersion, RouteCostsMs: make(map[int]float32, len(s.routeWork)), SharedPressure: s.sharedPressure, Services: map[string]shedding.ServiceReport{}}
 	for name, load := range s.destinations {
-		part := snowline.ServiceReport{Pressure: load.pressure, AnswerRate: load.servedRate, Load: make(map[uint32]float32, len(load.smoothedLoad))}
+		part := shedding.ServiceReport{Pressure: load.pressure, AnswerRate: load.servedRate, Load: make(map[uint32]float32, len(load.smoothedLoad))}
 		for bin, rate := range load.smoothedLoad {
 			part.Load[bin] = float32(rate)
 		}
@@ -389,11 +389,11 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		var registry *rpc.Peer
-		var request waymark.PressureReport
+		var request api.PressureReport
 		var askedAt float64
 		p.runOnLoop(func() {
 			if registry = p.registry; registry != nil {
-				askedAt, request = p.clock.Now(), waymark.PressureReport{Report: s.report()}
+				askedAt, request = p.clock.Now(), api.PressureReport{Report: s.report()}
 			}
 		})
 		if registry != nil {
@@ -404,7 +404,7 @@
 				peer = rpc.NewPeer(registry.Addr())
 			}
 			callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-			answer, err := rpc.Call[waymark.PressureReport, waymark.SheddingLevel](callCtx, peer, request)
+			answer, err := rpc.Call[api.PressureReport, api.SheddingLevel](callCtx, peer, request)
 			cancel()
 			p.runOnLoop(func() {
 				if err != nil {
@@ -417,7 +417,7 @@
 		for ctx.Err() == nil {
 			interval := calmReportInterval
 			p.runOnLoop(func() {
-				if s.nearOverload || s.state != (snowline.AppliedState{Threshold: policy.ShedNothing}) || !s.localLevel.Open() || s.localLevel.Level().Number == 0 {
+				if s.nearOverload || s.state != (shedding.AppliedState{Threshold: policy.ShedNothing}) || !s.localLevel.Open() || s.localLevel.Level().Number == 0 {
 					interval = urgentReportInterval
 				}
 			})
--- a/internal/switchback/load_shedding_test.go
+++ b/internal/dataplane/proxy/load_shedding_test.go
@@ -1,13 +1,13 @@
-package switchback
+package proxy
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/http1"
-	"foxwood/internal/snowline"
-	"foxwood/internal/timetable"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/control/shedding"
+	"foxwood/internal/dataplane/http1"
 	"foxwood/policy"
 )
 
@@ -19,10 +19,10 @@
 
 // TestShedRank: the tier of a request follows from the priorities and from the routes' work in the level.
 func TestShedRank(t *testing.T) {
-	table, err := timetable.Parse([]byte(shedConfig))
+	table, err := routeconfig.Parse([]byte(shedConfig))
 	assert.NilError(t, err)
 	shedder := &loadShedder{p: &Proxy{config: table}}
-	course := map[string]*timetable.Route{}
+	course := map[string]*routeconfig.Route{}
 	for i := range table.Routes {
 		course[table.Routes[i].Name] = &table.Routes[i]
 	}
@@ -40,9 +40,9 @@
 
 	work := make([]byte, len(table.Routes))
 	work[course["quick"].Index], work[course["dear"].Index] = 5, 7
-	assert.Assert(t, shedder.localLevel.Receive(0, snowline.Level{Number: 1, Threshold: policy.ShedNothing, Version: 6, RouteCosts: work}))
+	assert.Assert(t, shedder.localLevel.Receive(0, shedding.Level{Number: 1, Threshold: policy.ShedNothing, Version: 6, RouteCosts: work}))
 	assert.Equal(t, tier("dear", "k1"), policy.Tier(0, 1, 0), "the work belongs to another configuration version")
-	assert.Assert(t, shedder.localLevel.Receive(0, snowline.Level{Number: 2, Threshold: policy.ShedNothing, Version: 7, RouteCosts: work, NeverShedBelow: 1}))
+	assert.Assert(t, shedder.localLevel.Receive(0, shedding.Level{Number: 2, Threshold: policy.ShedNothing, Version: 7, RouteCosts: work, NeverShedBelow: 1}))
 	assert.Equal(t, tier("dear", "k2"), policy.Tier(2, 1, 1))
 	assert.Equal(t, tier("slow", "k2"), policy.Tier(2, 1, 2))
 	_, mark := shedder.rank(course["slow"], table.TenantByKey([]byte("k1")), "c")
--- a/internal/switchback/mirror_delivery.go
+++ b/internal/dataplane/proxy/mirror_delivery.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"foxwood/internal/spur"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // Limits of deliveries to mirror targets.
@@ -48,7 +48,7 @@
 
 // send sends a mirrored request once and discards the answer. It sends nothing to an address that has become the
 // address of a live process meanwhile.
-func (s *requestMirror) send(ctx context.Context, delivery *spur.Delivery) (answered bool) {
+func (s *requestMirror) send(ctx context.Context, delivery *mirror.Delivery) (answered bool) {
 	if live := s.liveAddresses.Load(); live == nil || (*live)[delivery.Address] {
 		s.counts.refused.Add(1)
 		return false
--- a/internal/switchback/mirroring.go
+++ b/internal/dataplane/proxy/mirroring.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bytes"
@@ -15,12 +15,12 @@
 	"golang.org/x/sys/unix"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/dataplane/mirror"
 	"foxwood/internal/rpc"
-	"foxwood/internal/spur"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 // Traffic mirroring: requests that a mirroring rule selects are sent to mirror targets as well. Related requests form
@@ -51,25 +51,25 @@
 
 // mirrored is a forwarded request on a route that the mirroring rule names.
 type mirrored struct {
-	route       *timetable.Route
-	sender      *timetable.Tenant
+	route       *routeconfig.Route
+	sender      *routeconfig.Tenant
 	destination string
 	payload     *link.Payload
 	forwardedAt float64
-	notSelected atomic.Bool // the engine did not select it, so its answer is of no interest
-	ticket      spur.Ticket // of the engine
+	notSelected atomic.Bool   // the engine did not select it, so its answer is of no interest
+	ticket      mirror.Ticket // of the engine
 }
 
 // note is what the loop passes to the engine: the begin of a request, its end, or a function to call.
 type note struct {
 	at          float64
 	request     *mirrored
-	isEnd       bool              // it is the end of the request, not its begin
-	answer      spur.LiveResponse // the answer that the client got
-	cause       spur.Cause        // other than Fine if the request can't be mirrored
+	isEnd       bool                // it is the end of the request, not its begin
+	answer      mirror.LiveResponse // the answer that the client got
+	cause       mirror.Cause        // other than Fine if the request can't be mirrored
 	neverRan    bool
-	queuedBytes int64              // bytes of the payload that were added to queuedBytes
-	call        func(*spur.Engine) // to be called; nil for the begin or end of a request
+	queuedBytes int64                // bytes of the payload that were added to queuedBytes
+	call        func(*mirror.Engine) // to be called; nil for the begin or end of a request
 }
 
 // requestMirror is this gatekeeper's part of traffic mirroring.
@@ -83,20 +83,20 @@
 	liveAddresses  atomic.Pointer[map[string]bool] // addresses of live processes, which are never mirror targets
 
 	// Owned by the loop.
-	rule             *spur.Rule           // nil before the first
-	ruleNumber       uint64               // of the newest rule
-	selectedRoutes   []bool               // by index of the route
-	configVersion    uint64               // version of the configuration that selectedRoutes goes by
-	openRequests     int                  // requests whose end is to be noted still
-	pendingCalls     []func(*spur.Engine) // functions that do not fit into notes yet
-	overloaded       bool                 // overloaded, so nothing is mirrored
-	queuePressure    float64              // smoothed part of queued requests
-	cpuShare         float64              // smoothed part of the processor time allowed
+	rule             *mirror.Rule           // nil before the first
+	ruleNumber       uint64                 // of the newest rule
+	selectedRoutes   []bool                 // by index of the route
+	configVersion    uint64                 // version of the configuration that selectedRoutes goes by
+	openRequests     int                    // requests whose end is to be noted still
+	pendingCalls     []func(*mirror.Engine) // functions that do not fit into notes yet
+	overloaded       bool                   // overloaded, so nothing is mirrored
+	queuePressure    float64                // smoothed part of queued requests
+	cpuShare         float64                // smoothed part of the processor time allowed
 	cpuUsed          time.Duration
 	lastTick         float64
 	lastHighPressure float64 // when pressure was last too high to resume
 	membersMark      uint64  // of members
-	members          []spur.Member
+	members          []mirror.Member
 	closed           bool // the last request of this process has been forwarded
 	unmirrored       bool // requests were forwarded while no rule was active, and the engine has not been told
 
@@ -107,12 +107,12 @@
 	notesLost atomic.Bool // notes were lost, so flows may be incomplete
 
 	mu           sync.Mutex // guards what follows
-	engine       *spur.Engine
+	engine       *mirror.Engine
 	cpuBudget    time.Duration        // processor time that may still be used
 	cpuCountedAt time.Time            // when that was last computed
 	peers        map[string]*rpc.Peer // by address
 	deliveries   int                  // deliveries to mirror targets that are under way
-	loggedStatus spur.Status          // the status that was last logged
+	loggedStatus mirror.Status        // the status that was last logged
 
 	wakeUp chan struct{} // starts the next turn at once
 }
@@ -128,7 +128,7 @@
 	s := &requestMirror{p: p, now: now, notes: make(chan note, maxNotes), cpuCountedAt: time.Now(), cpuBudget: maxCPUBurst,
 		peers: map[string]*rpc.Peer{}, wakeUp: make(chan struct{}, 1)}
 	s.maxQueuedBytes = max(int64(p.settings.ResourceLimits.MemoryMB)<<20/memoryDivisor, minMirrorBytes) / 2 // one half for queued notes, the other for the engine
-	s.engine = spur.New(spur.Config{Self: spur.Member{Node: p.settings.Node, Incarnation: p.incarnation, Region: p.settings.Region, InternalAddress: p.settings.InnerAddress(0)},
+	s.engine = mirror.New(mirror.Config{Self: mirror.Member{Node: p.settings.Node, Incarnation: p.incarnation, Region: p.settings.Region, InternalAddress: p.settings.InnerAddress(0)},
 		Now: s.now(), MaxBytes: int(s.maxQueuedBytes)})
 	s.maxBodyBytes.Store(math.MaxInt64)
 	s.cpuUsed, s.lastTick = processorTime(), s.now()
@@ -140,22 +140,22 @@
 }
 
 // receive takes a new rule, members and workers from a registry's answer. It runs on the loop.
-func (s *requestMirror) receive(answer *waymark.SessionResponse, askedAt float64, changed bool) {
+func (s *requestMirror) receive(answer *api.SessionResponse, askedAt float64, changed bool) {
 	var number uint64
 	var body []byte
 	s.p.fanout.withLock(func(float64) { number, body = s.p.fanout.cache.MirrorOrder() })
 	s.noteUnmirrored()
 	if number > s.ruleNumber {
 		s.ruleNumber = number
-		rule, faults := spur.ParseRule(body)
+		rule, faults := mirror.ParseRule(body)
 		if len(faults) > 0 || rule == nil { // the registry has checked it before
 			s.p.log.Error().Uint64("number", number).Msg("received a mirroring rule that can't be read")
-			rule = &spur.Rule{Number: number, Stopped: true}
+			rule = &mirror.Rule{Number: number, Stopped: true}
 		}
 		s.rule, s.configVersion, s.selectedRoutes, changed = rule, 0, nil, true
 		s.p.log.Info().Uint64("number", rule.Number).Bool("stopped", rule.Stopped).Float64("share", rule.Share).Int("routes", len(rule.Routes)).Msg("mirroring rule received")
 		at := s.now()
-		s.tell(func(engine *spur.Engine) { engine.SetRule(at, rule) })
+		s.tell(func(engine *mirror.Engine) { engine.SetRule(at, rule) })
 	}
 	if len(answer.Seats) > 0 {
 		s.membersMark, s.members, changed = answer.SeatsChecksum, answer.Seats, true
@@ -169,7 +169,7 @@
 	if !answer.Stale && answer.Settled && answer.SeatsChecksum != 0 && answer.SeatsChecksum == s.membersMark {
 		at, members := s.now(), s.members
 		asOf := at - (s.p.clock.Now() - askedAt) + answer.SeatsAsOf
-		s.tell(func(engine *spur.Engine) { engine.SetMembers(at, asOf, members) })
+		s.tell(func(engine *mirror.Engine) { engine.SetMembers(at, asOf, members) })
 	}
 }
 
@@ -178,8 +178,8 @@
 	if s.unmirrored {
 		s.unmirrored = false
 		at := s.now()
-		s.tell(func(engine *spur.Engine) {
-			engine.StartRequest(at, &spur.RequestInfo{Header: func(string) ([]byte, bool) { return nil, false }})
+		s.tell(func(engine *mirror.Engine) {
+			engine.StartRequest(at, &mirror.RequestInfo{Header: func(string) ([]byte, bool) { return nil, false }})
 		})
 	}
 }
@@ -209,11 +209,11 @@
 	delete(live, "")
 	s.liveAddresses.Store(&live)
 	at := s.now()
-	s.tell(func(engine *spur.Engine) { engine.SetLiveAddresses(at, live) })
+	s.tell(func(engine *mirror.Engine) { engine.SetLiveAddresses(at, live) })
 }
 
 // tell queues a function for the engine, after all notes that were queued before.
-func (s *requestMirror) tell(call func(*spur.Engine)) {
+func (s *requestMirror) tell(call func(*mirror.Engine)) {
 	s.pendingCalls = append(s.pendingCalls, call)
 	s.flush()
 }
@@ -227,7 +227,7 @@
 }
 
 // selects tells whether the rule names the route of a request.
-func (s *requestMirror) selects(route *timetable.Route) bool {
+func (s *requestMirror) selects(route *routeconfig.Route) bool {
 	if s.rule == nil || s.rule.Stopped {
 		s.unmirrored = true
 		return false
@@ -297,20 +297,20 @@
 	size := int64(len(recorded.payload.Head) + len(recorded.payload.Body))
 	switch {
 	case ending.ClientLeft:
-		note.cause = spur.NoAnswer
+		note.cause = mirror.NoAnswer
 	case ending.Streamed || recorded.payload.Upload != nil || int64(len(recorded.payload.Body)) > s.maxBodyBytes.Load():
-		note.cause = spur.BodyTooLarge
+		note.cause = mirror.BodyTooLarge
 	case promisesNotRun(ending.Status) && !request.MayHaveRun:
 		note.neverRan = true
 	case promisesNotRun(ending.Status), ending.Status == http.StatusBadGateway && (request.LastError == nil || request.LastError.Status != ending.Status):
-		note.cause = spur.NoAnswer
+		note.cause = mirror.NoAnswer
 	case s.overloaded:
-		note.cause = spur.Overloaded
+		note.cause = mirror.Overloaded
 	case s.queuedBytes.Load()+size > s.maxQueuedBytes:
-		note.cause = spur.GatekeeperFull
+		note.cause = mirror.GatekeeperFull
 		s.counts.noRoom.Add(1)
 	default:
-		note.answer = spur.LiveResponse{Status: ending.Status, DurationMs: note.at - recorded.forwardedAt, BodyHash: xxh3.Hash(ending.Body)}
+		note.answer = mirror.LiveResponse{Status: ending.Status, DurationMs: note.at - recorded.forwardedAt, BodyHash: xxh3.Hash(ending.Body)}
 		note.queuedBytes = size
 		s.queuedBytes.Add(size)
 	}
@@ -357,7 +357,7 @@
 	}
 	s.p.log.Info().Bool("pressed", s.overloaded).Float64("pressure", pressure).Msg("mirroring paused or resumed")
 	overloaded := s.overloaded
-	s.tell(func(engine *spur.Engine) { engine.SetOverloaded(now, overloaded) })
+	s.tell(func(engine *mirror.Engine) { engine.SetOverloaded(now, overloaded) })
 }
 
 // runMirror processes notes, collects flows and delivers them until the context ends.
@@ -391,7 +391,7 @@
 // turn starts the deliveries that are due and, if due is set, asks the other gatekeepers for their parts of the flows
 // that are collected here. It tells whether it has used up its processor time.
 func (s *requestMirror) turn(ctx context.Context, due bool) (rest bool) {
-	var requests []spur.FetchRequest
+	var requests []mirror.FetchRequest
 	s.withEngine(func() {
 		if due {
 			now := s.now()
@@ -466,7 +466,7 @@
 	case note.request.ticket == 0:
 	case note.neverRan:
 		s.engine.DiscardTicket(note.at, note.request.ticket)
-	case note.cause != spur.NotBroken:
+	case note.cause != mirror.NotBroken:
 		s.engine.DropRequest(note.at, note.request.ticket, note.cause)
 	default:
 		s.engine.FinishRequest(note.at, note.request.ticket, note.request.request(), note.answer)
@@ -477,8 +477,8 @@
 }
 
 // attributes returns what the engine selects requests by.
-func (c *mirrored) attributes() *spur.RequestInfo {
-	sight := &spur.RequestInfo{Route: c.route.Name, Destination: c.destination, AllowedRegions: c.route.HomeRegions, Header: c.header}
+func (c *mirrored) attributes() *mirror.RequestInfo {
+	sight := &mirror.RequestInfo{Route: c.route.Name, Destination: c.destination, AllowedRegions: c.route.HomeRegions, Header: c.header}
 	if c.sender != nil {
 		sight.Tenant = c.sender.Name
 		if sight.AllowedRegions = commonRegions(c.route.HomeRegions, c.sender.HomeRegions); sight.AllowedRegions == nil && len(c.route.HomeRegions)+len(c.sender.HomeRegions) > 0 {
@@ -532,10 +532,10 @@
 }
 
 // request returns the request, by reference to the payload.
-func (c *mirrored) request() *spur.Request {
-	request := &spur.Request{Body: c.payload.Body}
+func (c *mirrored) request() *mirror.Request {
+	request := &mirror.Request{Body: c.payload.Body}
 	first := c.eachHeader(func(name, value []byte) {
-		request.Fields = append(request.Fields, spur.HeaderField{Name: name, Value: value})
+		request.Fields = append(request.Fields, mirror.HeaderField{Name: name, Value: value})
 	})
 	var rest []byte
 	request.Method, rest, _ = bytes.Cut(first, []byte{' '})
@@ -553,7 +553,7 @@
 }
 
 // collect asks another gatekeeper for its parts of the flows that are collected here.
-func (s *requestMirror) collect(ctx context.Context, request spur.FetchRequest) {
+func (s *requestMirror) collect(ctx context.Context, request mirror.FetchRequest) {
 	s.mu.Lock()
 	peer := s.peers[request.To.InternalAddress]
 	if peer == nil {
@@ -563,7 +563,7 @@
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	answer, err := rpc.Call[waymark.CollectRequest, waymark.CollectResponse](ctx, peer, waymark.CollectRequest{Request: request})
+	answer, err := rpc.Call[api.CollectRequest, api.CollectResponse](ctx, peer, api.CollectRequest{Request: request})
 	s.withEngine(func() {
 		if err != nil {
 			peer.Close() // the next request uses another connection
@@ -580,7 +580,7 @@
 
 // handleCollect answers a gatekeeper that collects flows. It answers later if mirroring has used more than its
 // processor time.
-func (p *Proxy) handleCollect(_ context.Context, request waymark.CollectRequest) (answer waymark.CollectResponse, err error) {
+func (p *Proxy) handleCollect(_ context.Context, request api.CollectRequest) (answer api.CollectResponse, err error) {
 	m := p.mirror
 	if m == nil {
 		return answer, rpc.Errorf(rpc.Unavailable, "it copies nothing")
@@ -596,21 +596,21 @@
 }
 
 // mirrorStatus answers with the state of mirroring.
-func (p *Proxy) mirrorStatus(context.Context, waymark.MirrorStatusRequest) (answer waymark.MirrorStatusResponse, err error) {
+func (p *Proxy) mirrorStatus(context.Context, api.MirrorStatusRequest) (answer api.MirrorStatusResponse, err error) {
 	m := p.mirror
 	if m == nil {
-		return waymark.MirrorStatusResponse{Disabled: true}, nil
+		return api.MirrorStatusResponse{Disabled: true}, nil
 	}
 	m.withEngine(func() {
-		answer = waymark.MirrorStatusResponse{Status: m.engine.Status(m.now()), Counters: m.counters()}
+		answer = api.MirrorStatusResponse{Status: m.engine.Status(m.now()), Counters: m.counters()}
 	})
 	return answer, nil
 }
 
 // counters returns this gatekeeper's own counters.
-func (s *requestMirror) counters() waymark.MirrorCounters {
+func (s *requestMirror) counters() api.MirrorCounters {
 	counts := &s.counts
-	return waymark.MirrorCounters{QueueFull: counts.noRoom.Load(), DroppedUnrecorded: counts.lost.Load(), Refused: counts.refused.Load(), Sent: counts.sent.Load(), TimedOut: counts.hung.Load(),
+	return api.MirrorCounters{QueueFull: counts.noRoom.Load(), DroppedUnrecorded: counts.lost.Load(), Refused: counts.refused.Load(), Sent: counts.sent.Load(), TimedOut: counts.hung.Load(),
 		Suspended: counts.pressed.Load(), WorkMS: uint64(counts.work.Load() / 1e6)}
 }
 
@@ -623,7 +623,7 @@
 	byCause := map[string]uint64{}
 	for cause, count := range status.Counts.BrokenByCause {
 		if count > 0 {
-			byCause[spur.Cause(cause).String()] = count
+			byCause[mirror.Cause(cause).String()] = count
 		}
 	}
 	counts := status.Counts
@@ -635,7 +635,7 @@
 // statusLines returns its lines of the status command.
 func (s *requestMirror) statusLines() (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
-	var status spur.Status
+	var status mirror.Status
 	s.withEngine(func() { status = s.engine.Status(s.now()) })
 	counters, counts := s.counters(), status.Counts
 	add("copies order %d on %t why %s, %d journeys open, %d pieces not fetched, %d of %d bytes, settling %t, all told up to %.0f ms ago, members as of %.0f ms ago",
@@ -644,7 +644,7 @@
 		counts.Broken, counts.Delivered, counts.Withheld, counters.Sent, counters.TimedOut, counters.Refused, counters.QueueFull, counters.DroppedUnrecorded, counters.WorkMS)
 	for cause, count := range counts.BrokenByCause {
 		if count > 0 {
-			add("copies broken by %s %d", spur.Cause(cause), count)
+			add("copies broken by %s %d", mirror.Cause(cause), count)
 		}
 	}
 	return lines
--- a/internal/switchback/mirroring_test.go
+++ b/internal/dataplane/proxy/mirroring_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/spur"
-	"foxwood/internal/waymark"
+	"foxwood/internal/dataplane/mirror"
+	"foxwood/internal/rpc/api"
 )
 
 // testMirror is a proxy that mirrors traffic, with a clock that the test sets.
@@ -38,7 +38,7 @@
 func (c *testMirror) setRule(to string, more string) {
 	c.t.Helper()
 	c.ruleNumber++
-	c.receive(waymark.SessionResponse{MirrorOrderNumber: c.ruleNumber, MirrorOrder: fmt.Appendf(nil, `{"number":%d,"routes":["r0"],"share":1,"key":"0123456789","endS":10,`+
+	c.receive(api.SessionResponse{MirrorOrderNumber: c.ruleNumber, MirrorOrder: fmt.Appendf(nil, `{"number":%d,"routes":["r0"],"share":1,"key":"0123456789","endS":10,`+
 		`"journey":{"from":"cookie","name":"visit"},"headersOut":["X-Secret"],"shadows":[{"route":"r0","address":%q}]%s}`, c.ruleNumber, to, more)}, nil)
 	c.setMembers()
 }
@@ -46,7 +46,7 @@
 // setMembers passes the members to the proxy, which is the only one.
 func (c *testMirror) setMembers() {
 	c.t.Helper()
-	c.receive(waymark.SessionResponse{Settled: true, SeatsChecksum: 5, Seats: []spur.Member{{Node: c.settings.Node, Incarnation: c.incarnation, Region: "a", InternalAddress: c.settings.InnerAddress(0)}}}, nil)
+	c.receive(api.SessionResponse{Settled: true, SeatsChecksum: 5, Seats: []mirror.Member{{Node: c.settings.Node, Incarnation: c.incarnation, Region: "a", InternalAddress: c.settings.InnerAddress(0)}}}, nil)
 }
 
 // advance lets time pass, with a turn of the mirror every 500 ms.
@@ -69,7 +69,7 @@
 }
 
 // engineCounts returns the counters of the engine.
-func (c *testMirror) engineCounts() (n spur.Counts) {
+func (c *testMirror) engineCounts() (n mirror.Counts) {
 	c.tested.withEngine(func() { n = c.tested.engine.Status(c.tested.now()).Counts })
 	return n
 }
@@ -103,7 +103,7 @@
 		bodies <- string(b)
 		_, _ = io.WriteString(w, strings.Repeat("thrown away", 1000))
 	})
-	proxy.receive(waymark.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}, {prefix: "/other/", destination: "a"}}, tenantSpec{name: "ann"}))
+	proxy.receive(api.SessionResponse{}, newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a", unsafe: true}, {prefix: "/other/", destination: "a"}}, tenantSpec{name: "ann"}))
 	proxy.setRule(target, longTimeout)
 	proxy.advance(15) // flows that may have begun before the collector are not mirrored
 
@@ -167,24 +167,24 @@
 func TestIncompleteFlowCauses(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		cause   spur.Cause
+		cause   mirror.Cause
 		prepare func(proxy *testMirror)
 		do      workerScript
 		body    string
 		status  int
 	}{
-		{name: "no room", cause: spur.GatekeeperFull, prepare: func(proxy *testMirror) {
+		{name: "no room", cause: mirror.GatekeeperFull, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.maxQueuedBytes = 10 })
 		}, do: replyWorkerID, status: 200},
-		{name: "overload", cause: spur.Overloaded, prepare: func(proxy *testMirror) {
+		{name: "overload", cause: mirror.Overloaded, prepare: func(proxy *testMirror) {
 			proxy.runOnLoop(func() { proxy.tested.overloaded, proxy.tested.lastHighPressure = true, proxy.tested.now() })
 		}, do: replyWorkerID, status: 200},
-		{name: "a body over the limit", cause: spur.BodyTooLarge, do: replyWorkerID, body: repeatedText(5000), status: 200},
-		{name: "a streamed body", cause: spur.BodyTooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
-		{name: "a streamed answer", cause: spur.BodyTooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
-		{name: "no complete answer", cause: spur.NoAnswer, do: closeConn, status: 502},
-		{name: "it never ran", cause: spur.NotBroken, do: reply(503, notDeliveredLine, ""), status: 503},
-		{name: "a failure of the worker", cause: spur.NotBroken, do: reply(500, "", "no"), status: 500},
+		{name: "a body over the limit", cause: mirror.BodyTooLarge, do: replyWorkerID, body: repeatedText(5000), status: 200},
+		{name: "a streamed body", cause: mirror.BodyTooLarge, do: replyWorkerID, body: repeatedText(200 << 10), status: 200},
+		{name: "a streamed answer", cause: mirror.BodyTooLarge, do: reply(200, postmarkLine, repeatedText(200<<10)), status: 200},
+		{name: "no complete answer", cause: mirror.NoAnswer, do: closeConn, status: 502},
+		{name: "it never ran", cause: mirror.NotBroken, do: reply(503, notDeliveredLine, ""), status: 503},
+		{name: "a failure of the worker", cause: mirror.NotBroken, do: reply(500, "", "no"), status: 500},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			proxy := newTestMirror(t)
@@ -200,13 +200,13 @@
 				proxy.runOnLoop(func() { open = proxy.tested.openRequests })
 			}
 			proxy.tested.withEngine(func() {
-				if test.cause != spur.NotBroken {
+				if test.cause != mirror.NotBroken {
 					assert.Check(t, proxy.tested.engine.Status(proxy.tested.now()).Counts.Lost == 1)
 				}
 			})
 			proxy.advance(20)
 			counts := proxy.engineCounts()
-			if test.cause != spur.NotBroken {
+			if test.cause != mirror.NotBroken {
 				assert.Equal(t, counts.BrokenByCause[test.cause], uint64(1), "%v", counts)
 				return
 			}
@@ -250,18 +250,18 @@
 	res, _ := proxy.do("GET", "/", visitHeaders, "")
 	assert.Equal(t, res.StatusCode, 200)
 	proxy.advance(1)
-	proxy.receive(fullList(2, live, waymark.Worker{ID: "new", Destination: "b", Addr: target, Zone: "b1"}), nil)
+	proxy.receive(fullList(2, live, api.Worker{ID: "new", Destination: "b", Addr: target, Zone: "b1"}), nil)
 	proxy.tested.withEngine(func() {
 		status := proxy.tested.engine.Status(proxy.tested.now())
-		assert.Check(t, !status.Active && status.InactiveCause == spur.TargetIsLive)
+		assert.Check(t, !status.Active && status.InactiveCause == mirror.TargetIsLive)
 	})
-	delivery := &spur.Delivery{ID: 1, Address: target, TimeoutMs: 1000}
+	delivery := &mirror.Delivery{ID: 1, Address: target, TimeoutMs: 1000}
 	assert.Assert(t, !proxy.tested.send(t.Context(), delivery))
 	assert.Equal(t, proxy.tested.counts.refused.Load(), uint64(1))
 	proxy.advance(20)
 	assert.Equal(t, received.Load(), int64(0))
 	counts := proxy.engineCounts()
-	assert.Assert(t, counts.BrokenByCause[spur.TargetIsLive] == 1 && counts.CopiesIssued == 0, "%v", counts)
+	assert.Assert(t, counts.BrokenByCause[mirror.TargetIsLive] == 1 && counts.CopiesIssued == 0, "%v", counts)
 	proxy.receive(fullList(3, live), nil)
 	proxy.tested.withEngine(func() {
 		assert.Check(t, !proxy.tested.engine.Status(proxy.tested.now()).Active, "mirroring must not resume before a new rule")
@@ -363,7 +363,7 @@
 func TestMirroringOff(t *testing.T) {
 	proxy := newTestProxy(t)
 	proxy.receive(fullList(1, startWorker(t, "w", "a", replyWorkerID, nil)), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}))
-	proxy.receive(waymark.SessionResponse{MirrorOrderNumber: 3, MirrorOrder: []byte(`{"number":3,"stopped":true}`)}, nil)
+	proxy.receive(api.SessionResponse{MirrorOrderNumber: 3, MirrorOrder: []byte(`{"number":3,"stopped":true}`)}, nil)
 	res, _ := proxy.do("GET", "/", visitHeaders, "")
 	assert.Equal(t, res.StatusCode, 200)
 	proxy.runOnLoop(func() {
@@ -371,9 +371,9 @@
 		request := proxy.heartbeatRequest()
 		assert.Check(t, !request.MirrorsTraffic && request.MirrorOrderNumber == 3, "the rule has to be held for zone peers")
 	})
-	_, err := proxy.handleCollect(context.Background(), waymark.CollectRequest{})
+	_, err := proxy.handleCollect(context.Background(), api.CollectRequest{})
 	assert.ErrorContains(t, err, "copies nothing")
-	answer, err := proxy.mirrorStatus(context.Background(), waymark.MirrorStatusRequest{})
+	answer, err := proxy.mirrorStatus(context.Background(), api.MirrorStatusRequest{})
 	assert.Assert(t, err == nil && answer.Disabled)
 }
 
--- a/internal/switchback/outliers.go
+++ b/internal/dataplane/proxy/outliers.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"foxwood/internal/bulletin"
-	"foxwood/internal/membership"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/dataplane/outlier"
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -22,9 +22,9 @@
 // on the loop.
 type outlierReporter struct {
 	p        *Proxy
-	judges   map[string]*bulletin.Detector   // by destination of which this gatekeeper is the zone home
-	verdicts map[string]*bulletin.Subscriber // the newest verdicts of the zone home, by destination
-	active   map[string]bool                 // destinations with verdicts in force
+	judges   map[string]*outlier.Detector   // by destination of which this gatekeeper is the zone home
+	verdicts map[string]*outlier.Subscriber // the newest verdicts of the zone home, by destination
+	active   map[string]bool                // destinations with verdicts in force
 	counts   struct {
 		ReportsSent      uint64 `json:"Told"`
 		ReportsReceived  uint64 `json:"Heard"`
@@ -35,7 +35,7 @@
 
 // EnableOutlierReports has this gatekeeper share outlier reports with its zone. It is to be called before Serve.
 func (p *Proxy) EnableOutlierReports() {
-	h := &outlierReporter{p: p, judges: map[string]*bulletin.Detector{}, verdicts: map[string]*bulletin.Subscriber{}, active: map[string]bool{}}
+	h := &outlierReporter{p: p, judges: map[string]*outlier.Detector{}, verdicts: map[string]*outlier.Subscriber{}, active: map[string]bool{}}
 	p.runOnLoop(func() {
 		p.outliers = h
 		p.loop.Every(outlierInterval, h.tick)
@@ -66,7 +66,7 @@
 		zoneHome := membership.OwnerAmong(ready, p.settings.Zone, pool.name)
 		if observed := pool.core.Sightings(); len(observed) > 0 {
 			h.counts.ReportsSent++
-			report := waymark.OutlierReport{From: self, Destination: pool.name, Reports: bulletin.EncodeReports(observed)}
+			report := api.OutlierReport{From: self, Destination: pool.name, Reports: outlier.EncodeReports(observed)}
 			if zoneHome == self {
 				h.judge(pool.name).Receive(now, self, report.Reports)
 			} else if peer := peers[zoneHome]; peer != nil {
@@ -79,9 +79,9 @@
 			judge.Step(now, pool.usableWorkers())
 			if issue, due := judge.Announcement(now); due {
 				h.counts.VerdictsIssued++
-				h.receive(waymark.OutlierAnnouncement{Destination: pool.name, Announcement: issue})
+				h.receive(api.OutlierAnnouncement{Destination: pool.name, Announcement: issue})
 				for _, peer := range peers {
-					calls = append(calls, func() { _ = rpc.Notify(peer, waymark.OutlierAnnouncement{Destination: pool.name, Announcement: issue}) })
+					calls = append(calls, func() { _ = rpc.Notify(peer, api.OutlierAnnouncement{Destination: pool.name, Announcement: issue}) })
 				}
 			}
 		}
@@ -99,10 +99,10 @@
 }
 
 // judge returns the judge of a destination of which this gatekeeper is the zone home.
-func (h *outlierReporter) judge(destination string) *bulletin.Detector {
+func (h *outlierReporter) judge(destination string) *outlier.Detector {
 	judge := h.judges[destination]
 	if judge == nil {
-		judge = bulletin.NewDetector(h.p.incarnation)
+		judge = outlier.NewDetector(h.p.incarnation)
 		h.judges[destination] = judge
 	}
 	return judge
@@ -113,21 +113,21 @@
 	p, regions := s.p, map[uint32]int{}
 	for _, w := range p.workers {
 		if w.Destination == s.name && !w.Draining && !w.misdirected && !p.evacuated[w.Zone] {
-			regions[bulletin.WorkerID(policy.Server(hash64(w.ID)))] = p.regionOf(w.Zone)
+			regions[outlier.WorkerID(policy.Server(hash64(w.ID)))] = p.regionOf(w.Zone)
 		}
 	}
 	return regions
 }
 
 // receive takes the verdicts of a zone home. It runs on the loop.
-func (h *outlierReporter) receive(verdicts waymark.OutlierAnnouncement) {
+func (h *outlierReporter) receive(verdicts api.OutlierAnnouncement) {
 	pool := h.p.pools[verdicts.Destination]
 	if pool == nil {
 		return
 	}
 	current := h.verdicts[verdicts.Destination]
 	if current == nil {
-		current = &bulletin.Subscriber{}
+		current = &outlier.Subscriber{}
 		h.verdicts[verdicts.Destination] = current
 	}
 	if current.Receive(h.p.clock.Now(), verdicts.Announcement) {
@@ -142,7 +142,7 @@
 	byServer := make(map[policy.Server]policy.Verdict, len(beliefs))
 	for _, w := range h.p.workers {
 		id := policy.Server(hash64(w.ID))
-		if belief, ok := beliefs[bulletin.WorkerID(id)]; ok && w.Destination == pool.name {
+		if belief, ok := beliefs[outlier.WorkerID(id)]; ok && w.Destination == pool.name {
 			byServer[id] = belief
 		}
 	}
@@ -152,7 +152,7 @@
 
 // handleReport receives what a zone peer has observed, as its zone home. A report for a destination that is not
 // served here is dropped.
-func (p *Proxy) handleReport(_ context.Context, report waymark.OutlierReport) (answer waymark.OutlierAck, err error) {
+func (p *Proxy) handleReport(_ context.Context, report api.OutlierReport) (answer api.OutlierAck, err error) {
 	p.loop.Post(func() {
 		if h := p.outliers; h != nil && p.pools[report.Destination] != nil {
 			h.counts.ReportsReceived++
@@ -163,7 +163,7 @@
 }
 
 // handleVerdicts receives the verdicts of a zone home.
-func (p *Proxy) handleVerdicts(_ context.Context, verdicts waymark.OutlierAnnouncement) (answer waymark.OutlierAck, err error) {
+func (p *Proxy) handleVerdicts(_ context.Context, verdicts api.OutlierAnnouncement) (answer api.OutlierAck, err error) {
 	p.loop.Post(func() {
 		if p.outliers != nil {
 			p.outliers.receive(verdicts)
--- a/internal/switchback/pool.go
+++ b/internal/dataplane/proxy/pool.go
@@ -1,14 +1,14 @@
-package switchback
+package proxy
 
 import (
 	"hash/fnv"
 	"math"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
-	"foxwood/internal/slowstart"
-	"foxwood/internal/timetable"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/dataplane/slowstart"
 	"foxwood/policy"
 )
 
@@ -19,8 +19,8 @@
 	core         *gatekeeper.Gatekeeper // queues the requests and decides which worker gets which
 	fleet        *link.WorkerConns      // the connections to the workers
 	classes      []policy.Class
-	classIndexes map[classTerms]int    // index in classes, by terms
-	config       timetable.Destination // as configured
+	classIndexes map[classTerms]int      // index in classes, by terms
+	config       routeconfig.Destination // as configured
 }
 
 // classTerms are the terms that make a class. Routes with the same terms share a class, and so the statistics that
@@ -58,7 +58,7 @@
 func worthOf(priority int) float64 { return math.Exp2(-float64(min(max(priority, 0), routeRanks-1))) }
 
 // class returns the index of the class for a route in this pool, and adds the class if there is none.
-func (s *pool) class(route *timetable.Route) int {
+func (s *pool) class(route *routeconfig.Route) int {
 	terms := classTerms{route.Safe, route.DeadlineS, route.TargetS, route.Priority, route.MaxAttempts}
 	if index, ok := s.classIndexes[terms]; ok {
 		return index
--- a/internal/switchback/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -5,7 +5,7 @@
 // the processes of the control plane, and receives from it the configuration, the lists of workers and members, and
 // its share of the quotas. One event loop owns nearly all state; functions that have to run on it say so. The session
 // and other calls run on goroutines of their own and pass what they receive to the loop.
-package switchback
+package proxy
 
 import (
 	"context"
@@ -20,13 +20,13 @@
 
 	"foxwood/gatekeeper"
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
-	"foxwood/internal/quota"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/dataplane/slowstart"
 	"foxwood/internal/rpc"
-	"foxwood/internal/slowstart"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -57,7 +57,7 @@
 
 // worker is a worker that is listed for a destination.
 type worker struct {
-	waymark.Worker
+	api.Worker
 	coldUntil   policy.Micros
 	misdirected bool // its address belongs to another process now
 }
@@ -78,10 +78,10 @@
 	readinessClients    *link.ClientConns // connections to the readiness address
 	limits              *http1.Limits
 	pools               map[string]*pool
-	poolList            []*pool           // of pools, by creation
-	wakeAt              float64           // when the loop's alarm is due, 0 if none is set
-	config              *timetable.Config // the configuration in force
-	evacuationVersion   uint64            // version of the list of evacuated zones in force
+	poolList            []*pool             // of pools, by creation
+	wakeAt              float64             // when the loop's alarm is due, 0 if none is set
+	config              *routeconfig.Config // the configuration in force
+	evacuationVersion   uint64              // version of the list of evacuated zones in force
 	evacuated           map[string]bool
 	evacuationRevokedAt map[string]float64 // when the evacuation of a zone was last revoked
 	slowStart           slowstart.Lease    // this gatekeeper's share of the budget of cold workers
@@ -89,7 +89,7 @@
 	rosterVersion       uint64             // version of all worker lists together that was announced last
 	workers             map[string]*worker
 	workerListVersions  map[string]uint64 // versions of the worker lists in force, by destination
-	membership          waymark.MemberView
+	membership          api.MemberView
 	quotaBounds         quota.Bounds
 	smallQuotas         map[string]*smallQuota // by name of the tenant
 	owned               ownedQuotas
@@ -124,7 +124,7 @@
 	isReady atomic.Bool // the readiness that was last logged and reported
 
 	// Owned by the session's goroutine.
-	registries       []waymark.Registry   // all known registries
+	registries       []api.Registry       // all known registries
 	seedAddrs        []string             // addresses of registries in the settings
 	registryFailedAt map[string]time.Time // when a registry last failed
 	registryPeers    map[string]*rpc.Peer
@@ -370,7 +370,7 @@
 
 // destination returns the pool for a request of a route. If the route is split over several services, one is drawn at
 // random by weight.
-func (p *Proxy) destination(route *timetable.Route) *pool {
+func (p *Proxy) destination(route *routeconfig.Route) *pool {
 	i := 0
 	if len(route.Split) > 1 {
 		sum := 0.0
@@ -386,7 +386,7 @@
 }
 
 // allowedRegions returns a mask of the regions that may serve a request, or 0 for any region.
-func (p *Proxy) allowedRegions(route *timetable.Route, sender *timetable.Tenant) uint64 {
+func (p *Proxy) allowedRegions(route *routeconfig.Route, sender *routeconfig.Tenant) uint64 {
 	mask := p.regionMask(route.HomeRegions)
 	if sender == nil || len(sender.HomeRegions) == 0 {
 		return mask
@@ -470,13 +470,13 @@
 }
 
 // status answers with the lines that the operator's status command prints.
-func (p *Proxy) status(context.Context, waymark.StatusRequest) (waymark.StatusResponse, error) {
-	var status waymark.StatusResponse
+func (p *Proxy) status(context.Context, api.StatusRequest) (api.StatusResponse, error) {
+	var status api.StatusResponse
 	p.runOnLoop(func() {
 		add := func(format string, a ...any) { status.Lines = append(status.Lines, fmt.Sprintf(format, a...)) }
 		add("station %s zone %s ready %t draining %t", p.settings.Node, p.settings.Zone, p.ready(), p.draining)
 		if p.config != nil {
-			add("edition %s routes %d tenants %d", timetable.FormatVersion(p.config.Version), len(p.config.Routes), len(p.config.Tenants))
+			add("edition %s routes %d tenants %d", routeconfig.FormatVersion(p.config.Version), len(p.config.Routes), len(p.config.Tenants))
 		}
 		add("place %d of %d members, roster version %d", p.memberIndex, p.memberCount, p.rosterVersion)
 		for _, x := range p.poolList {
--- a/internal/switchback/quota_owners.go
+++ b/internal/dataplane/proxy/quota_owners.go
@@ -1,15 +1,15 @@
-package switchback
+package proxy
 
 import (
-	"foxwood/internal/quota"
-	"foxwood/internal/timetable"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
 )
 
 // This file keeps track of the small quotas that this gatekeeper owns, and returns what it holds when that changes.
 
 // ownedQuotas are the small quotas that this gatekeeper owns, with what they were computed from.
 type ownedQuotas struct {
-	config      *timetable.Config
+	config      *routeconfig.Config
 	memberCount int
 	mark        uint64 // of ownersMark
 	names       []string
--- a/internal/switchback/request_stats.go
+++ b/internal/dataplane/proxy/request_stats.go
@@ -1,12 +1,12 @@
-package switchback
+package proxy
 
 import (
 	"cmp"
 	"slices"
 	"strconv"
 
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/metrics"
-	"foxwood/internal/timetable"
 )
 
 // Limits of the statistics by tenant.
@@ -31,7 +31,7 @@
 }
 
 // kindOf returns the kind of a request to a service.
-func kindOf(route *timetable.Route, service string) requestKind {
+func kindOf(route *routeconfig.Route, service string) requestKind {
 	return requestKind{service: service, safe: route.Safe, priority: route.Priority}
 }
 
--- a/internal/switchback/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"foxwood/internal/membership"
-	"foxwood/internal/quota"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -38,7 +38,7 @@
 		peer = rpc.NewPeer(addr)
 		p.registryPeers[addr] = peer
 	}
-	var request waymark.SessionRequest
+	var request api.SessionRequest
 	var askedAt float64
 	p.runOnLoop(func() {
 		request = p.heartbeatRequest()
@@ -47,7 +47,7 @@
 	})
 	began := p.fanout.now()
 	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-	answer, err := rpc.Call[waymark.SessionRequest, waymark.SessionResponse](callCtx, peer, request)
+	answer, err := rpc.Call[api.SessionRequest, api.SessionResponse](callCtx, peer, request)
 	cancel()
 	p.fanout.noteHeartbeat(began, err == nil && !answer.Stale)
 	p.runOnLoop(func() {
@@ -90,13 +90,13 @@
 
 // received handles the answer to a heartbeat, and fetches the parts that were only announced from the zone homes. It
 // tells whether the configuration in it, if any, could be read.
-func (p *Proxy) received(ctx context.Context, answer *waymark.SessionResponse, askedAt float64) (read bool) {
+func (p *Proxy) received(ctx context.Context, answer *api.SessionResponse, askedAt float64) (read bool) {
 	p.fanout.receive(answer)
 	read = p.storeConfig(answer.Config)
 	p.runOnLoop(func() { p.apply(answer, askedAt) })
 	if p.fetchFromHomes(ctx) {
 		p.runOnLoop(func() {
-			p.apply(&waymark.SessionResponse{AsOf: answer.AsOf, Stale: answer.Stale, ConfigVersion: answer.ConfigVersion, RestartedRecently: answer.RestartedRecently}, askedAt)
+			p.apply(&api.SessionResponse{AsOf: answer.AsOf, Stale: answer.Stale, ConfigVersion: answer.ConfigVersion, RestartedRecently: answer.RestartedRecently}, askedAt)
 		})
 	}
 	return read
@@ -120,18 +120,18 @@
 }
 
 // seedRegistries returns registries of which only the address is known.
-func seedRegistries(seeds []string) (registries []waymark.Registry) {
+func seedRegistries(seeds []string) (registries []api.Registry) {
 	for _, s := range seeds {
-		registries = append(registries, waymark.Registry{Addr: s})
+		registries = append(registries, api.Registry{Addr: s})
 	}
 	return registries
 }
 
 // dropReplaced drops registries that appear neither in the settings nor in the list of a registry that is in touch
 // with the tail: they have been replaced.
-func (p *Proxy) dropReplaced(current []waymark.Registry) {
-	p.registries = slices.DeleteFunc(p.registries, func(c waymark.Registry) bool {
-		if slices.Contains(p.seedAddrs, c.Addr) || slices.ContainsFunc(current, func(k waymark.Registry) bool { return k.Addr == c.Addr }) {
+func (p *Proxy) dropReplaced(current []api.Registry) {
+	p.registries = slices.DeleteFunc(p.registries, func(c api.Registry) bool {
+		if slices.Contains(p.seedAddrs, c.Addr) || slices.ContainsFunc(current, func(k api.Registry) bool { return k.Addr == c.Addr }) {
 			return false
 		}
 		if peer := p.registryPeers[c.Addr]; peer != nil {
@@ -145,9 +145,9 @@
 
 // addRegistries adds registries to the known ones. One that is down now may be the only one that is up later, so none
 // is removed here.
-func (p *Proxy) addRegistries(registries []waymark.Registry) {
+func (p *Proxy) addRegistries(registries []api.Registry) {
 	for _, c := range registries {
-		i := slices.IndexFunc(p.registries, func(k waymark.Registry) bool { return k.Addr == c.Addr })
+		i := slices.IndexFunc(p.registries, func(k api.Registry) bool { return k.Addr == c.Addr })
 		switch {
 		case i < 0:
 			p.registries = append(p.registries, c)
@@ -165,7 +165,7 @@
 		distance int  // 0 in this zone, 1 in this region, 2 elsewhere
 		hash     uint64
 	}
-	rankOf := func(c waymark.Registry) rank {
+	rankOf := func(c api.Registry) rank {
 		r := rank{failed: time.Since(p.registryFailedAt[c.Addr]) < registryPause, hash: hash64(c.Addr + p.settings.Node)}
 		switch {
 		case c.Zone == p.settings.Zone:
@@ -176,7 +176,7 @@
 		}
 		return r
 	}
-	best := slices.MinFunc(p.registries, func(a, b waymark.Registry) int {
+	best := slices.MinFunc(p.registries, func(a, b api.Registry) int {
 		x, y := rankOf(a), rankOf(b)
 		switch {
 		case x.failed != y.failed && y.failed:
@@ -192,8 +192,8 @@
 }
 
 // heartbeatRequest returns the request for the next heartbeat. It runs on the loop.
-func (p *Proxy) heartbeatRequest() waymark.SessionRequest {
-	request := waymark.SessionRequest{Member: p.self(), MembersChecksum: p.membership.Checksum, RegistriesChecksum: p.registriesMark, WaitMS: heartbeatWaitMs}
+func (p *Proxy) heartbeatRequest() api.SessionRequest {
+	request := api.SessionRequest{Member: p.self(), MembersChecksum: p.membership.Checksum, RegistriesChecksum: p.registriesMark, WaitMS: heartbeatWaitMs}
 	p.fanout.withLock(func(float64) { p.fanout.cache.FillHeartbeat(&request) })
 	if p.mirror != nil {
 		request.MirrorsTraffic, request.SeatsChecksum = request.MirrorOrderNumber > 0, p.mirror.membersMark
@@ -210,7 +210,7 @@
 
 // apply puts what was received into force. It runs on the loop. Configurations, lists of evacuated zones and worker
 // lists are never replaced by older ones, whichever registry sends them.
-func (p *Proxy) apply(answer *waymark.SessionResponse, askedAt float64) {
+func (p *Proxy) apply(answer *api.SessionResponse, askedAt float64) {
 	changed := p.applyCached()
 	p.membersKnown = p.membersKnown || answer.Settled
 	p.earlierBurstCounts = answer.RestartedRecently
@@ -287,7 +287,7 @@
 }
 
 // enforce puts a whole configuration into force.
-func (p *Proxy) enforce(config *timetable.Config) {
+func (p *Proxy) enforce(config *routeconfig.Config) {
 	p.config, p.clientPatience = config, make([]policy.RetryDetector, len(config.Routes))
 	var limited []string
 	for name := range quota.LimitedTenants(config) {
@@ -303,13 +303,13 @@
 			pool.fleet.MaxConnsPerWorker = max(destination.SlotsPerWorker/(2*max(p.memberCount, 1)), 2)
 		}
 	}
-	p.log.Info().Str("edition", timetable.FormatVersion(config.Version)).Int("routes", len(config.Routes)).Msg("configuration in force")
+	p.log.Info().Str("edition", routeconfig.FormatVersion(config.Version)).Int("routes", len(config.Routes)).Msg("configuration in force")
 }
 
 // announce tells the registry at once that this gatekeeper is leaving. The heartbeat of the session may be held back
 // for another half second, during which the directory would go on naming this gatekeeper.
 func (p *Proxy) announce() {
-	var request waymark.SessionRequest
+	var request api.SessionRequest
 	var registry *rpc.Peer
 	p.runOnLoop(func() { request, registry = p.heartbeatRequest(), p.registry })
 	if registry == nil {
@@ -320,17 +320,17 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	_, _ = rpc.Call[waymark.SessionRequest, waymark.SessionResponse](ctx, peer, request)
+	_, _ = rpc.Call[api.SessionRequest, api.SessionResponse](ctx, peer, request)
 }
 
 // endSession tells the registry that the session is over.
 func (p *Proxy) endSession() {
-	var request waymark.SessionRequest
+	var request api.SessionRequest
 	p.runOnLoop(func() { request = p.heartbeatRequest() })
 	request.Leaving, request.WaitMS = true, 0
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	if peer := p.registryPeers[p.chooseRegistry()]; peer != nil {
-		_, _ = rpc.Call[waymark.SessionRequest, waymark.SessionResponse](ctx, peer, request)
+		_, _ = rpc.Call[api.SessionRequest, api.SessionResponse](ctx, peer, request)
 	}
 }
--- a/internal/switchback/small_quotas.go
+++ b/internal/dataplane/proxy/small_quotas.go
@@ -1,15 +1,15 @@
-package switchback
+package proxy
 
 import (
 	"context"
 	"time"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/link"
-	"foxwood/internal/quota"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/link"
 	"foxwood/internal/rpc"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
@@ -63,7 +63,7 @@
 }
 
 // isSmall tells whether a tenant's quota is small.
-func (p *Proxy) isSmall(sender *timetable.Tenant) bool {
+func (p *Proxy) isSmall(sender *routeconfig.Tenant) bool {
 	return p.isSmallQuota(quota.LimitOf(sender))
 }
 
@@ -74,7 +74,7 @@
 
 // takeToken takes a token for a request from the tenant's bucket here or at the owner, and submits or refuses the
 // request.
-func (p *Proxy) takeToken(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request, sender *timetable.Tenant) {
+func (p *Proxy) takeToken(client *link.ClientConn, attempt *clientAttempt, request *gatekeeper.Request, sender *routeconfig.Tenant) {
 	attempt.tenant = sender.Name
 	if !p.isSmall(sender) {
 		p.takeLocal(client, attempt, request)
@@ -203,7 +203,7 @@
 	owner.busy = true
 	batch := owner.waiting
 	owner.waiting = nil
-	request := waymark.TokenRequest{Wanted: map[string]int{}}
+	request := api.TokenRequest{Wanted: map[string]int{}}
 	for _, waiting := range batch {
 		request.Wanted[waiting.tenant]++
 	}
@@ -212,7 +212,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
-		answer, err := rpc.Call[waymark.TokenRequest, waymark.TokenResponse](ctx, owner.peer, request)
+		answer, err := rpc.Call[api.TokenRequest, api.TokenResponse](ctx, owner.peer, request)
 		p.loop.Post(func() {
 			owner.busy = false
 			owner.noteResult(err)
@@ -266,8 +266,8 @@
 }
 
 // grantTokens answers another gatekeeper, as the owner of the tenants' quotas.
-func (p *Proxy) grantTokens(_ context.Context, request waymark.TokenRequest) (answer waymark.TokenResponse, err error) {
-	answer = waymark.TokenResponse{Granted: map[string]int{}, WaitMS: map[string]float64{}}
+func (p *Proxy) grantTokens(_ context.Context, request api.TokenRequest) (answer api.TokenResponse, err error) {
+	answer = api.TokenResponse{Granted: map[string]int{}, WaitMS: map[string]float64{}}
 	p.runOnLoop(func() {
 		now := p.micros()
 		if p.tenants.LeaseLeft(now) <= 0 || p.draining {
--- a/internal/switchback/small_quotas_test.go
+++ b/internal/dataplane/proxy/small_quotas_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"context"
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/rpc"
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 	"foxwood/policy"
 )
 
 // newSmallQuotaTest returns a proxy that knows the members of its region, and a tenant whose small quota is owned by the
 // other two.
-func newSmallQuotaTest(t *testing.T, answer func() (waymark.TokenResponse, error)) (proxy *testProxy, tenant string) {
+func newSmallQuotaTest(t *testing.T, answer func() (api.TokenResponse, error)) (proxy *testProxy, tenant string) {
 	t.Helper()
 	proxy = newTestProxy(t)
 	var owners []string
 	for range 2 {
-		owners = append(owners, newTestProxy(t).serveTokens(func(context.Context, waymark.TokenRequest) (waymark.TokenResponse, error) { return answer() }))
+		owners = append(owners, newTestProxy(t).serveTokens(func(context.Context, api.TokenRequest) (api.TokenResponse, error) { return answer() }))
 	}
 	ownAddr := proxy.serveTokens(proxy.grantTokens)
-	membership := &waymark.MemberView{Checksum: 1, MemberCount: 30, Peers: owners}
+	membership := &api.MemberView{Checksum: 1, MemberCount: 30, Peers: owners}
 	proxy.runOnLoop(func() {
 		proxy.membership = *membership
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m"} {
@@ -33,7 +33,7 @@
 	})
 	assert.Assert(t, tenant != "")
 	proxy.receive(fullList(1), newConfig(t, 1, []routeSpec{{prefix: "/", destination: "a"}}, tenantSpec{name: tenant, rate: 2}))
-	proxy.receive(waymark.SessionResponse{Members: membership}, nil)
+	proxy.receive(api.SessionResponse{Members: membership}, nil)
 	return proxy, tenant
 }
 
@@ -49,8 +49,8 @@
 // after each win, one lease without a renewal. Without demand from gatekeepers that are not owners the duty stayed
 // with one registry.
 func TestOwnersWithoutLeaseCauseNoDemand(t *testing.T) {
-	proxy, tenant := newSmallQuotaTest(t, func() (waymark.TokenResponse, error) {
-		return waymark.TokenResponse{}, rpc.Errorf(rpc.Unavailable, "no lease")
+	proxy, tenant := newSmallQuotaTest(t, func() (api.TokenResponse, error) {
+		return api.TokenResponse{}, rpc.Errorf(rpc.Unavailable, "no lease")
 	})
 	proxy.runOnLoop(func() { proxy.allocationRequest() }) // demand counts from the previous request on
 	for range 5 {
@@ -69,7 +69,7 @@
 // TestFormerOwnerReturnsTokens: what a former owner holds is returned for the next owner, once the other gatekeepers
 // have had time to learn of it. A process that is about to end returns it at once.
 func TestFormerOwnerReturnsTokens(t *testing.T) {
-	proxy, _ := newSmallQuotaTest(t, func() (waymark.TokenResponse, error) { return waymark.TokenResponse{}, nil })
+	proxy, _ := newSmallQuotaTest(t, func() (api.TokenResponse, error) { return api.TokenResponse{}, nil })
 	proxy.runOnLoop(func() {
 		owned := ""
 		for _, name := range []string{"n", "o", "p", "q", "r", "s", "t", "u", "v", "w", "x", "y", "z"} {
@@ -87,7 +87,7 @@
 		request := proxy.allocationRequest()
 		assert.Equal(t, request.Returned[owned], float32(3))
 		assert.Equal(t, len(request.Holding[owned]), 7)
-		assert.Equal(t, request.Holding[owned], waymark.EncodedSlice{})
+		assert.Equal(t, request.Holding[owned], api.EncodedSlice{})
 		assert.Equal(t, len(proxy.allocationRequest().Returned), 0, "tokens are returned only once")
 		assert.Assert(t, !proxy.tenants.TryTake(proxy.micros(), owned))
 	})
--- a/internal/switchback/streaming_test.go
+++ b/internal/dataplane/proxy/streaming_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"foxwood/internal/waymark"
+	"foxwood/internal/rpc/api"
 )
 
 const (
@@ -87,14 +87,14 @@
 }
 
 // startStreamWorker starts a worker whose function gets requests with their bodies unread.
-func startStreamWorker(t *testing.T, id string, do func(r *http.Request, c net.Conn)) waymark.Worker {
+func startStreamWorker(t *testing.T, id string, do func(r *http.Request, c net.Conn)) api.Worker {
 	t.Helper()
 	addr := listenWorker(t, func(r *http.Request, c net.Conn) bool {
 		do(r, c)
 		n, err := io.Copy(io.Discard, r.Body)
 		return n == 0 && err == nil // otherwise the body was not read to its end
 	})
-	return waymark.Worker{ID: id, Destination: "a", Addr: addr, Zone: "a1", Slots: 8}
+	return api.Worker{ID: id, Destination: "a", Addr: addr, Zone: "a1", Slots: 8}
 }
 
 // dialLong is dial with a longer time limit, for much data on a busy machine.
@@ -207,7 +207,7 @@
 	for _, size := range []int{4, 5 << 20} {
 		for _, chunked := range []bool{false, true} {
 			proxy := newTestProxy(t)
-			var workers []waymark.Worker
+			var workers []api.Worker
 			asked := make(chan bool, 9)
 			for _, id := range []string{"w-1", "w-2"} {
 				workers = append(workers, startStreamWorker(t, id, func(r *http.Request, c net.Conn) {
@@ -247,7 +247,7 @@
 		for _, sending := range []bool{true, false} {
 			proxy := newTestProxy(t)
 			asked, ended := make(chan bool, 9), make(chan error, 9)
-			var workers []waymark.Worker
+			var workers []api.Worker
 			for _, id := range []string{"w-1", "w-2"} {
 				workers = append(workers, startStreamWorker(t, id, func(r *http.Request, c net.Conn) {
 					asked <- true
--- a/internal/switchback/testproxy_test.go
+++ b/internal/dataplane/proxy/testproxy_test.go
@@ -1,4 +1,4 @@
-package switchback
+package proxy
 
 import (
 	"bufio"
@@ -17,9 +17,9 @@
 	"gotest.tools/v3/assert"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/link"
-	"foxwood/internal/timetable"
-	"foxwood/internal/waymark"
+	"foxwood/internal/control/routeconfig"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/rpc/api"
 )
 
 // testTimeout is how long tests wait for anything. Only a failing test waits that long.
@@ -93,7 +93,7 @@
 }
 
 // newConfig returns a configuration. Without tenants no key is needed.
-func newConfig(t *testing.T, version uint64, routes []routeSpec, tenants ...tenantSpec) *timetable.Config {
+func newConfig(t *testing.T, version uint64, routes []routeSpec, tenants ...tenantSpec) *routeconfig.Config {
 	t.Helper()
 	orDefault := func(v, other float64) float64 {
 		if v == 0 {
@@ -124,7 +124,7 @@
 	list := func(columns string, rows [][]any) map[string]any {
 		return map[string]any{"columns": strings.Fields(columns), "rows": rows}
 	}
-	document := map[string]any{"edition": timetable.FormatVersion(version),
+	document := map[string]any{"edition": routeconfig.FormatVersion(version),
 		"courses":      list("name domain streetPrefix kind deadlineS targetS priority tries unsealed homeRegions destination", routeRows),
 		"destinations": list("name healthPath berthCap protocol tls", destinationRows),
 		"sizeLimits":   map[string]any{"envelopeBytes": 4096, "bodyBytes": 64 << 20, "envelopeS": 300, "idleS": 300}}
@@ -140,16 +140,16 @@
 	}
 	raw, err := json.Marshal(document)
 	assert.NilError(t, err)
-	config, err := timetable.Parse(raw)
+	config, err := routeconfig.Parse(raw)
 	assert.NilError(t, err)
 	return config
 }
 
 // receive passes an answer to the proxy, as from a registry.
-func (s *testProxy) receive(answer waymark.SessionResponse, config *timetable.Config) {
+func (s *testProxy) receive(answer api.SessionResponse, config *routeconfig.Config) {
 	s.t.Helper()
 	if config != nil {
-		answer.ConfigVersion, answer.Config = config.Version, waymark.Deflate(config.Raw)
+		answer.ConfigVersion, answer.Config = config.Version, api.Deflate(config.Raw)
 	}
 	var now float64
 	s.runOnLoop(func() { now = s.clock.Now() })
@@ -162,24 +162,24 @@
 }
 
 // fullList returns an answer with a complete list of workers.
-func fullList(version uint64, workers ...waymark.Worker) waymark.SessionResponse {
+func fullList(version uint64, workers ...api.Worker) api.SessionResponse {
 	return listAnswer(version, 0, workers)
 }
 
 // listChanges returns an answer with the changes since the previous version.
-func listChanges(version uint64, workers ...waymark.Worker) waymark.SessionResponse {
+func listChanges(version uint64, workers ...api.Worker) api.SessionResponse {
 	return listAnswer(version, version-1, workers)
 }
 
 // listAnswer returns an answer with the workers that changed since a version, or with all workers if that is 0.
-func listAnswer(version, since uint64, workers []waymark.Worker) waymark.SessionResponse {
-	answer := waymark.SessionResponse{EndpointChanges: &waymark.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{}}}
+func listAnswer(version, since uint64, workers []api.Worker) api.SessionResponse {
+	answer := api.SessionResponse{EndpointChanges: &api.EndpointChanges{Version: version, Complete: since == 0, VersionsBehind: map[string]uint64{}}}
 	for _, w := range workers {
-		i := slices.IndexFunc(answer.Endpoints, func(p waymark.DestinationEndpoints) bool { return p.Destination == w.Destination })
+		i := slices.IndexFunc(answer.Endpoints, func(p api.DestinationEndpoints) bool { return p.Destination == w.Destination })
 		if i < 0 {
 			i = len(answer.Endpoints)
 			answer.EndpointChanges.VersionsBehind[w.Destination] = 0
-			answer.Endpoints = append(answer.Endpoints, waymark.DestinationEndpoints{Destination: w.Destination, Version: version, Since: since})
+			answer.Endpoints = append(answer.Endpoints, api.DestinationEndpoints{Destination: w.Destination, Version: version, Since: since})
 		}
 		w.Destination = ""
 		answer.Endpoints[i].Workers = append(answer.Endpoints[i].Workers, w)
@@ -188,7 +188,7 @@
 }
 
 // stale marks an answer as coming from a registry that is out of touch with the tail.
-func stale(a waymark.SessionResponse) waymark.SessionResponse {
+func stale(a api.SessionResponse) api.SessionResponse {
 	a.Stale = true
 	return a
 }
@@ -244,7 +244,7 @@
 }
 
 // startWorker starts a worker with a script. Its requests are also sent to received, unless that is nil.
-func startWorker(t *testing.T, id, destination string, script workerScript, received chan<- *workerRequest) waymark.Worker {
+func startWorker(t *testing.T, id, destination string, script workerScript, received chan<- *workerRequest) api.Worker {
 	t.Helper()
 	count := make(chan int, 1)
 	count <- 0
@@ -261,7 +261,7 @@
 		}
 		return script(n, s)
 	})
-	return waymark.Worker{ID: id, Destination: destination, Addr: addr, Zone: "a1", Slots: 8}
+	return api.Worker{ID: id, Destination: destination, Addr: addr, Zone: "a1", Slots: 8}
 }
 
 // listenWorker opens the address of a worker. A connection ends when serve returns false.
--- a/internal/config/config.go
+++ b/internal/gateway/config/config.go
@@ -15,10 +15,10 @@
 	"strconv"
 	"strings"
 
-	"foxwood/internal/link"
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"foxwood/internal/link"
+	"foxwood/internal/dataplane/link"
 	"foxwood/policy"
 )
 
@@ -34,11 +34,11 @@
 // TestHCLAndJSONExamplesAreEqual checks that the two example files in deploy give the same
 // configuration.
 func TestHCLAndJSONExamplesAreEqual(t *testing.T) {
-	fromJSON, err := Read("../../deploy/operator.json")
+	fromJSON, err := Read("../../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromHCL, err := Read("../../deploy/operator.hcl")
+	fromHCL, err := Read("../../../deploy/operator.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/hcl.go
+++ b/internal/gateway/config/hcl.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"foxwood/internal/link"
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/handover/handover.go
+++ b/internal/gateway/handover/handover.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"foxwood/internal/platform"
+	"foxwood/internal/gateway/platform"
 	"foxwood/policy"
 )
 
--- a/internal/handover/handover_test.go
+++ b/internal/gateway/handover/handover_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 	"golang.org/x/sys/unix"
 
-	"foxwood/internal/platform"
+	"foxwood/internal/gateway/platform"
 	"foxwood/policy"
 )
 
--- a/internal/nginx/nginx.go
+++ b/internal/gateway/nginx/nginx.go
@@ -14,8 +14,8 @@
 	"github.com/tufanbarisyildirim/gonginx/config"
 	"github.com/tufanbarisyildirim/gonginx/parser"
 
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
 )
 
 // costCommentPrefix begins a comment with the terms of a location, in the form of the OpenAPI
--- a/internal/nginx/nginx_test.go
+++ b/internal/gateway/nginx/nginx_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
 )
 
 // testConfig is a configuration with two upstreams and locations of every kind.
--- a/internal/openapi/front.go
+++ b/internal/gateway/openapi/front.go
@@ -8,10 +8,10 @@
 	"strings"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/openapi/openapi_test.go
+++ b/internal/gateway/openapi/openapi_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/platform/event_orders_test.go
+++ b/internal/gateway/platform/event_orders_test.go
@@ -10,9 +10,9 @@
 	"testing"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/platform/fleet_test.go
+++ b/internal/gateway/platform/fleet_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/platform/front.go
+++ b/internal/gateway/platform/front.go
@@ -10,9 +10,9 @@
 	"strconv"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/http1"
-	"foxwood/internal/link"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/platform/front_test.go
+++ b/internal/gateway/platform/front_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"foxwood/internal/http1"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/http1"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/platform/hostgroup.go
+++ b/internal/gateway/platform/hostgroup.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/settings"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/service/capture.go
+++ b/internal/gateway/service/capture.go
@@ -7,7 +7,7 @@
 
 	"foxwood/capture"
 	"foxwood/gatekeeper"
-	"foxwood/internal/config"
+	"foxwood/internal/gateway/config"
 	"foxwood/internal/replay"
 	"foxwood/policy"
 )
--- a/internal/service/capture_test.go
+++ b/internal/gateway/service/capture_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"foxwood/capture"
-	"foxwood/internal/config"
+	"foxwood/internal/gateway/config"
 	"foxwood/internal/replay"
 )
 
--- a/internal/service/check.go
+++ b/internal/gateway/service/check.go
@@ -5,9 +5,9 @@
 	"fmt"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/config"
-	"foxwood/internal/openapi"
-	"foxwood/internal/settings"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/settings"
 )
 
 // Check validates a configuration file and the OpenAPI description that it names, as Run
--- a/internal/service/concurrency_test.go
+++ b/internal/gateway/service/concurrency_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"foxwood/internal/config"
-	"foxwood/internal/xds"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/gateway/xds"
 )
 
 // TestConcurrentAccessToEventLoop runs everything that has its own goroutine at the same time,
--- a/internal/service/handover.go
+++ b/internal/gateway/service/handover.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/config"
-	"foxwood/internal/handover"
-	"foxwood/internal/link"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/gateway/handover"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
 	"foxwood/policy"
 )
 
--- a/internal/service/handover_test.go
+++ b/internal/gateway/service/handover_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"foxwood/internal/handover"
+	"foxwood/internal/gateway/handover"
 )
 
 // TestMain runs the test binary as a gatekeeper if FOXWOOD_TEST_RUN names a configuration file.
--- a/internal/service/helpers_test.go
+++ b/internal/gateway/service/helpers_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"foxwood/internal/config"
-	"foxwood/internal/link"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/config"
 )
 
 // testTimeout is how long a test waits for an event that must happen.
--- a/internal/service/large_body_test.go
+++ b/internal/gateway/service/large_body_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"foxwood/internal/config"
+	"foxwood/internal/gateway/config"
 )
 
 // testBody returns pseudo-random bytes, so that lost or displaced parts are noticed.
--- a/internal/service/operations_test.go
+++ b/internal/gateway/service/operations_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"foxwood/internal/config"
+	"foxwood/internal/gateway/config"
 )
 
 // adminGet sends a request to the admin server.
--- a/internal/service/regression_captures_test.go
+++ b/internal/gateway/service/regression_captures_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"foxwood/capture"
-	"foxwood/internal/config"
-	"foxwood/internal/emulator"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/testing/emulator"
 )
 
 var keepFolder = flag.String("keep", "", "folder to write captures of past failures to; its contents are replaced")
@@ -22,7 +22,7 @@
 // TestKeepPastFailures reproduces failures of the past with emulated workers, and writes the
 // captures that the regression test in internal/replay replays:
 //
-//	go test ./internal/service -run KeepPastFailures -keep ../replay/testdata/kept
+//	go test ./internal/gateway/service -run KeepPastFailures -keep ../../replay/testdata/kept
 func TestKeepPastFailures(t *testing.T) {
 	if *keepFolder == "" {
 		t.Skip("captures are written with -keep only")
--- a/internal/service/service.go
+++ b/internal/gateway/service/service.go
@@ -18,15 +18,15 @@
 
 	"foxwood/capture"
 	"foxwood/gatekeeper"
-	"foxwood/internal/admin"
-	"foxwood/internal/config"
-	"foxwood/internal/handover"
-	"foxwood/internal/link"
-	"foxwood/internal/openapi"
-	"foxwood/internal/platform"
-	"foxwood/internal/settings"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/admin"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/gateway/handover"
+	"foxwood/internal/gateway/openapi"
+	"foxwood/internal/gateway/platform"
+	"foxwood/internal/gateway/settings"
+	"foxwood/internal/gateway/xds"
 	"foxwood/internal/stats"
-	"foxwood/internal/xds"
 	"foxwood/policy"
 )
 
--- a/internal/service/service_test.go
+++ b/internal/gateway/service/service_test.go
@@ -27,8 +27,8 @@
 
 	"foxwood/capture"
 	"foxwood/capture/capturepb"
-	"foxwood/internal/config"
-	"foxwood/internal/xds"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/gateway/xds"
 )
 
 // TestRequestAndResponsePassUnchanged sends two requests, the second over the same connections.
@@ -742,12 +742,12 @@
 		}
 		return respondWith("HTTP/1.1 201 C\r\nLocation: /s/1\r\nX-Cost-Units: 1\r\nContent-Length: 3\r\n\r\nsi\n")(0, req)
 	})
-	text, err := os.ReadFile("../../deploy/operator.json")
+	text, err := os.ReadFile("../../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "calculadora.yaml")
-	description, err := os.ReadFile("../../deploy/calculadora.yaml")
+	description, err := os.ReadFile("../../../deploy/calculadora.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/transports_test.go
+++ b/internal/gateway/service/transports_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"foxwood/internal/config"
-	"foxwood/internal/emulator"
-	"foxwood/internal/link"
+	"foxwood/internal/dataplane/link"
+	"foxwood/internal/gateway/config"
+	"foxwood/internal/testing/emulator"
 )
 
 // echoHeader is the header in which emulated workers return the turn of a request on its
--- a/internal/xds/xds.go
+++ b/internal/gateway/xds/xds.go
@@ -31,7 +31,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"foxwood/internal/openapi"
+	"foxwood/internal/gateway/openapi"
 	"foxwood/policy"
 )
 
--- a/internal/xds/xds_test.go
+++ b/internal/gateway/xds/xds_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
-	"foxwood/internal/openapi"
+	"foxwood/internal/gateway/openapi"
 	"foxwood/policy"
 )
 
--- a/internal/replay/past_failures_test.go
+++ b/internal/replay/past_failures_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestReplayOfPastFailuresIsDeterministic replays captures of past failures, which
-// TestKeepPastFailures in internal/service records. This build may decide differently from
+// TestKeepPastFailures in internal/gateway/service records. This build may decide differently from
 // the one that recorded them, but it must decide the same each time, must not crash, and
 // must end each request only once.
 func TestReplayOfPastFailuresIsDeterministic(t *testing.T) {
--- a/internal/waymark/bulk.go
+++ b/internal/rpc/api/bulk.go
@@ -1,6 +1,6 @@
-package waymark
+package api
 
-import "foxwood/internal/cairn"
+import "foxwood/internal/configstore/chain"
 
 // Messages with large bodies between configuration stores are sent in chunks on a connection of their own, so that
 // heartbeats don't wait behind them and a transfer that was interrupted continues where it stopped. Bodies are
@@ -8,7 +8,7 @@
 
 // BulkMessage is a message without its large bodies, which Bodies lists in the order of the message.
 type BulkMessage struct {
-	Message cairn.Message `cbor:"1,keyasint,omitempty"`
+	Message chain.Message `cbor:"1,keyasint,omitempty"`
 	Bodies  []BodyRef     `cbor:"2,keyasint,omitempty"`
 }
 
--- a/internal/waymark/call_names.go
+++ b/internal/rpc/api/call_names.go
@@ -1,4 +1,4 @@
-package waymark
+package api
 
 // Processes of different releases call each other. Each message therefore keeps the name under which it was first
 // released, whatever its type and package are called in the source.
--- a/internal/waymark/configstore.go
+++ b/internal/rpc/api/configstore.go
@@ -1,12 +1,12 @@
-package waymark
+package api
 
-import "foxwood/internal/cairn"
+import "foxwood/internal/configstore/chain"
 
 // CommitRequest asks a configuration store to commit a change through the chain. It is answered when the tail has the change.
 // LastKnown is the newest entry that the caller knew of, for a change that must not undo later entries.
 type CommitRequest struct {
-	Change    cairn.Change
-	LastKnown cairn.LogPosition `cbor:"After,omitempty"`
+	Change    chain.Change
+	LastKnown chain.LogPosition `cbor:"After,omitempty"`
 }
 
 // CommitResponse answers CommitRequest: the change is committed.
@@ -14,7 +14,7 @@
 
 // CommittedStateRequest asks a configuration store for the committed state as the tail of the chain confirms it.
 type CommittedStateRequest struct {
-	LastKnown cairn.LogPosition `cbor:"1,keyasint,omitempty"`
+	LastKnown chain.LogPosition `cbor:"1,keyasint,omitempty"`
 	HeldView  uint64            `cbor:"2,keyasint,omitempty"` // number of the view held; the answer has a view only if it is newer
 	// AllowStale allows an answer from the machine's own state if the tail does not answer at once.
 	AllowStale bool `cbor:"3,keyasint,omitempty"`
@@ -22,16 +22,16 @@
 
 // CommittedStateResponse answers CommittedStateRequest. State and View are set only if they are newer than what the caller holds.
 type CommittedStateResponse struct {
-	Last  cairn.LogPosition `cbor:"1,keyasint,omitempty"`
-	State *cairn.State      `cbor:"2,keyasint,omitempty"`
-	View  *cairn.View       `cbor:"3,keyasint,omitempty"`
+	Last  chain.LogPosition `cbor:"1,keyasint,omitempty"`
+	State *chain.State      `cbor:"2,keyasint,omitempty"`
+	View  *chain.View       `cbor:"3,keyasint,omitempty"`
 	// Stale reports that the tail was not reached: something newer may have been acknowledged.
 	Stale bool `cbor:"4,keyasint,omitempty"`
 }
 
 // RebuildRequest asks a configuration store to start a new core from the copy that it holds, which LastEntry identifies.
 type RebuildRequest struct {
-	LastEntry cairn.LogPosition `cbor:"Last"`
+	LastEntry chain.LogPosition `cbor:"Last"`
 }
 
 // RebuildResponse answers RebuildRequest with the number of the view that has started.
--- a/internal/waymark/deflate_test.go
+++ b/internal/rpc/api/deflate_test.go
@@ -1,4 +1,4 @@
-package waymark
+package api
 
 import (
 	"bytes"
--- a/internal/waymark/gossip.go
+++ b/internal/rpc/api/gossip.go
@@ -1,6 +1,6 @@
-package waymark
+package api
 
-import "foxwood/internal/membership"
+import "foxwood/internal/control/membership"
 
 // EndpointList is the list of endpoints, or the changes since an earlier version.
 type EndpointList struct {
--- a/internal/waymark/mirroring.go
+++ b/internal/rpc/api/mirroring.go
@@ -1,15 +1,15 @@
-package waymark
+package api
 
-import "foxwood/internal/spur"
+import "foxwood/internal/dataplane/mirror"
 
 // CollectRequest asks a gatekeeper for its records of mirrored requests. Records are numbered, so that the call can be repeated.
 type CollectRequest struct {
-	Request spur.FetchRequest `cbor:"1,keyasint,omitempty"`
+	Request mirror.FetchRequest `cbor:"1,keyasint,omitempty"`
 }
 
 // CollectResponse answers CollectRequest.
 type CollectResponse struct {
-	Answer spur.FetchResponse `cbor:"1,keyasint,omitempty"`
+	Answer mirror.FetchResponse `cbor:"1,keyasint,omitempty"`
 }
 
 // MirrorStatusRequest asks a gatekeeper for the state of its traffic mirroring.
@@ -18,7 +18,7 @@
 // MirrorStatusResponse answers MirrorStatusRequest. Disabled reports that the gatekeeper was started without traffic mirroring.
 type MirrorStatusResponse struct {
 	Disabled bool           `cbor:"1,keyasint,omitempty"`
-	Status   spur.Status    `cbor:"2,keyasint,omitempty"`
+	Status   mirror.Status  `cbor:"2,keyasint,omitempty"`
 	Counters MirrorCounters `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/waymark/quota.go
+++ b/internal/rpc/api/quota.go
@@ -1,10 +1,10 @@
-package waymark
+package api
 
 import (
 	"math"
 
-	"foxwood/internal/quota"
-	"foxwood/internal/slowstart"
+	"foxwood/internal/control/quota"
+	"foxwood/internal/dataplane/slowstart"
 )
 
 // AllocationRequest asks for a gatekeeper's slices of the quotas.
--- a/internal/waymark/session.go
+++ b/internal/rpc/api/session.go
@@ -1,10 +1,10 @@
 // Package waymark holds the messages of the calls between the system's processes: a pair of types, question and answer,
 // for each call. Times are durations in milliseconds, because the clocks of different machines don't agree.
-package waymark
+package api
 
 import (
-	"foxwood/internal/membership"
-	"foxwood/internal/spur"
+	"foxwood/internal/control/membership"
+	"foxwood/internal/dataplane/mirror"
 )
 
 // SessionRequest renews a gatekeeper's session at a registry and asks for updates. It is a long poll: the answer comes with the
@@ -69,8 +69,8 @@
 	MirrorOrderNumber uint64 `cbor:"20,keyasint,omitempty"` // number of the newer traffic mirroring order in MirrorOrder
 	MirrorOrder       []byte `cbor:"16,keyasint,omitempty"`
 
-	Seats         []spur.Member `cbor:"17,keyasint,omitempty"` // of all members, for gatekeepers that mirror traffic
-	SeatsChecksum uint64        `cbor:"18,keyasint,omitempty"` // their checksum, set even if Seats is left out as unchanged
+	Seats         []mirror.Member `cbor:"17,keyasint,omitempty"` // of all members, for gatekeepers that mirror traffic
+	SeatsChecksum uint64          `cbor:"18,keyasint,omitempty"` // their checksum, set even if Seats is left out as unchanged
 	// SeatsAsOf is the time, relative as AsOf, at which Seats held all members.
 	SeatsAsOf float64 `cbor:"19,keyasint,omitempty"`
 
--- a/internal/waymark/shedding.go
+++ b/internal/rpc/api/shedding.go
@@ -1,17 +1,17 @@
-package waymark
+package api
 
-import "foxwood/internal/snowline"
+import "foxwood/internal/control/shedding"
 
 // PressureReport is a gatekeeper's pressure report for the shedding level. Like AllocationRequest it is forwarded at once to the registry
 // that holds the duty: session answers may be held back, and gossip would take over a second for each control step.
 type PressureReport struct {
-	Report    snowline.Report `cbor:"1,keyasint,omitempty"`
+	Report    shedding.Report `cbor:"1,keyasint,omitempty"`
 	Forwarded bool            `cbor:"2,keyasint,omitempty"` // a registry has forwarded it
 }
 
 // SheddingLevel answers PressureReport and FixSheddingLevel with the current shedding level.
 type SheddingLevel struct {
-	Level snowline.Level `cbor:"1,keyasint,omitempty"`
+	Level shedding.Level `cbor:"1,keyasint,omitempty"`
 }
 
 // FixSheddingLevel is an operator's order that fixes the shedding level for a time, whatever the pressure is.
--- a/internal/waymark/status.go
+++ b/internal/rpc/api/status.go
@@ -1,4 +1,4 @@
-package waymark
+package api
 
 // StatusRequest asks any process for its status.
 type StatusRequest struct{}
--- a/internal/waymark/subscribe.go
+++ b/internal/rpc/api/subscribe.go
@@ -1,4 +1,4 @@
-package waymark
+package api
 
 // EndpointChanges lists the destinations whose endpoints have changed, without the endpoints.
 type EndpointChanges struct {
--- a/internal/waymark/withdrawn.go
+++ b/internal/rpc/api/withdrawn.go
@@ -1,4 +1,4 @@
-package waymark
+package api
 
 // TermShift separates the two parts of an endpoint list version: the bits above it are the term of the duty under which
 // the platform's list was read, the bits below it are a sequence number.
--- a/internal/trial/counters.go
+++ b/internal/testing/benchmark/counters.go
@@ -1,4 +1,4 @@
-package trial
+package benchmark
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"foxwood/gatekeeper"
-	"foxwood/internal/emulator"
+	"foxwood/internal/testing/emulator"
 	"foxwood/policy"
 )
 
--- a/internal/trial/events.go
+++ b/internal/testing/benchmark/events.go
@@ -1,4 +1,4 @@
-package trial
+package benchmark
 
 import (
 	"fmt"
--- a/internal/trial/process.go
+++ b/internal/testing/benchmark/process.go
@@ -3,7 +3,7 @@
 // the cost of captures, and simulates restarts of gateways and faults of their shared counter. The results are
 // Markdown tables. A gateway is a load balancer as package gatekeeper implements it; the tables
 // call it a gatekeeper.
-package trial
+package benchmark
 
 import (
 	"bufio"
--- a/internal/trial/table.go
+++ b/internal/testing/benchmark/table.go
@@ -1,4 +1,4 @@
-package trial
+package benchmark
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"foxwood/internal/load"
+	"foxwood/internal/testing/load"
 )
 
 // cell identifies what was measured: a transport, with a fleet and a load.
--- a/internal/trial/transports.go
+++ b/internal/testing/benchmark/transports.go
@@ -1,4 +1,4 @@
-package trial
+package benchmark
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"foxwood/internal/load"
+	"foxwood/internal/testing/load"
 )
 
 // Fleet describes a group of emulated workers and the requests that they serve.
--- a/internal/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"foxwood/internal/batch"
+	"foxwood/internal/dataplane/batch"
 )
 
 // ServiceTime is the distribution of the service times of a class: lognormal with a mean and a
--- a/internal/forecast/commands.go
+++ b/internal/testing/faultgen/commands.go
@@ -3,7 +3,7 @@
 // commands and the files call it a day. A scenario is drawn at random from two inputs: the site file, which
 // describes the deployment, and the simulator's description of the kinds of faults. The package itself knows no
 // site: names, zones, sizes and variants of faults all come from these two files.
-package forecast
+package faultgen
 
 import (
 	"context"
--- a/internal/forecast/halves.go
+++ b/internal/testing/faultgen/halves.go
@@ -1,4 +1,4 @@
-package forecast
+package faultgen
 
 const (
 	partitionIntervalS = 11.0 // time between two partitions
--- a/internal/forecast/scenario.go
+++ b/internal/testing/faultgen/scenario.go
@@ -1,4 +1,4 @@
-package forecast
+package faultgen
 
 import (
 	"bytes"
--- a/internal/load/client.go
+++ b/internal/testing/load/client.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"foxwood/internal/http1"
+	"foxwood/internal/dataplane/http1"
 )
 
 // Outcome is the result of a request as its client sees it.
--- a/internal/scree/faults_test.go
+++ b/internal/testing/mutation/faults_test.go
@@ -12,7 +12,7 @@
 // TestEachFaultHasItsPlace: the code that a row replaces stands exactly once in its file, so that no row goes stale unseen.
 func TestEachFaultHasItsPlace(t *testing.T) {
 	for _, f := range faults {
-		text, err := os.ReadFile(filepath.Join("..", "..", f.file))
+		text, err := os.ReadFile(filepath.Join("..", "..", "..", f.file))
 		assert.NilError(t, err)
 		if n := strings.Count(string(text), f.old); n != 1 {
 			t.Errorf("%s, %q: its code stands %d times in %s", f.corner, f.name, n, f.file)
--- a/internal/scree/main.go
+++ b/internal/testing/mutation/main.go
@@ -2,7 +2,7 @@
 // tests detect it. The working tree is not changed, since the changed file is given to the compiler as an overlay.
 // Run it from the root of the module:
 //
-//	go run ./internal/scree [-jobs 2] [-only REGEXP] [-table FILE]
+//	go run ./internal/testing/mutation [-jobs 2] [-only REGEXP] [-table FILE]
 //
 // It exits with status 1 if a fault is not detected, or if the code that a fault replaces is no longer found exactly
 // once in its file. In the second case the table in faults.go has to be updated.
--- a/internal/whiteout/child.go
+++ b/internal/testing/overloadtest/child.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"github.com/rs/zerolog"
 
 	"foxwood/internal/bootconfig"
-	"foxwood/internal/bothy"
 	"foxwood/internal/cli"
+	"foxwood/internal/configstore"
+	"foxwood/internal/control/registry"
+	"foxwood/internal/control/shedding"
+	"foxwood/internal/dataplane/proxy"
 	"foxwood/internal/rpc"
-	"foxwood/internal/snowline"
-	"foxwood/internal/store"
-	"foxwood/internal/switchback"
 )
 
 // runChild runs one process of the cluster the way its own program would start it, and returns the
@@ -27,34 +27,34 @@
 		return 1
 	}
 	if mode == modeCopies {
-		return serveProgram(program, settings, func(server *switchback.Proxy) { server.EnableMirroring() }, nil)
+		return serveProgram(program, settings, func(server *proxy.Proxy) { server.EnableMirroring() }, nil)
 	}
-	return serveProgram(program, settings, func(server *switchback.Proxy) {
-		server.EnableShedding(map[string]switchback.ShedMode{"alike": switchback.ShedByCluster, "whole": switchback.ShedByCluster, "solitary": switchback.ShedByGatekeeper, "dice": switchback.ShedAtRandom}[mode])
-	}, func(control *bothy.Registry) {
-		control.EnableShedding(snowline.Options{On: true, CallerHeader: callerHeader, SingleThreshold: mode == "whole"})
-	}, bothy.DutyShedding)
+	return serveProgram(program, settings, func(server *proxy.Proxy) {
+		server.EnableShedding(map[string]proxy.ShedMode{"alike": proxy.ShedByCluster, "whole": proxy.ShedByCluster, "solitary": proxy.ShedByGatekeeper, "dice": proxy.ShedAtRandom}[mode])
+	}, func(control *registry.Registry) {
+		control.EnableShedding(shedding.Options{On: true, CallerHeader: callerHeader, SingleThreshold: mode == "whole"})
+	}, registry.DutyShedding)
 }
 
 // serveProgram serves one program until it is told to stop. The two callbacks set options that
 // only this test uses on a proxy (switchback) or on a control node (bothy); duties are the cluster duties
 // that a control node competes for.
-func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*switchback.Proxy), configureControl func(*bothy.Registry), duties ...string) int {
+func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*proxy.Proxy), configureControl func(*registry.Registry), duties ...string) int {
 	var err error
 	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", settings.Node).Logger()
 	var runner cli.Runner
 	switch program {
 	case "cairn":
-		runner, err = store.New(settings, log)
+		runner, err = configstore.New(settings, log)
 	case "bothy":
-		control := bothy.New(settings, log, duties...)
+		control := registry.New(settings, log, duties...)
 		if configureControl != nil {
 			configureControl(control)
 		}
 		runner = control
 	case "switchback":
-		var server *switchback.Proxy
-		if server, err = switchback.New(settings, log); err == nil {
+		var server *proxy.Proxy
+		if server, err = proxy.New(settings, log); err == nil {
 			configureProxy(server)
 		}
 		runner = server
--- a/internal/whiteout/clients.go
+++ b/internal/testing/overloadtest/clients.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"foxwood/internal/switchback"
+	"foxwood/internal/dataplane/proxy"
 )
 
 const (
@@ -247,7 +247,7 @@
 		return outcomeUnknown, 0
 	case res.StatusCode == http.StatusOK && string(answer) == "done "+id:
 		return outcomeOK, 0
-	case res.StatusCode == http.StatusServiceUnavailable && string(answer) == switchback.ShedBody:
+	case res.StatusCode == http.StatusServiceUnavailable && string(answer) == proxy.ShedBody:
 		return outcomeShed, retryAfter
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
 		return outcomeRefused, retryAfter
--- a/internal/whiteout/cluster.go
+++ b/internal/testing/overloadtest/cluster.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"time"
 
 	"foxwood/internal/rpc"
+	"foxwood/internal/rpc/api"
 	"foxwood/internal/testing/standin"
-	"foxwood/internal/waymark"
 )
 
 const (
@@ -65,7 +65,7 @@
 	mu             sync.Mutex
 	levelLog       []logLine
 	processes      []*process
-	lastCopies     [proxyCount]waymark.MirrorStatusResponse // each proxy's last answer about its copies
+	lastCopies     [proxyCount]api.MirrorStatusResponse // each proxy's last answer about its copies
 }
 
 // ip returns the address of the n-th host of a part: 1 proxies, 2 core machines, 3 workers, 4 the
@@ -272,7 +272,7 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	status, err := rpc.Call[waymark.StatusRequest, waymark.StatusResponse](ctx, peer, waymark.StatusRequest{})
+	status, err := rpc.Call[api.StatusRequest, api.StatusResponse](ctx, peer, api.StatusRequest{})
 	return strings.Join(status.Lines, "\n"), err
 }
 
--- a/internal/whiteout/copies.go
+++ b/internal/testing/overloadtest/copies.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	"time"
 
 	"foxwood/internal/rpc"
+	"foxwood/internal/rpc/api"
 	"foxwood/internal/testing/standin"
-	"foxwood/internal/waymark"
 )
 
 // This file measures the cost of traffic shadowing: on one cluster, phases in which nothing is copied alternate
@@ -236,11 +236,11 @@
 }
 
 // copyCounts returns the sum of all proxies' counts of copies.
-func (c *cluster) copyCounts() (total waymark.MirrorStatusResponse) {
+func (c *cluster) copyCounts() (total api.MirrorStatusResponse) {
 	for i, proxy := range c.proxies {
 		peer := rpc.NewPeer(proxy.innerAddr)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		answer, err := rpc.Call[waymark.MirrorStatusRequest, waymark.MirrorStatusResponse](ctx, peer, waymark.MirrorStatusRequest{})
+		answer, err := rpc.Call[api.MirrorStatusRequest, api.MirrorStatusResponse](ctx, peer, api.MirrorStatusRequest{})
 		cancel()
 		peer.Close()
 		if err != nil { // a call may time out on a busy machine: use the last answer
@@ -291,7 +291,7 @@
 
 // copyReport returns the report as Markdown and the violations: unsafe requests that ran twice, copies
 // that reached live workers, and copies that are duplicated, missing or do not belong to a whole journey.
-func copyReport(phases []*phaseCost, generator *loadGenerator, ledger *standin.ExecutionLog, shadow *shadowServer, status waymark.MirrorStatusResponse) (string, []string) {
+func copyReport(phases []*phaseCost, generator *loadGenerator, ledger *standin.ExecutionLog, shadow *shadowServer, status api.MirrorStatusResponse) (string, []string) {
 	var b strings.Builder
 	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	writeLine("| phase | copies sent | requests | p50 ms | p99 ms | p99.9 ms | processor µs a request | MB of a gatekeeper |")
--- a/internal/whiteout/copies_test.go
+++ b/internal/testing/overloadtest/copies_test.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"foxwood/internal/rpc/api"
 	"foxwood/internal/testing/standin"
-	"foxwood/internal/waymark"
 )
 
 // TestCopyReportFindsViolations checks that each violation of the shadowing rules is reported once
@@ -41,7 +41,7 @@
 			ledger := &standin.ExecutionLog{Runs: map[string]int{"t-1": 1, "t-2": 1}}
 			shadow := &shadowServer{copiesByID: map[string]int{"a-1": 1, "a-2": 1}, headersByCaller: map[string][]string{"v": {headerOf("1", "2"), headerOf("2", "2")}}}
 			tc.change(generator, ledger, shadow)
-			_, violations := copyReport([]*phaseCost{{mode: "off"}, {mode: "10 %"}, {mode: "off"}, {mode: "100 %"}, {mode: "off", to: time.Now()}}, generator, ledger, shadow, waymark.MirrorStatusResponse{})
+			_, violations := copyReport([]*phaseCost{{mode: "off"}, {mode: "10 %"}, {mode: "off"}, {mode: "100 %"}, {mode: "off", to: time.Now()}}, generator, ledger, shadow, api.MirrorStatusResponse{})
 			assert.Equal(t, len(violations), tc.violations, "%v", violations)
 		})
 	}
--- a/internal/whiteout/whiteout.go
+++ b/internal/testing/overloadtest/whiteout.go
@@ -4,7 +4,7 @@
 // Clients of five tiers send at a fixed rate, whether or not they are answered, while processes are
 // killed and isolated. At the end it checks that no unsafe request ran twice, that accepted requests ran and
 // refused ones did not, and that no tier was shed while a less important one passed.
-package whiteout
+package overloadtest
 
 import (
 	"context"
--- a/internal/whiteout/worker.go
+++ b/internal/testing/overloadtest/worker.go
@@ -1,4 +1,4 @@
-package whiteout
+package overloadtest
 
 import (
 	"fmt"
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -1,7 +1,7 @@
 package policy
 
 // Token buckets of one gateway for the tenants' quotas. An allotter gives each gateway its refill rates under
-// a lease (internal/quota); nothing here communicates with it.
+// a lease (internal/control/quota); nothing here communicates with it.
 
 const (
 	bucketIdle       = 60 * second // a bucket without an allotment that is unused for this long is dropped
