--- a/internal/configstore/bulk.go
+++ b/internal/configstore/bulk.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// nextCall returns the call to make now, a *waymark.BulkMessage or a *waymark.BodyChunk; or nil and the
+// nextCall returns the call to make now, a *api.BulkMessage or a *api.BodyChunk; or nil and the
 // milliseconds to wait, which are 0 if the first message must be compressed first and negative if
 // the queue is empty.
 func (c *sender) nextCall(now float64) (call any, wait float64) {
--- a/internal/configstore/chain/types.go
+++ b/internal/configstore/chain/types.go
@@ -1,4 +1,4 @@
-// Package cairn implements chain replication with view changes for one machine of the core, as a
+// Package chain implements chain replication with view changes for one machine of the core, as a
 // pure state machine. Events stamped with a monotonic clock go in; records to persist, messages to
 // send and results come out.
 //
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -1,5 +1,5 @@
-// Package store runs one machine of the configuration store: it connects the replication state
-// machine of package cairn with the disk and the network. A single loop owns the state machine.
+// Package configstore runs one machine of the configuration store: it connects the replication state
+// machine of package chain with the disk and the network. A single loop owns the state machine.
 // What a step must persist is synced before any message or answer of that step is released; steps
 // that arrive together share one sync. If the disk fails or hangs (see disk.go), the process keeps
 // running: it sends nothing to other machines and answers every caller.
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -1,4 +1,4 @@
-// Package bothy implements the registry, the control server of the system. Gatekeepers keep their
+// Package registry implements the registry, the control server of the system. Gatekeepers keep their
 // sessions here and receive the configuration, the endpoints and the other members with their
 // heartbeats. Registries exchange sessions, elect the holder of each duty (reading the platform's
 // worker list, allocating quotas, setting the shedding level) and serve the HTTP control API and
--- a/internal/control/routeconfig/timetable.go
+++ b/internal/control/routeconfig/routeconfig.go
@@ -1,4 +1,4 @@
-// Package timetable implements the operator's routing configuration: the routes that match requests
+// Package routeconfig implements the operator's routing configuration: the routes that match requests
 // (courses in the document), the services that serve them (destinations), and the tenants that API keys
 // belong to (senders). Parse accepts a complete document or rejects it with a fault. A parsed configuration
 // is never modified, so any number of goroutines may read it.
--- a/internal/control/shedding/load.go
+++ b/internal/control/shedding/load.go
@@ -1,4 +1,4 @@
-// Package snowline maintains one load-shedding level for all gatekeepers. Every request has a position
+// Package shedding maintains one load-shedding level for all gatekeepers. Every request has a position
 // on a priority scale (policy.ShedPosition). The level is a threshold on that scale; requests at or above it
 // are refused before they are queued.
 //
--- a/internal/dataplane/mirror/copy.go
+++ b/internal/dataplane/mirror/copy.go
@@ -114,7 +114,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(t))), t...)
 }
 
-var errMalformedCopy = errors.New("spur: copied request is truncated or has trailing bytes")
+var errMalformedCopy = errors.New("mirror: copied request is truncated or has trailing bytes")
 
 // UnmarshalBinary decodes the format of MarshalBinary.
 func (c *RequestCopy) UnmarshalBinary(data []byte) error {
@@ -156,10 +156,10 @@
 // once, and returns an error if the connection does not lead to the delivery's address.
 func (d *Delivery) Send(connection TargetConnection) error {
 	if d.sent {
-		return fmt.Errorf("spur: delivery %d was sent before; a copy is sent at most once", d.ID)
+		return fmt.Errorf("mirror: delivery %d was sent before; a copy is sent at most once", d.ID)
 	}
 	if !sameAddress(connection.ShadowAddress(), d.Address) {
-		return fmt.Errorf("spur: connection leads to %s, want mirror target %s", connection.ShadowAddress(), d.Address)
+		return fmt.Errorf("mirror: connection leads to %s, want mirror target %s", connection.ShadowAddress(), d.Address)
 	}
 	d.sent = true
 	copied := &d.copy
--- a/internal/dataplane/mirror/mirror.go
+++ b/internal/dataplane/mirror/mirror.go
@@ -1,4 +1,4 @@
-// Package spur implements traffic mirroring. Each gatekeeper selects live flows by a mirroring
+// Package mirror implements traffic mirroring. Each gatekeeper selects live flows by a mirroring
 // rule and copies their requests; one gatekeeper per flow, its collector, fetches the copies,
 // checks that the flow is complete, and sends the copies in order to a mirror target. Answers of
 // mirror targets are discarded.
--- a/internal/dataplane/mirror/simulation/clients.go
+++ b/internal/dataplane/mirror/simulation/clients.go
@@ -15,7 +15,7 @@
 	address string
 }
 
-// ShadowAddress implements spur.TargetConnection.
+// ShadowAddress implements mirror.TargetConnection.
 func (c *targetConnection) ShadowAddress() string { return c.address }
 
 // loadFactor returns the load at a time of day relative to the mean.
--- a/internal/dataplane/mirror/simulation/simulation.go
+++ b/internal/dataplane/mirror/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package brocken simulates a week of traffic mirroring on a virtual clock. It runs the real
-// mirroring engines (package spur) of many gatekeepers, with simulated clients, live workers, mirror
+// Package simulation simulates a week of traffic mirroring on a virtual clock. It runs the real
+// mirroring engines (package mirror) of many gatekeepers, with simulated clients, live workers, mirror
 // targets, calls between gatekeepers, and incidents. A ledger records all events and checks that no
 // guarantee of mirroring is violated. The result depends only on the plan and its seed.
 package simulation
--- a/internal/dataplane/outlier/bulletin.go
+++ b/internal/dataplane/outlier/outlier.go
@@ -1,4 +1,4 @@
-// Package bulletin detects outliers among a destination's workers jointly for the gatekeepers of a
+// Package outlier detects outliers among a destination's workers jointly for the gatekeepers of a
 // zone. In a large cluster a single gatekeeper sends a worker too few requests to judge it. Each
 // gatekeeper therefore reports what it observed to the zone's owner of the destination; the owner
 // judges for the zone and tells all its gatekeepers what to do.
--- a/internal/dataplane/pipelining/lanes.go
+++ b/internal/dataplane/pipelining/pipelining.go
@@ -1,4 +1,4 @@
-// Package lanes decides which requests may share a connection that carries several at once:
+// Package pipelining decides which requests may share a connection that carries several at once:
 // which requests may be pipelined behind others, where responses come in order, and how long a
 // request may wait for others to join its batch. It learns the response times of each class of
 // requests. It does no I/O and has no clock: times are milliseconds given by the caller.
--- a/internal/dataplane/proxy/mirror_delivery.go
+++ b/internal/dataplane/proxy/mirror_delivery.go
@@ -24,7 +24,7 @@
 	addr string
 }
 
-// ShadowAddress implements spur.TargetConnection.
+// ShadowAddress implements mirror.TargetConnection.
 func (d targetConn) ShadowAddress() string { return d.addr }
 
 // deliver starts the deliveries that are due. The lock is held.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,4 +1,4 @@
-// Package switchback is the data plane of foxwood: the proxy process, which is called a gatekeeper. It accepts
+// Package proxy is the data plane of foxwood: the proxy process, which is called a gatekeeper. It accepts
 // clients' requests and forwards them to workers.
 //
 // A gatekeeper has a pool of workers for each destination (service). It keeps a session with one of the registries,
--- a/internal/rpc/api/session.go
+++ b/internal/rpc/api/session.go
@@ -1,4 +1,4 @@
-// Package waymark holds the messages of the calls between the system's processes: a pair of types, question and answer,
+// Package api holds the messages of the calls between the system's processes: a pair of types, question and answer,
 // for each call. Times are durations in milliseconds, because the clocks of different machines don't agree.
 package api
 
--- a/internal/testing/benchmark/process.go
+++ b/internal/testing/benchmark/process.go
@@ -1,4 +1,4 @@
-// Package trial has the measurements behind the command "foxwood measure": it compares transports to workers by
+// Package benchmark has the measurements behind the command "foxwood measure": it compares transports to workers by
 // running a gateway process for each, side by side on the same arrivals and in interleaved runs, measures
 // the cost of captures, and simulates restarts of gateways and faults of their shared counter. The results are
 // Markdown tables. A gateway is a load balancer as package gatekeeper implements it; the tables
--- a/internal/testing/faultgen/commands.go
+++ b/internal/testing/faultgen/commands.go
@@ -1,4 +1,4 @@
-// Package forecast generates fault scenarios for a simulated deployment, runs them, and shrinks those that break a
+// Package faultgen generates fault scenarios for a simulated deployment, runs them, and shrinks those that break a
 // rule to a few events. A scenario is one simulated day: planned work and faults, each with its time. The
 // commands and the files call it a day. A scenario is drawn at random from two inputs: the site file, which
 // describes the deployment, and the simulator's description of the kinds of faults. The package itself knows no
