--- a/internal/bootconfig/bootconfig.go
+++ b/internal/bootconfig/bootconfig.go
@@ -148,8 +148,8 @@
 		return nil, err
 	}
 	var faults []error
-	addFault := func(field, format string, host ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, host...)))
+	addFault := func(field, format string, args ...any) {
+		faults = append(faults, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
 	}
 	if settings.Node == "" {
 		addFault("station", "is missing")
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -17,9 +17,9 @@
 	firstTryFraction = 0.5         // but at most this fraction of the burst beyond one token
 )
 
-// TenantAllotment is our part of a tenant's quota: Rate and Burst under the lease, Floor and FloorBurst after it.
-// Rates are in tokens per second. Tokens are added once. Kick is a number of whole tokens on top of the burst
-// for the start of a process; they expire after startTokensLife. Wants, in Holdings, is the number of
+// TenantAllotment is our part of a tenant's quota: Rate and Burst under the lease, Minimum and MinimumBurst after it.
+// Rates are in tokens per second. Tokens are added once. StartBurst is a number of whole tokens on top of the burst
+// for the start of a process; they expire after startTokensLife. Waiting, in Holdings, is the number of
 // requests that found no token since the last Holdings. Returned, in Holdings, is the number of tokens given
 // up since then.
 type TenantAllotment struct {
@@ -28,7 +28,7 @@
 
 // tenantBucket is the token bucket of one tenant.
 type tenantBucket struct {
-	allotment      TenantAllotment // without its Tokens and Kick, which were added
+	allotment      TenantAllotment // without its Tokens and StartBurst, which were added
 	allotted       bool            // an allotment has been received
 	tokens         float64         // content of the bucket
 	filledAt       Micros          // when the bucket was last refilled
