--- a/internal/testing/mutation/main.go
+++ b/internal/testing/mutation/main.go
@@ -1,4 +1,4 @@
-// Command scree runs mutation tests: it compiles the code with one known fault at a time, and reports whether the
+// Command mutation runs mutation tests: it compiles the code with one known fault at a time, and reports whether the
 // tests detect it. The working tree is not changed, since the changed file is given to the compiler as an overlay.
 // Run it from the root of the module:
 //
@@ -137,7 +137,7 @@
 	if n := bytes.Count(code, []byte(f.old)); n != 1 {
 		return verdict{err: fmt.Errorf("expected the code to replace once in %s, found it %d times", f.file, n)}
 	}
-	overlayDir, err := os.MkdirTemp("", "scree")
+	overlayDir, err := os.MkdirTemp("", "mutation")
 	if err != nil {
 		return verdict{err: err}
 	}
