--- a/internal/configstore/chain/machine_test.go
+++ b/internal/configstore/chain/machine_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestSingleMachineChain checks that a single machine commits and reads by itself and ignores older
-// editions.
+// versions.
 func TestSingleMachineChain(t *testing.T) {
 	m := New(Config{Self: MachineID{Addr: "a:1"}, Seeds: []string{"a:1"}, FirstRun: true, Seed: 1}, nil, 0)
 	m.Step(0, Event{})
--- a/internal/configstore/chain/order_identity.go
+++ b/internal/configstore/chain/order_identity.go
@@ -15,7 +15,7 @@
 // dropped first; an order below all kept numbers counts as never seen.
 const maxIdentities = 1024
 
-// Identity is the number or edition of an order and the xxh3 hash of its body.
+// Identity is the number or version of an order and the xxh3 hash of its body.
 type Identity struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
--- a/internal/configstore/chain/simulation_test.go
+++ b/internal/configstore/chain/simulation_test.go
@@ -40,7 +40,7 @@
 	seats               int // number of seats that the core should have
 	replaced            int
 	committed           map[uint64]LogPosition
-	acknowledged        uint64 // highest edition that was acknowledged
+	acknowledged        uint64 // highest version that was acknowledged
 	edition             uint64
 	calls               map[uint64]*call
 	zone                zoneClient
--- a/internal/configstore/chain/types.go
+++ b/internal/configstore/chain/types.go
@@ -58,7 +58,7 @@
 	Evacuated      map[string]uint64      // zone to the sequence number of the change that evacuated it
 	LastZoneChange map[string]LogPosition `cbor:"Touched"` // zone to the last change that evacuated it or ended its evacuation
 	Orders         map[string]NamedOrder
-	// Identities lists the identities of committed configurations by ascending edition, whether or not they
+	// Identities lists the identities of committed configurations by ascending version, whether or not they
 	// ever came into force.
 	Identities []Identity `cbor:"Past,omitempty"`
 }
@@ -69,7 +69,7 @@
 const (
 	// OpenView opens a view. Only the head writes it.
 	OpenView ChangeKind = iota
-	// PutConfiguration sets the configuration if its edition is above the one in force; otherwise
+	// PutConfiguration sets the configuration if its version is above the one in force; otherwise
 	// it changes nothing.
 	PutConfiguration
 	// Evacuate evacuates a zone.
--- a/internal/configstore/disk_test.go
+++ b/internal/configstore/disk_test.go
@@ -214,7 +214,7 @@
 			assert.Equal(t, rpc.KindOf(err), rpc.Unknown, "the change may be on the disk")
 			waitForStatus(t, s, "disk lost")
 			assert.Assert(t, strings.Contains(statusText(t, s), c.failure.err.Error()))
-			checkRefused(t, s, 1) // not edition 2, which a chain of one had committed in the step that failed
+			checkRefused(t, s, 1) // not version 2, which a chain of one had committed in the step that failed
 			for range 20 {        // during repeated attempts to use the disk
 				checkRefused(t, s, 1)
 			}
--- a/internal/control/configcache/configcache.go
+++ b/internal/control/configcache/configcache.go
@@ -28,9 +28,9 @@
 type Cache struct {
 	edition          uint64
 	body             []byte
-	announcedEdition uint64 // highest edition announced by a registry
+	announcedEdition uint64 // highest version announced by a registry
 	announcedBytes   int    // size of the announced configuration, 0 if unknown
-	requestedEdition uint64 // edition last requested from a zone home
+	requestedEdition uint64 // version last requested from a zone home
 
 	evacuationVersion uint64
 	evacuatedZones    []string
@@ -208,7 +208,7 @@
 // MirrorOrder returns the traffic-mirroring order and its number, 0 if there never was one.
 func (c *Cache) MirrorOrder() (uint64, []byte) { return c.mirrorOrderNumber, c.mirrorOrder }
 
-// Edition returns the edition of the configuration held.
+// Edition returns the version of the configuration held.
 func (c *Cache) Edition() uint64 { return c.edition }
 
 // AnnouncedVersion returns the endpoint version last announced.
--- a/internal/control/configcache/configcache_test.go
+++ b/internal/control/configcache/configcache_test.go
@@ -22,7 +22,7 @@
 	return m
 }
 
-// newFilledCache returns a cache that holds edition 5 and endpoint version 10 of the destinations d
+// newFilledCache returns a cache that holds configuration version 5 and endpoint version 10 of the destinations d
 // and e.
 func newFilledCache() *Cache {
 	cache := New()
--- a/internal/control/election/election.go
+++ b/internal/control/election/election.go
@@ -1,8 +1,8 @@
-// Package election elects the holder of each cluster duty. A duty is won by ballots among the control
-// nodes (program bothy) named by the replicated log's current view, and held under a lease that has to
+// Package election elects the holder of each cluster duty. A duty is won by ballots among the
+// registries (program bothy) named by the replicated log's current view, and held under a lease that has to
 // be renewed.
 //
-// No two control nodes ever hold a duty at the same real time, whatever messages are lost, delayed or
+// No two registries ever hold a duty at the same real time, whatever messages are lost, delayed or
 // duplicated:
 //
 //   - A voter promises a duty to one candidate at a time, for one lease from its answer. The candidate
@@ -65,7 +65,7 @@
 	Release
 )
 
-// Message is sent from one control node to another. The caller must not take From from the wire unless
+// Message is sent from one registry to another. The caller must not take From from the wire unless
 // it has verified that the sender is that node.
 type Message struct {
 	Kind         MessageKind `cbor:"1,keyasint,omitempty"`
@@ -101,7 +101,7 @@
 const (
 	// Tick tells that time has passed. It should occur every 20 to 50 ms.
 	Tick EventKind = iota + 1
-	// Received is a message received from another control node.
+	// Received is a message received from another registry.
 	Received
 	// Shutdown is the shutdown of this node (SIGTERM): it gives up its duties and is no candidate any more.
 	Shutdown
@@ -233,7 +233,7 @@
 }
 
 // SoleElectorate returns the electorate and its number if no node trusts any other, and nil otherwise. Only
-// this is what a later incarnation may RestoreElectorate: an electorate just learned says nothing about those
+// this may be passed to RestoreElectorate by a later incarnation: an electorate just learned says nothing about those
 // before it.
 func (m *Machine) SoleElectorate(now float64) (voters []string, edition uint64) {
 	if m.dropOldElectorates(now); len(m.electorates) != 1 || now < m.soleElectorateSince {
@@ -278,7 +278,7 @@
 	m.electorates = append(m.electorates, electorate{edition: edition, shrunk: shrunk, voters: voters, learnedAt: now, confirmedAt: queriedAt})
 }
 
-// ObserveTerm records a term that a holder reported to someone. Control nodes that were all restarted know
+// ObserveTerm records a term that a holder reported to someone. Registries that were all restarted know
 // no terms; what gatekeepers remember keeps the terms increasing.
 func (m *Machine) ObserveTerm(name string, term uint64) {
 	if state := m.duties[name]; state != nil {
--- a/internal/control/election/election_test.go
+++ b/internal/control/election/election_test.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestRemember checks that an unchanged electorate saves the wait for older ones and a different one
+// TestRestoreElectorate checks that an unchanged electorate saves the wait for older ones and a different one
 // doesn't, and that an electorate just learned is not returned for remembering.
-func TestRemember(t *testing.T) {
+func TestRestoreElectorate(t *testing.T) {
 	for _, testCase := range []struct {
 		earlier  []string
 		earliest float64
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,8 +1,8 @@
 // Package membership tracks which gatekeepers are members of the cluster. Each gatekeeper sends
-// heartbeats to one control node (program bothy), the control nodes report their sessions to each
+// heartbeats to one registry (program bothy), the registries report their sessions to each
 // other, and a gatekeeper is a member while its heartbeats reach any of them.
 //
-// Times are in milliseconds of the caller's steady clock. Control nodes send each other only ages,
+// Times are in milliseconds of the caller's steady clock. Registries send each other only ages,
 // since their clocks are unrelated.
 package membership
 
@@ -24,7 +24,7 @@
 	retentionMs = 30_000
 	// departureRepeatMs is how long reports repeat that a gatekeeper left, in case some are lost.
 	departureRepeatMs = 5000
-	// peerTimeoutMs is how long another control node counts as connected without a report: long enough for
+	// peerTimeoutMs is how long another registry counts as connected without a report: long enough for
 	// two lost reports, and shorter than the time after which the sessions it reported lapse.
 	peerTimeoutMs = 700
 	// maxClockDrift is the largest relative drift between two clocks.
@@ -46,14 +46,14 @@
 	Overloaded  bool    `cbor:"11,keyasint,omitempty"` // overloaded while the others are not: clients should prefer the others
 }
 
-// Session is a gatekeeper that sends heartbeats to the reporting control node.
+// Session is a gatekeeper that sends heartbeats to the reporting registry.
 type Session struct {
 	Member Member  `cbor:"1,keyasint,omitempty"`
 	AgeMs  float64 `cbor:"2,keyasint,omitempty"` // since its last heartbeat
 	Left   bool    `cbor:"3,keyasint,omitempty"` // it has left the cluster
 }
 
-// Report is a report that one control node sends to the others.
+// Report is a report that one registry sends to the others.
 type Report struct {
 	From        string    `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64    `cbor:"2,keyasint,omitempty"` // incarnation of the sender
@@ -74,7 +74,7 @@
 
 // MemberList is the list of members at one moment.
 type MemberList struct {
-	Incarnation uint64   // incarnation of the control node; versions are only comparable within it
+	Incarnation uint64   // incarnation of the registry; versions are only comparable within it
 	Version     uint64   // increases when a member joins, leaves or changes; a change of Load alone doesn't count
 	Members     []Member // sorted by node
 }
@@ -96,7 +96,7 @@
 	return index, len(r.Members)
 }
 
-// nodeEntry is the newest information about a node from any control node.
+// nodeEntry is the newest information about a node from any registry.
 type nodeEntry struct {
 	member            Member
 	heartbeatAt       float64            // of its last heartbeat
@@ -106,14 +106,14 @@
 	previousStartedAt float64            // when the previous incarnation was first reported, -Inf for none
 }
 
-// session is a gatekeeper that sends heartbeats to this control node.
+// session is a gatekeeper that sends heartbeats to this registry.
 type session struct {
 	member      Member
 	heartbeatAt float64
 	left        bool
 }
 
-// peer is another control node.
+// peer is another registry.
 type peer struct {
 	incarnation, sequence uint64
 	lastReportAt          float64
@@ -136,7 +136,7 @@
 	return now - sentAt - p.clockLeadMs
 }
 
-// Registry is one control node's view of all sessions. It isn't safe for concurrent use.
+// Registry is the view that one registry has of all sessions. It isn't safe for concurrent use.
 type Registry struct {
 	self              string
 	incarnation       uint64
@@ -154,7 +154,7 @@
 }
 
 // New returns an empty Registry. The caller draws the incarnation at random for each process:
-// otherwise the reports of a restarted control node would look older than those before.
+// otherwise the reports of a restarted registry would look older than those before.
 func New(self string, incarnation uint64, now, lapseMs float64) *Registry {
 	if lapseMs <= 0 {
 		lapseMs = DefaultLapseMs
@@ -163,7 +163,7 @@
 		peers: map[string]*peer{}, members: MemberList{Incarnation: incarnation, Version: 1}}
 }
 
-// Heartbeat handles a heartbeat received by this control node.
+// Heartbeat handles a heartbeat received by this registry.
 func (b *Registry) Heartbeat(now float64, member Member) {
 	if b.record(now, now, member, false) {
 		b.sessions[member.Node] = session{member: member, heartbeatAt: now}
@@ -172,7 +172,7 @@
 
 // Leave handles a gatekeeper's announcement that its process ends; no earlier report can make it a
 // member again. A broken connection doesn't count as leaving, since the gatekeeper may continue at
-// another control node.
+// another registry.
 func (b *Registry) Leave(now float64, node string, incarnation uint64) {
 	entry := b.entries[node]
 	if entry == nil || entry.member.Incarnation != incarnation {
@@ -183,8 +183,8 @@
 	b.sessions[node] = session{member: entry.member, heartbeatAt: now, left: true}
 }
 
-// FullReport returns the full report for the other control nodes. Lapsed sessions are included while they
-// are in KnownNodes, so that a control node that has just started reserves the same quotas for them.
+// FullReport returns the full report for the other registries. Lapsed sessions are included while they
+// are in KnownNodes, so that a registry that has just started reserves the same quotas for them.
 func (b *Registry) FullReport(now float64) Report {
 	b.removeExpired(now)
 	b.sequence++
@@ -196,8 +196,8 @@
 	return page
 }
 
-// Receive handles another control node's report. A report older than the last one is dropped, because its
-// ages would make old sessions look recent. A silent control node needs no special handling: its
+// Receive handles another registry's report. A report older than the last one is dropped, because its
+// ages would make old sessions look recent. A silent registry needs no special handling: its
 // sessions grow older and lapse.
 func (b *Registry) Receive(now float64, page Report) {
 	if page.From == b.self {
@@ -315,13 +315,13 @@
 
 // RestartedWithin reports whether an earlier incarnation of the node was first reported less than withinMs
 // milliseconds ago. What an incarnation may use only once in that time may then have been used
-// already. A control node that has just started takes every incarnation for a new one.
+// already. A registry that has just started takes every incarnation for a new one.
 func (b *Registry) RestartedWithin(now float64, node string, withinMs float64) bool {
 	entry := b.entries[node]
 	return entry != nil && now-entry.previousStartedAt < withinMs
 }
 
-// RestoreStarts installs the nodes of which an earlier process of this control node recorded that an
+// RestoreStarts installs the nodes of which an earlier process of this registry recorded that an
 // incarnation had started recently. It may have started right before this process did.
 func (b *Registry) RestoreStarts(now float64, nodes []string) {
 	b.restored = make(map[string]float64, len(nodes))
@@ -401,7 +401,7 @@
 	return slices.Sorted(maps.Keys(b.entries))
 }
 
-// ConnectedPeers returns the control nodes whose reports arrived within the lapse time.
+// ConnectedPeers returns the registries whose reports arrived within the lapse time.
 func (b *Registry) ConnectedPeers(now float64) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
@@ -412,7 +412,7 @@
 	return names
 }
 
-// IsComplete reports whether the member list may be passed on: either all other control nodes are
+// IsComplete reports whether the member list may be passed on: either all other registries are
 // connected, or a majority of all of them has been for the lapse time. Otherwise the list may lack
 // most members, since those with sessions elsewhere have lapsed here or were not reported yet, and
 // gatekeepers would divide shared limits among too few.
@@ -438,7 +438,7 @@
 	return now-connectedSince[needed-1] >= b.lapseMs
 }
 
-// CompleteAsOf returns the time as of which the list contains all members: when the control node that has been
+// CompleteAsOf returns the time as of which the list contains all members: when the registry that has been
 // silent longest sent its last report. The time is not known if one has never sent a report.
 func (b *Registry) CompleteAsOf(now float64, nodes []string) (asOf float64, known bool) {
 	asOf = now
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -147,7 +147,7 @@
 	assert.DeepEqual(t, nodesOf(second.Members(240)), []string{"a"})
 }
 
-func TestSettled(t *testing.T) {
+func TestIsComplete(t *testing.T) {
 	registry := New("b1", 1, 1000, 0)
 	all := []string{"b1", "b2"}
 	assert.Assert(t, !registry.IsComplete(1100, all))
@@ -157,7 +157,7 @@
 	assert.Assert(t, registry.IsComplete(2500, []string{"b1"}), "there are no other nodes")
 }
 
-// TestPartitionedNodeIsNotSettled checks that the member list of a partitioned control node is not
+// TestPartitionedNodeIsNotSettled checks that the member list of a partitioned registry is not
 // passed on. It lacks the members with sessions elsewhere, from the partition until a lapse time after
 // the majority is connected again or until all are.
 func TestPartitionedNodeIsNotSettled(t *testing.T) {
@@ -191,7 +191,7 @@
 	assert.Assert(t, registry.IsComplete(40_000, all), "all nodes are connected")
 }
 
-func TestAsOf(t *testing.T) {
+func TestCompleteAsOf(t *testing.T) {
 	registry := New("a", 1, 0, 1000)
 	_, known := registry.CompleteAsOf(50, []string{"a", "b"})
 	assert.Assert(t, !known, "a node that has never sent a report")
@@ -304,7 +304,7 @@
 	assert.Equal(t, Owner(list, "zz", "s"), "")
 }
 
-// TestNodesAgree has gatekeepers send heartbeats, move to another control node and restart while
+// TestNodesAgree has gatekeepers send heartbeats, move to another registry and restart while
 // reports get lost, delayed and duplicated. Soon afterwards, every running gatekeeper must be a member
 // everywhere, and every ended incarnation nowhere.
 func TestNodesAgree(t *testing.T) {
@@ -449,7 +449,7 @@
 	}
 }
 
-// TestReportDelayedByFreeze checks that a control node that freezes between making and sending a
+// TestReportDelayedByFreeze checks that a registry that freezes between making and sending a
 // report doesn't make gatekeepers look alive elsewhere that have ended since. Clock drift, and reports
 // that are all equally slow, make no session look old.
 func TestReportDelayedByFreeze(t *testing.T) {
--- a/internal/control/membership/resolve.go
+++ b/internal/control/membership/resolve.go
@@ -94,7 +94,7 @@
 
 // OwnerAmong returns a service's owner among the ready members of a zone, given by their addresses for
 // other gatekeepers. It is the one with the highest hash, so that a change of members moves only the
-// services it concerns. Control nodes and gatekeepers compute it independently.
+// services it concerns. Registries and gatekeepers compute it independently.
 func OwnerAmong(ready []string, zone, service string) string {
 	var owner string
 	var ownerHash uint64
--- a/internal/control/membership/scale_bench_test.go
+++ b/internal/control/membership/scale_bench_test.go
@@ -10,7 +10,7 @@
 		ClientAddr: fmt.Sprintf("10.%d.%d.%d:8206", index>>16, index>>8&255, index&255), PeerAddr: fmt.Sprintf("10.%d.%d.%d:7460", index>>16, index>>8&255, index&255), Ready: true}
 }
 
-// BenchmarkScale measures what members cost a control node, by their number: one heartbeat, the hash
+// BenchmarkScale measures what members cost a registry, by their number: one heartbeat, the hash
 // and the brief report of its own sessions (a fifth of all), the handling of such a report, and the
 // computation of the member list.
 func BenchmarkScale(b *testing.B) {
--- a/internal/control/quota/quota.go
+++ b/internal/control/quota/quota.go
@@ -1,7 +1,7 @@
 // Package quota divides each tenant's rate limit among the gatekeepers and grants the parts under
 // leases.
 //
-// The control node that holds the allocation duty runs the active Allocator. Every other control node
+// The registry that holds the allocation duty runs the active Allocator. Every other registry
 // keeps a standby Allocator supplied with the same limits and members, so that after a change of duty
 // holder the new one knows which gatekeepers have lapsed. The package has no clock: every now is in
 // milliseconds of a steady clock.
--- a/internal/control/registry/startlog.go
+++ b/internal/control/registry/startlog.go
@@ -12,7 +12,7 @@
 	"foxwood/internal/control/quota"
 )
 
-// A gatekeeper that starts takes its start burst (the first tokens of its quotas) once, and two
+// A gatekeeper that starts takes its start burst (extra tokens for its quotas) once, and two
 // incarnations of one node must not both take it within one window of the quota rule. Registries
 // remember which nodes have started recently. This must survive the registry's own restart:
 // otherwise each gatekeeper could take a start burst twice if everything is restarted twice within
--- a/internal/control/routeconfig/parse.go
+++ b/internal/control/routeconfig/parse.go
@@ -55,10 +55,10 @@
 	senderByName           map[string]int      // index in Tenants
 }
 
-// routeMatch is what a course matches requests by.
+// routeMatch is what a route matches requests by.
 type routeMatch struct{ domain, prefix string }
 
-// location is a table, a row of it, or a row of the split of a course. It is formatted only for a fault.
+// location is a table, a row of it, or a row of the split of a route. It is formatted only for a fault.
 type location struct {
 	table      string
 	row, share int // index, -1 for none
@@ -208,13 +208,13 @@
 		}
 		p.table.Destinations[destination.Name] = destination
 	})
-	// Rows or a whole table that could not be read may hold the names that courses use.
+	// Rows or a whole table that could not be read may hold the names that routes use.
 	p.destinationsUnreadable = slices.ContainsFunc(p.faults[faultsBefore:], func(f Fault) bool {
 		return f.Kind == InvalidTable || f.Kind == RowLength || f.Kind == WrongType || f.Kind == MissingName
 	})
 }
 
-// readCourses reads the table of courses (routes).
+// readCourses reads the table of routes, which the platform calls courses.
 func (p *parser) readCourses(value gjson.Result) {
 	const name, domain, prefix, kind, deadline, target, priority, split, tries, unsealed, homes, singleDestination = 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11
 	fields := []string{
@@ -270,7 +270,7 @@
 	})
 }
 
-// readSplit returns the shares of a course. If the course has both a destination and a split, the split
+// readSplit returns the shares of a route. If the route has both a destination and a split, the split
 // applies, but all destinations of both must exist.
 func (p *parser) readSplit(singleValue, splitValue gjson.Result, loc location) []Share {
 	const destination, share = 0, 1
--- a/internal/control/routeconfig/routeconfig_test.go
+++ b/internal/control/routeconfig/routeconfig_test.go
@@ -258,7 +258,7 @@
 	assert.Equal(t, faults[0].Kind, InvalidTable)
 }
 
-// routesDocument returns a document with a course for each pattern, a domain followed by a path prefix.
+// routesDocument returns a document with a route for each pattern, a domain followed by a path prefix.
 func routesDocument(patterns ...string) []byte {
 	var rows []string
 	for _, pattern := range patterns {
--- a/internal/control/shedding/holder.go
+++ b/internal/control/shedding/holder.go
@@ -64,7 +64,7 @@
 	Level          Level                    `cbor:"8,keyasint,omitempty"` // the level it applies, for a holder that knows none
 	Version        uint64                   `cbor:"9,keyasint,omitempty"`
 	RouteCostsMs   map[int]float32          `cbor:"10,keyasint,omitempty"` // milliseconds per request by route
-	Forwarded      bool                     `cbor:"11,keyasint,omitempty"` // passed on by a control node that doesn't hold the duty
+	Forwarded      bool                     `cbor:"11,keyasint,omitempty"` // passed on by a registry that doesn't hold the duty
 	SharedPressure float64                  `cbor:"12,keyasint,omitempty"` // the part of Pressure that no service's lack of capacity explains
 	Services       map[string]ServiceReport `cbor:"13,keyasint,omitempty"` // by service; this load is not included in Load
 }
@@ -91,7 +91,7 @@
 	receivedAt float64
 }
 
-// Holder computes the level at the control node that holds the shedding duty. The other nodes keep one
+// Holder computes the level at the registry that holds the shedding duty. The other registries keep one
 // too and record the levels they pass on, in case they win the duty.
 type Holder struct {
 	// NeverShedBelow, MinServedShare and CallerHeader are settings of this node: what is never shed, and the header that names
--- a/internal/control/shedding/load.go
+++ b/internal/control/shedding/load.go
@@ -2,7 +2,7 @@
 // on a priority scale (policy.ShedPosition). The level is a threshold on that scale; requests at or above it
 // are refused before they are queued.
 //
-// Gatekeepers report their pressure and the load at each position. The control node (program bothy)
+// Gatekeepers report their pressure and the load at each position. The registry (program bothy)
 // that holds the shedding duty learns how much load can be served and sets the threshold accordingly,
 // so that it follows the load at once without waiting for more pressure. Each gatekeeper applies the
 // last level it received. A gatekeeper that receives none applies the stricter of that level and a
--- a/internal/control/shedding/options.go
+++ b/internal/control/shedding/options.go
@@ -11,7 +11,7 @@
 	"foxwood/policy"
 )
 
-// Options are the command-line settings of load shedding. Only control nodes are given what is never
+// Options are the command-line settings of load shedding. Only registries are given what is never
 // shed: they send it to the gatekeepers with the level, so that all of them apply the same.
 type Options struct {
 	On              bool    // shed load by the cluster's level
@@ -31,7 +31,7 @@
 	flags.BoolVar(&o.On, "shed", false, "apply the cluster's shedding level, and report this gatekeeper's pressure (bothies need it too)")
 }
 
-// ControlFlags registers the flags of a control node.
+// ControlFlags registers the flags of a registry.
 func (o *Options) ControlFlags(flags *flag.FlagSet) {
 	flags.BoolVar(&o.On, "shed", false, "agree on a shedding level for all gatekeepers")
 	flags.IntVar(&o.NeverShedBelow, "shed-never", 0, "tenants with a priority below this number are never shed")
--- a/internal/control/shedding/shedding_test.go
+++ b/internal/control/shedding/shedding_test.go
@@ -528,7 +528,7 @@
 	assert.Equal(t, follower.ThresholdFor("b"), policy.ShedNothing)
 }
 
-func TestLinePart(t *testing.T) {
+func TestBandwidthShare(t *testing.T) {
 	t.Parallel()
 	for _, testCase := range []struct {
 		sent       uint64
--- a/internal/testing/overloadtest/child.go
+++ b/internal/testing/overloadtest/child.go
@@ -37,8 +37,8 @@
 }
 
 // serveProgram serves one program until it is told to stop. The two callbacks set options that
-// only this test uses on a proxy (switchback) or on a control node (bothy); duties are the cluster duties
-// that a control node competes for.
+// only this test uses on a proxy (switchback) or on a registry (bothy); duties are the cluster duties
+// that a registry competes for.
 func serveProgram(program string, settings *bootconfig.Settings, configureProxy func(*proxy.Proxy), configureControl func(*registry.Registry), duties ...string) int {
 	var err error
 	log := zerolog.New(os.Stderr).With().Str("program", program).Str("station", settings.Node).Logger()
--- a/internal/testing/overloadtest/cluster.go
+++ b/internal/testing/overloadtest/cluster.go
@@ -24,7 +24,7 @@
 
 const (
 	proxyCount        = 6
-	coreCount         = 3 // core machines: a store node and a control node each
+	coreCount         = 3 // core machines: a configuration store and a registry each
 	workersPerService = 3
 	innerBasePort     = 7460 // first port for calls between nodes
 	publicPort        = 8080 // port for clients and operators
@@ -217,7 +217,7 @@
 	return c.callControl(ctx, http.MethodPut, "/timetable", body)
 }
 
-// callControl makes an operator's call to one control node after another until one accepts it, for at
+// callControl makes an operator's call to one registry after another until one accepts it, for at
 // most 40 s. A status below 500 other than OK ends it with an error.
 func (c *cluster) callControl(ctx context.Context, method, path string, body []byte) error {
 	giveUpAt := time.Now().Add(40 * time.Second)
@@ -246,7 +246,7 @@
 	return fmt.Errorf("%s %s not accepted within 40 s, last failure: %s", method, path, lastFailure)
 }
 
-// waitReady waits until all proxies serve and, where one level holds for all of them, a control node holds
+// waitReady waits until all proxies serve and, where one level holds for all of them, a registry holds
 // the duty that sets it.
 func (c *cluster) waitReady(ctx context.Context) error {
 	giveUpAt := time.Now().Add(30 * time.Second)
@@ -276,7 +276,7 @@
 	return strings.Join(status.Lines, "\n"), err
 }
 
-// levelHolder returns the index of the control node that holds the level duty, or -1 if none does.
+// levelHolder returns the index of the registry that holds the level duty, or -1 if none does.
 func (c *cluster) levelHolder() int {
 	for i, control := range c.controlNodes {
 		if status, err := queryStatus(control.innerAddr); err == nil && strings.Contains(status, "duty level held by "+control.innerAddr) {
--- a/internal/testing/overloadtest/judge.go
+++ b/internal/testing/overloadtest/judge.go
@@ -38,7 +38,7 @@
 	settledTime       time.Duration // total of the settled spans
 }
 
-// levelChanges returns the changes of level that the logs report, in order of time. A line of a control node
+// levelChanges returns the changes of level that the logs report, in order of time. A line of a registry
 // counts for all proxies, a line of an isolated proxy only for that proxy.
 func levelChanges(lines []logLine) (changes []levelChange) {
 	for _, entry := range lines {
--- a/internal/testing/overloadtest/overloadtest.go
+++ b/internal/testing/overloadtest/overloadtest.go
@@ -1,5 +1,5 @@
-// Package overloadtest is a live overload test of the whole cluster. It starts three core machines (a store
-// node, program cairn, and a control node, program bothy, on each) and six proxies (program switchback;
+// Package overloadtest is a live overload test of the whole cluster. It starts three core machines (a
+// configuration store, program cairn, and a registry, program bothy, on each) and six proxies (program switchback;
 // the reports call them gatekeepers) as processes on loopback addresses. Workers record in a ledger what they ran.
 // Clients of five tiers send at a fixed rate, whether or not they are answered, while processes are
 // killed and isolated. At the end it checks that no unsafe request ran twice, that accepted requests ran and
--- a/internal/testing/overloadtest/report.go
+++ b/internal/testing/overloadtest/report.go
@@ -13,7 +13,7 @@
 	slices.SortFunc(changes, func(a, b levelChange) int { return a.at.Compare(b.at) })
 }
 
-// modeTitles holds the titles of the shedding modes in the report. With "alike" and "whole" a control node sets
+// modeTitles holds the titles of the shedding modes in the report. With "alike" and "whole" a registry sets
 // one shedding level for all proxies, which "alike" applies to each service separately. With "solitary" and
 // "dice" each proxy decides alone; "dice" sheds at random.
 var modeTitles = map[string]string{"alike": "one level, a cut for each service", "whole": "one cut for all services", "solitary": "each gatekeeper alone", "dice": "by dice, each alone"}
--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -1,6 +1,6 @@
 package policy
 
-// Token buckets of one gateway for the tenants' quotas. An allotter gives each gateway its refill rates under
+// Token buckets of one gateway for the tenants' quotas. An allocator gives each gateway its refill rates under
 // a lease (internal/control/quota); nothing here communicates with it.
 
 const (
@@ -11,7 +11,7 @@
 	minTenantWait    = 20 * milli  // shortest wait that a refused client is told
 	maxTenantWait    = 2 * second  // longest wait that a refused client is told
 	maxFirstWait     = 300 * milli // longest wait told before the first allotment, which has been asked for already
-	startTokensLife  = 2 * second  // lifetime of the start-up tokens; the allotter relies on this value
+	startTokensLife  = 2 * second  // lifetime of a start burst; the allocator relies on this value
 	waitSpread       = 0.3         // largest fraction added to a wait, so that clients return at different times
 	firstTryTokens   = 2.0         // most tokens that retries leave for first tries,
 	firstTryFraction = 0.5         // but at most this fraction of the burst beyond one token
@@ -37,7 +37,7 @@
 	lastUsed       Micros          // time of the last request
 	unserved       float64         // requests that found no token since the last Holdings
 	returned       float64         // tokens given up since the last Holdings
-	startTokens    float64         // start-up tokens left
+	startTokens    float64         // tokens of the start burst left
 	startTokensEnd Micros          // when they expire
 }
 
@@ -57,7 +57,7 @@
 // TenantBuckets holds the tenants' buckets of one gateway. They start empty, since the process may have spent their
 // content before a restart.
 type TenantBuckets struct {
-	// FloorDuration is how long the floors remain valid after the lease, 0 for ever. The allotter keeps them
+	// FloorDuration is how long the floors remain valid after the lease, 0 for ever. The allocator keeps them
 	// reserved for a stated time, which must not end before.
 	FloorDuration Micros
 
@@ -221,7 +221,7 @@
 	}
 }
 
-// RunningLow reports whether a bucket that was used recently has no whole token, so that asking the allotter again
+// RunningLow reports whether a bucket that was used recently has no whole token, so that asking the allocator again
 // soon is worthwhile.
 func (t *TenantBuckets) RunningLow(now Micros) bool {
 	for _, bucket := range t.buckets {
@@ -260,7 +260,7 @@
 	return demand
 }
 
-// Holdings returns what is held and how much longer the lease lasts, for the next call to the allotter. Tokens
+// Holdings returns what is held and how much longer the lease lasts, for the next call to the allocator. Tokens
 // is the content of each bucket.
 func (t *TenantBuckets) Holdings(now Micros) (map[string]TenantAllotment, Micros) {
 	held := make(map[string]TenantAllotment, len(t.buckets))
