--- a/policy/tenants.go
+++ b/policy/tenants.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// rate is the current refill rate of a bucket, in tokens per second.
+// fillRate returns the current refill rate of a bucket, in tokens per second.
 func (t *TenantBuckets) fillRate(bucket *tenantBucket, now Micros) float64 {
 	if now < t.leaseEnd {
 		return bucket.allotment.Rate
